--- a/tests/controlplane/test_changes_on_bad_days.py
+++ b/tests/controlplane/test_changes_on_bad_days.py
@@ -83,7 +83,8 @@
         self.files = SimulatedFiles(day.rng)
         self.group: ReplicatedGroup | None = None
         self.api: OperatorApi | None = None
-        self.calls: set[asyncio.Task[web.Response]] = set()
+        # in order, so that a day is the same each time
+        self.calls: dict[asyncio.Task[web.Response], None] = {}
         self._executor: LoopExecutor | None = None
 
     async def start(self) -> None:
@@ -173,7 +174,7 @@
         if node.api is None:
             return None
         call = self.loop.create_task(node.api.answer(change, "/config"))
-        node.calls.add(call)
+        node.calls[call] = None
         call.add_done_callback(lambda call: self._judge(node, change, call))
         await asyncio.wait({call}, timeout=ANSWER_S)
         if not call.done() or call.cancelled() or self.rng.random() < LOST:
@@ -182,7 +183,7 @@
 
     def _judge(self, node: ControlNode, change: Change, call: asyncio.Task[web.Response]) -> None:
         """Every answer counts, heard or not."""
-        node.calls.discard(call)
+        node.calls.pop(call, None)
         if call.cancelled():
             return
         try:
