--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -86,6 +86,7 @@
 
     def play(self) -> float:
         """The whole day; the worst window's sends, as a part of what is allowed."""
+
         def host(eid: bytes, state: t.State = t.State.READY, started: float = 0.0) -> t.Host:
             return t.Host(eid, 0, 0, 0, state, 1.0, started)
 
--- a/granitewell/cli/cluster.py
+++ b/granitewell/cli/cluster.py
@@ -36,10 +36,19 @@
 def asks(command: Callable[..., Any]) -> Callable[..., Any]:
     """The options that say whom to ask."""
 
-    @click.option("--at", "ats", multiple=True, metavar="PATH|HOST:PORT",
-                  help="Where a node's status is; wins over the operator file. May be given several times.")
-    @click.option("--operator", metavar="FILE", type=click.Path(),
-                  help="Operator file of the node, whose [status] says where; wins over LB_OPERATOR.")
+    @click.option(
+        "--at",
+        "ats",
+        multiple=True,
+        metavar="PATH|HOST:PORT",
+        help="Where a node's status is; wins over the operator file. May be given several times.",
+    )
+    @click.option(
+        "--operator",
+        metavar="FILE",
+        type=click.Path(),
+        help="Operator file of the node, whose [status] says where; wins over LB_OPERATOR.",
+    )
     @wraps(command)
     def asked(ats: tuple[str, ...], operator: str | None, **more: Any) -> Any:
         named = operator or os.environ.get("LB_OPERATOR")
--- a/granitewell/cli/lab_load.py
+++ b/granitewell/cli/lab_load.py
@@ -235,15 +235,27 @@
 
 @click.command("load", epilog=EXAMPLES)
 @click.option("--target", metavar="HOST:PORT[,...]", help="Whom to ask; requests go round in turn.")
-@click.option("--against-bare", type=int, is_flag=False, flag_value=1, default=None, metavar="[N]",
-              help="Start N bare stand-ins (1) and ask those: a measure of this tool.")
+@click.option(
+    "--against-bare",
+    type=int,
+    is_flag=False,
+    flag_value=1,
+    default=None,
+    metavar="[N]",
+    help="Start N bare stand-ins (1) and ask those: a measure of this tool.",
+)
 @click.option("--rate", required=True, metavar="R|A..B", help="Requests a second, over all processes.")
 @click.option("--steps", type=int, metavar="K", help="Hold K evenly spaced rates from A to B.")
 @click.option("--sweep", is_flag=True, help="Climb from A towards B and close in on the knee.")
 @click.option("--duration", type=float, required=True, metavar="S", help="Seconds for each rate.")
 @click.option("--processes", type=int, default=1, show_default=True, help="Workers; each wants a CPU.")
-@click.option("--class", "classes", multiple=True, metavar="NAME:SHARE:GET|POST[:BYTES]",
-              help="A class in the platform's protocol; repeat. Without any: plain GET requests of --path.")
+@click.option(
+    "--class",
+    "classes",
+    multiple=True,
+    metavar="NAME:SHARE:GET|POST[:BYTES]",
+    help="A class in the platform's protocol; repeat. Without any: plain GET requests of --path.",
+)
 @click.option("--tenant", "tenants", multiple=True, metavar="NAME[:SHARE]", help="Repeat. Without any: load.")
 @click.option("--keys", type=int, default=1000, show_default=True, help="Distinct Affinity-Keys; 0: none.")
 @click.option("--path", default="/", show_default=True, help="Of plain GET requests.")
--- a/granitewell/cli/lab_up.py
+++ b/granitewell/cli/lab_up.py
@@ -63,12 +63,27 @@
 @click.option("--endpoints", type=click.IntRange(1, 10_000), help="In place of the scenario's number.")
 @click.option("--clients", is_flag=True, help="Play the scenario's load, too.")
 @click.option("--faults", is_flag=True, help="Let the scenario's faults happen, too.")
-@click.option("--rough", type=click.FloatRange(0, 1), default=0.0, show_default=True,
-              help="Part of the right answers that come oddly: 1xx ahead, a byte at a time, bytes behind.")
-@click.option("--rude", type=click.IntRange(0, 1000), default=0, show_default=True,
-              help="Clients that break the protocol: silence, halves, floods, windows that never open.")
-@click.option("--port", type=click.IntRange(0, 65535), default=0, show_default=True,
-              help="Of all nodes; 0: any that is free.")
+@click.option(
+    "--rough",
+    type=click.FloatRange(0, 1),
+    default=0.0,
+    show_default=True,
+    help="Part of the right answers that come oddly: 1xx ahead, a byte at a time, bytes behind.",
+)
+@click.option(
+    "--rude",
+    type=click.IntRange(0, 1000),
+    default=0,
+    show_default=True,
+    help="Clients that break the protocol: silence, halves, floods, windows that never open.",
+)
+@click.option(
+    "--port",
+    type=click.IntRange(0, 65535),
+    default=0,
+    show_default=True,
+    help="Of all nodes; 0: any that is free.",
+)
 @click.option("--base", type=click.IntRange(16, 250), help="Second number of all addresses, 127.BASE.0.0.")
 @click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="For files and logs.")
 @show.as_json
--- a/granitewell/cli/main.py
+++ b/granitewell/cli/main.py
@@ -129,7 +129,7 @@
     """
 
 
-@click.command(epilog="Example:\n\n  eval \"$(granitewell completion bash)\"")
+@click.command(epilog='Example:\n\n  eval "$(granitewell completion bash)"')
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
     """Print the script that completes granitewell's commands and options in a shell."""
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -78,7 +78,6 @@
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT})
 
 
-
 def _text(eid: bytes) -> str:
     """An endpoint's id for the log."""
     return eid.decode(errors="replace")
--- a/granitewell/core/tables.py
+++ b/granitewell/core/tables.py
@@ -16,9 +16,7 @@
     __slots__ = ("address", "at_us", "dialing", "due_us", "endpoint", "id", "number", "outcome", "request",
                  "streams")  # fmt: skip
 
-    def __init__(
-        self, cid: int, request: Held, number: int, endpoint: Endpoint, at: int, due: int
-    ) -> None:
+    def __init__(self, cid: int, request: Held, number: int, endpoint: Endpoint, at: int, due: int) -> None:
         self.id, self.request, self.number, self.endpoint = cid, request, number, endpoint
         self.at_us, self.due_us = at, due
         self.address = endpoint.member.address  # to which it goes, whatever the list says meanwhile
@@ -26,6 +24,7 @@
         self.dialing = False
         self.streams = False  # its answer has begun and follows in parts
 
+
 class Held:
     """A request that has been taken; open until its final answer."""
 
--- a/granitewell/core/terms.py
+++ b/granitewell/core/terms.py
@@ -210,8 +210,23 @@
 
 
 Event = (
-    Arrived | Whole | LetGo | InboundGone | CallDialing | CallDialed | CallBegan | CallPart | CallEnded
-    | FleetNews | Listening | Woken | StopAsked | BanAsked | BanLifted | BansHeard | Settled
+    Arrived
+    | Whole
+    | LetGo
+    | InboundGone
+    | CallDialing
+    | CallDialed
+    | CallBegan
+    | CallPart
+    | CallEnded
+    | FleetNews
+    | Listening
+    | Woken
+    | StopAsked
+    | BanAsked
+    | BanLifted
+    | BansHeard
+    | Settled
     | Acting
 )
 
@@ -328,6 +343,18 @@
 
 
 Effects = (
-    StartCall | WriteCall | AbandonCall | Answer | Begin | Pass | Finish | CloseIdle | Note | StopListening
-    | Leave | KeepBan | Ruled | Serving
+    StartCall
+    | WriteCall
+    | AbandonCall
+    | Answer
+    | Begin
+    | Pass
+    | Finish
+    | CloseIdle
+    | Note
+    | StopListening
+    | Leave
+    | KeepBan
+    | Ruled
+    | Serving
 )
--- a/granitewell/files.py
+++ b/granitewell/files.py
@@ -10,6 +10,7 @@
 
 BY_HAND = 64 * 1024 * 1024  # bytes of a file that somebody names on the command line, at most
 
+
 def whole(path: str | os.PathLike[str], most: int, flags: int = 0) -> bytes:
     """The bytes of a regular file. ValueError: it is none, or longer than that. A pipe would be waited for
     without end, by a node that serves meanwhile, and a device has no end at all."""
--- a/granitewell/lab/experiments/report.py
+++ b/granitewell/lab/experiments/report.py
@@ -148,9 +148,7 @@
     return f"<h2>Before, during and after</h2><table><tr><th>scenario, variant{head}{''.join(made)}</table>"
 
 
-def _goodput(
-    plan: Plan, kept: Sequence[Kept], setting: str, trouble: tuple[float, float] | None
-) -> Figure:
+def _goodput(plan: Plan, kept: Sequence[Kept], setting: str, trouble: tuple[float, float] | None) -> Figure:
     figure, axes = pyplot.subplots(figsize=(10, 3.4))
     for at in trouble or ():
         axes.axvline(at, color="#999", linewidth=0.8, linestyle="--")  # it begins, and ends
--- a/granitewell/lab/experiments/store.py
+++ b/granitewell/lab/experiments/store.py
@@ -87,7 +87,7 @@
     def about(self, name: str) -> str:
         """A fact of the experiment; '' where it is not there."""
         rows = self._read("SELECT value FROM about WHERE name = ?", (name,))
-        return next((str(value) for value, in rows), "")
+        return next((str(value) for (value,) in rows), "")
 
     def claim(self, plan: Plan, code: str) -> None:
         """These results are this plan's, by this code. StoreError where others are there."""
--- a/granitewell/lab/faults.py
+++ b/granitewell/lab/faults.py
@@ -82,8 +82,16 @@
     Param("nodes", names("only those from these nodes"), ()),
     Param("before", flag("only on connections opened before it began"), False),
     Param("share", part("part of the matching requests"), 1.0),
-    Param("factor", figure("`slow`, `speed`: how many times as long work takes; `error`: under 1, the part "
-                           "of the work that is done first", 0.01, 1e6), 1.0),
+    Param(
+        "factor",
+        figure(
+            "`slow`, `speed`: how many times as long work takes; `error`: under 1, the part "
+            "of the work that is done first",
+            0.01,
+            1e6,
+        ),
+        1.0,
+    ),
     Param("late_ms", figure("`late`: how long the answer is kept back", 0, 600_000), 0.0),
     Param("stagger_ms", figure("one endpoint after the other, this far apart", 0, 600_000), 0.0),
     Param("flap_ms", figure("this long on, this long off, in turn; 0: on all the time", 0, 600_000), 0.0),
--- a/granitewell/lab/judge/answers.py
+++ b/granitewell/lab/judge/answers.py
@@ -45,9 +45,7 @@
 class Answers:
     """Judges each try. `on_close(try, at)` is called once for each, with `closed` set."""
 
-    def __init__(
-        self, day: Day, desk: Desk, excuses: Excuses, on_close: Callable[[Try, int], None]
-    ) -> None:
+    def __init__(self, day: Day, desk: Desk, excuses: Excuses, on_close: Callable[[Try, int], None]) -> None:
         self._desk, self._on_close, self._slack_us = desk, on_close, day.rules.slack_us
         self._excuses = excuses
         self._nodes: dict[str, _Node] = {n.name: _Node() for n in day.nodes}
--- a/granitewell/lab/judge/counts.py
+++ b/granitewell/lab/judge/counts.py
@@ -6,7 +6,7 @@
 A try that was answered has been taken by its node at some moment between its asking and its answer; one that
 was not may have been taken at any moment since it was asked, or never. So the true sum of a window is itself
 known between two bounds: `sure` counts tries that were taken inside it whatever the moment, `may` all that
-can have been. A figure [low, high] is wrong if high < sure or low > may. """
+can have been. A figure [low, high] is wrong if high < sure or low > may."""
 
 from __future__ import annotations
 
--- a/granitewell/lab/model/conditions.py
+++ b/granitewell/lab/model/conditions.py
@@ -19,8 +19,20 @@
 
 from granitewell.lab.model.terms import Condition, Fall
 
-EFFECTS = ("hang", "slow", "late", "error", "full", "reset", "spoilt", "silent_head", "refuse", "mute",
-           "lying", "speed")
+EFFECTS = (
+    "hang",
+    "slow",
+    "late",
+    "error",
+    "full",
+    "reset",
+    "spoilt",
+    "silent_head",
+    "refuse",
+    "mute",
+    "lying",
+    "speed",
+)
 _ENDS = (("reset", "reset"), ("silent_head", "head"), ("spoilt", "spoilt"), ("error", "error"))
 
 
@@ -109,8 +121,9 @@
                 return True
         return False
 
-    def strike(self, cls: int, tenant: int, key: int, node: str, opened_us: int,
-               only: Condition | None = None) -> tuple[Condition, ...]:
+    def strike(
+        self, cls: int, tenant: int, key: int, node: str, opened_us: int, only: Condition | None = None
+    ) -> tuple[Condition, ...]:
         """The conditions that strike a request whose work begins; with `only`, that one of them alone."""
         return tuple(
             ill.condition
--- a/granitewell/lab/model/endpoint.py
+++ b/granitewell/lab/model/endpoint.py
@@ -47,8 +47,23 @@
     `wake_us`: when to call with a Tick, -1: not until something else happens. ValueError: a figure of the day
     that no endpoint can have."""
 
-    __slots__ = ("_day", "_deferred", "_ills", "_kind", "_now", "_order_pause", "_own_begin", "_own_end",
-                 "_process", "_rng", "_silent", "fallen", "paused", "spec", "wake_us")
+    __slots__ = (
+        "_day",
+        "_deferred",
+        "_ills",
+        "_kind",
+        "_now",
+        "_order_pause",
+        "_own_begin",
+        "_own_end",
+        "_process",
+        "_rng",
+        "_silent",
+        "fallen",
+        "paused",
+        "spec",
+        "wake_us",
+    )
 
     def __init__(self, spec: EndpointDay, day: Day, rng: Random) -> None:
         _check(spec, day)
@@ -277,8 +292,11 @@
 def _check(spec: EndpointDay, day: Day) -> None:
     kind = day.kinds[spec.kind]
     least: tuple[tuple[str, float, float], ...] = (
-        ("speed", spec.speed, 1e-9), ("cores", kind.cores, 1), ("slots_per_core", kind.slots_per_core, 1),
-        ("queue_per_core", kind.queue_per_core, 0), ("conn.cap", day.conn.cap, 1),
+        ("speed", spec.speed, 1e-9),
+        ("cores", kind.cores, 1),
+        ("slots_per_core", kind.slots_per_core, 1),
+        ("queue_per_core", kind.queue_per_core, 0),
+        ("conn.cap", day.conn.cap, 1),
         ("report.period_us", day.report.period_us, 1 if day.report.fields else 0),
     )
     for name, found, lowest in least:
--- a/granitewell/lab/model/endpoint_pace.py
+++ b/granitewell/lab/model/endpoint_pace.py
@@ -24,8 +24,21 @@
     """The clock of work. `factor` is what each of the `active` tasks would do in a microsecond if the process
     were warm; both may be set at the time last advanced to, and then `changed` is to be called."""
 
-    __slots__ = ("_at", "_cold_us", "_from", "_needed", "_slope", "_start", "_worked", "active", "cold",
-                 "done", "edge_us", "factor", "warm")
+    __slots__ = (
+        "_at",
+        "_cold_us",
+        "_from",
+        "_needed",
+        "_slope",
+        "_start",
+        "_worked",
+        "active",
+        "cold",
+        "done",
+        "edge_us",
+        "factor",
+        "warm",
+    )
 
     def __init__(self, kind: KindDay, capacity: float, start_us: int, cold: bool) -> None:
         """`capacity`: work a microsecond of the whole warm process."""
--- a/granitewell/lab/model/endpoint_parts.py
+++ b/granitewell/lab/model/endpoint_parts.py
@@ -52,8 +52,23 @@
     factor of 1 + noise x normal on each figure. Samples are taken when the process is next looked at, from
     counts that have not changed since the sample's time: no wake-up is needed for them."""
 
-    __slots__ = ("_busy", "_cores", "_eps", "_failed", "_last", "_latency", "_next", "_pending", "_qps",
-                 "_report", "_rng", "_served", "_spent", "_visible", "on")
+    __slots__ = (
+        "_busy",
+        "_cores",
+        "_eps",
+        "_failed",
+        "_last",
+        "_latency",
+        "_next",
+        "_pending",
+        "_qps",
+        "_report",
+        "_rng",
+        "_served",
+        "_spent",
+        "_visible",
+        "on",
+    )
 
     def __init__(self, report: ReportDay, cores: int, rng: Random, start_us: int) -> None:
         self.on = bool(report.fields)
@@ -103,8 +118,12 @@
         if answers:
             self._latency = self._spent / answers / 1000.0
         values = {
-            "inflight": float(inflight), "queue": float(waiting), "latency_ms": self._latency,
-            "util": min(1.0, self._busy / (self._cores * period)), "qps": self._qps, "eps": self._eps,
+            "inflight": float(inflight),
+            "queue": float(waiting),
+            "latency_ms": self._latency,
+            "util": min(1.0, self._busy / (self._cores * period)),
+            "qps": self._qps,
+            "eps": self._eps,
         }
         self._busy = 0.0
         self._served = self._failed = self._spent = 0
--- a/granitewell/lab/model/endpoint_process.py
+++ b/granitewell/lab/model/endpoint_process.py
@@ -29,8 +29,14 @@
 Out = list[EndpointEffect]
 
 # How an answer ends -> what the witness is told. A head alone and a broken connection are spoilt answers.
-_OUTCOME = {"ok": "ok", "error": "error", "full": "full",
-            "spoilt": "spoilt", "head": "spoilt", "reset": "spoilt"}
+_OUTCOME = {
+    "ok": "ok",
+    "error": "error",
+    "full": "full",
+    "spoilt": "spoilt",
+    "head": "spoilt",
+    "reset": "spoilt",
+}
 _TO_PROBE = {"ok": "probe_ok", "error": "probe_bad", "full": "probe_bad"}
 
 
@@ -38,8 +44,25 @@
     """One process. Methods with `now_us` expect it never to fall, and `turn` to have been called for each
     `wake_us` up to then; after any of them, `settle`. Effects are appended to `out`."""
 
-    __slots__ = ("_day", "_guard", "_held", "_idle_due", "_ills", "_kind", "_memory", "_probes", "_reports",
-                 "_rng", "_seq", "_timers", "draining", "hung", "slots", "table", "wake_us")
+    __slots__ = (
+        "_day",
+        "_guard",
+        "_held",
+        "_idle_due",
+        "_ills",
+        "_kind",
+        "_memory",
+        "_probes",
+        "_reports",
+        "_rng",
+        "_seq",
+        "_timers",
+        "draining",
+        "hung",
+        "slots",
+        "table",
+        "wake_us",
+    )
 
     def __init__(
         self, spec: EndpointDay, day: Day, ills: Ills, rng: Random, start_us: int, cold: bool
--- a/granitewell/lab/model/endpoint_slots.py
+++ b/granitewell/lab/model/endpoint_slots.py
@@ -19,8 +19,22 @@
 class Slots:
     """Slots and waiting room of one process. `waiting` and `working` (in slots) go by the task's number."""
 
-    __slots__ = ("_conn", "_cores", "_finishing", "_kind", "_knee", "_pushed", "_speed", "beside", "count",
-                 "pace", "room", "waiting", "waiting_work", "working")
+    __slots__ = (
+        "_conn",
+        "_cores",
+        "_finishing",
+        "_kind",
+        "_knee",
+        "_pushed",
+        "_speed",
+        "beside",
+        "count",
+        "pace",
+        "room",
+        "waiting",
+        "waiting_work",
+        "working",
+    )
 
     def __init__(self, spec: EndpointDay, kind: KindDay, conn: ConnDay, start_us: int, cold: bool) -> None:
         self._kind, self._conn, self._cores, self._speed = kind, conn, kind.cores, spec.speed
--- a/granitewell/lab/scenarios/draw.py
+++ b/granitewell/lab/scenarios/draw.py
@@ -272,8 +272,16 @@
 
 def _goal(f: Drawn) -> d.GoalDay:
     return d.GoalDay(
-        f.num("whole"), f.num("worst_window"), f.num("worst_class"), f.num("worst_tenant"), f.us("window_s"),
-        f.num("over_share_worth"), f.num("cross_zone"), f.num("waste"), f.num("probe"), f.num("late_fail"),
+        f.num("whole"),
+        f.num("worst_window"),
+        f.num("worst_class"),
+        f.num("worst_tenant"),
+        f.us("window_s"),
+        f.num("over_share_worth"),
+        f.num("cross_zone"),
+        f.num("waste"),
+        f.num("probe"),
+        f.num("late_fail"),
         f.num("handshake"),
     )
 
--- a/granitewell/lab/witness.py
+++ b/granitewell/lab/witness.py
@@ -15,8 +15,18 @@
     """Observations of one day. Ids: `rid` a request as sent (each try has its own), `first` the rid of the
     first try that it belongs to; endpoints and nodes go by name; `inc` counts a name's process starts."""
 
-    def asked(self, at: int, rid: str, first: str, cls: int, tenant: int, key: int, zone: int,
-              timeout_us: int, rebooks: str = "") -> None:
+    def asked(
+        self,
+        at: int,
+        rid: str,
+        first: str,
+        cls: int,
+        tenant: int,
+        key: int,
+        zone: int,
+        timeout_us: int,
+        rebooks: str = "",
+    ) -> None:
         """A client has decided to send this try (it may not reach any node). rebooks: the first try of a lost
         booking that this first try makes anew."""
 
@@ -25,8 +35,9 @@
         more, with the node of then, where the client sends it again because the first node had closed the
         connection between requests: from then on it is the other's."""
 
-    def answered(self, at: int, rid: str, node: str, verdict: str, retry_after_us: int,
-                 right_body: bool) -> None:
+    def answered(
+        self, at: int, rid: str, node: str, verdict: str, retry_after_us: int, right_body: bool
+    ) -> None:
         """The client has the last byte of a final answer: `served`, `refused` or `failed`. `right_body`: a
         served body is, byte for byte, one that an endpoint made for this rid."""
 
@@ -56,8 +67,9 @@
     def probed(self, at: int, node: str, endpoint: str) -> None:
         """A probe has arrived."""
 
-    def endpoint_up(self, at: int, endpoint: str, inc: int, zone: int, capacity: float, cold_from: float,
-                    cold_us: int) -> None:
+    def endpoint_up(
+        self, at: int, endpoint: str, inc: int, zone: int, capacity: float, cold_from: float, cold_us: int
+    ) -> None:
         """A process started, with this warm capacity (work units a microsecond = cores * speed); cold_us 0:
         it is warm at once."""
 
--- a/granitewell/net/bodies.py
+++ b/granitewell/net/bodies.py
@@ -54,7 +54,10 @@
 
 
 async def pump(
-    loop: asyncio.AbstractEventLoop, sock: socket.socket, flow: http1.Flow, waits: Waits,
+    loop: asyncio.AbstractEventLoop,
+    sock: socket.socket,
+    flow: http1.Flow,
+    waits: Waits,
     let_go: Callable[[], None],
 ) -> None:
     """Write a request's body as it comes. Ends quietly where the endpoint takes no more: whoever reads the
--- a/granitewell/net/shared.py
+++ b/granitewell/net/shared.py
@@ -2,7 +2,7 @@
 
 It owns the timer, and in which words a subject hears of requests and of members. It must never judge a count,
 and costs a request no more than a note in a table. Letters go over the cluster's roads: by datagram, sealed
-as all are. A process counts from its start; it speaks while it is the member. """
+as all are. A process counts from its start; it speaks while it is the member."""
 
 from __future__ import annotations
 
--- a/granitewell/status/fleet.py
+++ b/granitewell/status/fleet.py
@@ -124,8 +124,12 @@
         if m is not None:
             by = f", said first by {plain(m['by'])}" if m["by"] else ""
             first = f"{plain(data['asked'])} has {name} as {plain(m['state'])} in life {m['life']}{by}"
-        count = {"up": "counts as up", "silent": "is silent, and counts in budgets", "out": "counts no more",
-                 "away": "has left, may come back, and counts in budgets for some minutes"}
+        count = {
+            "up": "counts as up",
+            "silent": "is silent, and counts in budgets",
+            "out": "counts no more",
+            "away": "has left, may come back, and counts in budgets for some minutes",
+        }
         lines = [first, f"{name} {count.get(counted, 'does not count here: another role, or never named')}"]
         rows = [
             (span(r["ago_s"]), plain(r["state"]), str(r["life"]), str(r["incarnation"]), plain(r["told_by"]),
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -56,9 +56,7 @@
             if event.final:
                 self._close(event.id)
             if event.outcome is Outcome.OK:
-                recent = [
-                    x for x in self.good.get(event.host, []) if now - x < self.settings.fall_ms
-                ]
+                recent = [x for x in self.good.get(event.host, []) if now - x < self.settings.fall_ms]
                 self.good[event.host] = [*recent, now]
                 self.peak = max(self.peak, len(recent) + 1)
         elif isinstance(event, Hosts):
@@ -119,9 +117,10 @@
                 raise Broken(f"rule 2: {action.id} may have run at {host_!r} and was sent again")
             assert isinstance(at, float)
             here = self.where[action.host]
-            group = cls.scope is Scope.ALL or here[cls.scope is Scope.CELL] == (zone, cell)[
-                cls.scope is Scope.CELL
-            ]
+            group = (
+                cls.scope is Scope.ALL
+                or here[cls.scope is Scope.CELL] == (zone, cell)[cls.scope is Scope.CELL]
+            )
             if not group or now - at > cls.window_ms:
                 raise Broken(f"rule 2: {action.id} left its group or its window")
         if len(tries) >= self.settings.max_attempts:
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -640,9 +640,11 @@
     assert {x.member.about.payload for x in of(told, Changed)} == {b"load 7"}
     seen = member_of(cluster.nodes["m0006"])
     assert seen is not None and len(list(of(told, Changed))) == 7
-    assert [m.name for m in seen.members("forwarder") if m.about.payload] == ["m0002"] == [
-        m.name for m in seen.members() if m.inc == 2
-    ]
+    assert (
+        [m.name for m in seen.members("forwarder") if m.about.payload]
+        == ["m0002"]
+        == [m.name for m in seen.members() if m.inc == 2]
+    )
 
 
 def test_under_loss_a_death_is_noticed_by_all_and_nobody_dies_wrongly() -> None:
--- a/tests/controlplane/test_configuration_checks.py
+++ b/tests/controlplane/test_configuration_checks.py
@@ -192,7 +192,8 @@
     whole(1, split_route("a", ("one", 0), ("two", 3), ("two", 2))),
     whole(1, route("a", max_attempts=2.0)),
     whole(
-        1, {"name": "a", "host": "h", "prefix": "/", "kind": "streaming", "timeout-ms": 1, "service": "one"},
+        1,
+        {"name": "a", "host": "h", "prefix": "/", "kind": "streaming", "timeout-ms": 1, "service": "one"},
     ),
     whole(1, services=[{"name": "one"}, {"name": "two", "engine": None}, service("three", engine={})]),
     whole(1, services=[service("one"), service("two")], limits={}),
--- a/tests/dataplane/test_dispatch.py
+++ b/tests/dataplane/test_dispatch.py
@@ -235,8 +235,6 @@
     return made
 
 
-
-
 class Waiter(Want):
     """A request that notes what it is granted."""
 
--- a/tests/dataplane/test_rules.py
+++ b/tests/dataplane/test_rules.py
@@ -104,9 +104,7 @@
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=8)))
     cutter = EventCutter()
     got = [
-        event
-        for start, end in pairwise([0, *cuts, len(stream)])
-        for event in cutter.feed(stream[start:end])
+        event for start, end in pairwise([0, *cuts, len(stream)]) for event in cutter.feed(stream[start:end])
     ]
     assert [event.data for event in got] == events
     assert cutter.rest == rest
@@ -118,9 +116,9 @@
     cutter = EventCutter()
     got = b""
     for start, end in pairwise([0, *sorted(cuts), len(stream)]):
-        got += b"".join(event.data for event in cutter.feed(stream[start:max(start, end)]))
+        got += b"".join(event.data for event in cutter.feed(stream[start : max(start, end)]))
     assert got + cutter.rest == b"".join(
-        stream[start:max(start, end)] for start, end in pairwise([0, *sorted(cuts), len(stream)])
+        stream[start : max(start, end)] for start, end in pairwise([0, *sorted(cuts), len(stream)])
     )
 
 
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -176,7 +176,8 @@
     def _body(self, whole: bool) -> bytes:
         members = self.members if whole else []
         return json.dumps(
-            {"revision": self.revision, "complete": whole, "members": members}, indent=1).encode()
+            {"revision": self.revision, "complete": whole, "members": members}, indent=1
+        ).encode()
 
     async def close(self) -> None:
         for task in self._tasks:
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -63,7 +63,7 @@
         assert again["birth"] != lives["n2"] and again["life"] == 2
         code, text = told(capsys, "watch", "--at", site.at("n0"), "--times", "1", "--json")
         assert code == 0 and {json.loads(x)["now"] for x in text.splitlines()} == {"alive"}
-        assert "granitewell_cluster_members{state=\"alive\"} 3" in _metrics(site.at("n0"))
+        assert 'granitewell_cluster_members{state="alive"} 3' in _metrics(site.at("n0"))
 
         site.end("n1", signal.SIGTERM)
         until(lambda: site.states("n0").get("n1") == "left" and site.view("n0")["away"] == ["n1"])
--- a/tests/lab/test_endpoint.py
+++ b/tests/lab/test_endpoint.py
@@ -30,8 +30,15 @@
 class Rig:
     """An endpoint that is woken in time; `log` has all effects, with their times."""
 
-    def __init__(self, kind: KindDay = KIND, conn: ConnDay = CONN, ticks: bool = True, started: int = 0,
-                 speed: float = 1.0, **day: Any) -> None:
+    def __init__(
+        self,
+        kind: KindDay = KIND,
+        conn: ConnDay = CONN,
+        ticks: bool = True,
+        started: int = 0,
+        speed: float = 1.0,
+        **day: Any,
+    ) -> None:
         spec = EndpointDay("e", 0, 0, 0, speed, started)
         self.day = d.replace(plain_day(CLS, kind, conn, spec), **day)
         self.end = Endpoint(spec, self.day, stream(1, "e"))
@@ -60,8 +67,17 @@
         self.give(at, Opened(self.conns, node))
         return self.conns
 
-    def ask(self, at: int, rid: str, work: float = 1000.0, key: int = 0, conn: int = 0, node: str = "n",
-            due: int = 0, tenant: int = 0) -> int:
+    def ask(
+        self,
+        at: int,
+        rid: str,
+        work: float = 1000.0,
+        key: int = 0,
+        conn: int = 0,
+        node: str = "n",
+        due: int = 0,
+        tenant: int = 0,
+    ) -> int:
         conn = conn or self.open(at, node)
         self.give(at, Asked(conn, rid, 0, tenant, key, work, due))
         return conn
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -489,6 +489,7 @@
 
 def test_an_interruption_reports_what_there_is() -> None:
     seen = threading.Event()
+
     def act(conn: socket.socket, number: int) -> None:
         conn.sendall(OK)
         if number == 50:
--- a/tests/lab/test_sim_digest.py
+++ b/tests/lab/test_sim_digest.py
@@ -57,8 +57,9 @@
 
 
 FAULTS = (  # each kind but one, several at a time
-    d.Fault(500_000, 1_500_000, "condition", "d0,d1",
-            (("effect", "slow"), ("factor", 3.0), ("classes", "lookup"))),
+    d.Fault(
+        500_000, 1_500_000, "condition", "d0,d1", (("effect", "slow"), ("factor", 3.0), ("classes", "lookup"))
+    ),
     d.Fault(1_000_000, 2_500_000, "drain", "d2"),
     d.Fault(1_500_000, 3_000_000, "restart", "d3"),
     d.Fault(2_000_000, 3_500_000, "node_kill", "n1"),
--- a/tests/lab/test_socks.py
+++ b/tests/lab/test_socks.py
@@ -282,7 +282,7 @@
 
 def cli(*args: str, limit: str = "") -> subprocess.Popen[str]:
     """The command line; limit: what a shell sets first."""
-    shell = f"{limit} exec {sys.executable} -m granitewell.cli.main \"$@\""
+    shell = f'{limit} exec {sys.executable} -m granitewell.cli.main "$@"'
     return subprocess.Popen(
         ["bash", "-c", shell, "granitewell", "lab", *args], cwd=ROOT, text=True, stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -346,7 +346,8 @@
 OF_REQUESTS: dict[str, Callable[[World, int], bool]] = {
     "gone": lambda _world, _k: True,
     "whole": lambda world, k: k in world.flows,
-    "let_go": lambda world, k: k in world.flows and any(
+    "let_go": lambda world, k: k in world.flows
+    and any(
         x.inbound == k and x.attempt >= 0 for calls in world.out.values() for x in calls.values()
     ),  # its beginning has been written, and more
 }
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -637,6 +637,7 @@
 
 def test_a_body_that_was_let_go_is_sent_nowhere_else() -> None:
     """What is no longer held can't be repeated; its last byte was never written, so a refusal is safe."""
+
     def again(event: t.Ended) -> list[t.Action]:
         return [] if event.final else send(event)
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -233,8 +233,13 @@
 
 @pytest.mark.parametrize(
     ("cpu_s", "age_s", "cores", "debt_s"),
-    [(0.3, 0.6, 0.4, 0.15), (0.12, 0.61, 0.4, -0.01), (0.12, 0.2, 0.9, 0.4), (0.5, 0.1, 1.0, 0.0),
-     (0.5, 0.1, 0.01, 2.0)],
+    [
+        (0.3, 0.6, 0.4, 0.15),
+        (0.12, 0.61, 0.4, -0.01),
+        (0.12, 0.2, 0.9, 0.4),
+        (0.5, 0.1, 1.0, 0.0),
+        (0.5, 0.1, 0.01, 2.0),
+    ],
 )
 def test_a_node_is_ready_once_its_start_is_paid_for(
     cpu_s: float, age_s: float, cores: float, debt_s: float
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -45,7 +45,8 @@
     | st.sampled_from(["lines", "json", "info", "stderr"]) | WORDS | st.text()
 )  # fmt: skip
 VALUES = st.recursive(
-    LEAVES, lambda x: st.lists(x, max_size=4) | st.dictionaries(WORDS | st.text(), x, max_size=5),
+    LEAVES,
+    lambda x: st.lists(x, max_size=4) | st.dictionaries(WORDS | st.text(), x, max_size=5),
     max_leaves=12,
 )
 FILES = st.dictionaries(WORDS | st.text(), VALUES, max_size=4) | st.fixed_dictionaries(
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -133,7 +133,11 @@
     "deadlines-lost": ("answers", core(_at=_no_timers), module(_due=lambda *_: None), "rule 1"),
     "unsafe-guard": ("answers", core(**AGAIN), module(_may_send=lambda *_: True), "rule 2"),
     "refuses-what-ran": (
-        "answers", core(_harmless=lambda *_: True), module(_may_refuse=lambda *_: True), "rule 2"),
+        "answers",
+        core(_harmless=lambda *_: True),
+        module(_may_refuse=lambda *_: True),
+        "rule 2",
+    ),
     "drain-unheeded": ("list", core(**ALWAYS), module(_list=_listed), "rule 3"),
     "dialed-unchecked": ("list", core(_dialed=_dialed), Balancer, "rule"),
     "ban-unheeded": ("bans", core(**ALWAYS, _host=_unbanned), Balancer, "rule 3"),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -48,13 +48,9 @@
         parallel=st.booleans(), cancel=st.booleans(), seed=st.integers(0, 1000), ask=st.booleans(),
         hosts=st.integers(0, 9), report=st.booleans(),
     )  # fmt: skip
-    def boot(
-        self, parallel: bool, cancel: bool, seed: int, ask: bool, hosts: int, report: bool
-    ) -> None:
+    def boot(self, parallel: bool, cancel: bool, seed: int, ask: bool, hosts: int, report: bool) -> None:
         fields = (Field.UTIL, Field.QUEUE, Field.SERVED_PER_S, Field.FAILED_PER_S) if report else ()
-        self.s = w.settings(
-            parallel_tries=parallel, may_cancel=cancel, must_ask=ask, report_fields=fields
-        )
+        self.s = w.settings(parallel_tries=parallel, may_cancel=cancel, must_ask=ask, report_fields=fields)
         self.checker = Checker(self.s)
         self.balancer = type(self).make(self.s, seed)
         self.now, self.next_id = 0.0, 0
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -87,9 +87,7 @@
 
 
 @pytest.mark.parametrize("where", ["admit", "evict"])
-def test_the_listener_outlives_what_was_not_foreseen(
-    tmp_path: Path, monkeypatch: Patch, where: str
-) -> None:
+def test_the_listener_outlives_what_was_not_foreseen(tmp_path: Path, monkeypatch: Patch, where: str) -> None:
     """A task that ends is one line of the log, and the node then takes nobody for months."""
 
     async def scenario(node: Node) -> None:
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -476,8 +476,14 @@
 
 @pytest.mark.parametrize(
     "said",
-    [b"", OK + b"{}", b"\0" * 100, b"HTTP/1.1 500 x\r\n\r\n\x1b",
-     OK + json.dumps(dict.fromkeys(terms.Snapshot.__annotations__, 1)).encode(), OK + b"[" * 100_000],
+    [
+        b"",
+        OK + b"{}",
+        b"\0" * 100,
+        b"HTTP/1.1 500 x\r\n\r\n\x1b",
+        OK + json.dumps(dict.fromkeys(terms.Snapshot.__annotations__, 1)).encode(),
+        OK + b"[" * 100_000,
+    ],
     ids=["nothing", "other", "zeros", "error", "kinds", "nested"],
 )
 def test_somebody_who_is_no_node(said: bytes, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -389,4 +389,3 @@
     assert site.call(console, "/ready") == 200
     site.started[0].send_signal(signal.SIGTERM)
     assert ended(site) == 0
-
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -682,6 +682,3 @@
     (example,) = re.findall(r"<!-- settings -->\n\n```json\n(.*?)```", PAGE, re.S)
     settings = parse_settings(example.encode())
     assert settings.listen.front and settings.seeds
-
-
-
--- a/tests/test_system_logs.py
+++ b/tests/test_system_logs.py
@@ -72,7 +72,7 @@
     except OSError:
         log.exception("no settings")
     (line,) = sink.lines
-    assert line.startswith("error granitewell.test no settings error=\"FileNotFoundError: ")
+    assert line.startswith('error granitewell.test no settings error="FileNotFoundError: ')
     assert "at=test_system_logs.py:" in line and line.count("\n") == 1
 
 
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -105,7 +105,8 @@
 
 
 @pytest.mark.parametrize(
-    "text", [b"", b"{", b"[]", b"null", b"\xff\xfe", b"7", b'{"a": NaN', b"[" * 100_000],
+    "text",
+    [b"", b"{", b"[]", b"null", b"\xff\xfe", b"7", b'{"a": NaN', b"[" * 100_000],
     ids=lambda text: repr(text[:9]),
 )
 def test_what_is_no_object_is_refused_and_no_defect(text: bytes) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -65,7 +65,7 @@
 
 def test_host_list_of_the_page() -> None:
     _, events = wire.Decoder().batch(sized(unhex(HEX_LISTS)))
-    (inst, hosts), = events
+    ((inst, hosts),) = events
     assert inst == 3
     assert hosts == t.Hosts(
         t.View.CACHED,
--- a/tiderelay/interface.py
+++ b/tiderelay/interface.py
@@ -260,7 +260,16 @@
 
 
 Event = (
-    Resettled | Acting | Uploaded | Hosts | Request | Abandoned | FirstByte | Ended | Probed | PeerMessage
+    Resettled
+    | Acting
+    | Uploaded
+    | Hosts
+    | Request
+    | Abandoned
+    | FirstByte
+    | Ended
+    | Probed
+    | PeerMessage
     | Timer
 )
 
--- a/tiderelay/wire.py
+++ b/tiderelay/wire.py
@@ -142,8 +142,7 @@
             if end > len(b):
                 raise WireError(f"byte {pos}: catalog of {n} entries is cut off")
             self._catalogs[number] = tuple(
-                _host(pos + 9 + 24 * k, *e)
-                for k, e in enumerate(_ENTRY.iter_unpack(b[pos + 9 : end]))
+                _host(pos + 9 + 24 * k, *e) for k, e in enumerate(_ENTRY.iter_unpack(b[pos + 9 : end]))
             )
             return end, None
         if code == 110:
