--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -165,6 +165,17 @@
     run_state_machine_as_test(Day, settings=QUIET)  # type: ignore[no-untyped-call]
 
 
+def test_an_update_without_a_start_time_makes_no_cold_host_warm() -> None:
+    """Found by the random days: a start that was known and is told no more let three requests through."""
+    s = w.settings()
+    checker, balancer = Checker(s), Balancer(s, 0)
+    started, untold = listed(0, State.READY, 100.0), listed(0, State.READY, 0.0)
+    events: list[Event] = [Hosts(View.DELTA, (started,)), Hosts(View.DELTA, (untold,))]
+    events += [Request(number, 0, 0, 0, 405.0, 0.0) for number in (1, 2, 3)]
+    for event in events:
+        checker.step(400.0, event, balancer.handle(400.0, event))
+
+
 def _day(mutate: Callable[[float, Event, list[Action]], list[Action]], *events: tuple[float, Event]) -> None:
     s = w.settings()
     checker, balancer = Checker(s), Balancer(s, 3)
--- a/tiderelay/policy.py
+++ b/tiderelay/policy.py
@@ -308,7 +308,8 @@
     # --- Pick (4.5) -------------------------------------------------------------------------------------
     def _weigh(self) -> None:
         """The odds of a draw: a host's speed, less its failures, by the share of it that is warm. Departure
-        from uniform picks: one mu for all overloads the slow hosts of an unlike fleet. All alike: uniform."""
+        from uniform picks: one mu for all overloads the slow hosts of an unlike fleet. All alike: uniform.
+        """
         for s in self._order:
             self._refresh(s)
         shares = [self._share(s) for s in self._order]
@@ -373,7 +374,8 @@
     def _home(self, req: _Held) -> tuple[_Server | None, float]:
         """Departure from random picks, where hosts remember keys and the request has one: its place on a
         ring of hosts, the same at every gateway, or a next one while that is crowded: no hot key makes a hot
-        host."""
+        host.
+        """
         at = bisect(self._ring_at, (req.key * 0x9E3779B97F4A7C15 & (1 << 64) - 1) >> 32)
         most = CROWDED * (1.0 + len(self._out) / max(self._size, 1) + self._others)
         first, least = None, math.inf
@@ -468,7 +470,8 @@
     def _cold_room(self, server: _Server) -> bool:
         """Rule 4: a cold host gets tokens at a part of the multiple of its share of what a warm host bears
         from this gateway, so the gateways together stay under the multiple of its capacity. The first fill is
-        random: gateways that hear of a start together do not spend together."""
+        random: gateways that hear of a start together do not spend together.
+        """
         if server.started <= 0.0 or self._now - server.started >= self._set.ramp_ms:
             return True
         if server.tokens_at <= 0.0:
@@ -514,7 +517,8 @@
     def _control(self) -> None:
         """Load shedding, when more than a few answers are late or overdue: queues in front of the hosts would
         make every answer late, and clients' retries would keep it so after the cause has gone. What is worth
-        least for its work is refused first."""
+        least for its work is refused first.
+        """
         aims = [c.aim_ms for c in self._set.classes]
         stuck = 0  # overdue attempts, held by ill hosts: not a queue before the others
         for t in self._out.values():
@@ -612,7 +616,8 @@
 
     def _copy(self, late: _Try) -> None:
         """A second copy of a safe request that is out beyond all patience, where its host is to blame: a full
-        fleet gets none. The budget is that of the repeats."""
+        fleet gets none. The budget is that of the repeats.
+        """
         req, ill = self._held.get(late.rid), self._sick(late.server, late.cls)
         if req is None or not ill or not self._set.parallel_tries or self._retries < 1.0:
             return
@@ -750,7 +755,8 @@
             server = self._servers[host.id] = _Server(host, self._health.pairs())
         server.zone, server.kind, server.cell = host.zone, host.kind, host.cell
         server.listed, server.ready = host.state is not State.GONE, host.state is State.READY
-        if host.started_ms != server.started:
+        # A start is never taken back: an update without one (0) says nothing of a start that is known.
+        if host.started_ms != server.started and not host.started_ms <= 0.0 < server.started:
             if server.started >= 0.0:
                 server.forget()
             server.started, server.tokens_at = host.started_ms, 0.0
@@ -760,7 +766,8 @@
 
     def judged(self) -> tuple[dict[str, float], list[bool], Any, Any]:
         """For on call, changing nothing: figures, full classes, each held request (class, came) and each
-        ready host (id, in the prefix, warm share, speed ratio, Health.judged), the last two one by one."""
+        ready host (id, in the prefix, warm share, speed ratio, Health.judged), the last two one by one.
+        """
         figures = {"prefix": self._size, "c": self._prefix.slots, "shedding": self._level,
                    "late": self._share_late, "mean_ms": self._latency,
                    "repeats": self._retries}  # fmt: skip
