--- a/Makefile
+++ b/Makefile
@@ -10,8 +10,6 @@
 
 VENV ?= $(if $(wildcard .ci-venv/bin/python),.ci-venv,.dev-venv)
 PYTHON := $(VENV)/bin/python
-# The formatter owns the whole system's packages; older ones are formatted as they are touched.
-FORMATTED := $(addprefix granitewell/,cli/system controlplane coordination dataplane discovery lab/system model nodes rpc) tools
 WANT := requirements.txt requirements-system.txt requirements-dev.txt
 PIP := $(VENV)/bin/pip -q --disable-pip-version-check
 
@@ -24,7 +22,7 @@
 
 lint: venv
 	$(PYTHON) -m ruff check .
-	$(PYTHON) -m ruff format --check $(FORMATTED)
+	$(PYTHON) -m ruff format --check .
 	$(PYTHON) -m mypy
 
 demo: venv
--- a/granitewell/__main__.py
+++ b/granitewell/__main__.py
@@ -41,8 +41,11 @@
 
 
 def _take(node: Node, live: Live, joined: list[Cluster]) -> None:
-    """What the operator file says now. Nothing of status and cluster is imported before it asks for them.
-    OSError: the cluster's address can't be had."""
+    """What the operator file says now.
+
+    Nothing of status and cluster is imported before it asks for them. OSError: the cluster's address can't be
+    had.
+    """
     node.log.take(live.held.log.settings())
     cluster = live.held.cluster.settings()
     if cluster.name or joined:
@@ -83,7 +86,8 @@
 
 def _heard_of(node: Node) -> None:
     """What Python would write to standard error by itself, and wait for whoever reads that, is a line of the
-    log, which waits for nobody."""
+    log, which waits for nobody.
+    """
 
     def warned(message: Warning | str, category: type[Warning], *_: Any, **__: Any) -> None:
         node.say("fault", f"{category.__name__}: {message}")
--- a/granitewell/budgets/__init__.py
+++ b/granitewell/budgets/__init__.py
@@ -16,4 +16,5 @@
 can have ended it has its floor alone. What was lent to the one before it is forgotten.
 
 So at every moment the rights of all processes of different names come to no more than the whole, as long as
-no node counts fewer than can be alive."""
+no node counts fewer than can be alive.
+"""
--- a/granitewell/budgets/machine.py
+++ b/granitewell/budgets/machine.py
@@ -5,7 +5,8 @@
 
 Need is what was asked for lately, whether it could be had or not. Who needs more than most of its right asks
 others in turn; who is asked lends what it does not need itself. A loan that is needed is asked for again
-before it ends; one that is not goes back at once, so that it can be lent elsewhere."""
+before it ends; one that is not goes back at once, so that it can be lent elsewhere.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +43,8 @@
 
     def pass_(self, now_us: int) -> None:
         """Time goes on: tokens come at the lower of the rights of then and now, and no more are kept than the
-        right now allows at once."""
+        right now allows at once.
+        """
         passed_us = max(now_us - self.at_us, 0)
         right = self.rights.right(now_us) / MILLI
         most = right * self._figures.burst_us / 1e6
@@ -65,8 +67,12 @@
 
 
 class Budgets:
-    """Of one process. birth: unlike any other's. free_us: until when a process before this one may have lent;
-    where there was none, now."""
+    """Of one process.
+
+    Attributes:
+        birth: Unlike any other's. free_us: until when a process before this one may have lent; where there
+            was none, now.
+    """
 
     def __init__(
         self,
@@ -98,8 +104,10 @@
         return self._due_us if self.budgets else -1
 
     def verdict(self, now_us: int, key: str) -> int:
-        """May one more request of that key be taken? -1 for yes, as of a key without a budget; else when to
-        ask again, in microseconds."""
+        """May one more request of that key be taken? -1 for yes, as of a key without a budget.
+
+        Else when to ask again, in microseconds.
+        """
         budget = self.budgets.get(key)
         return budget.ask(max(now_us, self._now_us)) if budget is not None else -1
 
--- a/granitewell/budgets/rights.py
+++ b/granitewell/budgets/rights.py
@@ -13,7 +13,11 @@
 
 @dataclass(slots=True)
 class Loan:
-    """amount: 0 for one that was given back, which must not come again. end_us: when it ends here."""
+    """amount: 0 for one that was given back, which must not come again.
+
+    Attributes:
+        end_us: When it ends here.
+    """
 
     who: str
     amount: int
@@ -21,8 +25,11 @@
 
 
 class Rights:
-    """whole: of the budget; most: nodes that can be alive. free_us: until when only the floor is ours, as a
-    process before this one may have lent the rest."""
+    """whole: of the budget; most: nodes that can be alive.
+
+    Attributes:
+        free_us: Until when only the floor is ours, as a process before this one may have lent the rest.
+    """
 
     __slots__ = ("_figures", "_last", "borrowed", "free_us", "lent", "most", "whole")
 
@@ -100,8 +107,10 @@
             known.end_us = max(known.end_us, end_us)
 
     def give_back(self, now_us: int, lender: tuple[str, int, int]) -> None:
-        """Use it no more. Its number is remembered for as long as an answer to anything that was asked until
-        now could count."""
+        """Use it no more.
+
+        Its number is remembered for as long as an answer to anything that was asked until now could count.
+        """
         loan = self.borrowed.get(lender)
         if loan is not None:
             loan.amount, loan.end_us = 0, max(loan.end_us, now_us + self._figures.held_us)
--- a/granitewell/budgets/terms.py
+++ b/granitewell/budgets/terms.py
@@ -1,7 +1,8 @@
 """What budgets are set to, and their events.
 
 It owns the figures and their bounds. It must never hold state or decide. Times are whole microseconds,
-amounts whole thousandths a second."""
+amounts whole thousandths a second.
+"""
 
 from __future__ import annotations
 
@@ -15,10 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """floor: part of a node's home that is never lent. loan_us: for which rights are lent; drift_ppm: parts
-    in a million by which two clocks may differ in speed. burst_us: rights of so long may be spent at once.
-    every_us: between two rounds of asking; ask_at: part of its right in use from which on a node asks for
-    more; more: of its need that it wants."""
+    """floor: part of a node's home that is never lent.
+
+    Attributes:
+        loan_us: For which rights are lent.
+        drift_ppm: Parts in a million by which two clocks may differ in speed.
+        burst_us: Rights of so long may be spent at once.
+        every_us: Between two rounds of asking.
+        ask_at: Part of its right in use from which on a node asks for more.
+        more: Of its need that it wants.
+    """
 
     floor: float = 0.1
     loan_us: int = 4_000_000
@@ -49,8 +56,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Acting:
-    """most: nodes that can be alive, this one included. peers: addresses of the others that can be asked, by
-    name."""
+    """most: nodes that can be alive, this one included.
+
+    Attributes:
+        peers: Addresses of the others that can be asked, by name.
+    """
 
     most: int
     peers: Mapping[str, str]
--- a/granitewell/cli/lab_membership.py
+++ b/granitewell/cli/lab_membership.py
@@ -47,7 +47,8 @@
     from each other. restart: all are killed and started again with nothing, one by one. leave: the same, but
     each leaves first.
 
-    But for cold they join without loss. 500 members take about two minutes of CPU for a minute under loss."""
+    But for cold they join without loss. 500 members take about two minutes of CPU for a minute under loss.
+    """
     figures = VARIANTS[variant](replace(Plan(scenario).figures, **_set(sets)))
     plan = Plan(scenario, members, loss, seconds, seed, deaths, figures)
     begun = process_time()
--- a/granitewell/cli/lab_run.py
+++ b/granitewell/cli/lab_run.py
@@ -33,7 +33,8 @@
 def run(experiment: Path, out: Path, jobs: int | None, as_json: bool) -> None:
     """Play all days of EXPERIMENT that have no result yet, then compare the variants.
 
-    Exit code 1: a run failed. Results of another experiment or another code are never mixed in."""
+    Exit code 1: a run failed. Results of another experiment or another code are never mixed in.
+    """
     plan = _plan(experiment)
     most = jobs or (1 if plan.shell == "sockets" else len(os.sched_getaffinity(0)))
     try:
--- a/granitewell/cli/lab_sim.py
+++ b/granitewell/cli/lab_sim.py
@@ -56,7 +56,8 @@
         as_json: bool) -> None:  # fmt: skip
     """Play one day of SCENARIO (a file or a built-in name) in virtual time.
 
-    The same seed gives the same digest on any machine. Exit code 1: a rule was broken."""
+    The same seed gives the same digest on any machine. Exit code 1: a rule was broken.
+    """
     case = Case(scenario, nodes, endpoints, rate, length_s, policy)
     day = _drawn(case, seed)
     only = _only(only_faults, day)
@@ -84,7 +85,8 @@
     """Play many seeds of SCENARIO in parallel and print those that fail, each with the command that plays it
     again, shrunk to the fewest faults that still fail.
 
-    Exit code 1: some failed."""
+    Exit code 1: some failed.
+    """
     case = Case(scenario, nodes, endpoints, rate, length_s, policy, below)
     wanted = _span(span)
     _drawn(case, wanted[0])  # what is wrong with the scenario is said before anything starts
--- a/granitewell/cli/lab_trace.py
+++ b/granitewell/cli/lab_trace.py
@@ -22,7 +22,8 @@
 def trace(file: str, as_json: bool) -> None:
     """Summarise a captured load: rate by second, mix of classes, tenants and zones, and skew of the keys.
 
-    FILE holds one first try a line, `at_us,class,tenant,key,zone` with that heading, in the order of time."""
+    FILE holds one first try a line, `at_us,class,tenant,key,zone` with that heading, in the order of time.
+    """
     try:
         with show.progress("reading", os.path.getsize(file)) as steps:
             found = summarise(read(file, steps.step))
--- a/granitewell/cli/lab_up.py
+++ b/granitewell/cli/lab_up.py
@@ -137,9 +137,10 @@
 @click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="For report, files and logs.")
 @show.as_json
 def demo(seed: int, seconds: float, out: Path | None, as_json: bool) -> None:
-    """Play a rainy evening with a rolling deploy on loopback: three nodes, twelve endpoints, a discovery
-    agent for each node. Prints what was served, late, refused and failed, judges the rules, and writes a
-    report. The deploy begins after 6 s.
+    """Play a rainy evening with a rolling deploy on loopback.
+
+    Three nodes, twelve endpoints, a discovery agent for each node. Prints what was served, late, refused and
+    failed, judges the rules, and writes a report. The deploy begins after 6 s.
     """
     from granitewell.lab.socks import demo_report
 
--- a/granitewell/cli/node.py
+++ b/granitewell/cli/node.py
@@ -31,8 +31,10 @@
 
 
 def becomes(env: Mapping[str, str], operator: str | None) -> tuple[list[str], dict[str, str]]:
-    """The command and the environment of the node. It runs the granitewell that this command belongs to,
-    whatever stands in the current folder (-P)."""
+    """The command and the environment of the node.
+
+    It runs the granitewell that this command belongs to, whatever stands in the current folder (-P).
+    """
     root = str(Path(granitewell.__file__).resolve().parent.parent)
     paths = [root, *filter(None, [env.get("PYTHONPATH")])]
     made = {**env, "PYTHONPATH": os.pathsep.join(paths)}
--- a/granitewell/cli/system/call_plan.py
+++ b/granitewell/cli/system/call_plan.py
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer of a control node. location: of a redirect."""
+    """An answer of a control node.
+
+    Attributes:
+        location: Of a redirect.
+    """
 
     status: int
     body: bytes = b""
--- a/granitewell/cli/system/configuration.py
+++ b/granitewell/cli/system/configuration.py
@@ -28,7 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Which control nodes are asked, and for how long. control: as on the command line, "" for the seeds."""
+    """Which control nodes are asked, and for how long.
+
+    Attributes:
+        control: As on the command line, "" for the seeds.
+    """
 
     control: str
     patience_s: float
@@ -166,7 +170,11 @@
 
 
 def _patched(file: str, patch: bytes, whole: bytes, source: str) -> bytes:
-    """A whole configuration after a patch. file, source: where patch and whole are from, for messages."""
+    """A whole configuration after a patch.
+
+    Args:
+        file, source: Where patch and whole are from, for messages.
+    """
     state = _at_file(source, lambda: _whole(whole))
     change = Change(Operation.PATCH, state.version, patch)
     return _at_file(file, lambda: changed(state, change)).document()
--- a/granitewell/cli/system/control_client.py
+++ b/granitewell/cli/system/control_client.py
@@ -33,7 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call of the operator API. if_match: the version that a change builds on."""
+    """One call of the operator API.
+
+    Attributes:
+        if_match: The version that a change builds on.
+    """
 
     method: Method
     body: bytes = b""
@@ -95,7 +99,8 @@
     async def change(self, method: Method, body: bytes, if_match: int) -> int | None:
         """Put or patch; the version that is in force after it, where the node says so (that of a later change
         where this one was taken before). Raises
-        OtherVersionInForce, RefusedByControl, NoControlNode."""
+        OtherVersionInForce, RefusedByControl, NoControlNode.
+        """
         reply = await self._call(Call(method, body, if_match))
         if reply.status == 412:
             raise OtherVersionInForce(if_match, _reason(reply))
--- a/granitewell/cli/system/differences.py
+++ b/granitewell/cli/system/differences.py
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One thing that differs. path: such as `routes[r-1].timeout-ms`."""
+    """One thing that differs.
+
+    Attributes:
+        path: Such as `routes[r-1].timeout-ms`.
+    """
 
     change: Change
     path: str
--- a/granitewell/cli/system/programs.py
+++ b/granitewell/cli/system/programs.py
@@ -25,15 +25,19 @@
 
 
 def _settle_early_signals() -> None:
-    """Until the program takes the signals over, in some tenths of a second: nothing has been taken yet, so
-    that a stop may end it at once, and settings are still to be read."""
+    """Until the program takes the signals over, in some tenths of a second.
+
+    Nothing has been taken yet, so that a stop may end it at once, and settings are still to be read.
+    """
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     signal.signal(signal.SIGINT, lambda *_: os._exit(0))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 def _skip_certificates() -> None:
-    """Importing aiohttp would read the machine's store of certificates, a quarter of the time that it takes;
-    the programs speak plain HTTP alone."""
+    """Importing aiohttp would read the machine's store of certificates, a quarter of the time that it takes.
+
+    The programs speak plain HTTP alone.
+    """
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     os.environ.setdefault("SSL_CERT_DIR", os.devnull)
--- a/granitewell/cluster/census.py
+++ b/granitewell/cluster/census.py
@@ -55,8 +55,10 @@
 
 
 def stands(state: str, by: str) -> Place:
-    """Where a member of that state stands: alive, suspect, dead or left, as it is said by somebody. Whom
-    another has called gone did not say so itself: an operator knows that it stays away."""
+    """Where a member of that state stands: alive, suspect, dead or left, as it is said by somebody.
+
+    Whom another has called gone did not say so itself: an operator knows that it stays away.
+    """
     if state == "left":
         return Place.OUT if by else Place.AWAY
     return Place.SILENT if state == "dead" else Place.UP
@@ -65,8 +67,7 @@
 # --- Events ---------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """Where those of our role stand in the view, all that it names; whom it does not name stays where it
-    is."""
+    """Where those of our role stand in the view, all that it names; whom it does not name stays where it is."""
 
     places: Mapping[str, Place]
 
@@ -96,7 +97,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Known:
-    """A name as it is written down. silent_us: for how long it had been silent or away; -1 for up."""
+    """A name as it is written down.
+
+    Attributes:
+        silent_us: For how long it had been silent or away; -1 for up.
+    """
 
     name: str
     silent_us: int
@@ -110,8 +115,12 @@
 
 
 class Census:
-    """own: our name, which is up for as long as we run. unheard_us: silence after which a name is out. known:
-    of the process before."""
+    """own: our name, which is up for as long as we run.
+
+    Attributes:
+        unheard_us: Silence after which a name is out.
+        known: Of the process before.
+    """
 
     __slots__ = ("_at_us", "_configured", "_falls_us", "_names", "_now_us", "_own", "_peak", "_said", "_up",
                  "unheard_us")  # fmt: skip
--- a/granitewell/cluster/notes.py
+++ b/granitewell/cluster/notes.py
@@ -37,7 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """All of it. name: whose. addresses: of members that were up."""
+    """All of it.
+
+    Attributes:
+        name: Whose.
+        addresses: Of members that were up.
+    """
 
     name: str
     life: Life
@@ -59,16 +64,20 @@
 
 
 def gist(note: Note) -> object:
-    """What of a note is worth another write: two notes with the same gist differ by times alone, and by a
-    number of which half is still to spare."""
+    """What of a note is worth another write.
+
+    Two notes with the same gist differ by times alone, and by a number of which half is still to spare.
+    """
     life = note.life
     known = tuple((k.name, k.silent_us < 0, k.silent_us // SILENT_STEP_US) for k in note.known)
     return life.gen, life.birth, life.inc, known, note.addresses
 
 
 def read(raw: bytes) -> Note:
-    """What the bytes say. ValueError, in words for the log: they are not a whole file of ours, or one of
-    another version."""
+    """What the bytes say.
+
+    ValueError, in words for the log: they are not a whole file of ours, or one of another version.
+    """
     line, _, rest = raw.partition(b"\n")
     if rest != b"%08x\n" % crc32(line):
         raise ValueError("cut off, or not written by this program")
--- a/granitewell/cluster/terms.py
+++ b/granitewell/cluster/terms.py
@@ -32,7 +32,8 @@
     advertise: where others reach that, bind where it is empty. seeds: who is asked at the start. keys: of all
     nodes, None where the file can't be read now (why: `keys_why`). folder: that outlives the process, "" for
     none. streams: to others at a time, and as many from them. unheard_s: after so long without a word a node
-    that has not left counts no more."""
+    that has not left counts no more.
+    """
 
     name: str = ""
     bind: str = ""
@@ -73,8 +74,11 @@
 
 
 def address(text: str) -> tuple[str, int]:
-    """Host and port. ValueError where it is no such address: names would have to be asked for, and whoever
-    waits for an answer serves nobody."""
+    """Host and port.
+
+    ValueError where it is no such address: names would have to be asked for, and whoever waits for an answer
+    serves nobody.
+    """
     host, colon, port = text.rpartition(":")
     if not colon or not re.fullmatch("[0-9]{1,5}", port) or not 1 <= int(port) <= 65535:
         raise ValueError(f"found {text[:80]!r}, allowed: {ALLOWED_ADDRESS}")
@@ -94,8 +98,11 @@
 
 
 def keys_of(raw: bytes) -> Keys:
-    """What a file of keys holds: one key a line in hex, the first seals, a second opens too; empty lines and
-    lines that begin with # are passed over. ValueError says what was found, and never shows a key."""
+    """What a file of keys holds: one key a line in hex, the first seals, a second opens too.
+
+    Empty lines and lines that begin with # are passed over. ValueError says what was found, and never shows a
+    key.
+    """
     try:
         lines = [x.strip() for x in raw.decode("ascii").splitlines()]
     except UnicodeDecodeError as error:
--- a/granitewell/config.py
+++ b/granitewell/config.py
@@ -185,9 +185,11 @@
 
 
 def reload(env: Mapping[str, str], check: Callable[[dict[str, Any]], None] | None = None) -> Config:
-    """The configuration as the file has it now, once `check` has passed it. What the variable said of
-    discovery dates from the start and would win over a file that names another address, so it does not count
-    here."""
+    """The configuration as the file has it now, once `check` has passed it.
+
+    What the variable said of discovery dates from the start and would win over a file that names another
+    address, so it does not count here.
+    """
     top = _read(env)
     if check is not None:
         check(top)
@@ -200,6 +202,8 @@
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
-    """The fields that differ and that a running node can't take up. The list as last held and the seed are
-    for the start alone."""
+    """The fields that differ and that a running node can't take up.
+
+    The list as last held and the seed are for the start alone.
+    """
     return [n for n in FIXED if n not in ("known", "seed") and getattr(old, n) != getattr(new, n)]
--- a/granitewell/controlplane/configuration/answers.py
+++ b/granitewell/controlplane/configuration/answers.py
@@ -18,7 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a request is refused. field: of the body, where one is to blame."""
+    """Why a request is refused.
+
+    Attributes:
+        field: Of the body, where one is to blame.
+    """
 
     status: int
     error: str
--- a/granitewell/controlplane/configuration/api.py
+++ b/granitewell/controlplane/configuration/api.py
@@ -63,15 +63,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
-    """Who answers. address: the control address of another node that leads, where it is known."""
+    """Who answers.
+
+    Attributes:
+        address: The control address of another node that leads, where it is known.
+    """
 
     standing: Standing
     address: str | None = None
 
 
 class OperatorApi:
-    """The handlers of one control node. own_address: its control address (`ip:port`); control_address: turns
-    an internal address into the control address of the same machine."""
+    """The handlers of one control node.
+
+    Attributes:
+        own_address: Its control address (`ip:port`).
+        control_address: Turns an internal address into the control address of the same machine.
+    """
 
     def __init__(
         self,
@@ -126,7 +134,11 @@
         return await self.answer(Change(operation, version, body), request.path_qs)
 
     async def answer(self, change: Change, path: str) -> web.Response:
-        """Takes a change that was read whole, or says why not. path: to ask for at another node."""
+        """Takes a change that was read whole, or says why not.
+
+        Args:
+            path: To ask for at another node.
+        """
         leadership = await self._leadership()
         if leadership.standing is not Standing.SERVING:
             return self._elsewhere(leadership, path)
--- a/granitewell/controlplane/configuration/change.py
+++ b/granitewell/controlplane/configuration/change.py
@@ -27,8 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change; two are the same if all three fields are. base_version: the version that it builds on
-    (If-Match); body: the bytes as they were sent."""
+    """One change; two are the same if all three fields are.
+
+    Attributes:
+        base_version: The version that it builds on (If-Match).
+        body: The bytes as they were sent.
+    """
 
     operation: Operation
     base_version: int
--- a/granitewell/controlplane/configuration/checks.py
+++ b/granitewell/controlplane/configuration/checks.py
@@ -58,7 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeConfiguration:
-    """The body of a PUT. other: top-level fields that are not known here, as JSON."""
+    """The body of a PUT.
+
+    Attributes:
+        other: Top-level fields that are not known here, as JSON.
+    """
 
     version: int
     routes: tuple[Item[Route], ...]
@@ -77,8 +81,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationPatch:
-    """The body of a PATCH. limits: those to alter; other: top-level fields that are not known here, as JSON;
-    unknown_items: by the name of their kind."""
+    """The body of a PATCH.
+
+    Attributes:
+        limits: Those to alter.
+        other: Top-level fields that are not known here, as JSON.
+        unknown_items: By the name of their kind.
+    """
 
     version: int
     routes: tuple[Item[Route], ...]
--- a/granitewell/controlplane/configuration/history.py
+++ b/granitewell/controlplane/configuration/history.py
@@ -27,7 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TakenChange:
-    """A change that was taken. digest: of its operation and body; version: what it has led to."""
+    """A change that was taken.
+
+    Attributes:
+        digest: Of its operation and body.
+        version: What it has led to.
+    """
 
     digest: bytes
     version: int
--- a/granitewell/controlplane/configuration/state.py
+++ b/granitewell/controlplane/configuration/state.py
@@ -28,7 +28,11 @@
 
 
 class MatchKey(NamedTuple):
-    """What a request is matched by. host: in lower case."""
+    """What a request is matched by.
+
+    Attributes:
+        host: In lower case.
+    """
 
     host: str
     prefix: str
@@ -100,8 +104,10 @@
 
 
 def difference(before: ConfigurationState, after: ConfigurationState) -> bytes | None:
-    """The body of a PATCH that leads the planes from one state to another; None where limits or unknown
-    fields differ, which a patch can only add to."""
+    """The body of a PATCH that leads the planes from one state to another.
+
+    None where limits or unknown fields differ, which a patch can only add to.
+    """
     if before.limits_document != after.limits_document or before.other != after.other:
         return None
     routes, gone_routes = _difference(before.route_documents, after.route_documents)
--- a/granitewell/controlplane/configuration/store.py
+++ b/granitewell/controlplane/configuration/store.py
@@ -54,8 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """What became of a change. version: the one that it was TAKEN as, also where it is REPEATED; else the
-    current one. current_version: after it; error: why it is INVALID."""
+    """What became of a change.
+
+    Attributes:
+        version: The one that it was TAKEN as, also where it is REPEATED; else the current one.
+        current_version: After it.
+        error: Why it is INVALID.
+    """
 
     outcome: Outcome
     version: int
@@ -90,7 +95,11 @@
 
 
 class ConfigurationStore:
-    """One replica of the configuration. on_taken: called after each change of the version."""
+    """One replica of the configuration.
+
+    Attributes:
+        on_taken: Called after each change of the version.
+    """
 
     def __init__(self, on_taken: Callable[[], None] | None = None) -> None:
         self._state = EMPTY
--- a/granitewell/controlplane/configuration/view.py
+++ b/granitewell/controlplane/configuration/view.py
@@ -29,7 +29,9 @@
 
     def apply(self, version: int, whole: bool, documents: Sequence[bytes]) -> Configuration | None:
         """Goes on to a version by what changes_since gave; None where that is not newer than what is held.
-        Raises DeltaMismatch, and then holds what it held: ask for the whole (as from version 0)."""
+
+        Raises DeltaMismatch, and then holds what it held: ask for the whole (as from version 0).
+        """
         if version <= self.version:
             return None
         state = _from_whole(self._state, documents) if whole else _from_changes(self._state, documents)
--- a/granitewell/controlplane/ownership/owner.py
+++ b/granitewell/controlplane/ownership/owner.py
@@ -34,7 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimant:
-    """The process that claims shards. address: internal, `ip:port`; incarnation: a random id of it."""
+    """The process that claims shards.
+
+    Attributes:
+        address: Internal, `ip:port`.
+        incarnation: A random id of it.
+    """
 
     node_name: str
     address: str
@@ -43,9 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnRules:
-    """When two machines may order one server. lease_s: the least time between their orders; contact_s: how
-    long a machine must be free of faults to be in touch; fencing: whether servers refuse a lower token, so
-    that only the turns of machines in touch count."""
+    """When two machines may order one server.
+
+    Attributes:
+        lease_s: The least time between their orders.
+        contact_s: How long a machine must be free of faults to be in touch.
+        fencing: Whether servers refuse a lower token, so that only the turns of machines in touch count.
+    """
 
     lease_s: float
     contact_s: float
@@ -58,8 +67,10 @@
 
     @property
     def faults_excuse(self) -> bool:
-        """Whether nothing need be waited for behind a holder that a fault took away: the fault puts this
-        machine out of touch as well, for at least as long as the wait."""
+        """Whether nothing need be waited for behind a holder that a fault took away.
+
+        The fault puts this machine out of touch as well, for at least as long as the wait.
+        """
         return self.fencing and self.contact_s >= self.lease_s
 
 
@@ -109,8 +120,10 @@
         return self.owns() and (self._clock() >= self._order_from or self._predecessor_is_gone())
 
     async def claim(self) -> None:
-        """Write the claim to the log; raises NotLeader or ProposalLost. The last order of whoever it follows
-        left before this commits."""
+        """Write the claim to the log; raises NotLeader or ProposalLost.
+
+        The last order of whoever it follows left before this commits.
+        """
         term = self._group.term
         claimant = self._claimant
         claim = OwnerClaimed(self.holder, term, claimant.address, claimant.incarnation)
--- a/granitewell/controlplane/ownership/record.py
+++ b/granitewell/controlplane/ownership/record.py
@@ -19,8 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerClaimed:
-    """A node has become the owner of the shard in a term. address: its internal address (`ip:port`);
-    incarnation: of its process, a random id."""
+    """A node has become the owner of the shard in a term.
+
+    Attributes:
+        address: Its internal address (`ip:port`).
+        incarnation: Of its process, a random id.
+    """
 
     holder: str
     term: int
--- a/granitewell/controlplane/placement/controller.py
+++ b/granitewell/controlplane/placement/controller.py
@@ -48,8 +48,11 @@
 
 
 class PlacementController:
-    """Places the models of one service. run() is started when ownership is gained and cancelled when it is
-    lost; the other methods may be called at any time."""
+    """Places the models of one service.
+
+    Run() is started when ownership is gained and cancelled when it is lost; the other methods may be called
+    at any time.
+    """
 
     def __init__(
         self,
@@ -76,7 +79,11 @@
         return self._reconciler.counters
 
     def set_engine(self, engine: Engine, load_share: float) -> None:
-        """A configuration came into force. load_share: this service's part of the store's rate."""
+        """A configuration came into force.
+
+        Args:
+            load_share: This service's part of the store's rate.
+        """
         self._reconciler.set_engine(self._clock(), engine, load_share)
         self._after_event()
 
--- a/granitewell/controlplane/placement/demand.py
+++ b/granitewell/controlplane/placement/demand.py
@@ -24,8 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RefDemand:
-    """Demand for one model (its adapters included) or one adapter. rate: requests a second; idle_s: since the
-    last request; waiting_since: steady time since when requests have waited; priority: of the most urgent."""
+    """Demand for one model (its adapters included) or one adapter.
+
+    Attributes:
+        rate: Requests a second.
+        idle_s: Since the last request.
+        waiting_since: Steady time since when requests have waited.
+        priority: Of the most urgent.
+    """
 
     rate: float = 0.0
     idle_s: float = math.inf
@@ -40,7 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandView:
-    """All demand at one moment, `at`. misses_per_s: how often a model began to be waited for."""
+    """All demand at one moment, `at`.
+
+    Attributes:
+        misses_per_s: How often a model began to be waited for.
+    """
 
     models: Mapping[str, RefDemand] = field(default_factory=dict)
     adapters: Mapping[ModelRef, RefDemand] = field(default_factory=dict)
--- a/granitewell/controlplane/placement/issuing.py
+++ b/granitewell/controlplane/placement/issuing.py
@@ -51,7 +51,11 @@
         self._set_rate(now)
 
     def set_engine(self, now: float, engine: Engine, load_share: float) -> None:
-        """A configuration came into force. load_share: this service's part of the store's rate."""
+        """A configuration came into force.
+
+        Args:
+            load_share: This service's part of the store's rate.
+        """
         self._engine = engine
         self._load_share = load_share
         self.sizes.learn(engine)
--- a/granitewell/controlplane/placement/limits.py
+++ b/granitewell/controlplane/placement/limits.py
@@ -92,8 +92,10 @@
 
 
 class LoadBucket:
-    """Token bucket of loads from the weight store. Empty at the start: what an earlier owner has just ordered
-    counts in the same window."""
+    """Token bucket of loads from the weight store.
+
+    Empty at the start: what an earlier owner has just ordered counts in the same window.
+    """
 
     def __init__(self, now: float) -> None:
         self._rate = 0.0
@@ -136,16 +138,20 @@
 
 
 class LoadPace:
-    """How many loads at once run at full speed, which no page tells: learned from how long loads take. Before
-    any was measured, it is taken for as many as the permitted rate keeps under way."""
+    """How many loads at once run at full speed, which no page tells: learned from how long loads take.
+
+    Before any was measured, it is taken for as many as the permitted rate keeps under way.
+    """
 
     def __init__(self) -> None:
         self.at_once = AT_ONCE_FIRST
         self._least_overhead_s = math.inf
 
     def expect(self, loads_per_s: float, load_time_s: float) -> None:
-        """The store permits this rate of loads, of this many seconds each in the mean. Without effect once
-        loads were measured."""
+        """The store permits this rate of loads, of this many seconds each in the mean.
+
+        Without effect once loads were measured.
+        """
         if math.isinf(self._least_overhead_s):
             under_way = round(loads_per_s * load_time_s)  # Little's law
             self.at_once = max(AT_ONCE_LEAST, min(AT_ONCE_MOST, under_way))
--- a/granitewell/controlplane/placement/observation.py
+++ b/granitewell/controlplane/placement/observation.py
@@ -27,8 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A server as the platform lists it. leaves_in_ms: -1 for no end in sight; models: as the list says,
-    about a second old."""
+    """A server as the platform lists it.
+
+    Attributes:
+        leaves_in_ms: -1 for no end in sight.
+        models: As the list says, about a second old.
+    """
 
     id: str
     address: str
@@ -50,8 +54,13 @@
 
 @dataclass(slots=True)
 class PendingOrder:
-    """An order that no report has shown done. revision: the sequence it was conditional on; expected_s: time
-    it should take; at_once: loads under way when it began."""
+    """An order that no report has shown done.
+
+    Attributes:
+        revision: The sequence it was conditional on.
+        expected_s: Time it should take.
+        at_once: Loads under way when it began.
+    """
 
     order: Order
     revision: int
--- a/granitewell/controlplane/placement/orders.py
+++ b/granitewell/controlplane/placement/orders.py
@@ -34,8 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One order to one server. purpose: for an unload, what the room is for. from_store: a load that counts
-    against the weight store's rate."""
+    """One order to one server.
+
+    Attributes:
+        purpose: For an unload, what the room is for.
+        from_store: A load that counts against the weight store's rate.
+    """
 
     server_id: str
     operation: Operation
@@ -82,7 +86,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a server says of itself, some hundred ms old. sequence: orders taken; busy: one is under way."""
+    """What a server says of itself, some hundred ms old.
+
+    Attributes:
+        sequence: Orders taken.
+        busy: One is under way.
+    """
 
     sequence: int
     busy: bool
@@ -147,8 +156,10 @@
 
 
 class _GuardedBody:
-    """An order's body that asks for permission at the moment when it is written. After a connection had to be
-    opened first, that is later than the call."""
+    """An order's body that asks for permission at the moment when it is written.
+
+    After a connection had to be opened first, that is later than the call.
+    """
 
     def __init__(self, body: bytes, may_send: Callable[[], bool]) -> None:
         self._body = body
--- a/granitewell/controlplane/placement/planner.py
+++ b/granitewell/controlplane/placement/planner.py
@@ -107,7 +107,8 @@
 
     def load_urgent_models(self) -> None:
         """Models that requests wait for and no lasting server has or loads, and those whose copies get far
-        more requests than they serve well. One more copy of one model at a time, the most urgent first."""
+        more requests than they serve well. One more copy of one model at a time, the most urgent first.
+        """
         urgent = {name: urgency for name in self._fleet.wanted if (urgency := self._urgency_of(name)) > 0}
         failures = 0
         while urgent and self._placing.free and failures < MOST_TRIED:
--- a/granitewell/controlplane/placement/reconciler.py
+++ b/granitewell/controlplane/placement/reconciler.py
@@ -91,7 +91,11 @@
         self._readiness.publish_all(now)
 
     def set_engine(self, now: float, engine: Engine, load_share: float) -> None:
-        """A configuration came into force. load_share: this service's part of the store's rate."""
+        """A configuration came into force.
+
+        Args:
+            load_share: This service's part of the store's rate.
+        """
         self._engine = engine
         self._issuer.set_engine(now, engine, load_share)
         self._soon(now)
--- a/granitewell/controlplane/placement/views.py
+++ b/granitewell/controlplane/placement/views.py
@@ -10,9 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerView:
-    """A server as the planner sees it. free_mb and free_adapters: with all that may be loading counted.
-    going, coming: the unload and the load under way. purpose: what the unload makes room for.
-    reserved_for: what its free room was made for."""
+    """A server as the planner sees it.
+
+    Attributes:
+        free_mb and free_adapters: With all that may be loading counted.
+        going, coming: The unload and the load under way.
+        purpose: What the unload makes room for.
+        reserved_for: What its free room was made for.
+    """
 
     id: str
     zone: str
@@ -38,7 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreView:
-    """What the weight store allows now. tokens: loads that may begin; at_once: loads at full speed."""
+    """What the weight store allows now.
+
+    Attributes:
+        tokens: Loads that may begin.
+        at_once: Loads at full speed.
+    """
 
     tokens: int
     at_once: int
--- a/granitewell/controlplane/publication/table.py
+++ b/granitewell/controlplane/publication/table.py
@@ -24,7 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """What leads to `version`. whole: servers that are not in `changed` are gone."""
+    """What leads to `version`.
+
+    Attributes:
+        whole: Servers that are not in `changed` are gone.
+    """
 
     version: Version
     whole: bool
@@ -49,8 +53,11 @@
         return self._servers
 
     def begin(self, epoch: int) -> None:
-        """The owner starts a new epoch with what it knows. Where its lease has lapsed and come back within
-        one term it goes on counting: a copy would not take a version below its own."""
+        """The owner starts a new epoch with what it knows.
+
+        Where its lease has lapsed and come back within one term it goes on counting: a copy would not take a
+        version below its own.
+        """
         if epoch == self.version.epoch:
             return
         self.version = Version(epoch, 1)
--- a/granitewell/coordination/__init__.py
+++ b/granitewell/coordination/__init__.py
@@ -1,2 +1,4 @@
-"""Coordination parts that others could embed: consensus, durable logs, leases, sharding. Knows no route or
-model."""
+"""Coordination parts that others could embed: consensus, durable logs, leases, sharding.
+
+Knows no route or model.
+"""
--- a/granitewell/coordination/consensus/__init__.py
+++ b/granitewell/coordination/consensus/__init__.py
@@ -1,5 +1,6 @@
 """Replica groups: a pure Raft replica (`replica.Replica`) and the shell that runs it
-(`group.ReplicatedGroup`)."""
+(`group.ReplicatedGroup`).
+"""
 
 from granitewell.coordination.consensus.group import ReplicatedGroup, StateMachine
 from granitewell.coordination.consensus.identity import NodeIdentity, load_identity
--- a/granitewell/coordination/consensus/contact.py
+++ b/granitewell/coordination/consensus/contact.py
@@ -51,7 +51,8 @@
 
     def proven_at(self, commit_index: int) -> float:
         """The latest time of which it is proven that a replica that has committed so far has all that was
-        committed by then."""
+        committed by then.
+        """
         while self._proofs and self._proofs[0].index <= commit_index:
             self._proven_at = max(self._proven_at, self._proofs.popleft().at)
         return self._proven_at
--- a/granitewell/coordination/consensus/core.py
+++ b/granitewell/coordination/consensus/core.py
@@ -14,8 +14,12 @@
 
 
 class Core:
-    """The state that the parts of one replica work on. me: this replica; its id is the one on the disk.
-    removed: it knows that it is out of the group."""
+    """The state that the parts of one replica work on.
+
+    Attributes:
+        me: This replica; its id is the one on the disk.
+        removed: It knows that it is out of the group.
+    """
 
     def __init__(self, me: Member, state: StoredState, settings: ReplicaSettings, rng: Random) -> None:
         self.me = me
@@ -61,8 +65,7 @@
         self.synced_messages.append(Outgoing(address, message))
 
     def send_in_term(self, address: str, message: Message) -> None:
-        """A reply that claims no more than that this replica is in its term: waits where that is not
-        synced."""
+        """A reply that claims no more than that this replica is in its term: waits where that is not synced."""
         if self.persistence.stable_term >= self.term:
             self.send(address, message)
         else:
@@ -80,8 +83,7 @@
         self.persistence.records.append(entry)
 
     def truncate(self, index: int) -> None:
-        """Drop uncommitted entries from an index on; what is written next at that index drops them on
-        disk."""
+        """Drop uncommitted entries from an index on; what is written next at that index drops them on disk."""
         assert index > self.commit_index, (index, self.commit_index)
         self.log.truncate(index)
         self.persistence.truncated(index)
--- a/granitewell/coordination/consensus/election.py
+++ b/granitewell/coordination/consensus/election.py
@@ -19,8 +19,11 @@
 
 
 class Election:
-    """The part of a replica that stands and votes. fresh: its log was made just now, so it never heard a
-    leader."""
+    """The part of a replica that stands and votes.
+
+    Attributes:
+        fresh: Its log was made just now, so it never heard a leader.
+    """
 
     def __init__(self, core: Core, now: float, fresh: bool) -> None:
         self._core = core
@@ -67,8 +70,10 @@
             core.send(peer.address, request)
 
     def stand(self, now: float, handed_over: bool = False) -> None:
-        """Ask for votes in a new term. Its own vote counts once it is on the disk, which is also when the
-        requests leave."""
+        """Ask for votes in a new term.
+
+        Its own vote counts once it is on the disk, which is also when the requests leave.
+        """
         core = self._core
         core.set_hard_state(core.term + 1, core.id)
         core.role = Role.CANDIDATE
--- a/granitewell/coordination/consensus/group.py
+++ b/granitewell/coordination/consensus/group.py
@@ -56,8 +56,11 @@
 
 
 CATCH_UP_PATIENCE = 4
-"""How many times longer the log may get while a peer catches up: compacted at once, it would lose the entries
-that the peer needs after its snapshot, and the transfer would begin again."""
+"""How many times longer the log may get while a peer catches up.
+
+Compacted at once, it would lose the entries that the peer needs after its snapshot, and the transfer would
+begin again.
+"""
 
 
 class StateMachine(Protocol):
@@ -88,8 +91,9 @@
 
 
 class ReplicatedGroup:
-    """One replica group on this node. See `granitewell.coordination.consensus.replica` for what it
-    guarantees.
+    """One replica group on this node.
+
+    See `granitewell.coordination.consensus.replica` for what it guarantees.
 
     directory: this group's own. send: (peer's internal address, group name, payload), fire and forget.
     on_change: leader, term, members or the applied index have changed. All calls are made on the event loop.
@@ -185,7 +189,8 @@
 
     def holds_lease(self) -> bool:
         """Whether this replica leads, no other can now, and its state machine has all that was ever
-        committed."""
+        committed.
+        """
         replica = self._replica
         return (
             replica is not None
@@ -194,13 +199,17 @@
         )
 
     def contact_age_s(self) -> float:
-        """The state here holds all that was committed this many seconds ago; 0 where this replica holds the
-        lease."""
+        """The state here holds all that was committed this many seconds ago.
+
+        0 where this replica holds the lease.
+        """
         return self._replica.contact_age(self._clock()) if self._replica else math.inf
 
     def silent_s(self, address: str) -> float:
-        """Seconds since this leader heard a member at an internal address; infinite where it leads nobody
-        there."""
+        """Seconds since this leader heard a member at an internal address.
+
+        Infinite where it leads nobody there.
+        """
         return self._replica.silent_s(address, self._clock()) if self._replica else math.inf
 
     # Life
@@ -279,7 +288,8 @@
 
     async def leave(self) -> None:
         """Before a stop: have this replica's place filled by a learner that is ready, or what it holds copied
-        by the others. Returns once that is so, once nobody can, or after `leave_s`."""
+        by the others. Returns once that is so, once nobody can, or after `leave_s`.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(self._settings.leave_s):
                 while (replica := self._replica) is not None and replica.leave(self._clock()):
@@ -308,8 +318,10 @@
         self._pump()
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
-        """Replicate an entry; the state machine's result for it on this node. Raises NotLeader (the entry is
-        nowhere) and ProposalLost (it may be committed or not)."""
+        """Replicate an entry; the state machine's result for it on this node.
+
+        Raises NotLeader (the entry is nowhere) and ProposalLost (it may be committed or not).
+        """
         replica = self._replica
         if replica is None:
             raise NotLeader(None)
@@ -398,8 +410,11 @@
             self._applied_index = entry.index
 
     def _restore(self, snapshot: Snapshot) -> bool:
-        """Have the state machine take a snapshot, before the disk does. Where it can't, this replica takes no
-        part any more, and its disk stays as it is; says whether it could."""
+        """Have the state machine take a snapshot, before the disk does.
+
+        Where it can't, this replica takes no part any more, and its disk stays as it is; says whether it
+        could.
+        """
         try:
             self._machine.restore(snapshot.data or self._empty_machine)
         except Exception as error:  # whatever it is, entries must not be applied to an older state
@@ -417,8 +432,11 @@
         self._proposals.lose(math.inf)
 
     def _apply_entry(self, entry: Entry) -> bool:
-        """Have the state machine take an entry. Where it needs a newer program, the other replicas may have
-        taken it, and this one takes no part any more; says whether it does."""
+        """Have the state machine take an entry.
+
+        Where it needs a newer program, the other replicas may have taken it, and this one takes no part any
+        more; says whether it does.
+        """
         result: object = None
         failure: Exception | None = None
         if entry.kind is EntryKind.DATA:
--- a/granitewell/coordination/consensus/handlers.py
+++ b/granitewell/coordination/consensus/handlers.py
@@ -48,7 +48,11 @@
         self._following = Following(core)
 
     def handle(self, address: str, message: Message, now: float) -> None:
-        """A message has come. address: where its sender is reached."""
+        """A message has come.
+
+        Args:
+            address: Where its sender is reached.
+        """
         if not self._is_for_me(message):
             self._joining.neighbour = address
             return
--- a/granitewell/coordination/consensus/held_messages.py
+++ b/granitewell/coordination/consensus/held_messages.py
@@ -8,8 +8,11 @@
 from granitewell.coordination.consensus.ready import Outgoing
 
 MOST_HELD = 256
-"""Messages that wait for one write. Beyond it the oldest go, as the network might lose them: while a disk
-refuses, a peer's heartbeats would have replies pile up."""
+"""Messages that wait for one write.
+
+Beyond it the oldest go, as the network might lose them: while a disk refuses, a peer's heartbeats would have
+replies pile up.
+"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """What a synced write sets free. batch: the newest of the replica's batches that it covers, or 0."""
+    """What a synced write sets free.
+
+    Attributes:
+        batch: The newest of the replica's batches that it covers, or 0.
+    """
 
     batch: int
     messages: tuple[Outgoing, ...]
--- a/granitewell/coordination/consensus/identity.py
+++ b/granitewell/coordination/consensus/identity.py
@@ -36,14 +36,20 @@
 _RETRY_S = 0.1
 
 FIRST_INDEX = 1
-"""Of the snapshot that names the first members. A replica that joins stands at 0: it lacks that snapshot, so
-it can't take the entries after it without having got it."""
+"""Of the snapshot that names the first members.
+
+A replica that joins stands at 0: it lacks that snapshot, so it can't take the entries after it without having
+got it.
+"""
 
 
 @dataclass(frozen=True)
 class NodeIdentity:
-    """One per disk, shared by all groups. first_members: addresses of the first voters, empty where this disk
-    is none of them."""
+    """One per disk, shared by all groups.
+
+    Attributes:
+        first_members: Addresses of the first voters, empty where this disk is none of them.
+    """
 
     node_name: str
     address: str
@@ -70,8 +76,10 @@
 def load_identity(
     data_dir: Path, node_name: str, address: str, bootstrap: bool, seeds: Sequence[str]
 ) -> NodeIdentity:
-    """The identity on a disk, made and synced where there is none; raises OSError where the disk goes on
-    refusing it."""
+    """The identity on a disk, made and synced where there is none.
+
+    Raises OSError where the disk goes on refusing it.
+    """
     deadline = time.monotonic() + PATIENCE_S
     while True:
         try:
@@ -85,8 +93,11 @@
 
 
 def _make(data_dir: Path, address: str, bootstrap: bool, seeds: Sequence[str]) -> _Stored:
-    """The first identity of a disk. What a start that was interrupted has left whole under the new name is
-    taken; an identity that is damaged makes this disk another's, and no first member."""
+    """The first identity of a disk.
+
+    What a start that was interrupted has left whole under the new name is taken; an identity that is damaged
+    makes this disk another's, and no first member.
+    """
     empty = not (data_dir / IDENTITY_NAME).exists()
     stored = _read(data_dir / NEW_NAME) if empty else None
     if stored is None:
--- a/granitewell/coordination/consensus/joining.py
+++ b/granitewell/coordination/consensus/joining.py
@@ -1,5 +1,8 @@
-"""What a replica asks of the group for itself: to be taken in where it has no vote, and before it stops, to
-have its place filled and its copies made elsewhere."""
+"""What a replica asks of the group for itself.
+
+To be taken in where it has no vote, and before it stops, to have its place filled and its copies made
+elsewhere.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,13 @@
 
 
 class Joining:
-    """The part of a replica that comes and goes. seeds: addresses to ask where no member is known. due_at:
-    when it asks next. neighbour: an address that looks for who was at this one before."""
+    """The part of a replica that comes and goes.
+
+    Attributes:
+        seeds: Addresses to ask where no member is known.
+        due_at: When it asks next.
+        neighbour: An address that looks for who was at this one before.
+    """
 
     def __init__(self, core: Core, seeds: Iterable[str], now: float) -> None:
         self._core = core
--- a/granitewell/coordination/consensus/leadership.py
+++ b/granitewell/coordination/consensus/leadership.py
@@ -1,5 +1,6 @@
-"""What a leader does in its term: heartbeats, the lease, replication, commits, changes of members, handing
-over.
+"""What a leader does in its term.
+
+Heartbeats, the lease, replication, commits, changes of members, handing over.
 
 - The lease lasts from the send time of the newest heartbeat round that a quorum has acknowledged, and only
   once an entry of the leader's own term is committed.
@@ -49,7 +50,11 @@
 
 
 class Leadership:
-    """A leader's state, for one term. given_up: it must become a follower now."""
+    """A leader's state, for one term.
+
+    Attributes:
+        given_up: It must become a follower now.
+    """
 
     def __init__(
         self, core: Core, now: float, target_voters: int, old_leader: str | None, old_leader_heard_at: float
@@ -274,8 +279,11 @@
         self.change_members(now)
 
     def on_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
-        """A peer has a part of the snapshot; send the next. A second reply to the same part sends nothing, or
-        each repeat would go on circling. A peer that has lost its part gets the newest snapshot."""
+        """A peer has a part of the snapshot; send the next.
+
+        A second reply to the same part sends nothing, or each repeat would go on circling. A peer that has
+        lost its part gets the newest snapshot.
+        """
         peer = self._tracker.heard(reply.sender, now)
         if peer is None or peer.transfer is None or reply.index != peer.transfer.snapshot.index:
             return
--- a/granitewell/coordination/consensus/membership.py
+++ b/granitewell/coordination/consensus/membership.py
@@ -29,9 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """What the leader sees of a member. silent_s: since its last answer, 0 for the leader itself, or since
-    the term began; answering: it has answered lately; caught_up: it has on its disk all that is committed, or
-    while members change the entry that began it."""
+    """What the leader sees of a member.
+
+    Attributes:
+        silent_s: Since its last answer, 0 for the leader itself, or since the term began.
+        answering: It has answered lately.
+        caught_up: It has on its disk all that is committed, or while members change the entry that began it.
+    """
 
     member: Member
     silent_s: float
@@ -140,8 +144,13 @@
     leaving: Collection[str],
     settings: ReplicaSettings,
 ) -> ProposedChange | None:
-    """The change that a leader whose last one is committed and ended should begin; None where all is well or
-    nothing is safe. leaving: ids of voters that are about to stop."""
+    """The change that a leader whose last one is committed and ended should begin.
+
+    None where all is well or nothing is safe.
+
+    Args:
+        leaving: Ids of voters that are about to stop.
+    """
     ready = [view for view in learners if view.dependable]
     for change in _wanted_changes(membership, voters, ready, target_voters, leaving, settings):
         if may_begin(membership, change, voters):
@@ -173,8 +182,11 @@
 
 
 def may_begin(membership: Membership, change: VoterChange, voters: Sequence[MemberView]) -> bool:
-    """Whether a quorum of both sides is dependable. Who comes in for another is not counted: a change must
-    not rest on it, so that its loss leaves the group no worse than before."""
+    """Whether a quorum of both sides is dependable.
+
+    Who comes in for another is not counted: a change must not rest on it, so that its loss leaves the group
+    no worse than before.
+    """
     dependable = _dependable(voters)
     if not change.removed:
         dependable |= {member.replica_id for member in change.added}
@@ -188,8 +200,11 @@
 def next_end(
     membership: Membership, voters: Sequence[MemberView], under_way_s: float, settings: ReplicaSettings
 ) -> ProposedChange | None:
-    """How to end the change that is under way: for the new voters once all that came in hold the entry that
-    brought them in; for the old ones where that does not come about. None while neither is safe."""
+    """How to end the change that is under way.
+
+    For the new voters once all that came in hold the entry that brought them in; for the old ones where that
+    does not come about. None while neither is safe.
+    """
     taken_over = _has_arrived(membership, voters)
     if not taken_over and not _is_stuck(membership, voters, under_way_s, settings):
         return None
@@ -215,7 +230,8 @@
     membership: Membership, voters: Sequence[MemberView], under_way_s: float, settings: ReplicaSettings
 ) -> bool:
     """Whether to go back: one that came in is silent, or slow while all that would go still answer, or so
-    slow that another should have its turn."""
+    slow that another should have its turn.
+    """
     if under_way_s < settings.unreachable_s:
         return False
     if any(view.silent_s >= settings.unreachable_s for view in _incoming(membership, voters)):
--- a/granitewell/coordination/consensus/messages.py
+++ b/granitewell/coordination/consensus/messages.py
@@ -1,5 +1,7 @@
-"""Messages between the replicas of a group. sender and receiver are replica ids; receiver is "" in a Join,
-whose sender may know addresses only."""
+"""Messages between the replicas of a group.
+
+Sender and receiver are replica ids; receiver is "" in a Join, whose sender may know addresses only.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """What all messages carry. term: the sender's, but for a pre-vote the one it would stand in."""
+    """What all messages carry.
+
+    Attributes:
+        term: The sender's, but for a pre-vote the one it would stand in.
+    """
 
     sender: str
     receiver: str
@@ -34,7 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote(Message):
-    """A candidate asks for a vote. handed_over: the leader before gave up its lease and asked it to stand."""
+    """A candidate asks for a vote.
+
+    Attributes:
+        handed_over: The leader before gave up its lease and asked it to stand.
+    """
 
     last_index: int
     last_term: int
@@ -50,9 +60,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat(Message):
-    """The leader lives. round: counted by the leader, who knows when it sent it. commit_index: as far as the
-    receiver's log is known to agree. leased: the leader held its lease. acknowledged_stamp: of the receiver's
-    last reply, 0 for none. leader_commit_index: all that the leader knows to be committed."""
+    """The leader lives.
+
+    Attributes:
+        round: Counted by the leader, who knows when it sent it.
+        commit_index: As far as the receiver's log is known to agree.
+        leased: The leader held its lease.
+        acknowledged_stamp: Of the receiver's last reply, 0 for none.
+        leader_commit_index: All that the leader knows to be committed.
+    """
 
     round: int
     commit_index: int
@@ -63,8 +79,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply(Message):
-    """A heartbeat was heard; its sender grants nobody a vote for the least election timeout from now. stamp:
-    comes back with a later heartbeat."""
+    """A heartbeat was heard; its sender grants nobody a vote for the least election timeout from now.
+
+    Attributes:
+        stamp: Comes back with a later heartbeat.
+    """
 
     round: int
     stamp: int
@@ -90,7 +109,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk(Message):
-    """A piece of a snapshot. index, index_term, membership: the snapshot's. total: its length."""
+    """A piece of a snapshot.
+
+    Attributes:
+        index, index_term, membership: The snapshot's.
+        total: Its length.
+    """
 
     index: int
     index_term: int
@@ -115,7 +139,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Join(Message):
-    """A replica that is no voter asks to be taken in. forwarded: passed on by a follower."""
+    """A replica that is no voter asks to be taken in.
+
+    Attributes:
+        forwarded: Passed on by a follower.
+    """
 
     member: Member
     forwarded: bool
--- a/granitewell/coordination/consensus/packing.py
+++ b/granitewell/coordination/consensus/packing.py
@@ -51,8 +51,10 @@
 
 
 def check_flat(data: bytes) -> None:
-    """Raises BadFrame unless the bytes are one struct of plain fields. The library trusts lengths and
-    nesting: eight bytes that claim a long list would take all memory."""
+    """Raises BadFrame unless the bytes are one struct of plain fields.
+
+    The library trusts lengths and nesting: eight bytes that claim a long list would take all memory.
+    """
     at = 0
     end = len(data)
     try:
@@ -146,7 +148,11 @@
 
 
 def pack_end(taken_over: bool) -> bytes:
-    """The data of an entry that ends a change of members. taken_over: for the new voters."""
+    """The data of an entry that ends a change of members.
+
+    Args:
+        taken_over: For the new voters.
+    """
     return bytes((CHANGE_VERSION, taken_over))
 
 
--- a/granitewell/coordination/consensus/persistence.py
+++ b/granitewell/coordination/consensus/persistence.py
@@ -17,8 +17,12 @@
 
 
 class Persistence:
-    """Batches are numbered and synced in order. stable_index: the last entry that is on the disk;
-    stable_term: the newest term that is."""
+    """Batches are numbered and synced in order.
+
+    Attributes:
+        stable_index: The last entry that is on the disk.
+        stable_term: The newest term that is.
+    """
 
     def __init__(self, stable_index: int, stable_term: int, first_batch: int = 0) -> None:
         self.stable_index = stable_index
--- a/granitewell/coordination/consensus/progress.py
+++ b/granitewell/coordination/consensus/progress.py
@@ -23,11 +23,18 @@
 
 @dataclass(slots=True)
 class Progress:
-    """One peer. match_index: the last entry known to be on its disk; next_index: the next to send; probing:
-    one message at a time until its log and ours are known to agree; acknowledged_at: send time of the newest
-    heartbeat that it replied to; stamp: of its last such reply; answered: anything, in this term;
-    advanced_at: when match_index last rose; nearly_level_at: since when a learner has been no more than a few
-    entries late."""
+    """One peer.
+
+    Attributes:
+        match_index: The last entry known to be on its disk.
+        next_index: The next to send.
+        probing: One message at a time until its log and ours are known to agree.
+        acknowledged_at: Send time of the newest heartbeat that it replied to.
+        stamp: Of its last such reply.
+        answered: Anything, in this term.
+        advanced_at: When match_index last rose.
+        nearly_level_at: Since when a learner has been no more than a few entries late.
+    """
 
     member: Member
     next_index: int
--- a/granitewell/coordination/consensus/ready.py
+++ b/granitewell/coordination/consensus/ready.py
@@ -28,7 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """One batch of work. batch: what synced_messages wait for; records may be empty."""
+    """One batch of work.
+
+    Attributes:
+        batch: What synced_messages wait for; records may be empty.
+    """
 
     batch: int
     records: tuple[Record, ...]
--- a/granitewell/coordination/consensus/reconfiguration.py
+++ b/granitewell/coordination/consensus/reconfiguration.py
@@ -21,16 +21,24 @@
 
 @dataclass(frozen=True, slots=True)
 class _Leaving:
-    """A voter that is about to stop. until: when that lapses; index: what was committed when it first said
-    so."""
+    """A voter that is about to stop.
+
+    Attributes:
+        until: When that lapses.
+        index: What was committed when it first said so.
+    """
 
     until: float
     index: int
 
 
 class Reconfiguration:
-    """The part of a leader that changes members, for one term. append: an entry to the leader's log;
-    hand_over: leadership to a voter that stays, says whether that is under way."""
+    """The part of a leader that changes members, for one term.
+
+    Attributes:
+        append: An entry to the leader's log.
+        hand_over: Leadership to a voter that stays, says whether that is under way.
+    """
 
     def __init__(
         self,
@@ -60,8 +68,11 @@
         self._leaving[replica_id] = _Leaving(now + core.settings.leave_s, index)
 
     def should_wait(self, replica_id: str, now: float) -> bool:
-        """Whether a voter that is about to stop has something to wait for: its place is being filled, or it
-        holds one of too few copies while others that answer are still behind."""
+        """Whether a voter that is about to stop has something to wait for.
+
+        Its place is being filled, or it holds one of too few copies while others that answer are still
+        behind.
+        """
         if not stays_voter(self._core.log.membership, replica_id):
             return True
         return self._tracker.lacks_copies(self._leaving[replica_id].index, replica_id, now)
--- a/granitewell/coordination/consensus/recovery.py
+++ b/granitewell/coordination/consensus/recovery.py
@@ -43,8 +43,11 @@
         self._executor = executor
 
     async def load(self) -> StoredState | None:
-        """What is on the disk; None where a new log is to be made. Waits for a disk that can't be read. A log
-        of a newer program or of another group raises DurableLogError and is left as it is."""
+        """What is on the disk; None where a new log is to be made.
+
+        Waits for a disk that can't be read. A log of a newer program or of another group raises
+        DurableLogError and is left as it is.
+        """
         pause_s = RETRY_S
         while True:
             loaded: asyncio.Future[StoredState | None] = asyncio.get_running_loop().create_future()
--- a/granitewell/coordination/consensus/replica.py
+++ b/granitewell/coordination/consensus/replica.py
@@ -39,8 +39,13 @@
 
 
 class Replica:
-    """One replica. me: its id, as on its disk, and where it is. fresh: the disk was made just now, so it has
-    never heard a leader under this id. seeds: addresses to ask where no member is known."""
+    """One replica.
+
+    Attributes:
+        me: Its id, as on its disk, and where it is.
+        fresh: The disk was made just now, so it has never heard a leader under this id.
+        seeds: Addresses to ask where no member is known.
+    """
 
     def __init__(
         self,
@@ -225,8 +230,11 @@
         return started
 
     def leave(self, now: float) -> bool:
-        """This replica is about to stop: have its place filled by a learner that is ready, or its copies
-        made elsewhere. Whether to wait for that, and call again."""
+        """This replica is about to stop.
+
+        Have its place filled by a learner that is ready, or its copies made elsewhere. Whether to wait for
+        that, and call again.
+        """
         if self.removed or self._leadership is None:
             return not self.removed and self._joining.leave(now)
         wait = self._leadership.on_leave(self._core.id, now)
@@ -234,7 +242,11 @@
         return wait
 
     def receive(self, address: str, message: Message, now: float) -> None:
-        """A message has come. address: where its sender is reached."""
+        """A message has come.
+
+        Args:
+            address: Where its sender is reached.
+        """
         if self.removed:
             return
         self._handlers.handle(address, message, now)
--- a/granitewell/coordination/consensus/roles.py
+++ b/granitewell/coordination/consensus/roles.py
@@ -10,8 +10,12 @@
 
 
 class Roles:
-    """The role of one replica. leadership: what it does as a leader, None while it is none. old_leader: whom
-    it followed last, unless that one has handed over."""
+    """The role of one replica.
+
+    Attributes:
+        leadership: What it does as a leader, None while it is none.
+        old_leader: Whom it followed last, unless that one has handed over.
+    """
 
     def __init__(self, core: Core, election: Election, target_voters: int) -> None:
         self._core = core
--- a/granitewell/coordination/consensus/settings.py
+++ b/granitewell/coordination/consensus/settings.py
@@ -10,12 +10,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """What a replica is tuned by. The lease is shorter than the least election timeout by a margin that
-    covers clocks that drift apart; see `ClockMarginTooSmall`."""
+    """What a replica is tuned by.
+
+    The lease is shorter than the least election timeout by a margin that covers clocks that drift apart; see
+    `ClockMarginTooSmall`.
+    """
 
     heartbeat_s: float = 0.12
-    """Least time between heartbeats. Wake-ups are on a grid of 50 ms (`WAKE_GRID_S`), so one goes out every
-    0.15 s: three are missed before a lease of 0.5 s ends."""
+    """Least time between heartbeats.
+
+    Wake-ups are on a grid of 50 ms (`WAKE_GRID_S`), so one goes out every 0.15 s: three are missed before a
+    lease of 0.5 s ends.
+    """
 
     election_least_s: float = 0.65
     """A follower that heard its leader within this time grants no vote."""
@@ -39,12 +45,16 @@
     """A member that answered within this time counts as reachable."""
 
     answering_s: float = 0.4
-    """A voter counts towards the quorums that a change of members needs only if it answered within this time:
-    a change that is appended while its quorum is gone for good can never be taken back."""
+    """A voter counts towards the quorums that a change of members needs only if it answered within this time.
+
+    A change that is appended while its quorum is gone for good can never be taken back.
+    """
 
     unreachable_s: float = 2.0
-    """A voter that was silent for this long may be replaced by a learner of another machine. A change of
-    members that has not come through for this long may be taken back."""
+    """A voter that was silent for this long may be replaced by a learner of another machine.
+
+    A change of members that has not come through for this long may be taken back.
+    """
 
     change_most_s: float = 5.0
     """A change of members that has not come through for this long is taken back, also where the voter that it
--- a/granitewell/coordination/consensus/terms.py
+++ b/granitewell/coordination/consensus/terms.py
@@ -1,5 +1,7 @@
-"""The nouns of consensus: members, entries, hard state, snapshots. Plain values without behaviour of their
-own."""
+"""The nouns of consensus: members, entries, hard state, snapshots.
+
+Plain values without behaviour of their own.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A replica and where it is. address: `ip:port` of internal messages. node_name: "" where not known."""
+    """A replica and where it is.
+
+    Attributes:
+        address: `ip:port` of internal messages.
+        node_name: "" where not known.
+    """
 
     replica_id: str
     node_name: str
@@ -74,8 +81,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """The voters after some entry, and the ids of the replicas removed last. outgoing_voters: while members
-    change, all voters from before the change, each of which still counts; else empty."""
+    """The voters after some entry, and the ids of the replicas removed last.
+
+    Attributes:
+        outgoing_voters: While members change, all voters from before the change, each of which still counts;
+            else empty.
+    """
 
     voters: tuple[Member, ...] = ()
     removed: tuple[str, ...] = ()
--- a/granitewell/coordination/consensus/tracker.py
+++ b/granitewell/coordination/consensus/tracker.py
@@ -1,5 +1,6 @@
 """The peers of a leader: the voters in force and the learners, how far each is, and what a quorum of them has
-reached."""
+reached.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +18,11 @@
 
 
 class ProgressTracker:
-    """Progress of each peer, for one term. peers: by replica id."""
+    """Progress of each peer, for one term.
+
+    Attributes:
+        peers: By replica id.
+    """
 
     def __init__(self, core: Core, now: float) -> None:
         self._core = core
@@ -25,8 +30,10 @@
         self.follow_membership(now)
 
     def follow_membership(self, now: float) -> None:
-        """Have progress of each voter in force and of the learners. A voter that was taken back is a learner
-        again; one that was removed is nobody."""
+        """Have progress of each voter in force and of the learners.
+
+        A voter that was taken back is a learner again; one that was removed is nobody.
+        """
         membership = self._core.log.membership
         voters = {voter.replica_id: voter for voter in self._core.peers()}
         for id in [id for id in self.peers if id in membership.removed]:
@@ -40,7 +47,11 @@
                 self.peers[id] = Progress(voter, self._core.log.last_index + 1, now)
 
     def reached(self, own: float, of_peer: Callable[[Progress], float]) -> float:
-        """The greatest value that a quorum has reached. own: this leader's."""
+        """The greatest value that a quorum has reached.
+
+        Args:
+            own: This leader's.
+        """
         values = {id: of_peer(peer) for id, peer in self.peers.items()}
         values[self._core.id] = own
         return quorum_of(self._core.log.membership).reached(values)
@@ -58,8 +69,10 @@
         return now - max(heard, default=NEVER)
 
     def lacks_copies(self, index: int, leaving_id: str, now: float) -> bool:
-        """Whether an entry is on the disks of no quorum without one voter, but will be: voters that lack it
-        answer."""
+        """Whether an entry is on the disks of no quorum without one voter, but will be.
+
+        Voters that lack it answer.
+        """
         matches = {id: peer.match_index for id, peer in self.peers.items() if id != leaving_id}
         if leaving_id != self._core.id:
             matches[self._core.id] = self._core.persistence.stable_index
@@ -105,9 +118,12 @@
         return [self._voter_view(voter, now) for voter in self._core.log.membership.all_voters()]
 
     def learner_views(self, now: float) -> list[MemberView]:
-        """All learners. One that has been a few entries late for a while, and goes on taking them, counts as
-        caught up: while changes go on faster than its replies come it is never level, and its vote's entry
-        comes after all of them."""
+        """All learners.
+
+        One that has been a few entries late for a while, and goes on taking them, counts as caught up: while
+        changes go on faster than its replies come it is never level, and its vote's entry comes after all of
+        them.
+        """
         return [self._learner_view(peer, now) for peer in self.peers.values() if peer.learner]
 
     def _learner_view(self, peer: Progress, now: float) -> MemberView:
@@ -137,8 +153,10 @@
     # Handing over
 
     def best_successor(self, now: float) -> Progress | None:
-        """The voter that is furthest of those that answer and stay; None where none has all that is
-        committed."""
+        """The voter that is furthest of those that answer and stay.
+
+        None where none has all that is committed.
+        """
         core = self._core
         candidates = [
             peer
--- a/granitewell/coordination/durable_log.py
+++ b/granitewell/coordination/durable_log.py
@@ -21,7 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteFailed:
-    """The disk has refused a write or a sync; it is tried again. number: of the operating system's error."""
+    """The disk has refused a write or a sync; it is tried again.
+
+    Attributes:
+        number: Of the operating system's error.
+    """
 
     number: int
     reason: str
@@ -36,8 +40,9 @@
 
 
 class DurableLog:
-    """A log as the event loop sees it: batches go in, `on_synced(batch)` and `on_failed(WriteFailed)` come
-    out.
+    """A log as the event loop sees it.
+
+    Batches go in, `on_synced(batch)` and `on_failed(WriteFailed)` come out.
 
     to_loop brings a call into the event loop from the disk thread; later runs one after a pause. Batches that
     wait while one is being written are joined into one write.
@@ -78,9 +83,13 @@
         self._next()
 
     def rewrite(self, batch: int, payload: bytes, *, optional: bool) -> None:
-        """Replace the file, after all batches before, by one payload that stands for all of them. optional:
-        it only makes the file shorter, so it is dropped where the disk refuses it. It takes the place of
-        batches that wait and are no shorter than it, so what waits for a disk that refuses stays bounded."""
+        """Replace the file, after all batches before, by one payload that stands for all of them.
+
+        Args:
+            optional: It only makes the file shorter, so it is dropped where the disk refuses it. It takes the
+                place of batches that wait and are no shorter than it, so what waits for a disk that refuses
+                stays bounded.
+        """
         if self.waiting_bytes >= len(payload):
             optional = optional and not self._waiting
             self._waiting.clear()
--- a/granitewell/coordination/log_file.py
+++ b/granitewell/coordination/log_file.py
@@ -28,8 +28,13 @@
 
 
 class LogFile:
-    """One open log, used by the disk thread alone. Each call does one step of work or raises OSError; a
-    failed call may be made again. owner: whose log it is, kept in its head: another's is refused."""
+    """One open log, used by the disk thread alone.
+
+    Each call does one step of work or raises OSError; a failed call may be made again.
+
+    Attributes:
+        owner: Whose log it is, kept in its head: another's is refused.
+    """
 
     def __init__(self, files: Files, folder: str, owner: str, salts: Callable[[], int]) -> None:
         self._files = files
@@ -52,14 +57,17 @@
     @property
     def must_rewrite(self) -> bool:
         """Whether a rewrite has failed after its rename began, so that it is not known which file a loss of
-        power leaves: nothing may be appended before a whole `rewrite`."""
+        power leaves: nothing may be appended before a whole `rewrite`.
+        """
         return self._must_rewrite
 
     # Opening
 
     def load(self) -> tuple[bytes, ...] | None:
-        """Open the log and cut off what was never synced; its batches, or None where there is no log. Raises
-        CorruptLog, UnknownLogVersion and ForeignLog too, and has changed nothing then."""
+        """Open the log and cut off what was never synced; its batches, or None where there is no log.
+
+        Raises CorruptLog, UnknownLogVersion and ForeignLog too, and has changed nothing then.
+        """
         self._files.make_folder(self._folder)
         data = self._files.read(self._path)
         if data is None and (data := self._whole_new_file()) is None:
@@ -79,9 +87,12 @@
         return contents.payloads
 
     def _settle(self, handle: int, data: bytes, contents: Contents) -> None:
-        """Bring what was read to the disk. A killed process may have left a last batch that was not synced,
-        or whose sync had failed, so it is written once more. A full disk may refuse that; then its sync has
-        to do, unless a sync has failed before."""
+        """Bring what was read to the disk.
+
+        A killed process may have left a last batch that was not synced, or whose sync had failed, so it is
+        written once more. A full disk may refuse that; then its sync has to do, unless a sync has failed
+        before.
+        """
         if contents.length < len(data):
             self._files.truncate(handle, contents.length)
         if self._tail_in_doubt:
@@ -92,8 +103,7 @@
         self._files.sync(handle)
 
     def _whole_new_file(self) -> bytes | None:
-        """A loss of power may take the old name and not yet give the new one: then the new file is the
-        log."""
+        """A loss of power may take the old name and not yet give the new one: then the new file is the log."""
         data = self._files.read(self._new_path)
         if data is None:
             return None
@@ -158,8 +168,10 @@
         self._files.sync_folder(self._folder)
 
     def keep_corrupt(self) -> None:
-        """Copy a damaged log aside, for whoever wants to look at it; the damaged one stays until it is
-        replaced."""
+        """Copy a damaged log aside, for whoever wants to look at it.
+
+        The damaged one stays until it is replaced.
+        """
         data = self._files.read(self._path)
         if data is None:
             return
--- a/granitewell/coordination/log_format.py
+++ b/granitewell/coordination/log_format.py
@@ -88,8 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Contents:
-    """What a file holds. length: of what is good; the rest is to be cut off. last_offset: of the last good
-    batch."""
+    """What a file holds.
+
+    Attributes:
+        length: Of what is good; the rest is to be cut off.
+        last_offset: Of the last good batch.
+    """
 
     salt: int
     payloads: tuple[bytes, ...]
--- a/granitewell/coordination/rendezvous.py
+++ b/granitewell/coordination/rendezvous.py
@@ -1,5 +1,6 @@
 """Rendezvous hashing: every node works out the same order without a word, and one that comes or goes moves
-only its own keys."""
+only its own keys.
+"""
 
 from __future__ import annotations
 
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -204,8 +204,11 @@
         heappush(self._timers, (when_us, self._seq, what, arg))
 
     def _woken(self) -> None:
-        """Run what is due. Calls that end with their request are heard of before the module's own timer of
-        the same moment, as on the simulator's wire."""
+        """Run what is due.
+
+        Calls that end with their request are heard of before the module's own timer of the same moment, as on
+        the simulator's wire.
+        """
         due = []
         while self._timers and self._timers[0][0] <= self._now:
             due.append(heappop(self._timers))
@@ -377,8 +380,11 @@
 
     # --- Outbound calls ---------------------------------------------------------------------------------
     def _sendable(self, endpoint: Endpoint) -> bool:
-        """Rule 3 and the operators' bans: may a first byte go to this endpoint now? The grace that the rule
-        leaves counts from when the agent had the news, which this node may hear late: none of it is used."""
+        """Rule 3 and the operators' bans: may a first byte go to this endpoint now?
+
+        The grace that the rule leaves counts from when the agent had the news, which this node may hear late:
+        none of it is used.
+        """
         return endpoint.told_us < 0 and endpoint.member.id not in self._bans
 
     def _repeatable(self, request: Held, endpoint: Endpoint, this: Call | None = None) -> bool:
@@ -438,9 +444,11 @@
         return call is not None and self._may_write(call)
 
     def _may_write(self, call: Call) -> bool:
-        """The one gate before a first byte, asked in the turn in which it goes, of every call: first or
-        further, on an idle connection or a dialed one. An endpoint that has moved is not there: what answers
-        at its old address by now may be another one, which drains or is banned."""
+        """The one gate before a first byte, asked in the turn in which it goes, of every call.
+
+        First or further, on an idle connection or a dialed one. An endpoint that has moved is not there: what
+        answers at its old address by now may be another one, which drains or is banned.
+        """
         request, endpoint = call.request, call.endpoint
         return (
             request.open and not request.streams
@@ -535,8 +543,10 @@
         self._work.append(t.Hosts(event.view, tuple(self._host(m) for m in event.members)))
 
     def _remember(self, named: Iterable[bytes]) -> None:
-        """An operator may name what is gone. Of those that are, a node that runs for long forgets the oldest:
-        successors have new ids."""
+        """An operator may name what is gone.
+
+        Of those that are, a node that runs for long forgets the oldest: successors have new ids.
+        """
         for eid in named:
             self._named.pop(eid, None)
             self._named[eid] = None
--- a/granitewell/core/terms.py
+++ b/granitewell/core/terms.py
@@ -45,7 +45,8 @@
     """An inbound has handed in a whole request; message is the front's own and passes unread.
 
     An inbound is whatever carries one request at a time: a connection of HTTP/1.1, a stream of a protocol
-    that has several on a connection. Its number is unique over all fronts of the process."""
+    that has several on a connection. Its number is unique over all fronts of the process.
+    """
 
     inbound: int
     class_index: int
@@ -124,8 +125,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One endpoint as discovery tells it; started_us is on this node's clock, 0 for long ago. protocol
-    names the kind of connection that its calls go over; the shell has one carrier a kind."""
+    """One endpoint as discovery tells it; started_us is on this node's clock, 0 for long ago.
+
+    Protocol names the kind of connection that its calls go over; the shell has one carrier a kind.
+    """
 
     id: bytes
     address: tuple[str, int]
@@ -158,8 +161,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StopAsked:
-    """The platform wants this node to leave. shared: another process accepts from the same listener, so that
-    nothing is lost by accepting no more at once."""
+    """The platform wants this node to leave.
+
+    Attributes:
+        shared: Another process accepts from the same listener, so that nothing is lost by accepting no more
+            at once.
+    """
 
     shared: bool = False
 
@@ -182,8 +189,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BansHeard:
-    """What is written down of bans, by an earlier process of this node or one beside it: those in force, and
-    since when which endpoints are back."""
+    """What is written down of bans, by an earlier process of this node or one beside it.
+
+    Those in force, and since when which endpoints are back.
+    """
 
     bans: frozenset[bytes]
     back_us: Mapping[bytes, int]
@@ -199,10 +208,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Acting:
-    """How many nodes act on the same endpoints, as the nodes themselves see it: the most that may (budgets
-    are divided by it), and those that share the traffic, smoothed (the forecast counts with them). Until it
-    is told the settings say so; it outlives other settings. parts: of each tenant's allowance that this node
-    has a right to, by index; a tenant beyond them has the most-th part."""
+    """How many nodes act on the same endpoints, as the nodes themselves see it.
+
+    The most that may (budgets are divided by it), and those that share the traffic, smoothed (the forecast
+    counts with them). Until it is told the settings say so; it outlives other settings.
+
+    Attributes:
+        parts: Of each tenant's allowance that this node has a right to, by index; a tenant beyond them has
+            the most-th part.
+    """
 
     most: int
     up: float
--- a/granitewell/counts/__init__.py
+++ b/granitewell/counts/__init__.py
@@ -17,4 +17,5 @@
 What that is, is the one thing that is assumed and not known, and stands in the operator file: no node takes
 more than `ceiling_per_s` of all keys, nor of one key more than `growth` times its busiest slice in the
 window, or `floor_per_s` where that is more. A silent node widens the figure, up to what it can have taken in
-a whole window, and is never forgotten by silence."""
+a whole window, and is never forgotten by silence.
+"""
--- a/granitewell/counts/lives.py
+++ b/granitewell/counts/lives.py
@@ -21,9 +21,14 @@
 
 @dataclass(slots=True)
 class Life:
-    """One process of a name. upto: slices below are known whole; open_us: how long it had run at the last
-    word that told of the open slice too. low_us, high_us: between which moments it began, by our clock, as
-    measured at at_us; drift: parts in a million by which two clocks may differ in speed."""
+    """One process of a name.
+
+    Attributes:
+        upto: Slices below are known whole.
+        open_us: How long it had run at the last word that told of the open slice too.
+        low_us, high_us: Between which moments it began, by our clock, as measured at at_us.
+        drift: Parts in a million by which two clocks may differ in speed.
+    """
 
     life: int
     birth: int
@@ -96,7 +101,11 @@
         return [s for s in self.slots.values() if s.key == key] if key is not None else []
 
     def cell(self, index: int, key: str | None, numbers: list[Slot]) -> tuple[int, int]:
-        """Between what a key's use in a slice lies; None: of all keys. numbers: slots of that key."""
+        """Between what a key's use in a slice lies; None: of all keys.
+
+        Args:
+            numbers: Slots of that key.
+        """
         cell = self.cells.get(index)
         if not cell:
             return 0, 0
@@ -126,8 +135,10 @@
 
     @property
     def last(self) -> Life | None:
-        """The one that began last. A life's number is no help: a node that has lost its folder begins with
-        the first again."""
+        """The one that began last.
+
+        A life's number is no help: a node that has lost its folder begins with the first again.
+        """
         return self.newest(0)
 
     def newest(self, but: int) -> Life | None:
--- a/granitewell/counts/machine.py
+++ b/granitewell/counts/machine.py
@@ -5,7 +5,8 @@
 
 A question has a number, and the answer to it repeats that: so it is known when it was asked. Answers that
 come twice, late or out of order are taken as any other, since merging them changes nothing that is known
-already; an answer to no question of ours is dropped, as nothing would be known of when it was written."""
+already; an answer to no question of ours is dropped, as nothing would be known of when it was written.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +36,11 @@
 
 
 class _Asked:
-    """How a node is asked. sent: our questions that are not answered, by number: when, and of whom."""
+    """How a node is asked.
+
+    Attributes:
+        sent: Our questions that are not answered, by number: when, and of whom.
+    """
 
     __slots__ = ("bucket", "due_us", "sent")
 
@@ -45,8 +50,11 @@
 
 
 class Tale(NamedTuple):
-    """What is told of a process, be it ourselves or a copy: see `Word`. version: up to which its slots are
-    known."""
+    """What is told of a process, be it ourselves or a copy: see `Word`.
+
+    Attributes:
+        version: Up to which its slots are known.
+    """
 
     life: int
     birth: int
@@ -63,8 +71,13 @@
 
 
 class Counts:
-    """Of one process. name, life, birth: as the membership has them. counts: letters by kind, and what was
-    dropped, by reason. rng: its own; spreads questions over time."""
+    """Of one process.
+
+    Attributes:
+        name, life, birth: As the membership has them.
+        counts: Letters by kind, and what was dropped, by reason.
+        rng: Its own; spreads questions over time.
+    """
 
     def __init__(
         self, name: str, life: int, birth: int, keys: Keys, figures: Figures, rng: Random, now_us: int
@@ -113,7 +126,8 @@
 
     def _mine(self, now_us: int, key: str | None) -> Part:
         """Our own part: known to the microsecond, but for the edge of the window in a slice, and for keys
-        that had no slot."""
+        that had no slot.
+        """
         own, start = self.own, self.own.up_us(now_us) - self.figures.window_us
         numbers = [s for s in own.slots.values() if s.key == key]
         low = high = edge = others = 0
@@ -203,8 +217,10 @@
             self._around()
 
     def _around(self) -> None:
-        """Ask somebody of the one that has been silent for longest; of our own former lives while the window
-        holds some of them."""
+        """Ask somebody of the one that has been silent for longest.
+
+        Of our own former lives while the window holds some of them.
+        """
         up = sorted(n for n, p in self._peers.items() if p.up)
         late_us = self._now_us - SILENT * self.figures.every_us
         silent = [(self._heard_us(n), n) for n in self.nodes if self._heard_us(n) < late_us]
--- a/granitewell/counts/own.py
+++ b/granitewell/counts/own.py
@@ -5,7 +5,8 @@
 
 A key gets a slot once it has come twice within a window, if one is free; until then, and where none is, its
 use goes to the slot of the others. So a hundred thousand keys that come once cost nothing and push nobody
-out. A slot that was not used for a window is given up: nothing in the window tells of it any more."""
+out. A slot that was not used for a window is given up: nothing in the window tells of it any more.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +18,11 @@
 
 
 class Own:
-    """figures: window, width and keys. began_us: of the process, by its clock."""
+    """figures: window, width and keys.
+
+    Attributes:
+        began_us: Of the process, by its clock.
+    """
 
     __slots__ = ("_came", "_figures", "_last", "_next", "_slot_of", "began_us", "cells", "now_index", "slots",
                  "version")  # fmt: skip
--- a/granitewell/counts/terms.py
+++ b/granitewell/counts/terms.py
@@ -16,11 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """window_us: over which use is summed; width_us: of a slice. every_us: between two questions to one node,
-    at least. keys: that a node gives a place of their own; all others are one. ceiling_per_s, growth,
-    floor_per_s: what a node can have taken unheard, see the package. bytes_per_s: of letters that a node
-    sends; asking gets slower where that is not enough. drift_ppm: parts in a million by which the clocks of
-    two nodes may differ in speed; crystals stay under 100."""
+    """window_us: over which use is summed; width_us: of a slice.
+
+    Attributes:
+        every_us: Between two questions to one node, at least.
+        keys: That a node gives a place of their own; all others are one.
+        ceiling_per_s, growth, floor_per_s: What a node can have taken unheard, see the package.
+        bytes_per_s: Of letters that a node sends; asking gets slower where that is not enough.
+        drift_ppm: Parts in a million by which the clocks of two nodes may differ in speed; crystals stay
+            under 100.
+    """
 
     window_us: int = 60_000_000
     width_us: int = 500_000
@@ -40,8 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Another node, as the view has it. up: it can be asked; gone: it takes nothing any more, by its own word
-    or an operator's."""
+    """Another node, as the view has it.
+
+    Attributes:
+        up: It can be asked.
+        gone: It takes nothing any more, by its own word or an operator's.
+    """
 
     address: str
     up: bool
@@ -75,8 +84,12 @@
 # --- What is told ---------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Part:
-    """One node's part of a figure. age_us: since when it may have taken what we have no word of; -1: never
-    heard. why: what keeps low and high apart: how much of each."""
+    """One node's part of a figure.
+
+    Attributes:
+        age_us: Since when it may have taken what we have no word of; -1: never heard. why: what keeps low and
+            high apart: how much of each.
+    """
 
     name: str
     low: int
@@ -89,8 +102,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """The true sum over all nodes in the window that ends now lies in [low, high]. unnamed: of high, what
-    nodes that nobody has named may have taken."""
+    """The true sum over all nodes in the window that ends now lies in [low, high].
+
+    Attributes:
+        unnamed: Of high, what nodes that nobody has named may have taken.
+    """
 
     key: str
     low: int
--- a/granitewell/dataplane/dispatch.py
+++ b/granitewell/dataplane/dispatch.py
@@ -31,9 +31,14 @@
 
 @dataclass(slots=True)
 class Want:
-    """What a request asks for. ref: None where the service runs no models; passed_over: ids of servers that
-    have had it; excluded: those that must not get it again; granted: called with a server as soon as there is
-    one."""
+    """What a request asks for.
+
+    Attributes:
+        ref: None where the service runs no models.
+        passed_over: Ids of servers that have had it.
+        excluded: Those that must not get it again.
+        granted: Called with a server as soon as there is one.
+    """
 
     service: str
     ref: ModelRef | None
@@ -98,8 +103,10 @@
         removed: Sequence[str],
         now: float,
     ) -> list[str]:
-        """News of the table of servers; requests that waited for them get them at once. Gives the ids of
-        those that are gone."""
+        """News of the table of servers; requests that waited for them get them at once.
+
+        Gives the ids of those that are gone.
+        """
         touched = {server.service for server in changed}
         for server in changed:
             self._put(server)
--- a/granitewell/dataplane/doubt.py
+++ b/granitewell/dataplane/doubt.py
@@ -51,8 +51,10 @@
         self._fail(PROOFS_AFTER_ERROR, now)
 
     def succeeded(self, began_at: float) -> None:
-        """A whole answer to a request that went there at this time: one from before the failure proves
-        nothing."""
+        """A whole answer to a request that went there at this time.
+
+        One from before the failure proves nothing.
+        """
         if self._missing_proofs and began_at >= self._failed_at:
             self._missing_proofs -= 1
 
--- a/granitewell/dataplane/exchange.py
+++ b/granitewell/dataplane/exchange.py
@@ -1,5 +1,7 @@
-"""One client request's course: choose a server, send, pass the answer on or try again. Runs the pure rules of
-request.py and dispatch.py over connections of upstream.py."""
+"""One client request's course: choose a server, send, pass the answer on or try again.
+
+Runs the pure rules of request.py and dispatch.py over connections of upstream.py.
+"""
 
 from __future__ import annotations
 
@@ -51,8 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as the client sent it, read whole. target: path and query; headers: those that go along;
-    body: None where there is none; deadline: when its time is over, on the steady clock."""
+    """A request as the client sent it, read whole.
+
+    Attributes:
+        target: Path and query.
+        headers: Those that go along.
+        body: None where there is none.
+        deadline: When its time is over, on the steady clock.
+    """
 
     method: str
     target: str
@@ -312,8 +320,10 @@
         x.dispatcher.ended(x.want, record, now)
 
     async def _send(self) -> None:
-        """Raises NotWritten. An idle connection that takes not one byte had ended: that says nothing of the
-        server."""
+        """Raises NotWritten.
+
+        An idle connection that takes not one byte had ended: that says nothing of the server.
+        """
         x = self._x
         while True:
             connection = await x.upstreams.connection(self._record.server, x.request.request_id)
--- a/granitewell/dataplane/front.py
+++ b/granitewell/dataplane/front.py
@@ -50,8 +50,10 @@
 
 
 def peer_has_closed(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the end of a connection has arrived, though the loop may not have read it yet: after a stall,
-    requests are read whose clients left long ago."""
+    """Whether the end of a connection has arrived, though the loop may not have read it yet.
+
+    After a stall, requests are read whose clients left long ago.
+    """
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None:
         return False
@@ -146,8 +148,10 @@
             self.force_close()
 
     def end_behind_answer(self) -> None:
-        """An answer has been made: the connection ends once it is written. Not sooner: the library reads no
-        more of a body once `close` has been called."""
+        """An answer has been made: the connection ends once it is written.
+
+        Not sooner: the library reads no more of a body once `close` has been called.
+        """
         if not self.has_more_requests:
             self.close()
 
@@ -277,8 +281,10 @@
             connection.end_if_idle()
 
     async def wait_idle(self) -> None:
-        """Until no request is being answered, and the answers have been sent: what a slow client has not
-        taken yet is lost with `abort`."""
+        """Until no request is being answered, and the answers have been sent.
+
+        What a slow client has not taken yet is lost with `abort`.
+        """
         while self._busy or self._unsent():
             await self._idle.wait()
             await asyncio.sleep(UNSENT_LOOK_S)
@@ -416,8 +422,11 @@
         await self.response.write_eof()
 
     def break_off(self) -> web.StreamResponse:
-        """The answer must not look complete. With chunks, an end without the last one doesn't; what has been
-        passed on still arrives. Without them only a reset tells."""
+        """The answer must not look complete.
+
+        With chunks, an end without the last one doesn't; what has been passed on still arrives. Without them
+        only a reset tells.
+        """
         assert self.response is not None
         transport = self._request.transport
         if transport is not None:
--- a/granitewell/dataplane/plane.py
+++ b/granitewell/dataplane/plane.py
@@ -202,8 +202,10 @@
         return response
 
     def _ends_connection(self, request: BaseRequest) -> bool:
-        """Whether an answer tells the client to use its connection no more: not while requests that have been
-        read wait behind it."""
+        """Whether an answer tells the client to use its connection no more.
+
+        Not while requests that have been read wait behind it.
+        """
         return self._draining_since is not None and not has_more_requests(request)
 
     async def _routed(self, request: BaseRequest, arrived_at: float) -> web.StreamResponse:
@@ -224,8 +226,11 @@
         return await self._exchanged(request, self._client_request(request, route, body, arrived_at), route)
 
     async def _read(self, request: BaseRequest) -> bytes | None:
-        """The body of a request within the limits in force. Before any are known, the usual ones protect this
-        process, yet what goes beyond them may be allowed: no refusal of the request itself."""
+        """The body of a request within the limits in force.
+
+        Before any are known, the usual ones protect this process, yet what goes beyond them may be allowed:
+        no refusal of the request itself.
+        """
         configuration = self._configuration
         limits = configuration.limits if configuration is not None else Limits()
         try:
@@ -238,7 +243,8 @@
 
     async def _wait_for_configuration(self, request: BaseRequest) -> None:
         """A process that has just started learns the configuration in a moment, where the control plane is
-        up: a refusal would cost the client its retry."""
+        up: a refusal would cost the client its retry.
+        """
         told_ms = parse_milliseconds(request.headers.get(DEADLINE_MS))
         hold_s = CONFIGURATION_HOLD_S
         if told_ms is not None:
--- a/granitewell/dataplane/pool.py
+++ b/granitewell/dataplane/pool.py
@@ -116,8 +116,10 @@
     """One pool. key names it, the same at every node."""
 
     def __init__(self, key: str, engine_slots: int | None, setup_s: float, rng: Random) -> None:
-        """engine_slots: of the service's engine, None where it runs no models; setup_s: time that one more
-        server takes to be there."""
+        """engine_slots: of the service's engine, None where it runs no models.
+
+        Setup_s: time that one more server takes to be there.
+        """
         self.key = key
         self.runs_models = engine_slots is not None
         self.traffic = Traffic(setup_s)
@@ -194,9 +196,14 @@
         has_room: Callable[[ServerRecord], bool] = lambda _: True,
         careful: bool = False,
     ) -> ServerRecord | None:
-        """The server for a request; None if none may have it now. passed_over: servers that have had it, used
-        again only where there are no others; excluded: never used; has_room: what else must hold; careful: it
-        has no second attempt, so servers in doubt are used only where there are no others."""
+        """The server for a request; None if none may have it now.
+
+        Args:
+            passed_over: Servers that have had it, used again only where there are no others.
+            excluded: Never used.
+            has_room: What else must hold.
+            careful: It has no second attempt, so servers in doubt are used only where there are no others.
+        """
         patience = self.patience
 
         def fits(record: ServerRecord) -> bool:
@@ -258,8 +265,10 @@
         has_room: Callable[[ServerRecord], bool],
         careful: bool,
     ) -> ServerRecord | None:
-        """The same over the whole order: past the prefix, then busy servers, then those that look ill or have
-        had the request."""
+        """The same over the whole order.
+
+        Past the prefix, then busy servers, then those that look ill or have had the request.
+        """
         usable = self._usable(now, passed_over, excluded)
         open_ones = [record for record in usable if not record.full(now) and has_room(record)]
         if not open_ones:
--- a/granitewell/dataplane/request.py
+++ b/granitewell/dataplane/request.py
@@ -94,14 +94,19 @@
 
 
 def proves_not_executed(status: int, marked: bool) -> bool:
-    """Whether an answer says that the request has not run, and that another server may run it. marked: it
-    carries the header that says so; other failures with that header hold wherever it is sent."""
+    """Whether an answer says that the request has not run, and that another server may run it.
+
+    Args:
+        marked: It carries the header that says so; other failures with that header hold wherever it is sent.
+    """
     return status == 421 or (marked and status in PROMISES)
 
 
 def passes_unchanged(status: int, sealed: bool, marked: bool) -> bool:
-    """Whether a whole answer may go to the client: a success only with its seal, and no promise that the
-    server hasn't given."""
+    """Whether a whole answer may go to the client.
+
+    A success only with its seal, and no promise that the server hasn't given.
+    """
     if 200 <= status < 300:
         return sealed
     return marked or status not in PROMISES
--- a/granitewell/dataplane/retry_budget.py
+++ b/granitewell/dataplane/retry_budget.py
@@ -41,7 +41,9 @@
 
 
 def _most_saved(slack: float, most_edges: int) -> float:
-    """Where the slack has not one repeat for each node, a node saves less than one and makes none: the sum of
-    what all save must stay below it."""
+    """Where the slack has not one repeat for each node, a node saves less than one and makes none.
+
+    The sum of what all save must stay below it.
+    """
     part = slack / max(most_edges, 1)
     return max(SLACK_PART * part, min(1.0, MOST_SLACK_PART * part))
--- a/granitewell/dataplane/servers.py
+++ b/granitewell/dataplane/servers.py
@@ -158,7 +158,11 @@
         return now - self._silent_since > patience
 
     def sound(self, now: float, patience: float, careful: bool = False) -> bool:
-        """Whether nothing speaks against it. careful: for a request without a second attempt."""
+        """Whether nothing speaks against it.
+
+        Args:
+            careful: For a request without a second attempt.
+        """
         if now < self.avoided_until or self.suspect(now, patience):
             return False
         return not (careful and self.doubt.holds(now, patience))
--- a/granitewell/dataplane/upstream.py
+++ b/granitewell/dataplane/upstream.py
@@ -116,8 +116,11 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Feeds the parser no byte beyond an answer: one stray byte there would spoil the whole answer before
-        it. Without bytes the parser goes on with what it has."""
+        """Feeds the parser no byte beyond an answer.
+
+        One stray byte there would spoil the whole answer before it. Without bytes the parser goes on with
+        what it has.
+        """
         if not data:
             super().data_received(data)
         elif self._idle:
@@ -183,8 +186,10 @@
         return request_id in self._earlier
 
     def silent(self) -> bool:
-        """Whether nothing has come on it that the loop hasn't seen: the end of an idle connection, too, is
-        there for a moment before the loop reads it."""
+        """Whether nothing has come on it that the loop hasn't seen.
+
+        The end of an idle connection, too, is there for a moment before the loop reads it.
+        """
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
         if sock is None:
             return True
@@ -217,8 +222,10 @@
         self._in_head = True
 
     def _notice_death(self, wanted: bool) -> None:
-        """Whether the connection ends when the server's machine says nothing at all. Only where the request
-        may be repeated: else nothing is won by an early end, and a cut link may heal."""
+        """Whether the connection ends when the server's machine says nothing at all.
+
+        Only where the request may be repeated: else nothing is won by an early end, and a cut link may heal.
+        """
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
         if sock is None or wanted == self._notices_death:
             return
@@ -230,8 +237,11 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, int(wanted))
 
     async def read_head(self, request_id: str) -> tuple[RawResponseMessage, StreamReader]:
-        """The head of the answer to this request; raises BrokenAnswer. One late answer to an earlier request
-        may come in its place: it is read and dropped, and the connection not used again."""
+        """The head of the answer to this request; raises BrokenAnswer.
+
+        One late answer to an earlier request may come in its place: it is read and dropped, and the
+        connection not used again.
+        """
         message, body = await self._next_head()
         told = message.headers.get(REQUEST_ID)
         if told != request_id and told in self._earlier:
--- a/granitewell/dataplane/upstream_pool.py
+++ b/granitewell/dataplane/upstream_pool.py
@@ -25,8 +25,10 @@
         self._busy: set[UpstreamConnection] = set()
 
     async def connection(self, server: Server, request_id: str) -> UpstreamConnection:
-        """An idle connection that its server keeps open and that hasn't carried this request, or a new one;
-        raises NotWritten."""
+        """An idle connection that its server keeps open and that hasn't carried this request, or a new one.
+
+        Raises NotWritten.
+        """
         connection = self._take_idle(server.id, request_id)
         if connection is None:
             connection = await self._connect(server)
--- a/granitewell/discovery/instances.py
+++ b/granitewell/discovery/instances.py
@@ -19,7 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """One server as the platform lists it. leaves_in_ms: time left, -1 for no end in sight."""
+    """One server as the platform lists it.
+
+    Attributes:
+        leaves_in_ms: Time left, -1 for no end in sight.
+    """
 
     id: str
     service: str
@@ -33,7 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """One page of the list. next_token: of the page behind it, None on the last."""
+    """One page of the list.
+
+    Attributes:
+        next_token: Of the page behind it, None on the last.
+    """
 
     instances: tuple[ListedInstance, ...]
     next_token: str | None
--- a/granitewell/discovery/reader.py
+++ b/granitewell/discovery/reader.py
@@ -19,7 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DatedList:
-    """The platform's list. asked_at: on the steady clock."""
+    """The platform's list.
+
+    Attributes:
+        asked_at: On the steady clock.
+    """
 
     instances: list[ListedInstance]
     asked_at: float
--- a/granitewell/files.py
+++ b/granitewell/files.py
@@ -12,8 +12,11 @@
 
 
 def whole(path: str | os.PathLike[str], most: int, flags: int = 0) -> bytes:
-    """The bytes of a regular file. ValueError: it is none, or longer than that. A pipe would be waited for
-    without end, by a node that serves meanwhile, and a device has no end at all."""
+    """The bytes of a regular file.
+
+    ValueError: it is none, or longer than that. A pipe would be waited for without end, by a node that serves
+    meanwhile, and a device has no end at all.
+    """
     opened = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC | flags)
     try:
         if not stat.S_ISREG(os.fstat(opened).st_mode):
--- a/granitewell/handover.py
+++ b/granitewell/handover.py
@@ -40,8 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """One moment by two clocks, in microseconds: the wall clock, which may be set at any time, and the
-    monotonic one, which all processes share for as long as the machine runs."""
+    """One moment by two clocks, in microseconds.
+
+    The wall clock, which may be set at any time, and the monotonic one, which all processes share for as long
+    as the machine runs.
+    """
 
     unix_us: int
     mono_us: int
@@ -50,7 +53,8 @@
 @dataclass(frozen=True, slots=True)
 class Kept:
     """What the files say: the banned, since when (monotonic, in microseconds) the others are back, and what
-    is wrong with the files that could not be read."""
+    is wrong with the files that could not be read.
+    """
 
     bans: frozenset[bytes]
     back_us: Mapping[bytes, int]
@@ -58,24 +62,30 @@
 
 
 def form(endpoint: bytes, banned: bool, at: Moment) -> bytes:
-    """A ban's file: one line of JSON, and behind it a check sum by which a cut one is told. Processes of
-    before mono_us read and write the same form without it."""
+    """A ban's file: one line of JSON, and behind it a check sum by which a cut one is told.
+
+    Processes of before mono_us read and write the same form without it.
+    """
     told = {"v": VERSION, "id": endpoint.hex(), "banned": banned}
     line = json.dumps(told | {"unix_us": at.unix_us, "mono_us": at.mono_us}).encode()
     return b"%s\n%08x\n" % (line, crc32(line))
 
 
 def name_of(endpoint: bytes) -> str:
-    """The file of an endpoint's ban. A long id has a digest in place of itself: file names end at 255
-    bytes."""
+    """The file of an endpoint's ban.
+
+    A long id has a digest in place of itself: file names end at 255 bytes.
+    """
     if len(endpoint) <= MOST_SPELT:
         return f"{BAN}{endpoint.hex()}"
     return f"{BAN}id-{blake2b(endpoint, digest_size=32).hexdigest()}"
 
 
 def read(raw: bytes) -> tuple[bytes, bool, Moment]:
-    """Endpoint, whether banned, and since when; mono_us is -1 where that is not told. ValueError: not a whole
-    file of ours."""
+    """Endpoint, whether banned, and since when; mono_us is -1 where that is not told.
+
+    ValueError: not a whole file of ours.
+    """
     line, _, rest = raw.partition(b"\n")
     if rest != b"%08x\n" % crc32(line):
         raise ValueError("cut off, or not written by this program")
@@ -89,8 +99,10 @@
 
 
 def since(at: Moment, now: Moment) -> int:
-    """When that was, by the monotonic clock; -1 for too long ago to matter. The wall clock is asked only
-    where nothing else is told: between two processes it may have been set."""
+    """When that was, by the monotonic clock; -1 for too long ago to matter.
+
+    The wall clock is asked only where nothing else is told: between two processes it may have been set.
+    """
     known = 0 <= at.mono_us <= now.mono_us
     passed = now.mono_us - at.mono_us if known else now.unix_us - at.unix_us
     return now.mono_us - passed if 0 <= passed <= KEEP_S * 1e6 else -1
@@ -144,9 +156,12 @@
                 self._said = descriptors
 
     def others(self) -> list[int]:
-        """The further processes of this node that run: the descriptors that each says it may hold, -1 where
-        it has not said. Files of those that have ended go. Where the look itself is not possible nobody has
-        ended: whoever was there still holds descriptors, and this process must not take them."""
+        """The further processes of this node that run.
+
+        The descriptors that each says it may hold, -1 where it has not said. Files of those that have ended
+        go. Where the look itself is not possible nobody has ended: whoever was there still holds descriptors,
+        and this process must not take them.
+        """
         claims = []
         try:
             for path in self._files(RUN):
@@ -188,8 +203,10 @@
         return ""
 
     def kept(self, now: Moment) -> Kept:
-        """What is written down of bans; ends of bans that are too old to matter go. What could not be read
-        for want of something else is looked at again."""
+        """What is written down of bans; ends of bans that are too old to matter go.
+
+        What could not be read for want of something else is looked at again.
+        """
         bans, back, broken = set(), {}, []
         try:
             paths = self._files(BAN)
@@ -243,8 +260,10 @@
 
 
 def _claimed(path: Path) -> list[int]:
-    """What the process whose file this is has said, -1 for nothing yet; empty where it has ended, and then
-    its file goes. OSError: that can't be told now."""
+    """What the process whose file this is has said, -1 for nothing yet.
+
+    Empty where it has ended, and then its file goes. OSError: that can't be told now.
+    """
     try:
         probe = os.open(path, os.O_RDWR | os.O_NONBLOCK | os.O_NOFOLLOW | os.O_CLOEXEC)
         try:
--- a/granitewell/kept.py
+++ b/granitewell/kept.py
@@ -6,7 +6,8 @@
 
 There are two slots, written in turn and in place, each with a number and a check sum; the whole one with the
 higher number counts. A file that is replaced by rename, as it was before, gives its blocks back each time,
-and where the disk is told of that (`discard`) a rename was seen to stand still for up to 3 s."""
+and where the disk is told of that (`discard`) a rename was seen to stand still for up to 3 s.
+"""
 
 from __future__ import annotations
 
@@ -49,7 +50,8 @@
     def take(self) -> tuple[bool, str]:
         """Try to have the lock: whether it is had now, and what is wrong, if it is not for another process
         that has it. A folder that can't be used is told of, and the lock counts as had: a node must not stay
-        out of its fleet for a disk."""
+        out of its fleet for a disk.
+        """
         if self.held:
             return True, ""
         assert self._folder is not None
@@ -109,8 +111,10 @@
             return b"", f"{self._folder / FILE}: {getattr(error, 'strerror', None) or error}"
 
     def write(self, data: bytes) -> str:
-        """Put that in place of what was last read or written; what is wrong, or nothing. Only by whoever has
-        the lock."""
+        """Put that in place of what was last read or written; what is wrong, or nothing.
+
+        Only by whoever has the lock.
+        """
         if self._folder is None or not self.held:
             return ""
         if not self._looked:
--- a/granitewell/lab/capture.py
+++ b/granitewell/lab/capture.py
@@ -58,8 +58,10 @@
 
 
 def read(path: Path | str, step: Callable[[int], None] | None = None) -> Iterator[Row]:
-    """The trace's tries, one at a time; `step` is told how many bytes were read, about. Raises BadTrace, or
-    OSError where the file can't be read."""
+    """The trace's tries, one at a time; `step` is told how many bytes were read, about.
+
+    Raises BadTrace, or OSError where the file can't be read.
+    """
     return (row for _, row in _rows(path, step))
 
 
@@ -80,8 +82,10 @@
 
 
 def write(path: Path | str, rows: Iterable[Row]) -> int:
-    """Write a trace and return the number of its tries; a file that was there is replaced only when the new
-    one is whole."""
+    """Write a trace and return the number of its tries.
+
+    A file that was there is replaced only when the new one is whole.
+    """
     path, count = Path(path), 0
     part = path.with_name(f"{path.name}.{os.getpid()}.part")
     try:
@@ -243,8 +247,10 @@
 
 
 def zipf_exponent(ranked: Sequence[int]) -> float:
-    """The exponent s, 0 to 5, of the truncated Zipf law under which the counts by rank are likeliest. It is
-    where the expected log of the rank equals the mean one, the score equation of an exponential family."""
+    """The exponent s, 0 to 5, of the truncated Zipf law under which the counts by rank are likeliest.
+
+    It is where the expected log of the rank equals the mean one, the score equation of an exponential family.
+    """
     ranked = ranked[:FITTED]
     logs = [math.log(k) for k in range(1, len(ranked) + 1)]
     seen = sum(n * x for n, x in zip(ranked, logs, strict=True)) / sum(ranked)
--- a/granitewell/lab/chaos.py
+++ b/granitewell/lab/chaos.py
@@ -30,8 +30,11 @@
     from_us: int = 3_000_000,
     until_us: int = -1,
 ) -> tuple[Fault, ...]:
-    """Faults of the catalogue, by time, with every target named; none at severity 0. They lie between from_us
-    and until_us (-1: the day's end); the fleet's losses for good (a kill, a drain) are not undone by then."""
+    """Faults of the catalogue, by time, with every target named.
+
+    None at severity 0. They lie between from_us and until_us (-1: the day's end); the fleet's losses for good
+    (a kill, a drain) are not undone by then.
+    """
     end = day.length_us if until_us < 0 else min(until_us, day.length_us)
     if severity <= 0.0 or end - from_us < 100_000:
         return ()
--- a/granitewell/lab/cluster/budgets.py
+++ b/granitewell/lab/cluster/budgets.py
@@ -46,8 +46,14 @@
 
 
 class World:
-    """One day. The demand is a third more than the whole; most of it at one node, which changes. spent: when,
-    in real time. used: by second of the calm part, the part of the whole that was spent."""
+    """One day.
+
+    The demand is a third more than the whole; most of it at one node, which changes.
+
+    Attributes:
+        spent: When, in real time.
+        used: By second of the calm part, the part of the whole that was spent.
+    """
 
     def __init__(self, case: Case, done: tuple[Trouble, ...]) -> None:
         self.case, self.names = case, names_of(case)
--- a/granitewell/lab/cluster/budgets_search.py
+++ b/granitewell/lab/cluster/budgets_search.py
@@ -1,10 +1,12 @@
-"""Exhaustive search of a small world of rights: three nodes, two units to lend of each, every order of
-events.
+"""Exhaustive search of a small world of rights.
+
+Three nodes, two units to lend of each, every order of events.
 
 It owns the world's steps and its one invariant: what all may spend is never more than the whole. The rights
 are the program's own, made anew in each state. Letters are lost, doubled and late at will: whatever was once
 said may be delivered at any later time, and again; a process may end at any step and begin anew. Time is in
-ticks."""
+ticks.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +36,12 @@
 
 
 class Letter(NamedTuple):
-    """kind: want, again, lend, back. asked: ticks since the asking, negative; birth: of the lender."""
+    """kind: want, again, lend, back.
+
+    Attributes:
+        asked: Ticks since the asking, negative.
+        birth: Of the lender.
+    """
 
     kind: str
     source: str
@@ -47,7 +54,11 @@
 
 
 class State(NamedTuple):
-    """processes by NAMES. wants, ends: what may still be asked, and how often a process may still end."""
+    """processes by NAMES.
+
+    Attributes:
+        wants, ends: What may still be asked, and how often a process may still end.
+    """
 
     processes: tuple[Process, ...]
     letters: frozenset[Letter]
--- a/granitewell/lab/cluster/chaos.py
+++ b/granitewell/lab/cluster/chaos.py
@@ -22,9 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """One thing that goes wrong. nodes: whom it befalls (all for a link of every road). value: its size, in
-    the kind's own unit: microseconds for a slow disk, ppm for drift, a share for a link. how: which sort of
-    it."""
+    """One thing that goes wrong.
+
+    Attributes:
+        nodes: Whom it befalls (all for a link of every road).
+        value: Its size, in the kind's own unit: microseconds for a slow disk, ppm for drift, a share for a
+            link.
+        how: Which sort of it.
+    """
 
     kind: str
     at_us: int
@@ -43,10 +48,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What chaos may do. may_lose: whose disk may be lost for good. twins: a twin starts with a copy of the
-    disk ("copy"), an empty one ("empty"), or there are none. aims: roles that may be befallen in place of
-    names; who has one then is asked when the trouble begins. twin_of: who may have one, all where nobody is
-    named. drift_ppm: the most that a clock runs off."""
+    """What chaos may do.
+
+    Attributes:
+        may_lose: Whose disk may be lost for good.
+        twins: A twin starts with a copy of the disk ("copy"), an empty one ("empty"), or there are none.
+        aims: Roles that may be befallen in place of names; who has one then is asked when the trouble begins.
+        twin_of: Who may have one, all where nobody is named.
+        drift_ppm: The most that a clock runs off.
+    """
 
     kinds: Sequence[str] = KINDS
     may_lose: Sequence[str] = ()
@@ -122,8 +132,11 @@
 
 
 class Chaos:
-    """Does troubles to a cluster; node ids are the names that the troubles were drawn with. aim: the ids of
-    those who have a role now."""
+    """Does troubles to a cluster; node ids are the names that the troubles were drawn with.
+
+    Attributes:
+        aim: The ids of those who have a role now.
+    """
 
     def __init__(
         self, cluster: Cluster, troubles: Sequence[Trouble], aim: Callable[[str], Sequence[str]] | None = None
--- a/granitewell/lab/cluster/clock.py
+++ b/granitewell/lab/cluster/clock.py
@@ -9,8 +9,11 @@
 
 
 class Clock:
-    """Local microseconds from real ones. ppm: how much faster than real time it runs; below a million either
-    way."""
+    """Local microseconds from real ones.
+
+    Attributes:
+        ppm: How much faster than real time it runs; below a million either way.
+    """
 
     __slots__ = ("_before", "_local", "_rate", "_real", "ppm")
 
--- a/granitewell/lab/cluster/counts.py
+++ b/granitewell/lab/cluster/counts.py
@@ -56,8 +56,13 @@
 
 
 class World:
-    """One day. broken: the first figure that did not hold the truth, in words; widths: relative, of all
-    figures of the key of most use; calm: those of before the first trouble."""
+    """One day.
+
+    Attributes:
+        broken: The first figure that did not hold the truth, in words.
+        widths: Relative, of all figures of the key of most use.
+        calm: Those of before the first trouble.
+    """
 
     def __init__(self, case: Case, done: tuple[Trouble, ...]) -> None:
         self.case, self.names = case, names_of(case)
--- a/granitewell/lab/cluster/days.py
+++ b/granitewell/lab/cluster/days.py
@@ -14,8 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """What is played. size: members, 0 for what the seed draws. plant: a planted defect's name, or empty.
-    only: the numbers of the troubles that are done, all for None."""
+    """What is played.
+
+    Attributes:
+        size: Members, 0 for what the seed draws.
+        plant: A planted defect's name, or empty.
+        only: The numbers of the troubles that are done, all for None.
+    """
 
     seed: int
     severity: float = 0.5
@@ -34,8 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What came of it. figures: numbers of the day; a name that ends in `_max` is the worst of its kind, one
-    in `_s` is a list of seconds, any other is summed over days. done: the troubles that were done."""
+    """What came of it.
+
+    Attributes:
+        figures: Numbers of the day; a name that ends in `_max` is the worst of its kind, one in `_s` is a
+            list of seconds, any other is summed over days.
+        done: The troubles that were done.
+    """
 
     broken: Broken | None
     digest: str
@@ -46,8 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """play: one day. troubles: how many a day of that case has in all. plants: planted defects and what each
-    is."""
+    """play: one day.
+
+    Attributes:
+        troubles: How many a day of that case has in all.
+        plants: Planted defects and what each is.
+    """
 
     play: Callable[[Case], Outcome]
     troubles: Callable[[Case], int]
--- a/granitewell/lab/cluster/disk.py
+++ b/granitewell/lab/cluster/disk.py
@@ -22,7 +22,12 @@
 
 
 class Disk:
-    """kept: what is durable. delay_us: from asking to durable. failing: writes are refused."""
+    """kept: what is durable.
+
+    Attributes:
+        delay_us: From asking to durable.
+        failing: Writes are refused.
+    """
 
     __slots__ = ("_last_us", "_under_way", "delay_us", "failing", "kept")
 
--- a/granitewell/lab/cluster/hunt.py
+++ b/granitewell/lab/cluster/hunt.py
@@ -21,7 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """What came of one seed; case: shrunk, where it failed. cpu_s: of the first play."""
+    """What came of one seed; case: shrunk, where it failed.
+
+    Attributes:
+        cpu_s: Of the first play.
+    """
 
     case: Case
     outcome: Outcome
--- a/granitewell/lab/cluster/leases_rules.py
+++ b/granitewell/lab/cluster/leases_rules.py
@@ -32,8 +32,12 @@
 
 @dataclass(slots=True)
 class Rules:
-    """Give `watch` to a cluster whose nodes run `Leases` as their first machine, and call `begin`. names: of
-    the planners. gaps_s: times without a holder after the first."""
+    """Give `watch` to a cluster whose nodes run `Leases` as their first machine, and call `begin`.
+
+    Attributes:
+        names: Of the planners.
+        gaps_s: Times without a holder after the first.
+    """
 
     names: tuple[str, ...]
     gaps_s: list[float] = field(default_factory=list)
--- a/granitewell/lab/cluster/leases_search.py
+++ b/granitewell/lab/cluster/leases_search.py
@@ -1,5 +1,6 @@
-"""The small world of three planners for the exhaustive search: their real code, and every order of what may
-befall them.
+"""The small world of three planners for the exhaustive search.
+
+Their real code, and every order of what may befall them.
 
 It owns what a state is, which steps there are, their bounds, and where a search begins. It must never change
 the planners' code; a planted defect does (leases_plants).
@@ -32,8 +33,7 @@
 
 
 class Bounds(NamedTuple):
-    """How much may happen: steps of time, deaths (the disk stays), disks lost, twins, and processes
-    standing."""
+    """How much may happen: steps of time, deaths (the disk stays), disks lost, twins, and processes standing."""
 
     times: int = 0
     deaths: int = 0
@@ -43,8 +43,14 @@
 
 
 class World(NamedTuple):
-    """One state. processes: by number in the tables; those beyond the third are twins. said, votes: sets of
-    messages and of votes. led: each term that was led in, and the start of who did. left: of the bounds."""
+    """One state.
+
+    Attributes:
+        processes: By number in the tables; those beyond the third are twins.
+        said, votes: Sets of messages and of votes.
+        led: Each term that was led in, and the start of who did.
+        left: Of the bounds.
+    """
 
     time: int
     processes: tuple[int, ...]
@@ -56,8 +62,7 @@
 
 
 class Step(NamedTuple):
-    """What happens: to which process (its number, and its place in the world), with which message or
-    helper."""
+    """What happens: to which process (its number, and its place in the world), with which message or helper."""
 
     what: str
     number: int = -1
@@ -67,7 +72,11 @@
 
 
 class Planners:
-    """The steps. ppm: of the three clocks."""
+    """The steps.
+
+    Attributes:
+        ppm: Of the three clocks.
+    """
 
     def __init__(self, ppm: tuple[int, int, int]) -> None:
         self.tables = Tables(ppm)
@@ -109,8 +118,7 @@
                 yield from self._follow(world, place, came, Step("does what is due", number, place))
 
     def _follow(self, world: World, place: int, came: Came, step: Step) -> Iterator[tuple[Step, World]]:
-        """The world after it; and, if something was to be written, the one in which the process died
-        before."""
+        """The world after it; and, if something was to be written, the one in which the process died before."""
         tables, processes = self.tables, _put(world.processes, place, came.process)
         led, said = world.led, tables.add(world.said, came.said)
         if came.led:
@@ -208,7 +216,8 @@
 
 def lost(planners: Planners, bounds: Bounds) -> World:
     """The same, and then B has lost its disk, has heard from A and C of the first one, and has waited for a
-    twin, which it has not found."""
+    twin, which it has not found.
+    """
     world = led(planners, bounds)
     processes = _put(world.processes, 1, _second(planners, world))
     return world._replace(processes=processes, starts=world.starts + 1)
--- a/granitewell/lab/cluster/leases_tables.py
+++ b/granitewell/lab/cluster/leases_tables.py
@@ -52,8 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Process:
-    """name: its place among the planners. start: a number that no other process has. waits: its boot and
-    term, which a grant must have that is for it."""
+    """name: its place among the planners.
+
+    Attributes:
+        start: A number that no other process has.
+        waits: Its boot and term, which a grant must have that is for it.
+    """
 
     name: int
     start: int
@@ -72,17 +76,26 @@
 
 
 class Look(NamedTuple):
-    """due: the state of a process that has something to do by itself; None where it has not. holds: whether
-    it holds the lease by its own clock."""
+    """due: the state of a process that has something to do by itself; None where it has not.
+
+    Attributes:
+        holds: Whether it holds the lease by its own clock.
+    """
 
     due: State | None
     holds: bool
 
 
 class Came(NamedTuple):
-    """What came of one event at one process: its number now, the messages, the terms it leads in from now on,
-    the votes. moved: whether its term has changed. stored: whether something was to be written; early:
-    messages and votes said before that."""
+    """What came of one event at one process.
+
+    Its number now, the messages, the terms it leads in from now on, the votes.
+
+    Attributes:
+        moved: Whether its term has changed.
+        stored: Whether something was to be written.
+        early: Messages and votes said before that.
+    """
 
     process: int
     said: tuple[int, ...]
@@ -245,16 +258,18 @@
         others.append((rank, number))
 
     def add(self, said: int, numbers: tuple[int, ...]) -> int:
-        """More messages. Of questions of one process in one term, and of answers to them, only those of the
-        newest round are kept: an older one asks for the same, and gives less."""
+        """More messages.
+
+        Of questions of one process in one term, and of answers to them, only those of the newest round are
+        kept: an older one asks for the same, and gives less.
+        """
         for number in numbers:
             if not said & self._above[number]:
                 said = said & ~self._below[number] | 1 << number
         return said
 
     def alive(self, processes: tuple[int, ...], said: int) -> int:
-        """Without the grants that nobody waits for: to a process that is gone, or is in another term by
-        now."""
+        """Without the grants that nobody waits for: to a process that is gone, or is in another term by now."""
         if not said & self._grants:
             return said
         waited = ~self._grants
--- a/granitewell/lab/cluster/links.py
+++ b/granitewell/lab/cluster/links.py
@@ -30,8 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """Who can't reach whom: from any of one group to any of another; within a group all is well. oneway: only
-    from the first group to the others."""
+    """Who can't reach whom: from any of one group to any of another; within a group all is well.
+
+    Attributes:
+        oneway: Only from the first group to the others.
+    """
 
     groups: tuple[tuple[str, ...], ...]
     oneway: bool = False
@@ -49,8 +52,11 @@
 
 
 class Stream:
-    """One direction between two addresses: in order while it stands. turn: changes when it breaks, so that
-    what was under way is known to be lost."""
+    """One direction between two addresses: in order while it stands.
+
+    Attributes:
+        turn: Changes when it breaks, so that what was under way is known to be lost.
+    """
 
     __slots__ = ("last_us", "queued", "stopped_us", "turn")
 
@@ -68,7 +74,12 @@
 
 
 class Links:
-    """All roads. quality: of every road; worse: more for single addresses, either end."""
+    """All roads.
+
+    Attributes:
+        quality: Of every road.
+        worse: More for single addresses, either end.
+    """
 
     __slots__ = ("_cuts", "_rng", "quality", "streams", "worse")
 
--- a/granitewell/lab/cluster/membership.py
+++ b/granitewell/lab/cluster/membership.py
@@ -31,7 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """Members m0000, m0001, ...; the first three are the seeds. joins_us: they start evenly over so long."""
+    """Members m0000, m0001, ...; the first three are the seeds.
+
+    Attributes:
+        joins_us: They start evenly over so long.
+    """
 
     seed: int
     count: int
--- a/granitewell/lab/cluster/membership_measure.py
+++ b/granitewell/lab/cluster/membership_measure.py
@@ -41,7 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What is measured. deaths: how many, in `deaths`."""
+    """What is measured.
+
+    Attributes:
+        deaths: How many, in `deaths`.
+    """
 
     scenario: str
     members: int = 100
@@ -67,8 +71,10 @@
         self.backs_s: list[float] = []
 
     def play(self) -> dict[str, object]:
-        """All figures; None where there was nothing to measure. Raises RuntimeError where the members never
-        come to see each other, or an invariant is broken."""
+        """All figures; None where there was nothing to measure.
+
+        Raises RuntimeError where the members never come to see each other, or an invariant is broken.
+        """
         cluster, plan = self.cluster, self.plan
         if plan.scenario != "cold":
             self._settle()
@@ -272,8 +278,10 @@
 
 
 def lifeguard(figures: Figures) -> Figures:
-    """SWIM with Lifeguard, and nothing of ours: no repeated questions, no last call, no
-    noticing that it stood still."""
+    """SWIM with Lifeguard, and nothing of ours.
+
+    No repeated questions, no last call, no noticing that it stood still.
+    """
     return replace(figures, stall_us=0, pings=1, asks=1, calls=0, soften=False)
 
 
--- a/granitewell/lab/cluster/membership_watch.py
+++ b/granitewell/lab/cluster/membership_watch.py
@@ -1,5 +1,6 @@
-"""What is seen of members in the virtual cluster: deaths and when each is noticed, false alarms, and what
-must hold at any time.
+"""What is seen of members in the virtual cluster.
+
+Deaths and when each is noticed, false alarms, and what must hold at any time.
 
 It owns the invariants and the counts. It must never change what it watches. Each invariant is said with its
 name first:
@@ -27,8 +28,14 @@
 
 @dataclass(slots=True)
 class Life:
-    """One process. claimed: its life and incarnation. noticed: who has told of its end, and when. suspected,
-    died: by incarnation, how many told so while it was up; where it stood still, that is noted."""
+    """One process.
+
+    Attributes:
+        claimed: Its life and incarnation.
+        noticed: Who has told of its end, and when.
+        suspected, died: By incarnation, how many told so while it was up; where it stood still, that is
+            noted.
+    """
 
     name: str
     node: Node
@@ -44,7 +51,11 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Give `watch` to a cluster whose nodes run `Membership` as their first machine. lives: by birth."""
+    """Give `watch` to a cluster whose nodes run `Membership` as their first machine.
+
+    Attributes:
+        lives: By birth.
+    """
 
     lives: dict[int, Life] = field(default_factory=dict)
     twins: int = 0
--- a/granitewell/lab/cluster/search.py
+++ b/granitewell/lab/cluster/search.py
@@ -16,9 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen(Generic[A]):
-    """states, steps: how many different states were seen and how many steps taken between them. depth: of the
-    furthest. whole: whether all was seen, or the bound on states came first. broken: what is wrong with the
-    first wrong state, if any is; trace: the fewest steps that lead there."""
+    """states, steps: how many different states were seen and how many steps taken between them.
+
+    Attributes:
+        depth: Of the furthest.
+        whole: Whether all was seen, or the bound on states came first.
+        broken: What is wrong with the first wrong state, if any is.
+        trace: The fewest steps that lead there.
+    """
 
     states: int
     steps: int
@@ -31,8 +36,11 @@
 def search(
     start: S, steps: Callable[[S], Iterable[tuple[A, S]]], broken: Callable[[S], str], most: int = 1_000_000
 ) -> Seen[A]:
-    """Visit every state from the start until one is wrong, or there are more than `most`. steps: what may
-    happen in a state, and the state after it."""
+    """Visit every state from the start until one is wrong, or there are more than `most`.
+
+    Args:
+        steps: What may happen in a state, and the state after it.
+    """
     came: dict[S, tuple[S, A] | None] = {start: None}
     edge, taken, depth = [start], 0, 0
     while edge:
--- a/granitewell/lab/cluster/world.py
+++ b/granitewell/lab/cluster/world.py
@@ -28,8 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Boot:
-    """What a process starts with. now_us: on its own clock. disk: what it has kept, by key. count: how often
-    this node has been started before. rng: a stream of this process alone."""
+    """What a process starts with.
+
+    Attributes:
+        now_us: On its own clock.
+        disk: What it has kept, by key.
+        count: How often this node has been started before.
+        rng: A stream of this process alone.
+    """
 
     id: str
     address: str
@@ -46,8 +52,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Spec:
-    """A node. id: unique; address: where messages reach it. make: its machines at each start. pick: which of
-    them a message is for. other: told of effects that are not the shared ones."""
+    """A node.
+
+    Attributes:
+        id: Unique.
+        address: Where messages reach it.
+        make: Its machines at each start.
+        pick: Which of them a message is for.
+        other: Told of effects that are not the shared ones.
+    """
 
     id: str
     address: str
@@ -92,7 +105,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """An invariant does not hold. node: whose event it was."""
+    """An invariant does not hold.
+
+    Attributes:
+        node: Whose event it was.
+    """
 
     at_us: int
     node: str
@@ -192,8 +209,10 @@
 
     # --- Events -----------------------------------------------------------------------------------------
     def tell(self, node: Node, event: object, index: int = 0) -> None:
-        """Give an event to a machine of a node, and carry out what comes of it. A stalled one gets it later,
-        a dead one never."""
+        """Give an event to a machine of a node, and carry out what comes of it.
+
+        A stalled one gets it later, a dead one never.
+        """
         if not node.up:
             return
         if node.stalled:
@@ -228,8 +247,7 @@
         return self.broken
 
     def _agenda(self, node: Node, index: int) -> None:
-        """Put the machine's next waking on the agenda, unless an earlier one is on it: that one looks
-        again."""
+        """Put the machine's next waking on the agenda, unless an earlier one is on it: that one looks again."""
         wake = node.machines[index].wake_us
         if wake < 0:
             return
--- a/granitewell/lab/day.py
+++ b/granitewell/lab/day.py
@@ -237,7 +237,8 @@
     """Something that happens to the day's world; `kind` and `params` are explained in `faults`.
 
     `target` names whom it befalls: an endpoint, node or zone by name, `part:0.4` of those there at the time,
-    `count:3`, or `all`. `until_us` is -1 where the fault has no end of its own."""
+    `count:3`, or `all`. `until_us` is -1 where the fault has no end of its own.
+    """
 
     at_us: int
     until_us: int
--- a/granitewell/lab/engine.py
+++ b/granitewell/lab/engine.py
@@ -18,7 +18,8 @@
 
 def stream(seed: int, *names: object) -> Random:
     """A stream of random numbers of its own for each purpose, so that one more draw in one place shifts
-    nothing elsewhere."""
+    nothing elsewhere.
+    """
     text = "/".join(map(str, (seed, *names)))
     return Random(int.from_bytes(blake2b(text.encode(), digest_size=16).digest(), "big"))
 
@@ -66,8 +67,10 @@
         return bool(agenda)
 
     def step(self, until_us: int) -> bool:
-        """One call of those due by then; False, and the time is then, where there is none. For those who look
-        at the world after each."""
+        """One call of those due by then; False, and the time is then, where there is none.
+
+        For those who look at the world after each.
+        """
         agenda = self._agenda
         if agenda and agenda[0][0] <= until_us:
             self.now_us, _, call, args = heappop(agenda)
--- a/granitewell/lab/experiments/figures.py
+++ b/granitewell/lab/experiments/figures.py
@@ -68,8 +68,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Compared:
-    """One variant on one scenario, one figure: its mean over the seeds, and against the base variant the mean
-    of the differences with its interval. pairs: seeds that both have; low, high are nan under two pairs."""
+    """One variant on one scenario, one figure.
+
+    Its mean over the seeds, and against the base variant the mean of the differences with its interval.
+
+    Attributes:
+        pairs: Seeds that both have; low, high are nan under two pairs.
+    """
 
     variant: str
     setting: str
@@ -106,8 +111,12 @@
 def compare(
     kept: Iterable[Kept], base: str, troubles: Troubles | None = None, oracle: str = ""
 ) -> list[Compared]:
-    """Every variant, scenario and figure, in the order of names; runs that failed are left out. troubles: as
-    Plan.troubles has them; oracle: the variant that `of_oracle` is a share of, where there is one."""
+    """Every variant, scenario and figure, in the order of names; runs that failed are left out.
+
+    Args:
+        troubles: As Plan.troubles has them.
+        oracle: The variant that `of_oracle` is a share of, where there is one.
+    """
     spans = troubles or {}
     found: dict[tuple[str, str], Seeds] = {}
     for one in kept:
@@ -155,7 +164,9 @@
 
 def together(kept: Iterable[Kept], setting: str, variant: str, troubles: Troubles) -> dict[str, float]:
     """The figures of the phases of all seeds as one: a thin day shows single late answers, all of them less.
-    Empty where seeds differ in the time of their trouble, or have none."""
+
+    Empty where seeds differ in the time of their trouble, or have none.
+    """
     runs = _of(kept, setting, variant)
     spans = [troubles.get((variant, setting, one.seed)) for one in runs]
     if not spans or spans[0] is None or any(s != spans[0] for s in spans):
--- a/granitewell/lab/experiments/plan.py
+++ b/granitewell/lab/experiments/plan.py
@@ -128,8 +128,10 @@
     text: str  # of the file, as read: it is kept with the results
 
     def troubles(self) -> dict[tuple[str, str, int], Trouble]:
-        """By a run's key: the span of its day's trouble. Days without any are left out. Each day is drawn
-        anew, once for all variants that share it."""
+        """By a run's key: the span of its day's trouble.
+
+        Days without any are left out. Each day is drawn anew, once for all variants that share it.
+        """
         spans: dict[tuple[str, Sizes, int], Trouble | None] = {}
         found = {}
         for run in self.runs():
--- a/granitewell/lab/faults.py
+++ b/granitewell/lab/faults.py
@@ -56,8 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One kind of fault. targets: `endpoints`, `nodes`, `places`, `links` or `none`. span: whether for_s or
-    until_s is `needed`, `open` (default: to the end of the day) or `none`."""
+    """One kind of fault.
+
+    Attributes:
+        targets: `endpoints`, `nodes`, `places`, `links` or `none`.
+        span: Whether for_s or until_s is `needed`, `open` (default: to the end of the day) or `none`.
+    """
 
     kind: str
     targets: str
@@ -207,8 +211,10 @@
 
 
 def fault(kind: str, at_us: int, until_us: int = -1, target: str = "", **params: float | str) -> Fault:
-    """A fault of the catalogue with the defaults of what is not given. Raises ValueError for a kind or param
-    that is not known, or a param that must be given."""
+    """A fault of the catalogue with the defaults of what is not given.
+
+    Raises ValueError for a kind or param that is not known, or a param that must be given.
+    """
     entry = CATALOGUE.get(kind)
     if entry is None:
         raise ValueError(f"kind: found {kind!r}; allowed: {', '.join(CATALOGUE)}")
--- a/granitewell/lab/fleet/doors.py
+++ b/granitewell/lab/fleet/doors.py
@@ -22,8 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """What one node believed at a time of the day (microseconds; negative before it has begun). phase: None
-    where the process is no member, or said nothing. up: births by name; gone: states by name."""
+    """What one node believed at a time of the day (microseconds; negative before it has begun).
+
+    Attributes:
+        phase: None where the process is no member, or said nothing.
+        up: Births by name.
+        gone: States by name.
+    """
 
     at_us: int
     node: str
@@ -79,8 +84,11 @@
 
 
 class Doors:
-    """All doors of a run, asked the same in turn, each so often. saw: takes node, time and answer, None where
-    none came; an answer of another form is passed over."""
+    """All doors of a run, asked the same in turn, each so often.
+
+    Attributes:
+        saw: Takes node, time and answer, None where none came; an answer of another form is passed over.
+    """
 
     def __init__(
         self, paths: dict[str, str], every_s: float, now: Callable[[], int],
--- a/granitewell/lab/fleet/hunt.py
+++ b/granitewell/lab/fleet/hunt.py
@@ -32,8 +32,13 @@
 
 @dataclass(slots=True)
 class Hunt:
-    """What came of it. broken: by seed, what was broken and the first offence; took_s: by what had changed;
-    unsettled: changes before whose successor nobody had the time to agree."""
+    """What came of it.
+
+    Attributes:
+        broken: By seed, what was broken and the first offence.
+        took_s: By what had changed.
+        unsettled: Changes before whose successor nobody had the time to agree.
+    """
 
     seeds: int = 0
     broken: dict[int, tuple[dict[str, int], str]] = field(default_factory=dict)
--- a/granitewell/lab/fleet/night.py
+++ b/granitewell/lab/fleet/night.py
@@ -28,7 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Shift:
-    """One run of a night. beside: the same schedule is played in virtual time, too."""
+    """One run of a night.
+
+    Attributes:
+        beside: The same schedule is played in virtual time, too.
+    """
 
     schedule: Schedule
     out: Path
@@ -38,9 +42,16 @@
 
 @dataclass(slots=True)
 class Night:
-    """What came of it. processes: of the runs that count; busy: of those for which the machine was too busy;
-    virtual: of all of these schedules. in_time: parts of the tries, by seed. rules: offences against the
-    rules on requests, by seed; failed: seeds that did not run, and why."""
+    """What came of it.
+
+    Attributes:
+        processes: Of the runs that count.
+        busy: Of those for which the machine was too busy.
+        virtual: Of all of these schedules.
+        in_time: Parts of the tries, by seed.
+        rules: Offences against the rules on requests, by seed.
+        failed: Seeds that did not run, and why.
+    """
 
     processes: Hunt = field(default_factory=Hunt)
     busy: Hunt = field(default_factory=Hunt)
@@ -108,8 +119,11 @@
 
 
 def night(shifts: list[Shift], out: Path, jobs: int) -> Iterator[Night]:
-    """The joined figures after each run, the last ones whole; they are also in `night.json` there each time,
-    so that a night which is cut short has not been for nothing. OSError: that can't be written."""
+    """The joined figures after each run, the last ones whole.
+
+    They are also in `night.json` there each time, so that a night which is cut short has not been for
+    nothing. OSError: that can't be written.
+    """
     found, left = Night(), list(shifts)
     out.mkdir(parents=True, exist_ok=True)
     context = multiprocessing.get_context("spawn")
--- a/granitewell/lab/fleet/plan.py
+++ b/granitewell/lab/fleet/plan.py
@@ -18,8 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Door:
-    """A place at which a process of a node can stand. id: the node's name, or the name and `+` for its second
-    place."""
+    """A place at which a process of a node can stand.
+
+    Attributes:
+        id: The node's name, or the name and `+` for its second place.
+    """
 
     id: str
     bind: str
--- a/granitewell/lab/fleet/play.py
+++ b/granitewell/lab/fleet/play.py
@@ -35,8 +35,11 @@
 
 
 def day_of(schedule: Schedule) -> Day:
-    """The load that goes on beside the troubles; nodes that are to stand still are told of in the day's own
-    words, as its judge has to know what no node could answer."""
+    """The load that goes on beside the troubles.
+
+    Nodes that are to stand still are told of in the day's own words, as its judge has to know what no node
+    could answer.
+    """
     names = len(schedule.names)
     day = draw(load(DAY), schedule.seed, nodes=names, endpoints=schedule.endpoints,
                rate=schedule.rate or None, length_s=schedule.seconds)  # fmt: skip
@@ -54,7 +57,11 @@
     count: bool = False,
 ) -> dict[str, Any]:  # fmt: skip
     """Play it; the dict of all figures, plain JSON but for `looks` and `done`, which the page is made of.
-    count: the turns of each node's loop are counted. SocksError: the machine does not give what is needed."""
+
+    Args:
+        count: The turns of each node's loop are counted. SocksError: the machine does not give what is
+            needed.
+    """
     day = day_of(schedule)
     judge = ViewJudge(schedule.names, int(schedule.bound_s * 1e6))
     rig = Rig(schedule, out, judge)
--- a/granitewell/lab/fleet/seen.py
+++ b/granitewell/lab/fleet/seen.py
@@ -21,7 +21,12 @@
 
 
 class Seen:
-    """Of one run. counts: by node and what; left_us: by node, when it first said so in this life."""
+    """Of one run.
+
+    Attributes:
+        counts: By node and what.
+        left_us: By node, when it first said so in this life.
+    """
 
     def __init__(self, keys: tuple[str, ...]) -> None:
         self._keys = [Keys(Key(bytes.fromhex(k))) for k in keys]
--- a/granitewell/lab/fleet/switch.py
+++ b/granitewell/lab/fleet/switch.py
@@ -1,4 +1,5 @@
-"""One process that carries every datagram and stream between the nodes of a run:
+"""One process that carries every datagram and stream between the nodes of a run.
+
 `python -m granitewell.lab.fleet.switch PLAN FLEET`.
 
 It owns what becomes of a message on its way: lost, late, doubled, overtaken, held, torn, or not let through
--- a/granitewell/lab/fleet/terms.py
+++ b/granitewell/lab/fleet/terms.py
@@ -30,8 +30,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A sort of trouble. does: in a few words; nodes: least number of them; virtual: played in virtual time
-    too; ends: it has an end of its own; how: words that it knows."""
+    """A sort of trouble.
+
+    Attributes:
+        does: In a few words.
+        nodes: Least number of them.
+        virtual: Played in virtual time too.
+        ends: It has an end of its own.
+        how: Words that it knows.
+    """
 
     does: str
     nodes: int = 1
@@ -82,7 +89,12 @@
 
 
 class TroubleTable(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """One trouble of a file. nodes: by name or number; count, part: that many, drawn by the seed."""
+    """One trouble of a file.
+
+    Attributes:
+        nodes: By name or number.
+        count, part: That many, drawn by the seed.
+    """
 
     kind: Word
     at_s: Second
@@ -137,9 +149,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """What is played. names: of all nodes. troubles: by time. configured: nodes by the settings. seeds: how
-    many of the first nodes are named to all; lasting: folders outlive a kill; bound_s: within which all have
-    to agree after the last trouble. link: of all roads."""
+    """What is played.
+
+    Attributes:
+        names: Of all nodes.
+        troubles: By time.
+        configured: Nodes by the settings.
+        seeds: How many of the first nodes are named to all.
+        lasting: Folders outlive a kill.
+        bound_s: Within which all have to agree after the last trouble.
+        link: Of all roads.
+    """
 
     name: str
     seed: int
--- a/granitewell/lab/judge/counts.py
+++ b/granitewell/lab/judge/counts.py
@@ -6,7 +6,8 @@
 A try that was answered has been taken by its node at some moment between its asking and its answer; one that
 was not may have been taken at any moment since it was asked, or never. So the true sum of a window is itself
 known between two bounds: `sure` counts tries that were taken inside it whatever the moment, `may` all that
-can have been. A figure [low, high] is wrong if high < sure or low > may."""
+can have been. A figure [low, high] is wrong if high < sure or low > may.
+"""
 
 from __future__ import annotations
 
@@ -32,8 +33,13 @@
 
 @dataclass(slots=True)
 class CountsReport:
-    """What came of it. figures: looked at; broken: that did not hold the truth, the first in words. widths:
-    of all figures of all keys together, relative, by second of the day: the median."""
+    """What came of it.
+
+    Attributes:
+        figures: Looked at.
+        broken: That did not hold the truth, the first in words.
+        widths: Of all figures of all keys together, relative, by second of the day: the median.
+    """
 
     figures: int = 0
     broken: int = 0
--- a/granitewell/lab/judge/judge.py
+++ b/granitewell/lab/judge/judge.py
@@ -31,8 +31,11 @@
 
 
 class Judge:
-    """Implements granitewell.lab.witness.Witness for one day. Observations come in the order of their times
-    (ValueError otherwise); `report` may be asked for at any time and changes nothing."""
+    """Implements granitewell.lab.witness.Witness for one day.
+
+    Observations come in the order of their times (ValueError otherwise); `report` may be asked for at any
+    time and changes nothing.
+    """
 
     def __init__(self, day: Day, order_us: int = ORDER_US) -> None:
         """order_us: 0 is enough where one clock and one process see everything."""
--- a/granitewell/lab/judge/records.py
+++ b/granitewell/lab/judge/records.py
@@ -27,8 +27,11 @@
 
 
 class Try:
-    """One try as a client sent it. `closed` is "" while open, then `served`, `refused`, `failed`, `left`,
-    `lost`, `cut` (its node was killed by the day), `unreached` (no node has taken it) or `unanswered`."""
+    """One try as a client sent it.
+
+    `closed` is "" while open, then `served`, `refused`, `failed`, `left`, `lost`, `cut` (its node was killed
+    by the day), `unreached` (no node has taken it) or `unanswered`.
+    """
 
     __slots__ = (
         "answers", "asked_at", "attempts", "closed", "closed_at", "group", "node", "ran", "rid", "taken_at",
--- a/granitewell/lab/judge/view.py
+++ b/granitewell/lab/judge/view.py
@@ -1,5 +1,7 @@
-"""The judge of the fleet's own view: who lives is known by whoever started and stopped them, what each node
-believes by its status door; the two are held against each other.
+"""The judge of the fleet's own view.
+
+Who lives is known by whoever started and stopped them, what each node believes by its status door; the two
+are held against each other.
 
 It owns what must hold of a view and when. It must never believe a node of what it did, do I/O, or know which
 shell plays. Times are microseconds of the day, negative before it has begun. The rules, by their names:
@@ -54,9 +56,15 @@
 
 @dataclass(slots=True)
 class Process:
-    """What is known of a node's process. up: it runs; held: it stands still; asked_us: when it was asked to
-    stop, -1 for not; since_us: of its start; touched_us: when something last befell it that explains a
-    death."""
+    """What is known of a node's process.
+
+    Attributes:
+        up: It runs.
+        held: It stands still.
+        asked_us: When it was asked to stop, -1 for not.
+        since_us: Of its start.
+        touched_us: When something last befell it that explains a death.
+    """
 
     name: str
     up: bool = False
@@ -72,7 +80,13 @@
 
 @dataclass(slots=True)
 class ViewReport:
-    """What came of it. settled: by change; offences: the first of many; broken: by rule."""
+    """What came of it.
+
+    Attributes:
+        settled: By change.
+        offences: The first of many.
+        broken: By rule.
+    """
 
     settled: list[Settled] = field(default_factory=list)
     offences: list[Offence] = field(default_factory=list)
@@ -213,8 +227,11 @@
         self, at_us: int, name: str, whole: bool, up: Mapping[str, str], gone: Mapping[str, str], most: int,
         life: int,
     ) -> str:  # fmt: skip
-        """One look at a node; whole: it is a member and has answered. What is to be said of it: it names
-        whom it should ("same"), too few, too many, or nobody can tell ("none")."""
+        """One look at a node; whole: it is a member and has answered.
+
+        What is to be said of it: it names whom it should ("same"), too few, too many, or nobody can tell
+        ("none").
+        """
         report, node = self.report, self._nodes[name]
         report.looks += 1
         if not node.up or node.held:
--- a/granitewell/lab/load/bare.py
+++ b/granitewell/lab/load/bare.py
@@ -23,19 +23,19 @@
     """One connection."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio's call."""
+        """Asyncio's call."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's own are no subclass of it
         self._parser = httptools.HttpRequestParser(self)
 
     def data_received(self, data: bytes) -> None:
-        """asyncio's call."""
+        """Asyncio's call."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self._transport.abort()
 
     def on_message_complete(self) -> None:
-        """httptools' call: a whole request has come."""
+        """Httptools' call: a whole request has come."""
         self._transport.write(ANSWER)
 
 
--- a/granitewell/lab/load/counts.py
+++ b/granitewell/lab/load/counts.py
@@ -65,7 +65,9 @@
 
     def at(self, part: float) -> int | None:
         """The value, in microseconds, that this part (0 to 1) of all counted stay within; None without any.
-        As in HdrHistogram, the highest value of the bucket where the rank is met."""
+
+        As in HdrHistogram, the highest value of the bucket where the rank is met.
+        """
         if not self.total:
             return None
         rank, seen = max(int(part * self.total + 0.5), 1), 0
@@ -99,7 +101,8 @@
     latency: from when a request was due, and service: from when it left (its first byte was written, or the
     dial for it was begun), to its last byte; both over the served and those given up when their time was
     over, at that time, since their answer would have taken at least as long. away: from due to left, over
-    all that left or were given up."""
+    all that left or were given up.
+    """
 
     due: int = 0
     ends: dict[str, int] = field(default_factory=lambda: {end.value: 0 for end in End})
--- a/granitewell/lab/load/crew.py
+++ b/granitewell/lab/load/crew.py
@@ -113,8 +113,10 @@
 
 
 class Played:
-    """One step as the workers played it: a tally for each that reported, why others did not, and whether an
-    interruption ended it early."""
+    """One step as the workers played it.
+
+    A tally for each that reported, why others did not, and whether an interruption ended it early.
+    """
 
     def __init__(self) -> None:
         self.tallies: list[Tally] = []
@@ -162,8 +164,10 @@
         return played
 
     def _hear(self, tick: Callable[[], None], limit: float) -> list[str]:
-        """Read until every worker has said something, or one is gone and the others have been stopped. Who is
-        gone, and how."""
+        """Read until every worker has said something, or one is gone and the others have been stopped.
+
+        Who is gone, and how.
+        """
         with selectors.DefaultSelector() as selector:
             for member in self._members:
                 assert member.child.stdout is not None
--- a/granitewell/lab/load/flow.py
+++ b/granitewell/lab/load/flow.py
@@ -150,8 +150,10 @@
         self._conns[conn].up = True
 
     def answered(self, now: int, conn: int, end: End, keep: bool) -> list[Effect]:
-        """The request on this connection has its whole answer, or bytes that are none; `keep`: the connection
-        can take another."""
+        """The request on this connection has its whole answer, or bytes that are none.
+
+        `keep`: the connection can take another.
+        """
         held = self._conns[conn]
         self._end(now, held.request, end)
         held.request, held.used = None, True
@@ -167,8 +169,10 @@
         return []
 
     def ended(self, now: int, conn: int, clean: bool, began: bool) -> list[Effect]:
-        """The other side ended the connection: `clean` with an orderly end, else a reset; `began`: a part of
-        an answer had come. The shell has closed its descriptor."""
+        """The other side ended the connection: `clean` with an orderly end, else a reset.
+
+        `began`: a part of an answer had come. The shell has closed its descriptor.
+        """
         held = self._conns[conn]
         request = held.request
         self._drop(conn)
--- a/granitewell/lab/load/knee.py
+++ b/granitewell/lab/load/knee.py
@@ -36,8 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Knee:
-    """good_to: the highest rate below the knee; breaks_from: the lowest at or above it, None where no rate
-    broke away; why: what broke there, or why no knee can be told."""
+    """good_to: the highest rate below the knee.
+
+    Breaks_from: the lowest at or above it, None where no rate broke away; why: what broke there, or why no
+    knee can be told.
+    """
 
     good_to: float | None
     breaks_from: float | None
@@ -73,9 +76,11 @@
 
 
 class Sweep:
-    """Climbs from the first rate by half as much again until a rate breaks or is void, or the last stands;
-    then halves the span between the highest that stands and the lowest that breaks, until they are within 5%.
-    A rate that breaks or is void is played once more, since a moment's noise must not end the climb."""
+    """Climbs from the first rate by half as much again until a rate breaks or is void, or the last stands.
+
+    Then halves the span between the highest that stands and the lowest that breaks, until they are within 5%.
+    A rate that breaks or is void is played once more, since a moment's noise must not end the climb.
+    """
 
     def __init__(self, first: float, last: float) -> None:
         self.points: list[Point] = []
--- a/granitewell/lab/load/means.py
+++ b/granitewell/lab/load/means.py
@@ -38,8 +38,11 @@
 
 
 def connections(asked: int | None, workers: int) -> int:
-    """Open connections that each worker may have: its part of `asked`, or as many as 4096 and the limit
-    on descriptors allow. The workers raise their soft limit to the hard one."""
+    """Open connections that each worker may have.
+
+    Its part of `asked`, or as many as 4096 and the limit on descriptors allow. The workers raise their soft
+    limit to the hard one.
+    """
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     room = (1 << 20 if hard == resource.RLIM_INFINITY else hard) - SPARE
     share = (4096 if asked is None else asked) // workers
--- a/granitewell/lab/load/run.py
+++ b/granitewell/lab/load/run.py
@@ -23,7 +23,11 @@
 
 @dataclass(slots=True)
 class Result:
-    """One played step. void: why its figures are not the target's."""
+    """One played step.
+
+    Attributes:
+        void: Why its figures are not the target's.
+    """
 
     step: Step
     tally: Tally
@@ -98,8 +102,10 @@
     tick: Callable[[], None],
     seen: Callable[[Result], None],
 ) -> Outcome:
-    """Play the steps until they are done, a worker dies or somebody interrupts. `seen` is told each result
-    before the next step is asked for."""
+    """Play the steps until they are done, a worker dies or somebody interrupts.
+
+    `seen` is told each result before the next step is asked for.
+    """
     outcome = Outcome()
     for step in todo:
         if crew.stopped:
--- a/granitewell/lab/model/arrivals.py
+++ b/granitewell/lab/model/arrivals.py
@@ -35,7 +35,8 @@
 class Keys:
     """Keys by Zipf's law: the k-th most popular is drawn with a weight of k to the power -key_zipf, exactly,
     by bisection of the cumulative weights. Where keys churn, the holder of each popularity is replaced every
-    `key_churn_us`, each at a time of its own; no key comes back."""
+    `key_churn_us`, each at a time of its own; no key comes back.
+    """
 
     def __init__(self, load: LoadDay) -> None:
         weights = (k**-load.key_zipf for k in range(1, load.keys + 1))
@@ -57,7 +58,8 @@
     """The day's rate as pieces (from_us, until_us, rate at the start, rate at the end), tries a microsecond,
     each linear, rising in time without a gap. Before its first point the rate is that point's, after its last
     the last's. A burst factor of mean 1 multiplies whole bursts. Raises ValueError for points out of order or
-    rates below 0."""
+    rates below 0.
+    """
     points = _points(day.load.rate, day.length_us)
     burst_us = day.load.burst_us if day.load.burst_cv > 0.0 else 0
     rng = stream(day.seed, "arrivals", "burst")
@@ -99,7 +101,8 @@
     """Times of a Poisson process with the day's rate, by inversion of its integral: exact, one draw each.
 
     Of each unit exponential, what the present piece has left is used up before the next begins; within a
-    piece the time x at which its integral is e solves low x + slope x^2 / 2 = e."""
+    piece the time x at which its integral is e solves low x + slope x^2 / 2 = e.
+    """
     rng = stream(day.seed, "arrivals", "times").random
     log, sqrt = math.log, math.sqrt
     need = -log(1.0 - rng())
--- a/granitewell/lab/model/clients.py
+++ b/granitewell/lab/model/clients.py
@@ -39,8 +39,11 @@
 
 
 def _rids(seed: str) -> Iterator[str]:
-    """Sixteen hexadecimal digits each: eight of a hash, and eight of the count times an odd number, by which
-    the first 2^32 all differ. One hash gives sixteen of them."""
+    """Sixteen hexadecimal digits each.
+
+    Eight of a hash, and eight of the count times an odd number, by which the first 2^32 all differ. One hash
+    gives sixteen of them.
+    """
     for block in count():
         digits = blake2b(f"{seed}/{block}".encode()).hexdigest()
         for k in range(16):
@@ -52,7 +55,11 @@
 
 
 class _Want:
-    """One thing that one client wants, with all its tries. left: further tries that it may make."""
+    """One thing that one client wants, with all its tries.
+
+    Attributes:
+        left: Further tries that it may make.
+    """
 
     __slots__ = ("arrival", "ends_us", "first", "heeds", "left", "rebooks", "state")
 
@@ -64,8 +71,14 @@
 
 
 class _Try:
-    """One try. state over: given up, its connection left to what is still owed. leaves: its client is
-    impatient, and goes for good before due_us, when others would give this try up and go on."""
+    """One try.
+
+    State over: given up, its connection left to what is still owed.
+
+    Attributes:
+        leaves: Its client is impatient, and goes for good before due_us, when others would give this try up
+            and go on.
+    """
 
     __slots__ = ("due_us", "leaves", "rid", "state", "want")
 
@@ -75,8 +88,11 @@
 
 
 class Clients:
-    """All clients of a day. `handle` takes times that never fall; the shell calls it with a Tick at `wake_us`
-    (-1: never). `rng_seed` sets this object's rids and its clients' tempers; the arrivals are the day's."""
+    """All clients of a day.
+
+    `handle` takes times that never fall; the shell calls it with a Tick at `wake_us` (-1: never). `rng_seed`
+    sets this object's rids and its clients' tempers; the arrivals are the day's.
+    """
 
     def __init__(self, day: Day, rng_seed: int) -> None:
         figures = day.clients
--- a/granitewell/lab/model/conditions.py
+++ b/granitewell/lab/model/conditions.py
@@ -38,8 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Outlook:
-    """What a request would meet now, for policies that may know the truth: the chance that it is answered
-    well, the mean factor on its work, the mean delay of its answer, and the effects that may strike it."""
+    """What a request would meet now, for policies that may know the truth.
+
+    The chance that it is answered well, the mean factor on its work, the mean delay of its answer, and the
+    effects that may strike it.
+    """
 
     answered: float = 1.0
     slow: float = 1.0
@@ -80,8 +83,11 @@
         self.pace = 1.0  # of the whole process
 
     def change(self, fall: Fall) -> bool:
-        """Begin or end a condition. False: it was on (or off) already. ValueError: an unknown effect, or a
-        factor that nothing can be divided or multiplied by."""
+        """Begin or end a condition.
+
+        False: it was on (or off) already. ValueError: an unknown effect, or a factor that nothing can be
+        divided or multiplied by.
+        """
         condition = fall.condition
         if condition.effect not in EFFECTS:
             raise ValueError(f"condition effect: found {condition.effect!r}, allowed {', '.join(EFFECTS)}")
--- a/granitewell/lab/model/discovery.py
+++ b/granitewell/lab/model/discovery.py
@@ -39,7 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Batch:
-    """What the log holds under one revision. due_us: when a node without an offset hears it."""
+    """What the log holds under one revision.
+
+    Attributes:
+        due_us: When a node without an offset hears it.
+    """
 
     revision: int
     due_us: int
@@ -224,8 +228,10 @@
         return self._revision
 
     def _lines(self, known: int, due: int) -> tuple[Line, ...]:
-        """The whole list as of a revision (known -1), or what has changed since the known one. The last
-        outcome is kept: most nodes ask for the same."""
+        """The whole list as of a revision (known -1), or what has changed since the known one.
+
+        The last outcome is kept: most nodes ask for the same.
+        """
         if self._made[:2] != (known, due):
             lines = self._whole(due) if known < 0 else self._delta(known, due)
             self._made = (known, due, lines)
--- a/granitewell/lab/model/endpoint.py
+++ b/granitewell/lab/model/endpoint.py
@@ -41,11 +41,14 @@
 
 
 class Endpoint:
-    """A dispatch server. One started long ago (`spec.started_us` <= 0) is up and warm from the day's begin;
-    any other is down until it is ordered to START. A process started after the day's begin is cold.
+    """A dispatch server.
+
+    One started long ago (`spec.started_us` <= 0) is up and warm from the day's begin; any other is down until
+    it is ordered to START. A process started after the day's begin is cold.
 
     `wake_us`: when to call with a Tick, -1: not until something else happens. ValueError: a figure of the day
-    that no endpoint can have."""
+    that no endpoint can have.
+    """
 
     __slots__ = (
         "_day",
@@ -123,7 +126,8 @@
 
     def _gap(self) -> int:
         """Until the next own pause: a half to one and a half times what the kind says, so that endpoints of
-        one kind don't pause in step."""
+        one kind don't pause in step.
+        """
         return int(self._kind.pause_every_us * (0.5 + self._rng.random()))
 
     def _thaw(self, now_us: int, out: Out) -> None:
@@ -275,7 +279,8 @@
     def expected_us(self, now_us: int, cls: int, tenant: int = -1, key: int = 0, node: str = "") -> float:
         """About how long a request read now, on an open connection, would take until its answer if nothing
         changed: what is ahead of it, its mean work, conditions, a remembered key. Infinite where it would get
-        none. It is an estimate for policies that may know the truth (see Slots.expected_us)."""
+        none. It is an estimate for policies that may know the truth (see Slots.expected_us).
+        """
         outlook = self.true_condition(cls, tenant, key, node, now_us)
         if self._process is None or self._order_pause or outlook.answered <= 0.0:
             return float("inf")
--- a/granitewell/lab/model/endpoint_pace.py
+++ b/granitewell/lab/model/endpoint_pace.py
@@ -21,8 +21,11 @@
 
 
 class Pace:
-    """The clock of work. `factor` is what each of the `active` tasks would do in a microsecond if the process
-    were warm; both may be set at the time last advanced to, and then `changed` is to be called."""
+    """The clock of work.
+
+    `factor` is what each of the `active` tasks would do in a microsecond if the process were warm; both may
+    be set at the time last advanced to, and then `changed` is to be called.
+    """
 
     __slots__ = (
         "_at",
@@ -109,7 +112,8 @@
 
     def when(self, target: float) -> int:
         """The first whole microsecond at which `done` has reached the target, or `edge_us` where that is
-        sooner: then ask again. -1: never at this pace."""
+        sooner: then ask again. -1: never at this pace.
+        """
         left = target - self.done
         if left <= EPS:
             return self._at
--- a/granitewell/lab/model/endpoint_parts.py
+++ b/granitewell/lab/model/endpoint_parts.py
@@ -33,8 +33,10 @@
         return met is not None and now_us - met <= self._valid_us
 
     def meet(self, now_us: int, key: int) -> bool:
-        """Work for the key begins: whether it was known, and it is from now on; the key met longest ago goes
-        where there are too many."""
+        """Work for the key begins: whether it was known, and it is from now on.
+
+        The key met longest ago goes where there are too many.
+        """
         known = self.knows(now_us, key)
         self._met[key] = now_us
         self._met.move_to_end(key)
@@ -50,7 +52,8 @@
     busy over the last period, `latency_ms` the mean time from begin of work to answer in the last period
     that had any, `qps` and `eps` answers and errors a second, smoothed over about a second. Noise is a
     factor of 1 + noise x normal on each figure. Samples are taken when the process is next looked at, from
-    counts that have not changed since the sample's time: no wake-up is needed for them."""
+    counts that have not changed since the sample's time: no wake-up is needed for them.
+    """
 
     __slots__ = (
         "_busy",
@@ -154,10 +157,13 @@
 
 
 class FallGuard:
-    """The fourth rule as a budget: the work sent to a cold process within any `fall_us` must stay under
-    fall_multiple x its present capacity x fall_us, with a slack for chance on top: that many standard
-    deviations of a Poisson stream of mean requests, and one mean request of the heaviest class. Everything
-    that is sent counts, also what is turned away, each with its class's mean: nobody can know its draw."""
+    """The fourth rule as a budget.
+
+    The work sent to a cold process within any `fall_us` must stay under fall_multiple x its present capacity
+    x fall_us, with a slack for chance on top: that many standard deviations of a Poisson stream of mean
+    requests, and one mean request of the heaviest class. Everything that is sent counts, also what is turned
+    away, each with its class's mean: nobody can know its draw.
+    """
 
     __slots__ = ("_budget", "_classes", "_mean", "_slack", "_sum", "_window", "_window_us")
 
--- a/granitewell/lab/model/endpoint_process.py
+++ b/granitewell/lab/model/endpoint_process.py
@@ -41,8 +41,11 @@
 
 
 class Process:
-    """One process. Methods with `now_us` expect it never to fall, and `turn` to have been called for each
-    `wake_us` up to then; after any of them, `settle`. Effects are appended to `out`."""
+    """One process.
+
+    Methods with `now_us` expect it never to fall, and `turn` to have been called for each `wake_us` up to
+    then; after any of them, `settle`. Effects are appended to `out`.
+    """
 
     __slots__ = (
         "_day",
@@ -345,8 +348,11 @@
             self._over(task, "dropped", out)
 
     def _out_of_time(self, now_us: int, task: Task, out: Out) -> None:
-        """The time is over that the node gave the attempt. What is stopped is not answered, since the node
-        waits no more; its connection stays busy until the node closes it."""
+        """The time is over that the node gave the attempt.
+
+        What is stopped is not answered, since the node waits no more; its connection stays busy until the
+        node closes it.
+        """
         if task.stage is WAITING and self._kind.drops_expired:
             self.slots.leave(task)
             self._conclude(now_us, task, "full", out)
--- a/granitewell/lab/model/endpoint_slots.py
+++ b/granitewell/lab/model/endpoint_slots.py
@@ -140,8 +140,11 @@
         return self.pace.when(finishing[0][0]) if finishing else -1
 
     def expected_us(self, now_us: int, work_us: float) -> float:
-        """About how long a task of this work that came now would take at the present pace. Exact in the mean
-        for one slot; with more, the first free one is taken to come after an even share of what runs."""
+        """About how long a task of this work that came now would take at the present pace.
+
+        Exact in the mean for one slot; with more, the first free one is taken to come after an even share of
+        what runs.
+        """
         done, warm = self.pace.at(now_us)
         rate = self.pace.factor * warm
         if rate <= 0.0 or (len(self.working) >= self.count and len(self.waiting) >= self.room):
--- a/granitewell/lab/model/endpoint_table.py
+++ b/granitewell/lab/model/endpoint_table.py
@@ -33,8 +33,11 @@
 
 
 class Task:
-    """One piece of work. `finish` is where on the process's clock of work it will be done; -1: not running.
-    `began_us` -1: it never began."""
+    """One piece of work.
+
+    `finish` is where on the process's clock of work it will be done; -1: not running. `began_us` -1: it never
+    began.
+    """
 
     __slots__ = ("asked", "began_us", "conn", "end", "finish", "hits", "kind", "seq", "stage")
 
@@ -64,7 +67,8 @@
     """The open connections of a process, and those that stand idle in the order in which they will be closed.
 
     An entry of the idle queue is good while the connection has been idle since then; others are dropped when
-    they get to the front, so a request costs one entry and no search."""
+    they get to the front, so a request costs one entry and no search.
+    """
 
     __slots__ = ("_idle", "_idle_us", "open")
 
--- a/granitewell/lab/model/front.py
+++ b/granitewell/lab/model/front.py
@@ -19,7 +19,8 @@
 class Front:
     """Spreads connections at random over the nodes of the client's zone, or over all where it has none.
 
-    The shell says what befalls nodes, at times that never fall; a name that has not been up is a KeyError."""
+    The shell says what befalls nodes, at times that never fall; a name that has not been up is a KeyError.
+    """
 
     def __init__(self, day: Day) -> None:
         self._notice_us = day.front.notice_us
@@ -58,8 +59,10 @@
         self._doom(now_us + low + int(self._rng.random() * (high - low)), name)
 
     def pick(self, now_us: int, zone: int, rng: Random | None = None) -> str | None:
-        """The node for a new connection from that zone; None: there is none at all. It draws from `rng` or
-        from a stream of its own."""
+        """The node for a new connection from that zone; None: there is none at all.
+
+        It draws from `rng` or from a stream of its own.
+        """
         self._pass(now_us)
         draw = (rng or self._rng).random()
         nodes = self._zones[zone]
--- a/granitewell/lab/model/terms.py
+++ b/granitewell/lab/model/terms.py
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """A whole request has been read on a connection. due_us: when the node says it stops waiting."""
+    """A whole request has been read on a connection.
+
+    Attributes:
+        due_us: When the node says it stops waiting.
+    """
 
     conn: int
     rid: str
@@ -80,7 +84,8 @@
     (turned away), `reset` (the connection breaks in place of the answer), `spoilt` (an answer that can't be
     read), `silent_head` (the head of the answer, then nothing), `refuse` (new connections are refused),
     `mute` (answers carry no load report), `lying` (load reports say an empty queue), `speed` (the whole
-    process is slower by factor, whatever matches)."""
+    process is slower by factor, whatever matches).
+    """
 
     index: int  # of the day's fault that it comes from
     effect: str
@@ -120,8 +125,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Write an answer. kind: `ok`, `error`, `full`, `spoilt`, `head` (only the head of a 200, then nothing),
-    `probe_ok`, `probe_bad`. report: the load report's values by the day's field names, or None."""
+    """Write an answer.
+
+    Attributes:
+        kind: `ok`, `error`, `full`, `spoilt`, `head` (only the head of a 200, then nothing), `probe_ok`,
+            `probe_bad`.
+        report: The load report's values by the day's field names, or None.
+    """
 
     conn: int
     rid: str
@@ -173,8 +183,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """A try's connection failed: it never came up, or ended without an answer. sent: the request had been
-    written whole."""
+    """A try's connection failed: it never came up, or ended without an answer.
+
+    Attributes:
+        sent: The request had been written whole.
+    """
 
     rid: str
     sent: bool
@@ -226,8 +239,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """Something has happened to an endpoint's process. how: `ready`, `draining`, `gone`, or `vanished` (gone
-    without a word, which takes discovery longer to see)."""
+    """Something has happened to an endpoint's process.
+
+    Attributes:
+        how: `ready`, `draining`, `gone`, or `vanished` (gone without a word, which takes discovery longer to
+            see).
+    """
 
     line: Line
     how: str
--- a/granitewell/lab/model/work.py
+++ b/granitewell/lab/model/work.py
@@ -20,8 +20,11 @@
 
 
 def pareto(rng: Random, mean: float, cv: float) -> float:
-    """A Pareto draw (type I) by mean and cv, which fix its shape: from cv^2 = 1 / (a (a - 2)) follows
-    a = 1 + sqrt(1 + 1 / cv^2) > 2, so mean and variance are finite; its least value is mean (a - 1) / a."""
+    """A Pareto draw (type I) by mean and cv, which fix its shape.
+
+    From cv^2 = 1 / (a (a - 2)) follows a = 1 + sqrt(1 + 1 / cv^2) > 2, so mean and variance are finite; its
+    least value is mean (a - 1) / a.
+    """
     if cv <= 0.0:
         return mean
     shape = 1.0 + math.sqrt(1.0 + 1.0 / (cv * cv))
--- a/granitewell/lab/mutants/bench.py
+++ b/granitewell/lab/mutants/bench.py
@@ -44,8 +44,12 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of one defect. by: a rule, `error`, `hang`, `figure NAME` or `record NAME`; "" if nothing
-    caught it. days: how many were played, up to the one that caught it."""
+    """What became of one defect.
+
+    Attributes:
+        by: A rule, `error`, `hang`, `figure NAME` or `record NAME`; "" if nothing caught it.
+        days: How many were played, up to the one that caught it.
+    """
 
     name: str
     what: str
@@ -70,7 +74,8 @@
 @dataclass(slots=True)
 class Result:
     """All outcomes, the days of the unharmed program on which a rule was broken (none, if all is well), how
-    many it has played, and what caught the harmless change ("" for nothing)."""
+    many it has played, and what caught the harmless change ("" for nothing).
+    """
 
     outcomes: list[Outcome] = field(default_factory=list)
     control: list[Found] = field(default_factory=list)
@@ -87,8 +92,10 @@
 
 
 def run(defects: Sequence[Defect], placebo: Defect | None, seeds: int, jobs: int, tell: Tell) -> Result:
-    """Plant and play them all, with so many seeds (1 to seeds) and processes at once. PatchError: a defect
-    can't be planted, before anything is played."""
+    """Plant and play them all, with so many seeds (1 to seeds) and processes at once.
+
+    PatchError: a defect can't be planted, before anything is played.
+    """
     work = _Work(seeds, tell)
     with tempfile.TemporaryDirectory(prefix="granitewell-mutants-") as folder:
         homes = {d.name: Path(folder) / d.name for d in defects}
--- a/granitewell/lab/mutants/catalogue.py
+++ b/granitewell/lab/mutants/catalogue.py
@@ -18,9 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Defect:
-    """One defect. by: what must catch it: rules of the judge, `figure` for one that costs worth or work and
-    breaks no rule, or `record`. on: scenarios, in the order in which a seed's days are played, built-in ones
-    with the changes that `child` knows; or the names of recorded exchanges."""
+    """One defect.
+
+    Attributes:
+        by: What must catch it: rules of the judge, `figure` for one that costs worth or work and breaks no
+            rule, or `record`.
+        on: Scenarios, in the order in which a seed's days are played, built-in ones with the changes that
+            `child` knows; or the names of recorded exchanges.
+    """
 
     name: str
     what: str
--- a/granitewell/lab/mutants/child.py
+++ b/granitewell/lab/mutants/child.py
@@ -23,8 +23,10 @@
 
 
 def drawn(name: str, seed: int) -> Day:
-    """The day of a scenario's name, with changes behind plus signs where it has any. KeyError, ScenarioError:
-    there is no such change or scenario."""
+    """The day of a scenario's name, with changes behind plus signs where it has any.
+
+    KeyError, ScenarioError: there is no such change or scenario.
+    """
     scenario, *changes = name.split("+")
     day = draw(load(scenario), seed)
     for change in changes:
--- a/granitewell/lab/mutants/patch.py
+++ b/granitewell/lab/mutants/patch.py
@@ -40,7 +40,9 @@
 
 def plant(folder: Path, patches: Sequence[Patch], tests: bool = False) -> None:
     """Copy the packages into an empty folder, with these patches; with the tests where those are wanted.
-    PatchError: a piece is not there, or an installation without tests was asked for them."""
+
+    PatchError: a piece is not there, or an installation without tests was asked for them.
+    """
     for name, home in _HOMES.items():
         shutil.copytree(home, folder / name, ignore=_LEFT_OUT)
     if tests:
--- a/granitewell/lab/platform.py
+++ b/granitewell/lab/platform.py
@@ -31,9 +31,14 @@
     known: Mapping[str, Any] | None = None,
     start: int = 0,
 ) -> dict[str, Any]:
-    """The configuration of one node's process. listen, discovery: `host:port`; known: the list that it last
-    held, in discovery's form; start: how often it has started before, as the seed is new each time.
-    ValueError for a node that the day does not have."""
+    """The configuration of one node's process.
+
+    Args:
+        listen, discovery: `host:port`.
+        known: The list that it last held, in discovery's form.
+        start: How often it has started before, as the seed is new each time. ValueError for a node that the
+            day does not have.
+    """
     index = next((k for k, n in enumerate(day.nodes) if n.name == node_name), None)
     if index is None:
         raise ValueError(f"node: found {node_name!r}; allowed: {', '.join(n.name for n in day.nodes)}")
--- a/granitewell/lab/recording.py
+++ b/granitewell/lab/recording.py
@@ -216,8 +216,10 @@
 
 
 def merge(paths: Sequence[str | Path], window_us: int = WINDOW_US) -> Iterator[Line]:
-    """All lines of some recordings by time; those of one time by file, as given, then by line. Within a file
-    a line may stand up to window_us behind later ones. Memory: one window of each file."""
+    """All lines of some recordings by time; those of one time by file, as given, then by line.
+
+    Within a file a line may stand up to window_us behind later ones. Memory: one window of each file.
+    """
     return iter(heapq.merge(*(_in_order(path, k, window_us) for k, path in enumerate(paths))))
 
 
