--- a/granitewell/lab/scenarios/draw.py
+++ b/granitewell/lab/scenarios/draw.py
@@ -37,10 +37,12 @@
     length_s: float | None = None,
     only_faults: Iterable[int] | None = None,
 ) -> d.Day:
-    """The day that a seed draws. `rate` (first tries a second) takes the place of the file's rate or
-    utilisation; faults that would begin after `length_s` are left out; `only_faults` counts in `schedule`,
-    and leaves all other draws as they are. ScenarioError: an override that can't be, or that leaves a fault
-    without whom it befalls."""
+    """The day that a seed draws.
+
+    `rate` (first tries a second) takes the place of the file's rate or utilisation; faults that would begin
+    after `length_s` are left out; `only_faults` counts in `schedule`, and leaves all other draws as they are.
+    ScenarioError: an override that can't be, or that leaves a fault without whom it befalls.
+    """
     table = _overridden(scenario, nodes, endpoints, rate, length_s)
     pen = Pen(seed)
     day = _world(scenario, table, pen)
@@ -61,7 +63,8 @@
     length_s: float | None = None,
 ) -> tuple[d.Fault, ...]:
     """The faults of the file and of its chaos, drawn but not yet expanded, in the order that `only_faults`
-    counts in. Their kinds and params are those of the catalogue."""
+    counts in. Their kinds and params are those of the catalogue.
+    """
     table = _overridden(scenario, nodes, endpoints, rate, length_s)
     pen = Pen(seed)
     return _schedule(table, _world(scenario, table, pen), pen)
--- a/granitewell/lab/scenarios/expand.py
+++ b/granitewell/lab/scenarios/expand.py
@@ -22,10 +22,12 @@
 
 
 def expand(day: Day, faults: Sequence[Fault], keep: Iterable[int] | None = None) -> Day:
-    """The day with all that comes of these faults of the catalogue: its elementary faults by time, its
-    further endpoints, its load. Of faults not in `keep` (places in `faults`; None: all are kept) nothing
-    comes, while targets and figures of the others stay what they are. Nothing begins after the day's
-    length."""
+    """The day with all that comes of these faults of the catalogue.
+
+    Its elementary faults by time, its further endpoints, its load. Of faults not in `keep` (places in
+    `faults`; None: all are kept) nothing comes, while targets and figures of the others stay what they are.
+    Nothing begins after the day's length.
+    """
     plan = _Plan(day)
     for index in sorted(range(len(faults)), key=lambda k: (faults[k].at_us, k)):
         if faults[index].at_us < day.length_us:
--- a/granitewell/lab/scenarios/fleet.py
+++ b/granitewell/lab/scenarios/fleet.py
@@ -19,8 +19,10 @@
 
 
 def endpoint_id(seed: int, label: str) -> str:
-    """The id of the endpoint that a file calls d1, d2, ...: those four digits in front make that ids sort and
-    hash anew on each day, and tell nothing of zone or kind."""
+    """The id of the endpoint that a file calls d1, d2, ....
+
+    Those four digits in front make that ids sort and hash anew on each day, and tell nothing of zone or kind.
+    """
     return f"{blake2b(f'{seed}/{label}'.encode(), digest_size=2).hexdigest()}-{label}"
 
 
@@ -72,8 +74,10 @@
         self._leaves[name], self._ended[name] = at, ends
 
     def back(self, name: str, at: int, until: int) -> int:
-        """It has no process for a span. Returns when it is back; -1: never, where it was to leave by then, or
-        where until is -1."""
+        """It has no process for a span.
+
+        Returns when it is back; -1: never, where it was to leave by then, or where until is -1.
+        """
         if until < 0 or until >= self._leaves.get(name, until + 1):
             self._ended[name] = min(at, self._ended.get(name, at))
             return -1
--- a/granitewell/lab/scenarios/load.py
+++ b/granitewell/lab/scenarios/load.py
@@ -66,8 +66,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Swell:
-    """A factor on the load from a time on, rising over ramp_us and falling as slowly after until_us (-1: it
-    stays). tenant: of whom alone; -1: of all."""
+    """A factor on the load from a time on, rising over ramp_us and falling as slowly after until_us (-1.
+
+    It stays).
+
+    Attributes:
+        tenant: Of whom alone; -1: of all.
+    """
 
     at_us: int
     until_us: int
--- a/granitewell/lab/scenarios/read.py
+++ b/granitewell/lab/scenarios/read.py
@@ -55,9 +55,11 @@
 
 
 def load(path: str | Path) -> Scenario:
-    """The scenario of a file, or of a built-in name. ScenarioError: whatever is wrong with it, or with what
-    it extends."""
-    found = _find(str(path), Path("."))
+    """The scenario of a file, or of a built-in name.
+
+    ScenarioError: whatever is wrong with it, or with what it extends.
+    """
+    found = _find(str(path), Path())
     if found is None:
         like = nearest(str(path), builtin())
         hint = f"; nearest built-in: {like}" if like else f"; built-in: {', '.join(builtin())}"
@@ -95,7 +97,7 @@
     """The label and place of a scenario: a file beside another, or a built-in one."""
     path = beside / name
     if path.is_file():
-        return name if beside == Path(".") else str(path), path
+        return name if beside == Path() else str(path), path
     kept = BUILTIN / f"{name}.toml"
     return (kept.name, kept) if re.fullmatch(r"[\w-]+", name) and kept.is_file() else None
 
@@ -125,8 +127,11 @@
 
 
 def merged(base: Mapping[str, Any], over: Mapping[str, Any]) -> dict[str, Any]:
-    """Tables of one file over those of another: tables key by key, classes, co-operatives and kinds by their
-    names; anything else, the list of faults too, is replaced."""
+    """Tables of one file over those of another.
+
+    Tables key by key, classes, co-operatives and kinds by their names; anything else, the list of faults too,
+    is replaced.
+    """
     out = dict(base)
     if any(k in over for k in _ONE_OF):
         out = {k: v for k, v in out.items() if k not in _ONE_OF}
--- a/granitewell/lab/scenarios/types.py
+++ b/granitewell/lab/scenarios/types.py
@@ -28,8 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Spec:
-    """What one key takes. form: `figure`, `whole`, `word`, `flag` (each may be drawn), `text`, `names` (a
-    list of words), `numbers` (of whole numbers), `steps` (pairs of a time and a factor), `params`."""
+    """What one key takes.
+
+    Attributes:
+        form: `figure`, `whole`, `word`, `flag` (each may be drawn), `text`, `names` (a list of words),
+            `numbers` (of whole numbers), `steps` (pairs of a time and a factor), `params`.
+    """
 
     form: str
     doc: str
--- a/granitewell/lab/sim/hunt.py
+++ b/granitewell/lab/sim/hunt.py
@@ -56,7 +56,11 @@
 
 @dataclass(slots=True)
 class Found:
-    """What came of one seed. failed: empty where all is well, or the rule broken first, `below`, `error`."""
+    """What came of one seed.
+
+    Attributes:
+        failed: Empty where all is well, or the rule broken first, `below`, `error`.
+    """
 
     seed: int
     g: float = 0.0
@@ -92,8 +96,11 @@
 
 
 def _shrunk(case: Case, day: Day, whole: Found) -> Found:
-    """The failing run with the fewest faults: what comes of one entry of the schedule together first, then
-    fault by fault. What fails otherwise than the whole day does not count as failing."""
+    """The failing run with the fewest faults.
+
+    What comes of one entry of the schedule together first, then fault by fault. What fails otherwise than the
+    whole day does not count as failing.
+    """
     found, plays = whole, 1
 
     def fails(only: tuple[int, ...]) -> bool:
@@ -138,8 +145,11 @@
 
 
 def ddmin(items: tuple[int, ...], fails: Callable[[tuple[int, ...]], bool]) -> tuple[int, ...]:
-    """A part of the items that still fails and of which none can be left out alone: ddmin of Zeller and
-    Hildebrandt 2002, "Simplifying and isolating failure-inducing input". All of them are held to fail."""
+    """A part of the items that still fails and of which none can be left out alone.
+
+    Ddmin of Zeller and Hildebrandt 2002, "Simplifying and isolating failure-inducing input". All of them are
+    held to fail.
+    """
     if fails(()):
         return ()
     parts = 2
--- a/granitewell/lab/sim/net.py
+++ b/granitewell/lab/sim/net.py
@@ -54,8 +54,10 @@
         return self._troubled(start, end, us, 1.0) if self._ill else us
 
     def dial(self, node: Place, endpoint: Place, rtts: float) -> int:
-        """From the first byte of a handshake of so many round trips to the far side's last word but one: the
-        time at which the endpoint has the connection. Its answer takes one leg more."""
+        """From the first byte of a handshake of so many round trips to the far side's last word but one.
+
+        The time at which the endpoint has the connection. Its answer takes one leg more.
+        """
         self._turn = k = (self._turn + 1) % FACTORS
         legs = max(2.0 * rtts - 1.0, 1.0)
         us = round((self._same if node.zone == endpoint.zone else self._cross)[k] * legs)
@@ -89,8 +91,10 @@
         self._shift(self._zone_into, self._zone_from, zone, way, on)
 
     def link(self, node: str, endpoint: str, what: str, factor: float, on: bool) -> None:
-        """Trouble on the link of a node to an endpoint (`*`: to all): `delay` by so many us each way,
-        `loss` of a part of the exchanges, `silent`, or `refuse`."""
+        """Trouble on the link of a node to an endpoint (`*`.
+
+        To all): `delay` by so many us each way, `loss` of a part of the exchanges, `silent`, or `refuse`.
+        """
         links = self._links.setdefault(node, [])
         if on:
             links.append((endpoint, what, factor))
--- a/granitewell/lab/sim/play.py
+++ b/granitewell/lab/sim/play.py
@@ -47,8 +47,13 @@
 
 @dataclass(slots=True)
 class Played:
-    """What came of a day. report: the witness's, where it makes one; seconds: of this process's CPU;
-    memory_mb: the most that the process has held so far, of all that it has run."""
+    """What came of a day.
+
+    Attributes:
+        report: The witness's, where it makes one.
+        seconds: Of this process's CPU.
+        memory_mb: The most that the process has held so far, of all that it has run.
+    """
 
     policy: str
     report: dict[str, Any]
@@ -89,8 +94,14 @@
     only: Sequence[int] | None = None,
     invariants: Sequence[Invariant] = (),
 ) -> Played:
-    """Play the day. decider(settings, seed) makes each node's decisions in place of a named policy; only: the
-    faults that befall, by index; invariants are checked after every event (Violation says what failed)."""
+    """Play the day.
+
+    Decider(settings, seed) makes each node's decisions in place of a named policy;
+
+    Args:
+        only: The faults that befall, by index; invariants are checked after every event (Violation says what
+            failed).
+    """
     make = maker(policy) if decider is None else _by(decider)
     world = World(day, make, witness, trace, only)
     begun = time.process_time()
--- a/granitewell/lab/sim/published.py
+++ b/granitewell/lab/sim/published.py
@@ -57,7 +57,8 @@
     """Least request of two random hosts, with Envoy's outlier detection.
 
     Failed connections, resets and time-outs count as 5xx (split_external_local_origin_errors off), so does a
-    host that turns away. The interval's work is done at the first event after its end."""
+    host that turns away. The interval's work is done at the first event after its end.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -150,7 +151,8 @@
     is younger than a probe may get is answered from that report; only to others a real probe goes out, and
     where none may, this node's own counts take its place. Requests in flight are the report's `inflight`, or
     its `queue` and our own attempts there. Latency is estimated as the paper's servers do it, from recent
-    answers by the requests in flight at their arrival, but with what this node has seen itself."""
+    answers by the requests in flight at their arrival, but with what this node has seen itself.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
--- a/granitewell/lab/sim/seat.py
+++ b/granitewell/lab/sim/seat.py
@@ -57,7 +57,11 @@
 
 
 class Seat:
-    """The place of one node. process: None while none runs."""
+    """The place of one node.
+
+    Attributes:
+        process: None while none runs.
+    """
 
     def __init__(self, world: World, spec: NodeDay, index: int) -> None:
         self.name, self.zone, self.spec, self.index = spec.name, spec.zone, spec, index
--- a/granitewell/lab/sim/street.py
+++ b/granitewell/lab/sim/street.py
@@ -29,7 +29,11 @@
 
 
 class Line:
-    """One client connection to one node process. trip: what is asked on it; None: it is idle."""
+    """One client connection to one node process.
+
+    Attributes:
+        trip: What is asked on it; None: it is idle.
+    """
 
     __slots__ = ("done", "id", "idle_us", "node", "open", "read", "trip", "zone")
 
@@ -43,7 +47,11 @@
 
 
 class Trip:
-    """One try on its way. taken: its last byte went to a connection that a node's machine had accepted."""
+    """One try on its way.
+
+    Attributes:
+        taken: Its last byte went to a connection that a node's machine had accepted.
+    """
 
     __slots__ = ("again", "ask", "line", "taken")
 
--- a/granitewell/lab/sim/world.py
+++ b/granitewell/lab/sim/world.py
@@ -35,7 +35,11 @@
 
 
 class World:
-    """One day, ready to be run: `engine.run` makes it pass. only: the faults that befall, by index."""
+    """One day, ready to be run: `engine.run` makes it pass.
+
+    Attributes:
+        only: The faults that befall, by index.
+    """
 
     def __init__(self, day: Day, maker: Maker, witness: Witness | None = None, trace: IO[str] | None = None,
                  only: Sequence[int] | None = None) -> None:  # fmt: skip
@@ -129,8 +133,7 @@
 
     # --- Endpoints --------------------------------------------------------------------------------------
     def start_endpoint(self, site: Site) -> None:
-        """A process starts on that machine; one that is there already stays, one that fell
-        stays down."""
+        """A process starts on that machine; one that is there already stays, one that fell stays down."""
         if site.up or site.model.fallen:
             return
         now, kind = self.engine.now_us, self.day.kinds[site.spec.kind]
@@ -149,8 +152,10 @@
             self.tell(site, "draining")
 
     def close_endpoint(self, site: Site) -> None:
-        """The time of its drain is over: it turns away what comes, and ends when all that it holds has had
-        its time."""
+        """The time of its drain is over.
+
+        It turns away what comes, and ends when all that it holds has had its time.
+        """
         if site.up:
             site.hand(t.Ordered(t.Order.DRAIN))
             longest = max(c.deadline_us for c in self.day.classes)
--- a/granitewell/lab/socks/children.py
+++ b/granitewell/lab/socks/children.py
@@ -39,8 +39,11 @@
 
     def __init__(self, name: str, command: Sequence[str], env: Mapping[str, str], log: Path, on_exit: Exit,
                  on_news: News | None = None, pass_fds: Sequence[int] = ()) -> None:  # fmt: skip
-        """Start it; with on_news it is a stand-in that is told and tells JSON lines. pass_fds: descriptors
-        that it gets under the same numbers. SocksError: it can't be started."""
+        """Start it; with on_news it is a stand-in that is told and tells JSON lines.
+
+        Args:
+            pass_fds: Descriptors that it gets under the same numbers. SocksError: it can't be started.
+        """
         self.name, self.log, self._on_exit, self._on_news = name, log, on_exit, on_news
         self.code: int | None = None
         self._held = bytearray()
--- a/granitewell/lab/socks/clock.py
+++ b/granitewell/lab/socks/clock.py
@@ -64,8 +64,10 @@
         self._arm()
 
     def lateness(self) -> tuple[int, int]:
-        """How late calls came, in microseconds: the 99th percentile and the most. A process that was late had
-        too little of the machine, and what it saw is not the node's doing alone."""
+        """How late calls came, in microseconds: the 99th percentile and the most.
+
+        A process that was late had too little of the machine, and what it saw is not the node's doing alone.
+        """
         total, seen, p99 = sum(self._late), 0, 0
         for step, count in enumerate(self._late):
             if seen < 0.99 * total <= seen + count:
--- a/granitewell/lab/socks/director.py
+++ b/granitewell/lab/socks/director.py
@@ -73,10 +73,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """How a run differs from the usual. program: what is started for a node; clients: whether the day's load
-    is played; port: of all nodes, 0 for any that is free; base: the second number of all addresses; rough:
-    part of the right answers that come oddly; rude: clients that break the protocol; watch: told the day's
-    time now and then; beside: what else stands there."""
+    """How a run differs from the usual.
+
+    Attributes:
+        program: What is started for a node.
+        clients: Whether the day's load is played.
+        port: Of all nodes, 0 for any that is free.
+        base: The second number of all addresses.
+        rough: Part of the right answers that come oddly.
+        rude: Clients that break the protocol.
+        watch: Told the day's time now and then.
+        beside: What else stands there.
+    """
 
     program: tuple[str, ...] = PROGRAM
     clients: bool = True
@@ -131,8 +139,10 @@
 
     # --- The run ------------------------------------------------------------------------------------------
     async def run(self, until: Callable[[Director], Awaitable[None]] | None = None) -> None:
-        """Play the day, or with `until` have everything stand until that is done. SocksError: the machine
-        does not give what is needed, or a process of the lab has failed."""
+        """Play the day, or with `until` have everything stand until that is done.
+
+        SocksError: the machine does not give what is needed, or a process of the lab has failed.
+        """
         try:
             await self._stand_up()
             self._begin()
--- a/granitewell/lab/socks/endpoint_host.py
+++ b/granitewell/lab/socks/endpoint_host.py
@@ -1,5 +1,6 @@
-"""One process that hosts machines of endpoints: `python -m granitewell.lab.socks.endpoint_host PLAN PART
-PARTS`.
+"""One process that hosts machines of endpoints.
+
+`python -m granitewell.lab.socks.endpoint_host PLAN PART PARTS`.
 
 It owns the endpoints of its share (see `plan.share_out`) and carries the director's orders to them. It must
 never decide when anything happens to an endpoint: the director plays the day's faults.
--- a/granitewell/lab/socks/link.py
+++ b/granitewell/lab/socks/link.py
@@ -49,8 +49,10 @@
             self._held.append(data)
 
     def stands(self, refused: bool) -> None:
-        """The model has taken the connection, or has no room. Its word takes a leg back, the first byte that
-        the node then writes a leg here."""
+        """The model has taken the connection, or has no room.
+
+        Its word takes a leg back, the first byte that the node then writes a leg here.
+        """
         self.accepted, self.refused = not refused, refused
         legs = self._machine.leg_us(self.node) + self._machine.leg_us(self.node)
         self._in_us = self._agenda.clock.now() + legs
@@ -60,7 +62,7 @@
 
     def _read(self, data: bytes) -> None:
         if not self.open or not self.wire.open:
-            return
+            return None
         first, busy = self._first_us, self._parser.begun
         try:
             heard = self._parser.feed(data)
--- a/granitewell/lab/socks/machine.py
+++ b/granitewell/lab/socks/machine.py
@@ -29,8 +29,12 @@
 
 @dataclass(slots=True)
 class Surroundings:
-    """What all machines of one process share. notes: offences against the protocol that no rule of the judge
-    knows (a changed request, an id that nobody sent), by kind."""
+    """What all machines of one process share.
+
+    Attributes:
+        notes: Offences against the protocol that no rule of the judge knows (a changed request, an id that
+            nobody sent), by kind.
+    """
 
     day: Day
     agenda: Agenda
@@ -224,7 +228,7 @@
     def _reply(self, effect: t.Reply) -> None:
         link = self._links.get(effect.conn)
         if link is None:
-            return
+            return None
         loss = self._ways[link.node.name].loss
         if loss and self._losses.random() < loss:
             link.say((spoil.Step(0, b"", "reset"),))
--- a/granitewell/lab/socks/plan.py
+++ b/granitewell/lab/socks/plan.py
@@ -82,8 +82,10 @@
 
 
 def share_out(day: Day, parts: int) -> list[list[int]]:
-    """Which endpoints, by their place in the day, each of so many processes hosts. Those that share an
-    address are together."""
+    """Which endpoints, by their place in the day, each of so many processes hosts.
+
+    Those that share an address are together.
+    """
     homes: dict[str, int] = {}
     shares: list[list[int]] = [[] for _ in range(parts)]
     for k, endpoint in enumerate(day.endpoints):
--- a/granitewell/lab/socks/play.py
+++ b/granitewell/lab/socks/play.py
@@ -27,8 +27,11 @@
 
 
 def run(day: Day, out: Path, options: Options, until: Until | None = None) -> Director:
-    """Run a director until the day is over, or `until` is done. SocksError, in one line: the machine does not
-    give what is needed, or a process has failed. KeyboardInterrupt: SIGINT or SIGTERM has come."""
+    """Run a director until the day is over, or `until` is done.
+
+    SocksError, in one line: the machine does not give what is needed, or a process has failed.
+    KeyboardInterrupt: SIGINT or SIGTERM has come.
+    """
     try:
         _clear(out)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -68,7 +71,8 @@
     percentile and most, by stand-in), `cores` (how long each process waited for a core), `busy` (whether the
     figures say more of this machine than of the nodes: such a day is to be played again), `exits` (exit codes
     of nodes that ended unasked), `out`. It is also written to `played.json` there; `seen-*.jsonl`, `day.json`
-    and all logs stay. Errors: as run's."""
+    and all logs stay. Errors: as run's.
+    """
     director = run(day, out, options or Options())
     judge = Judge(day)
     replay(merge(sorted(out.glob(SEEN))), judge)
--- a/granitewell/lab/socks/rude.py
+++ b/granitewell/lab/socks/rude.py
@@ -1,5 +1,6 @@
-"""Clients that break the protocol, beside those of the model: silence, halves, floods, windows that never
-open.
+"""Clients that break the protocol, beside those of the model.
+
+Silence, halves, floods, windows that never open.
 
 It owns what such a client does to a node, over and over, and nothing that is judged: their requests carry
 ids of their own (`speech.RUDE`), which no witness counts. What a node owes is only to live and to serve the
--- a/granitewell/lab/socks/seats.py
+++ b/granitewell/lab/socks/seats.py
@@ -1,5 +1,6 @@
-"""The places of nodes in a run on sockets: their real processes, one after another, and what the day does to
-them.
+"""The places of nodes in a run on sockets.
+
+Their real processes, one after another, and what the day does to them.
 
 It owns configuration files, starts, signals and CPU limits of node processes, and what is witnessed of them.
 It must never tell a node anything but by its configuration, its signals and its discovery agent.
@@ -53,15 +54,23 @@
 
 
 class Seat:
-    """One node. process: None while none runs."""
+    """One node.
+
+    Attributes:
+        process: None while none runs.
+    """
 
     def __init__(
         self, day: Day, place: NodePlace, agent: Agent, agenda: Agenda, children: Children, out: Path,
         witness: Witness, tell: Tell, program: tuple[str, ...],
         more: More | None = None, shared: socket.socket | None = None,
     ) -> None:  # fmt: skip
-        """tell(do=..., name=...): orders for whoever plays the front. shared: the clients' listener, where
-        the platform holds it, so that a second process may start beside the first."""
+        """tell(do=..., name=...): orders for whoever plays the front.
+
+        Args:
+            shared: The clients' listener, where the platform holds it, so that a second process may start
+                beside the first.
+        """
         self.place, self.agent = place, agent
         self._day, self._agenda, self._children, self._out = day, agenda, children, out
         self._witness, self._tell, self._program = witness, tell, program
--- a/granitewell/lab/socks/speech.py
+++ b/granitewell/lab/socks/speech.py
@@ -25,8 +25,10 @@
 
 
 def filler(rid: str, purpose: str) -> bytes:
-    """The body that this request has (`ask`) or is answered with (`answer`): mostly small, seldom the largest
-    that the platform allows."""
+    """The body that this request has (`ask`) or is answered with (`answer`).
+
+    Mostly small, seldom the largest that the platform allows.
+    """
     pick = shake_128(f"size/{purpose}/{rid}".encode()).digest(2)
     size = 32 + pick[0] * 3
     if pick[1] < 4:
--- a/granitewell/lab/socks/standin.py
+++ b/granitewell/lab/socks/standin.py
@@ -109,8 +109,11 @@
 
 
 def main(make: Callable[[Talk], Part]) -> int:
-    """Run a part under the plan that the first argument names; the exit code: 0 in good order, 3 where the
-    machine does not give what is needed, 70 for a fault of the lab's own."""
+    """Run a part under the plan that the first argument names.
+
+    The exit code: 0 in good order, 3 where the machine does not give what is needed, 70 for a fault of the
+    lab's own.
+    """
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the director ends what it began
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
--- a/granitewell/lab/socks/street.py
+++ b/granitewell/lab/socks/street.py
@@ -119,7 +119,7 @@
 
     def _send(self, trip: Trip) -> None:
         if trip.ask.rid not in self._trips:
-            return
+            return None
         name = self._front.pick(self._agenda.clock.now(), trip.ask.zone)
         if name is None:
             return self._later(self._broken, trip)
--- a/granitewell/lab/socks/weather.py
+++ b/granitewell/lab/socks/weather.py
@@ -16,8 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Way:
-    """Between a node (or a client) and the machine that it calls. there, back: whether bytes pass; more_us:
-    on top of each leg; loss: part of the exchanges that end in a reset; refuses: no new connections."""
+    """Between a node (or a client) and the machine that it calls.
+
+    Attributes:
+        there, back: Whether bytes pass.
+        more_us: On top of each leg.
+        loss: Part of the exchanges that end in a reset.
+        refuses: No new connections.
+    """
 
     there: bool = True
     back: bool = True
--- a/granitewell/lab/socks/wire.py
+++ b/granitewell/lab/socks/wire.py
@@ -20,8 +20,11 @@
 
 
 class Wire:
-    """One TCP connection. `on_bytes(data)` gets what comes in; `on_end(reset)` is called once, when the other
-    side has ended its sending (False) or broken the connection (True)."""
+    """One TCP connection.
+
+    `on_bytes(data)` gets what comes in; `on_end(reset)` is called once, when the other side has ended its
+    sending (False) or broken the connection (True).
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self._loop, self.sock = loop, sock
@@ -139,7 +142,8 @@
     """A listening address that can be open, refuse, or stay silent so that connections never come up.
 
     Its port stays bound through all of them, so nobody else can take it: a socket that is bound but does not
-    listen refuses, and one whose backlog of 0 is full lets the kernel drop every further SYN."""
+    listen refuses, and one whose backlog of 0 is full lets the kernel drop every further SYN.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, host: str, port: int, on_conn: Callable[[socket.socket], None]
@@ -208,9 +212,12 @@
 
 
 def _bound(host: str, port: int) -> socket.socket:
-    """A socket bound to this address, or to a free port there. The port is asked for by its number in any
-    case: one that the kernel chose would be given back when the socket stops listening. The probe stays open
-    until then, or somebody else might be given the port in between."""
+    """A socket bound to this address, or to a free port there.
+
+    The port is asked for by its number in any case: one that the kernel chose would be given back when the
+    socket stops listening. The probe stays open until then, or somebody else might be given the port in
+    between.
+    """
     sock, probe = socket.socket(), socket.socket()
     try:
         for each in (probe, sock):
--- a/granitewell/lab/system/callers.py
+++ b/granitewell/lab/system/callers.py
@@ -93,7 +93,12 @@
 
 @dataclass
 class Client:
-    """Sends requests and checks every answer. served: answers by edge; faults: answers that are wrong."""
+    """Sends requests and checks every answer.
+
+    Attributes:
+        served: Answers by edge.
+        faults: Answers that are wrong.
+    """
 
     session: aiohttp.ClientSession
     host: str
--- a/granitewell/lab/system/standins.py
+++ b/granitewell/lab/system/standins.py
@@ -43,7 +43,13 @@
 
 @dataclass
 class ModelServer:
-    """One server. models: held now; sequence: orders taken; runs: how often each request id was run."""
+    """One server.
+
+    Attributes:
+        models: Held now.
+        sequence: Orders taken.
+        runs: How often each request id was run.
+    """
 
     id: str
     service: str
--- a/granitewell/lab/theory.py
+++ b/granitewell/lab/theory.py
@@ -97,8 +97,10 @@
 
     @property
     def moments(self) -> tuple[float, float]:
-        """Variance and third central moment of work / servers - gap. ValueError: Pareto work, whose third may
-        be infinite."""
+        """Variance and third central moment of work / servers - gap.
+
+        ValueError: Pareto work, whose third may be infinite.
+        """
         if self.dist is Dist.PARETO:
             raise ValueError(f"queue {self.name}: found pareto work, allowed any with a third moment")
         share, cv2 = WORK_US / self.servers, self.work_cv**2
@@ -226,8 +228,10 @@
 
 
 def measure(queue: Queue, seed: int) -> Measured:
-    """Drive an endpoint by Poisson arrivals; the first twentieth is left out, as it began empty. ValueError:
-    too few arrivals to make batches of."""
+    """Drive an endpoint by Poisson arrivals; the first twentieth is left out, as it began empty.
+
+    ValueError: too few arrivals to make batches of.
+    """
     if queue.arrivals < BATCHES * 2 * WINDOWS[-1]:
         raise ValueError(f"arrivals: found {queue.arrivals}, allowed from {BATCHES * 2 * WINDOWS[-1]}")
     run = _Run(queue, seed)
@@ -241,9 +245,11 @@
 
 
 def controls(excess: Floats, spread: float, third: float) -> Floats:
-    """For each batch (a row), functions of its draws with expectation 0: `excess` has expectation 0, variance
-    `spread` and a third moment, so its mean over n has the variance spread / n and the third moment
-    third / n^2."""
+    """For each batch (a row), functions of its draws with expectation 0.
+
+    `excess` has expectation 0, variance `spread` and a third moment, so its mean over n has the variance
+    spread / n and the third moment third / n^2.
+    """
     sums = np.cumsum(np.pad(excess, ((0, 0), (1, 0))), axis=1)
     found = [excess.mean(axis=1)]
     for n in WINDOWS:
@@ -255,7 +261,8 @@
 
 def controlled(values: Floats, known: Floats) -> tuple[float, float]:
     """The mean of the batches' values, freed of what their controls (of expectation 0) explain, and half the
-    width of its 95% confidence interval."""
+    width of its 95% confidence interval.
+    """
     freed = values.copy()
     for here, there in ((slice(0, None, 2), slice(1, None, 2)), (slice(1, None, 2), slice(0, None, 2))):
         fitted = np.column_stack([np.ones(len(known[there])), known[there]])
--- a/granitewell/lab/turns.py
+++ b/granitewell/lab/turns.py
@@ -26,7 +26,11 @@
 
 
 class Turns:
-    """Of one loop. longest: seconds, of them own work, and when, since the process began."""
+    """Of one loop.
+
+    Attributes:
+        longest: Seconds, of them own work, and when, since the process began.
+    """
 
     def __init__(self) -> None:
         self.looks = self.long = 0
--- a/granitewell/lab/witness.py
+++ b/granitewell/lab/witness.py
@@ -12,8 +12,11 @@
 
 
 class Witness(Protocol):
-    """Observations of one day. Ids: `rid` a request as sent (each try has its own), `first` the rid of the
-    first try that it belongs to; endpoints and nodes go by name; `inc` counts a name's process starts."""
+    """Observations of one day.
+
+    Ids: `rid` a request as sent (each try has its own), `first` the rid of the first try that it belongs to;
+    endpoints and nodes go by name; `inc` counts a name's process starts.
+    """
 
     def asked(
         self,
@@ -27,23 +30,32 @@
         timeout_us: int,
         rebooks: str = "",
     ) -> None:
-        """A client has decided to send this try (it may not reach any node). rebooks: the first try of a lost
-        booking that this first try makes anew."""
+        """A client has decided to send this try (it may not reach any node).
+
+        Args:
+            rebooks: The first try of a lost booking that this first try makes anew.
+        """
 
     def taken(self, at: int, rid: str, node: str) -> None:
-        """The try's last byte was written to a connection that the node's machine had accepted. Seen once
-        more, with the node of then, where the client sends it again because the first node had closed the
-        connection between requests: from then on it is the other's."""
+        """The try's last byte was written to a connection that the node's machine had accepted.
+
+        Seen once more, with the node of then, where the client sends it again because the first node had
+        closed the connection between requests: from then on it is the other's.
+        """
 
     def answered(
         self, at: int, rid: str, node: str, verdict: str, retry_after_us: int, right_body: bool
     ) -> None:
-        """The client has the last byte of a final answer: `served`, `refused` or `failed`. `right_body`: a
-        served body is, byte for byte, one that an endpoint made for this rid."""
+        """The client has the last byte of a final answer: `served`, `refused` or `failed`.
+
+        `right_body`: a served body is, byte for byte, one that an endpoint made for this rid.
+        """
 
     def left(self, at: int, rid: str) -> None:
         """The client has given this try up and closed its connection; what is not owed by now never will be.
-        One whose time was over has listened on for the rules' slack: an answer until then is `answered`."""
+
+        One whose time was over has listened on for the rules' slack: an answer until then is `answered`.
+        """
 
     def lost(self, at: int, rid: str, node: str, why: str) -> None:
         """The node ended the connection without a whole answer, though it had taken the try."""
@@ -61,8 +73,11 @@
         """An endpoint has begun to work on an attempt (whatever becomes of it); work at speed 1."""
 
     def ended(self, at: int, rid: str, endpoint: str, outcome: str) -> None:
-        """An endpoint is done with an attempt: `ok`, `error`, `full`, `dropped` (its waiting work was
-        cancelled), `stopped` (running work was), `died`, `hung`, `spoilt`."""
+        """An endpoint is done with an attempt.
+
+        `ok`, `error`, `full`, `dropped` (its waiting work was cancelled), `stopped` (running work was),
+        `died`, `hung`, `spoilt`.
+        """
 
     def probed(self, at: int, node: str, endpoint: str) -> None:
         """A probe has arrived."""
@@ -70,8 +85,10 @@
     def endpoint_up(
         self, at: int, endpoint: str, inc: int, zone: int, capacity: float, cold_from: float, cold_us: int
     ) -> None:
-        """A process started, with this warm capacity (work units a microsecond = cores * speed); cold_us 0:
-        it is warm at once."""
+        """A process started, with this warm capacity (work units a microsecond = cores * speed).
+
+        Cold_us 0: it is warm at once.
+        """
 
     def endpoint_down(self, at: int, endpoint: str, why: str) -> None:
         """Its process is gone: `stopped`, `killed`, `fell` (pushed over while cold), `cut`."""
--- a/granitewell/leases/desk.py
+++ b/granitewell/leases/desk.py
@@ -61,7 +61,8 @@
 
     def stored(self, event: Stored) -> Then | None:
         """What may be done now: nothing where the disk has refused, or the vote in question is not the
-        record's any more."""
+        record's any more.
+        """
         record, then = self._asked.pop(event.token, (None, None))
         if record is None:
             return None
--- a/granitewell/leases/grants.py
+++ b/granitewell/leases/grants.py
@@ -26,8 +26,12 @@
         self.follows: tuple[str, int] = ("", -1)
 
     def probe(self, name: str, boot: int, body: Probe, busy: bool) -> bool:
-        """Say what we would do; whether that is to vote for it. busy: we probe ourselves. Of two that probe
-        at once the one with the lower boot, a random number, goes first."""
+        """Say what we would do; whether that is to vote for it.
+
+        Args:
+            busy: We probe ourselves. Of two that probe at once the one with the lower boot, a random number,
+                goes first.
+        """
         seat = self._seat
         why = self._why(Question((name, boot), body.term, body.lease_us, tuple(body.lives)))
         if not why and busy and boot > seat.boot:
--- a/granitewell/leases/lives.py
+++ b/granitewell/leases/lives.py
@@ -14,7 +14,11 @@
 
 
 def life(count: int, bits: float) -> int:
-    """The number of a name's count-th disk. bits: a random number from 0 up to 1."""
+    """The number of a name's count-th disk.
+
+    Args:
+        bits: A random number from 0 up to 1.
+    """
     return count * A_COUNT + int(bits * A_COUNT)
 
 
--- a/granitewell/leases/machine.py
+++ b/granitewell/leases/machine.py
@@ -50,8 +50,12 @@
 
 
 class Leases:
-    """A planner. disk: what the shell has found, by key; an empty one is a new disk. Raises BadRecord where
-    the record can't be read; a shell then stops, and an operator decides whether to go on with a new disk."""
+    """A planner.
+
+    Attributes:
+        disk: What the shell has found, by key; an empty one is a new disk. Raises BadRecord where the record
+            can't be read; a shell then stops, and an operator decides whether to go on with a new disk.
+    """
 
     __slots__ = ("grants", "seat", "standing", "swearing", "twins")
 
--- a/granitewell/leases/oath.py
+++ b/granitewell/leases/oath.py
@@ -32,7 +32,11 @@
 
 
 def blank(settings: Settings, count: int, bits: float) -> Record:
-    """The record of a name's count-th disk. bits: a random number from 0 up to 1."""
+    """The record of a name's count-th disk.
+
+    Args:
+        bits: A random number from 0 up to 1.
+    """
     mine = life(count, bits)
     lives = tuple(mine if name == settings.name else 0 for name in settings.names)
     return Record(settings.epoch, settings.fleet, mine, BLANK, settings.first_term, None, 0, lives)
@@ -49,7 +53,9 @@
 
     def ask(self) -> bool:
         """Ask those who have not answered, or had no vote themselves; whether there is nothing more to ask.
-        What we have decided is on the disk first."""
+
+        What we have decided is on the disk first.
+        """
         seat = self._seat
         if seat.record.sworn != BLANK:
             return seat.write_then(seat.record, Go("sworn")) is not None
@@ -85,8 +91,10 @@
             self._decide()
 
     def _decide(self) -> bool:
-        """With answers enough, write down that we may vote. A first disk waits a while for all of them, since
-        an oath would cost it a longest lease."""
+        """With answers enough, write down that we may vote.
+
+        A first disk waits a while for all of them, since an oath would cost it a longest lease.
+        """
         seat = self._seat
         result = sworn(seat.settings, seat.record, self._answers)
         early = seat.now_us < seat.began_us + FOUNDING_LEASES * seat.settings.lease_us
--- a/granitewell/leases/record.py
+++ b/granitewell/leases/record.py
@@ -18,17 +18,25 @@
 
 
 class BadRecord(ValueError):
-    """A record that can't be read: what is wrong with it, in words. To go on with an empty disk in its place
-    is safe; to go on with an older record is not."""
+    """A record that can't be read: what is wrong with it, in words.
+
+    To go on with an empty disk in its place is safe; to go on with an older record is not.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """epoch, fleet: whose record it is (Settings). life: this disk's number; higher than that of any disk
-    that this name has had. sworn: how it came to its vote: not yet ("blank"), with its first disk
-    ("founded"), or with a later one ("oath"). term: the highest voted in or adopted. voted: the name and boot
-    of whom in that term; None: for nobody, and nobody may be. lease_us: the longest lease that may have been
-    promised with that vote. lives: of all planners, by name."""
+    """epoch, fleet: whose record it is (Settings).
+
+    Attributes:
+        life: This disk's number; higher than that of any disk that this name has had.
+        sworn: How it came to its vote: not yet ("blank"), with its first disk ("founded"), or with a later
+            one ("oath").
+        term: The highest voted in or adopted.
+        voted: The name and boot of whom in that term; None: for nobody, and nobody may be.
+        lease_us: The longest lease that may have been promised with that vote.
+        lives: Of all planners, by name.
+    """
 
     epoch: int
     fleet: int
--- a/granitewell/leases/rounds.py
+++ b/granitewell/leases/rounds.py
@@ -40,8 +40,13 @@
             self._granted[name] = (life, later)
 
     def until(self, lives: dict[str, int]) -> int:
-        """Until when a majority lets us lead, on our own clock; -1 where there is none. We are one of it.
-        lives: of the others; who has a newer disk than it granted with does not count."""
+        """Until when a majority lets us lead, on our own clock; -1 where there is none.
+
+        We are one of it.
+
+        Args:
+            lives: Of the others; who has a newer disk than it granted with does not count.
+        """
         granted = self._granted.items()
         times = sorted((asked for name, (life, asked) in granted if lives[name] == life), reverse=True)
         wanted = self._settings.majority - 1
--- a/granitewell/leases/seat.py
+++ b/granitewell/leases/seat.py
@@ -19,8 +19,13 @@
 
 
 class Seat:
-    """A planner's process. out: the effects of the event at hand. now_us: when that is. promise: the last one
-    given."""
+    """A planner's process.
+
+    Attributes:
+        out: The effects of the event at hand.
+        now_us: When that is.
+        promise: The last one given.
+    """
 
     __slots__ = ("_address", "_refusal_us", "began_us", "boot", "desk", "me", "now_us", "others", "out",
                  "promise", "refused", "rng", "settings", "votes")  # fmt: skip
@@ -52,8 +57,11 @@
         return self.record.lives[self.settings.names.index(name)]
 
     def lives_said(self, record: Record) -> list[int]:
-        """What we tell others of disks. Of our own only once it has a vote: before, it is no more than a
-        claim, and an oath is the one way to make it."""
+        """What we tell others of disks.
+
+        Of our own only once it has a vote: before, it is no more than a claim, and an oath is the one way to
+        make it.
+        """
         return [*record.lives[: self.me], record.life if self.votes else 0, *record.lives[self.me + 1 :]]
 
     def some(self, length_us: int) -> int:
@@ -66,7 +74,9 @@
 
     def write_then(self, record: Record, then: Then) -> Then | None:
         """The same, where nothing has to be written if the disk has it already: `then` may be done at once.
-        Where just this is being written, nothing is to do: whoever asked will ask again."""
+
+        Where just this is being written, nothing is to do: whoever asked will ask again.
+        """
         if record == self.record and self.desk.settled:
             return then
         if record != self.record or not self.desk.waiting:
--- a/granitewell/leases/standing.py
+++ b/granitewell/leases/standing.py
@@ -25,8 +25,12 @@
 
 
 class Standing:
-    """state: see terms. until_us: of the lease, on our own clock; -1 for none. next_us: when `due` is to be
-    called."""
+    """state: see terms.
+
+    Attributes:
+        until_us: Of the lease, on our own clock; -1 for none.
+        next_us: When `due` is to be called.
+    """
 
     __slots__ = ("_denials", "_end_us", "_heard_term", "_probed", "_raise_us", "_rounds", "_seat", "next_us",
                  "state", "until_us")  # fmt: skip
--- a/granitewell/leases/terms.py
+++ b/granitewell/leases/terms.py
@@ -84,7 +84,8 @@
 @dataclass(frozen=True, slots=True)
 class Leads:
     """We lead in this term until then on our own clock, and not a microsecond longer without another of
-    these. The term is the fencing token: no other process ever leads in it."""
+    these. The term is the fencing token: no other process ever leads in it.
+    """
 
     term: int
     until_us: int
@@ -115,11 +116,16 @@
 # --- Settings -------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """planners: names and addresses of all of them, this one included. epoch: raised by the operator on all
-    at once, to begin anew where more disks were lost than the protocol can stand. lease_us: how long a lease
-    is; a longer one means fewer messages, and a longer gap after a holder's death. drift_ppm: the most that
-    any clock runs off real time; 100,000 allows for a time daemon that slews as hard as any does. Raises
-    ValueError naming the field."""
+    """planners: names and addresses of all of them, this one included.
+
+    Attributes:
+        epoch: Raised by the operator on all at once, to begin anew where more disks were lost than the
+            protocol can stand.
+        lease_us: How long a lease is; a longer one means fewer messages, and a longer gap after a holder's
+            death.
+        drift_ppm: The most that any clock runs off real time; 100,000 allows for a time daemon that slews as
+            hard as any does. Raises ValueError naming the field.
+    """
 
     name: str
     planners: tuple[tuple[str, str], ...]
@@ -158,8 +164,10 @@
         return self.epoch * TERMS_AN_EPOCH
 
     def held(self, lease_us: int) -> int:
-        """How long whoever has asked for such a lease may count on it, on its own clock. A reading of a clock
-        is cut to whole microseconds, hence one less."""
+        """How long whoever has asked for such a lease may count on it, on its own clock.
+
+        A reading of a clock is cut to whole microseconds, hence one less.
+        """
         return lease_us * (MILLION - self.drift_ppm) // MILLION - 1
 
     def promised(self, lease_us: int) -> int:
--- a/granitewell/leases/twins.py
+++ b/granitewell/leases/twins.py
@@ -21,7 +21,11 @@
 
 
 class Twins:
-    """next_us: when `due` is to be called. waits_us: until when we wait after our start."""
+    """next_us: when `due` is to be called.
+
+    Attributes:
+        waits_us: Until when we wait after our start.
+    """
 
     __slots__ = ("_answer_us", "_seat", "next_us", "waits_us")
 
@@ -61,6 +65,11 @@
 
 
 def younger(here: Here, theirs: int, boot: int, up_us: int) -> bool:
-    """Whether we are the younger one. theirs, boot: the two boots; up_us: how long we have been up."""
+    """Whether we are the younger one.
+
+    Args:
+        theirs, boot: The two boots.
+        up_us: How long we have been up.
+    """
     ahead = here.up_us - up_us
     return ahead > 0 if abs(ahead) > TIE_US else boot > theirs
--- a/granitewell/leases/voter.py
+++ b/granitewell/leases/voter.py
@@ -25,8 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Not to help another to lead before until_us. to: whom it was given; None: not known, so it holds
-    against everyone."""
+    """Not to help another to lead before until_us.
+
+    Attributes:
+        to: Whom it was given; None: not known, so it holds against everyone.
+    """
 
     to: Who | None
     until_us: int
@@ -38,7 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """What is asked: a vote in a term, or to lead on in one. lives: by name, as who asks knows them."""
+    """What is asked: a vote in a term, or to lead on in one.
+
+    Attributes:
+        lives: By name, as who asks knows them.
+    """
 
     who: Who
     term: int
@@ -47,8 +54,11 @@
 
 
 def verdict(asked: Question, record: Record, promise: Promise, now_us: int, me: int) -> str:
-    """Why not; empty for yes. me: our own place among the planners. Whether we have a vote at all is not
-    asked here."""
+    """Why not; empty for yes.
+
+    Args:
+        me: Our own place among the planners. Whether we have a vote at all is not asked here.
+    """
     if asked.lives[me] != record.life or joined(asked.lives, record.lives) != asked.lives:
         return LIVES
     if asked.term < record.term:
@@ -64,7 +74,9 @@
 
 
 def at_start(record: Record, now_us: int, settings: Settings) -> Promise:
-    """What a process that starts with this record must keep to. Every promise that its disk's former process
-    can still be bound by was given to whom it voted for last: it gave none to another before that one was
-    over, and wrote each new one down before it said it."""
+    """What a process that starts with this record must keep to.
+
+    Every promise that its disk's former process can still be bound by was given to whom it voted for last: it
+    gave none to another before that one was over, and wrote each new one down before it said it.
+    """
     return Promise(record.voted, now_us + settings.promised(max(record.lease_us, settings.lease_us)))
--- a/granitewell/logs.py
+++ b/granitewell/logs.py
@@ -117,7 +117,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """What a line says, before it is text. values: those that the message does not show already."""
+    """What a line says, before it is text.
+
+    Attributes:
+        values: Those that the message does not show already.
+    """
 
     level: str
     logger: str
@@ -260,8 +264,10 @@
 def set_up(
     level: int = logbook.INFO, clock: Clock = time.monotonic, write: Write | None = None
 ) -> LineHandler:
-    """Send all records of this process, those of Python's own logging and its warnings too, to bounded lines;
-    `clock` is steady. The handler, which a test takes away again with `pop_application`."""
+    """Send all records of this process, those of Python's own logging and its warnings too, to bounded lines.
+
+    `clock` is steady. The handler, which a test takes away again with `pop_application`.
+    """
     lines = BoundedLines(clock, write or DescriptorWriter())
     handler = LineHandler(lines, level)
     handler.push_application()
--- a/granitewell/machine.py
+++ b/granitewell/machine.py
@@ -41,8 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """What Store with this token asked for is on the disk, and stays whatever happens; ok False: the disk has
-    refused, and nothing may be believed of it."""
+    """What Store with this token asked for is on the disk, and stays whatever happens.
+
+    Ok False: the disk has refused, and nothing may be believed of it.
+    """
 
     token: int
     ok: bool = True
@@ -50,7 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Say:
-    """Send a message. to: a member's address as the membership or the operator file gives it."""
+    """Send a message.
+
+    Attributes:
+        to: A member's address as the membership or the operator file gives it.
+    """
 
     to: str
     data: bytes
@@ -59,8 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """Write data under a key, whole or not at all; Stored comes once it is durable. Later writes of a key
-    replace earlier ones, in the order of asking."""
+    """Write data under a key, whole or not at all; Stored comes once it is durable.
+
+    Later writes of a key replace earlier ones, in the order of asking.
+    """
 
     key: str
     data: bytes
--- a/granitewell/membership/claims.py
+++ b/granitewell/membership/claims.py
@@ -25,7 +25,11 @@
 
 
 class Claims:
-    """suspicions: of those who are suspected now. history: what has changed, by whose word."""
+    """suspicions: of those who are suspected now.
+
+    Attributes:
+        history: What has changed, by whose word.
+    """
 
     __slots__ = ("_own", "_rounds", "_seat", "_teller", "_turns", "history", "suspicions")
 
@@ -60,8 +64,10 @@
         self._teller = "", ""
 
     def _behind(self, record: Record, claim: Claim) -> None:
-        """Whoever still doubts an incarnation that has been left behind has missed the refutation: the answer
-        carries it."""
+        """Whoever still doubts an incarnation that has been left behind has missed the refutation.
+
+        The answer carries it.
+        """
         gen, birth, inc, state = record.standing
         doubted = claim.state in (State.SUSPECT, State.DEAD) and state is State.ALIVE
         older = (claim.gen, claim.birth) == (gen, birth) and claim.inc < inc
@@ -98,7 +104,11 @@
         return (claim.gen, claim.birth) == record.standing[:2]
 
     def merge(self, claim: Claim, sure: bool = False) -> None:
-        """Take a claim in, as true. sure: a suspicion whose time somebody has waited out."""
+        """Take a claim in, as true.
+
+        Args:
+            sure: A suspicion whose time somebody has waited out.
+        """
         seat, refused = self._seat, self._seat.table.refused
         change = seat.table.merge(claim, seat.now_us)
         if change is not None:
@@ -138,7 +148,8 @@
 
     def _look(self, record: Record) -> None:
         """Somebody else suspects it: some of us, a few in all, ask it next, so that it has the shortest time
-        if nobody reaches it (its time shrinks with each who says so), and a living one hears of it soon."""
+        if nobody reaches it (its time shrinks with each who says so), and a living one hears of it soon.
+        """
         seat = self._seat
         few = len(self.suspicions) <= FEW  # of many at once each would wait for all those before it
         if few and record.by != seat.config.name and seat.rng.random() * seat.members < LOOKERS:
--- a/granitewell/membership/health.py
+++ b/granitewell/membership/health.py
@@ -16,7 +16,11 @@
 
 
 class Health:
-    """score: 0 is well, 8 the worst. on: off keeps it at 0."""
+    """score: 0 is well, 8 the worst.
+
+    Attributes:
+        on: Off keeps it at 0.
+    """
 
     __slots__ = ("_on", "score")
 
--- a/granitewell/membership/history.py
+++ b/granitewell/membership/history.py
@@ -16,8 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """One change. at_us: on the member's own time. teller: who told it ("" for what this process has found
-    itself), by which road; by: who suspects it or calls it dead; standing: as it was from then on."""
+    """One change.
+
+    Attributes:
+        at_us: On the member's own time.
+        teller: Who told it ("" for what this process has found itself), by which road.
+        by: Who suspects it or calls it dead.
+        standing: As it was from then on.
+    """
 
     at_us: int
     teller: str
--- a/granitewell/membership/limits.py
+++ b/granitewell/membership/limits.py
@@ -7,8 +7,13 @@
 
 
 class OwnTime:
-    """The process's time without what it has stood still: a process that was stopped for 3 s has not waited
-    3 s for any answer. least_us: being woken less late than that is no standing still; 0: none ever is."""
+    """The process's time without what it has stood still.
+
+    A process that was stopped for 3 s has not waited 3 s for any answer.
+
+    Attributes:
+        least_us: Being woken less late than that is no standing still; 0: none ever is.
+    """
 
     __slots__ = ("_least_us", "_now_us", "_stood_us", "_wanted_us")
 
--- a/granitewell/membership/machine.py
+++ b/granitewell/membership/machine.py
@@ -58,8 +58,12 @@
 
 
 class Membership:
-    """A member. rng: its own; the birth of the process is drawn from it, so it must differ with each start.
-    Effects besides the shared ones are those of `terms`. Raises nothing on what comes from outside."""
+    """A member.
+
+    Attributes:
+        rng: Its own; the birth of the process is drawn from it, so it must differ with each start. Effects
+            besides the shared ones are those of `terms`. Raises nothing on what comes from outside.
+    """
 
     __slots__ = ("_apart_us", "_before", "_begun", "_claims", "_forget_us", "_gossip_us", "_probes", "_sync",
                  "_time", "_turns", "own", "seat", "stood_us")  # fmt: skip
@@ -108,8 +112,10 @@
         return self.seat.table.member(name)
 
     def everyone(self) -> tuple[Entry, ...]:
-        """All names that are known, up or gone, in order; of one that was dead before we came it is not known
-        what it said of itself."""
+        """All names that are known, up or gone, in order.
+
+        Of one that was dead before we came it is not known what it said of itself.
+        """
         records = self.seat.table.records
         return tuple(
             Entry(r.name, r.standing, r.about, r.by, r.gone_us if r.standing.state in GONE else -1)
@@ -260,7 +266,8 @@
 
     def _missed(self, opened: Opened) -> None:
         """Whoever asks us and still suspects an incarnation that we have left behind has missed what we said
-        since: say it again, so that the answer carries it."""
+        since: say it again, so that the answer carries it.
+        """
         own, claims = self.own, opened.letter.claims
         if self.phase is Phase.IN and claims and isinstance(opened.letter.said, Ping):
             first = claims[0]
@@ -268,8 +275,11 @@
                 own.say()
 
     def _compare(self, opened: Opened) -> tuple[bool, bool]:
-        """What has to do with comparing tables: whether its claims may be believed though we don't know the
-        sender, and whether the comparison is over."""
+        """What has to do with comparing tables.
+
+        Whether its claims may be believed though we don't know the sender, and whether the comparison is
+        over.
+        """
         said, sync = opened.letter.said, self._sync
         if isinstance(said, Hello):
             sync.hello_heard(opened, said)
@@ -300,9 +310,11 @@
             self._probes.relay(opened, said)
 
     def _differs(self, opened: Opened, seen: int) -> None:
-        """Whoever has missed a piece of news differs from all others, and finds out here: for news is told so
-        often and no more, and the next comparison may be far. While news is on its way all differ for a
-        moment: once is no reason to ask."""
+        """Whoever has missed a piece of news differs from all others, and finds out here.
+
+        For news is told so often and no more, and the next comparison may be far. While news is on its way
+        all differ for a moment: once is no reason to ask.
+        """
         seat = self.seat
         if self.phase is not Phase.IN or not opened.known or not seen:
             return
@@ -315,7 +327,6 @@
             self._sync.soon(opened.address)
 
     def _again(self, opened: Opened, before: Member | None) -> None:
-        """Somebody we took for dead talks to us: we were cut off from each other, and have much to
-        compare."""
+        """Somebody we took for dead talks to us: we were cut off from each other, and have much to compare."""
         if before is not None and before.state is State.DEAD and self.alive(opened.sender):
             self._sync.soon(opened.address)
--- a/granitewell/membership/own.py
+++ b/granitewell/membership/own.py
@@ -121,8 +121,7 @@
 
     # --- Hearing ----------------------------------------------------------------------------------------
     def look(self) -> None:
-        """What is known of our name has changed: refute it, take the name back, or find that it is
-        another's."""
+        """What is known of our name has changed: refute it, take the name back, or find that it is another's."""
         record = self.record
         if record is None or record.standing == self.standing and record.about in (None, self._about):
             return
@@ -140,8 +139,10 @@
             self.enter()
 
     def compared(self) -> None:
-        """We have another's whole table, or wait for none any more: while we join, that says whether our name
-        is free."""
+        """We have another's whole table, or wait for none any more.
+
+        While we join, that says whether our name is free.
+        """
         if self.phase is not Phase.JOINING:
             return
         record = self.record
--- a/granitewell/membership/probes.py
+++ b/granitewell/membership/probes.py
@@ -34,7 +34,13 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Under way. steps: still to come. helpers: asked first, who owe a nack; asked: all."""
+    """Under way.
+
+    Attributes:
+        steps: Still to come.
+        helpers: Asked first, who owe a nack.
+        asked: All.
+    """
 
     number: int
     member: Member
@@ -47,7 +53,13 @@
 
 @dataclass(slots=True)
 class Errand:
-    """A ping for somebody else. pings: still to put; nack_us: -1 once it is said."""
+    """A ping for somebody else.
+
+    Pings: still to put;
+
+    Attributes:
+        nack_us: -1 once it is said.
+    """
 
     origin: str
     address: str
@@ -112,7 +124,8 @@
 
     def start(self) -> None:
         """We are a member: begin somewhere in the period, so that members who start together do not ask
-        together."""
+        together.
+        """
         seat = self._seat
         self._next_us = seat.now_us + seat.some(seat.figures.probe_us)
         self._revive_us = seat.now_us + seat.some(seat.figures.revive_us)
@@ -216,8 +229,11 @@
             probe.nacked.append(sender)
 
     def _revive(self, now: int) -> None:
-        """Ask one of the dead: we may have been cut off from it. It hears with the ping that it is dead, and
-        refutes that; a process that has begun there since hears no ping for the one before it."""
+        """Ask one of the dead: we may have been cut off from it.
+
+        It hears with the ping that it is dead, and refutes that; a process that has begun there since hears
+        no ping for the one before it.
+        """
         seat = self._seat
         self._revive_us = now + seat.figures.revive_us
         for name in seat.table.dead.draw(seat.rng, 1, (seat.config.name,)):
--- a/granitewell/membership/seat.py
+++ b/granitewell/membership/seat.py
@@ -36,8 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """A letter that has passed. address: where to answer. known: the sender is the life of that name that we
-    know."""
+    """A letter that has passed.
+
+    Attributes:
+        address: Where to answer.
+        known: The sender is the life of that name that we know.
+    """
 
     sender: str
     address: str
@@ -124,8 +128,11 @@
         self.send(member.about.address, member.birth, said, member.name, road)
 
     def send(self, address: str, to: int, said: Said, name: str = "", road: Road = Road.DATAGRAM) -> None:
-        """A letter to a process at an address. What we hold against whoever gets it goes first, so that it
-        can refute it (Lifeguard's buddy system); the rest of the room is for other news."""
+        """A letter to a process at an address.
+
+        What we hold against whoever gets it goes first, so that it can refute it (Lifeguard's buddy system);
+        the rest of the room is for other news.
+        """
         letter = self._letter(to, said)
         body = gossip.write(letter)
         room = gossip.room(body, self.config.name)
--- a/granitewell/membership/spread.py
+++ b/granitewell/membership/spread.py
@@ -14,7 +14,12 @@
 
 
 class Spread:
-    """The queue. factor: lambda; longest: claims that it holds."""
+    """The queue.
+
+    Attributes:
+        factor: Lambda.
+        longest: Claims that it holds.
+    """
 
     __slots__ = ("_by_sent", "_factor", "_longest", "_where")
 
@@ -45,7 +50,11 @@
             del self._by_sent[sent][name]
 
     def pick(self, room: int, members: int, but: str = "") -> list[bytes]:
-        """Claims for one message of that room, which count as sent. but: a name that is not picked."""
+        """Claims for one message of that room, which count as sent.
+
+        Args:
+            but: A name that is not picked.
+        """
         chosen = self._choose(room, but)
         most = self.most(members)
         for sent, name, packed in reversed(chosen):  # the newest last, as it was
--- a/granitewell/membership/suspicion.py
+++ b/granitewell/membership/suspicion.py
@@ -19,8 +19,11 @@
 
 
 def scale(members: int) -> float:
-    """By how much figures grow with the members: two thirds of log10, 1 at least. SWIM's whole log10 is the
-    time in which gossip alone gets round; here whoever differs finds out by the next probe, too."""
+    """By how much figures grow with the members: two thirds of log10, 1 at least.
+
+    SWIM's whole log10 is the time in which gossip alone gets round; here whoever differs finds out by the
+    next probe, too.
+    """
     return max(log10(max(members, 1)) * 2.0 / 3.0, 1.0)
 
 
@@ -37,8 +40,14 @@
 
 @dataclass(slots=True)
 class Doubt:
-    """One suspect. by: who suspects it, each once. calls: last calls still to make. sure: somebody has waited
-    its time out. next_us: the next call, or the end."""
+    """One suspect.
+
+    Attributes:
+        by: Who suspects it, each once.
+        calls: Last calls still to make.
+        sure: Somebody has waited its time out.
+        next_us: The next call, or the end.
+    """
 
     standing: Standing
     begun_us: int
@@ -76,8 +85,7 @@
     def doubt(
         self, name: str, standing: Standing, by: str, members: int, now_us: int, sure: bool = False
     ) -> bool:
-        """Somebody suspects it, or says that it is dead (sure): whether that is news that shortens its
-        time."""
+        """Somebody suspects it, or says that it is dead (sure): whether that is news that shortens its time."""
         figures, doubt = self._figures, self._doubts.get(name)
         if doubt is None or doubt.standing != standing:
             doubt = self._doubts[name] = Doubt(standing, now_us, 0, [by], figures.calls, sure)
--- a/granitewell/membership/sync.py
+++ b/granitewell/membership/sync.py
@@ -31,7 +31,11 @@
 
 @dataclass(slots=True)
 class Asked:
-    """A hello of ours. name, birth: of whoever has answered."""
+    """A hello of ours.
+
+    Attributes:
+        name, birth: Of whoever has answered.
+    """
 
     address: str
     end_us: int
@@ -41,7 +45,11 @@
 
 @dataclass(slots=True)
 class Guest:
-    """Whoever has said hello. address: where to answer."""
+    """Whoever has said hello.
+
+    Attributes:
+        address: Where to answer.
+    """
 
     name: str
     birth: int
@@ -76,13 +84,15 @@
         self.due_us = due if self.due_us < 0 else min(due, self.due_us)
 
     def entered(self) -> None:
-        """We are a member, which nobody knows yet: compare at once, and again after ever longer pauses. Where
-        many start together most letters come from members whom the hearer does not know yet, and are lost."""
+        """We are a member, which nobody knows yet: compare at once, and again after ever longer pauses.
+
+        Where many start together most letters come from members whom the hearer does not know yet, and are
+        lost.
+        """
         self._pause_us, self.due_us = SOON_US, self._seat.now_us
 
     def stirred(self) -> None:
-        """Somebody is lost to us: it may be we who are, so compare soon, and again after ever longer
-        pauses."""
+        """Somebody is lost to us: it may be we who are, so compare soon, and again after ever longer pauses."""
         if self._pause_us > SOON_US:
             self._pause_us = SOON_US
             self.within(SOON_US)
@@ -103,8 +113,11 @@
             self.hello(address)
 
     def _whom(self, seeds_first: bool) -> str:
-        """A seed in turn while we know nobody; else a random member, and now and then a seed that is none:
-        it may belong to a part of the installation that has lost us, and forgotten that it did."""
+        """A seed in turn while we know nobody.
+
+        Else a random member, and now and then a seed that is none: it may belong to a part of the
+        installation that has lost us, and forgotten that it did.
+        """
         seat = self._seat
         seeds = [s for s in seat.config.seeds if s != seat.config.address]
         self._count += 1
--- a/granitewell/membership/table.py
+++ b/granitewell/membership/table.py
@@ -1,5 +1,6 @@
-"""All that is known of members: one record a name, merged from claims; who is up, who is dead, and a digest
-of each part of it.
+"""All that is known of members: one record a name, merged from claims.
+
+Who is up, who is dead, and a digest of each part of it.
 
 It owns the records and their bounds. It must never say anything, ask for time, or know which name is its
 own. What is merged is the maximum of the claims that were heard (states.merged), so their order and number do
@@ -63,9 +64,14 @@
 
 @dataclass(slots=True)
 class Record:
-    """A name. about: the newest that its life says of itself, at the incarnation about_inc; None where it has
-    not been heard. by: who was the first to suspect it or call it dead. window, bucket: of letters heard from
-    this life."""
+    """A name.
+
+    Attributes:
+        about: The newest that its life says of itself, at the incarnation about_inc; None where it has not
+            been heard.
+        by: Who was the first to suspect it or call it dead.
+        window, bucket: Of letters heard from this life.
+    """
 
     name: str
     part: int  # of the table
@@ -83,7 +89,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What a claim has changed. before, now: as it is shown; None where it is not known well enough."""
+    """What a claim has changed.
+
+    Attributes:
+        before, now: As it is shown; None where it is not known well enough.
+    """
 
     record: Record
     before: Member | None
@@ -138,8 +148,11 @@
         return Change(record, before, record.member, stands)
 
     def _says(self, record: Record, claim: Claim) -> bool:
-        """Whether what it says of itself is newer than what we have. Two different things at one incarnation
-        are said by nobody honest; then the greater counts, so that all agree."""
+        """Whether what it says of itself is newer than what we have.
+
+        Two different things at one incarnation are said by nobody honest; then the greater counts, so that
+        all agree.
+        """
         if claim.about is None or (claim.gen, claim.birth) < record.standing[:2]:
             return False
         if record.about is None or (claim.gen, claim.birth) > record.standing[:2]:
--- a/granitewell/membership/terms.py
+++ b/granitewell/membership/terms.py
@@ -32,8 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A name as the table has it. about: None where it was gone before we came; by: who was the first to
-    suspect it or call it dead; gone_us: since when it is dead or has left, -1 for up."""
+    """A name as the table has it.
+
+    Attributes:
+        about: None where it was gone before we came.
+        by: Who was the first to suspect it or call it dead.
+        gone_us: Since when it is dead or has left, -1 for up.
+    """
 
     name: str
     standing: Standing
@@ -45,8 +50,10 @@
 # --- Events ---------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The process is about to end: tell the others, so that none suspects it. Moved(OUT) says when that is
-    done."""
+    """The process is about to end: tell the others, so that none suspects it.
+
+    Moved(OUT) says when that is done.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,8 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Forget:
-    """An operator says that the process of this name is gone for good: as if it had said so itself. Taken of
-    the dead alone; one that lives all the same refutes it."""
+    """An operator says that the process of this name is gone for good: as if it had said so itself.
+
+    Taken of the dead alone; one that lives all the same refutes it.
+    """
 
     name: str
 
@@ -123,8 +132,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Twin:
-    """Another living process goes by our name, at that address: an operator has to look. holds: the name is
-    ours, and the other waits; else it is the other way round."""
+    """Another living process goes by our name, at that address: an operator has to look.
+
+    Attributes:
+        holds: The name is ours, and the other waits; else it is the other way round.
+    """
 
     birth: int
     address: str
@@ -150,7 +162,8 @@
     both can be off for comparison. most: members, and as many of the dead. per_sender, in_all, raw: letters a
     second from one member, from all (strangers together a quarter of it), and frames before they are
     verified; twice that at once. syncs: tables
-    compared a second on others' asking."""
+    compared a second on others' asking.
+    """
 
     probe_us: int = 1_000_000
     timeout_us: int = 500_000
@@ -199,9 +212,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Former:
-    """The process that had the name before, as it was written down. gen, birth, inc: of its last claim; seq:
-    above every number that it has used. goes_on: it has handed its life over, to this process and to no
-    other, and uses it no more; else it is over, and the next life begins above it."""
+    """The process that had the name before, as it was written down.
+
+    Attributes:
+        gen, birth, inc: Of its last claim.
+        seq: Above every number that it has used.
+        goes_on: It has handed its life over, to this process and to no other, and uses it no more; else it is
+            over, and the next life begins above it.
+    """
 
     gen: int
     birth: int
@@ -212,8 +230,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One process. name and address: as others are to know it. seeds: addresses, its own may be among them.
-    former: who had the name, None where that is not known. Raises ValueError naming the field."""
+    """One process.
+
+    Attributes:
+        name and address: As others are to know it.
+        seeds: Addresses, its own may be among them.
+        former: Who had the name, None where that is not known. Raises ValueError naming the field.
+    """
 
     name: str
     address: str
--- a/granitewell/model/configuration.py
+++ b/granitewell/model/configuration.py
@@ -148,7 +148,12 @@
 
 @dataclass(frozen=True)
 class Model(StrictFields):
-    """A model of an engine. weights_mb: its weights; adapters: how many it has, named a1, a2 and so on."""
+    """A model of an engine.
+
+    Attributes:
+        weights_mb: Its weights.
+        adapters: How many it has, named a1, a2 and so on.
+    """
 
     name: str
     weights_mb: float = field(default=0.0, metadata=field_options(alias="weights-mb"))
@@ -159,8 +164,12 @@
 
 @dataclass(frozen=True)
 class Engine(StrictFields):
-    """What the servers of a service that runs models have. weights_mb: a server's memory for weights and
-    adapters together; loads_per_s: from the weight store, over all servers."""
+    """What the servers of a service that runs models have.
+
+    Attributes:
+        weights_mb: A server's memory for weights and adapters together.
+        loads_per_s: From the weight store, over all servers.
+    """
 
     slots: int = 1
     models: tuple[Model, ...] = field(default=(), metadata=field_options(deserialize=_list_of(Model)))
@@ -173,7 +182,11 @@
 
 @dataclass(frozen=True)
 class Service(StrictFields):
-    """A service that requests are sent to. engine: None where it runs no models."""
+    """A service that requests are sent to.
+
+    Attributes:
+        engine: None where it runs no models.
+    """
 
     name: str
     health_path: str = field(default="/healthz", metadata=field_options(alias="health-path"))
--- a/granitewell/model/errors.py
+++ b/granitewell/model/errors.py
@@ -8,7 +8,11 @@
 
 
 class InvalidField(GranitewellError):
-    """Input from outside that can't be taken. field: a path such as `routes[3].timeout-ms`."""
+    """Input from outside that can't be taken.
+
+    Attributes:
+        field: A path such as `routes[3].timeout-ms`.
+    """
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}")
--- a/granitewell/model/servers.py
+++ b/granitewell/model/servers.py
@@ -16,7 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldModel:
-    """A model that a server holds, loaded and ready. adapters: of it, loaded too."""
+    """A model that a server holds, loaded and ready.
+
+    Attributes:
+        adapters: Of it, loaded too.
+    """
 
     name: str
     adapters: frozenset[str] = frozenset()
@@ -33,8 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One server. address: `host:port`. slots: requests at once. leaves_in_ms: time left when this was
-    listed, -1 for no end in sight. models: by name, what requests may be sent for."""
+    """One server.
+
+    Attributes:
+        address: `host:port`.
+        slots: Requests at once.
+        leaves_in_ms: Time left when this was listed, -1 for no end in sight.
+        models: By name, what requests may be sent for.
+    """
 
     id: str
     service: str
@@ -62,8 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """What one edge saw of a model since its last report. requests: arrived; waiting: held now because no
-    server has it; in_flight: being run now; priority: of the most urgent waiting request, 0 first."""
+    """What one edge saw of a model since its last report.
+
+    Attributes:
+        requests: Arrived.
+        waiting: Held now because no server has it.
+        in_flight: Being run now.
+        priority: Of the most urgent waiting request, 0 first.
+    """
 
     service: str
     ref: ModelRef
--- a/granitewell/model/settings.py
+++ b/granitewell/model/settings.py
@@ -83,7 +83,11 @@
 
 @dataclass(frozen=True)
 class Platform(SettingsFields):
-    """Where the platform's list of servers is. rate_per_s: calls a second from all nodes together."""
+    """Where the platform's list of servers is.
+
+    Attributes:
+        rate_per_s: Calls a second from all nodes together.
+    """
 
     address: str
     rate_per_s: float = field(default=10.0, metadata=field_options(alias="rate-per-s"))
--- a/granitewell/net/bodies.py
+++ b/granitewell/net/bodies.py
@@ -60,8 +60,11 @@
     waits: Waits,
     let_go: Callable[[], None],
 ) -> None:
-    """Write a request's body as it comes. Ends quietly where the endpoint takes no more: whoever reads the
-    answer there sees how that ends, and `flow.sent` whether the last byte was written."""
+    """Write a request's body as it comes.
+
+    Ends quietly where the endpoint takes no more: whoever reads the answer there sees how that ends, and
+    `flow.sent` whether the last byte was written.
+    """
     chunked, gone = flow.length is None, False
     try:
         while True:
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -95,8 +95,10 @@
     """The member that this process is, waits to be, or was."""
 
     def __init__(self, node: Node, settings: ClusterSettings, counts: Figures | None = None) -> None:
-        """counts: what the nodes count together, None for nothing. OSError: the address can't be had, or the
-        keys can't be read."""
+        """counts: what the nodes count together, None for nothing.
+
+        OSError: the address can't be had, or the keys can't be read.
+        """
         if settings.keys is None:
             raise OSError(f"cluster.keys: {settings.keys_why}")
         self._node, self._settings, self._keys = node, settings, settings.keys
@@ -179,8 +181,10 @@
         self._book.then(lambda: self._join(machine, settings, keys))
 
     def _join(self, machine: Membership, settings: ClusterSettings, keys: Keys) -> None:
-        """Its life is written down: be a member from now on, if this process is still to be one. The files
-        may have been read again meanwhile."""
+        """Its life is written down: be a member from now on, if this process is still to be one.
+
+        The files may have been read again meanwhile.
+        """
         if self.turn is not Turn.HELD or self.machine is not None:
             return
         self.machine = machine
@@ -241,8 +245,10 @@
         self._loop.call_later(ASIDE_S, self._back)
 
     def _back(self) -> None:
-        """Has the other process taken the place, or does it still live to do so? Else take it back, to
-        leave."""
+        """Has the other process taken the place, or does it still live to do so?
+
+        Else take it back, to leave.
+        """
         if self.turn is not Turn.ASIDE or self._kept.held:
             return
         if self._others():
@@ -332,8 +338,11 @@
             node.door.cluster = self
 
     def say(self, topic: str, line: str) -> None:
-        """A line of the log. Members come and go several at a time, and each of those lines is wanted: some
-        of a topic are written at once, further ones as often as those of other topics."""
+        """A line of the log.
+
+        Members come and go several at a time, and each of those lines is wanted: some of a topic are written
+        at once, further ones as often as those of other topics.
+        """
         bucket = self._lines.setdefault(topic, Bucket(LINES, self._clock.now()))
         if bucket.take(self._clock.now()):
             self._node.log.write(self._clock.now(), topic, line, always=True)
@@ -589,8 +598,7 @@
 
 
 def _folder(name: str) -> str:
-    """Where there is no lasting one: outlives a process in an upgrade, if the platform gives such a
-    folder."""
+    """Where there is no lasting one: outlives a process in an upgrade, if the platform gives such a folder."""
     temporary = os.environ.get("TMPDIR", "")
     return os.path.join(temporary, f"granitewell-member-{name}") if temporary else ""
 
--- a/granitewell/net/discovery.py
+++ b/granitewell/net/discovery.py
@@ -26,8 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Patience:
-    """How long calls to discovery may take. watch_ms: that it may hold a watch; spare_s: beyond that; list_s:
-    for the whole list; backoff_s: least and most between two failed calls."""
+    """How long calls to discovery may take.
+
+    Attributes:
+        watch_ms: That it may hold a watch.
+        spare_s: Beyond that.
+        list_s: For the whole list.
+        backoff_s: Least and most between two failed calls.
+    """
 
     watch_ms: int
     spare_s: float
@@ -123,8 +129,11 @@
                 end(sock)
 
     def _told(self, body: bytes, after: int | None) -> int | None:
-        """Pass on what an answer says, if it says anything; the revision to watch from, None where the whole
-        list has to be asked for. A whole list that is the last one, byte for byte, costs nothing."""
+        """Pass on what an answer says, if it says anything.
+
+        The revision to watch from, None where the whole list has to be asked for. A whole list that is the
+        last one, byte for byte, costs nothing.
+        """
         if after is None and body == self._whole and self._revision >= 0:
             self.heard_us = self._clock.now()
             return self._revision
--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -54,8 +54,10 @@
 
 
 def gather(parts: Parts | deque[bytes | bytearray], data: bytes) -> None:
-    """Put it behind these parts. Small ones go together: a body in chunks of two bytes would be twenty times
-    as large as an object each."""
+    """Put it behind these parts.
+
+    Small ones go together: a body in chunks of two bytes would be twenty times as large as an object each.
+    """
     if parts and isinstance(parts[-1], bytearray) and len(parts[-1]) < LEAST_PART:
         parts[-1] += data
     else:
@@ -63,8 +65,11 @@
 
 
 class Flow:
-    """A body over 64 KiB, passed on as it comes. Up to that size what has come is kept, so that a call that
-    never ran may be followed by another; from then on a part is let go once it has been taken."""
+    """A body over 64 KiB, passed on as it comes.
+
+    Up to that size what has come is kept, so that a call that never ran may be followed by another; from then
+    on a part is let go once it has been taken.
+    """
 
     __slots__ = ("came", "done", "inbound", "length", "let_go", "owner", "parts", "sent", "taken", "unread")
 
@@ -171,8 +176,11 @@
 
 
 class Names:
-    """The deployment's names as they stand in headers, by index. `take` has other settings count at once for
-    all connections; what they name no more counts until `forget`, as clients change over later."""
+    """The deployment's names as they stand in headers, by index.
+
+    `take` has other settings count at once for all connections; what they name no more counts until `forget`,
+    as clients change over later.
+    """
 
     def __init__(self, config: Config) -> None:
         self._before: dict[bytes, tuple[int, bytes]] = {}  # by class: its index and the method it is asked by
@@ -423,8 +431,11 @@
 
 
 class ResponseParser:
-    """One answer on one connection. What comes is gathered up to `most` bytes; `take` hands out what is there
-    and begins anew, for one that is passed on as it comes."""
+    """One answer on one connection.
+
+    What comes is gathered up to `most` bytes; `take` hands out what is there and begins anew, for one that is
+    passed on as it comes.
+    """
 
     def __init__(self, most: int = MOST_KEPT) -> None:
         self._parser = httptools.HttpResponseParser(self)
@@ -568,8 +579,13 @@
 
 
 class FleetReader:
-    """Discovery's JSON to the core's members. Names not in the settings get stable indices behind theirs.
-    ours: a moment of Unix time on the core's clock, as the two stand now."""
+    """Discovery's JSON to the core's members.
+
+    Names not in the settings get stable indices behind theirs.
+
+    Attributes:
+        ours: A moment of Unix time on the core's clock, as the two stand now.
+    """
 
     def __init__(self, config: Config, ours: Callable[[int], int]) -> None:
         self._zones: dict[str, int] = {}
@@ -610,9 +626,11 @@
         return revision, FleetNews(form, members)
 
     def _started(self, eid: bytes, up_ms: float, starts: dict[bytes, tuple[float, int]]) -> int:
-        """On the core's clock; 0 stays 0. Reckoned once for each start: a value that moves with the clocks
-        would read as a restart, and one offset for the whole run would make each start after a step of the
-        wall clock look colder or warmer than it is."""
+        """On the core's clock; 0 stays 0. Reckoned once for each start.
+
+        A value that moves with the clocks would read as a restart, and one offset for the whole run would
+        make each start after a step of the wall clock look colder or warmer than it is.
+        """
         known = self._starts.get(eid)
         if known is None or known[0] != up_ms:
             known = up_ms, max(self._ours(int(up_ms * 1000)), 1) if up_ms > 0 else 0
@@ -635,8 +653,7 @@
 
 
 def _place(places: dict[str, int], name: str) -> int:
-    """The index of a name; those beyond all bounds share one, as memory must not grow with names ever
-    heard."""
+    """The index of a name; those beyond all bounds share one, as memory must not grow with names ever heard."""
     if name not in places and len(places) >= MOST_PLACES:
         return MOST_PLACES
     return places.setdefault(name, len(places))
--- a/granitewell/net/inbounds.py
+++ b/granitewell/net/inbounds.py
@@ -52,8 +52,10 @@
 
 @dataclass(slots=True)
 class Limits:
-    """Connections that a process may have: of both sides together, and of each. Either side takes what the
-    other leaves, up to its own bound."""
+    """Connections that a process may have: of both sides together, and of each.
+
+    Either side takes what the other leaves, up to its own bound.
+    """
 
     most: int
     inbound: int
@@ -85,8 +87,12 @@
 
 
 class Inbounds:
-    """All of a node. held: by number; listener: None before it stands, and once the node has been asked to
-    stop."""
+    """All of a node.
+
+    Attributes:
+        held: By number.
+        listener: None before it stands, and once the node has been asked to stop.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, clock: Clock, pool: Pool, names: http1.Names, budget: Budget,
@@ -94,8 +100,11 @@
         spawn: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]], ready: Callable[[], bool], *,
         shared: bool,
     ) -> None:  # fmt: skip
-        """ready: what a client that asks for it is told. shared: the platform holds the listener, so that
-        another process may accept from it."""
+        """ready: what a client that asks for it is told.
+
+        Args:
+            shared: The platform holds the listener, so that another process may accept from it.
+        """
         self._loop, self._clock, self._pool, self._names = loop, clock, pool, names
         self._budget, self._limits, self._shared = budget, limits, shared
         self.say, self._dispatch, self._spawn, self._ready = say, dispatch, spawn, ready
@@ -113,8 +122,11 @@
             self.accepting = self._spawn(self.accept(self.listener))
 
     async def close(self, by_us: int) -> None:
-        """Take nobody any more, and end all of them: the process goes. Answers have until by_us to get out;
-        what a client has written by now is read and gets one, as a close over unread bytes would reset it."""
+        """Take nobody any more, and end all of them: the process goes.
+
+        Answers have until by_us to get out; what a client has written by now is read and gets one, as a close
+        over unread bytes would reset it.
+        """
         if self.accepting is not None:
             self.accepting.cancel()
         soon_us = self._clock.fresh() + PARTING_US
@@ -146,8 +158,11 @@
                 await asyncio.sleep(0.02)
 
     def _accept_more(self, listener: socket.socket) -> None:
-        """Take what else stands in the backlog. One connection a turn of the loop is too few where clients
-        open many and turns get long: requests would wait unseen in the kernel until their clients leave."""
+        """Take what else stands in the backlog.
+
+        One connection a turn of the loop is too few where clients open many and turns get long: requests
+        would wait unseen in the kernel until their clients leave.
+        """
         for _ in range(MOST_ACCEPTED):
             if not self.room(self._limits.inbound, len(self.held)):
                 return
@@ -173,7 +188,8 @@
     def evict(self) -> bool:
         """Make room for a client: close an inbound that has said nothing, has been idle longest or has sent
         but half a request, or an idle connection to an endpoint where those have more than their own part.
-        False if there is none."""
+        False if there is none.
+        """
         now = self._clock.now()
         free = [i for i in self.held.values() if not i.busy]
         for inbound in sorted(free, key=lambda i: (not i.fresh or i.parser.partial, i.at_us)):
@@ -205,8 +221,11 @@
                 self.part(inbound)
 
     def _release(self, listener: socket.socket) -> None:
-        """Close the listener, or leave a shared one to the others. It must be out of the loop's poll before:
-        a pending accept holds it open, and goes on taking connections."""
+        """Close the listener, or leave a shared one to the others.
+
+        It must be out of the loop's poll before: a pending accept holds it open, and goes on taking
+        connections.
+        """
         if self.accepting is None:
             listener.close()
             return
@@ -216,13 +235,21 @@
 
     # --- Patience ---------------------------------------------------------------------------------------
     def sweep(self, now: int, many: bool, guarded: Callable[[Callable[[], None]], bool]) -> None:
-        """Look at each, and end the one over which the look breaks. many: descriptors are short."""
+        """Look at each, and end the one over which the look breaks.
+
+        Args:
+            many: Descriptors are short.
+        """
         for inbound in list(self.held.values()):
             if not guarded(lambda: self.tend(inbound, now, many)):  # noqa: B023 (called at once)
                 self.drop(inbound)
 
     def tend(self, inbound: Inbound, now: int, many: bool) -> None:
-        """Is it time for this one to end? many: descriptors are short."""
+        """Is it time for this one to end?
+
+        Args:
+            many: Descriptors are short.
+        """
         waited = now - inbound.at_us
         patience = SHORT_IDLE_US if many and inbound.answered == 1 else IDLE_US
         if inbound.closing and waited >= LINGER_US:
@@ -246,8 +273,11 @@
             self.part(inbound)
 
     def waits(self, number: int) -> bool:
-        """Does this inbound's client still wait? The kernel is asked: what tells of its leaving may stand
-        behind bytes that are not read yet. One that has left is dropped."""
+        """Does this inbound's client still wait?
+
+        The kernel is asked: what tells of its leaving may stand behind bytes that are not read yet. One that
+        has left is dropped.
+        """
         inbound = self.held.get(number)
         if inbound is not None and has_left(inbound.sock):
             self.drop(inbound)
@@ -374,8 +404,10 @@
             self.reply(inbound, http1.answer_bytes(effect, close), close)
 
     def finished(self, effect: c.Finish) -> None:
-        """An answer that was passed on as it came has ended. One that is not whole ends with its connection,
-        by which its client can tell."""
+        """An answer that was passed on as it came has ended.
+
+        One that is not whole ends with its connection, by which its client can tell.
+        """
         inbound = self.held.get(effect.inbound)
         if inbound is None:
             return
@@ -417,7 +449,8 @@
     def part(self, inbound: Inbound) -> None:
         """End it from this side: half-closed first, since closing with bytes unread, or before bytes that are
         on their way, would reset the last answer away. What still comes is taken and goes nowhere: its client
-        sees an end without an answer, and asks on another connection."""
+        sees an end without an answer, and asks on another connection.
+        """
         inbound.closing = True
         inbound.at_us = self._clock.now()
         if inbound.flow is not None:
@@ -427,8 +460,10 @@
             inbound.sock.shutdown(socket.SHUT_WR)
 
     def drop(self, inbound: Inbound) -> None:
-        """End a client's connection, and whatever its reading task waits for: a body that nobody takes any
-        more gets no room."""
+        """End a client's connection, and whatever its reading task waits for.
+
+        A body that nobody takes any more gets no room.
+        """
         if self.held.pop(inbound.id, None) is not None:
             self._uncount(inbound)
             end(inbound.sock)
@@ -440,8 +475,10 @@
             self._dispatch(c.InboundGone(inbound.id))
 
     def cut(self, inbound: Inbound) -> None:
-        """Reset a client's connection: an answer whose end is that of its connection would look whole. The
-        read that is pending holds the socket open, so that it has to end first."""
+        """Reset a client's connection: an answer whose end is that of its connection would look whole.
+
+        The read that is pending holds the socket open, so that it has to end first.
+        """
         if self.held.pop(inbound.id, None) is None:
             return
         self._uncount(inbound)
@@ -461,8 +498,10 @@
 
 
 def trickles(inbound: Inbound, flow: http1.Flow, now_us: int) -> bool:
-    """Does a client keep its large body from ever coming whole? What its endpoint did not take does not
-    count against it."""
+    """Does a client keep its large body from ever coming whole?
+
+    What its endpoint did not take does not count against it.
+    """
     had_us = now_us - inbound.head_us - inbound.stood_us - FLOW_STILL_US
     return now_us - inbound.heard_us >= FLOW_STILL_US or flow.came < had_us * FLOW_PER_S / 1e6
 
@@ -483,9 +522,12 @@
 
 
 def is_idle(inbound: Inbound, now_us: int, fresh_us: int = FIRST_REQUEST_US) -> bool:
-    """Nothing is owed there, and nothing has come in that could be a request: neither bytes still with the
-    kernel, nor bytes that the loop took from it a turn before the reading task goes on. A new connection is
-    not idle for so long: its first request is on the way, and only between requests may a node close."""
+    """Nothing is owed there, and nothing has come in that could be a request.
+
+    Neither bytes still with the kernel, nor bytes that the loop took from it a turn before the reading task
+    goes on. A new connection is not idle for so long: its first request is on the way, and only between
+    requests may a node close.
+    """
     if inbound.fresh and now_us - inbound.at_us < fresh_us:
         return False
     if inbound.busy or inbound.parser.partial or inbound.buffer[0]:
--- a/granitewell/net/listener.py
+++ b/granitewell/net/listener.py
@@ -39,9 +39,12 @@
 
 
 def start_debt(cpu_s: float, age_s: float, cores: float) -> float:
-    """Seconds until the CPU that starting took is within what a limit under one core gives. A node that is
-    ready before is stopped by that limit while its first requests wait, past the slack of their answers. The
-    limit is kept over stretches of time, so a young process is stopped although its mean is within it."""
+    """Seconds until the CPU that starting took is within what a limit under one core gives.
+
+    A node that is ready before is stopped by that limit while its first requests wait, past the slack of
+    their answers. The limit is kept over stretches of time, so a young process is stopped although its mean
+    is within it.
+    """
     return min(max(cpu_s / cores, LEAST_AGE_S) - age_s, MOST_DEBT_S) if cores < 1.0 else 0.0  # under 0: none
 
 
--- a/granitewell/net/logs.py
+++ b/granitewell/net/logs.py
@@ -69,8 +69,10 @@
 def as_json(
     name: str, now_us: int, unix_us: int, topic: str, line: str, left_out: int, fields: Mapping[str, str]
 ) -> bytes:
-    """The form for programs: one object (RFC 8259) with its end, of `MOST_BYTES` at most; the text is what
-    gives way, and `cut` says so. The time is RFC 3339 in UTC."""
+    """The form for programs: one object (RFC 8259) with its end, of `MOST_BYTES` at most.
+
+    The text is what gives way, and `cut` says so. The time is RFC 3339 in UTC.
+    """
     made: dict[str, Any] = dict(fields) if fields_bytes(fields) <= MOST_FIELDS else {}
     made |= {  # the fields came first, so that they can take the place of nothing
         "time": rfc3339(unix_us),
@@ -103,8 +105,10 @@
 
 
 def figures(line: str) -> dict[str, int | float]:
-    """The figures of a line that holds nothing else (`held=3 mean=0.25`); none where a word is no figure, so
-    that bytes of a client within a sentence never turn into one."""
+    """The figures of a line that holds nothing else (`held=3 mean=0.25`).
+
+    None where a word is no figure, so that bytes of a client within a sentence never turn into one.
+    """
     found = [re.fullmatch(_FIGURE, word) for word in line.split()]
     if not all(found):
         return {}
@@ -142,8 +146,10 @@
         self._ready.register(self._descriptor, select.POLLOUT)
 
     def write(self, now_us: int, topic: str, line: str, always: bool = False) -> None:
-        """Write the line unless its topic is muted, it comes too fast, or nobody reads. `always`: however
-        fast, as the answer to something that was asked of the node."""
+        """Write the line unless its topic is muted, it comes too fast, or nobody reads.
+
+        `always`: however fast, as the answer to something that was asked of the node.
+        """
         if topic in self._mute:
             return
         every_us = self._rates_us.get(topic, self._every_us)
--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -1,5 +1,6 @@
-"""Runs the core's effects on real sockets: outbound calls and their pool, the watch on discovery, the timers
-and the log; clients are inbounds'.
+"""Runs the core's effects on real sockets.
+
+Outbound calls and their pool, the watch on discovery, the timers and the log; clients are inbounds'.
 
 It owns every task of the process, the descriptors of its calls, and the budget of both. It must never change
 the state of a request by itself (it reports events and does what the core's effects say), resend anything, or
@@ -98,9 +99,11 @@
         self.door: Door | None = None  # the status, where an operator file asks for it
 
     def _divide(self, sockets: int) -> None:
-        """So many descriptors are this process's. Each side has a part that is its own: a third for
-        endpoints; for clients what the usual ones can hold, a third too, with room for new ones. Either takes
-        what the other leaves."""
+        """So many descriptors are this process's.
+
+        Each side has a part that is its own: a third for endpoints; for clients what the usual ones can hold,
+        a third too, with room for new ones. Either takes what the other leaves.
+        """
         self._mine = sockets
         most = self._most_of(sockets)
         self.limits.most, self.limits.inbound = most, most - most // 3
@@ -137,8 +140,11 @@
         await self.clients.close(self._core.leave_by_us)
 
     async def _fleet(self) -> None:
-        """The first list. What discovery has counts as told from this process's first moment, so the one in
-        the configuration, which may be old, is for where discovery does not answer."""
+        """The first list.
+
+        What discovery has counts as told from this process's first moment, so the one in the configuration,
+        which may be old, is for where discovery does not answer.
+        """
         self._watch()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_S):
@@ -155,8 +161,11 @@
         self.discovery.at(self._config.discovery, ASKED if self._config.settings.must_ask else PUSHED)
 
     def _unheard(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """What a callback of the loop has raised. Its own handler writes to standard error and waits for
-        whoever reads that: with nobody there, for good."""
+        """What a callback of the loop has raised.
+
+        Its own handler writes to standard error and waits for whoever reads that: with nobody there, for
+        good.
+        """
         error = context.get("exception")
         self.say("fault", f"{context.get('message')}: {type(error).__name__}: {error}")
 
@@ -176,8 +185,10 @@
         return self._core.phase
 
     def _look(self) -> None:
-        """What has changed in the hand-over folder: bans called at a process beside this one, and whether
-        there is one."""
+        """What has changed in the hand-over folder.
+
+        Bans called at a process beside this one, and whether there is one.
+        """
         if self._handover is None:
             return
         if self._others:  # what they say changes, and one that is killed leaves the folder as it is
@@ -192,9 +203,12 @@
         self._beside(self._handover.others())
 
     def _beside(self, others: list[int]) -> None:
-        """Divide the descriptors with the processes beside this one. The elder leaves a part to the next from
-        its start on, and all that it does not hold once it is to stop; the next takes what the elder says it
-        leaves. So only one of them ever takes more, and both together keep to the limit."""
+        """Divide the descriptors with the processes beside this one.
+
+        The elder leaves a part to the next from its start on, and all that it does not hold once it is to
+        stop; the next takes what the elder says it leaves. So only one of them ever takes more, and both
+        together keep to the limit.
+        """
         assert self._handover is not None
         if len(others) != len(self._others):
             self.say("handover", f"{len(others)} further processes of this node run")
@@ -232,8 +246,11 @@
                     self.console.unkept = wrong
 
     def reload(self, config: Config) -> None:
-        """The configuration has been replaced: its settings count from now on, and discovery is asked for the
-        whole list at the address that it names now, at once. Connections, requests and the list stay."""
+        """The configuration has been replaced.
+
+        Its settings count from now on, and discovery is asked for the whole list at the address that it names
+        now, at once. Connections, requests and the list stay.
+        """
         wait = needs_restart(self._config, config)
         old, self._config = self._config, taken_up(self._config, follow(self._config, config))
         if old.raw.get("settings") != self._config.raw.get("settings"):
@@ -298,7 +315,8 @@
 
     def _undone(self, effect: c.Effects) -> None:
         """An effect broke: a call ends as one that never began, and a client that would wait for good for its
-        answer hears the end of its connection."""
+        answer hears the end of its connection.
+        """
         if isinstance(effect, c.StartCall):
             self._calls.pop(effect.call, None)
             self.dispatch(c.CallEnded(effect.call, Outcome.UNCONNECTED))
@@ -355,8 +373,11 @@
             self._left.set()
 
     def _sweep(self) -> None:
-        """Close what has been idle, slow or unread for too long. What breaks over one of them must not keep
-        the others from being looked at, ten times a second and for good."""
+        """Close what has been idle, slow or unread for too long.
+
+        What breaks over one of them must not keep the others from being looked at, ten times a second and for
+        good.
+        """
         self._loop.call_later(SWEEP_S if not self._others else SWEEP_S / 4, self._sweep)
         self._guarded(self._look)
         now = self.clock.now()
@@ -466,8 +487,11 @@
         return self._spawn(pump(self._loop, conn.sock, flow, waits, lambda: self.dispatch(c.LetGo(inbound))))
 
     async def _rest(self, conn: Conn, parser: http1.ResponseParser, n: int) -> bool:
-        """What is still missing of an answer that has begun, as far as that is gathered: True once it is
-        whole, False where it is to be passed on as it comes. OSError or ValueError if it never gets whole."""
+        """What is still missing of an answer that has begun, as far as that is gathered.
+
+        True once it is whole, False where it is to be passed on as it comes. OSError or ValueError if it
+        never gets whole.
+        """
         began_us = self.clock.now()
         while n:
             if parser.large or (parser.flows and parser.endless and self._held_long(began_us)):
@@ -484,8 +508,10 @@
         return self.clock.now() - began_us >= HOLD_S * 1e6
 
     async def _pour(self, number: int, conn: Conn, parser: http1.ResponseParser) -> bool:
-        """Pass an answer on as it comes; whether the connection can be used again. The core says whose it is,
-        and ends this task where nobody waits for it any more."""
+        """Pass an answer on as it comes; whether the connection can be used again.
+
+        The core says whose it is, and ends this task where nobody waits for it any more.
+        """
         head = parser.head()
         parser.pour()
         self.dispatch(c.CallBegan(number, head, http1.report(parser, self._names.reports)))
--- a/granitewell/net/notebook.py
+++ b/granitewell/net/notebook.py
@@ -35,8 +35,10 @@
         return self._since_us >= 0
 
     def write(self, data: bytes) -> None:
-        """Put that in the file's place as soon as the write that is under way is done; of several that wait
-        only the last is written."""
+        """Put that in the file's place as soon as the write that is under way is done.
+
+        Of several that wait only the last is written.
+        """
         self._next = data
         self._go()
 
--- a/granitewell/net/peers.py
+++ b/granitewell/net/peers.py
@@ -57,7 +57,11 @@
 
 
 class Queue:
-    """What is to be written to one address. conn: None while there is none."""
+    """What is to be written to one address.
+
+    Attributes:
+        conn: None while there is none.
+    """
 
     __slots__ = ("address", "back_us", "bytes", "conn", "dialing", "frames", "not_before_us", "used_us",
                  "waits_us", "writing")  # fmt: skip
@@ -96,7 +100,11 @@
 
 
 class Roads:
-    """All roads of one node. counts: what was said, heard and dropped, by kind."""
+    """All roads of one node.
+
+    Attributes:
+        counts: What was said, heard and dropped, by kind.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, clock: Clock, hear: Hear, say: Say_, spawn: Spawn, most: int,
@@ -434,8 +442,10 @@
 
 
 def parsed(text: str) -> tuple[str, int] | None:
-    """Host and port of an address that a node has announced, None where it is none: what comes here was said
-    by others."""
+    """Host and port of an address that a node has announced, None where it is none.
+
+    What comes here was said by others.
+    """
     try:
         return address_of(text)
     except ValueError:
--- a/granitewell/net/pool.py
+++ b/granitewell/net/pool.py
@@ -20,7 +20,11 @@
 
 
 class Conn:
-    """One connection to an endpoint; it carries one call at a time. fit_us: from when on it may be lent."""
+    """One connection to an endpoint; it carries one call at a time.
+
+    Attributes:
+        fit_us: From when on it may be lent.
+    """
 
     __slots__ = ("address", "buffer", "endpoint", "fit_us", "idle_us", "sock")
 
@@ -80,7 +84,11 @@
         return None
 
     def put(self, conn: Conn, answered: bool = True) -> None:
-        """Nothing is out on it any more. answered: an answer has come on it, behind which more may."""
+        """Nothing is out on it any more.
+
+        Args:
+            answered: An answer has come on it, behind which more may.
+        """
         conn.idle_us = self._clock.now()
         conn.fit_us = conn.idle_us + REST_US if answered else 0
         self.idle.setdefault(conn.endpoint, []).append(conn)
--- a/granitewell/net/shared.py
+++ b/granitewell/net/shared.py
@@ -2,7 +2,8 @@
 
 It owns the timer, and in which words a subject hears of requests and of members. It must never judge a count,
 and costs a request no more than a note in a table. Letters go over the cluster's roads: by datagram, sealed
-as all are. A process counts from its start; it speaks while it is the member."""
+as all are. A process counts from its start; it speaks while it is the member.
+"""
 
 from __future__ import annotations
 
@@ -60,8 +61,10 @@
             self._timer = None
 
     def members(self, places: Mapping[str, str], out: Container[str], unnamed: int) -> None:
-        """All who may act, by name, with the address of those that are up; who does no more; and how many may
-        that nobody has named."""
+        """All who may act, by name, with the address of those that are up.
+
+        Who does no more; and how many may that nobody has named.
+        """
         peers = {name: Peer(at, bool(at), name in out) for name, at in places.items()}
         self._tell(Peers(peers, unnamed))
 
--- a/granitewell/net/status.py
+++ b/granitewell/net/status.py
@@ -105,8 +105,10 @@
         self._accepting = self._node._spawn(self._accept(sock))
 
     def close(self) -> None:
-        """Take no more connections, and take the path away if it is still this node's own. Those that are
-        held end by themselves."""
+        """Take no more connections, and take the path away if it is still this node's own.
+
+        Those that are held end by themselves.
+        """
         if self._again is not None:
             self._again.cancel()
             self._again = None
@@ -184,7 +186,8 @@
     # --- Answers ----------------------------------------------------------------------------------------
     async def _answer(self, asked: wire.Asked) -> bytes:
         """A whole answer: of the look that the node rests of, in a form that there is or can still be made,
-        or of a new one."""
+        or of a new one.
+        """
         if asked.path in wire.CLUSTER:
             return wire.of_cluster(asked, self.cluster, self._bound is not None)
         async with self._lane:
@@ -221,7 +224,8 @@
 
     def _rest(self) -> None:
         """For a multiple of what the last look and its forms have taken, and so short that who has to wait
-        for it has half of its time left."""
+        for it has half of its time left.
+        """
         most_us = min(MOST_REST_US, self._settings.seconds * 500_000)
         self._rest_us = self._done_us + int(min(self._cost_us * REST, most_us))
 
@@ -269,8 +273,11 @@
 
 
 def bind_path(sock: socket.socket, path: str) -> None:
-    """Bind to a path that only this user may connect to. What stands there goes if it is a socket of this
-    user's at which nobody listens; OSError says what it is otherwise."""
+    """Bind to a path that only this user may connect to.
+
+    What stands there goes if it is a socket of this user's at which nobody listens; OSError says what it is
+    otherwise.
+    """
     try:
         _bind(sock, path)
     except OSError:
--- a/granitewell/nodes/control_messages.py
+++ b/granitewell/nodes/control_messages.py
@@ -29,7 +29,11 @@
 
 
 class ControlMessages:
-    """Handlers by method. processes: of other control nodes, as they make themselves known."""
+    """Handlers by method.
+
+    Attributes:
+        processes: Of other control nodes, as they make themselves known.
+    """
 
     def __init__(
         self,
--- a/granitewell/nodes/control_nodes.py
+++ b/granitewell/nodes/control_nodes.py
@@ -9,8 +9,10 @@
 
 
 class ControlNodes:
-    """Which control node this edge asks: those of its own zone can't be told apart, so by rendezvous, and the
-    next one after a failure."""
+    """Which control node this edge asks.
+
+    Those of its own zone can't be told apart, so by rendezvous, and the next one after a failure.
+    """
 
     def __init__(self, name: str) -> None:
         self._name = name
--- a/granitewell/nodes/control_watch.py
+++ b/granitewell/nodes/control_watch.py
@@ -158,7 +158,9 @@
 
     def take_own_list(self, instances: Sequence[ListedInstance]) -> None:
         """This edge has read the platform's list itself: servers that drain or are gone are used no more.
-        What the control plane tells next counts again."""
+
+        What the control plane tells next counts again.
+        """
         listed = {one.id: one for one in instances}
         now = self._clock()
         self._use_listed(instances)
@@ -202,8 +204,10 @@
 
 
 class OwnList:
-    """Reads the platform's list itself while the control plane's is old, for what must not wait: servers that
-    drain or are gone."""
+    """Reads the platform's list itself while the control plane's is old, for what must not wait.
+
+    Servers that drain or are gone.
+    """
 
     def __init__(self, settings: Settings, watch: ControlWatch, plane: DataPlane, rng: Random) -> None:
         self._settings = settings
--- a/granitewell/nodes/shard_keeper.py
+++ b/granitewell/nodes/shard_keeper.py
@@ -16,7 +16,11 @@
 
 
 class ShardKeeper:
-    """Owns or follows the shards. owned: those that this node owns now."""
+    """Owns or follows the shards.
+
+    Attributes:
+        owned: Those that this node owns now.
+    """
 
     def __init__(
         self,
--- a/granitewell/nodes/shards.py
+++ b/granitewell/nodes/shards.py
@@ -39,8 +39,14 @@
 
 @dataclass(frozen=True)
 class ShardServices:
-    """What a node gives to each shard that it owns. settings: those in force now; processes: of the other
-    control nodes; session: for calls to servers; changed: a table has news."""
+    """What a node gives to each shard that it owns.
+
+    Attributes:
+        settings: Those in force now.
+        processes: Of the other control nodes.
+        session: For calls to servers.
+        changed: A table has news.
+    """
 
     settings: Callable[[], Settings]
     claimant: Claimant
--- a/granitewell/operator/cluster.py
+++ b/granitewell/operator/cluster.py
@@ -43,8 +43,10 @@
 
 
 class ClusterTable(Table, frozen=True, kw_only=True):
-    """How this node and the others of the fleet know each other (docs/operate/cluster.md); without `name` it
-    knows nobody, and nothing is bound or said."""
+    """How this node and the others of the fleet know each other (docs/operate/cluster.md).
+
+    Without `name` it knows nobody, and nothing is bound or said.
+    """
 
     name: Annotated[str, Meta(
         max_length=63, description="The member's name, the same after a restart, unlike any other's.",
@@ -91,8 +93,7 @@
     )] = PLAIN.unheard_s  # fmt: skip
 
     def settings(self) -> ClusterSettings:
-        """The same for the node, which knows nothing of this file, with the keys as they are on the disk
-        now."""
+        """The same for the node, which knows nothing of this file, with the keys as they are on the disk now."""
         keys, why = None, ""
         if self.name:
             try:
@@ -105,8 +106,10 @@
         )  # fmt: skip
 
     def check(self) -> Iterator[Problem]:
-        """Names, addresses, role and zone are words of their kind; with `name` there are `bind` and `keys`,
-        and the keys can be read, by their owner alone."""
+        """Names, addresses, role and zone are words of their kind.
+
+        With `name` there are `bind` and `keys`, and the keys can be read, by their owner alone.
+        """
         if not self.name:
             if self != type(self)():
                 yield Problem(("name",), "nothing", "this node is in no fleet", note=True)
@@ -139,8 +142,11 @@
 
 
 def read_keys(path: str) -> Keys:
-    """The keys in that file. ValueError in words that show none of them: it is missing, others may read it,
-    it belongs to another user, or what it holds is not one or two keys."""
+    """The keys in that file.
+
+    ValueError in words that show none of them: it is missing, others may read it, it belongs to another user,
+    or what it holds is not one or two keys.
+    """
     if not path:
         raise ValueError(f"found nothing, allowed: {ALLOWED_KEYS}")
     try:
--- a/granitewell/operator/counts.py
+++ b/granitewell/operator/counts.py
@@ -22,7 +22,8 @@
 class CountsTable(Table, frozen=True, kw_only=True):
     """What all nodes of the fleet together have taken of each tenant, in a window that slides, with bounds
     that are sure (docs/operate/shared-state.md); without `window_s`, or without a `[cluster]`, nothing is
-    counted."""
+    counted.
+    """
 
     window_s: Annotated[float, Meta(
         ge=0.0, le=3600.0, description="Length of the window; 0 counts nothing.", extra={"restart": True},
--- a/granitewell/operator/load.py
+++ b/granitewell/operator/load.py
@@ -70,7 +70,8 @@
 @dataclass(frozen=True, slots=True)
 class Plan(Generic[T]):
     """What a reload comes to: what is held from now on, which fields of it are new (`now`), which differ in
-    the file and wait for a restart (`waits`), and the problems for which all stays as it was."""
+    the file and wait for a restart (`waits`), and the problems for which all stays as it was.
+    """
 
     held: T
     now: tuple[str, ...] = ()
@@ -107,8 +108,11 @@
 
 
 def _mixed(held: Table, new: Table) -> tuple[Table, list[str], list[str]]:
-    """One table with what can be taken now, and the names of what was and of what waits. Where the mixture of
-    new fields and held ones would be wrong though each file is right, the whole table waits."""
+    """One table with what can be taken now, and the names of what was and of what waits.
+
+    Where the mixture of new fields and held ones would be wrong though each file is right, the whole table
+    waits.
+    """
     differ = [f for f in type_of(type(new)).fields if getattr(held, f.name) != getattr(new, f.name)]
     waits = [f.encode_name for f in differ if extra(f.type).get("restart")]
     fresh = {f.name: getattr(new, f.name) for f in differ if f.encode_name not in waits}
--- a/granitewell/operator/log.py
+++ b/granitewell/operator/log.py
@@ -69,8 +69,10 @@
         )  # fmt: skip
 
     def check(self) -> Iterator[Problem]:
-        """`mute` and `rates` name topics that there are; `fields` take no name of the line's own, and 1024
-        bytes at most as JSON."""
+        """`mute` and `rates` name topics that there are.
+
+        `fields` take no name of the line's own, and 1024 bytes at most as JSON.
+        """
         for k, topic in enumerate(self.mute):
             yield from _topic(("mute", k), topic)
             if topic in KEPT:
--- a/granitewell/operator/table.py
+++ b/granitewell/operator/table.py
@@ -29,8 +29,10 @@
 
 
 def examine(data: Mapping[str, Any], kind: type[T]) -> tuple[T | None, list[Problem]]:
-    """An object of the kind, or None, and all that is wrong or worth a note. The checks between fields run on
-    each top table whose fields are right, whatever the other tables hold."""
+    """An object of the kind, or None, and all that is wrong or worth a note.
+
+    The checks between fields run on each top table whose fields are right, whatever the other tables hold.
+    """
     walk = Walk()
     clean = walk.value(dict(data), type_of(kind), ())
     problems = walk.problems
--- a/granitewell/protocols/peers/counts.py
+++ b/granitewell/protocols/peers/counts.py
@@ -46,8 +46,11 @@
     rename={"number": "n", "of": "w", "but": "x", "birth": "b", "slices": "s", "slots": "v"},
 ):
     """Tell what you have used; or what you hold of another node, `of`, other than of its process `but`.
-    birth: of the process whose slices are known whole below `slices`, and its slots up to the version
-    `slots`; 0 where nothing is known."""
+
+    Attributes:
+        birth: Of the process whose slices are known whole below `slices`, and its slots up to the version
+            `slots`; 0 where nothing is known.
+    """
 
     number: Number
     of: Annotated[str, msgspec.Meta(max_length=63)] = ""
@@ -63,10 +66,15 @@
             "upto": "e", "new": "k", "slices": "s", "open": "o",
             "of": "w", "ago_least_us": "x", "ago_most_us": "y"},
 ):  # fmt: skip
-    """The answer. up_us: how long the process had run when its use was known, which is now, or, of another
-    node (`of`), between ago_least_us and ago_most_us before this was written. new: slots that have changed
-    since the version `since`, `slots` the one up to which they are told. slices: of `first` (the oldest that
-    is told of) up to `upto`, which is not whole yet if `open`; one without use is left out."""
+    """The answer.
+
+    Attributes:
+        up_us: How long the process had run when its use was known, which is now, or, of another node (`of`),
+            between ago_least_us and ago_most_us before this was written.
+        new: Slots that have changed since the version `since`, `slots` the one up to which they are told.
+        slices: Of `first` (the oldest that is told of) up to `upto`, which is not whole yet if `open`; one
+            without use is left out.
+    """
 
     number: Number
     life: Number
--- a/granitewell/protocols/peers/frames.py
+++ b/granitewell/protocols/peers/frames.py
@@ -78,8 +78,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """What was sealed by a holder of the key. sender: the name that it gives itself; any holder of the key
-    can give any name. key: the id of the key that sealed it."""
+    """What was sealed by a holder of the key.
+
+    Attributes:
+        sender: The name that it gives itself; any holder of the key can give any name.
+        key: The id of the key that sealed it.
+    """
 
     kind: int
     sender: str
@@ -90,7 +94,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Bytes that are no frame for us. versions: those that this node reads, where that is the reason."""
+    """Bytes that are no frame for us.
+
+    Attributes:
+        versions: Those that this node reads, where that is the reason.
+    """
 
     why: Why
     text: str
@@ -176,15 +184,16 @@
 
 
 def refusal(keys: Keys, sender: str, versions: Sequence[int] = VERSIONS) -> bytes:
-    """The answer to a version that is not known: a frame of the first version that names ours, a byte
-    each."""
+    """The answer to a version that is not known: a frame of the first version that names ours, a byte each."""
     return seal(Kind.REFUSAL, bytes(versions), keys, sender, version=1)
 
 
 class Splitter:
-    """Cuts a stream into frames. It holds at most one frame that is not whole, `limit` bytes of it; after
-    bytes that can't be a frame it takes nothing more, since where the next one starts can't be known: the
-    stream is then to be closed."""
+    """Cuts a stream into frames.
+
+    It holds at most one frame that is not whole, `limit` bytes of it; after bytes that can't be a frame it
+    takes nothing more, since where the next one starts can't be known: the stream is then to be closed.
+    """
 
     __slots__ = ("_held", "_limit", "_refused", "_versions")
 
--- a/granitewell/protocols/peers/gossip.py
+++ b/granitewell/protocols/peers/gossip.py
@@ -44,7 +44,12 @@
 
 
 class About(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """What a member says of itself. versions: of the wire, that it reads. payload: the subject's own."""
+    """What a member says of itself.
+
+    Attributes:
+        versions: Of the wire, that it reads.
+        payload: The subject's own.
+    """
 
     role: Role
     address: Address
@@ -56,7 +61,8 @@
 class Claim(msgspec.Struct, frozen=True, array_like=True):
     """What is said of a member: the process `birth`, which is the gen-th life of that name, is in that state
     at that incarnation. age_s: of dead and left, since when. by: who suspects it or calls it dead. about:
-    with alive alone, from the member itself. Fields are sent by place: later versions add at the end."""
+    with alive alone, from the member itself. Fields are sent by place: later versions add at the end.
+    """
 
     name: Named
     gen: Gen
@@ -69,14 +75,22 @@
 
 
 class Ping(Body, frozen=True, tag="ping"):
-    """Are you there? seen: a digest of those whom the asker has as up, 0 where it does not say."""
+    """Are you there?
+
+    Attributes:
+        seen: A digest of those whom the asker has as up, 0 where it does not say.
+    """
 
     number: Count
     seen: Count = 0
 
 
 class Ack(Body, frozen=True, tag="ack"):
-    """Yes; or, from a helper: it is. seen: as in a ping."""
+    """Yes; or, from a helper: it is.
+
+    Attributes:
+        seen: As in a ping.
+    """
 
     number: Count
     seen: Count = 0
@@ -102,15 +116,21 @@
 
 
 class Hello(Body, frozen=True, tag="hello"):
-    """Let us compare tables; answer to that address. Nothing of it is believed, since it may be an old
-    one."""
+    """Let us compare tables; answer to that address.
+
+    Nothing of it is believed, since it may be an old one.
+    """
 
     number: Count
     address: Address
 
 
 class Welcome(Body, frozen=True, tag="welcome"):
-    """The answer. token: shows, when it comes back, that it is not an old hello that was answered."""
+    """The answer.
+
+    Attributes:
+        token: Shows, when it comes back, that it is not an old hello that was answered.
+    """
 
     number: Count
     token: Count
@@ -118,8 +138,12 @@
 
 
 class Push(Body, frozen=True, tag="push"):
-    """Claims of the asker's, from the parts that differ. want: the parts of which it wants the other's, after
-    the last letter of them (more False); 0: it needs nothing more."""
+    """Claims of the asker's, from the parts that differ.
+
+    Attributes:
+        want: The parts of which it wants the other's, after the last letter of them (more False); 0: it needs
+            nothing more.
+    """
 
     number: Count
     token: Count
@@ -128,7 +152,11 @@
 
 
 class Page(Body, frozen=True, tag="page"):
-    """Claims of the one asked. more: further letters of them follow."""
+    """Claims of the one asked.
+
+    Attributes:
+        more: Further letters of them follow.
+    """
 
     number: Count
     more: bool = False
@@ -139,8 +167,13 @@
 
 
 class Letter(Body, frozen=True, tag="g", rename=_SHORT):
-    """What is sealed. birth: of the sender's process; to: of the receiver's; seq: higher in each letter of a
-    process, so that none is heard twice."""
+    """What is sealed.
+
+    Attributes:
+        birth: Of the sender's process.
+        to: Of the receiver's.
+        seq: Higher in each letter of a process, so that none is heard twice.
+    """
 
     birth: Birth
     to: To
@@ -159,8 +192,11 @@
 
 
 def sound(claim: Claim) -> bool:
-    """What the bounds don't say. To be asked before a claim changes anything; most claims that are heard
-    change nothing, so the codec does not ask it of each."""
+    """What the bounds don't say.
+
+    To be asked before a claim changes anything; most claims that are heard change nothing, so the codec does
+    not ask it of each.
+    """
     about = claim.about
     if not (word(claim.name) and word(claim.by)) or (about is None) != (claim.state != 0):
         return False
--- a/granitewell/protocols/peers/leases.py
+++ b/granitewell/protocols/peers/leases.py
@@ -30,7 +30,12 @@
 
 
 class Would(Body, frozen=True, tag="would"):
-    """The answer. term: the highest that the sender has voted in or adopted. why: empty for yes."""
+    """The answer.
+
+    Attributes:
+        term: The highest that the sender has voted in or adopted.
+        why: Empty for yes.
+    """
 
     round: Number
     for_boot: Number
@@ -40,8 +45,13 @@
 
 
 class Ask(Body, frozen=True, tag="ask"):
-    """Vote for me in this term, and let me lead for lease_us from when I asked; or, voted already, let me go
-    on. leads: the sender holds the lease now."""
+    """Vote for me in this term, and let me lead for lease_us from when I asked.
+
+    Or, voted already, let me go on.
+
+    Attributes:
+        leads: The sender holds the lease now.
+    """
 
     round: Number
     term: Number
@@ -60,7 +70,11 @@
 
 
 class No(Body, frozen=True, tag="no"):
-    """No, and why. term: the highest that the sender has voted in or adopted."""
+    """No, and why.
+
+    Attributes:
+        term: The highest that the sender has voted in or adopted.
+    """
 
     round: Number
     for_boot: Number
@@ -71,23 +85,29 @@
 
 
 class Release(Body, frozen=True, tag="release"):
-    """I neither lead in this term any more nor will again: what you have promised me in it is over. next:
-    whom I would like to follow me."""
+    """I neither lead in this term any more nor will again: what you have promised me in it is over.
+
+    Attributes:
+        next: Whom I would like to follow me.
+    """
 
     term: Number
     next: Name | None = None
 
 
 class Oath(Body, frozen=True, tag="oath"):
-    """I have a new disk, of this life: count nothing that an earlier one has said, and tell me what you
-    know."""
+    """I have a new disk, of this life: count nothing that an earlier one has said, and tell me what you know."""
 
     life: Number
 
 
 class Sworn(Body, frozen=True, tag="sworn"):
-    """asked: the life that the oath was for; whether it was taken shows in lives. sworn: how the sender came
-    to its vote: "blank" (it has none yet), "founded" (with its first disk) or "oath"."""
+    """asked: the life that the oath was for; whether it was taken shows in lives.
+
+    Attributes:
+        sworn: How the sender came to its vote: "blank" (it has none yet), "founded" (with its first disk) or
+            "oath".
+    """
 
     asked: Number
     life: Number
@@ -97,8 +117,12 @@
 
 
 class Here(Body, frozen=True, tag="here"):
-    """To the sender's own address: whoever else hears it goes by the same name. up_us: how long this process
-    has been up. heard: the boot that this answers, 0 where it answers none."""
+    """To the sender's own address: whoever else hears it goes by the same name.
+
+    Attributes:
+        up_us: How long this process has been up.
+        heard: The boot that this answers, 0 where it answers none.
+    """
 
     up_us: Time
     heard: Number = 0
@@ -108,8 +132,13 @@
 
 
 class Letter(Body, frozen=True, tag="lease"):
-    """What is sealed. fleet: a digest of the planners' names and the epoch, so that planners with different
-    operator files never count each other. boot: a random number of the sender's process."""
+    """What is sealed.
+
+    Attributes:
+        fleet: A digest of the planners' names and the epoch, so that planners with different operator files
+            never count each other.
+        boot: A random number of the sender's process.
+    """
 
     fleet: Number
     boot: Number
--- a/granitewell/protocols/peers/limits.py
+++ b/granitewell/protocols/peers/limits.py
@@ -28,8 +28,10 @@
 
 
 class Window:
-    """Numbers of one sender that were heard (the anti-replay window of RFC 4303, section 3.4.3). What is too
-    far back to be told counts as heard."""
+    """Numbers of one sender that were heard (the anti-replay window of RFC 4303, section 3.4.3).
+
+    What is too far back to be told counts as heard.
+    """
 
     __slots__ = ("_heard", "_top")
 
--- a/granitewell/protocols/peers/rights.py
+++ b/granitewell/protocols/peers/rights.py
@@ -1,7 +1,8 @@
 """Bodies of the letters in which rights are asked for, lent and given back.
 
 It owns their fields and bounds. It must never know what follows from them. Amounts are thousandths a second;
-no letter carries a time."""
+no letter carries a time.
+"""
 
 from __future__ import annotations
 
--- a/granitewell/rpc/serialization.py
+++ b/granitewell/rpc/serialization.py
@@ -27,8 +27,11 @@
 
 
 def decode(kind: Any, data: bytes, check: Callable[[bytes], None] = check_struct) -> Any:
-    """A message of a kind from its binary form; raises BadFrame. check: raises it for bytes that the library
-    must not see, as it believes their counts."""
+    """A message of a kind from its binary form; raises BadFrame.
+
+    Args:
+        check: Raises it for bytes that the library must not see, as it believes their counts.
+    """
     check(data)
     try:
         return deserialize(kind(), data, _PROTOCOL)
--- a/granitewell/rpc/transport.py
+++ b/granitewell/rpc/transport.py
@@ -155,7 +155,11 @@
 
 
 class RpcServer:
-    """Listens for the frames of other nodes. handlers: by method."""
+    """Listens for the frames of other nodes.
+
+    Attributes:
+        handlers: By method.
+    """
 
     def __init__(self, handlers: dict[int, Handler]) -> None:
         self.handlers = handlers
@@ -226,7 +230,11 @@
 
 
 class RpcClient:
-    """Calls to one node; connects when it must. address: `ip:port`."""
+    """Calls to one node; connects when it must.
+
+    Attributes:
+        address: `ip:port`.
+    """
 
     def __init__(self, address: str) -> None:
         self.address = address
--- a/granitewell/status/look.py
+++ b/granitewell/status/look.py
@@ -55,8 +55,11 @@
 
 @runtime_checkable
 class Judging(Protocol):
-    """What the look needs of tiderelay.policy.Balancer: figures, by class whether its fleet is full, by
-    held request its class and when it came (ms), and by ready endpoint what is known of it."""
+    """What the look needs of tiderelay.policy.Balancer.
+
+    Figures, by class whether its fleet is full, by held request its class and when it came (ms), and by ready
+    endpoint what is known of it.
+    """
 
     def judged(
         self,
--- a/granitewell/status/terms.py
+++ b/granitewell/status/terms.py
@@ -44,7 +44,9 @@
 
 def place(at: str, folder: str) -> Place:
     """What `at` names; a path that begins with no slash is in `folder`, the private temporary directory.
-    ValueError says what was found."""
+
+    ValueError says what was found.
+    """
     host, colon, port = at.rpartition(":")
     if colon and "/" not in at and port.isascii() and port.isdigit():
         if host != "127.0.0.1" or len(port) > 5 or not 1 <= int(port) <= 65535:
@@ -72,8 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sockets:
-    """What the socket side holds. `idle`: idle connections by endpoint. Times in microseconds on the node's
-    clock, -1 for never."""
+    """What the socket side holds.
+
+    `idle`: idle connections by endpoint. Times in microseconds on the node's clock, -1 for never.
+    """
 
     idle: Mapping[bytes, Sized]
     inbounds: int
@@ -191,8 +195,11 @@
 
 
 class Snapshot(TypedDict):
-    """All of it. `pairs` and `endpoints` hold the `worst` rows, the worst first; `cut`: fewer, as the answer
-    would have been too large."""
+    """All of it.
+
+    `pairs` and `endpoints` hold the `worst` rows, the worst first; `cut`: fewer, as the answer would have
+    been too large.
+    """
 
     version: int
     name: str
--- a/granitewell/status/wire.py
+++ b/granitewell/status/wire.py
@@ -62,9 +62,11 @@
 
 
 def asked(head: bytes, worst: int, local: bool) -> Asked:
-    """What a request's head, whole or not, asks for; Refused says why it gets nothing. `worst`: rows where it
-    does not say. `local`: it came to a port, so a page in a browser can have sent it under a name of its own
-    (DNS rebinding), and Host must name this machine."""
+    """What a request's head, whole or not, asks for; Refused says why it gets nothing.
+
+    `worst`: rows where it does not say. `local`: it came to a port, so a page in a browser can have sent it
+    under a name of its own (DNS rebinding), and Host must name this machine.
+    """
     whole, end, _ = head.partition(b"\r\n\r\n")
     if not end or len(whole) > MOST_HEAD:
         raise Refused(431, f"the head of a request has at most {MOST_HEAD} bytes")
@@ -117,7 +119,11 @@
 
 
 def of_cluster(asked: Asked, fleet: Fleet | None, own_user: bool) -> bytes:
-    """The whole answer of a node in a fleet. own_user: nobody but the node's own user can have asked."""
+    """The whole answer of a node in a fleet.
+
+    Args:
+        own_user: Nobody but the node's own user can have asked.
+    """
     if fleet is None:
         return plainly("this node is in no fleet: its operator file has no [cluster]", 404)
     if asked.path == FORGET:
@@ -153,8 +159,11 @@
 
 # --- Answers, a step at a time --------------------------------------------------------------------------
 def body(asked: Asked, snapshot: Snapshot) -> Generator[None, None, bytes]:
-    """The body of an answer, of MOST_ANSWER bytes at most: where it would be more, rows are left out from the
-    best ones on, and `cut` says so. The snapshot stays as it is, for other forms of it."""
+    """The body of an answer, of MOST_ANSWER bytes at most.
+
+    Where it would be more, rows are left out from the best ones on, and `cut` says so. The snapshot stays as
+    it is, for other forms of it.
+    """
     snapshot = snapshot.copy()
     snapshot["worst"] = asked.worst
     snapshot["pairs"] = snapshot["pairs"][: asked.worst]
@@ -165,8 +174,10 @@
 
 
 def _fit(snapshot: Snapshot) -> Generator[None, None, None]:
-    """Leave out the rows for which there is no room in either form: names can be long, and each stands in
-    several lines of the metrics."""
+    """Leave out the rows for which there is no room in either form.
+
+    Names can be long, and each stands in several lines of the metrics.
+    """
     left = MOST_ANSWER - SPARE
     pairs, endpoints = snapshot["pairs"], snapshot["endpoints"]
     for n in range(max(len(pairs), len(endpoints))):
@@ -181,8 +192,11 @@
 
 
 def _cost(row: PairRow | EndpointRow) -> int:
-    """At most so many bytes in either form. In JSON a name is the longest, up to six bytes a character, and
-    stands once; in the metrics it stands in up to five lines."""
+    """At most so many bytes in either form.
+
+    In JSON a name is the longest, up to six bytes a character, and stands once; in the metrics it stands in
+    up to five lines.
+    """
     names = sum(len(json.dumps(value)) for value in row.values() if isinstance(value, str))
     return 5 * names + 400
 
--- a/tests/cluster/test_counts.py
+++ b/tests/cluster/test_counts.py
@@ -40,7 +40,7 @@
 
 
 def exchange(now: int, asks: Counts, answers: Counts, lose: tuple[int, ...] = ()) -> int:
-    """asks wakes, and its question to answers is answered; how many letters came back."""
+    """Asks wakes, and its question to answers is answered; how many letters came back."""
     back = 0
     for say in said(asks.handle(now, Woken()), answers.name):
         for k, word in enumerate(said(answers.handle(now, Heard(asks.name, say.data)))):
@@ -169,8 +169,10 @@
 
 
 def test_a_lost_letter_of_several_is_asked_for_again_and_hides_nothing_meanwhile() -> None:
-    """The first letter tells of slots that the last one's slices are in: until it is told again their use may
-    be anybody's."""
+    """The first letter tells of slots that the last one's slices are in.
+
+    Until it is told again their use may be anybody's.
+    """
     figures = Figures(window_us=8 * S, width_us=250_000, keys=40, floor_per_s=1.0, growth=1.0)
     a, b = node("a", 0, figures, ("b",)), node("b", 0, figures, ("a",))
     now = 20 * S
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -66,7 +66,11 @@
 
 # --- One member, and peers that do what they are told -----------------------------------------------------
 class Peer:
-    """A peer by hand. answers: it acknowledges pings by itself."""
+    """A peer by hand.
+
+    Attributes:
+        answers: It acknowledges pings by itself.
+    """
 
     def __init__(self, name: str, birth: int, answers: bool = True) -> None:
         self.name, self.birth, self.seq, self.answers = name, birth, 0, answers
@@ -228,7 +232,7 @@
 
 
 def silent(*answers: str) -> tuple[Lone, Peer]:
-    """b does not answer; whoever is named answers as a helper; somebody unknown answers whatever it can."""
+    """B does not answer; whoever is named answers as a helper; somebody unknown answers whatever it can."""
     peers = [Peer(name, k + 5, answers=name != "b") for k, name in enumerate("abcd")]
     lone, stranger = Lone(*peers), Peer("s", 99)
     for _ in range(60):
@@ -282,8 +286,10 @@
 
 @pytest.mark.parametrize("calls", [2, 0])
 def test_nobody_is_called_dead_unasked(calls: int) -> None:
-    """b lives and has refuted it, which we have missed; others have told us of the suspicion. Whatever we ask
-    before the last second is lost."""
+    """B lives and has refuted it, which we have missed; others have told us of the suspicion.
+
+    Whatever we ask before the last second is lost.
+    """
     a, b = Peer("a", 5), Peer("b", 6, answers=False)
     lone = Lone(a, b, calls=calls, probe_us=10 * S, timeout_us=5 * S)
     for by in "acde":
--- a/tests/cluster/test_search.py
+++ b/tests/cluster/test_search.py
@@ -1,5 +1,8 @@
-"""Every state of three planners, within stated bounds: what must hold holds, and planted defects are found
-with the fewest steps that lead to them. Run with -s to read the traces."""
+"""Every state of three planners, within stated bounds.
+
+What must hold holds, and planted defects are found with the fewest steps that lead to them. Run with -s to
+read the traces.
+"""
 
 from __future__ import annotations
 
--- a/tests/controlplane/change_world.py
+++ b/tests/controlplane/change_world.py
@@ -37,8 +37,13 @@
 
 
 class Step(NamedTuple):
-    """A change that an operator plans. rise: its version above the one that it builds on; tag: what tells its
-    body from others; again: the body as of the first step, under whatever base is known by then."""
+    """A change that an operator plans.
+
+    Attributes:
+        rise: Its version above the one that it builds on.
+        tag: What tells its body from others.
+        again: The body as of the first step, under whatever base is known by then.
+    """
 
     operation: Operation
     rise: int
@@ -262,8 +267,10 @@
 
 
 class Action(NamedTuple):
-    """Something that may happen next: a method of World, and the places of operators and nodes that it is
-    about, among other numbers."""
+    """Something that may happen next.
+
+    A method of World, and the places of operators and nodes that it is about, among other numbers.
+    """
 
     name: str
     arguments: tuple[int, ...] = ()
@@ -496,7 +503,8 @@
 
     async def heal(self) -> None:
         """All is well from here on: every change must get its clear answer, if it isn't from before what is
-        remembered."""
+        remembered.
+        """
         if self.lease is None:
             await self.act(Action("elect", (0, len(self.tail))))
         for _ in range(MOST_ROUNDS):
--- a/tests/controlplane/owner_judge.py
+++ b/tests/controlplane/owner_judge.py
@@ -31,7 +31,11 @@
 
 
 class Troubles:
-    """When who was out of touch, by the operators' rules. core: of all machines, as each is of the core."""
+    """When who was out of touch, by the operators' rules.
+
+    Attributes:
+        core: Of all machines, as each is of the core.
+    """
 
     def __init__(self) -> None:
         self._core: list[Span] = []
--- a/tests/controlplane/owner_wire.py
+++ b/tests/controlplane/owner_wire.py
@@ -38,8 +38,10 @@
 
 
 class Wire:
-    """Connections between control machines and servers. What a cut holds up arrives when it heals, unless its
-    sender has reset the connection."""
+    """Connections between control machines and servers.
+
+    What a cut holds up arrives when it heals, unless its sender has reset the connection.
+    """
 
     def __init__(self, world: OwnerWorld) -> None:
         self._world = world
--- a/tests/controlplane/owner_world.py
+++ b/tests/controlplane/owner_world.py
@@ -206,7 +206,11 @@
 
 
 class OwnerWorld(World):
-    """Three control machines, servers, edges and the platform. fencing: whether servers check fences."""
+    """Three control machines, servers, edges and the platform.
+
+    Attributes:
+        fencing: Whether servers check fences.
+    """
 
     def __init__(self, seed: int, fencing: bool) -> None:
         super().__init__(seed, settings=replace(SETTINGS, compact_entries=12))
--- a/tests/controlplane/process_loop.py
+++ b/tests/controlplane/process_loop.py
@@ -1,5 +1,8 @@
-"""An asyncio loop inside one process of a simulated world: its callbacks run as events of that world, stop
-while the process is frozen, at whatever await it stands, and never run again once it is dead."""
+"""An asyncio loop inside one process of a simulated world.
+
+Its callbacks run as events of that world, stop while the process is frozen, at whatever await it stands, and
+never run again once it is dead.
+"""
 
 from __future__ import annotations
 
--- a/tests/controlplane/test_change_identity_search.py
+++ b/tests/controlplane/test_change_identity_search.py
@@ -38,7 +38,11 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A small world. states: how many it has, so that none is lost unseen."""
+    """A small world.
+
+    Attributes:
+        states: How many it has, so that none is lost unseen.
+    """
 
     name: str
     plans: Sequence[Sequence[Step]]
--- a/tests/controlplane/test_changes_on_bad_days.py
+++ b/tests/controlplane/test_changes_on_bad_days.py
@@ -370,8 +370,10 @@
     ("full", "taken"), [("follower", True), ("leader", True), ("two followers", False), ("all", False)]
 )
 def test_changes_while_disks_are_full(full: str, taken: bool) -> None:
-    """A majority that can write takes changes. Without one, no change has a clear answer; one that is sent on
-    is taken soon after there is room again."""
+    """A majority that can write takes changes.
+
+    Without one, no change has a clear answer; one that is sent on is taken soon after there is room again.
+    """
 
     async def play() -> None:
         day = Day(1)
--- a/tests/controlplane/test_configuration_store.py
+++ b/tests/controlplane/test_configuration_store.py
@@ -184,8 +184,10 @@
 
 
 def test_the_history_is_bounded_and_forgets_the_oldest(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of a change on a version from before it, nobody can say whether it was taken: it isn't refused. Of one
-    on a version that the history reaches, it is certain."""
+    """Of a change on a version from before it, nobody can say whether it was taken: it isn't refused.
+
+    Of one on a version that the history reaches, it is certain.
+    """
     monkeypatch.setattr(history_module, "MOST_TAKEN", 3)
     store = store_of(*CHAIN)
     fresh = ConfigurationStore()
@@ -276,8 +278,10 @@
 
 
 def test_a_snapshot_from_before_changes_knew_their_base_is_read() -> None:
-    """It has the same bytes: the digest of operation and body, and the version. The bases follow from the
-    order."""
+    """It has the same bytes: the digest of operation and body, and the version.
+
+    The bases follow from the order.
+    """
     data = snapshot_of(
         store_of(*CHAIN).document(),
         *[(change.digest(), version) for change, version in zip(CHAIN, range(5, 10), strict=True)],
@@ -549,8 +553,10 @@
 def test_replicas_agree_whatever_they_restored_or_checked(
     history: list[tuple[Change, bool]], restored_at: int, joined_at: int
 ) -> None:
-    """Leader (checks first), follower, one restored in the middle, an edge that follows, one that lags: after
-    each entry all replicas are the same to the byte, and the edges' configuration is equal."""
+    """Leader (checks first), follower, one restored in the middle, an edge that follows, one that lags.
+
+    After each entry all replicas are the same to the byte, and the edges' configuration is equal.
+    """
     leader, follower, restored = ConfigurationStore(), ConfigurationStore(), ConfigurationStore()
     near, far = ConfigurationView(), ConfigurationView()
     taken_bases: set[int] = set()
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -38,8 +38,10 @@
 
 
 class FakeTime:
-    """A clock that moves only by sleeping, and only for those who sleep for short; longer sleeps never end
-    unless a test ends them."""
+    """A clock that moves only by sleeping, and only for those who sleep for short.
+
+    Longer sleeps never end unless a test ends them.
+    """
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -615,7 +617,8 @@
 
 def test_half_a_body_is_waited_for_only_so_long() -> None:
     """It gets no clear answer: operators count a 408 as a refusal at the third try, and the same change may
-    have been taken when it was sent before."""
+    have been taken when it was sent before.
+    """
 
     async def story(rig: Rig) -> None:
         reader, writer = await raw(rig, HEAD + b'Content-Length: 100\r\n\r\n{"version"')
--- a/tests/controlplane/test_order_wire.py
+++ b/tests/controlplane/test_order_wire.py
@@ -43,7 +43,12 @@
 
 @dataclass(frozen=True)
 class Act:
-    """What the stand-in does with one call. end: stay, close or reset; early: before it has read the body."""
+    """What the stand-in does with one call.
+
+    Attributes:
+        end: Stay, close or reset.
+        early: Before it has read the body.
+    """
 
     reply: bytes = b""
     end: str = "stay"
@@ -52,7 +57,11 @@
 
 @dataclass
 class Standin:
-    """A server by script. calls: head and body of each call that came whole."""
+    """A server by script.
+
+    Attributes:
+        calls: Head and body of each call that came whole.
+    """
 
     script: list[Act]
     calls: list[tuple[bytes, bytes]] = field(default_factory=list)
--- a/tests/controlplane/test_placement_fleet.py
+++ b/tests/controlplane/test_placement_fleet.py
@@ -55,7 +55,11 @@
 
 
 class EngineServer:
-    """One server's truth. snapshots: what it would report, by the time since when."""
+    """One server's truth.
+
+    Attributes:
+        snapshots: What it would report, by the time since when.
+    """
 
     def __init__(self, server_id: str, address: str, zone: str, now: float) -> None:
         self.id = server_id
@@ -355,8 +359,11 @@
         self.after(nominal * slowness, done)
 
     def _check_limit(self, server: EngineServer, order: Order) -> None:
-        """With a load that is under way. Judged on arrival, whether the order is then taken or not; only
-        where orders come late it is judged when taken, as two of one revision may then both arrive."""
+        """With a load that is under way.
+
+        Judged on arrival, whether the order is then taken or not; only where orders come late it is judged
+        when taken, as two of one revision may then both arrive.
+        """
         loads = {
             found.ref
             for found in (order, server.order)
--- a/tests/coordination/cluster.py
+++ b/tests/coordination/cluster.py
@@ -117,8 +117,12 @@
 
 
 class Cluster:
-    """Three nodes and their network. slow: links by the address that they lead to. cut: addresses from which
-    (True) or to which (False) nothing comes."""
+    """Three nodes and their network.
+
+    Attributes:
+        slow: Links by the address that they lead to.
+        cut: Addresses from which (True) or to which (False) nothing comes.
+    """
 
     def __init__(
         self, seed: int, settings: ReplicaSettings | None = None, machine: Callable[[], Words] = Words
--- a/tests/coordination/hundreds_of_changes.py
+++ b/tests/coordination/hundreds_of_changes.py
@@ -1,6 +1,7 @@
-"""Days of many changes on real shells, logs and codecs, drawn from a seed: machines are killed, lose power or
-their disks, sit behind slow links, have slow, full and failing disks, one after the other and at once; then a
-calm end.
+"""Days of many changes on real shells, logs and codecs, drawn from a seed.
+
+Machines are killed, lose power or their disks, sit behind slow links, have slow, full and failing disks, one
+after the other and at once; then a calm end.
 
 What must hold: who holds a lease has all that was confirmed; one member at a time holds it; what is
 confirmed is there at the end and after a loss of power everywhere; who came back is level in bounded
--- a/tests/coordination/invariants.py
+++ b/tests/coordination/invariants.py
@@ -54,8 +54,10 @@
                 raise Violation(f"committed {entry.index} on {len(held)} of {len(ids)} disks")
 
     def _changed(self, entry: Entry, membership: Membership) -> None:
-        """A change ends for the new voters only once each that came in has the entry that began it; and what
-        was committed before and in it stands on disks of a majority of those that stay."""
+        """A change ends for the new voters only once each that came in has the entry that began it.
+
+        And what was committed before and in it stands on disks of a majority of those that stay.
+        """
         if entry.kind is EntryKind.CHANGE_VOTERS:
             self.change_began = entry
         if entry.kind is EntryKind.END_CHANGE and unpack_end(entry.data):
@@ -77,8 +79,12 @@
             raise Violation(f"two entries {entry.index} in term {entry.term}")
 
     def commit(self, entry: Entry, term: int, membership: Membership, in_force: Membership) -> None:
-        """What is committed stays, is the same everywhere, and is on enough disks. term: of who says so.
-        in_force: the membership that counted."""
+        """What is committed stays, is the same everywhere, and is on enough disks.
+
+        Args:
+            term: Of who says so.
+            in_force: The membership that counted.
+        """
         known = self.committed.get(entry.index)
         if known is not None:
             if known != entry:
@@ -117,7 +123,11 @@
                 raise Violation(f"{message.sender} votes twice in term {message.term}")
 
     def leases(self, applied: Sequence[int]) -> None:
-        """One holder of a lease, and it has all that was acknowledged. applied: of each holder."""
+        """One holder of a lease, and it has all that was acknowledged.
+
+        Args:
+            applied: Of each holder.
+        """
         if len(applied) > 1:
             raise Violation(f"{len(applied)} hold leases")
         if applied and applied[0] < self.last_acknowledged:
--- a/tests/coordination/replacement.py
+++ b/tests/coordination/replacement.py
@@ -29,8 +29,10 @@
 """A replacement without any loss takes less than this."""
 
 AVAILABLE_S = 4.0
-"""A group that has lost no more than it tolerates commits again within this time: an election, and a leader
-whose disk hangs (`disk_stall_s`)."""
+"""A group that has lost no more than it tolerates commits again within this time.
+
+An election, and a leader whose disk hangs (`disk_stall_s`).
+"""
 
 CATCH_UP_S = 4.0
 """As `catch-up-s` of the small sites."""
@@ -78,8 +80,13 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """All of a case but its step. leads: whether the voter that is replaced leads. disk_of: whose disk is in
-    trouble. paused: the loss comes `catch-up-s` after the successor's start, whatever the step."""
+    """All of a case but its step.
+
+    Attributes:
+        leads: Whether the voter that is replaced leads.
+        disk_of: Whose disk is in trouble.
+        paused: The loss comes `catch-up-s` after the successor's start, whatever the step.
+    """
 
     voters: int
     kind: Kind
@@ -238,8 +245,11 @@
             machine.stop(power=self.plan.loss is Loss.POWER)
 
     def tolerated(self) -> bool:
-        """Whether the group must go on with the machines that run. A planned replacement loses nobody, so
-        one loss is tolerated at each step; so is one more of five, and one after `catch-up-s`."""
+        """Whether the group must go on with the machines that run.
+
+        A planned replacement loses nobody, so one loss is tolerated at each step; so is one more of five, and
+        one after `catch-up-s`.
+        """
         plan = self.plan
         if plan.disk is not DiskTrouble.NONE:
             return False
--- a/tests/coordination/simulated_files.py
+++ b/tests/coordination/simulated_files.py
@@ -29,8 +29,12 @@
 
 @dataclass
 class _File:
-    """synced: what is on the disk for good. unsynced: what the next sync brings there. cached: what a process
-    reads; a sync that failed leaves there what will never reach the disk."""
+    """synced: what is on the disk for good.
+
+    Attributes:
+        unsynced: What the next sync brings there.
+        cached: What a process reads; a sync that failed leaves there what will never reach the disk.
+    """
 
     synced: bytearray = field(default_factory=bytearray)
     cached: bytearray = field(default_factory=bytearray)
@@ -55,11 +59,17 @@
 
 
 class SimulatedFiles:
-    """The calls of `disk_files.Files`. kill_at: the call by number at which the process dies; refusing: the
-    error number of all writes, or only of the calls in `refused_calls`; failing_syncs: how many of the next
-    syncs fail; room: bytes that the disk still takes; refuse_at:
-    the one call by number that is refused; a rename may take place all the same (`renames_anyway`). A file's
-    sync that fails drops what it was for, as Linux does; a folder's keeps its names to be synced."""
+    """The calls of `disk_files.Files`.
+
+    Attributes:
+        kill_at: The call by number at which the process dies.
+        refusing: The error number of all writes, or only of the calls in `refused_calls`.
+        failing_syncs: How many of the next syncs fail.
+        room: Bytes that the disk still takes.
+        refuse_at: The one call by number that is refused; a rename may take place all the same
+            (`renames_anyway`). A file's sync that fails drops what it was for, as Linux does; a folder's
+            keeps its names to be synced.
+    """
 
     def __init__(self, rng: Random) -> None:
         self.calls = 0
@@ -193,7 +203,8 @@
 
     def restart(self, *, power: bool) -> None:
         """The process has died; with a loss of power, what was not synced is there, missing or torn, and each
-        name that was not synced is the old one or the new one."""
+        name that was not synced is the old one or the new one.
+        """
         self.kill_at = None
         if not power:
             return
--- a/tests/coordination/test_crash_points.py
+++ b/tests/coordination/test_crash_points.py
@@ -33,7 +33,12 @@
 
 
 class Writer:
-    """Letters, one a batch. synced: how many were reported as synced; tried: how many were handed over."""
+    """Letters, one a batch.
+
+    Attributes:
+        synced: How many were reported as synced.
+        tried: How many were handed over.
+    """
 
     def __init__(self, files: SimulatedFiles, synced: int = 0, tried: int = 0) -> None:
         self.log = open_log(files)
@@ -93,14 +98,20 @@
 
 
 def disks_after(files: SimulatedFiles) -> list[SimulatedFiles]:
-    """What the next process may find: the files as they are, after a kill, or any of what a loss of power
-    leaves."""
+    """What the next process may find.
+
+    The files as they are, after a kill, or any of what a loss of power leaves.
+    """
     states = [files.copy(), *files.after_power_loss()]
     return list({state.state(): state for state in states}.values())
 
 
 class Search:
-    """All histories. recoveries: how many second processes were looked at, at each of their calls."""
+    """All histories.
+
+    Attributes:
+        recoveries: How many second processes were looked at, at each of their calls.
+    """
 
     def __init__(self) -> None:
         self.recoveries = 0
@@ -115,8 +126,10 @@
         return self.recoveries
 
     def deaths(self, refuse_at: int = 0, renames_anyway: bool = False) -> int:
-        """A first process, one of whose calls may be refused, dies at each of its calls after that; how many
-        calls it makes."""
+        """A first process, one of whose calls may be refused, dies at each of its calls after that.
+
+        How many calls it makes.
+        """
         for death in range(refuse_at + 1, MOST_CALLS):
             files = SimulatedFiles(Random(0))
             files.refuse_at, files.renames_anyway = refuse_at, renames_anyway
--- a/tests/coordination/test_full_disk.py
+++ b/tests/coordination/test_full_disk.py
@@ -1,5 +1,7 @@
-"""Disks that are full and refuse every write, on one member, a majority or all, and have room again: what is
-confirmed, who leads, when all is well again, and how much waits in memory meanwhile."""
+"""Disks that are full and refuse every write, on one member, a majority or all, and have room again.
+
+What is confirmed, who leads, when all is well again, and how much waits in memory meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +37,11 @@
         self._number = 0
 
     def fill(self, nodes: list[Node], *, syncs: bool) -> None:
-        """Their disks take no write any more. syncs: but they sync what there is."""
+        """Their disks take no write any more.
+
+        Args:
+            syncs: But they sync what there is.
+        """
         for node in nodes:
             node.files.refusing = errno.ENOSPC
             node.files.refused_calls = CALLS if syncs else frozenset()
--- a/tests/coordination/test_hundreds_of_changes.py
+++ b/tests/coordination/test_hundreds_of_changes.py
@@ -1,6 +1,8 @@
 """Days of many changes, each from its seed; hundreds_of_changes.py says what goes wrong and what must hold.
-`python -m tests.coordination.test_hundreds_of_changes FIRST LAST` plays more of them, and one again;
-`... CHANGES` alone plays one day of so many changes."""
+
+`python -m tests.coordination.test_hundreds_of_changes FIRST LAST` plays more of them, and one again; `...
+CHANGES` alone plays one day of so many changes.
+"""
 
 from __future__ import annotations
 
@@ -38,8 +40,10 @@
 
 
 def longer_log_of_an_older_term() -> None:
-    """A leader that was cut off has more entries than the one after it, all of the older term. The newer one
-    dies at the moment that the older one is back."""
+    """A leader that was cut off has more entries than the one after it, all of the older term.
+
+    The newer one dies at the moment that the older one is back.
+    """
 
     async def day() -> None:
         cluster = Cluster(1)
--- a/tests/coordination/test_joint_consensus.py
+++ b/tests/coordination/test_joint_consensus.py
@@ -1,5 +1,7 @@
-"""Changes of members, played by hand: the partitions that joint majorities are there for, with them and
-without."""
+"""Changes of members, played by hand.
+
+The partitions that joint majorities are there for, with them and without.
+"""
 
 from __future__ import annotations
 
@@ -88,8 +90,10 @@
 
 
 def begin_change(group: Group) -> tuple[Machine, Machine, Machine]:
-    """The leader begins to put a spare in the place of a voter, in this moment; the voter that stays, the one
-    that goes, the spare."""
+    """The leader begins to put a spare in the place of a voter, in this moment.
+
+    The voter that stays, the one that goes, the spare.
+    """
     stays, goes = group.others
     spare = next(machine for machine in group.world.machines if machine.name == "spare")
     leader = process_of(group.leader)
@@ -149,8 +153,10 @@
 
 
 def split_as_the_leader_forgets(group: Group) -> None:
-    """The entry that begins a change is on the disks of the voter that stays and of the spare; the leader
-    loses power before its own disk has it, and comes back beside the voter that goes."""
+    """The entry that begins a change is on the disks of the voter that stays and of the spare.
+
+    The leader loses power before its own disk has it, and comes back beside the voter that goes.
+    """
     group.add_spare()
     group.run(1)
     stays, goes = group.others
@@ -188,8 +194,10 @@
 
 
 def newcomer_is_lost(group: Group) -> bool:
-    """A spare is lost as soon as it may have a vote, and some seconds later one more voter. Whether the group
-    goes on: the voter that was to go still answers."""
+    """A spare is lost as soon as it may have a vote, and some seconds later one more voter.
+
+    Whether the group goes on: the voter that was to go still answers.
+    """
     group.add_spare()
     group.run(1)
     stays, _, spare = begin_change(group)
@@ -218,8 +226,10 @@
 
 
 def newcomer_is_behind(group: Group) -> bool:
-    """The spare's disk hangs from its start, and it asks to be taken in; then a voter is lost. Whether the
-    group goes on with the two that are left."""
+    """The spare's disk hangs from its start, and it asks to be taken in; then a voter is lost.
+
+    Whether the group goes on with the two that are left.
+    """
     stays, goes = group.others
     spare = group.add_spare()
     spare.disk.hanging = True
--- a/tests/coordination/test_leaving.py
+++ b/tests/coordination/test_leaving.py
@@ -1,5 +1,7 @@
-"""A member that is about to stop (SIGTERM): its place is filled where a spare is ready, and kept where none
-is."""
+"""A member that is about to stop (SIGTERM).
+
+Its place is filled where a spare is ready, and kept where none is.
+"""
 
 from __future__ import annotations
 
--- a/tests/coordination/test_scenarios.py
+++ b/tests/coordination/test_scenarios.py
@@ -189,8 +189,10 @@
 
 
 def removal_while_another_is_lost(group: Group) -> bool:
-    """One voter is cut off, another goes for good just before the first may be replaced. Whether the group
-    goes on once the first is back."""
+    """One voter is cut off, another goes for good just before the first may be replaced.
+
+    Whether the group goes on once the first is back.
+    """
     cut_off, lost = group.others
     group.add_spare()
     group.run(0.6)
@@ -208,8 +210,11 @@
 
 
 def replacement_that_fails_while_another_is_lost(group: Group, full_disk: bool = False) -> bool:
-    """One voter is cut off, or its disk is full; the other asks to leave, and the spare dies as soon as it
-    may have a vote. Whether the group, which has lost one voter only, goes on."""
+    """One voter is cut off, or its disk is full.
+
+    The other asks to leave, and the spare dies as soon as it may have a vote. Whether the group, which has
+    lost one voter only, goes on.
+    """
     lost, leaving = group.others
     successor = group.add_spare()
     group.run(1)
@@ -245,8 +250,10 @@
 
 
 def overlapping_changes(group: Group) -> bool:
-    """A leader that has lost sight of one voter loses the other as it replaces the first by a spare. Whether
-    it got as far as wanting to."""
+    """A leader that has lost sight of one voter loses the other as it replaces the first by a spare.
+
+    Whether it got as far as wanting to.
+    """
     first, second = group.others
     group.add_spare()
     group.run(0.6)
@@ -421,8 +428,7 @@
 
 
 def own_entry_unsynced(group: Group) -> None:
-    """The leader's disk hangs, one follower is cut off; the other holds an entry alone, and loses its
-    disk."""
+    """The leader's disk hangs, one follower is cut off; the other holds an entry alone, and loses its disk."""
     cut_off, holds = group.others
     group.isolate(cut_off)
     group.leader.disk.delay_s = 10
--- a/tests/coordination/test_simulation.py
+++ b/tests/coordination/test_simulation.py
@@ -1,5 +1,8 @@
-"""Many short days of a simulated group, each from its seed. `python -m tests.coordination.test_simulation
-FIRST LAST` plays more of them, and one again, each also with replacements only and with five voters."""
+"""Many short days of a simulated group, each from its seed.
+
+`python -m tests.coordination.test_simulation FIRST LAST` plays more of them, and one again, each also with
+replacements only and with five voters.
+"""
 
 from __future__ import annotations
 
--- a/tests/coordination/virtual_loop.py
+++ b/tests/coordination/virtual_loop.py
@@ -64,8 +64,11 @@
 
 
 async def _end_tasks() -> None:
-    """Cancel what still runs. A task that is dropped is complained of when its memory is collected, which may
-    be in the middle of anything: within `ast.parse` it ends the interpreter's run (CPython gh-106905)."""
+    """Cancel what still runs.
+
+    A task that is dropped is complained of when its memory is collected, which may be in the middle of
+    anything: within `ast.parse` it ends the interpreter's run (CPython gh-106905).
+    """
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
         task.cancel()
@@ -73,8 +76,10 @@
 
 
 class LoopExecutor:
-    """Stands for the disk thread: runs its work on the loop, one after the other, each after the disk's
-    delay."""
+    """Stands for the disk thread.
+
+    Runs its work on the loop, one after the other, each after the disk's delay.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.delay_s = 0.001
--- a/tests/coordination/world.py
+++ b/tests/coordination/world.py
@@ -50,7 +50,11 @@
 
 @dataclass
 class Disk:
-    """What a machine's disk holds. unsynced: written, and lost or kept by a loss of power."""
+    """What a machine's disk holds.
+
+    Attributes:
+        unsynced: Written, and lost or kept by a loss of power.
+    """
 
     synced: list[Record] = field(default_factory=list)
     unsynced: list[Record | Rewrite] = field(default_factory=list)
@@ -59,8 +63,10 @@
     hanging: bool = False
 
     def settle(self, kept: bool) -> list[Record]:
-        """What was not synced reaches the disk, all of it (it is one frame), or is lost; what is there now
-        that was not before."""
+        """What was not synced reaches the disk, all of it (it is one frame), or is lost.
+
+        What is there now that was not before.
+        """
         pending, self.unsynced = self.unsynced, []
         arrived: list[Record] = []
         for record in pending if kept else []:
--- a/tests/dataplane/node_world.py
+++ b/tests/dataplane/node_world.py
@@ -34,8 +34,13 @@
 
 @dataclass
 class Sent:
-    """A client's request, as the client saw it. told_s: its deadline, None: it tells none; timeout_s and
-    least_timeout_s: of the route, the longest and shortest that were in force while it was under way."""
+    """A client's request, as the client saw it.
+
+    Attributes:
+        told_s: Its deadline, None: it tells none.
+        timeout_s and least_timeout_s: Of the route, the longest and shortest that were in force while it was
+            under way.
+    """
 
     id: str
     name: str
--- a/tests/dataplane/simulated_network.py
+++ b/tests/dataplane/simulated_network.py
@@ -88,8 +88,11 @@
         self._send()
 
     def abort(self) -> None:
-        """What has not been sent is lost. As with sockets, the other end sees a plain end, or a reset where
-        something that it sent has not been read."""
+        """What has not been sent is lost.
+
+        As with sockets, the other end sees a plain end, or a reset where something that it sent has not been
+        read.
+        """
         if self._unread:
             self.reset()
             return
--- a/tests/dataplane/standin.py
+++ b/tests/dataplane/standin.py
@@ -29,7 +29,11 @@
 # --- Messages -------------------------------------------------------------------------------------------
 @dataclass
 class Message:
-    """A request or an answer as it came. complete: with its proper end."""
+    """A request or an answer as it came.
+
+    Attributes:
+        complete: With its proper end.
+    """
 
     first_line: str
     headers: list[tuple[str, str]]
--- a/tests/dataplane/test_doubt.py
+++ b/tests/dataplane/test_doubt.py
@@ -131,8 +131,10 @@
 
 @pytest.mark.parametrize("share", [0.2, 0.45, 0.7])
 def test_what_has_one_attempt_fares_no_worse_than_what_may_be_repeated(share: float) -> None:
-    """A model of a service: some servers break off a share of their requests, both kinds come at once. The
-    careful kind sees far fewer failures than by luck, and all servers stay in use."""
+    """A model of a service: some servers break off a share of their requests, both kinds come at once.
+
+    The careful kind sees far fewer failures than by luck, and all servers stay in use.
+    """
     rng = Random(7)
     made = pool(8)
     faulty = {"s0", "s1"}
--- a/tests/dataplane/test_leaving_clients.py
+++ b/tests/dataplane/test_leaving_clients.py
@@ -199,8 +199,10 @@
 
 
 def test_a_request_whose_client_had_left_before_it_was_read_is_not_sent() -> None:
-    """As after a stall of the whole process: the request and the connection's end were both there. A request
-    is written at once where a connection to the server is idle."""
+    """As after a stall of the whole process: the request and the connection's end were both there.
+
+    A request is written at once where a connection to the server is idle.
+    """
 
     async def run() -> None:
         async with scene(lambda seen: seen.answer(Keep_Alive="timeout=9")) as s:
--- a/tests/dataplane/test_time_left.py
+++ b/tests/dataplane/test_time_left.py
@@ -41,8 +41,10 @@
 @pytest.mark.parametrize("told_ms", ["", "4000", "60000", "4000.5"])
 @pytest.mark.parametrize("name", KINDS)
 def test_each_send_hands_on_what_is_left_of_the_shorter_time(name: str, told_ms: str) -> None:
-    """The client's, or the route's where that is shorter or the client sends none; also a second send much
-    later."""
+    """The client's, or the route's where that is shorter or the client sends none.
+
+    Also a second send much later.
+    """
 
     async def run() -> None:
         handed = Handed(refuses_after_s=1.0)
--- a/tests/dataplane/test_wire.py
+++ b/tests/dataplane/test_wire.py
@@ -1,5 +1,8 @@
-"""Calls to servers, byte by byte: a part of all troubles. `python -m tests.dataplane.test_wire all` plays all
-of them, `python -m tests.dataplane.test_wire FIRST LAST` the courses of these seeds."""
+"""Calls to servers, byte by byte: a part of all troubles.
+
+`python -m tests.dataplane.test_wire all` plays all of them, `python -m tests.dataplane.test_wire FIRST LAST`
+the courses of these seeds.
+"""
 
 from __future__ import annotations
 
--- a/tests/dataplane/wire_defects.py
+++ b/tests/dataplane/wire_defects.py
@@ -1,5 +1,7 @@
-"""Guards of the calls to servers, taken out on purpose. Each function plants one defect for the time of a
-test."""
+"""Guards of the calls to servers, taken out on purpose.
+
+Each function plants one defect for the time of a test.
+"""
 
 from __future__ import annotations
 
--- a/tests/dataplane/wire_faults.py
+++ b/tests/dataplane/wire_faults.py
@@ -1,5 +1,8 @@
-"""The troubles of one connection to a server: every split point of a request or an answer with everything
-that may happen there, bytes behind an answer, and courses of several troubles by seed."""
+"""The troubles of one connection to a server.
+
+Every split point of a request or an answer with everything that may happen there, bytes behind an answer, and
+courses of several troubles by seed.
+"""
 
 from __future__ import annotations
 
--- a/tests/dataplane/wire_world.py
+++ b/tests/dataplane/wire_world.py
@@ -59,8 +59,10 @@
 
 
 class Extra(Enum):
-    """What follows a whole answer: bytes that belong to no request, or an end that the data plane can't see
-    yet."""
+    """What follows a whole answer.
+
+    Bytes that belong to no request, or an end that the data plane can't see yet.
+    """
 
     NONE = auto()
     SAME_ANSWER = auto()  # once more
@@ -94,8 +96,12 @@
 
 @dataclass(frozen=True)
 class Act:
-    """What a server does with one request. takes: bytes of the request that it takes first (None: all);
-    sends: bytes of the answer before `then` (None: all); piece: bytes of each later segment (0: all in one).
+    """What a server does with one request.
+
+    Attributes:
+        takes: Bytes of the request that it takes first (None: all).
+        sends: Bytes of the answer before `then` (None: all).
+        piece: Bytes of each later segment (0: all in one).
     """
 
     answer: str = "length"
@@ -110,7 +116,12 @@
 # --- Answers --------------------------------------------------------------------------------------------
 @dataclass(frozen=True)
 class Scripted:
-    """An answer as bytes. closes: it ends with its connection; executed: whether the request was run."""
+    """An answer as bytes.
+
+    Attributes:
+        closes: It ends with its connection.
+        executed: Whether the request was run.
+    """
 
     data: bytes
     status: int
@@ -182,7 +193,12 @@
 # --- Servers --------------------------------------------------------------------------------------------
 @dataclass
 class Arrival:
-    """A request at a server. ran: whether the server worked on it; whole: its answer went out to its end."""
+    """A request at a server.
+
+    Attributes:
+        ran: Whether the server worked on it.
+        whole: Its answer went out to its end.
+    """
 
     request_id: str
     number: int
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -1,5 +1,6 @@
-"""Stand-ins round a Node that hold an event back until another has happened: an endpoint that answers when it
-is told, and clients of whose leaving the kernel knows before the node can.
+"""Stand-ins round a Node that hold an event back until another has happened.
+
+An endpoint that answers when it is told, and clients of whose leaving the kernel knows before the node can.
 
 It owns the sockets of the far sides. It must never sleep to make two events meet, or assert a time.
 """
@@ -25,8 +26,11 @@
 
 
 class Desk:
-    """One endpoint; it says nothing by itself. asked: the ids of the requests that have reached it whole, and
-    on which of its connections."""
+    """One endpoint; it says nothing by itself.
+
+    Attributes:
+        asked: The ids of the requests that have reached it whole, and on which of its connections.
+    """
 
     def __init__(self, name: bytes = b"s-0") -> None:
         self.name = name
@@ -117,10 +121,16 @@
 
 
 class Bureau:
-    """Discovery's agent, whose list changes by `lists`. mute: it takes calls and says nothing; empty: each
-    watch is answered with nothing in it, at once; piecemeal: a whole list comes in so many pieces, with a
-    pause between each two; hold: what answers wait for. wholes: calls for the whole list; watches: the
-    revisions that have been watched from."""
+    """Discovery's agent, whose list changes by `lists`.
+
+    Attributes:
+        mute: It takes calls and says nothing.
+        empty: Each watch is answered with nothing in it, at once.
+        piecemeal: A whole list comes in so many pieces, with a pause between each two.
+        hold: What answers wait for.
+        wholes: Calls for the whole list.
+        watches: The revisions that have been watched from.
+    """
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -43,8 +43,11 @@
 
 
 def test_a_disk_that_stands_still_holds_up_nobody(tmp_path: Path) -> None:
-    """Each write of a member's file takes 2 s. A start, a leave and a kill settle all the same, and a new
-    life is written down before anybody hears of it."""
+    """Each write of a member's file takes 2 s.
+
+    A start, a leave and a kill settle all the same, and a new life is written down before anybody hears of
+    it.
+    """
     found = play(made("kill", seconds=24.0, troubles=(
         trouble("kill", 6, 8, "n1"), trouble("term", 14, 17, "n2"),
     )), tmp_path / "out", "slow-disk")  # fmt: skip
@@ -55,8 +58,11 @@
 
 
 def test_a_second_process_takes_the_place_and_either_may_be_killed_at_any_step(tmp_path: Path) -> None:
-    """One node after the other changes over; nobody sees any of them die, leave or begin another life, but
-    for the last, both of whose processes end: it leaves."""
+    """One node after the other changes over.
+
+    Nobody sees any of them die, leave or begin another life, but for the last, both of whose processes end:
+    it leaves.
+    """
     hows = ("", "kill-old", "kill-new", "kill-old-late", "kill-new-late")
     troubles = tuple(trouble("upgrade", 2 + 6 * k, 6 + 6 * k, f"n{k}", how=how) for k, how in enumerate(hows))
     found = play(made("upgrade", seconds=42.0, troubles=troubles), tmp_path / "out")
--- a/tests/lab/test_clients.py
+++ b/tests/lab/test_clients.py
@@ -132,7 +132,12 @@
 
 @dataclass
 class Seen:
-    """One try. end: how its client saw it end; closed: whether its connection has ended."""
+    """One try.
+
+    Attributes:
+        end: How its client saw it end.
+        closed: Whether its connection has ended.
+    """
 
     ask: Ask
     at: int
--- a/tests/lab/test_endpoint.py
+++ b/tests/lab/test_endpoint.py
@@ -1,5 +1,7 @@
-"""The dispatch server's model: whatever comes, each request ends once; waits, paces and books against plain
-models; each condition and order against what it must do."""
+"""The dispatch server's model: whatever comes, each request ends once.
+
+Waits, paces and books against plain models; each condition and order against what it must do.
+"""
 
 from __future__ import annotations
 
--- a/tests/lab/test_judge.py
+++ b/tests/lab/test_judge.py
@@ -71,8 +71,10 @@
 
 
 def cold(count: int, known: bool) -> list[Seen]:
-    """A process from 1 s on at 20% of 1 unit, sent so many requests of 50 ms within 100 ms: its budget is 3 x
-    0.208 s in 1 s, and three deviations of chance are 0.530 s."""
+    """A process from 1 s on at 20% of 1 unit, sent so many requests of 50 ms within 100 ms.
+
+    Its budget is 3 x 0.208 s in 1 s, and three deviations of chance are 0.530 s.
+    """
     seen: list[Seen] = [(1_000_000, "endpoint_up", "e0", 2, 0, 1.0, 0.2, 10_000_000)]
     seen += [told(1_000_001, "ready")] if known else []
     for k in range(count):
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -95,8 +95,10 @@
 
 # --- The flow in virtual time ---
 class World:
-    """Plays a `Flow` against a target in virtual time. `late_us`: how long the loop stands still ahead of
-    each look for those whose time is over."""
+    """Plays a `Flow` against a target in virtual time.
+
+    `late_us`: how long the loop stands still ahead of each look for those whose time is over.
+    """
 
     def __init__(
         self, flow: Flow, target: Callable[[int, Request], tuple[int, str]], late_us: int = 0
@@ -340,8 +342,10 @@
 # --- The program ---
 @contextmanager
 def stand(act: Callable[[socket.socket, int], object], only: int = 1 << 30) -> Iterator[int]:
-    """A target on loopback: `act(connection, number of the request)` for each GET; it takes `only` so many
-    connections, then its listener is gone."""
+    """A target on loopback: `act(connection, number of the request)` for each GET.
+
+    It takes `only` so many connections, then its listener is gone.
+    """
     listener = socket.create_server(("127.0.0.1", 0), backlog=512)
     port, count, lock, conns = listener.getsockname()[1], [0], threading.Lock(), []
 
--- a/tests/lab/test_ranking.py
+++ b/tests/lab/test_ranking.py
@@ -1,5 +1,6 @@
-"""Four policies rank in virtual time as they do on the platform's simulator, on short days of like figures;
-and what that comparison showed of an endpoint that leaves.
+"""Four policies rank in virtual time as they do on the platform's simulator, on short days of like figures.
+
+And what that comparison showed of an endpoint that leaves.
 
 The figures of LIKE are the module's G there, on whole days (docs/measurements/lab-against-bench.md). The days
 here have half of the fleet and begin their trouble sooner, or this would take minutes. Seeds are fixed, and
--- a/tests/lab/test_sim.py
+++ b/tests/lab/test_sim.py
@@ -251,8 +251,10 @@
 
 
 def test_a_request_that_crosses_a_close_is_sent_once_more() -> None:
-    """The stopping node closes what it has read nothing on, half a second after SIGTERM; a request that is on
-    its way there goes to the other node of the zone."""
+    """The stopping node closes what it has read nothing on, half a second after SIGTERM.
+
+    A request that is on its way there goes to the other node of the zone.
+    """
     arrivals = [1.0 + k / 100_000 for k in range(200)] + [2.3995 + k / 50_000 for k in range(100)]
     nodes = (d.NodeDay("n0", 0), d.NodeDay("n1", 0))
     day = calm(fault("node_term", 1.9, 9.0, "n0"), arrivals=arrivals, nodes=nodes)
--- a/tests/lab/test_sim_digest.py
+++ b/tests/lab/test_sim_digest.py
@@ -94,8 +94,10 @@
 
 
 def _pythons() -> list[str]:
-    """Other Pythons of this machine, from 3.11: beside this one where a version manager keeps them, or else
-    on the path."""
+    """Other Pythons of this machine, from 3.11.
+
+    Beside this one where a version manager keeps them, or else on the path.
+    """
     home, versions = Path(os.path.realpath(sys.executable)).parents[2], ("3.11", "3.12", "3.13")
     beside = [str(p) for v in versions for p in sorted(home.glob(f"{v}.*/bin/python"))]
     return beside or [p for v in versions if (p := shutil.which(f"python{v}"))]
--- a/tests/lab/test_socks.py
+++ b/tests/lab/test_socks.py
@@ -156,8 +156,10 @@
 # --- Days -------------------------------------------------------------------------------------------------
 @pytest.fixture(scope="module")
 def troubled(tmp_path_factory: pytest.TempPathFactory) -> dict[str, Any]:
-    """A day in which almost everything that can happen happens to the real node. Where the machine was too
-    busy to say whose fault a broken rule is, it is played again."""
+    """A day in which almost everything that can happen happens to the real node.
+
+    Where the machine was too busy to say whose fault a broken rule is, it is played again.
+    """
     day = replace(small_day(length_us=3_500_000, rate=120.0), faults=FAULTS)
     for k in range(3):
         played = play_on_sockets(day, tmp_path_factory.mktemp("troubled") / f"out{k}", FAST)
--- a/tests/nodes/cut_off_invariants.py
+++ b/tests/nodes/cut_off_invariants.py
@@ -33,7 +33,11 @@
 
 
 class Invariants:
-    """Knows what was committed, confirmed and refused, and when. world: has `now`."""
+    """Knows what was committed, confirmed and refused, and when.
+
+    Attributes:
+        world: Has `now`.
+    """
 
     def __init__(self, world: Any) -> None:
         self._world = world
@@ -115,7 +119,11 @@
     # Edges
 
     def published(self, host: str, version: int, rate: float) -> None:
-        """A reply to an edge was made. version: the newer of what it brings and what the edge has."""
+        """A reply to an edge was made.
+
+        Args:
+            version: The newer of what it brings and what the edge has.
+        """
         least = self.committed_before(self._world.now - MOST_CONTACT_AGE_S / rate - SLACK_S)
         if version < least:
             raise Violation(f"{host} publishes {version}, {least} is older than a contact may be")
--- a/tests/nodes/stepped_loop.py
+++ b/tests/nodes/stepped_loop.py
@@ -16,7 +16,11 @@
 
 
 class SteppedLoop(asyncio.BaseEventLoop):
-    """Runs nothing by itself: `step` runs one callback. clock: what `time` gives."""
+    """Runs nothing by itself: `step` runs one callback.
+
+    Attributes:
+        clock: What `time` gives.
+    """
 
     _ready: deque[asyncio.Handle]
     _scheduled: list[asyncio.TimerHandle]
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -46,8 +46,11 @@
 
 
 class World:
-    """One order, as it is played. nodes: that share the fleet, and whose requests the one checker judges
-    together."""
+    """One order, as it is played.
+
+    Attributes:
+        nodes: That share the fleet, and whose requests the one checker judges together.
+    """
 
     def __init__(
         self, nodes: int = 1, core: type[c.Core] = c.Core, balancer: type[Balancer] = Balancer,
@@ -316,8 +319,7 @@
 
     # --- What may come next -----------------------------------------------------------------------------
     def possible(self, kinds: tuple[str, ...], order: Order) -> Iterator[Event]:
-        """What can happen now, of these kinds: each once, or once for each call or request that it is
-        about."""
+        """What can happen now, of these kinds: each once, or once for each call or request that it is about."""
         had = {what for what, _ in order}
         calls = [x for each in self.out.values() for x in each.values()]
         for kind in kinds:
--- a/tests/play.py
+++ b/tests/play.py
@@ -57,9 +57,12 @@
 
 
 def reserved() -> socket.socket:
-    """An address for the program to listen at, this test's own for as long as the socket is open: bound, so
-    that the kernel gives its port to nobody else, and never listening, so that the program, which asks for
-    SO_REUSEADDR too, can. A port that was only free a moment ago may be another test's when it is used."""
+    """An address for the program to listen at, this test's own for as long as the socket is open.
+
+    Bound, so that the kernel gives its port to nobody else, and never listening, so that the program, which
+    asks for SO_REUSEADDR too, can. A port that was only free a moment ago may be another test's when it is
+    used.
+    """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", 0))
@@ -67,8 +70,11 @@
 
 
 class Agent:
-    """Discovery as the protocol has it, at one address: each call is answered at once where there is news, a
-    watch otherwise when its wait is over. A thread a connection."""
+    """Discovery as the protocol has it, at one address.
+
+    Each call is answered at once where there is news, a watch otherwise when its wait is over. A thread a
+    connection.
+    """
 
     def __init__(self) -> None:
         self.server = listen()
@@ -98,8 +104,10 @@
         self.server.close()
 
     def left(self) -> None:
-        """Back once the program has closed all that it had to this address. One call may have been under way:
-        a watch that goes on makes several before its connection is renewed."""
+        """Back once the program has closed all that it had to this address.
+
+        One call may have been under way: a watch that goes on makes several before its connection is renewed.
+        """
         with self._lock:
             calls = len(self.calls)
             ended = self._lock.wait_for(lambda: not self._socks, LIMIT_S)
@@ -319,8 +327,11 @@
         self.program.send_signal(signal.Signals[f"SIG{words}"])
 
     def step_reload(self, words: str, _: bytes) -> None:
-        """Another discovery takes over: the file names it, SIGHUP says so, and the whole list is asked of it
-        while the old one is closed. `badly`: the file can't be read; the old discovery is asked on."""
+        """Another discovery takes over.
+
+        The file names it, SIGHUP says so, and the whole list is asked of it while the old one is closed.
+        `badly`: the file can't be read; the old discovery is asked on.
+        """
         assert self.program is not None
         path = Path(self.folder.name, "config.json")
         if words == "badly":
--- a/tests/recorded/samples.py
+++ b/tests/recorded/samples.py
@@ -2,7 +2,8 @@
 
 The bytes in `data/` were written by the program as it stood on 2026-12-02 (7ee4f05), before its types and
 fields were renamed. `python -m tests.recorded.samples NAME...` writes the file of a new kind; a file that
-exists is never written again, because older versions of the program have written such bytes to disks."""
+exists is never written again, because older versions of the program have written such bytes to disks.
+"""
 
 from __future__ import annotations
 
@@ -45,8 +46,10 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """A value, and how it becomes bytes and comes back. Two values are equal if `==` or, for types that have
-    no equality of their own, their `repr` says so."""
+    """A value, and how it becomes bytes and comes back.
+
+    Two values are equal if `==` or, for types that have no equality of their own, their `repr` says so.
+    """
 
     value: Any
     encode: Callable[[Any], bytes]
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,5 +1,6 @@
 """Bodies over 64 KiB: what is kept and let go, and the real program between real sockets that are slow, many,
-or break off."""
+or break off.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -139,8 +139,11 @@
 
 
 def test_members_of_discovery(tmp_path: Path) -> None:
-    """Start times on one clock, each reckoned once, so that a repeated value never reads as a restart; names
-    that the settings do not have get indices behind theirs; what is not discovery's form is a ValueError."""
+    """Start times on one clock, each reckoned once, so that a repeated value never reads as a restart.
+
+    Names that the settings do not have get indices behind theirs; what is not discovery's form is a
+    ValueError.
+    """
     reader = FleetReader(load(write(tmp_path)), lambda unix_us: unix_us - 1_000_000)
     entry = {"id": "s-1", "host_port": "10.1.0.18:9000", "locality": "elsewhere", "flavor": "older",
              "cell": 3, "phase": "ready", "size": 1.5, "up_since_ms": 2500, "more": []}  # fmt: skip
@@ -166,9 +169,11 @@
 
 
 def test_a_start_is_reckoned_once_by_the_clocks_as_they_stand_then(tmp_path: Path) -> None:
-    """The offset of the two clocks was that of the node's own start. A wall clock that was set right later
-    made each newly started endpoint look warm (and it could be pushed over), or cold for as long as the step
-    was."""
+    """The offset of the two clocks was that of the node's own start.
+
+    A wall clock that was set right later made each newly started endpoint look warm (and it could be pushed
+    over), or cold for as long as the step was.
+    """
     offset = [1_000_000]
     reader = FleetReader(load(write(tmp_path)), lambda unix_us: unix_us - offset[0])
     entry = {"id": "s-1", "host_port": "10.1.0.18:9000", "phase": "ready", "up_since_ms": 2500}
