--- a/granitewell/coordination/consensus/codec.py
+++ b/granitewell/coordination/consensus/codec.py
@@ -14,8 +14,7 @@
 from zlib import crc32
 
 from granitewell.coordination.consensus import messages
-from granitewell.coordination.consensus.messages import Message
-from granitewell.coordination.consensus.packing import (
+from granitewell.coordination.consensus.encoding import (
     IDL,
     decode_struct,
     pack_entries,
@@ -25,6 +24,7 @@
     unpack_member,
     unpack_membership,
 )
+from granitewell.coordination.consensus.messages import Message
 from granitewell.model.errors import BadFrame
 from granitewell.rpc.serialization import encode as encode_struct
 
--- a/granitewell/coordination/consensus/core.py
+++ b/granitewell/coordination/consensus/core.py
@@ -10,7 +10,7 @@
 from granitewell.coordination.consensus.persistence import Persistence
 from granitewell.coordination.consensus.ready import Outgoing
 from granitewell.coordination.consensus.settings import ReplicaSettings
-from granitewell.coordination.consensus.terms import Entry, HardState, Member, Role, Snapshot, StoredState
+from granitewell.coordination.consensus.types import Entry, HardState, Member, Role, Snapshot, StoredState
 
 
 class Core:
--- a/granitewell/coordination/consensus/election.py
+++ b/granitewell/coordination/consensus/election.py
@@ -15,7 +15,7 @@
 from granitewell.coordination.consensus.core import Core
 from granitewell.coordination.consensus.messages import PreVote, PreVoteReply, Vote, VoteReply
 from granitewell.coordination.consensus.quorum import NEVER, quorum_of
-from granitewell.coordination.consensus.terms import Role
+from granitewell.coordination.consensus.types import Role
 
 
 class Election:
--- a/granitewell/coordination/consensus/packing.py
+++ b/granitewell/coordination/consensus/encoding.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from granitewell.coordination.consensus.terms import (
+from granitewell.coordination.consensus.types import (
     MEMBERSHIP_KINDS,
     Entry,
     EntryKind,
--- a/granitewell/coordination/consensus/following.py
+++ b/granitewell/coordination/consensus/follower.py
@@ -12,7 +12,7 @@
     SnapshotChunk,
     SnapshotReply,
 )
-from granitewell.coordination.consensus.terms import Entry, Snapshot
+from granitewell.coordination.consensus.types import Entry, Snapshot
 
 
 @dataclass(slots=True)
--- a/granitewell/coordination/consensus/group.py
+++ b/granitewell/coordination/consensus/group.py
@@ -21,15 +21,15 @@
 import logbook
 
 from granitewell.coordination.consensus import codec
-from granitewell.coordination.consensus.held_messages import HeldMessages
 from granitewell.coordination.consensus.identity import NodeIdentity, fresh_replica_id, joining_state
+from granitewell.coordination.consensus.pending_messages import HeldMessages
 from granitewell.coordination.consensus.proposals import Proposals
 from granitewell.coordination.consensus.ready import Outgoing, Ready
 from granitewell.coordination.consensus.recovery import Recovery, with_first_members
 from granitewell.coordination.consensus.replica import Replica
 from granitewell.coordination.consensus.settings import ReplicaSettings
 from granitewell.coordination.consensus.storage import encode_records, state_records
-from granitewell.coordination.consensus.terms import (
+from granitewell.coordination.consensus.types import (
     Entry,
     EntryKind,
     Member,
--- a/granitewell/coordination/consensus/handlers.py
+++ b/granitewell/coordination/consensus/handlers.py
@@ -5,11 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from granitewell.coordination.consensus.contact import LeaderContact
 from granitewell.coordination.consensus.core import Core
 from granitewell.coordination.consensus.election import Election
-from granitewell.coordination.consensus.following import Following
-from granitewell.coordination.consensus.joining import Joining
+from granitewell.coordination.consensus.follower import Following
+from granitewell.coordination.consensus.learner import Joining
 from granitewell.coordination.consensus.messages import (
     Append,
     AppendReply,
@@ -28,8 +27,9 @@
     Vote,
     VoteReply,
 )
+from granitewell.coordination.consensus.read_staleness import LeaderContact
 from granitewell.coordination.consensus.roles import Roles
-from granitewell.coordination.consensus.terms import Role
+from granitewell.coordination.consensus.types import Role
 
 _REQUESTS = (PreVote, Vote, Append, Heartbeat, SnapshotChunk, Join, Leave)
 
--- a/granitewell/coordination/consensus/identity.py
+++ b/granitewell/coordination/consensus/identity.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from zlib import crc32
 
-from granitewell.coordination.consensus.terms import (
+from granitewell.coordination.consensus.types import (
     HardState,
     Member,
     Membership,
--- a/granitewell/coordination/consensus/leadership.py
+++ b/granitewell/coordination/consensus/leadership.py
@@ -30,8 +30,8 @@
 )
 from granitewell.coordination.consensus.progress import HeartbeatRounds, Progress, SnapshotTransfer
 from granitewell.coordination.consensus.reconfiguration import Reconfiguration
-from granitewell.coordination.consensus.terms import Entry, EntryKind, Member
 from granitewell.coordination.consensus.tracker import ProgressTracker
+from granitewell.coordination.consensus.types import Entry, EntryKind, Member
 
 PROBE_BYTES = 64 * 1024
 """Entries that are sent along before it is known where the peer's log agrees."""
--- a/granitewell/coordination/consensus/log.py
+++ b/granitewell/coordination/consensus/log.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from granitewell.coordination.consensus.membership import after_entry
-from granitewell.coordination.consensus.terms import MEMBERSHIP_KINDS, Entry, Membership, Snapshot
+from granitewell.coordination.consensus.types import MEMBERSHIP_KINDS, Entry, Membership, Snapshot
 
 ENTRY_OVERHEAD_BYTES = 64
 """What an entry costs beside its data, in memory and on the wire."""
--- a/granitewell/coordination/consensus/membership.py
+++ b/granitewell/coordination/consensus/membership.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Iterable, Sequence
 from dataclasses import dataclass
 
-from granitewell.coordination.consensus.packing import (
+from granitewell.coordination.consensus.encoding import (
     pack_change,
     pack_end,
     pack_member,
@@ -21,7 +21,7 @@
 )
 from granitewell.coordination.consensus.quorum import quorum_of
 from granitewell.coordination.consensus.settings import ReplicaSettings
-from granitewell.coordination.consensus.terms import Entry, EntryKind, Member, Membership, VoterChange
+from granitewell.coordination.consensus.types import Entry, EntryKind, Member, Membership, VoterChange
 
 MOST_REMOVED = 64
 """Ids of removed replicas that are kept, so that one that comes back late is told so."""
--- a/granitewell/coordination/consensus/messages.py
+++ b/granitewell/coordination/consensus/messages.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from granitewell.coordination.consensus.terms import Entry, Member, Membership
+from granitewell.coordination.consensus.types import Entry, Member, Membership
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/coordination/consensus/persistence.py
+++ b/granitewell/coordination/consensus/persistence.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from granitewell.coordination.consensus.terms import Record
+from granitewell.coordination.consensus.types import Record
 
 
 @dataclass(slots=True)
--- a/granitewell/coordination/consensus/progress.py
+++ b/granitewell/coordination/consensus/progress.py
@@ -7,7 +7,7 @@
 
 from granitewell.coordination.consensus.quorum import NEVER
 from granitewell.coordination.consensus.settings import ReplicaSettings
-from granitewell.coordination.consensus.terms import Member, Snapshot
+from granitewell.coordination.consensus.types import Member, Snapshot
 
 ROUNDS_KEPT = 64
 """Heartbeat rounds whose send times are kept; later replies say nothing about the lease."""
--- a/granitewell/coordination/consensus/proposals.py
+++ b/granitewell/coordination/consensus/proposals.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from granitewell.coordination.consensus.replica import Position
-from granitewell.coordination.consensus.terms import Entry
+from granitewell.coordination.consensus.types import Entry
 from granitewell.model.errors import ProposalLost
 
 
--- a/granitewell/coordination/consensus/quorum.py
+++ b/granitewell/coordination/consensus/quorum.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from granitewell.coordination.consensus.terms import Membership
+from granitewell.coordination.consensus.types import Membership
 
 NEVER = float("-inf")
 """A time before all times."""
--- a/granitewell/coordination/consensus/ready.py
+++ b/granitewell/coordination/consensus/ready.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from granitewell.coordination.consensus.messages import Message
-from granitewell.coordination.consensus.terms import Entry, Record, Snapshot
+from granitewell.coordination.consensus.types import Entry, Record, Snapshot
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/coordination/consensus/reconfiguration.py
+++ b/granitewell/coordination/consensus/reconfiguration.py
@@ -15,8 +15,8 @@
     stays_voter,
 )
 from granitewell.coordination.consensus.messages import Removed
-from granitewell.coordination.consensus.terms import EntryKind, Member
 from granitewell.coordination.consensus.tracker import ProgressTracker
+from granitewell.coordination.consensus.types import EntryKind, Member
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/coordination/consensus/recovery.py
+++ b/granitewell/coordination/consensus/recovery.py
@@ -21,7 +21,7 @@
     decode_records,
     replay,
 )
-from granitewell.coordination.consensus.terms import StoredState
+from granitewell.coordination.consensus.types import StoredState
 from granitewell.coordination.disk_thread import Executor
 from granitewell.coordination.durable_log import RETRY_S
 from granitewell.coordination.log_file import LogFile
--- a/granitewell/coordination/consensus/replica.py
+++ b/granitewell/coordination/consensus/replica.py
@@ -16,17 +16,17 @@
 from random import Random
 from typing import Any
 
-from granitewell.coordination.consensus.contact import LeaderContact
 from granitewell.coordination.consensus.core import Core
 from granitewell.coordination.consensus.election import Election
 from granitewell.coordination.consensus.handlers import MessageHandlers
-from granitewell.coordination.consensus.joining import Joining
 from granitewell.coordination.consensus.leadership import Leadership
+from granitewell.coordination.consensus.learner import Joining
 from granitewell.coordination.consensus.messages import Message
+from granitewell.coordination.consensus.read_staleness import LeaderContact
 from granitewell.coordination.consensus.ready import Ready
 from granitewell.coordination.consensus.roles import Roles
 from granitewell.coordination.consensus.settings import ReplicaSettings
-from granitewell.coordination.consensus.terms import MEMBERSHIP_KINDS, Member, Role, Snapshot, StoredState
+from granitewell.coordination.consensus.types import MEMBERSHIP_KINDS, Member, Role, Snapshot, StoredState
 from granitewell.model.errors import NotLeader, ProposalLost
 
 
--- a/granitewell/coordination/consensus/roles.py
+++ b/granitewell/coordination/consensus/roles.py
@@ -6,7 +6,7 @@
 from granitewell.coordination.consensus.election import Election
 from granitewell.coordination.consensus.leadership import Leadership
 from granitewell.coordination.consensus.messages import Message
-from granitewell.coordination.consensus.terms import Role
+from granitewell.coordination.consensus.types import Role
 
 
 class Roles:
--- a/granitewell/coordination/consensus/storage.py
+++ b/granitewell/coordination/consensus/storage.py
@@ -9,8 +9,7 @@
 import struct
 from collections.abc import Iterable
 
-from granitewell.coordination.consensus.log import ReplicatedLog
-from granitewell.coordination.consensus.packing import (
+from granitewell.coordination.consensus.encoding import (
     NewerMembershipFormat,
     UnknownEntryKind,
     pack_entry,
@@ -20,7 +19,8 @@
     unpack_list,
     unpack_membership,
 )
-from granitewell.coordination.consensus.terms import (
+from granitewell.coordination.consensus.log import ReplicatedLog
+from granitewell.coordination.consensus.types import (
     Entry,
     HardState,
     Identity,
--- a/granitewell/coordination/consensus/tracker.py
+++ b/granitewell/coordination/consensus/tracker.py
@@ -10,7 +10,7 @@
 from granitewell.coordination.consensus.membership import MemberView, is_voter, stays_voter
 from granitewell.coordination.consensus.progress import Progress
 from granitewell.coordination.consensus.quorum import NEVER, quorum_of
-from granitewell.coordination.consensus.terms import Member
+from granitewell.coordination.consensus.types import Member
 
 LEARNER_LATE_ENTRIES = 16
 LEARNER_LATE_S = 1.0
--- a/tests/controlplane/owner_world.py
+++ b/tests/controlplane/owner_world.py
@@ -22,7 +22,7 @@
 from granitewell.controlplane.placement.observation import ListedServer
 from granitewell.coordination.consensus.ready import Ready
 from granitewell.coordination.consensus.storage import state_records
-from granitewell.coordination.consensus.terms import EntryKind, StoredState
+from granitewell.coordination.consensus.types import EntryKind, StoredState
 from granitewell.model.errors import NotLeader, ProposalLost
 from granitewell.model.servers import ModelDemand, ModelRef, ServerState
 from tests.controlplane.owner_judge import CONTACT_S, LEASE_S, Judge, Span, Troubles
--- a/tests/controlplane/test_owner_defects.py
+++ b/tests/controlplane/test_owner_defects.py
@@ -17,7 +17,7 @@
 from granitewell.controlplane.placement import orders, reconciler
 from granitewell.controlplane.placement.limits import LoadBucket
 from granitewell.controlplane.placement.orders import Order, OrderResult, OrderTicket
-from granitewell.coordination.consensus.terms import Role
+from granitewell.coordination.consensus.types import Role
 from tests.controlplane import owner_judge
 from tests.controlplane.owner_wire import SimulatedClient, Wire
 from tests.controlplane.owner_world import OwnerProcess, OwnerWorld
--- a/tests/controlplane/test_owner_search.py
+++ b/tests/controlplane/test_owner_search.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from granitewell.coordination.consensus.terms import Role
+from granitewell.coordination.consensus.types import Role
 from tests.controlplane.owner_world import OwnerWorld
 from tests.coordination.faults import good_disk
 from tests.coordination.invariants import Violation
--- a/tests/coordination/defects.py
+++ b/tests/coordination/defects.py
@@ -17,8 +17,8 @@
 from granitewell.coordination.consensus.progress import HeartbeatRounds
 from granitewell.coordination.consensus.quorum import NEVER, Quorum, majority, quorum_of
 from granitewell.coordination.consensus.ready import Ready
-from granitewell.coordination.consensus.terms import HardState, Membership, StoredState, VoterChange
 from granitewell.coordination.consensus.tracker import ProgressTracker
+from granitewell.coordination.consensus.types import HardState, Membership, StoredState, VoterChange
 from tests.coordination import invariants
 from tests.coordination.world import Machine, Process
 
--- a/tests/coordination/faults.py
+++ b/tests/coordination/faults.py
@@ -8,7 +8,7 @@
 
 from granitewell.coordination.consensus.quorum import quorum_of
 from granitewell.coordination.consensus.settings import ReplicaSettings
-from granitewell.coordination.consensus.terms import Role
+from granitewell.coordination.consensus.types import Role
 from tests.coordination.invariants import Violation
 from tests.coordination.world import SETTINGS, Link, Machine, Process, World, replica_id
 
--- a/tests/coordination/invariants.py
+++ b/tests/coordination/invariants.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Sequence
 
+from granitewell.coordination.consensus.encoding import unpack_end
 from granitewell.coordination.consensus.identity import FIRST_INDEX
 from granitewell.coordination.consensus.messages import Message, VoteReply
-from granitewell.coordination.consensus.packing import unpack_end
 from granitewell.coordination.consensus.replica import Replica
-from granitewell.coordination.consensus.terms import Entry, EntryKind, Membership, Record, Snapshot
+from granitewell.coordination.consensus.types import Entry, EntryKind, Membership, Record, Snapshot
 
 LOOKED_BACK = 10
 """Entries before a change that are looked at once it has ended."""
--- a/tests/coordination/replacement.py
+++ b/tests/coordination/replacement.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from itertools import product
 
-from granitewell.coordination.consensus.terms import Role
+from granitewell.coordination.consensus.types import Role
 from tests.coordination.faults import Day, describe
 from tests.coordination.invariants import Violation
 from tests.coordination.world import Link, Machine, Process, World
--- a/tests/coordination/test_catch_up.py
+++ b/tests/coordination/test_catch_up.py
@@ -11,12 +11,12 @@
 import pytest
 
 from granitewell.coordination.consensus import codec
-from granitewell.coordination.consensus.following import Following
+from granitewell.coordination.consensus.follower import Following
 from granitewell.coordination.consensus.leadership import Leadership
 from granitewell.coordination.consensus.messages import Append, Message, SnapshotChunk, SnapshotReply
 from granitewell.coordination.consensus.progress import SnapshotTransfer
 from granitewell.coordination.consensus.settings import MEBIBYTE, ReplicaSettings
-from granitewell.coordination.consensus.terms import Membership
+from granitewell.coordination.consensus.types import Membership
 from granitewell.model.errors import NotLeader, ProposalLost
 from tests.coordination.cluster import Cluster, Node, SlowLink, Words, group_of, until
 from tests.coordination.virtual_loop import run
--- a/tests/coordination/test_codec.py
+++ b/tests/coordination/test_codec.py
@@ -12,8 +12,7 @@
 from hypothesis import strategies as st
 
 from granitewell.coordination.consensus import codec, messages
-from granitewell.coordination.consensus.messages import Message
-from granitewell.coordination.consensus.packing import (
+from granitewell.coordination.consensus.encoding import (
     NewerMembershipFormat,
     check_flat,
     pack_change,
@@ -26,6 +25,7 @@
     unpack_list,
     unpack_membership,
 )
+from granitewell.coordination.consensus.messages import Message
 from granitewell.coordination.consensus.storage import (
     UnreadableRecords,
     decode_records,
@@ -33,7 +33,7 @@
     replay,
     state_records,
 )
-from granitewell.coordination.consensus.terms import (
+from granitewell.coordination.consensus.types import (
     Entry,
     EntryKind,
     HardState,
--- a/tests/coordination/test_full_disk.py
+++ b/tests/coordination/test_full_disk.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from granitewell.coordination.consensus.held_messages import MOST_HELD
+from granitewell.coordination.consensus.pending_messages import MOST_HELD
 from granitewell.coordination.consensus.progress import Progress
 from granitewell.coordination.consensus.settings import KIBIBYTE, ReplicaSettings
-from granitewell.coordination.consensus.terms import Role
+from granitewell.coordination.consensus.types import Role
 from granitewell.coordination.durable_log import DurableLog
 from granitewell.model.errors import NotLeader, ProposalLost
 from tests.coordination.cluster import Cluster, Node, group_of, until
--- a/tests/coordination/test_group.py
+++ b/tests/coordination/test_group.py
@@ -10,8 +10,8 @@
 import pytest
 
 from granitewell.coordination.consensus.group import ReplicatedGroup
-from granitewell.coordination.consensus.held_messages import MOST_HELD, HeldMessages
 from granitewell.coordination.consensus.messages import AppendReply
+from granitewell.coordination.consensus.pending_messages import MOST_HELD, HeldMessages
 from granitewell.coordination.consensus.ready import Outgoing, Ready
 from granitewell.coordination.consensus.settings import ReplicaSettings
 from granitewell.coordination.consensus.storage import UnknownRecord
--- a/tests/coordination/test_hundreds_of_changes.py
+++ b/tests/coordination/test_hundreds_of_changes.py
@@ -16,7 +16,7 @@
 from granitewell.coordination.consensus.core import Core
 from granitewell.coordination.consensus.group import ReplicatedGroup
 from granitewell.coordination.consensus.ready import Ready
-from granitewell.coordination.consensus.terms import Snapshot
+from granitewell.coordination.consensus.types import Snapshot
 from granitewell.coordination.durable_log import DurableLog
 from granitewell.coordination.log_file import LogFile
 from tests.coordination.cluster import Cluster, group_of, until
--- a/tests/coordination/test_joint_consensus.py
+++ b/tests/coordination/test_joint_consensus.py
@@ -7,10 +7,10 @@
 
 import pytest
 
+from granitewell.coordination.consensus.encoding import pack_change, pack_end, pack_member
 from granitewell.coordination.consensus.membership import after_entry, is_voter, stays_voter
-from granitewell.coordination.consensus.packing import pack_change, pack_end, pack_member
 from granitewell.coordination.consensus.quorum import NEVER, Quorum, quorum_of
-from granitewell.coordination.consensus.terms import Entry, EntryKind, Member, Membership, VoterChange
+from granitewell.coordination.consensus.types import Entry, EntryKind, Member, Membership, VoterChange
 from tests.coordination.defects import (
     change_begins_before_catching_up,
     change_ends_before_arrival,
--- a/tests/coordination/test_persistence.py
+++ b/tests/coordination/test_persistence.py
@@ -5,7 +5,7 @@
 import pytest
 
 from granitewell.coordination.consensus.persistence import Persistence
-from granitewell.coordination.consensus.terms import HardState
+from granitewell.coordination.consensus.types import HardState
 from tests.coordination.defects import stable_past_truncation
 
 
--- a/tests/coordination/test_contact.py
+++ b/tests/coordination/test_read_staleness.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from granitewell.coordination.consensus.contact import LeaderContact, _Proof
 from granitewell.coordination.consensus.messages import Heartbeat
+from granitewell.coordination.consensus.read_staleness import LeaderContact, _Proof
 from granitewell.coordination.consensus.replica import Replica
-from granitewell.coordination.consensus.terms import Entry, Membership, Role
+from granitewell.coordination.consensus.types import Entry, Membership, Role
 from tests.coordination import faults, test_scenarios
 from tests.coordination.faults import Day, Trouble, play
 from tests.coordination.invariants import Invariants, Violation
--- a/tests/coordination/test_scenarios.py
+++ b/tests/coordination/test_scenarios.py
@@ -7,7 +7,7 @@
 import pytest
 
 from granitewell.coordination.consensus.messages import HeartbeatReply
-from granitewell.coordination.consensus.terms import Role
+from granitewell.coordination.consensus.types import Role
 from tests.coordination.defects import (
     begin_unguarded,
     changes_overlap,
--- a/tests/coordination/world.py
+++ b/tests/coordination/world.py
@@ -23,7 +23,7 @@
 from granitewell.coordination.consensus.replica import Replica
 from granitewell.coordination.consensus.settings import ReplicaSettings
 from granitewell.coordination.consensus.storage import replay, state_records
-from granitewell.coordination.consensus.terms import (
+from granitewell.coordination.consensus.types import (
     Entry,
     Identity,
     Member,
--- a/tests/nodes/test_serving_while_cut_off.py
+++ b/tests/nodes/test_serving_while_cut_off.py
@@ -20,7 +20,7 @@
 from granitewell.nodes.control_nodes import ControlNodes
 from granitewell.rpc.messages import WatchReply, decode, encode
 from granitewell.rpc.transport import Method
-from tests.coordination import test_contact
+from tests.coordination import test_read_staleness
 from tests.nodes.cut_off_days import play
 from tests.nodes.cut_off_invariants import Violation
 from tests.nodes.cut_off_world import CheckedWatch
@@ -97,7 +97,7 @@
     (follower_reads, "reads|answers", 0),
     (lease_not_asked_before_refusals, "answers|refuses", 0),
     (contact_age_not_asked, "publishes", 0),
-    (test_contact.counted_from_arrival, "publishes", 8),
+    (test_read_staleness.counted_from_arrival, "publishes", 8),
     (reply_that_is_late, "takes", 12),
     (edge_stays, "in touch", 0),
 )
--- a/tests/recorded/samples.py
+++ b/tests/recorded/samples.py
@@ -23,8 +23,8 @@
 from granitewell.controlplane.configuration.store import ConfigurationStore
 from granitewell.controlplane.ownership.record import OwnerClaimed, OwnerRecord
 from granitewell.coordination import log_format
-from granitewell.coordination.consensus import codec, messages, packing, storage
-from granitewell.coordination.consensus.terms import (
+from granitewell.coordination.consensus import codec, encoding, messages, storage
+from granitewell.coordination.consensus.types import (
     Entry,
     EntryKind,
     HardState,
@@ -67,11 +67,11 @@
 ENTRIES = (
     Entry(7, 2, EntryKind.NO_OPERATION),
     Entry(8, 2, EntryKind.DATA, b"a change \x00\xff"),
-    Entry(9, 3, EntryKind.ADD_VOTER, packing.pack_member(THREE)),
-    Entry(10, 3, EntryKind.REMOVE_VOTER, packing.pack_member(TWO)),
-    Entry(11, 3, EntryKind.CHANGE_VOTERS, packing.pack_change(CHANGE)),
-    Entry(12, 3, EntryKind.END_CHANGE, packing.pack_end(True)),
-    Entry(13, 3, EntryKind.END_CHANGE, packing.pack_end(False)),
+    Entry(9, 3, EntryKind.ADD_VOTER, encoding.pack_member(THREE)),
+    Entry(10, 3, EntryKind.REMOVE_VOTER, encoding.pack_member(TWO)),
+    Entry(11, 3, EntryKind.CHANGE_VOTERS, encoding.pack_change(CHANGE)),
+    Entry(12, 3, EntryKind.END_CHANGE, encoding.pack_end(True)),
+    Entry(13, 3, EntryKind.END_CHANGE, encoding.pack_end(False)),
 )
 RECORDS: tuple[Record, ...] = (
     Identity("0123456789abcdef"),
@@ -316,9 +316,9 @@
 def _samples() -> dict[str, Sample]:
     found: dict[str, Sample] = {
         "raft-records": Sample(list(RECORDS), storage.encode_records, storage.decode_records),
-        "raft-member": Sample(ONE, packing.pack_member, packing.unpack_member),
-        "raft-membership": Sample(STABLE, packing.pack_membership, packing.unpack_membership),
-        "raft-membership-joint": Sample(JOINT, packing.pack_membership, packing.unpack_membership),
+        "raft-member": Sample(ONE, encoding.pack_member, encoding.unpack_member),
+        "raft-membership": Sample(STABLE, encoding.pack_membership, encoding.unpack_membership),
+        "raft-membership-joint": Sample(JOINT, encoding.pack_membership, encoding.unpack_membership),
         "log-file": Sample((storage.encode_records(RECORDS), b"", b"batch"), log_file, log_payloads),
         "configuration-put": Sample(PUT, Change.encode, Change.decode),
         "configuration-patch": Sample(PATCH, Change.encode, Change.decode),
