--- a/granitewell/cli/system/commands.py
+++ b/granitewell/cli/system/commands.py
@@ -10,7 +10,7 @@
 
 from granitewell.cli.system import configuration
 from granitewell.cli.system.control_client import PATIENCE_S
-from granitewell.cli.system.ends import ended
+from granitewell.cli.system.exit_handling import ended
 from granitewell.cli.system.programs import run_program
 
 PROGRAM = "python -m granitewell.cli.system"
--- a/granitewell/controlplane/placement/planner.py
+++ b/granitewell/controlplane/placement/planner.py
@@ -18,7 +18,7 @@
 from granitewell.controlplane.placement.fleet import BUSY_RATE, KEEP_RATE, FleetView
 from granitewell.controlplane.placement.limits import MEMORY_SLACK_MB, SizeBook
 from granitewell.controlplane.placement.orders import Operation, Order
-from granitewell.controlplane.placement.placing import Placing
+from granitewell.controlplane.placement.placement_pass import Placing
 from granitewell.controlplane.placement.values import CopyValues
 from granitewell.controlplane.placement.views import ServerView, StoreView
 from granitewell.model.configuration import Engine
--- a/granitewell/dataplane/dispatch.py
+++ b/granitewell/dataplane/dispatch.py
@@ -14,10 +14,10 @@
 from granitewell.dataplane.affinity import PromptMemory
 from granitewell.dataplane.demand import Demand
 from granitewell.dataplane.headers import PromptPart
-from granitewell.dataplane.pool import Pool
+from granitewell.dataplane.request_queue import Place, WaitingLine
 from granitewell.dataplane.retry_budget import RetryBudget
+from granitewell.dataplane.server_selection import Pool
 from granitewell.dataplane.servers import ServerRecord
-from granitewell.dataplane.waiting import Place, WaitingLine
 from granitewell.model.configuration import Configuration, Service
 from granitewell.model.servers import ModelDemand, ModelRef, Server, ServerState
 from granitewell.model.settings import Bounds
--- a/granitewell/dataplane/plane.py
+++ b/granitewell/dataplane/edge.py
@@ -16,18 +16,6 @@
 from aiohttp.web_request import BaseRequest
 
 from granitewell.dataplane.dispatch import Dispatcher
-from granitewell.dataplane.exchange import ClientRequest, Exchange, OwnAnswer, StreamEnd, WholeAnswer
-from granitewell.dataplane.front import (
-    Front,
-    RefusedRequest,
-    StreamedAnswer,
-    check_head,
-    has_more_requests,
-    own_response,
-    passed_response,
-    peer_has_closed,
-    read_body,
-)
 from granitewell.dataplane.headers import (
     DEADLINE_MS,
     LAST_EVENT_ID,
@@ -38,7 +26,19 @@
     parse_milliseconds,
     parse_prompt_parts,
 )
+from granitewell.dataplane.http_server import (
+    Front,
+    RefusedRequest,
+    StreamedAnswer,
+    check_head,
+    has_more_requests,
+    own_response,
+    passed_response,
+    peer_has_closed,
+    read_body,
+)
 from granitewell.dataplane.readiness import ReadinessServer
+from granitewell.dataplane.request_forwarder import ClientRequest, Exchange, OwnAnswer, StreamEnd, WholeAnswer
 from granitewell.dataplane.routes import RouteTable, choose_service, host_name, path_of
 from granitewell.dataplane.upstream_pool import UpstreamPool
 from granitewell.model.configuration import Configuration, Limits, Route
--- a/granitewell/dataplane/front.py
+++ b/granitewell/dataplane/http_server.py
@@ -24,8 +24,8 @@
 from multidict import CIMultiDict
 
 from granitewell.dataplane.addresses import host_and_port
-from granitewell.dataplane.exchange import OwnAnswer, WholeAnswer
-from granitewell.dataplane.quiet import QUIET_LOGGER
+from granitewell.dataplane.request_forwarder import OwnAnswer, WholeAnswer
+from granitewell.dataplane.server_log import QUIET_LOGGER
 from granitewell.model.configuration import Limits
 from granitewell.model.errors import GranitewellError
 
--- a/granitewell/dataplane/readiness.py
+++ b/granitewell/dataplane/readiness.py
@@ -9,7 +9,7 @@
 from aiohttp.web_request import BaseRequest
 
 from granitewell.dataplane.addresses import host_and_port
-from granitewell.dataplane.quiet import QUIET_LOGGER
+from granitewell.dataplane.server_log import QUIET_LOGGER
 
 PATH = "/readyz"
 
--- a/granitewell/dataplane/exchange.py
+++ b/granitewell/dataplane/request_forwarder.py
@@ -31,10 +31,10 @@
     without,
 )
 from granitewell.dataplane.request import AttemptEnd, Attempts, passes_unchanged, proves_not_executed
+from granitewell.dataplane.request_queue import LineFull
 from granitewell.dataplane.servers import MOVED_FOR_S, ServerRecord
 from granitewell.dataplane.upstream import BrokenAnswer, NotWritten, UpstreamConnection
 from granitewell.dataplane.upstream_pool import UpstreamPool
-from granitewell.dataplane.waiting import LineFull
 from granitewell.model.configuration import Route, RouteKind
 from granitewell.model.errors import GranitewellError
 from granitewell.model.servers import ModelRef
--- a/granitewell/dataplane/servers.py
+++ b/granitewell/dataplane/servers.py
@@ -8,7 +8,7 @@
 
 import math
 
-from granitewell.dataplane.doubt import Doubt
+from granitewell.dataplane.failure_suspicion import Doubt
 from granitewell.dataplane.headers import ServerLoad
 from granitewell.model.servers import Server
 
--- a/granitewell/nodes/control.py
+++ b/granitewell/nodes/control.py
@@ -26,7 +26,7 @@
 from granitewell.nodes.layout import CONFIGURATION_GROUP, SHARDS, shard_group
 from granitewell.nodes.operator_server import OperatorServer
 from granitewell.nodes.process import SettingsFile, Signals, follow_settings, run_process
-from granitewell.nodes.shard_keeper import ShardKeeper
+from granitewell.nodes.shard_supervisor import ShardKeeper
 from granitewell.nodes.shards import LIST_FRESH_PART, OwnedShard, ShardServices, list_every_s
 from granitewell.rpc.messages import GroupMessage, encode
 from granitewell.rpc.transport import Method, RpcPeers, RpcServer
--- a/granitewell/nodes/control_watch.py
+++ b/granitewell/nodes/control_watch.py
@@ -23,7 +23,7 @@
 from granitewell.controlplane.publication.publisher import update_from_message
 from granitewell.controlplane.publication.table import Version
 from granitewell.coordination.rendezvous import shard_of
-from granitewell.dataplane.plane import DataPlane
+from granitewell.dataplane.edge import DataPlane
 from granitewell.discovery.instances import BadList, ListedInstance
 from granitewell.discovery.reader import InstanceReader, ListUnavailable
 from granitewell.model.errors import GranitewellError, RpcError, RpcTimeout
--- a/granitewell/nodes/edge.py
+++ b/granitewell/nodes/edge.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from granitewell.dataplane.plane import DataPlane
+from granitewell.dataplane.edge import DataPlane
 from granitewell.model.settings import Settings
 from granitewell.nodes.control_watch import ControlWatch, OwnList
 from granitewell.nodes.process import SettingsFile, Signals, follow_settings, run_process
--- a/tests/dataplane/standin.py
+++ b/tests/dataplane/standin.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any, TypeVar
 
-from granitewell.dataplane.plane import DataPlane
+from granitewell.dataplane.edge import DataPlane
 from granitewell.model.configuration import Configuration, Engine, Limits, Model, Route, RouteKind, Service
 from granitewell.model.servers import HeldModel, Server, ServerState
 from granitewell.model.settings import Bounds, Listen, Platform, Settings
--- a/tests/dataplane/test_dispatch.py
+++ b/tests/dataplane/test_dispatch.py
@@ -11,9 +11,9 @@
 
 from granitewell.dataplane.dispatch import MOST_POOLS, Dispatcher, Want
 from granitewell.dataplane.headers import PromptPart, ServerLoad
-from granitewell.dataplane.pool import COMFORTABLE_PART, Pool
+from granitewell.dataplane.request_queue import LineFull
+from granitewell.dataplane.server_selection import COMFORTABLE_PART, Pool
 from granitewell.dataplane.servers import MOST_AVOIDANCE_S, REFUSED_FOR_S, ServerRecord
-from granitewell.dataplane.waiting import LineFull
 from granitewell.model.configuration import Configuration, Engine, Model, Service
 from granitewell.model.servers import HeldModel, ModelRef, Server, ServerState
 from granitewell.model.settings import Bounds
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from granitewell.dataplane.plane import DataPlane
+from granitewell.dataplane.edge import DataPlane
 from granitewell.model.configuration import Configuration, Limits
 from tests.dataplane.simulated_network import SimulatedTransport, play_simulated
 from tests.dataplane.standin import (
--- a/tests/dataplane/test_plane.py
+++ b/tests/dataplane/test_edge.py
@@ -8,7 +8,7 @@
 import logbook
 import pytest
 
-from granitewell.dataplane.front import DefectLog
+from granitewell.dataplane.http_server import DefectLog
 from granitewell.model.servers import ModelDemand, ModelRef, ServerState
 from tests.dataplane.standin import (
     Behaviour,
@@ -314,8 +314,8 @@
             without_configuration(s)
             answer = await s.call("/once/x", Granitewell_Deadline_Ms="25")
             assert answer.status == 503 and answer.header("Retry-After")
-            monkeypatch.setattr("granitewell.dataplane.plane.MOST_HELD_FOR_CONFIGURATION", 0)
-            monkeypatch.setattr("granitewell.dataplane.plane.CONFIGURATION_HOLD_S", 1e9)
+            monkeypatch.setattr("granitewell.dataplane.edge.MOST_HELD_FOR_CONFIGURATION", 0)
+            monkeypatch.setattr("granitewell.dataplane.edge.CONFIGURATION_HOLD_S", 1e9)
             assert (await s.call("/once/x", Granitewell_Deadline_Ms="100000000")).status == 503
 
     play(run())
@@ -330,8 +330,8 @@
             for _ in range(3):
                 assert (await s.call("/once/x")).status == 500
 
-    monkeypatch.setattr("granitewell.dataplane.plane.choose_service", fails)
-    monkeypatch.setattr("granitewell.dataplane.front._defects", DefectLog())
+    monkeypatch.setattr("granitewell.dataplane.edge.choose_service", fails)
+    monkeypatch.setattr("granitewell.dataplane.http_server._defects", DefectLog())
     with logbook.TestHandler() as log:
         play(run())
     assert len([r for r in log.records if "planted" in (r.formatted_exception or "")]) == 1
@@ -1141,7 +1141,7 @@
 
 
 def test_a_drain_answers_all_that_was_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("granitewell.dataplane.plane.LISTENS_ON_S", 0.1)
+    monkeypatch.setattr("granitewell.dataplane.edge.LISTENS_ON_S", 0.1)
 
     async def run() -> None:
         release = asyncio.Event()
@@ -1171,9 +1171,9 @@
 
 def test_a_drain_ends_within_the_grace_with_an_answer_for_all(monkeypatch: pytest.MonkeyPatch) -> None:
     """What a server has may have run; what waited for one has not and gets the promise."""
-    monkeypatch.setattr("granitewell.dataplane.plane.LISTENS_ON_S", 0.05)
-    monkeypatch.setattr("granitewell.dataplane.plane.END_MARGIN_S", 1.2)
-    monkeypatch.setattr("granitewell.dataplane.plane.EXPIRE_MARGIN_S", 0.1)
+    monkeypatch.setattr("granitewell.dataplane.edge.LISTENS_ON_S", 0.05)
+    monkeypatch.setattr("granitewell.dataplane.edge.END_MARGIN_S", 1.2)
+    monkeypatch.setattr("granitewell.dataplane.edge.EXPIRE_MARGIN_S", 0.1)
 
     async def run() -> None:
         async with scene(silent) as s:
--- a/tests/dataplane/test_doubt.py
+++ b/tests/dataplane/test_failure_suspicion.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from granitewell.dataplane.doubt import DOUBT_LASTS_S, MOST_PROOFS, PROOFS_AFTER_BREAK, Doubt
-from granitewell.dataplane.pool import Pool
+from granitewell.dataplane.failure_suspicion import DOUBT_LASTS_S, MOST_PROOFS, PROOFS_AFTER_BREAK, Doubt
+from granitewell.dataplane.server_selection import Pool
 from granitewell.dataplane.servers import FIRST_AVOIDANCE_S, ServerRecord
 from granitewell.model.servers import Server, ServerState
 
--- a/tests/dataplane/test_leaving_clients.py
+++ b/tests/dataplane/test_leaving_clients.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from granitewell.dataplane.front import peer_has_closed
+from granitewell.dataplane.http_server import peer_has_closed
 from tests.dataplane.simulated_network import SimulatedTransport, play_simulated
 from tests.dataplane.standin import Client, Scene, Seen, configuration, route, scene, well
 
--- a/tests/dataplane/test_node_world.py
+++ b/tests/dataplane/test_node_world.py
@@ -10,8 +10,8 @@
 import pytest
 
 from granitewell.dataplane.dispatch import Dispatcher
-from granitewell.dataplane.exchange import Exchange
 from granitewell.dataplane.request import Attempts
+from granitewell.dataplane.request_forwarder import Exchange
 from tests.dataplane import test_planted_defects as defects
 from tests.dataplane.node_world import Violation, play
 from tests.dataplane.simulated_network import play_simulated
@@ -45,7 +45,7 @@
 
 
 def grace_is_not_kept(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr("granitewell.dataplane.plane.END_MARGIN_S", -1.0)
+    patch.setattr("granitewell.dataplane.edge.END_MARGIN_S", -1.0)
     patch.setattr(Exchange, "expire", lambda exchange: None)
 
 
--- a/tests/dataplane/test_planted_defects.py
+++ b/tests/dataplane/test_planted_defects.py
@@ -10,16 +10,16 @@
 import pytest
 
 from granitewell.dataplane.dispatch import Dispatcher
-from granitewell.dataplane.doubt import Doubt
-from granitewell.dataplane.exchange import Exchange
-from granitewell.dataplane.front import ClientConnection, Front, FrontServer
-from granitewell.dataplane.plane import DataPlane
+from granitewell.dataplane.edge import DataPlane
+from granitewell.dataplane.failure_suspicion import Doubt
+from granitewell.dataplane.http_server import ClientConnection, Front, FrontServer
 from granitewell.dataplane.request import Attempts
+from granitewell.dataplane.request_forwarder import Exchange
 from granitewell.dataplane.routes import RouteTable
 from granitewell.dataplane.servers import ServerRecord
 from granitewell.model.configuration import Configuration
-from tests.dataplane import test_doubt as doubt
 from tests.dataplane import test_draining as draining
+from tests.dataplane import test_failure_suspicion as doubt
 from tests.dataplane import test_leaving_clients as leaving
 from tests.dataplane import test_refusals as refusals
 from tests.dataplane import test_time_left as time_left
@@ -47,7 +47,7 @@
 
 
 def deadline_of_the_route_only(patch: Patch) -> None:
-    patch.setattr("granitewell.dataplane.plane.parse_milliseconds", lambda _: None)
+    patch.setattr("granitewell.dataplane.edge.parse_milliseconds", lambda _: None)
 
 
 def place_in_line_kept(patch: Patch) -> None:
@@ -65,7 +65,7 @@
 
 
 def end_of_client_not_looked_for(patch: Patch) -> None:
-    patch.setattr("granitewell.dataplane.plane.peer_has_closed", lambda _: False)
+    patch.setattr("granitewell.dataplane.edge.peer_has_closed", lambda _: False)
 
 
 def no_route_without_configuration(patch: Patch) -> None:
@@ -76,11 +76,11 @@
 
 
 def usual_limits_refuse(patch: Patch) -> None:
-    patch.setattr("granitewell.dataplane.plane.BEYOND_LIMITS", frozenset())
+    patch.setattr("granitewell.dataplane.edge.BEYOND_LIMITS", frozenset())
 
 
 def limits_of_the_connection(patch: Patch) -> None:
-    patch.setattr("granitewell.dataplane.front.MOST_HEAD_BYTES", 0)
+    patch.setattr("granitewell.dataplane.http_server.MOST_HEAD_BYTES", 0)
 
 
 def bodies_dropped_by_a_drain(patch: Patch) -> None:
@@ -92,7 +92,7 @@
 
 
 def listener_closed_at_once(patch: Patch) -> None:
-    patch.setattr("granitewell.dataplane.plane.LISTENS_ON_S", 0.0)
+    patch.setattr("granitewell.dataplane.edge.LISTENS_ON_S", 0.0)
 
 
 def time_without_end(patch: Patch) -> None:
@@ -107,7 +107,7 @@
         def __getattr__(self, name: str) -> Any:
             return getattr(asyncio, name)
 
-    patch.setattr("granitewell.dataplane.exchange.asyncio", Module())
+    patch.setattr("granitewell.dataplane.request_forwarder.asyncio", Module())
 
 
 def attempts_not_counted(patch: Patch) -> None:
--- a/tests/dataplane/test_rules.py
+++ b/tests/dataplane/test_rules.py
@@ -34,9 +34,9 @@
     passes_unchanged,
     proves_not_executed,
 )
+from granitewell.dataplane.request_queue import LineFull, WaitingLine
 from granitewell.dataplane.retry_budget import RetryBudget
 from granitewell.dataplane.routes import RouteTable, choose_service, host_name, path_of
-from granitewell.dataplane.waiting import LineFull, WaitingLine
 from granitewell.model.configuration import Configuration, Route, RouteKind, WeightedService
 from granitewell.model.servers import ModelRef
 
--- a/tests/dataplane/wire_defects.py
+++ b/tests/dataplane/wire_defects.py
@@ -12,11 +12,11 @@
 from aiohttp.http_parser import RawResponseMessage
 from aiohttp.streams import StreamReader
 
-from granitewell.dataplane import exchange, request
+from granitewell.dataplane import request, request_forwarder
 from granitewell.dataplane.events import Event, EventCutter
-from granitewell.dataplane.exchange import _Attempt
 from granitewell.dataplane.framing import HeadFraming
 from granitewell.dataplane.request import CONSEQUENCES, PROMISES, AttemptEnd, Consequence
+from granitewell.dataplane.request_forwarder import _Attempt
 from granitewell.dataplane.upstream import UpstreamConnection
 
 
@@ -95,17 +95,21 @@
 
 def not_executed_not_needed(patch: pytest.MonkeyPatch) -> None:
     """A bare 503 counts as proof."""
-    patch.setattr(exchange, "proves_not_executed", lambda status, marked: status in PROMISES)
+    patch.setattr(request_forwarder, "proves_not_executed", lambda status, marked: status in PROMISES)
 
 
 def bare_promise_passes(patch: pytest.MonkeyPatch) -> None:
     """A server's 503 without its word goes to the client."""
-    patch.setattr(exchange, "passes_unchanged", lambda status, sealed, marked: sealed or status >= 300)
+    patch.setattr(
+        request_forwarder, "passes_unchanged", lambda status, sealed, marked: sealed or status >= 300
+    )
 
 
 def seal_not_needed(patch: pytest.MonkeyPatch) -> None:
     """A success without its seal goes to the client."""
-    patch.setattr(exchange, "passes_unchanged", lambda status, sealed, marked: status not in PROMISES)
+    patch.setattr(
+        request_forwarder, "passes_unchanged", lambda status, sealed, marked: status not in PROMISES
+    )
 
 
 def pieces_pass_as_they_come(patch: pytest.MonkeyPatch) -> None:
@@ -117,7 +121,7 @@
             rest, self._rest = self.rest, b""
             return [*whole, Event(rest, whole[-1].id if whole else None)] if rest else whole
 
-    patch.setattr(exchange, "EventCutter", Cutter)
+    patch.setattr(request_forwarder, "EventCutter", Cutter)
 
 
 def resumed_from_the_start(patch: pytest.MonkeyPatch) -> None:
--- a/tests/dataplane/wire_world.py
+++ b/tests/dataplane/wire_world.py
@@ -14,9 +14,16 @@
 from typing import Any
 
 from granitewell.dataplane.dispatch import Dispatcher
-from granitewell.dataplane.exchange import Answer, ClientRequest, Exchange, OwnAnswer, StreamEnd, WholeAnswer
 from granitewell.dataplane.headers import for_sending
 from granitewell.dataplane.request import PROMISES
+from granitewell.dataplane.request_forwarder import (
+    Answer,
+    ClientRequest,
+    Exchange,
+    OwnAnswer,
+    StreamEnd,
+    WholeAnswer,
+)
 from granitewell.dataplane.upstream import NotWritten, UpstreamConnection
 from granitewell.dataplane.upstream_pool import CONNECT_TIMEOUT_S, UpstreamPool
 from granitewell.model.configuration import Configuration, Route, RouteKind, Service
--- a/tests/nodes/test_edge.py
+++ b/tests/nodes/test_edge.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from granitewell.dataplane.plane import DataPlane
+from granitewell.dataplane.edge import DataPlane
 from granitewell.model.settings import Settings
 from granitewell.nodes import edge
 from granitewell.nodes.process import Signals
@@ -52,7 +52,7 @@
         return planes[0]
 
     monkeypatch.setattr(edge, "DataPlane", made)
-    monkeypatch.setattr("granitewell.dataplane.plane.LISTENS_ON_S", 0.05)
+    monkeypatch.setattr("granitewell.dataplane.edge.LISTENS_ON_S", 0.05)
 
     async def run() -> None:
         release = asyncio.Event()
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -41,9 +41,9 @@
 )
 from granitewell.cli.system.control_client import Call, ControlClient, Method
 from granitewell.cli.system.differences import differences
-from granitewell.cli.system.ends import ended
 from granitewell.cli.system.errors import CommandError, NoControlNode, OtherVersionInForce, RefusedByControl
 from granitewell.cli.system.exit_codes import ExitCode
+from granitewell.cli.system.exit_handling import ended
 from granitewell.controlplane.configuration.api import OperatorApi
 from granitewell.controlplane.configuration.store import ConfigurationStore
 from granitewell.model.errors import InvalidSettings
@@ -160,7 +160,7 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    monkeypatch.setattr("granitewell.cli.system.ends._drop_output", lambda: None)
+    monkeypatch.setattr("granitewell.cli.system.exit_handling._drop_output", lambda: None)
     assert ended(fails(error)) == code
     text = capsys.readouterr().err
     assert text.endswith(says) and bool(text) == bool(says) and text.count("\n") <= 1
