--- a/benchmarks/counts_cost.py
+++ b/benchmarks/counts_cost.py
@@ -14,12 +14,12 @@
 import tracemalloc
 from random import Random
 
-from granitewell.counts.machine import Counts
-from granitewell.counts.terms import Figures, Peer, Peers, Took
 from granitewell.lab.cluster.links import Quality
 from granitewell.lab.cluster.world import Boot, Cluster, Node, Spec
 from granitewell.lab.engine import stream
 from granitewell.protocols.peers.frames import Key, Keys
+from granitewell.shared_counters.state_machine import Counts
+from granitewell.shared_counters.types import Figures, Peer, Peers, Took
 
 KEYS = Keys(Key(b"a key for virtual time alone"))
 TENANTS, PER_S = 50, 2_000.0
--- a/granitewell/__main__.py
+++ b/granitewell/__main__.py
@@ -12,13 +12,13 @@
 import signal
 import sys
 
-from granitewell import pace
+from granitewell import startup_pacing
 
 if __name__ == "__main__":  # the imports below take a tenth of a second, in which these would end it
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # nothing has been read yet that could be out of date
     if os.environ.get("LB_INHERITED_FD"):  # another process of this node may be serving
-        pace.begin()
+        startup_pacing.begin()
 
 import asyncio
 import gc
@@ -150,7 +150,7 @@
 
 def main() -> int:
     """Run one node; the exit code says how it ended."""
-    pace.end()
+    startup_pacing.end()
     early: list[int] = []  # SIGHUPs before the loop can act on them
     signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
     for sign in (signal.SIGTERM, signal.SIGINT):
--- a/granitewell/cluster/notes.py
+++ b/granitewell/cluster/persisted_record.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from granitewell.cluster.census import MOST_NAMES, Known
-from granitewell.cluster.terms import address
+from granitewell.cluster.size_estimate import MOST_NAMES, Known
+from granitewell.cluster.types import address
 from granitewell.protocols.peers.frames import MAX_NAME
 from granitewell.protocols.peers.gossip import MOST_GEN, MOST_INC, word
 
--- a/granitewell/cluster/census.py
+++ b/granitewell/cluster/size_estimate.py
@@ -32,7 +32,7 @@
 from enum import Enum
 from math import exp
 
-from granitewell.machine import Line, Woken
+from granitewell.state_machine import Line, Woken
 
 STEP_US = 500_000  # between two steps of a fall
 FALL_US = 10_000_000  # in which a fall has done two thirds of its way
--- a/granitewell/lab/cluster/budgets.py
+++ b/granitewell/lab/cluster/budgets.py
@@ -10,8 +10,6 @@
 from bisect import bisect_right
 from random import Random
 
-from granitewell.budgets.machine import Budgets
-from granitewell.budgets.terms import MILLI, Acting, Figures, Wholes
 from granitewell.lab.cluster.budgets_plants import PLANTS, planted
 from granitewell.lab.cluster.chaos import Chaos, Rules, Trouble, draw
 from granitewell.lab.cluster.days import Case, Outcome, Subject
@@ -19,6 +17,8 @@
 from granitewell.lab.cluster.world import Boot, Cluster, Node, Spec
 from granitewell.lab.engine import stream
 from granitewell.protocols.peers.frames import Key, Keys
+from granitewell.quotas.state_machine import Budgets
+from granitewell.quotas.types import MILLI, Acting, Figures, Wholes
 
 KEYS = Keys(Key(b"a key for virtual time alone"))
 KINDS = ("kill", "lose", "stall", "cut", "oneway", "alone", "link")
--- a/granitewell/lab/cluster/budgets_search.py
+++ b/granitewell/lab/cluster/budgets_search.py
@@ -13,9 +13,9 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from granitewell.budgets.rights import Loan, Rights
-from granitewell.budgets.terms import Figures
 from granitewell.lab.cluster.search import Seen, search
+from granitewell.quotas.quota_transfer import Loan, Rights
+from granitewell.quotas.types import Figures
 
 NOW = 1_000  # every state is looked at as of this tick
 FIGURES = Figures(floor=0.0, loan_us=3, drift_ppm=0)
--- a/granitewell/lab/cluster/counts.py
+++ b/granitewell/lab/cluster/counts.py
@@ -10,8 +10,6 @@
 from dataclasses import replace
 from random import Random
 
-from granitewell.counts.machine import Counts
-from granitewell.counts.terms import Figure, Figures, Peer, Peers, Took
 from granitewell.lab.cluster.chaos import Chaos, Rules, Trouble, draw
 from granitewell.lab.cluster.counts_plants import PLANTS, planted
 from granitewell.lab.cluster.days import Case, Outcome, Subject
@@ -19,6 +17,8 @@
 from granitewell.lab.cluster.world import Boot, Cluster, Node, Spec
 from granitewell.lab.engine import stream
 from granitewell.protocols.peers.frames import Key, Keys
+from granitewell.shared_counters.state_machine import Counts
+from granitewell.shared_counters.types import Figure, Figures, Peer, Peers, Took
 
 KEYS = Keys(Key(b"a key for virtual time alone"))
 KINDS = ("kill", "lose", "stall", "cut", "oneway", "alone", "link", "snap")
--- a/granitewell/lab/cluster/counts_plants.py
+++ b/granitewell/lab/cluster/counts_plants.py
@@ -9,9 +9,9 @@
 from contextlib import AbstractContextManager
 from typing import Any
 
-from granitewell.counts import lives, machine
-from granitewell.counts.terms import OTHERS
 from granitewell.lab.cluster.plants import patched
+from granitewell.shared_counters import remote_counts, state_machine
+from granitewell.shared_counters.types import OTHERS
 
 PLANTS = {
     "merge-adds": "what is heard again is added to what is known",
@@ -27,7 +27,7 @@
 }
 
 
-def _merge(self: lives.Life, word: Any, whole: Any = lives.Life.merge) -> None:
+def _merge(self: remote_counts.Life, word: Any, whole: Any = remote_counts.Life.merge) -> None:
     before = {i: dict(cell) for i, cell in self.cells.items()}
     whole(self, word)
     for one in word.slices:
@@ -36,30 +36,39 @@
                 self.cells[one.index][number] = before[one.index][number] + count
 
 
-def _inside(from_us: int, to_us: int, start_us: int, end_us: int, whole: Any = lives._inside) -> int:
+def _inside(from_us: int, to_us: int, start_us: int, end_us: int, whole: Any = remote_counts._inside) -> int:
     return 0 if to_us >= end_us else int(whole(from_us, to_us, start_us, end_us))
 
 
 def _init(
-    self: machine.Counts, name: str, life: int, birth: int, *rest: Any, whole: Any = machine.Counts.__init__
+    self: state_machine.Counts,
+    name: str,
+    life: int,
+    birth: int,
+    *rest: Any,
+    whole: Any = state_machine.Counts.__init__,
 ) -> None:
     whole(self, name, life, 1 + sum(name.encode()), *rest)
 
 
-def _heard(self: lives.Node, asked_us: int, now_us: int, word: Any, whole: Any = lives.Node.heard) -> None:
+def _heard(
+    self: remote_counts.Node, asked_us: int, now_us: int, word: Any, whole: Any = remote_counts.Node.heard
+) -> None:
     whole(self, now_us, now_us, word)
 
 
-def _when(self: lives.Life, up_us: int, now_us: int) -> tuple[int, int]:
+def _when(self: remote_counts.Life, up_us: int, now_us: int) -> tuple[int, int]:
     return self.high_us + up_us, self.high_us + up_us
 
 
-def _copied(self: lives.Node, asked_us: int, now_us: int, word: Any, whole: Any = lives.Node.heard) -> None:
+def _copied(
+    self: remote_counts.Node, asked_us: int, now_us: int, word: Any, whole: Any = remote_counts.Node.heard
+) -> None:
     whole(self, asked_us + word.ago_most_us, now_us + word.ago_least_us, word)
 
 
 def _cell(
-    self: lives.Life, index: int, key: str | None, numbers: Any, whole: Any = lives.Life.cell
+    self: remote_counts.Life, index: int, key: str | None, numbers: Any, whole: Any = remote_counts.Life.cell
 ) -> tuple[int, int]:
     low, high = whole(self, index, key, numbers)
     cell = self.cells.get(index, {})
@@ -68,32 +77,32 @@
 
 
 def _others(
-    self: lives.Life, index: int, key: str | None, numbers: Any, whole: Any = lives.Life.cell
+    self: remote_counts.Life, index: int, key: str | None, numbers: Any, whole: Any = remote_counts.Life.cell
 ) -> tuple[int, int]:
     low, high = whole(self, index, key, numbers)
     return low, low
 
 
-def _gap(self: lives.Life, word: Any, whole: Any = lives.Life.merge) -> None:
+def _gap(self: remote_counts.Life, word: Any, whole: Any = remote_counts.Life.merge) -> None:
     whole(self, word)
     self.upto = max(self.upto, word.upto)
 
 
-def _since(from_us: int, to_us: int, start_us: int, end_us: int, whole: Any = lives._inside) -> int:
+def _since(from_us: int, to_us: int, start_us: int, end_us: int, whole: Any = remote_counts._inside) -> int:
     return int(whole(from_us, to_us, start_us, end_us)) if to_us >= end_us else 0
 
 
 _PATCHES: dict[str, tuple[tuple[Any, str, Any], ...]] = {
-    "merge-adds": ((lives.Life, "merge", _merge),),
-    "silent-forgotten": ((lives, "_inside", _inside),),
-    "life-kept": ((machine.Counts, "__init__", _init),),
-    "dated-heard": ((lives.Node, "heard", _heard),),
-    "edge-in": ((lives.Life, "when", _when),),
-    "copy-now": ((lives.Node, "heard", _copied),),
-    "slot-trusted": ((lives.Life, "cell", _cell),),
-    "gap-skipped": ((lives.Life, "merge", _gap),),
-    "before-empty": ((lives, "_inside", _since),),
-    "others-dropped": ((lives.Life, "cell", _others),),
+    "merge-adds": ((remote_counts.Life, "merge", _merge),),
+    "silent-forgotten": ((remote_counts, "_inside", _inside),),
+    "life-kept": ((state_machine.Counts, "__init__", _init),),
+    "dated-heard": ((remote_counts.Node, "heard", _heard),),
+    "edge-in": ((remote_counts.Life, "when", _when),),
+    "copy-now": ((remote_counts.Node, "heard", _copied),),
+    "slot-trusted": ((remote_counts.Life, "cell", _cell),),
+    "gap-skipped": ((remote_counts.Life, "merge", _gap),),
+    "before-empty": ((remote_counts, "_inside", _since),),
+    "others-dropped": ((remote_counts.Life, "cell", _others),),
 }
 
 
--- a/granitewell/lab/cluster/disk.py
+++ b/granitewell/lab/cluster/disk.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from random import Random
 
-from granitewell.machine import Store
+from granitewell.state_machine import Store
 
 
 class Fate(Enum):
--- a/granitewell/lab/cluster/leases.py
+++ b/granitewell/lab/cluster/leases.py
@@ -16,8 +16,8 @@
 from granitewell.lab.cluster.links import Quality
 from granitewell.lab.cluster.world import Boot, Broken, Cluster, Node, Spec
 from granitewell.lab.engine import stream
-from granitewell.leases.machine import Leases
-from granitewell.leases.terms import Settings, Stop
+from granitewell.leases.state_machine import Leases
+from granitewell.leases.types import Settings, Stop
 from granitewell.protocols.peers.frames import Key, Keys
 
 FOUNDED_US = 8_000_000  # by then all have come to their votes, where nothing is in the way
--- a/granitewell/lab/cluster/leases_plants.py
+++ b/granitewell/lab/cluster/leases_plants.py
@@ -12,8 +12,18 @@
 from typing import Any
 
 from granitewell.lab.cluster.plants import patched
-from granitewell.leases import desk, grants, machine, oath, rounds, seat, standing, terms, voter
-from granitewell.machine import Woken
+from granitewell.leases import (
+    candidacy,
+    grants,
+    participant,
+    persistence,
+    rounds,
+    state_machine,
+    types,
+    voter,
+    voter_recovery,
+)
+from granitewell.state_machine import Woken
 
 PLANTS = {
     "vote-unwritten": "a vote is said before it is on the disk",
@@ -32,11 +42,13 @@
 }
 
 
-def _stored(self: desk.Desk, event: Any, whole: Callable[..., Any] = desk.Desk.stored) -> Any:
+def _stored(self: persistence.Desk, event: Any, whole: Callable[..., Any] = persistence.Desk.stored) -> Any:
     return whole(self, replace(event, ok=True))
 
 
-def _write_then(self: seat.Seat, record: Any, then: Any, whole: Any = seat.Seat.write_then) -> Any:
+def _write_then(
+    self: participant.Seat, record: Any, then: Any, whole: Any = participant.Seat.write_then
+) -> Any:
     whole(self, record, None)
     return then
 
@@ -70,53 +82,53 @@
         name: lives[name] for name in lives if name not in self._granted}))  # fmt: skip
 
 
-def _blank(settings: Any, count: int, bits: float, whole: Any = oath.blank) -> Any:
+def _blank(settings: Any, count: int, bits: float, whole: Any = voter_recovery.blank) -> Any:
     return whole(settings, 1, (settings.names.index(settings.name) + 1) / 10)
 
 
-def _sworn(settings: Any, record: Any, answers: Any, whole: Any = oath.sworn) -> Any:
-    class Lax(terms.Settings):
+def _sworn(settings: Any, record: Any, answers: Any, whole: Any = voter_recovery.sworn) -> Any:
+    class Lax(types.Settings):
         majority = 1
 
     lax = Lax(settings.name, settings.planners, settings.keys, settings.epoch)
     return whole(lax, record, answers)
 
 
-def _forgets(settings: Any, record: Any, answers: Any, whole: Any = oath.sworn) -> Any:
+def _forgets(settings: Any, record: Any, answers: Any, whole: Any = voter_recovery.sworn) -> Any:
     result = whole(settings, record, answers)
     return result and replace(result, term=settings.first_term)
 
 
-def _handle(self: Any, now_us: int, event: object, whole: Any = machine.Leases.handle) -> list[object]:
+def _handle(self: Any, now_us: int, event: object, whole: Any = state_machine.Leases.handle) -> list[object]:
     """Only when its timer is due does it see what time it is."""
-    seat = self.seat
-    late = now_us if isinstance(event, Woken) else min(now_us, max(self.until_us - 1, seat.now_us))
+    participant = self.seat
+    late = now_us if isinstance(event, Woken) else min(now_us, max(self.until_us - 1, participant.now_us))
     effects: list[object] = whole(self, late if self.until_us >= 0 else now_us, event)
     return effects
 
 
-def _granted(self: Any, name: str, body: Any, whole: Any = standing.Standing.granted) -> None:
+def _granted(self: Any, name: str, body: Any, whole: Any = candidacy.Standing.granted) -> None:
     for asked in self._rounds._asked:
         self._rounds._asked[asked] = self._seat.now_us
     whole(self, name, body)
 
 
 _PATCHES: dict[str, tuple[tuple[Any, str, Any], ...]] = {
-    "vote-unwritten": ((seat.Seat, "write_then", _write_then),),
+    "vote-unwritten": ((participant.Seat, "write_then", _write_then),),
     "term-ge": ((grants, "verdict", _verdict), (grants.Grants, "_give", _give)),
-    "lease-unshortened": ((terms.Settings, "held", lambda self, lease_us: lease_us),),
-    "lost-disk-votes": ((oath, "blank", _blank),),
-    "oath-forgets": ((oath, "sworn", _forgets),),
-    "oath-unwaited": ((machine, "LONGEST_US", 0),),
-    "oath-minority": ((oath, "sworn", _sworn),),
+    "lease-unshortened": ((types.Settings, "held", lambda self, lease_us: lease_us),),
+    "lost-disk-votes": ((voter_recovery, "blank", _blank),),
+    "oath-forgets": ((voter_recovery, "sworn", _forgets),),
+    "oath-unwaited": ((state_machine, "LONGEST_US", 0),),
+    "oath-minority": ((voter_recovery, "sworn", _sworn),),
     "lives-ignored": ((grants, "verdict", _lifeless), (rounds.Rounds, "until", _until)),
     "promise-forgotten": (
-        (machine, "at_start", lambda record, now, settings: voter.Promise(record.voted, now)),
+        (state_machine, "at_start", lambda record, now, settings: voter.Promise(record.voted, now)),
     ),
     "promise-broken": ((grants, "verdict", _unpromised),),
-    "clock-unread": ((machine.Leases, "handle", _handle),),
-    "counted-late": ((standing.Standing, "granted", _granted),),
-    "disk-trusted": ((desk.Desk, "stored", _stored),),
+    "clock-unread": ((state_machine.Leases, "handle", _handle),),
+    "counted-late": ((candidacy.Standing, "granted", _granted),),
+    "disk-trusted": ((persistence.Desk, "stored", _stored),),
 }
 
 
--- a/granitewell/lab/cluster/leases_rules.py
+++ b/granitewell/lab/cluster/leases_rules.py
@@ -19,12 +19,12 @@
 from dataclasses import dataclass, field
 
 from granitewell.lab.cluster.world import Cluster, Node
-from granitewell.leases.machine import Leases
 from granitewell.leases.record import KEY, read
-from granitewell.leases.terms import Follows, Leads, Lost, Refuses
-from granitewell.machine import Say
+from granitewell.leases.state_machine import Leases
+from granitewell.leases.types import Follows, Leads, Lost, Refuses
 from granitewell.protocols.peers.frames import HEAD, TAG
 from granitewell.protocols.peers.leases import LETTERS, Ask, Grant, Letter
+from granitewell.state_machine import Say
 
 QUIET_US = 20_000_000  # after the last trouble: a new disk waits 12.2 s on the slowest clock; then some tries
 SAMPLE_US = 20_000  # how often it is looked whether anybody leads
--- a/granitewell/lab/cluster/leases_search.py
+++ b/granitewell/lab/cluster/leases_search.py
@@ -26,10 +26,10 @@
 from granitewell.lab.cluster.leases_plants import planted
 from granitewell.lab.cluster.leases_tables import DRIFT_PPM, LEASE_US, NAMES, SETTINGS, WAKE, Came, Tables
 from granitewell.lab.cluster.search import Seen, search
-from granitewell.leases import oath
-from granitewell.leases.lives import life
+from granitewell.leases import voter_recovery
+from granitewell.leases.incarnations import life
 from granitewell.leases.record import FOUNDED, Record
-from granitewell.leases.terms import State
+from granitewell.leases.types import State
 
 
 class Bounds(NamedTuple):
@@ -238,7 +238,7 @@
 
 
 def _second(planners: Planners, world: World) -> int:
-    disk = oath.blank(SETTINGS[1], 2, 0.2).write()
+    disk = voter_recovery.blank(SETTINGS[1], 2, 0.2).write()
     return planners.tables.fresh(1, world.starts, 0, disk, 2 * LEASE_US)
 
 
--- a/granitewell/lab/cluster/leases_tables.py
+++ b/granitewell/lab/cluster/leases_tables.py
@@ -13,13 +13,22 @@
 
 from granitewell.lab.cluster.clock import Clock
 from granitewell.lab.cluster.leases_rules import letter_of
-from granitewell.leases import desk, grants, oath, rounds, seat, standing, twins, voter
-from granitewell.leases.machine import Leases
+from granitewell.leases import (
+    candidacy,
+    duplicate_identity,
+    grants,
+    participant,
+    persistence,
+    rounds,
+    voter,
+    voter_recovery,
+)
 from granitewell.leases.record import KEY
-from granitewell.leases.terms import Leads, Settings, State
-from granitewell.machine import Heard, Say, Store, Stored, Woken
+from granitewell.leases.state_machine import Leases
+from granitewell.leases.types import Leads, Settings, State
 from granitewell.protocols.peers.frames import Key, Keys
 from granitewell.protocols.peers.leases import Ask, Grant, Here, No, Oath, Probe, Said, Sworn, Would
+from granitewell.state_machine import Heard, Say, Store, Stored, Woken
 
 LEASE_US = 10_000_000  # as long as there are, so that a new disk waits no longer than a lease
 STEP_US = 3_500_000
@@ -34,8 +43,8 @@
 WAKE = -1  # in place of a message's number
 _QUIET = (Here, Probe, Would)  # what is not kept among the messages
 _TELLING = (voter.TERM, voter.VOTED, voter.LIVES)  # the refusals that change who hears them
-_PARTS = (Leases, seat.Seat, desk.Desk, grants.Grants, oath.Swearing, rounds.Rounds, standing.Standing,
-          twins.Twins)  # fmt: skip
+_PARTS = (Leases, participant.Seat, persistence.Desk, grants.Grants, voter_recovery.Swearing, rounds.Rounds, candidacy.Standing,
+          duplicate_identity.Twins)  # fmt: skip
 
 
 class Fixed(Random):
@@ -334,10 +343,10 @@
 
 def key_of(machine: Leases) -> tuple[Any, ...]:
     """All of a machine that what it does later can depend on, but for greetings and lines."""
-    seat, own, rounds = machine.seat, machine.standing, machine.standing._rounds
+    participant, own, rounds = machine.seat, machine.standing, machine.standing._rounds
     return (
-        own.state, machine.twins.waits_us, seat.began_us, seat.record, seat.desk.durable, seat.promise,
-        seat.votes, own.until_us, own.next_us, own._end_us, own._heard_term, own._raise_us, own._denials,
+        own.state, machine.twins.waits_us, participant.began_us, participant.record, participant.desk.durable, participant.promise,
+        participant.votes, own.until_us, own.next_us, own._end_us, own._heard_term, own._raise_us, own._denials,
         rounds.last, tuple(rounds._asked.items()), tuple(sorted(rounds._granted.items())),
         machine.grants._given_up, tuple(sorted(_answers(machine))),
     )  # fmt: skip
--- a/granitewell/lab/cluster/membership.py
+++ b/granitewell/lab/cluster/membership.py
@@ -17,8 +17,8 @@
 from granitewell.lab.cluster.membership_watch import Watch, agreed
 from granitewell.lab.cluster.world import Boot, Broken, Cluster, Make, Spec
 from granitewell.lab.engine import stream
-from granitewell.membership.machine import Membership
-from granitewell.membership.terms import Config, Figures
+from granitewell.membership.state_machine import Membership
+from granitewell.membership.types import Config, Figures
 from granitewell.protocols.peers.frames import Key, Keys
 
 KEYS = Keys(Key(b"a key for virtual time alone"))
--- a/granitewell/lab/cluster/membership_measure.py
+++ b/granitewell/lab/cluster/membership_measure.py
@@ -27,7 +27,7 @@
 from granitewell.lab.cluster.world import Node
 from granitewell.lab.engine import stream
 from granitewell.membership.states import Phase
-from granitewell.membership.terms import Figures, Leave
+from granitewell.membership.types import Figures, Leave
 
 SCENARIOS = ("cold", "idle", "deaths", "stalls", "slow", "partition", "restart", "leave")
 JOIN_US = 20_000  # between two that start
--- a/granitewell/lab/cluster/membership_plants.py
+++ b/granitewell/lab/cluster/membership_plants.py
@@ -10,7 +10,16 @@
 from typing import Any
 
 from granitewell.lab.cluster.plants import patched
-from granitewell.membership import claims, limits, own, seat, spread, states, suspicion, table
+from granitewell.membership import (
+    assertions,
+    dissemination,
+    limits,
+    local_member,
+    refutation,
+    states,
+    suspicion,
+    table,
+)
 from granitewell.protocols.peers import limits as letters
 
 PLANTS: dict[str, str] = {
@@ -50,11 +59,11 @@
     return type(claim)(claim.name, claim.gen, claim.birth, claim.inc, claim.state, by=claim.by)
 
 
-def _kept(self: spread.Spread, members: int) -> int:
+def _kept(self: dissemination.Spread, members: int) -> int:
     return 1 << 30
 
 
-def _unasked(self: own.Own, whole: Any = own.Own.dispute) -> None:
+def _unasked(self: refutation.Own, whole: Any = refutation.Own.dispute) -> None:
     if self.phase is states.Phase.JOINING:
         self.enter()
     else:
@@ -66,12 +75,16 @@
     "inc-ge": ((table, "overrides", _overrides),),
     "timeout-unscaled": ((suspicion, "scale", lambda members: 1.0),),
     "former-self": ((table, "overrides", _birthless),),
-    "gossip-unbounded": ((spread.Spread, "most", _kept),),
+    "gossip-unbounded": ((dissemination.Spread, "most", _kept),),
     "replay-heard": ((letters.Window, "fresh", lambda self, number: True),),
-    "hearsay-kills": ((claims.Claims, "_second_hand", lambda self, claim: False),),
+    "hearsay-kills": ((assertions.Claims, "_second_hand", lambda self, claim: False),),
     "stall-unseen": ((limits.OwnTime, "read", lambda self, clock: (clock, 0)),),
-    "twin-unasked": ((own.Own, "dispute", _unasked),),
-    "ages-lost": ((table, "bare", _ageless), (claims, "bare", _ageless), (seat, "bare", _ageless)),
+    "twin-unasked": ((refutation.Own, "dispute", _unasked),),
+    "ages-lost": (
+        (table, "bare", _ageless),
+        (assertions, "bare", _ageless),
+        (local_member, "bare", _ageless),
+    ),
 }
 
 
--- a/granitewell/lab/cluster/membership_watch.py
+++ b/granitewell/lab/cluster/membership_watch.py
@@ -18,10 +18,10 @@
 from dataclasses import dataclass, field
 
 from granitewell.lab.cluster.world import Cluster, Node
-from granitewell.machine import Line, Say
-from granitewell.membership.machine import Membership
+from granitewell.membership.state_machine import Membership
 from granitewell.membership.states import Phase
-from granitewell.membership.terms import Changed, Died, Joined, Left, Member, Moved, Suspected, Twin
+from granitewell.membership.types import Changed, Died, Joined, Left, Member, Moved, Suspected, Twin
+from granitewell.state_machine import Line, Say
 
 _TOLD = (Joined, Suspected, Died, Left, Changed)
 
--- a/granitewell/lab/cluster/pings.py
+++ b/granitewell/lab/cluster/pings.py
@@ -10,7 +10,7 @@
 from granitewell.lab.cluster.links import Quality
 from granitewell.lab.cluster.world import Boot, Cluster, Spec
 from granitewell.lab.engine import stream
-from granitewell.machine import Heard, Say
+from granitewell.state_machine import Heard, Say
 
 PERIOD_US, DAY_US, LENGTH = 1_000_000, 60_000_000, 60
 MEMBERS = 500
--- a/granitewell/lab/cluster/world.py
+++ b/granitewell/lab/cluster/world.py
@@ -1,6 +1,6 @@
 """The virtual cluster: nodes that run pure machines in virtual time, and all that can befall them.
 
-It owns when a machine is called and with what, and carries out the shared effects (granitewell.machine). It
+It owns when a machine is called and with what, and carries out the shared effects (granitewell.state_machine). It
 must never know a subject: effects of a machine's own go to the node's `other`, which joins subjects as a
 shell would. The same seed and the same calls give the same digest.
 
@@ -20,7 +20,7 @@
 from granitewell.lab.cluster.disk import Disk, Fate
 from granitewell.lab.cluster.links import GIVE_UP_US, MOST_QUEUED, Links, Quality, Stream
 from granitewell.lab.engine import Engine, stream
-from granitewell.machine import Heard, Line, Machine, Road, Say, Store, Stored, Woken
+from granitewell.state_machine import Heard, Line, Machine, Road, Say, Store, Stored, Woken
 
 MOST_DATAGRAM = 1_200
 MOST_WAITING = 512  # datagrams that a stalled process's socket holds; more are dropped
--- a/granitewell/lab/fleet/planted.py
+++ b/granitewell/lab/fleet/planted.py
@@ -52,7 +52,7 @@
 
 
 def _budget_up() -> None:
-    census = importlib.import_module("granitewell.cluster.census")
+    census = importlib.import_module("granitewell.cluster.size_estimate")
     census.Census._most = lambda self: max(self._in(census.Place.UP), 1)
 
 
@@ -88,7 +88,7 @@
 
 
 def _slow_disk() -> None:
-    kept = importlib.import_module("granitewell.kept")
+    kept = importlib.import_module("granitewell.durable_folder")
     right = kept.Kept.write
 
     def write(self: Any, data: bytes) -> str:
@@ -100,7 +100,7 @@
 
 def _disk_in_loop() -> None:
     _slow_disk()
-    book = importlib.import_module("granitewell.net.notebook").Notebook
+    book = importlib.import_module("granitewell.net.disk_writer").Notebook
 
     def write(self: Any, data: bytes) -> None:
         self._kept.write(data)
--- a/granitewell/lab/fleet/rig.py
+++ b/granitewell/lab/fleet/rig.py
@@ -23,7 +23,7 @@
 from random import Random
 from typing import Any
 
-from granitewell.kept import SLOTS
+from granitewell.durable_folder import SLOTS
 from granitewell.lab.cluster.chaos import Trouble
 from granitewell.lab.engine import stream
 from granitewell.lab.fleet import befalls
--- a/granitewell/lab/fleet/seen.py
+++ b/granitewell/lab/fleet/seen.py
@@ -10,9 +10,9 @@
 from collections import Counter
 from hashlib import blake2b
 
-from granitewell.machine import Road
 from granitewell.protocols.peers.frames import MAX_DATAGRAM, MAX_STREAM, Frame, Key, Keys, Kind, open_
 from granitewell.protocols.peers.gossip import LETTERS, Letter
+from granitewell.state_machine import Road
 
 KEPT = 8_192  # numbers of a process that are told apart
 MOST_BIRTHS = 2_000
--- a/granitewell/lab/fleet/switch.py
+++ b/granitewell/lab/fleet/switch.py
@@ -39,8 +39,8 @@
 from granitewell.lab.fleet.plan import Door, FleetPlan, load
 from granitewell.lab.fleet.seen import Seen
 from granitewell.lab.socks.standin import Talk, Words, main
-from granitewell.machine import Road
 from granitewell.protocols.peers.frames import Splitter
+from granitewell.state_machine import Road
 
 PIECE = 64 * 1024
 BATCH = 64  # datagrams of one socket in one turn of the loop
--- a/granitewell/lab/fleet/virtual.py
+++ b/granitewell/lab/fleet/virtual.py
@@ -11,8 +11,8 @@
 from statistics import median
 from typing import Any
 
-from granitewell.cluster.census import Census, Count, Known, Seen, stands
-from granitewell.cluster.notes import MOST_ADDRESSES
+from granitewell.cluster.persisted_record import MOST_ADDRESSES
+from granitewell.cluster.size_estimate import Census, Count, Known, Seen, stands
 from granitewell.lab.cluster.chaos import Chaos, Trouble
 from granitewell.lab.cluster.links import Cut, Quality
 from granitewell.lab.cluster.membership import KEYS
@@ -21,9 +21,9 @@
 from granitewell.lab.fleet import befalls
 from granitewell.lab.fleet.terms import KINDS, Schedule
 from granitewell.lab.judge.view import ViewJudge
-from granitewell.membership.machine import Membership
+from granitewell.membership.state_machine import Membership
 from granitewell.membership.states import UP, Phase
-from granitewell.membership.terms import Config, Figures, Former, Leave
+from granitewell.membership.types import Config, Figures, Former, Leave
 
 EVERY_US = 250_000  # between two looks, as at processes
 LEAD_US = 2_000_000  # before the day, in which all start
--- a/granitewell/leases/standing.py
+++ b/granitewell/leases/candidacy.py
@@ -9,14 +9,14 @@
 from dataclasses import replace
 
 from granitewell.leases import voter
-from granitewell.leases.desk import Go
-from granitewell.leases.lives import joined
+from granitewell.leases.incarnations import joined
+from granitewell.leases.participant import Seat
+from granitewell.leases.persistence import Go
 from granitewell.leases.rounds import Rounds
-from granitewell.leases.seat import Seat
-from granitewell.leases.terms import TABLE, Cause, Leads, Lost, State
+from granitewell.leases.types import TABLE, Cause, Leads, Lost, State
 from granitewell.leases.voter import Promise
-from granitewell.machine import Line, Road
 from granitewell.protocols.peers.leases import Ask, Grant, No, Probe, Release, Would
+from granitewell.state_machine import Line, Road
 
 ROUNDS_A_LEASE = 8
 PROBES_A_LEASE = 16
--- a/granitewell/leases/twins.py
+++ b/granitewell/leases/duplicate_identity.py
@@ -12,9 +12,9 @@
 
 from __future__ import annotations
 
-from granitewell.leases.seat import Seat
-from granitewell.machine import Line
+from granitewell.leases.participant import Seat
 from granitewell.protocols.peers.leases import Here
+from granitewell.state_machine import Line
 
 TIE_US = 1_000_000  # two that started so close together are told apart by their boots
 HERES_A_LEASE = 32  # while it waits after its start; one a lease later
--- a/granitewell/leases/grants.py
+++ b/granitewell/leases/grants.py
@@ -8,9 +8,9 @@
 from dataclasses import replace
 
 from granitewell.leases import voter
-from granitewell.leases.desk import Reply
-from granitewell.leases.seat import Seat
-from granitewell.leases.terms import Follows
+from granitewell.leases.participant import Seat
+from granitewell.leases.persistence import Reply
+from granitewell.leases.types import Follows
 from granitewell.leases.voter import Promise, Question, Who, verdict
 from granitewell.protocols.peers.leases import Ask, Grant, No, Probe, Release, Would
 
--- a/granitewell/leases/seat.py
+++ b/granitewell/leases/participant.py
@@ -7,13 +7,13 @@
 
 from random import Random
 
-from granitewell.leases.desk import Desk, Then
+from granitewell.leases.persistence import Desk, Then
 from granitewell.leases.record import Record
-from granitewell.leases.terms import Settings
+from granitewell.leases.types import Settings
 from granitewell.leases.voter import Promise, Who
-from granitewell.machine import Heard, Line, Road, Say
 from granitewell.protocols.peers.frames import Kind, Refused, Why, open_, refusal, seal
 from granitewell.protocols.peers.leases import LETTERS, Letter, Said
+from granitewell.state_machine import Heard, Line, Road, Say
 
 REFUSALS_US = 1_000_000  # at most one answer to an unknown version in so long
 
--- a/granitewell/leases/desk.py
+++ b/granitewell/leases/persistence.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 from granitewell.leases.record import KEY, Record
-from granitewell.machine import Store, Stored
 from granitewell.protocols.peers.leases import Said
+from granitewell.state_machine import Store, Stored
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/leases/rounds.py
+++ b/granitewell/leases/rounds.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from granitewell.leases.terms import Settings
+from granitewell.leases.types import Settings
 
 
 class Rounds:
--- a/granitewell/leases/machine.py
+++ b/granitewell/leases/state_machine.py
@@ -20,18 +20,17 @@
 from random import Random
 from typing import assert_never
 
-from granitewell.leases import oath
-from granitewell.leases.desk import Desk, Go, Reply, Then
+from granitewell.leases import voter_recovery
+from granitewell.leases.candidacy import Standing
+from granitewell.leases.duplicate_identity import Twins
 from granitewell.leases.grants import Grants
-from granitewell.leases.lives import join
-from granitewell.leases.oath import Swearing
+from granitewell.leases.incarnations import join
+from granitewell.leases.participant import Seat
+from granitewell.leases.persistence import Desk, Go, Reply, Then
 from granitewell.leases.record import BLANK, KEY, OATH, BadRecord, Record, read
-from granitewell.leases.seat import Seat
-from granitewell.leases.standing import Standing
-from granitewell.leases.terms import LONGEST_US, Cause, Floor, Refuses, Settings, State, Stop
-from granitewell.leases.twins import Twins
+from granitewell.leases.types import LONGEST_US, Cause, Floor, Refuses, Settings, State, Stop
 from granitewell.leases.voter import Promise, at_start
-from granitewell.machine import Heard, Line, Stored, Woken
+from granitewell.leases.voter_recovery import Swearing
 from granitewell.protocols.peers.leases import (
     Ask,
     Grant,
@@ -44,6 +43,7 @@
     Sworn,
     Would,
 )
+from granitewell.state_machine import Heard, Line, Stored, Woken
 
 OATHS_A_LEASE = 8
 _DONE = (State.REFUSED, State.STOPPED)
@@ -61,7 +61,7 @@
 
     def __init__(self, settings: Settings, rng: Random, now_us: int, disk: Mapping[str, bytes]) -> None:
         record = restored(settings, disk)
-        desk = Desk(record or oath.blank(settings, 1, rng.random()), record is not None)
+        desk = Desk(record or voter_recovery.blank(settings, 1, rng.random()), record is not None)
         seat = self.seat = Seat(settings, rng, now_us, desk)
         seat.promise = at_start(desk.record, now_us, settings)
         self.grants, self.swearing = Grants(seat), Swearing(seat)
--- a/granitewell/leases/voter.py
+++ b/granitewell/leases/voter.py
@@ -7,9 +7,9 @@
 
 from dataclasses import dataclass
 
-from granitewell.leases.lives import joined
+from granitewell.leases.incarnations import joined
 from granitewell.leases.record import Record
-from granitewell.leases.terms import LONGEST_US, Settings
+from granitewell.leases.types import LONGEST_US, Settings
 
 Who = tuple[str, int]  # name and boot of a process
 
--- a/granitewell/leases/oath.py
+++ b/granitewell/leases/voter_recovery.py
@@ -21,11 +21,11 @@
 
 from dataclasses import replace
 
-from granitewell.leases.desk import Go, Reply
-from granitewell.leases.lives import count_of, join, joined, life, takes
+from granitewell.leases.incarnations import count_of, join, joined, life, takes
+from granitewell.leases.participant import Seat
+from granitewell.leases.persistence import Go, Reply
 from granitewell.leases.record import BLANK, FOUNDED, OATH, Record
-from granitewell.leases.seat import Seat
-from granitewell.leases.terms import LONGEST_US, Settings
+from granitewell.leases.types import LONGEST_US, Settings
 from granitewell.protocols.peers.leases import Oath, Sworn
 
 FOUNDING_LEASES = 3  # for how long a first disk prefers to be one of the founders
--- a/granitewell/membership/sync.py
+++ b/granitewell/membership/anti_entropy.py
@@ -15,11 +15,11 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from granitewell.machine import Road
-from granitewell.membership.seat import Opened, Seat
+from granitewell.membership.local_member import Opened, Seat
 from granitewell.membership.states import Phase
 from granitewell.protocols.peers.gossip import MOST_PAGE, Hello, Page, Push, Welcome, packed
 from granitewell.protocols.peers.limits import Bucket, Window
+from granitewell.state_machine import Road
 
 TALK_US = 10_000_000  # a conversation that takes longer is over
 MOST_ASKED, MOST_GUESTS = 8, 64
--- a/granitewell/membership/claims.py
+++ b/granitewell/membership/assertions.py
@@ -6,16 +6,16 @@
 
 from __future__ import annotations
 
-from granitewell.machine import Road
 from granitewell.membership.history import History, Told
-from granitewell.membership.own import Own
+from granitewell.membership.local_member import Seat
 from granitewell.membership.probes import Rounds
-from granitewell.membership.seat import Seat
+from granitewell.membership.refutation import Own
 from granitewell.membership.states import TELLS, UP, News, Phase, Standing, State
 from granitewell.membership.suspicion import Suspicions
 from granitewell.membership.table import Change, Record, bare, said
-from granitewell.membership.terms import Changed, Died, Joined, Left, Member, Suspected
+from granitewell.membership.types import Changed, Died, Joined, Left, Member, Suspected
 from granitewell.protocols.peers.gossip import Claim, Ping, packed, sound
+from granitewell.state_machine import Road
 
 _EFFECTS = {News.JOINED: Joined, News.SUSPECTED: Suspected, News.DIED: Died, News.LEFT: Left,
             News.CHANGED: Changed}  # fmt: skip
--- a/granitewell/membership/seat.py
+++ b/granitewell/membership/local_member.py
@@ -9,12 +9,11 @@
 from dataclasses import dataclass
 from random import Random
 
-from granitewell.machine import Heard, Line, Road, Say
+from granitewell.membership.dissemination import Spread
 from granitewell.membership.health import Health
-from granitewell.membership.spread import Spread
 from granitewell.membership.states import State
 from granitewell.membership.table import Record, Table, bare
-from granitewell.membership.terms import Config, Member
+from granitewell.membership.types import Config, Member
 from granitewell.protocols.peers import gossip
 from granitewell.protocols.peers.frames import (
     MAX_DATAGRAM,
@@ -30,6 +29,7 @@
 )
 from granitewell.protocols.peers.gossip import LETTERS, Hello, Letter, Said, packed
 from granitewell.protocols.peers.limits import Bucket, Window
+from granitewell.state_machine import Heard, Line, Road, Say
 
 LOUD = 1  # lines and refusals a second, of each sort
 
--- a/granitewell/membership/probes.py
+++ b/granitewell/membership/probes.py
@@ -16,8 +16,8 @@
 from enum import Enum
 
 from granitewell.membership import health
-from granitewell.membership.seat import Opened, Seat
-from granitewell.membership.terms import Member
+from granitewell.membership.local_member import Opened, Seat
+from granitewell.membership.types import Member
 from granitewell.protocols.peers.gossip import Ack, Nack, Ping, Relay
 
 MOST_RELAYS = 256
--- a/granitewell/membership/own.py
+++ b/granitewell/membership/refutation.py
@@ -15,14 +15,14 @@
 
 from __future__ import annotations
 
-from granitewell.machine import Road
 from granitewell.membership import health
-from granitewell.membership.seat import Opened, Seat
+from granitewell.membership.local_member import Opened, Seat
 from granitewell.membership.states import GONE, PHASES, Cause, Phase, Standing, State
 from granitewell.membership.suspicion import timeout_us
 from granitewell.membership.table import Record
-from granitewell.membership.terms import Member, Moved, Twin
+from granitewell.membership.types import Member, Moved, Twin
 from granitewell.protocols.peers.gossip import MOST_GEN, MOST_INC, Claim, Ping, Relay, packed
+from granitewell.state_machine import Road
 
 ROUND_US = 500_000  # between two questions to the holder of our name
 ROUNDS = 3  # unanswered, and it is gone if its address is ours
--- a/granitewell/membership/machine.py
+++ b/granitewell/membership/state_machine.py
@@ -16,17 +16,16 @@
 from dataclasses import replace
 from random import Random
 
-from granitewell.machine import Heard, Woken
 from granitewell.membership import health
-from granitewell.membership.claims import Claims
+from granitewell.membership.anti_entropy import SOON_US, Sync
+from granitewell.membership.assertions import Claims
 from granitewell.membership.history import Told
 from granitewell.membership.limits import OwnTime
-from granitewell.membership.own import Own
+from granitewell.membership.local_member import Opened, Seat
 from granitewell.membership.probes import Probes, Rounds
-from granitewell.membership.seat import Opened, Seat
+from granitewell.membership.refutation import Own
 from granitewell.membership.states import GONE, Phase, State
-from granitewell.membership.sync import SOON_US, Sync
-from granitewell.membership.terms import (
+from granitewell.membership.types import (
     Config,
     Describe,
     Died,
@@ -50,6 +49,7 @@
     Rumour,
     Welcome,
 )
+from granitewell.state_machine import Heard, Woken
 
 HEART_US = 500_000  # woken so often at least, so that standing still shows
 APART_US = 750_000  # between two looks at a digest that is not ours, after which tables are compared
--- a/granitewell/membership/suspicion.py
+++ b/granitewell/membership/suspicion.py
@@ -15,7 +15,7 @@
 from math import log, log10
 
 from granitewell.membership.states import Standing
-from granitewell.membership.terms import Figures
+from granitewell.membership.types import Figures
 
 
 def scale(members: int) -> float:
--- a/granitewell/membership/table.py
+++ b/granitewell/membership/table.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from granitewell.membership.states import GONE, UP, Standing, State, overrides
-from granitewell.membership.terms import Figures, Member
+from granitewell.membership.types import Figures, Member
 from granitewell.protocols.peers.gossip import BUCKETS, DIGEST, About, Claim
 from granitewell.protocols.peers.limits import Bucket, Window
 
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -33,15 +33,14 @@
 from typing import TYPE_CHECKING, Any
 
 from granitewell import core as c
-from granitewell.cluster import notes
-from granitewell.cluster.census import Census, Configured, Count, Out, Place, Seen, stands
-from granitewell.cluster.terms import ClusterSettings, address, spelt
-from granitewell.kept import Kept
-from granitewell.machine import Heard, Line, Say, Woken
-from granitewell.membership import terms as membership
-from granitewell.membership.machine import Membership
+from granitewell.cluster import persisted_record
+from granitewell.cluster.size_estimate import Census, Configured, Count, Out, Place, Seen, stands
+from granitewell.cluster.types import ClusterSettings, address, spelt
+from granitewell.durable_folder import Kept
+from granitewell.membership import types as membership
+from granitewell.membership.state_machine import Membership
 from granitewell.membership.states import UP, Phase, State
-from granitewell.membership.terms import (
+from granitewell.membership.types import (
     Changed,
     Config,
     Died,
@@ -58,15 +57,16 @@
     Suspected,
     Twin,
 )
-from granitewell.net.notebook import Notebook
+from granitewell.net.disk_writer import Notebook
 from granitewell.net.peers import Roads
 from granitewell.protocols.peers.frames import Keys, Kind, kind_of
 from granitewell.protocols.peers.limits import Bucket
+from granitewell.state_machine import Heard, Line, Say, Woken
 
 if TYPE_CHECKING:
-    from granitewell.counts.terms import Figures
     from granitewell.net.loop import Node
     from granitewell.net.shared import Shared
+    from granitewell.shared_counters.types import Figures
 
 TRY_S = 0.05  # between two looks whether the lock is free
 DISK_S = 2.0  # for the last note of a process
@@ -197,11 +197,11 @@
         self._tell(Woken())
         self._count()
 
-    def _read(self) -> notes.Note | None:
-        raw, wrong = self._kept.read(notes.MOST_BYTES)
+    def _read(self) -> persisted_record.Note | None:
+        raw, wrong = self._kept.read(persisted_record.MOST_BYTES)
         if raw:
             try:
-                note = notes.read(raw)
+                note = persisted_record.read(raw)
                 if note.name == self._settings.name:
                     return note
                 wrong = f"the folder's file is {note.name[:63]}'s"
@@ -500,15 +500,15 @@
         if not self._kept.lasting:
             return
         seat, own = machine.seat, machine.own
-        life = notes.Life(own.gen, seat.birth, own.inc, seat.seq + SPARE)
+        life = persisted_record.Life(own.gen, seat.birth, own.inc, seat.seq + SPARE)
         there = [m.about.address for m in machine.members() if m.name != self._settings.name]
         known, wanted = tuple(census.known()), {a for a in there if _fits(a)}
-        note = notes.Note(self._settings.name, life, known, tuple(sorted(wanted)))
-        gist = notes.gist(note)
+        note = persisted_record.Note(self._settings.name, life, known, tuple(sorted(wanted)))
+        gist = persisted_record.gist(note)
         if not always and gist == self._gist:
             return  # suspicions come and go many times a second, and say nothing to the next process
         self._gist, self._reserved = gist, life.seq  # half of the spare numbers last longer than any write
-        self._book.write(notes.form(note))
+        self._book.write(persisted_record.form(note))
 
     def _unwritten(self, line: str) -> None:
         self._gist = None  # so the next news is written whatever it is
--- a/granitewell/net/notebook.py
+++ b/granitewell/net/disk_writer.py
@@ -13,7 +13,7 @@
 import threading
 from collections.abc import Callable
 
-from granitewell.kept import Kept
+from granitewell.durable_folder import Kept
 
 LONG_US = 1_000_000  # for a write, beyond which it is told of
 
--- a/granitewell/net/peers.py
+++ b/granitewell/net/peers.py
@@ -26,12 +26,12 @@
 from random import Random
 from typing import Any
 
-from granitewell.cluster.terms import address as address_of
-from granitewell.cluster.terms import spelt
-from granitewell.machine import Heard, Road, Say
+from granitewell.cluster.types import address as address_of
+from granitewell.cluster.types import spelt
 from granitewell.net.clock import Clock
 from granitewell.net.sockets import bound, end, tcp
 from granitewell.protocols.peers.frames import MAX_DATAGRAM, Splitter
+from granitewell.state_machine import Heard, Road, Say
 
 BATCH_US = 1_000  # of one turn of the loop, that datagrams of others may take,
 REST = 3  # and so many times what they took until they may again: a quarter of the time at most
--- a/granitewell/net/shared.py
+++ b/granitewell/net/shared.py
@@ -14,10 +14,10 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from granitewell.counts.machine import Counts
-from granitewell.counts.terms import Figures, Part, Peer, Peers, Rekey, Took
-from granitewell.machine import Heard, Say, Woken
 from granitewell.protocols.peers.frames import Keys
+from granitewell.shared_counters.state_machine import Counts
+from granitewell.shared_counters.types import Figures, Part, Peer, Peers, Rekey, Took
+from granitewell.state_machine import Heard, Say, Woken
 
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
--- a/granitewell/operator/cluster.py
+++ b/granitewell/operator/cluster.py
@@ -13,7 +13,7 @@
 
 from msgspec import Meta
 
-from granitewell.cluster.terms import (
+from granitewell.cluster.types import (
     ALLOWED_ADDRESS,
     ALLOWED_KEYS,
     ALLOWED_NAME,
--- a/granitewell/operator/counts.py
+++ b/granitewell/operator/counts.py
@@ -11,9 +11,9 @@
 
 from msgspec import Meta
 
-from granitewell.counts.terms import Figures
 from granitewell.operator.problem import Problem
 from granitewell.operator.table import Table
+from granitewell.shared_counters.types import Figures
 
 PLAIN = Figures()
 MOST_SLICES = 480  # in a window: an answer to whoever knows nothing stays a few letters
--- a/granitewell/budgets/rights.py
+++ b/granitewell/quotas/quota_transfer.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from granitewell.budgets.terms import Figures
+from granitewell.quotas.types import Figures
 
 
 @dataclass(slots=True)
--- a/granitewell/budgets/machine.py
+++ b/granitewell/quotas/state_machine.py
@@ -14,12 +14,12 @@
 from math import exp
 from random import Random
 
-from granitewell.budgets.rights import Rights
-from granitewell.budgets.terms import MILLI, Acting, Figures, Rekey, Wholes
-from granitewell.machine import Heard, Say, Woken
 from granitewell.protocols.peers.frames import Frame, Keys, Kind, open_, seal
 from granitewell.protocols.peers.limits import Bucket
 from granitewell.protocols.peers.rights import LETTERS, MOST_LOANS, Back, Lend, Want
+from granitewell.quotas.quota_transfer import Rights
+from granitewell.quotas.types import MILLI, Acting, Figures, Rekey, Wholes
+from granitewell.state_machine import Heard, Say, Woken
 
 NEED_US = 1_000_000  # over which need is smoothed
 ASKED_AT_ONCE = 3  # nodes in one round
--- a/granitewell/counts/own.py
+++ b/granitewell/shared_counters/local_counts.py
@@ -10,8 +10,8 @@
 
 from __future__ import annotations
 
-from granitewell.counts.terms import OTHERS, Figures, key_fits
 from granitewell.protocols.peers.counts import Slot
+from granitewell.shared_counters.types import OTHERS, Figures, key_fits
 
 TWICE = 2
 CANDIDATES = 8  # times `keys`, of which it is remembered that they came once
--- a/granitewell/counts/lives.py
+++ b/granitewell/shared_counters/remote_counts.py
@@ -12,8 +12,8 @@
 
 from dataclasses import dataclass, field
 
-from granitewell.counts.terms import OTHERS, Figures, Part
 from granitewell.protocols.peers.counts import Slot, Word
+from granitewell.shared_counters.types import OTHERS, Figures, Part
 
 MOST_LIVES = 8  # of one name that are told apart
 LONG_AGO = -(1 << 62)
--- a/granitewell/counts/machine.py
+++ b/granitewell/shared_counters/state_machine.py
@@ -15,13 +15,13 @@
 from random import Random
 from typing import NamedTuple
 
-from granitewell.counts.lives import Node
-from granitewell.counts.own import Own
-from granitewell.counts.terms import Figure, Figures, Part, Peer, Peers, Rekey, Took
-from granitewell.machine import Heard, Say, Woken
 from granitewell.protocols.peers.counts import LETTERS, MOST_SLICES, Ask, Slice, Slot, Word
 from granitewell.protocols.peers.frames import MAX_DATAGRAM, OVERHEAD, Frame, Keys, Kind, open_, seal
 from granitewell.protocols.peers.limits import Bucket
+from granitewell.shared_counters.local_counts import Own
+from granitewell.shared_counters.remote_counts import Node
+from granitewell.shared_counters.types import Figure, Figures, Part, Peer, Peers, Rekey, Took
+from granitewell.state_machine import Heard, Say, Woken
 
 ROOM = MAX_DATAGRAM - OVERHEAD
 FIXED = 96  # bytes of a word without slots and slices, at the most
--- a/tests/cluster/test_budgets.py
+++ b/tests/cluster/test_budgets.py
@@ -8,16 +8,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitewell.budgets.machine import Budgets
-from granitewell.budgets.rights import Rights
-from granitewell.budgets.terms import MILLI, Acting, Figures, Rekey, Wholes
 from granitewell.lab.cluster.budgets import FIGURES, KEY, KEYS, play
 from granitewell.lab.cluster.budgets_plants import PLANTS, planted
 from granitewell.lab.cluster.budgets_search import look
 from granitewell.lab.cluster.days import Case
-from granitewell.machine import Heard, Say, Woken
 from granitewell.protocols.peers.frames import Frame, Key, Keys, Kind, open_, seal
 from granitewell.protocols.peers.rights import LETTERS, Back, Lend, Want
+from granitewell.quotas.quota_transfer import Rights
+from granitewell.quotas.state_machine import Budgets
+from granitewell.quotas.types import MILLI, Acting, Figures, Rekey, Wholes
+from granitewell.state_machine import Heard, Say, Woken
 
 S = 1_000_000
 DAYS = ("loan-from-answer", "lent-short", "doubled-counts", "begins-free")  # that days catch
--- a/tests/cluster/test_counts.py
+++ b/tests/cluster/test_counts.py
@@ -11,17 +11,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitewell.counts.lives import Life
-from granitewell.counts.machine import WORDS, Counts
-from granitewell.counts.own import CANDIDATES, Own
-from granitewell.counts.terms import OTHERS, Figures, Peer, Peers, Rekey, Took
 from granitewell.lab.cluster.counts import FIGURES, KEYS, play
 from granitewell.lab.cluster.counts_plants import PLANTS, planted
 from granitewell.lab.cluster.days import Case
 from granitewell.lab.judge.counts import NEVER, CountsJudge, Told
-from granitewell.machine import Heard, Say, Woken
 from granitewell.protocols.peers.counts import LETTERS, Ask, Slice, Slot, Word
 from granitewell.protocols.peers.frames import MAX_DATAGRAM, Frame, Key, Keys, Kind, open_, seal
+from granitewell.shared_counters.local_counts import CANDIDATES, Own
+from granitewell.shared_counters.remote_counts import Life
+from granitewell.shared_counters.state_machine import WORDS, Counts
+from granitewell.shared_counters.types import OTHERS, Figures, Peer, Peers, Rekey, Took
+from granitewell.state_machine import Heard, Say, Woken
 from granitewell.status import shared
 
 S = 1_000_000
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -22,10 +22,11 @@
 from granitewell.lab.cluster.leases_rules import Rules, holds, letter_of, planner_of
 from granitewell.lab.cluster.links import Cut
 from granitewell.lab.cluster.world import Boot, Cluster, Node
-from granitewell.leases.lives import A_COUNT, join, takes
-from granitewell.leases.machine import Leases
+from granitewell.leases.duplicate_identity import younger
+from granitewell.leases.incarnations import A_COUNT, join, takes
 from granitewell.leases.record import BLANK, FOUNDED, KEY, OATH, BadRecord, Record, read
-from granitewell.leases.terms import (
+from granitewell.leases.state_machine import Leases
+from granitewell.leases.types import (
     LONGEST_US,
     TABLE,
     Cause,
@@ -37,8 +38,6 @@
     State,
     Stop,
 )
-from granitewell.leases.twins import younger
-from granitewell.machine import Heard, Line, Say, Store, Stored, Woken
 from granitewell.protocols.peers.frames import Key, Keys, Kind, seal
 from granitewell.protocols.peers.leases import (
     LETTERS,
@@ -51,6 +50,7 @@
     Said,
     Would,
 )
+from granitewell.state_machine import Heard, Line, Say, Store, Stored, Woken
 
 SECOND = 1_000_000
 FLEET = Settings("p1", planners(3), KEYS)
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -19,14 +19,13 @@
 from granitewell.lab.cluster.membership_watch import Watch, agreed, member_of
 from granitewell.lab.cluster.world import Cluster, Node, Spec
 from granitewell.lab.engine import stream
-from granitewell.machine import Heard, Line, Road, Say, Woken
+from granitewell.membership.dissemination import Spread
 from granitewell.membership.health import Health
-from granitewell.membership.machine import Membership
-from granitewell.membership.spread import Spread
+from granitewell.membership.state_machine import Membership
 from granitewell.membership.states import OVERRIDES, TELLS, Phase, Standing, State, merged
 from granitewell.membership.suspicion import Suspicions, timeout_us
 from granitewell.membership.table import Table, said
-from granitewell.membership.terms import (
+from granitewell.membership.types import (
     Changed,
     Config,
     Describe,
@@ -59,6 +58,7 @@
     write,
 )
 from granitewell.protocols.peers.limits import WINDOW, Window
+from granitewell.state_machine import Heard, Line, Road, Say, Woken
 
 S = 1_000_000
 ALIVE, SUSPECT, DEAD, LEFT = State
--- a/tests/cluster/test_virtual.py
+++ b/tests/cluster/test_virtual.py
@@ -19,7 +19,7 @@
 from granitewell.lab.cluster.search import search
 from granitewell.lab.cluster.world import Boot, Cluster, Node, Spec
 from granitewell.lab.engine import stream
-from granitewell.machine import Heard, Road, Say, Store, Stored, Woken
+from granitewell.state_machine import Heard, Road, Say, Store, Stored, Woken
 
 SECOND = 1_000_000
 STILL = Quality(delay_us=1_000, jitter_us=0)
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -13,7 +13,7 @@
 import pytest
 
 from granitewell.cli.main import run
-from granitewell.kept import FILE, SLOTS
+from granitewell.durable_folder import FILE, SLOTS
 from granitewell.operator.load import Live, Refused, load
 from granitewell.operator.registry import Operator
 from granitewell.status import fleet, wire
--- a/tests/fleet/test_kept.py
+++ b/tests/fleet/test_durable_folder.py
@@ -9,13 +9,13 @@
 import time
 from pathlib import Path
 
-from granitewell.kept import BLOCK, FILE, LOCK, SLOTS, Kept
+from granitewell.durable_folder import BLOCK, FILE, LOCK, SLOTS, Kept
 
 ROOT = Path(__file__).resolve().parents[2]
 LIMIT_S = 20.0
 WRITER = """
 import sys
-from granitewell.kept import Kept
+from granitewell.durable_folder import Kept
 kept = Kept(sys.argv[1])
 print(kept.take(), flush=True)
 k = 0
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -16,11 +16,11 @@
 import uvloop
 
 from granitewell.lab.fleet.planted import _half_sent, _one_lane
-from granitewell.machine import Heard, Road, Say
 from granitewell.net import peers
 from granitewell.net.clock import Clock
 from granitewell.net.peers import MOST_BYTES, MOST_FRAMES, Roads, parsed
 from granitewell.protocols.peers.frames import MAX_STREAM, Key, Keys, Splitter, seal
+from granitewell.state_machine import Heard, Road, Say
 from tests.shell import until
 
 KEYS = Keys(Key(b"k" * 32))
--- a/tests/fleet/test_census.py
+++ b/tests/fleet/test_size_estimate.py
@@ -11,9 +11,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitewell.cluster.census import FALL_US, MOST_NAMES, Census, Configured, Count, Known, Out, Place, Seen
-from granitewell.cluster.notes import Life, Note, form, read
-from granitewell.machine import Line, Woken
+from granitewell.cluster.persisted_record import Life, Note, form, read
+from granitewell.cluster.size_estimate import (
+    FALL_US,
+    MOST_NAMES,
+    Census,
+    Configured,
+    Count,
+    Known,
+    Out,
+    Place,
+    Seen,
+)
+from granitewell.state_machine import Line, Woken
 
 S = 1_000_000
 HOUR = 3_600 * S
--- a/tests/recorded/samples.py
+++ b/tests/recorded/samples.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from granitewell import handover, kept
-from granitewell.cluster import notes
-from granitewell.cluster.census import Known
+from granitewell import durable_folder, handover
+from granitewell.cluster import persisted_record
+from granitewell.cluster.size_estimate import Known
 from granitewell.controlplane.configuration.change import Change, Operation
 from granitewell.controlplane.configuration.store import ConfigurationStore
 from granitewell.controlplane.ownership.record import OwnerClaimed, OwnerRecord
@@ -284,8 +284,11 @@
     "lend": rights.Lend(1, "tenant", 78, [9, 500]),
     "back": rights.Back("tenant", 78, [9]),
 }
-NOTE = notes.Note(
-    "n1", notes.Life(3, 555, 2, 1 << 30), (Known("n2", -1), Known("n3", 120_000_000)), ("10.2.0.2:9000",)
+NOTE = persisted_record.Note(
+    "n1",
+    persisted_record.Life(3, 555, 2, 1 << 30),
+    (Known("n2", -1), Known("n3", 120_000_000)),
+    ("10.2.0.2:9000",),
 )
 LEASE_RECORD = lease_record.Record(1, 4242, 4, lease_record.OATH, 1 << 32, ("n2", 22), 3_000_000, (4, 5, 6))
 BAN = (b"endpoint-\xff", True, handover.Moment(1_700_000_000_000_000, 42))
@@ -300,9 +303,9 @@
 
 def slot(data: bytes) -> bytes:
     """A members' file as the node writes it, with its number and check sum."""
-    body = kept._HEADED.pack(9, len(data)) + data
-    raw = kept.HEAD.pack(kept.MAGIC, crc32(body)) + body
-    return raw.ljust(kept.BLOCK, b"\0")
+    body = durable_folder._HEADED.pack(9, len(data)) + data
+    raw = durable_folder.HEAD.pack(durable_folder.MAGIC, crc32(body)) + body
+    return raw.ljust(durable_folder.BLOCK, b"\0")
 
 
 def _letters(
@@ -324,8 +327,10 @@
         "configuration-patch": Sample(PATCH, Change.encode, Change.decode),
         "configuration-snapshot": Sample(store_of(PUT, PATCH), ConfigurationStore.snapshot, restored_store),
         "owner-claim": Sample(CLAIM, OwnerClaimed.encode, OwnerClaimed.decode),
-        "fleet-note": Sample(NOTE, notes.form, notes.read),
-        "fleet-slot": Sample(notes.form(NOTE), slot, lambda raw: kept._read(raw, kept.MOST)[1]),
+        "fleet-note": Sample(NOTE, persisted_record.form, persisted_record.read),
+        "fleet-slot": Sample(
+            persisted_record.form(NOTE), slot, lambda raw: durable_folder._read(raw, durable_folder.MOST)[1]
+        ),
         "lease-record": Sample(
             LEASE_RECORD, lease_record.Record.write, lambda data: lease_record.read(data, 3)
         ),
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -34,11 +34,11 @@
     "granitewell.lab.cluster": "lab cluster",
     "granitewell.lab.cluster.hunt": "lab",
     "granitewell.lab.system": "lab system",
-    "granitewell.machine": "machine",  # the terms between pure machines and their shells
+    "granitewell.state_machine": "machine",  # the terms between pure machines and their shells
     "granitewell.files": "files",  # that others put there,
     "granitewell.handover": "files",  # and those of the private temporary folder
-    "granitewell.kept": "files",  # or of a lasting one
-    "granitewell.pace": "start",
+    "granitewell.durable_folder": "files",  # or of a lasting one
+    "granitewell.startup_pacing": "start",
     "granitewell.net": "net",
     "granitewell.net.logs": "logs",
     "granitewell.net.http1": "protocols",
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -23,7 +23,7 @@
 import pytest
 import uvloop
 
-from granitewell import pace
+from granitewell import startup_pacing
 from granitewell.config import load
 from granitewell.core import Core
 from granitewell.handover import Handover
@@ -287,16 +287,20 @@
     monkeypatch.setattr(time, "process_time", lambda: worked[0])
     monkeypatch.setattr(time, "sleep", rested.append)
     finders = list(sys.meta_path)
-    pace.begin()
+    startup_pacing.begin()
     try:
-        for part_s in (pace.WORK_S / 2, pace.WORK_S / 2, 0.0, 0.05, 60.0, 60.0):
+        for part_s in (startup_pacing.WORK_S / 2, startup_pacing.WORK_S / 2, 0.0, 0.05, 60.0, 60.0):
             worked[0] += part_s
             with pytest.raises(ModuleNotFoundError):
                 importlib.import_module("no_such_thing")
     finally:
-        pace.end()
-    assert rested[:2] == pytest.approx([pace.WORK_S * pace.REST, 0.05 * pace.REST])
-    assert len(rested) == 3 and sum(rested) == pytest.approx(pace.MOST_S)  # a slow machine is ready in time
+        startup_pacing.end()
+    assert rested[:2] == pytest.approx(
+        [startup_pacing.WORK_S * startup_pacing.REST, 0.05 * startup_pacing.REST]
+    )
+    assert len(rested) == 3 and sum(rested) == pytest.approx(
+        startup_pacing.MOST_S
+    )  # a slow machine is ready in time
     assert sys.meta_path == finders
 
 
