--- a/benchmarks/status_cost.py
+++ b/benchmarks/status_cost.py
@@ -28,8 +28,8 @@
 from granitewell.net import status
 from granitewell.net.logs import HEAD_START_US, Log
 from granitewell.net.loop import Node
-from granitewell.status import look, wire
-from granitewell.status.terms import MOST_WORST, StatusSettings
+from granitewell.status import snapshot, wire
+from granitewell.status.types import MOST_WORST, StatusSettings
 from tiderelay.interface import Effect, RequestClass, Settings, State, View
 from tiderelay.policy import Balancer
 
@@ -75,20 +75,20 @@
     took: list[tuple[float, float]] = []
     for n in range(times):
         now = node.clock.fresh()
-        seen = look.look(node._core, status.sockets(node), status.about(node), now, MOST_WORST)
+        seen = snapshot.look(node._core, status.sockets(node), status.about(node), now, MOST_WORST)
         asked = wire.Asked((wire.STATUS, wire.METRICS)[n % 2], worst)
         driven(wire.body(asked, driven(seen, took)), took)
     return took
 
 
-def driven(steps: look.Steps[look.T], took: list[tuple[float, float]]) -> look.T:
+def driven(steps: snapshot.Steps[snapshot.T], took: list[tuple[float, float]]) -> snapshot.T:
     """To the end, noting each step's time."""
     while True:
         began = time.thread_time_ns(), time.perf_counter_ns()
         try:
             next(steps)
         except StopIteration as done:
-            result: look.T = done.value
+            result: snapshot.T = done.value
             return result
         finally:
             cpu, clock = time.thread_time_ns() - began[0], time.perf_counter_ns() - began[1]
--- a/granitewell/cli/cluster.py
+++ b/granitewell/cli/cluster.py
@@ -27,8 +27,8 @@
 from granitewell.cli.node import get, where
 from granitewell.cli.show import NoMeans, Told, as_json, emit
 from granitewell.status import fleet, shared
-from granitewell.status.terms import Place
-from granitewell.status.words import Sheet, plain
+from granitewell.status.descriptions import Sheet, plain
+from granitewell.status.types import Place
 
 NAMES, KEYS = "[!-%'-~]{1,63}", "[!-%'-~]{1,96}"
 
--- a/granitewell/cli/node.py
+++ b/granitewell/cli/node.py
@@ -23,9 +23,9 @@
 
 import granitewell
 from granitewell.cli.show import FOUND, NoMeans, Told, as_json, emit
-from granitewell.status import words
-from granitewell.status.terms import ALLOWED_AT, MOST_ANSWER, MOST_WORST, Place, Snapshot
-from granitewell.status.terms import place as placed
+from granitewell.status import descriptions
+from granitewell.status.types import ALLOWED_AT, MOST_ANSWER, MOST_WORST, Place, Snapshot
+from granitewell.status.types import place as placed
 
 WAIT_S = 3.0  # for a node that answers within one
 
@@ -103,7 +103,7 @@
             break
         sys.stdout.flush()
         time.sleep(watch)
-    if not words.good(data):
+    if not descriptions.good(data):
         raise click.exceptions.Exit(FOUND)
 
 
@@ -116,7 +116,7 @@
     try:
         return placed(at, os.environ.get("TMPDIR") or "/tmp")
     except ValueError as error:
-        raise Told(f"--at: found {words.plain(at[:200])}, {error}, allowed: {ALLOWED_AT}") from None
+        raise Told(f"--at: found {descriptions.plain(at[:200])}, {error}, allowed: {ALLOWED_AT}") from None
 
 
 def _of_file(path: str) -> str:
@@ -139,11 +139,11 @@
         code, raw = get(where, f"/status{query}")
         if code != 200:
             why = raw[:200].decode(errors="replace").strip()
-            raise ValueError(f"answered {code}: {words.plain(why)}")
-        return words.taken(json.loads(raw))
+            raise ValueError(f"answered {code}: {descriptions.plain(why)}")
+        return descriptions.taken(json.loads(raw))
     except (OSError, http.client.HTTPException) as error:
         why = getattr(error, "strerror", None) or str(error) or type(error).__name__
-        raise NoMeans(f"{where}: nobody there: {words.plain(why)}") from None
+        raise NoMeans(f"{where}: nobody there: {descriptions.plain(why)}") from None
     except (ValueError, RecursionError) as error:
         raise NoMeans(f"{where}: no status of a node: {error}") from None
 
@@ -181,11 +181,11 @@
 
 
 def _print(data: Snapshot, console: Console) -> None:
-    first, *rest = words.head(data)
-    console.print(Text(first, style="bold green" if words.good(data) else "bold red"))
+    first, *rest = descriptions.head(data)
+    console.print(Text(first, style="bold green" if descriptions.good(data) else "bold red"))
     for line in rest:
         console.print(Text(line))
-    for sheet in words.sheets(data):
+    for sheet in descriptions.sheets(data):
         made = Table(title=Text(sheet.title), title_justify="left")
         for k, name in enumerate(sheet.columns):
             made.add_column(Text(name), justify="right" if k else "left")
--- a/granitewell/core/__init__.py
+++ b/granitewell/core/__init__.py
@@ -12,7 +12,7 @@
     Core,
     Decider,
 )
-from granitewell.core.terms import (
+from granitewell.core.types import (
     AbandonCall,
     Acting,
     Answer,
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -17,7 +17,7 @@
 from typing import Any, Protocol
 
 from granitewell.core.tables import Call, Endpoint, Held
-from granitewell.core.terms import (
+from granitewell.core.types import (
     AbandonCall,
     Acting,
     Answer,
--- a/granitewell/core/tables.py
+++ b/granitewell/core/tables.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from granitewell.core.terms import Arrived, Member
+from granitewell.core.types import Arrived, Member
 from tiderelay import interface as t
 from tiderelay.interface import Outcome
 
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -65,7 +65,7 @@
 
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
-    from granitewell.net.shared import Shared
+    from granitewell.net.shared_counters import Shared
     from granitewell.shared_counters.types import Figures
 
 TRY_S = 0.05  # between two looks whether the lock is free
@@ -124,7 +124,7 @@
         self.twins = 0
         self.shared: Shared | None = None
         if counts is not None:
-            from granitewell.net.shared import Shared
+            from granitewell.net.shared_counters import Shared
 
             self.shared = Shared(node, settings.name, settings.keys, counts)
         self._try(first=True)
--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -26,7 +26,7 @@
 from granitewell.net.clock import Clock
 from granitewell.net.console import SEATS, Console
 from granitewell.net.discovery import ASKED, PUSHED, Discovery
-from granitewell.net.inbounds import ONCE_PART, Inbounds, Limits
+from granitewell.net.downstream import ONCE_PART, Inbounds, Limits
 from granitewell.net.listener import age_s, listening, start_debt
 from granitewell.net.logs import HEAD_START_US as HEAD_START_US
 from granitewell.net.logs import Log as Log
--- a/granitewell/net/status.py
+++ b/granitewell/net/status.py
@@ -20,8 +20,8 @@
 from granitewell.net.logs import HEAD_START_US
 from granitewell.net.loop import RESERVE, Node
 from granitewell.status import fleet, shared, wire
-from granitewell.status.look import look
-from granitewell.status.terms import MOST_WORST, About, Place, Snapshot, Sockets, StatusSettings, place
+from granitewell.status.snapshot import look
+from granitewell.status.types import MOST_WORST, About, Place, Snapshot, Sockets, StatusSettings, place
 
 REST = 19  # times what a look took, before the next one: at most a twentieth of the core,
 MOST_REST_US = 500_000  # unless it took more than a part of this
--- a/granitewell/operator/load.py
+++ b/granitewell/operator/load.py
@@ -17,7 +17,7 @@
 from granitewell.operator.problem import Problem
 from granitewell.operator.registry import Operator
 from granitewell.operator.table import Table, checked, examine
-from granitewell.operator.walk import extra, type_of
+from granitewell.operator.tree_reader import extra, type_of
 
 MOST_FILE = 32 * 1024  # bytes of an operator file: a running node reads it between two requests
 
--- a/granitewell/operator/reference.py
+++ b/granitewell/operator/reference.py
@@ -13,7 +13,7 @@
 
 from granitewell.operator.registry import Operator
 from granitewell.operator.table import Table
-from granitewell.operator.walk import allowed, bare, description, extra, type_of
+from granitewell.operator.tree_reader import allowed, bare, description, extra, type_of
 
 HEAD = """\
 # The operator file
--- a/granitewell/operator/status.py
+++ b/granitewell/operator/status.py
@@ -13,7 +13,7 @@
 
 from granitewell.operator.problem import Problem, shown
 from granitewell.operator.table import Table
-from granitewell.status.terms import ALLOWED_AT, MOST_WORST, StatusSettings, place
+from granitewell.status.types import ALLOWED_AT, MOST_WORST, StatusSettings, place
 
 PLAIN = StatusSettings()
 
--- a/granitewell/operator/table.py
+++ b/granitewell/operator/table.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from granitewell.operator.problem import Path, Problem, shown
-from granitewell.operator.walk import Walk, type_of
+from granitewell.operator.tree_reader import Walk, type_of
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/granitewell/status/words.py
+++ b/granitewell/status/descriptions.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple, cast
 
-from granitewell.status.terms import VERSION, PairRow, Snapshot
+from granitewell.status.types import VERSION, PairRow, Snapshot
 
 _SPANS = (10, 1, "{:.1f} s"), (120, 1, "{:.0f} s"), (7200, 60, "{:.0f} min"), (172_800, 3600, "{:.1f} h")
 _KEYS = frozenset(Snapshot.__annotations__)
--- a/granitewell/status/fleet.py
+++ b/granitewell/status/fleet.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
+from granitewell.status.descriptions import Sheet, plain, span
 from granitewell.status.metrics import PREFIX, Labels, labelled, number
-from granitewell.status.words import Sheet, plain, span
 
 VERSION = 1
 STATES = ("alive", "suspect", "dead", "left")
--- a/granitewell/status/metrics.py
+++ b/granitewell/status/metrics.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from granitewell.core import Phase, Verdict
-from granitewell.status.terms import OLDER, Snapshot, Use
+from granitewell.status.types import OLDER, Snapshot, Use
 from tiderelay.interface import Outcome
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
--- a/granitewell/status/shared.py
+++ b/granitewell/status/shared.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
+from granitewell.status.descriptions import Sheet, plain
 from granitewell.status.metrics import PREFIX, Labels, labelled, number
-from granitewell.status.words import Sheet, plain
 
 VERSION = 1
 _HELP = {
--- a/granitewell/status/look.py
+++ b/granitewell/status/snapshot.py
@@ -19,7 +19,7 @@
 
 from granitewell.core import Core
 from granitewell.core.tables import Endpoint
-from granitewell.status.terms import (
+from granitewell.status.types import (
     AGES_MS,
     MOST_TEXT,
     OLDER,
--- a/granitewell/status/wire.py
+++ b/granitewell/status/wire.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol, cast
 
 from granitewell.status import metrics
-from granitewell.status.terms import MOST_ANSWER, MOST_WORST, EndpointRow, PairRow, Snapshot
+from granitewell.status.types import MOST_ANSWER, MOST_WORST, EndpointRow, PairRow, Snapshot
 
 MOST_HEAD = 4096  # bytes of a request's head
 BATCH = 25  # rows made into bytes in one step
--- a/tests/fleet/few.py
+++ b/tests/fleet/few.py
@@ -15,7 +15,7 @@
 
 from granitewell.cli.cluster import call
 from granitewell.lab.socks.plan import Range
-from granitewell.status.terms import Place
+from granitewell.status.types import Place
 from tests.play import settings
 
 ROOT = Path(__file__).resolve().parents[2]
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -75,7 +75,7 @@
 
 def _metrics(at: str) -> str:
     from granitewell.cli.node import get
-    from granitewell.status.terms import Place
+    from granitewell.status.types import Place
 
     code, raw = get(Place(path=at), "/metrics")
     assert code == 200
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -14,8 +14,7 @@
 
 from granitewell.config import load
 from granitewell.net.bodies import COPIES, LEAST_PIECE, MOST_PIECE, Budget
-from granitewell.net.http1 import MOST_KEPT, Ask, Flow, InboundParser, Names
-from granitewell.net.inbounds import (
+from granitewell.net.downstream import (
     BODY_GAP_US,
     BODY_PER_S,
     BODY_SPARE_US,
@@ -25,6 +24,7 @@
     too_slow,
     trickles,
 )
+from granitewell.net.http1 import MOST_KEPT, Ask, Flow, InboundParser, Names
 from tests.play import LIMIT_S
 from tests.test_config import write
 from tests.test_upgrade import Agent, Site
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 from granitewell.net import loop as loop_module
 from granitewell.net import pool as pool_module
 from granitewell.net.discovery import ASKED, PUSHED, RENEW_S, Patience
-from granitewell.net.inbounds import IDLE_US
+from granitewell.net.downstream import IDLE_US
 from granitewell.net.loop import Node
 from granitewell.net.sockets import has_left, readable
 from tests.desk import GET, OK, POST, Bureau, Desk, ends_well, heard, row, sent, serves
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -13,8 +13,7 @@
 
 from granitewell.config import load
 from granitewell.core import Core
-from granitewell.net.http1 import InboundParser, ResponseParser, outcome, report
-from granitewell.net.inbounds import (
+from granitewell.net.downstream import (
     EVICT_HALF_US,
     EVICT_IDLE_US,
     FIRST_REQUEST_US,
@@ -23,6 +22,7 @@
     Inbound,
     is_idle,
 )
+from granitewell.net.http1 import InboundParser, ResponseParser, outcome, report
 from granitewell.net.listener import start_debt
 from granitewell.net.loop import HEAD_START_US, Log, Node
 from granitewell.net.sockets import readable
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -26,7 +26,7 @@
 from granitewell.operator.reference import page
 from granitewell.operator.registry import Operator
 from granitewell.operator.table import Table, examine
-from granitewell.operator.walk import MOST_PROBLEMS, type_of
+from granitewell.operator.tree_reader import MOST_PROBLEMS, type_of
 from tests.play import LIMIT_S, Player
 from tests.test_config import write
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -16,11 +16,11 @@
 from granitewell.handover import Handover, Moment
 from granitewell.net.console import Console
 from granitewell.net.discovery import APART_S, MOST_SWIFT, PUSHED
-from granitewell.net.inbounds import Inbound
+from granitewell.net.downstream import Inbound
 from granitewell.net.loop import RESERVE, Node
 from granitewell.net.sockets import readable
 from granitewell.net.status import Door
-from granitewell.status.terms import StatusSettings
+from granitewell.status.types import StatusSettings
 from tests.shell import client_of, played, silent, turns, until
 from tiderelay.interface import Outcome
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -27,8 +27,8 @@
 from granitewell.net.loop import Node
 from granitewell.operator.registry import Operator
 from granitewell.operator.table import examine
-from granitewell.status import metrics, terms, wire, words
-from granitewell.status.look import STEP, Steps, T, look
+from granitewell.status import descriptions, metrics, types, wire
+from granitewell.status.snapshot import STEP, Steps, T, look
 from tests.play import LIMIT_S
 from tests.test_config import write
 from tests.test_operator import Watched
@@ -240,7 +240,7 @@
 ) -> None:
     config, looks = load(write(tmp_path)), []
 
-    def counted(*args: Any) -> Steps[terms.Snapshot]:
+    def counted(*args: Any) -> Steps[types.Snapshot]:
         looks.append(1)
         return look(*args)
 
@@ -252,7 +252,7 @@
             assert f'"worst":{n},'.encode() in await door._answer(wire.Asked(wire.STATUS, n))
             seen.append(len(looks))
         assert door._rest_us - door._done_us == status_door.MOST_REST_US
-        door._settings = terms.StatusSettings(seconds=0.2)  # who waits must have time left
+        door._settings = types.StatusSettings(seconds=0.2)  # who waits must have time left
         await door._answer(wire.Asked(wire.STATUS, 20))
         assert door._rest_us - door._done_us == 100_000
         return seen
@@ -263,8 +263,8 @@
 
 
 # --- The pure part --------------------------------------------------------------------------------------
-ABOUT = terms.About("n0", NAMES, ("z0", "z1"), ("k0",), HOUR, 0)
-NONE = terms.Sockets({}, 0, 0, 0, 0, 0, 32, ("127.0.0.1", 1), -1, -1, -1, "")
+ABOUT = types.About("n0", NAMES, ("z0", "z1"), ("k0",), HOUR, 0)
+NONE = types.Sockets({}, 0, 0, 0, 0, 0, 32, ("127.0.0.1", 1), -1, -1, -1, "")
 
 
 def core_of(ids: list[str], requests: int = 0) -> c.Core:
@@ -347,7 +347,9 @@
     states = {(p["endpoint"], p["class"]): (p["state"], p["cause"]) for p in snap["pairs"]}
     assert states["a", "taxi-lookup"] == ("ill", "zone") and states["b", "ride-assign"] == ("full", "well")
     assert [p["state"] for p in snap["pairs"]] == ["ill", "full", *["well"] * 4]
-    assert not words.good(snap) and "the fleet is full for ride-assign" in "".join(words.head(snap))
+    assert not descriptions.good(snap) and "the fleet is full for ride-assign" in "".join(
+        descriptions.head(snap)
+    )
 
 
 ANY = st.text(st.characters(exclude_categories=()), max_size=120)  # lone surrogates too
@@ -382,33 +384,33 @@
 @given(st.lists(ANY, min_size=1, max_size=4, unique=True), ANY)
 def test_metrics_hold_any_name_and_json_too(names: list[str], name: str) -> None:
     ids = sorted({x.encode(errors="replace").decode() for x in names})
-    about = terms.About(name, (name[:90], "b"), (name,), (name,), HOUR, 0)
+    about = types.About(name, (name[:90], "b"), (name,), (name,), HOUR, 0)
     snap, _ = taken(look(core_of(ids, 3), NONE, about, HOUR, 9))
     got = parsed(taken(wire.body(wire.Asked(wire.METRICS, 9), snap))[0].decode())
     rows = {dict(key[1])["endpoint"]: v for key, v in got.items() if key[0] == "granitewell_endpoint_calls"}
-    assert len(rows) == len(ids) and {x for x in ids if len(x) <= terms.MOST_TEXT} <= {*rows}
+    assert len(rows) == len(ids) and {x for x in ids if len(x) <= types.MOST_TEXT} <= {*rows}
     assert sum(rows.values()) == sum(e["calls"] for e in snap["endpoints"])
     raw, _ = taken(wire.body(wire.Asked(wire.STATUS, 9), snap))
-    assert words.taken(json.loads(raw))["pairs"] == snap["pairs"]
-    for sheet in words.sheets(snap):
+    assert descriptions.taken(json.loads(raw))["pairs"] == snap["pairs"]
+    for sheet in descriptions.sheets(snap):
         assert all(cell.isprintable() for row in sheet.rows for cell in row)
-    assert all(line.isprintable() for line in words.head(snap))
+    assert all(line.isprintable() for line in descriptions.head(snap))
 
 
 def test_long_names_that_begin_alike_are_two() -> None:
-    ids = ["x" * terms.MOST_TEXT + end for end in "ab"]
+    ids = ["x" * types.MOST_TEXT + end for end in "ab"]
     snap, _ = taken(look(core_of(ids), NONE, ABOUT, HOUR, 9))
     assert len({e["endpoint"] for e in snap["endpoints"]}) == 2
-    assert all(len(e["endpoint"]) == terms.MOST_TEXT for e in snap["endpoints"])
+    assert all(len(e["endpoint"]) == types.MOST_TEXT for e in snap["endpoints"])
 
 
 def test_an_answer_is_bounded_whatever_the_names() -> None:
     core = core_of([f"{k}".rjust(80, "\x01") for k in range(600)])
     for path in wire.KINDS:
-        snap, _ = taken(look(core, NONE, ABOUT, HOUR, terms.MOST_WORST))
-        raw, _ = taken(wire.body(wire.Asked(path, terms.MOST_WORST), snap))
+        snap, _ = taken(look(core, NONE, ABOUT, HOUR, types.MOST_WORST))
+        raw, _ = taken(wire.body(wire.Asked(path, types.MOST_WORST), snap))
         rows = raw.count(b'"own_failures"') + raw.count(b"granitewell_pair_ill{")
-        assert len(raw) <= terms.MOST_ANSWER and 100 < rows < len(snap["pairs"]) == 500
+        assert len(raw) <= types.MOST_ANSWER and 100 < rows < len(snap["pairs"]) == 500
         assert path != wire.STATUS or json.loads(raw)["cut"]
 
 
@@ -418,7 +420,7 @@
     for head in (raw, b"GET /status?" + raw + b" HTTP/1.1\r\nHost: localhost\r\n\r\n"):
         try:
             got = wire.asked(head, 50, local)
-            assert got.path in wire.KINDS and 0 <= got.worst <= terms.MOST_WORST
+            assert got.path in wire.KINDS and 0 <= got.worst <= types.MOST_WORST
         except wire.Refused as error:
             assert re.match(rb"HTTP/1\.1 4\d\d ", error.raw)
 
@@ -454,7 +456,7 @@
     if where == "":
         assert problems[0].field == "status.at" and "127.0.0.1:PORT" in problems[0].text()
     else:
-        assert str(terms.place(at, "/tmp/")) == (where or at)
+        assert str(types.place(at, "/tmp/")) == (where or at)
 
 
 def test_ends_of_the_command(
@@ -481,7 +483,7 @@
         OK + b"{}",
         b"\0" * 100,
         b"HTTP/1.1 500 x\r\n\r\n\x1b",
-        OK + json.dumps(dict.fromkeys(terms.Snapshot.__annotations__, 1)).encode(),
+        OK + json.dumps(dict.fromkeys(types.Snapshot.__annotations__, 1)).encode(),
         OK + b"[" * 100_000,
     ],
     ids=["nothing", "other", "zeros", "error", "kinds", "nested"],
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -206,14 +206,14 @@
 
 WHILE_SERVING = [
     at("granitewell.net.http1:InboundParser.feed"),
-    at("granitewell.net.inbounds:Inbounds._next"),
+    at("granitewell.net.downstream:Inbounds._next"),
     at("granitewell.net.loop:Node.dispatch", "after", 5),
     at("granitewell.net.http1:call_bytes"),
     at("granitewell.net.http1:ResponseParser.feed", "before", 3),  # discovery's come first
     at("granitewell.net.http1:answer_bytes"),
-    at("granitewell.net.inbounds:Inbounds.reply"),
-    at("granitewell.net.inbounds:Inbounds.reply", "after"),
-    at("granitewell.net.inbounds:Inbounds.answered"),
+    at("granitewell.net.downstream:Inbounds.reply"),
+    at("granitewell.net.downstream:Inbounds.reply", "after"),
+    at("granitewell.net.downstream:Inbounds.answered"),
 ]
 
 
@@ -234,7 +234,7 @@
 IN_AN_UPGRADE = [
     (0, at("granitewell.net.loop:Node.stop"), "old, asked to stop"),
     (0, at("granitewell.net.loop:Node.stop", "after"), "old, stopping"),
-    (0, at("granitewell.net.inbounds:Inbounds._release", "after"), "old, off the listener"),
+    (0, at("granitewell.net.downstream:Inbounds._release", "after"), "old, off the listener"),
     (1, at("granitewell.net.loop:Node.dispatch", "after", 2), "new, about to be ready"),
     (1, at("granitewell.net.console:Console._taken"), "new, asked whether it is"),
     (1, at("granitewell.net.console:Console._taken", "after"), "new, before its yes is out"),
