--- a/benchmarks/lab_speed.py
+++ b/benchmarks/lab_speed.py
@@ -26,9 +26,9 @@
 from granitewell.lab import scenario  # noqa: E402
 from granitewell.lab.day import Day  # noqa: E402
 from granitewell.lab.judge import Judge  # noqa: E402
-from granitewell.lab.sim.play import maker, play  # noqa: E402
-from granitewell.lab.sim.profile import Sampler  # noqa: E402
-from granitewell.lab.sim.world import World  # noqa: E402
+from granitewell.lab.simulation.play import maker, play  # noqa: E402
+from granitewell.lab.simulation.profile import Sampler  # noqa: E402
+from granitewell.lab.simulation.world import World  # noqa: E402
 
 SEED = 1
 LOOP = 2_000_000
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -30,7 +30,7 @@
 import uvloop
 
 from granitewell.lab.engine import stream
-from granitewell.lab.load.crew import Stands
+from granitewell.lab.load.processes import Stands
 from granitewell.lab.load.worker import now_us
 
 RATE, SECONDS, PROCESSES = 20_000, 5, 2
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -83,9 +83,9 @@
     from dataclasses import replace
 
     from granitewell.lab import day as d
+    from granitewell.lab.loopback.director import Options
+    from granitewell.lab.loopback.play import play_on_sockets
     from granitewell.lab.scenario import draw, load
-    from granitewell.lab.socks.director import Options
-    from granitewell.lab.socks.play import play_on_sockets
     from granitewell.lab.turns import LONG_S, told
 
     turns = "--turns" in sys.argv
--- a/granitewell/cli/lab_fleet.py
+++ b/granitewell/cli/lab_fleet.py
@@ -17,8 +17,8 @@
 from rich.console import Console
 
 from granitewell.cli import show
-from granitewell.lab.fleet.terms import FleetError, Schedule, builtin, load, replayed, schedule
-from granitewell.lab.socks.plan import SocksError
+from granitewell.lab.fleet.types import FleetError, Schedule, builtin, load, replayed, schedule
+from granitewell.lab.loopback.plan import SocksError
 
 
 @click.command(
@@ -124,7 +124,7 @@
 def _night(
     made: list[Schedule], plant: str, without: bool, jobs: int, out: Path | None, as_json: bool
 ) -> None:
-    from granitewell.lab.fleet.night import Night, Shift, night
+    from granitewell.lab.fleet.batch_run import Night, Shift, night
 
     _known(plant)
     signal.signal(signal.SIGTERM, signal.default_int_handler)  # as SIGINT: no run goes on without its night
--- a/granitewell/cli/lab_load.py
+++ b/granitewell/cli/lab_load.py
@@ -20,9 +20,8 @@
 from rich.console import Console
 
 from granitewell.cli import show
-from granitewell.lab.load import knee, means, run, verdict
+from granitewell.lab.load import knee, preflight, run, verdict
 from granitewell.lab.load.counts import End
-from granitewell.lab.load.crew import Crew, Stands
 from granitewell.lab.load.knee import Sweep
 from granitewell.lab.load.plan import (
     BadOption,
@@ -35,6 +34,7 @@
     read_tenant,
     within,
 )
+from granitewell.lab.load.processes import Crew, Stands
 from granitewell.lab.load.run import Outcome, Result
 
 INTERRUPTED = 130
@@ -119,15 +119,15 @@
 
 def _play(asked: Asked) -> Outcome:
     plan = asked.plan
-    share = means.connections(asked.connections, plan.workers)
-    folder = means.folder(asked.hdr)
+    share = preflight.connections(asked.connections, plan.workers)
+    folder = preflight.folder(asked.hdr)
     # the quietest CPUs for the workers, then the stand-ins; where there are too few, nobody is pinned
-    cpus: Sequence[int | None] = means.quiet_cpus() if asked.pin else []
+    cpus: Sequence[int | None] = preflight.quiet_cpus() if asked.pin else []
     if len(cpus) < plan.workers + asked.bare:
         cpus = [None] * (plan.workers + asked.bare)
     stands = Stands(asked.bare, cpus[plan.workers :]) if asked.bare else None
     try:
-        targets = stands.targets if stands else means.resolved(plan.targets)
+        targets = stands.targets if stands else preflight.resolved(plan.targets)
         outcome = _crewed(asked, replace(plan, targets=targets, connections=share), cpus)
     finally:
         if stands:
@@ -277,7 +277,7 @@
         outcome = _play(_read(options))
     except BadOption as error:
         raise show.Told(str(error)) from None
-    except means.Lacking as error:
+    except preflight.Lacking as error:
         raise show.NoMeans(str(error)) from None
     show.emit(run.figures(outcome), as_json, _render(outcome))
     if outcome.void:
--- a/granitewell/cli/lab_sim.py
+++ b/granitewell/cli/lab_sim.py
@@ -1,7 +1,7 @@
 """`granitewell lab sim` and `granitewell lab hunt`: days in virtual time.
 
 It owns their arguments and what they print. It must never compute a figure or decide what is right: the judge
-does, and granitewell.lab.sim plays.
+does, and granitewell.lab.simulation plays.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from granitewell.lab.day import Day
 from granitewell.lab.judge import Judge, Report
 from granitewell.lab.scenario import ScenarioError
-from granitewell.lab.sim import hunt as hunting
-from granitewell.lab.sim.hunt import Case, Found
-from granitewell.lab.sim.play import POLICIES, Played, play
-from granitewell.lab.sim.profile import Sampler
+from granitewell.lab.simulation import hunt as hunting
+from granitewell.lab.simulation.hunt import Case, Found
+from granitewell.lab.simulation.play import POLICIES, Played, play
+from granitewell.lab.simulation.profile import Sampler
 
 MOST_SEEDS = 100_000
 
--- a/granitewell/cli/lab_up.py
+++ b/granitewell/cli/lab_up.py
@@ -1,7 +1,7 @@
 """`granitewell lab up` and `granitewell lab demo`: the model on loopback sockets, for a person.
 
 It owns the options, the tables and the exit codes. It must never start a process, judge or draw by itself:
-that is `granitewell.lab.socks` and `granitewell.lab.scenario`. Exit codes: 0 done, and in the demo all rules
+that is `granitewell.lab.loopback` and `granitewell.lab.scenario`. Exit codes: 0 done, and in the demo all rules
 kept; 1 a rule was broken; 2 a scenario or option can't be used; 3 the machine does not give what is needed.
 """
 
@@ -25,10 +25,10 @@
 from granitewell.cli import show
 from granitewell.lab.day import Day
 from granitewell.lab.judge import RULES
+from granitewell.lab.loopback.director import Director, Options
+from granitewell.lab.loopback.plan import SocksError
+from granitewell.lab.loopback.play import play_on_sockets, run
 from granitewell.lab.scenario import ScenarioError, draw, load
-from granitewell.lab.socks.director import Director, Options
-from granitewell.lab.socks.plan import SocksError
-from granitewell.lab.socks.play import play_on_sockets, run
 
 DEMO = "rainy-evening"
 OUTCOMES = ("served", "late", "refused", "failed")
@@ -142,7 +142,7 @@
     Three nodes, twelve endpoints, a discovery agent for each node. Prints what was served, late, refused and
     failed, judges the rules, and writes a report. The deploy begins after 6 s.
     """
-    from granitewell.lab.socks import demo_report
+    from granitewell.lab.loopback import demo_report
 
     place = _place(out)
     day = _day(DEMO, seed, nodes=3, endpoints=12, length_s=seconds)
--- a/granitewell/lab/capture.py
+++ b/granitewell/lab/capture.py
@@ -18,7 +18,7 @@
 from typing import Any, NamedTuple, TextIO
 
 from granitewell.lab.day import Day
-from granitewell.lab.model.arrivals import Arrivals
+from granitewell.lab.emulator.arrivals import Arrivals
 
 COLUMNS = ("at_us", "class", "tenant", "key", "zone")
 MOST = 10**18 - 1  # the largest figure that a trace may hold
--- a/granitewell/lab/cluster/hunt.py
+++ b/granitewell/lab/cluster/hunt.py
@@ -14,7 +14,7 @@
 from granitewell.lab.cluster.days import Case, Outcome
 from granitewell.lab.cluster.subjects import subject
 from granitewell.lab.cluster.world import Broken
-from granitewell.lab.sim.hunt import ddmin
+from granitewell.lab.simulation.hunt import ddmin
 
 MOST_PLAYS = 200  # of one seed, shrinking included
 
--- a/granitewell/lab/model/arrivals.py
+++ b/granitewell/lab/emulator/arrivals.py
@@ -15,8 +15,8 @@
 from typing import NamedTuple
 
 from granitewell.lab.day import Day, LoadDay
+from granitewell.lab.emulator.work import draw_work
 from granitewell.lab.engine import lognormal, stream
-from granitewell.lab.model.work import draw_work
 
 _MEAN_TURN = (math.sqrt(5.0) - 1.0) / 2.0  # multiples of it, modulo 1, lie evenly however many there are
 
--- a/granitewell/lab/model/clients.py
+++ b/granitewell/lab/emulator/clients.py
@@ -30,9 +30,9 @@
 from itertools import count
 
 from granitewell.lab.day import Day
+from granitewell.lab.emulator.arrivals import Arrival, Arrivals
+from granitewell.lab.emulator.types import Ask, Broken, ClientEffect, ClientEvent, Leave, Replied, Tick
 from granitewell.lab.engine import stream
-from granitewell.lab.model.arrivals import Arrival, Arrivals
-from granitewell.lab.model.terms import Ask, Broken, ClientEffect, ClientEvent, Leave, Replied, Tick
 
 SHORTEST_US = 1_000  # of a try: its time is told in whole milliseconds
 STAYS_US = 250_000  # for which a connection stays beyond the slack: what is owed counts from its reading
--- a/granitewell/lab/model/conditions.py
+++ b/granitewell/lab/emulator/conditions.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from granitewell.lab.model.terms import Condition, Fall
+from granitewell.lab.emulator.types import Condition, Fall
 
 EFFECTS = (
     "hang",
--- a/granitewell/lab/model/discovery.py
+++ b/granitewell/lab/emulator/discovery.py
@@ -21,8 +21,8 @@
 from operator import attrgetter
 
 from granitewell.lab.day import Day
+from granitewell.lab.emulator.types import Changed, DiscoveryEvent, Line, NodeBegins, Tell
 from granitewell.lab.engine import stream
-from granitewell.lab.model.terms import Changed, DiscoveryEvent, Line, NodeBegins, Tell
 
 GONE = "gone"
 _STATES = {"ready": "ready", "draining": "draining", GONE: GONE, "vanished": GONE}
--- a/granitewell/lab/model/endpoint.py
+++ b/granitewell/lab/emulator/endpoint.py
@@ -20,9 +20,9 @@
 from random import Random
 
 from granitewell.lab.day import Day, EndpointDay
-from granitewell.lab.model.conditions import Ills, Outlook
-from granitewell.lab.model.endpoint_process import Out, Process
-from granitewell.lab.model.terms import (
+from granitewell.lab.emulator.conditions import Ills, Outlook
+from granitewell.lab.emulator.endpoint_process import Out, Process
+from granitewell.lab.emulator.types import (
     Asked,
     Done,
     EndpointEffect,
--- a/granitewell/lab/model/endpoint_process.py
+++ b/granitewell/lab/emulator/endpoint_process.py
@@ -16,13 +16,13 @@
 from random import Random
 
 from granitewell.lab.day import Day, EndpointDay, Stops
-from granitewell.lab.model import conditions, terms
-from granitewell.lab.model.conditions import Ills, Outlook
-from granitewell.lab.model.endpoint_parts import Allowance, FallGuard, Memory, Reports
-from granitewell.lab.model.endpoint_slots import Slots
-from granitewell.lab.model.endpoint_table import Conn, Kind, Stage, Table, Task
-from granitewell.lab.model.terms import Asked, Condition, Done, EndpointEffect, Hangup, Reply
-from granitewell.lab.model.work import attempt_factor
+from granitewell.lab.emulator import conditions, types
+from granitewell.lab.emulator.conditions import Ills, Outlook
+from granitewell.lab.emulator.endpoint_parts import Allowance, FallGuard, Memory, Reports
+from granitewell.lab.emulator.endpoint_slots import Slots
+from granitewell.lab.emulator.endpoint_table import Conn, Kind, Stage, Table, Task
+from granitewell.lab.emulator.types import Asked, Condition, Done, EndpointEffect, Hangup, Reply
+from granitewell.lab.emulator.work import attempt_factor
 
 READ, WAITING, WORKING, KEPT, HUNG, OVER = Stage  # looking a member up by its name each time is slow
 REQUEST, DEEP, SHALLOW, HANDSHAKE = Kind
@@ -137,14 +137,14 @@
         heappush(self._timers, (at_us, task.seq, kept, task))
 
     # --- Connections ---
-    def opened(self, now_us: int, event: terms.Opened, out: Out) -> None:
+    def opened(self, now_us: int, event: types.Opened, out: Out) -> None:
         """A connection has arrived: it stands, and its handshake costs work ahead of its first request."""
         self._pass(now_us)
         if len(self.table.open) >= self._day.conn.cap or self._ills.refuses(event.node):
-            out.append(terms.Refuse(event.conn))
+            out.append(types.Refuse(event.conn))
             return
         conn = self.table.open[event.conn] = Conn(event.conn, event.node, now_us)
-        out.append(terms.Accept(conn.id))
+        out.append(types.Accept(conn.id))
         if self._day.conn.handshake_us > 0:
             conn.shake = self._task(HANDSHAKE, conn, _no_request(conn))
             self.slots.work(conn.shake, self._day.conn.handshake_us, beside=True)
@@ -195,7 +195,7 @@
             self._admit(now_us, task, out)
         return stands
 
-    def probed(self, now_us: int, event: terms.ProbeAsked, out: Out) -> None:
+    def probed(self, now_us: int, event: types.ProbeAsked, out: Out) -> None:
         """A probe has been read. One over the cap, or where there are none, is answered bad at no cost."""
         self._pass(now_us)
         conn, probe = self.table.open.get(event.conn), self._day.probe
@@ -247,7 +247,7 @@
         else:
             cls = self._day.classes[asked.cls]
             work = asked.work_us * attempt_factor(cls, self._rng) if cls.attempt_noise else asked.work_us
-            out.append(terms.Ran(asked.rid, work))
+            out.append(types.Ran(asked.rid, work))
             if asked.key and self._memory.gain and self._memory.meet(now_us, asked.key):
                 work *= 1.0 - self._memory.gain
         if self._ills.on:
@@ -359,7 +359,7 @@
         else:
             self._stop(task, out)
 
-    def struck(self, now_us: int, fall: terms.Fall, out: Out) -> None:
+    def struck(self, now_us: int, fall: types.Fall, out: Out) -> None:
         """A condition has begun or ended, which bears on running work too."""
         self._pass(now_us)
         for task in list(self.slots.working.values()):
--- a/granitewell/lab/model/endpoint_slots.py
+++ b/granitewell/lab/emulator/endpoint_slots.py
@@ -12,8 +12,8 @@
 from heapq import heappop, heappush
 
 from granitewell.lab.day import ConnDay, EndpointDay, KindDay
-from granitewell.lab.model.endpoint_pace import EPS, Pace
-from granitewell.lab.model.endpoint_table import Stage, Task
+from granitewell.lab.emulator.endpoint_pace import EPS, Pace
+from granitewell.lab.emulator.endpoint_table import Stage, Task
 
 
 class Slots:
--- a/granitewell/lab/model/endpoint_table.py
+++ b/granitewell/lab/emulator/endpoint_table.py
@@ -9,7 +9,7 @@
 from collections import deque
 from enum import Enum
 
-from granitewell.lab.model.terms import Asked, Condition
+from granitewell.lab.emulator.types import Asked, Condition
 
 
 class Kind(Enum):
--- a/granitewell/lab/experiments/plan.py
+++ b/granitewell/lab/experiments/plan.py
@@ -33,7 +33,7 @@
 from granitewell.lab import scenario as scenarios
 from granitewell.lab.day import Day
 from granitewell.lab.experiments.phases import Trouble, trouble
-from granitewell.lab.sim.play import POLICIES
+from granitewell.lab.simulation.play import POLICIES
 
 SHELLS = ("sim", "sockets")
 MOST_RUNS = 100_000
--- a/granitewell/lab/experiments/runner.py
+++ b/granitewell/lab/experiments/runner.py
@@ -36,7 +36,7 @@
 
 def _in_virtual_time(run: Run) -> dict[str, Any]:
     from granitewell.lab.judge import Judge
-    from granitewell.lab.sim.play import play
+    from granitewell.lab.simulation.play import play
 
     drawn = day(run)
     played = play(drawn, run.variant.policy, Judge(drawn))
@@ -45,7 +45,7 @@
 
 
 def _on_sockets(run: Run) -> dict[str, Any]:
-    from granitewell.lab.socks.play import play_on_sockets
+    from granitewell.lab.loopback.play import play_on_sockets
 
     with tempfile.TemporaryDirectory(prefix="granitewell-run-") as folder:
         played = play_on_sockets(day(run), Path(folder) / "run")
--- a/granitewell/lab/fleet/night.py
+++ b/granitewell/lab/fleet/batch_run.py
@@ -21,7 +21,7 @@
 from granitewell.lab.fleet import virtual
 from granitewell.lab.fleet.hunt import Hunt, take
 from granitewell.lab.fleet.play import play
-from granitewell.lab.fleet.terms import Schedule
+from granitewell.lab.fleet.types import Schedule
 
 JOINED = "night.json"
 
--- a/granitewell/lab/fleet/befalls.py
+++ b/granitewell/lab/fleet/fault_effects.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from granitewell.lab.cluster.chaos import Trouble
-from granitewell.lab.fleet.terms import Schedule
+from granitewell.lab.fleet.types import Schedule
 from granitewell.lab.judge.view import ViewJudge
 
 CLEAR_LOSS = 0.35  # of messages, up to which all have to be seen as they are
--- a/granitewell/lab/fleet/hunt.py
+++ b/granitewell/lab/fleet/hunt.py
@@ -14,7 +14,7 @@
 from statistics import median
 from typing import Any
 
-from granitewell.lab.fleet.terms import FleetTable, schedule
+from granitewell.lab.fleet.types import FleetTable, schedule
 from granitewell.lab.fleet.virtual import play
 
 
--- a/granitewell/lab/fleet/page.py
+++ b/granitewell/lab/fleet/page.py
@@ -21,8 +21,8 @@
 from matplotlib.patches import Patch
 
 from granitewell.lab.cluster.chaos import Trouble
-from granitewell.lab.fleet.doors import Look
-from granitewell.lab.fleet.terms import Schedule
+from granitewell.lab.fleet.status_polling import Look
+from granitewell.lab.fleet.types import Schedule
 
 COLOURS = {"same": "#7fb98a", "few": "#d9822b", "many": "#b5403a", "none": "#c9c9c9"}
 WORDS = {"same": "names exactly whom it can know to live", "few": "misses some",
--- a/granitewell/lab/fleet/play.py
+++ b/granitewell/lab/fleet/play.py
@@ -18,15 +18,15 @@
 from granitewell.lab import turns
 from granitewell.lab.day import Day, Fault, LoadDay
 from granitewell.lab.fleet.rig import Rig
-from granitewell.lab.fleet.terms import Schedule
+from granitewell.lab.fleet.types import Schedule
 from granitewell.lab.judge.counts import CountsJudge, CountsReport
 from granitewell.lab.judge.view import ViewJudge, ViewReport
+from granitewell.lab.loopback.director import Options
+from granitewell.lab.loopback.node_hosts import PROGRAM
+from granitewell.lab.loopback.plan import SocksError
+from granitewell.lab.loopback.play import SEEN, play_on_sockets
 from granitewell.lab.recording import merge
 from granitewell.lab.scenario import draw, load
-from granitewell.lab.socks.director import Options
-from granitewell.lab.socks.plan import SocksError
-from granitewell.lab.socks.play import SEEN, play_on_sockets
-from granitewell.lab.socks.seats import PROGRAM
 
 DAY = "fleet"
 NOBODY = "-"  # the key of tries whose tenant has no allowance
--- a/granitewell/lab/fleet/rig.py
+++ b/granitewell/lab/fleet/rig.py
@@ -26,17 +26,17 @@
 from granitewell.durable_folder import SLOTS
 from granitewell.lab.cluster.chaos import Trouble
 from granitewell.lab.engine import stream
-from granitewell.lab.fleet import befalls
-from granitewell.lab.fleet.doors import ASK_COUNTS, Doors, Look, look_of
+from granitewell.lab.fleet import fault_effects
 from granitewell.lab.fleet.plan import Door, FleetPlan, doors
-from granitewell.lab.fleet.terms import KINDS, Schedule
+from granitewell.lab.fleet.status_polling import ASK_COUNTS, Doors, Look, look_of
+from granitewell.lab.fleet.types import KINDS, Schedule
 from granitewell.lab.judge.counts import Told
 from granitewell.lab.judge.view import ViewJudge
+from granitewell.lab.loopback.children import Child
+from granitewell.lab.loopback.director import Director
+from granitewell.lab.loopback.node_hosts import Seat, environment
+from granitewell.lab.loopback.plan import SocksError
 from granitewell.lab.platform import node_config
-from granitewell.lab.socks.children import Child
-from granitewell.lab.socks.director import Director
-from granitewell.lab.socks.plan import SocksError
-from granitewell.lab.socks.seats import Seat, environment
 
 EVERY_S = 0.25  # between two looks at a node,
 COUNTS_S = 0.5  # and at what it counts
@@ -267,7 +267,7 @@
     def _road(self, t: Trouble, on: bool) -> None:
         if self._switch is not None:
             self._switch.tell(do="trouble", on=on, trouble=asdict(t))
-        befalls.tell(self.judge, self.schedule, t, on, self.now())
+        fault_effects.tell(self.judge, self.schedule, t, on, self.now())
 
     def _kill(self, t: Trouble, on: bool) -> None:
         for name in t.nodes:
--- a/granitewell/lab/fleet/switch.py
+++ b/granitewell/lab/fleet/switch.py
@@ -36,9 +36,9 @@
 from granitewell.lab.cluster.chaos import Trouble
 from granitewell.lab.cluster.links import GIVE_UP_US, Cut, Links, Quality
 from granitewell.lab.engine import stream
+from granitewell.lab.fleet.observations import Seen
 from granitewell.lab.fleet.plan import Door, FleetPlan, load
-from granitewell.lab.fleet.seen import Seen
-from granitewell.lab.socks.standin import Talk, Words, main
+from granitewell.lab.loopback.standin import Talk, Words, main
 from granitewell.protocols.peers.frames import Splitter
 from granitewell.state_machine import Road
 
--- a/granitewell/lab/fleet/virtual.py
+++ b/granitewell/lab/fleet/virtual.py
@@ -18,8 +18,8 @@
 from granitewell.lab.cluster.membership import KEYS
 from granitewell.lab.cluster.membership_watch import member_of
 from granitewell.lab.cluster.world import Boot, Cluster, Node, Spec
-from granitewell.lab.fleet import befalls
-from granitewell.lab.fleet.terms import KINDS, Schedule
+from granitewell.lab.fleet import fault_effects
+from granitewell.lab.fleet.types import KINDS, Schedule
 from granitewell.lab.judge.view import ViewJudge
 from granitewell.membership.state_machine import Membership
 from granitewell.membership.states import UP, Phase
@@ -109,7 +109,7 @@
     def _told(self, t: Trouble, on: bool) -> None:
         """To the judge, just before it happens; what chaos does not know happens here."""
         now = self.now_us + 1
-        befalls.tell(self.judge, self.schedule, t, on, now)
+        fault_effects.tell(self.judge, self.schedule, t, on, now)
         for name in t.nodes:
             node = self.cluster.nodes[name]
             if t.kind in ("kill", "lose"):
--- a/granitewell/lab/judge/answers.py
+++ b/granitewell/lab/judge/answers.py
@@ -22,8 +22,8 @@
 from collections.abc import Callable
 
 from granitewell.lab.day import Day
-from granitewell.lab.judge.desk import Desk
 from granitewell.lab.judge.excuses import Excuses
+from granitewell.lab.judge.offence_agenda import Desk
 from granitewell.lab.judge.records import Try
 
 LOST_WAIT_US = 500_000  # between a lost connection and the news that the process has gone, and the other way
--- a/granitewell/lab/judge/fleet.py
+++ b/granitewell/lab/judge/fleet.py
@@ -19,8 +19,8 @@
 from collections import deque
 
 from granitewell.lab.day import Day
-from granitewell.lab.judge.desk import Desk
 from granitewell.lab.judge.excuses import Excuses
+from granitewell.lab.judge.offence_agenda import Desk
 from granitewell.lab.judge.records import Attempt, Try
 
 CHANCE = 3.0  # standard deviations
--- a/granitewell/lab/judge/judge.py
+++ b/granitewell/lab/judge/judge.py
@@ -11,9 +11,9 @@
 
 from granitewell.lab.day import Day
 from granitewell.lab.judge.answers import Answers
-from granitewell.lab.judge.desk import Desk
 from granitewell.lab.judge.excuses import Excuses
 from granitewell.lab.judge.fleet import Fleet
+from granitewell.lab.judge.offence_agenda import Desk
 from granitewell.lab.judge.records import Request, Try
 from granitewell.lab.judge.repeats import Repeats
 from granitewell.lab.judge.report import Report
--- a/granitewell/lab/judge/repeats.py
+++ b/granitewell/lab/judge/repeats.py
@@ -13,8 +13,8 @@
 from __future__ import annotations
 
 from granitewell.lab.day import Day
-from granitewell.lab.judge.desk import Desk
 from granitewell.lab.judge.excuses import Excuses
+from granitewell.lab.judge.offence_agenda import Desk
 from granitewell.lab.judge.records import Attempt, Request, Try
 
 MOST_ATTEMPTS = 100  # records of one try; a node that sends without end is accused long before
--- a/granitewell/lab/load/crew.py
+++ b/granitewell/lab/load/processes.py
@@ -18,8 +18,8 @@
 from typing import Any
 
 from granitewell.lab.load.counts import Tally, unpacked
-from granitewell.lab.load.means import Lacking
 from granitewell.lab.load.plan import Plan, Step, Target
+from granitewell.lab.load.preflight import Lacking
 
 START_S = 30.0
 LEAD_US = 50_000  # from the word to the step's first moment
@@ -67,7 +67,7 @@
     """Bare stand-ins, one process each."""
 
     def __init__(self, count: int, cpus: Sequence[int | None]) -> None:
-        self._children = [start("granitewell.lab.load.bare", cpus[k]) for k in range(count)]
+        self._children = [start("granitewell.lab.load.baseline_server", cpus[k]) for k in range(count)]
         try:
             self.targets = tuple(self._target(child) for child in self._children)
         except BaseException:
--- a/granitewell/lab/load/run.py
+++ b/granitewell/lab/load/run.py
@@ -14,9 +14,9 @@
 
 from granitewell.lab.load import files, knee, verdict
 from granitewell.lab.load.counts import Hist, Tally
-from granitewell.lab.load.crew import Crew
 from granitewell.lab.load.knee import Knee, Point, Sweep
 from granitewell.lab.load.plan import Step
+from granitewell.lab.load.processes import Crew
 
 PARTS = (0.5, 0.9, 0.99, 0.999, 1.0)
 
--- a/granitewell/lab/load/worker.py
+++ b/granitewell/lab/load/worker.py
@@ -28,8 +28,8 @@
 
 from granitewell.lab.load.counts import End, packed
 from granitewell.lab.load.flow import Close, Dial, Effect, Flow, Request, Write
-from granitewell.lab.load.means import raise_limit
 from granitewell.lab.load.plan import Plan, Step
+from granitewell.lab.load.preflight import raise_limit
 from granitewell.lab.load.schedule import arrivals
 from granitewell.lab.load.verdict import LATE_US
 from granitewell.lab.load.wire import Answer, Heads, end_of
--- a/granitewell/lab/socks/agent.py
+++ b/granitewell/lab/loopback/agent.py
@@ -18,9 +18,9 @@
 
 import httptools
 
-from granitewell.lab.model.terms import Line, Tell
-from granitewell.lab.socks.clock import Agenda
-from granitewell.lab.socks.wire import Listener, Wire
+from granitewell.lab.emulator.types import Line, Tell
+from granitewell.lab.loopback.clock import Agenda
+from granitewell.lab.loopback.wire import Listener, Wire
 
 PATH = "/api/targets"
 MOST_WAIT_MS = 60_000
--- a/granitewell/lab/socks/children.py
+++ b/granitewell/lab/loopback/children.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from granitewell.lab.socks.plan import SocksError
+from granitewell.lab.loopback.plan import SocksError
 
 END_S = 5.0  # for a stand-in to write what it has seen, after which it is killed
 LAST_LINES = 3  # of a process's log, told where it failed
--- a/granitewell/lab/socks/street.py
+++ b/granitewell/lab/loopback/client_traffic.py
@@ -18,14 +18,14 @@
 from typing import Any
 
 from granitewell.lab.day import Day, NodeDay
-from granitewell.lab.model import terms as t
-from granitewell.lab.model.clients import Clients
-from granitewell.lab.model.front import Front
-from granitewell.lab.socks.clock import Agenda
-from granitewell.lab.socks.plan import NodePlace
-from granitewell.lab.socks.speech import AnswerParser, ask_bytes, filler
-from granitewell.lab.socks.weather import Weather
-from granitewell.lab.socks.wire import Wire
+from granitewell.lab.emulator import types as t
+from granitewell.lab.emulator.clients import Clients
+from granitewell.lab.emulator.front import Front
+from granitewell.lab.loopback.clock import Agenda
+from granitewell.lab.loopback.network_faults import Weather
+from granitewell.lab.loopback.plan import NodePlace
+from granitewell.lab.loopback.platform_http import AnswerParser, ask_bytes, filler
+from granitewell.lab.loopback.wire import Wire
 from granitewell.lab.witness import Witness
 
 CROSS_US = 20_000  # for the reset to come in that says an ended connection had bytes unread
--- a/granitewell/lab/socks/clients_host.py
+++ b/granitewell/lab/loopback/clients_host.py
@@ -1,4 +1,4 @@
-"""The process of clients and front: `python -m granitewell.lab.socks.clients_host PLAN`.
+"""The process of clients and front: `python -m granitewell.lab.loopback.clients_host PLAN`.
 
 It owns the front's look at each node's ready path, and carries the director's news of nodes to it. It must
 never start a client's try by itself: the model does.
@@ -15,14 +15,14 @@
 from pathlib import Path
 
 from granitewell.lab.day_json import load_file
-from granitewell.lab.model.front import Front
+from granitewell.lab.emulator.front import Front
+from granitewell.lab.loopback.client_traffic import Street
+from granitewell.lab.loopback.hostile_clients import Rabble
+from granitewell.lab.loopback.network_faults import Weather
+from granitewell.lab.loopback.plan import NodePlace
+from granitewell.lab.loopback.ready import until_ready
+from granitewell.lab.loopback.standin import Talk, Words, main
 from granitewell.lab.recording import Recorder
-from granitewell.lab.socks.plan import NodePlace
-from granitewell.lab.socks.ready import until_ready
-from granitewell.lab.socks.rude import Rabble
-from granitewell.lab.socks.standin import Talk, Words, main
-from granitewell.lab.socks.street import Street
-from granitewell.lab.socks.weather import Weather
 
 OVER_S = 0.1  # between two looks at whether all is over
 
--- a/granitewell/lab/socks/director.py
+++ b/granitewell/lab/loopback/director.py
@@ -22,18 +22,18 @@
 
 from granitewell.lab import day_json
 from granitewell.lab.day import Day
-from granitewell.lab.model import terms as t
+from granitewell.lab.emulator import types as t
+from granitewell.lab.loopback.children import Child, Children
+from granitewell.lab.loopback.clock import Agenda, DayClock
+from granitewell.lab.loopback.discovery_host import Bureau
+from granitewell.lab.loopback.fleet import Fleet
+from granitewell.lab.loopback.node_hosts import PROGRAM, Seat, environment
+from granitewell.lab.loopback.plan import NodePlace, Plan, Range, SocksError, node_places, share_out
+from granitewell.lab.loopback.pulse import WINDOW_S, Pulse
+from granitewell.lab.loopback.ready import until_ready
+from granitewell.lab.loopback.troubles import Troubles
 from granitewell.lab.platform import node_config
 from granitewell.lab.recording import Recorder
-from granitewell.lab.socks.bureau import Bureau
-from granitewell.lab.socks.children import Child, Children
-from granitewell.lab.socks.clock import Agenda, DayClock
-from granitewell.lab.socks.fleet import Fleet
-from granitewell.lab.socks.plan import NodePlace, Plan, Range, SocksError, node_places, share_out
-from granitewell.lab.socks.pulse import WINDOW_S, Pulse
-from granitewell.lab.socks.ready import until_ready
-from granitewell.lab.socks.seats import PROGRAM, Seat, environment
-from granitewell.lab.socks.troubles import Troubles
 
 BIND_S = 20.0  # for stand-ins to come up
 READY_S = 30.0  # for all nodes to be ready, as on the platform
@@ -200,7 +200,7 @@
 
     def _stand_in(self, name: str, module: str, *args: str, news: Callable[..., None] | None = None) -> Child:
         """Start a process of the run's usual ones."""
-        return self.stand_in(name, f"granitewell.lab.socks.{module}", *args, news=news)
+        return self.stand_in(name, f"granitewell.lab.loopback.{module}", *args, news=news)
 
     def stand_in(self, name: str, module: str, *args: str, news: Callable[..., None] | None = None) -> Child:
         """Start a process of the lab's own, which is told the plan's file and these words."""
--- a/granitewell/lab/socks/bureau.py
+++ b/granitewell/lab/loopback/discovery_host.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from granitewell.lab.day import Day
-from granitewell.lab.model import terms as t
-from granitewell.lab.model.discovery import Discovery
-from granitewell.lab.socks.agent import Agent
-from granitewell.lab.socks.clock import Agenda
+from granitewell.lab.emulator import types as t
+from granitewell.lab.emulator.discovery import Discovery
+from granitewell.lab.loopback.agent import Agent
+from granitewell.lab.loopback.clock import Agenda
 
 Address = Callable[[str, str], tuple[str, int]]  # endpoint, node
 Told = Callable[[str, str, str], None]  # node, endpoint, state
--- a/granitewell/lab/socks/endpoint_host.py
+++ b/granitewell/lab/loopback/endpoint_host.py
@@ -1,6 +1,6 @@
 """One process that hosts machines of endpoints.
 
-`python -m granitewell.lab.socks.endpoint_host PLAN PART PARTS`.
+`python -m granitewell.lab.loopback.endpoint_host PLAN PART PARTS`.
 
 It owns the endpoints of its share (see `plan.share_out`) and carries the director's orders to them. It must
 never decide when anything happens to an endpoint: the director plays the day's faults.
@@ -19,12 +19,12 @@
 
 from granitewell.lab.day import Day
 from granitewell.lab.day_json import load_file
-from granitewell.lab.model.terms import Condition, Fall, Order
+from granitewell.lab.emulator.types import Condition, Fall, Order
+from granitewell.lab.loopback.machine import Machine, Surroundings
+from granitewell.lab.loopback.network_faults import Weather
+from granitewell.lab.loopback.plan import share_out, stands_at
+from granitewell.lab.loopback.standin import Talk, Words, main
 from granitewell.lab.recording import Recorder
-from granitewell.lab.socks.machine import Machine, Surroundings
-from granitewell.lab.socks.plan import share_out, stands_at
-from granitewell.lab.socks.standin import Talk, Words, main
-from granitewell.lab.socks.weather import Weather
 
 _ORDERS = {"drain": Order.DRAIN, "pause": Order.PAUSE, "resume": Order.RESUME}
 _ENDS = {"stop": Order.STOP, "vanish": Order.VANISH}
--- a/granitewell/lab/socks/fleet.py
+++ b/granitewell/lab/loopback/fleet.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from granitewell.lab.day import Day, EndpointDay
-from granitewell.lab.model import terms as t
-from granitewell.lab.socks.children import Child
-from granitewell.lab.socks.plan import stands_at
+from granitewell.lab.emulator import types as t
+from granitewell.lab.loopback.children import Child
+from granitewell.lab.loopback.plan import stands_at
 
 Hear = Callable[[t.Changed], None]
 
--- a/granitewell/lab/socks/rude.py
+++ b/granitewell/lab/loopback/hostile_clients.py
@@ -18,10 +18,10 @@
 from random import Random
 
 from granitewell.lab.day import Day
+from granitewell.lab.emulator.types import Ask
 from granitewell.lab.engine import stream
-from granitewell.lab.model.terms import Ask
-from granitewell.lab.socks.plan import NodePlace
-from granitewell.lab.socks.speech import RUDE, ask_bytes, filler
+from granitewell.lab.loopback.plan import NodePlace
+from granitewell.lab.loopback.platform_http import RUDE, ask_bytes, filler
 
 WINDOW = 2048  # bytes of a receive buffer that is never read
 STAYS_S = 3.0  # for which one way of being rude is kept up, unless the node ends it
--- a/granitewell/lab/socks/link.py
+++ b/granitewell/lab/loopback/link.py
@@ -12,13 +12,13 @@
 from typing import TYPE_CHECKING
 
 from granitewell.lab.day import NodeDay
-from granitewell.lab.socks import spoil
-from granitewell.lab.socks.speech import EndpointParser, head_bytes
-from granitewell.lab.socks.weather import Way
-from granitewell.lab.socks.wire import Wire
+from granitewell.lab.loopback import spoil
+from granitewell.lab.loopback.network_faults import Way
+from granitewell.lab.loopback.platform_http import EndpointParser, head_bytes
+from granitewell.lab.loopback.wire import Wire
 
 if TYPE_CHECKING:
-    from granitewell.lab.socks.machine import Machine
+    from granitewell.lab.loopback.machine import Machine
 
 
 class Link:
--- a/granitewell/lab/socks/machine.py
+++ b/granitewell/lab/loopback/machine.py
@@ -15,15 +15,15 @@
 from typing import Any
 
 from granitewell.lab.day import Day, EndpointDay, NodeDay
+from granitewell.lab.emulator import types as t
+from granitewell.lab.emulator.endpoint import Endpoint
 from granitewell.lab.engine import stream
-from granitewell.lab.model import terms as t
-from granitewell.lab.model.endpoint import Endpoint
-from granitewell.lab.socks import spoil
-from granitewell.lab.socks.clock import Agenda
-from granitewell.lab.socks.link import Link
-from granitewell.lab.socks.speech import RUDE, Heard, head_bytes, reply_bytes
-from granitewell.lab.socks.weather import CLEAR, Way, Weather
-from granitewell.lab.socks.wire import Listener
+from granitewell.lab.loopback import spoil
+from granitewell.lab.loopback.clock import Agenda
+from granitewell.lab.loopback.link import Link
+from granitewell.lab.loopback.network_faults import CLEAR, Way, Weather
+from granitewell.lab.loopback.platform_http import RUDE, Heard, head_bytes, reply_bytes
+from granitewell.lab.loopback.wire import Listener
 from granitewell.lab.witness import Witness
 
 
--- a/granitewell/lab/socks/seats.py
+++ b/granitewell/lab/loopback/node_hosts.py
@@ -21,11 +21,11 @@
 
 import granitewell
 from granitewell.lab.day import Day, NodeDay
+from granitewell.lab.loopback.agent import Agent
+from granitewell.lab.loopback.children import Child, Children
+from granitewell.lab.loopback.clock import Agenda
+from granitewell.lab.loopback.plan import NodePlace
 from granitewell.lab.platform import node_config
-from granitewell.lab.socks.agent import Agent
-from granitewell.lab.socks.children import Child, Children
-from granitewell.lab.socks.clock import Agenda
-from granitewell.lab.socks.plan import NodePlace
 from granitewell.lab.witness import Witness
 
 PROGRAM = (sys.executable, "-m", "granitewell")
--- a/granitewell/lab/socks/speech.py
+++ b/granitewell/lab/loopback/platform_http.py
@@ -18,7 +18,7 @@
 import httptools
 
 from granitewell.lab.day import Day
-from granitewell.lab.model.terms import Ask
+from granitewell.lab.emulator.types import Ask
 
 MOST_HEAD = 64 * 1024  # bytes of a head that a stand-in reads
 RUDE = "rude-"  # how ids of requests begin that belong to no client of the model
--- a/granitewell/lab/socks/play.py
+++ b/granitewell/lab/loopback/play.py
@@ -18,9 +18,9 @@
 
 from granitewell.lab.day import Day
 from granitewell.lab.judge import Judge
+from granitewell.lab.loopback.director import Director, Options
+from granitewell.lab.loopback.plan import SocksError
 from granitewell.lab.recording import merge, replay
-from granitewell.lab.socks.director import Director, Options
-from granitewell.lab.socks.plan import SocksError
 
 SEEN, PLAYED = "seen-*.jsonl", "played.json"
 Until = Callable[[Director], Awaitable[None]]
--- a/granitewell/lab/socks/ready.py
+++ b/granitewell/lab/loopback/ready.py
@@ -8,8 +8,8 @@
 import asyncio
 import contextlib
 
-from granitewell.lab.socks.plan import NodePlace
-from granitewell.lab.socks.speech import AnswerParser
+from granitewell.lab.loopback.plan import NodePlace
+from granitewell.lab.loopback.platform_http import AnswerParser
 
 POLL_S = 0.05  # between two looks
 PATIENCE_S = 1.0  # for an answer
--- a/granitewell/lab/socks/standin.py
+++ b/granitewell/lab/loopback/standin.py
@@ -23,8 +23,8 @@
 
 import uvloop
 
-from granitewell.lab.socks.clock import Agenda, DayClock
-from granitewell.lab.socks.plan import Plan, load_plan
+from granitewell.lab.loopback.clock import Agenda, DayClock
+from granitewell.lab.loopback.plan import Plan, load_plan
 
 NO_MEANS = (errno.ENOSPC, errno.EMFILE, errno.ENFILE, errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EDQUOT)
 Words = dict[str, Any]
--- a/granitewell/lab/socks/troubles.py
+++ b/granitewell/lab/loopback/troubles.py
@@ -10,11 +10,11 @@
 from typing import TYPE_CHECKING
 
 from granitewell.lab.day import Day, Fault
-from granitewell.lab.model import terms as t
-from granitewell.lab.socks.plan import SocksError
+from granitewell.lab.emulator import types as t
+from granitewell.lab.loopback.plan import SocksError
 
 if TYPE_CHECKING:
-    from granitewell.lab.socks.director import Director
+    from granitewell.lab.loopback.director import Director
 
 Act = Callable[[int, Fault], None]
 
--- a/granitewell/lab/mutants/child.py
+++ b/granitewell/lab/mutants/child.py
@@ -19,7 +19,7 @@
 from granitewell.lab.day import Day, Fault
 from granitewell.lab.judge import Judge
 from granitewell.lab.scenario import draw, load
-from granitewell.lab.sim.play import play
+from granitewell.lab.simulation.play import play
 
 
 def drawn(name: str, seed: int) -> Day:
--- a/granitewell/lab/scenarios/load.py
+++ b/granitewell/lab/scenarios/load.py
@@ -15,7 +15,7 @@
 from random import Random
 
 from granitewell.lab.day import Day
-from granitewell.lab.model.arrivals import Arrivals
+from granitewell.lab.emulator.arrivals import Arrivals
 
 Points = tuple[tuple[int, float], ...]
 Row = tuple[int, int, int, int, int]  # at_us, class, tenant, key, zone
--- a/granitewell/lab/sim/street.py
+++ b/granitewell/lab/simulation/client_traffic.py
@@ -11,14 +11,14 @@
 from typing import TYPE_CHECKING
 
 from granitewell import core as c
+from granitewell.lab.emulator import types as t
 from granitewell.lab.engine import stream
-from granitewell.lab.model import terms as t
-from granitewell.lab.sim.site import Alarm
+from granitewell.lab.simulation.site import Alarm
 
 if TYPE_CHECKING:
-    from granitewell.lab.model.clients import Clients
-    from granitewell.lab.sim.node import Node
-    from granitewell.lab.sim.world import World
+    from granitewell.lab.emulator.clients import Clients
+    from granitewell.lab.simulation.node import Node
+    from granitewell.lab.simulation.world import World
 
 IDLE_US = 2_000_000  # after which a node closes a client's idle connection (granitewell.net.loop)
 ADMIT_AGAIN_US = 20_000  # and after which it looks again whether it has room for one more
--- a/granitewell/lab/sim/hunt.py
+++ b/granitewell/lab/simulation/hunt.py
@@ -16,7 +16,7 @@
 from granitewell.lab import scenario as scenarios
 from granitewell.lab.day import Day
 from granitewell.lab.judge import Judge
-from granitewell.lab.sim.play import play
+from granitewell.lab.simulation.play import play
 
 MOST_PLAYS = 60  # of one seed, shrinking included
 BELOW, BROKEN_RUN = "below", "error"  # besides the names of rules
--- a/granitewell/lab/sim/node.py
+++ b/granitewell/lab/simulation/node.py
@@ -14,13 +14,13 @@
 
 from granitewell import core as c
 from granitewell.lab.day import NodeDay
-from granitewell.lab.model.terms import Ask
-from granitewell.lab.sim.outbound import HEAD_START_US, MOST, Outbound
+from granitewell.lab.emulator.types import Ask
+from granitewell.lab.simulation.outbound import HEAD_START_US, MOST, Outbound
 
 if TYPE_CHECKING:
-    from granitewell.lab.sim.site import Site
-    from granitewell.lab.sim.street import Line
-    from granitewell.lab.sim.world import World
+    from granitewell.lab.simulation.client_traffic import Line
+    from granitewell.lab.simulation.site import Site
+    from granitewell.lab.simulation.world import World
 
 EXIT_US = 20_000  # from the end of its loop to the end of its process; the last answers are out by then
 MOST_LINES = MOST - MOST // 3  # of clients, as the loop's budget has it
--- a/granitewell/lab/sim/seat.py
+++ b/granitewell/lab/simulation/node_host.py
@@ -10,16 +10,16 @@
 
 from granitewell import core as c
 from granitewell.lab.day import NodeDay
+from granitewell.lab.emulator import types as t
 from granitewell.lab.engine import stream
-from granitewell.lab.model import terms as t
 from granitewell.lab.platform import MOST_HELD, settings
-from granitewell.lab.sim.node import Node
-from granitewell.lab.sim.outbound import HEAD_START_US
-from granitewell.lab.sim.probing import Probing
+from granitewell.lab.simulation.node import Node
+from granitewell.lab.simulation.outbound import HEAD_START_US
+from granitewell.lab.simulation.probing import Probing
 from tiderelay.interface import State, View
 
 if TYPE_CHECKING:
-    from granitewell.lab.sim.world import World
+    from granitewell.lab.simulation.world import World
 
 START_US = 300_000  # from the start of a process to its listener, as the real program takes it
 KILL_US = 3_000_000  # SIGKILL follows SIGTERM after the longest deadline, counted as this at least,
--- a/granitewell/lab/sim/oracle.py
+++ b/granitewell/lab/simulation/oracle.py
@@ -13,13 +13,13 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from granitewell.lab.sim.policies import Held, Plain
+from granitewell.lab.simulation.policies import Held, Plain
 from tiderelay.interface import Settings
 
 if TYPE_CHECKING:
-    from granitewell.lab.sim.seat import Seat
-    from granitewell.lab.sim.site import Site
-    from granitewell.lab.sim.world import World
+    from granitewell.lab.simulation.node_host import Seat
+    from granitewell.lab.simulation.site import Site
+    from granitewell.lab.simulation.world import World
 
 BUDGET = 0.8  # of a cold endpoint's budget that is spent: a request's work is only known in the mean
 UNDER_WAY_US = 3000.0  # for which a sent attempt is not yet seen at its endpoint: about a leg and its wait
--- a/granitewell/lab/sim/outbound.py
+++ b/granitewell/lab/simulation/outbound.py
@@ -11,14 +11,14 @@
 from typing import TYPE_CHECKING
 
 from granitewell import core as c
-from granitewell.lab.model.terms import Ask
-from granitewell.lab.sim.pool import Conn, Pool
+from granitewell.lab.emulator.types import Ask
+from granitewell.lab.simulation.pool import Conn, Pool
 from tiderelay.interface import Outcome
 
 if TYPE_CHECKING:
-    from granitewell.lab.sim.node import Node
-    from granitewell.lab.sim.site import Site
-    from granitewell.lab.sim.world import World
+    from granitewell.lab.simulation.node import Node
+    from granitewell.lab.simulation.site import Site
+    from granitewell.lab.simulation.world import World
 
 # --- The figures of granitewell.net.loop, which can't be imported here: it needs uvloop and httptools ---
 HEAD_START_US = 3_600_000_000
--- a/granitewell/lab/sim/play.py
+++ b/granitewell/lab/simulation/play.py
@@ -16,11 +16,11 @@
 
 from granitewell.core import Decider
 from granitewell.lab.day import Day
-from granitewell.lab.sim import policies, published
-from granitewell.lab.sim.oracle import Ledger, Oracle
-from granitewell.lab.sim.probing import Probing
-from granitewell.lab.sim.seat import Seat
-from granitewell.lab.sim.world import Maker, World
+from granitewell.lab.simulation import policies, published
+from granitewell.lab.simulation.node_host import Seat
+from granitewell.lab.simulation.oracle import Ledger, Oracle
+from granitewell.lab.simulation.probing import Probing
+from granitewell.lab.simulation.world import Maker, World
 from granitewell.lab.witness import Witness
 from tiderelay.interface import Settings
 from tiderelay.policy import Balancer
--- a/granitewell/lab/sim/pool.py
+++ b/granitewell/lab/simulation/pool.py
@@ -11,8 +11,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from granitewell.lab.sim.outbound import Call, Outbound
-    from granitewell.lab.sim.site import Site
+    from granitewell.lab.simulation.outbound import Call, Outbound
+    from granitewell.lab.simulation.site import Site
 
 
 class Conn:
--- a/granitewell/lab/sim/probing.py
+++ b/granitewell/lab/simulation/probing.py
@@ -13,8 +13,8 @@
 from tiderelay.interface import Action, Event, Outcome, Probe, Probed
 
 if TYPE_CHECKING:
-    from granitewell.lab.sim.node import Node
-    from granitewell.lab.sim.site import Site
+    from granitewell.lab.simulation.node import Node
+    from granitewell.lab.simulation.site import Site
 
 
 class Probing:
--- a/granitewell/lab/sim/profile.py
+++ b/granitewell/lab/simulation/profile.py
@@ -14,9 +14,9 @@
 
 EVERY_S = 0.001
 PARTS = (  # the first that a file's path holds names its part
-    ("granitewell/lab/sim/", "shell"),
+    ("granitewell/lab/simulation/", "shell"),
     ("granitewell/lab/engine", "engine"),
-    ("granitewell/lab/model/", "model"),
+    ("granitewell/lab/emulator/", "model"),
     ("granitewell/lab/judge/", "judge"),
     ("granitewell/core", "core"),
     ("tiderelay/", "module"),
--- a/granitewell/lab/sim/published.py
+++ b/granitewell/lab/simulation/published.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 from statistics import median
 
-from granitewell.lab.sim.policies import Held, Plain
+from granitewell.lab.simulation.policies import Held, Plain
 from tiderelay.interface import Ended, Field, Outcome, Probe, Probed, Settings
 
 # --- Envoy: configuration reference of cluster.v3.OutlierDetection, defaults ---
--- a/granitewell/lab/sim/site.py
+++ b/granitewell/lab/simulation/site.py
@@ -10,13 +10,13 @@
 from typing import TYPE_CHECKING, Protocol
 
 from granitewell.lab.day import EndpointDay
+from granitewell.lab.emulator import types as t
 from granitewell.lab.engine import Engine
-from granitewell.lab.model import terms as t
 
 if TYPE_CHECKING:
-    from granitewell.lab.model.endpoint import Endpoint
-    from granitewell.lab.sim.pool import Conn
-    from granitewell.lab.sim.world import World
+    from granitewell.lab.emulator.endpoint import Endpoint
+    from granitewell.lab.simulation.pool import Conn
+    from granitewell.lab.simulation.world import World
 
 
 class Sleeper(Protocol):
--- a/granitewell/lab/sim/troubles.py
+++ b/granitewell/lab/simulation/troubles.py
@@ -10,12 +10,12 @@
 from typing import TYPE_CHECKING
 
 from granitewell.lab.day import Fault
-from granitewell.lab.model import terms as t
+from granitewell.lab.emulator import types as t
 
 if TYPE_CHECKING:
-    from granitewell.lab.sim.seat import Seat
-    from granitewell.lab.sim.site import Site
-    from granitewell.lab.sim.world import World
+    from granitewell.lab.simulation.node_host import Seat
+    from granitewell.lab.simulation.site import Site
+    from granitewell.lab.simulation.world import World
 
 
 class FaultError(ValueError):
--- a/granitewell/lab/sim/world.py
+++ b/granitewell/lab/simulation/world.py
@@ -13,19 +13,19 @@
 
 from granitewell.core import Decider
 from granitewell.lab.day import Day
+from granitewell.lab.emulator import types as t
+from granitewell.lab.emulator.clients import Clients
+from granitewell.lab.emulator.discovery import Discovery
+from granitewell.lab.emulator.endpoint import Endpoint
+from granitewell.lab.emulator.front import Front
 from granitewell.lab.engine import Engine, stream
-from granitewell.lab.model import terms as t
-from granitewell.lab.model.clients import Clients
-from granitewell.lab.model.discovery import Discovery
-from granitewell.lab.model.endpoint import Endpoint
-from granitewell.lab.model.front import Front
-from granitewell.lab.sim.net import Network
-from granitewell.lab.sim.node import Node
-from granitewell.lab.sim.seat import Members, Seat
-from granitewell.lab.sim.seen import Seen
-from granitewell.lab.sim.site import Alarm, Site
-from granitewell.lab.sim.street import Street
-from granitewell.lab.sim.troubles import Troubles
+from granitewell.lab.simulation.client_traffic import Street
+from granitewell.lab.simulation.net import Network
+from granitewell.lab.simulation.node import Node
+from granitewell.lab.simulation.node_host import Members, Seat
+from granitewell.lab.simulation.observations import Seen
+from granitewell.lab.simulation.site import Alarm, Site
+from granitewell.lab.simulation.troubles import Troubles
 from granitewell.lab.witness import Witness
 from tiderelay.interface import Settings
 
--- a/granitewell/lab/system/__main__.py
+++ b/granitewell/lab/system/__main__.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from granitewell.lab.system.callers import Refused
-from granitewell.lab.system.scene import ABSENT_MODEL, SceneFailed, Seen, run_scene
+from granitewell.lab.system.demo import ABSENT_MODEL, SceneFailed, Seen, run_scene
 
 LIMIT_S = 15.0  # of the scene; with the end of the processes all stays below 20 s
 
--- a/granitewell/lab/theory.py
+++ b/granitewell/lab/theory.py
@@ -42,10 +42,10 @@
     Stops,
     Warms,
 )
+from granitewell.lab.emulator.endpoint import Endpoint
+from granitewell.lab.emulator.types import Asked, EndpointEvent, Opened, Ran, Reply, Tick
+from granitewell.lab.emulator.work import draw_work, exponential
 from granitewell.lab.engine import Engine, stream
-from granitewell.lab.model.endpoint import Endpoint
-from granitewell.lab.model.terms import Asked, EndpointEvent, Opened, Ran, Reply, Tick
-from granitewell.lab.model.work import draw_work, exponential
 
 WORK_US = 10_000.0  # mean; long beside the whole microseconds that the model counts in
 WITHIN = 0.03  # the relative error that is allowed
--- a/tests/fleet/few.py
+++ b/tests/fleet/few.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from granitewell.cli.cluster import call
-from granitewell.lab.socks.plan import Range
+from granitewell.lab.loopback.plan import Range
 from granitewell.status.types import Place
 from tests.play import settings
 
--- a/tests/fleet/played.py
+++ b/tests/fleet/played.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from granitewell.lab.cluster.chaos import Trouble
-from granitewell.lab.fleet.terms import Schedule, load, schedule
+from granitewell.lab.fleet.types import Schedule, load, schedule
 
 # rules that a process without a core, or without a descriptor to accept with, can't keep: what it reads late
 # may be of clients that have long left, whom the judge knows no more
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -7,7 +7,7 @@
 
 from granitewell.lab.fleet import page
 from granitewell.lab.fleet.play import play
-from granitewell.lab.fleet.terms import replayed
+from granitewell.lab.fleet.types import replayed
 from tests.fleet.played import causes, kept, made, trouble
 
 
--- a/tests/fleet/test_scenarios.py
+++ b/tests/fleet/test_scenarios.py
@@ -10,11 +10,11 @@
 
 from granitewell.lab.cluster.counts_plants import PLANTS as COUNTS
 from granitewell.lab.cluster.membership_plants import PLANTS as MACHINE
-from granitewell.lab.fleet.doors import Look
 from granitewell.lab.fleet.page import picture
 from granitewell.lab.fleet.planted import SHELL
 from granitewell.lab.fleet.plants import CONDITIONS, PLANTS, SCENARIO
-from granitewell.lab.fleet.terms import KINDS, FleetError, builtin, load, replayed, schedule
+from granitewell.lab.fleet.status_polling import Look
+from granitewell.lab.fleet.types import KINDS, FleetError, builtin, load, replayed, schedule
 from granitewell.lab.fleet.virtual import play
 
 ROOT = Path(__file__).resolve().parents[2]
--- a/tests/lab/test_clients.py
+++ b/tests/lab/test_clients.py
@@ -19,10 +19,10 @@
 from granitewell.cli.lab_trace import trace
 from granitewell.lab import capture
 from granitewell.lab import day as d
-from granitewell.lab.model import arrivals as drawn
-from granitewell.lab.model.arrivals import Arrivals, Keys, pieces
-from granitewell.lab.model.clients import SHORTEST_US, Clients
-from granitewell.lab.model.terms import Ask, Broken, ClientEvent, Leave, Replied, Tick
+from granitewell.lab.emulator import arrivals as drawn
+from granitewell.lab.emulator.arrivals import Arrivals, Keys, pieces
+from granitewell.lab.emulator.clients import SHORTEST_US, Clients
+from granitewell.lab.emulator.types import Ask, Broken, ClientEvent, Leave, Replied, Tick
 
 S = 1_000_000
 EVEN = d.LoadDay(((0, 20.0),), (0.5, 0.3, 0.2), 50, 1.0)
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/test_discovery.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from granitewell.lab.day import EndpointDay
-from granitewell.lab.model.discovery import Discovery
-from granitewell.lab.model.front import STOPPING_US, Front
-from granitewell.lab.model.terms import Changed, Line, NodeBegins, Tell, Tick
+from granitewell.lab.emulator.discovery import Discovery
+from granitewell.lab.emulator.front import STOPPING_US, Front
+from granitewell.lab.emulator.types import Changed, Line, NodeBegins, Tell, Tick
 from tests.lab.test_clients import a_day
 
 PERIOD, SPREAD = 100, 250
--- a/tests/lab/test_endpoint.py
+++ b/tests/lab/test_endpoint.py
@@ -16,11 +16,11 @@
 
 from granitewell.lab import day as world
 from granitewell.lab.day import ConnDay, EndpointDay, KindDay, ProbeDay, ReportDay, Stops, Warms
+from granitewell.lab.emulator import types as t
+from granitewell.lab.emulator.conditions import EFFECTS
+from granitewell.lab.emulator.endpoint import Endpoint
+from granitewell.lab.emulator.types import Asked, Done, Gone, Hangup, Opened, Order, Ran, Reply
 from granitewell.lab.engine import stream
-from granitewell.lab.model import terms as t
-from granitewell.lab.model.conditions import EFFECTS
-from granitewell.lab.model.endpoint import Endpoint
-from granitewell.lab.model.terms import Asked, Done, Gone, Hangup, Opened, Order, Ran, Reply
 from granitewell.lab.theory import plain_day
 
 CLS = world.ClassDay("a", 1.0, 1000.0, world.Dist.CONSTANT, 0.0, 0.0, 0, 0, 1.0, 0.0, False)
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -28,12 +28,12 @@
 from hypothesis import strategies as st
 
 from granitewell.cli.lab_load import load
-from granitewell.lab.load import files, knee, means, run, verdict
+from granitewell.lab.load import files, knee, preflight, run, verdict
 from granitewell.lab.load.counts import MOST_US, End, Hist, Tally, bounds, bucket, packed, unpacked
-from granitewell.lab.load.crew import Crew
 from granitewell.lab.load.flow import NEVER, Close, Dial, Effect, Flow, Request
 from granitewell.lab.load.knee import Point, Sweep
 from granitewell.lab.load.plan import LoadClass, LoadTenant, Plan, Step, Target
+from granitewell.lab.load.processes import Crew
 from granitewell.lab.load.schedule import Arrival, arrivals
 from granitewell.lab.load.wire import Answer, Heads
 
@@ -543,6 +543,6 @@
 
 def test_descriptors_are_asked_for_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda _: (256, 1024))
-    assert means.connections(None, 2) == 1024 - means.SPARE and means.connections(100, 2) == 50
-    with pytest.raises(means.Lacking, match=r"--connections: 4000 .* the limit is 1024"):
-        means.connections(4000, 2)
+    assert preflight.connections(None, 2) == 1024 - preflight.SPARE and preflight.connections(100, 2) == 50
+    with pytest.raises(preflight.Lacking, match=r"--connections: 4000 .* the limit is 1024"):
+        preflight.connections(4000, 2)
--- a/tests/lab/test_socks.py
+++ b/tests/lab/test_loopback.py
@@ -22,14 +22,14 @@
 import pytest
 
 from granitewell.lab import day as d
+from granitewell.lab.loopback import spoil
+from granitewell.lab.loopback.director import Options
+from granitewell.lab.loopback.plan import SocksError, share_out
+from granitewell.lab.loopback.platform_http import AnswerParser, filler, reply_bytes
+from granitewell.lab.loopback.play import play_on_sockets
+from granitewell.lab.loopback.wire import Listener
 from granitewell.lab.recording import read
-from granitewell.lab.socks import spoil
-from granitewell.lab.socks.director import Options
-from granitewell.lab.socks.plan import SocksError, share_out
-from granitewell.lab.socks.play import play_on_sockets
-from granitewell.lab.socks.speech import AnswerParser, filler, reply_bytes
-from granitewell.lab.socks.wire import Listener
-from tests.lab.test_sim_digest import small_day
+from tests.lab.test_simulation_digest import small_day
 
 ROOT = Path(__file__).resolve().parents[2]
 TIMED = frozenset({"answer", "after", "drain"})  # rules that a node without a core can't keep
--- a/tests/lab/test_phases.py
+++ b/tests/lab/test_phases.py
@@ -11,7 +11,7 @@
 from granitewell.lab.day import Fault
 from granitewell.lab.experiments import figures, phases, plan, report, store
 from granitewell.lab.experiments.phases import Trouble, trouble
-from tests.lab.test_sim_digest import small_day
+from tests.lab.test_simulation_digest import small_day
 
 S = 1_000_000
 SPAN = Trouble(4 * S, 8 * S, 16 * S)
--- a/tests/lab/test_ranking.py
+++ b/tests/lab/test_ranking.py
@@ -21,9 +21,9 @@
 from granitewell.lab.day import Day, Fault
 from granitewell.lab.judge import Judge
 from granitewell.lab.scenario import draw, load
-from granitewell.lab.sim.play import play
-from granitewell.lab.sim.policies import RandomChoice
-from tests.lab.test_sim_digest import small_day
+from granitewell.lab.simulation.play import play
+from granitewell.lab.simulation.policies import RandomChoice
+from tests.lab.test_simulation_digest import small_day
 from tiderelay.interface import Hosts
 
 # scenario: length, begin and span of its fault, the module's G there, by how much the blind ones are worse
--- a/tests/lab/test_sim.py
+++ b/tests/lab/test_simulation.py
@@ -21,15 +21,15 @@
 from granitewell.core import Decider
 from granitewell.lab import day as d
 from granitewell.lab.judge import Judge
-from granitewell.lab.sim import hunt as hunting
-from granitewell.lab.sim import policies, published
-from granitewell.lab.sim.hunt import Case, Found, ddmin, look, seeds
-from granitewell.lab.sim.outbound import HEAD_START_US, WHOLE_US
-from granitewell.lab.sim.play import POLICIES, Played, Violation, play
-from granitewell.lab.sim.pool import Conn, Pool
-from granitewell.lab.sim.troubles import FaultError
-from granitewell.lab.sim.world import World
-from tests.lab.test_sim_digest import small_day
+from granitewell.lab.simulation import hunt as hunting
+from granitewell.lab.simulation import policies, published
+from granitewell.lab.simulation.hunt import Case, Found, ddmin, look, seeds
+from granitewell.lab.simulation.outbound import HEAD_START_US, WHOLE_US
+from granitewell.lab.simulation.play import POLICIES, Played, Violation, play
+from granitewell.lab.simulation.pool import Conn, Pool
+from granitewell.lab.simulation.troubles import FaultError
+from granitewell.lab.simulation.world import World
+from tests.lab.test_simulation_digest import small_day
 from tiderelay import interface as t
 from tiderelay.interface import Outcome, Settings
 
--- a/tests/lab/test_sim_digest.py
+++ b/tests/lab/test_simulation_digest.py
@@ -1,6 +1,6 @@
 """The same seed gives the same digest: in another process, under other hash seeds, on other Pythons.
 
-`python -m tests.lab.test_sim_digest` plays the handcrafted day with no more than the standard library, with
+`python -m tests.lab.test_simulation_digest` plays the handcrafted day with no more than the standard library, with
 a plain policy and with the module, and prints both digests. STORED is the plain policy's as it was when it
 last changed on purpose: changes of the module leave it alone, those of the model, the shells or the core move
 it. After such a change run the command above, look at what the change was meant to do, and store the new
@@ -18,7 +18,7 @@
 
 from granitewell.lab import day as d
 from granitewell.lab.judge import Judge
-from granitewell.lab.sim.play import play
+from granitewell.lab.simulation.play import play
 
 STORED = "b8760ce314b884bfcee44bd2cd8a255d"
 ROOT = Path(__file__).resolve().parents[2]
@@ -86,7 +86,7 @@
 def _elsewhere(python: str, hash_seed: str) -> tuple[str, ...]:
     env = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT), "PYTHONDONTWRITEBYTECODE": "1"}
     done = subprocess.run(
-        [python, "-m", "tests.lab.test_sim_digest"], cwd=ROOT, env=env, capture_output=True, text=True,
+        [python, "-m", "tests.lab.test_simulation_digest"], cwd=ROOT, env=env, capture_output=True, text=True,
         check=False,
     )  # fmt: skip
     assert done.returncode == 0, done.stderr
--- a/tests/lab/test_theory.py
+++ b/tests/lab/test_theory.py
@@ -7,8 +7,8 @@
 
 from granitewell.lab import theory
 from granitewell.lab.day import ClassDay, Dist
+from granitewell.lab.emulator.work import attempt_factor, draw_work, exponential
 from granitewell.lab.engine import stream
-from granitewell.lab.model.work import attempt_factor, draw_work, exponential
 
 
 def test_mean_waits_are_within_three_percent() -> None:
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -24,12 +24,12 @@
     "granitewell.lab.day": "lab base",
     "granitewell.lab.engine": "lab base",
     "granitewell.lab.witness": "lab base",
-    "granitewell.lab.model": "lab model",
+    "granitewell.lab.emulator": "lab model",
     "granitewell.lab.judge": "lab judge",
-    "granitewell.lab.sim": "lab sim",
-    "granitewell.lab.sim.play": "lab",  # runs a day and says how long it took,
-    "granitewell.lab.sim.profile": "lab",  # where the time went,
-    "granitewell.lab.sim.hunt": "lab",  # and many days in many processes
+    "granitewell.lab.simulation": "lab sim",
+    "granitewell.lab.simulation.play": "lab",  # runs a day and says how long it took,
+    "granitewell.lab.simulation.profile": "lab",  # where the time went,
+    "granitewell.lab.simulation.hunt": "lab",  # and many days in many processes
     "granitewell.lab.platform": "lab platform",
     "granitewell.lab.cluster": "lab cluster",
     "granitewell.lab.cluster.hunt": "lab",
@@ -245,8 +245,8 @@
         ("granitewell.__main__", "import granitewell.lab", "start imports lab"),
         ("granitewell.cli.main", "from granitewell.net.loop import Node", "cli imports net"),
         ("granitewell.lab.load.run", "from granitewell.net.loop import Node", "lab imports net"),
-        ("granitewell.lab.model.terms", "from granitewell.core import Core", "lab model imports core"),
-        ("granitewell.lab.judge.x", "from granitewell.lab.model import terms", "lab judge imports lab model"),
+        ("granitewell.lab.emulator.types", "from granitewell.core import Core", "lab model imports core"),
+        ("granitewell.lab.judge.x", "from granitewell.lab.emulator import terms", "lab judge imports lab model"),
         ("granitewell.limits.pure", "from granitewell.routes import x", "a subject imports another"),
         ("granitewell.limits.pure", "from granitewell.config import x", "subject imports config"),
         ("tiderelay.policy", "if TYPE_CHECKING:\n    import granitewell.core", "tiderelay imports core"),
@@ -254,12 +254,12 @@
         ("granitewell.core", "import uvloop", "core imports the package uvloop"),
         ("granitewell.net.loop", "import importlib", "net loads by importlib"),
         ("granitewell.core", "import time", "pure, and imports time"),
-        ("granitewell.lab.sim.world", "from asyncio import sleep", "pure, and imports asyncio"),
+        ("granitewell.lab.simulation.world", "from asyncio import sleep", "pure, and imports asyncio"),
         ("granitewell.lab.engine", "import os\nos.urandom(8)", "pure, and calls os.urandom"),
         ("granitewell.lab.engine", "from os import urandom", "pure, and imports os.urandom"),
-        ("granitewell.lab.model.work", "from random import random", "pure, and imports random.random"),
-        ("granitewell.lab.model.work", "import random\nrandom.random()", "pure, and calls random.random"),
-        ("granitewell.lab.model.work", "from random import Random\nRandom()", "without a seed"),
+        ("granitewell.lab.emulator.work", "from random import random", "pure, and imports random.random"),
+        ("granitewell.lab.emulator.work", "import random\nrandom.random()", "pure, and calls random.random"),
+        ("granitewell.lab.emulator.work", "from random import Random\nRandom()", "without a seed"),
         ("granitewell.lab.day", "import datetime\ndatetime.datetime.now()", "calls datetime.datetime.now"),
         ("granitewell.coordination.x", "from granitewell.controlplane import x", "imports controlplane"),
         ("granitewell.coordination.x", "from granitewell.dataplane import x", "imports dataplane"),
@@ -296,7 +296,7 @@
 
 def test_what_is_allowed_is_no_fault() -> None:
     good = "import json\nfrom random import Random\nfrom granitewell.lab.day import Day\nRandom(3).random()"
-    assert faults("granitewell.lab.model.work", good, SOURCES) == []
+    assert faults("granitewell.lab.emulator.work", good, SOURCES) == []
     assert faults("granitewell.limits.pure", "from granitewell.limits import table", SOURCES) == []
     assert faults("granitewell.net.loop", "from granitewell.net import http1, logs", SOURCES) == []
     shell = "import asyncio\nimport aiohttp\nfrom granitewell.coordination.consensus import group"
--- a/tests/test_system_demo.py
+++ b/tests/test_system_demo.py
@@ -11,8 +11,7 @@
 
 from granitewell.lab.system.__main__ import report
 from granitewell.lab.system.callers import Client
-from granitewell.lab.system.processes import CONTROL_IPS, EDGE_IPS
-from granitewell.lab.system.scene import (
+from granitewell.lab.system.demo import (
     ABSENT_MODEL,
     HELD_MODEL,
     HOST,
@@ -22,6 +21,7 @@
     Seen,
     run_scene,
 )
+from granitewell.lab.system.processes import CONTROL_IPS, EDGE_IPS
 from granitewell.lab.system.standins import ModelServer
 
 LIMIT_S = 33.0  # of the scene: with the start of the stand-ins and the end of all processes below 40 s
--- a/tools/behavior_digests.py
+++ b/tools/behavior_digests.py
@@ -344,8 +344,8 @@
     """Nodes with the balancing decisions on drawn scenarios."""
     from typing import cast
 
-    from granitewell.lab.sim.hunt import Case
-    from granitewell.lab.sim.play import play
+    from granitewell.lab.simulation.hunt import Case
+    from granitewell.lab.simulation.play import play
     from granitewell.lab.witness import Witness
 
     scenarios = (
