--- a/granitewell/cli/system/configuration.py
+++ b/granitewell/cli/system/configuration.py
@@ -18,8 +18,8 @@
 from granitewell.controlplane.configuration.change import Change, Operation
 from granitewell.controlplane.configuration.checks import ConfigurationPatch, read_patch
 from granitewell.controlplane.configuration.state import EMPTY, ConfigurationState, changed
-from granitewell.model.errors import InvalidConfiguration, InvalidSettings
-from granitewell.model.settings import read_settings, settings_path
+from granitewell.domain.errors import InvalidConfiguration, InvalidSettings
+from granitewell.domain.settings import read_settings, settings_path
 
 MOST_FILE = 64 * 1024 * 1024  # bytes of a configuration
 
--- a/granitewell/cli/system/errors.py
+++ b/granitewell/cli/system/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from granitewell.cli.system.exit_codes import ExitCode
-from granitewell.model.errors import GranitewellError
+from granitewell.domain.errors import GranitewellError
 
 
 class CommandError(GranitewellError):
--- a/granitewell/cli/system/exit_handling.py
+++ b/granitewell/cli/system/exit_handling.py
@@ -10,7 +10,7 @@
 
 from granitewell.cli.system.errors import CommandError
 from granitewell.cli.system.exit_codes import ExitCode
-from granitewell.model.errors import GranitewellError, InvalidField
+from granitewell.domain.errors import GranitewellError, InvalidField
 
 INSTALL = "pip install 'granitewell[system]'"
 
--- a/granitewell/controlplane/configuration/api.py
+++ b/granitewell/controlplane/configuration/api.py
@@ -27,7 +27,7 @@
 from granitewell.controlplane.configuration.change import Change, Operation
 from granitewell.controlplane.configuration.if_match import base_version
 from granitewell.controlplane.configuration.store import ChangeResult, ConfigurationStore
-from granitewell.model.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeader, ProposalLost
 
 PATH = "/config"
 PROPOSAL_TIMEOUT_S = 3.0  # an acknowledgement later than this would find its operator gone
--- a/granitewell/controlplane/configuration/checks.py
+++ b/granitewell/controlplane/configuration/checks.py
@@ -16,8 +16,8 @@
 from mashumaro.exceptions import InvalidFieldValue, MissingField
 
 from granitewell.controlplane.configuration.change import MOST_VERSION
-from granitewell.model.configuration import Limits, Route, Service, StrictFields, WrongItem, WrongType
-from granitewell.model.errors import InvalidConfiguration
+from granitewell.domain.configuration import Limits, Route, Service, StrictFields, WrongItem, WrongType
+from granitewell.domain.errors import InvalidConfiguration
 
 WHOLE_FIELDS = frozenset({"version", "routes", "services", "limits"})
 PATCH_FIELDS = frozenset({"version", "upsert", "remove", "limits"})
--- a/granitewell/controlplane/configuration/errors.py
+++ b/granitewell/controlplane/configuration/errors.py
@@ -1,8 +1,8 @@
-"""Failures of this package, beside InvalidConfiguration of granitewell.model.errors."""
+"""Failures of this package, beside InvalidConfiguration of granitewell.domain.errors."""
 
 from __future__ import annotations
 
-from granitewell.model.errors import GranitewellError, UnknownFormat
+from granitewell.domain.errors import GranitewellError, UnknownFormat
 
 
 class UnreadableChange(GranitewellError):
--- a/granitewell/controlplane/configuration/state.py
+++ b/granitewell/controlplane/configuration/state.py
@@ -23,8 +23,8 @@
     read_patch,
     read_whole,
 )
-from granitewell.model.configuration import Configuration, Limits, Route, Service
-from granitewell.model.errors import InvalidConfiguration
+from granitewell.domain.configuration import Configuration, Limits, Route, Service
+from granitewell.domain.errors import InvalidConfiguration
 
 
 class MatchKey(NamedTuple):
--- a/granitewell/controlplane/configuration/store.py
+++ b/granitewell/controlplane/configuration/store.py
@@ -27,8 +27,8 @@
     difference,
     whole_state,
 )
-from granitewell.model.configuration import Configuration
-from granitewell.model.errors import InvalidConfiguration
+from granitewell.domain.configuration import Configuration
+from granitewell.domain.errors import InvalidConfiguration
 
 __all__ = ["Change", "ChangeResult", "ConfigurationDelta", "ConfigurationStore", "Operation", "Outcome"]
 
--- a/granitewell/controlplane/configuration/view.py
+++ b/granitewell/controlplane/configuration/view.py
@@ -7,8 +7,8 @@
 from granitewell.controlplane.configuration.change import Change
 from granitewell.controlplane.configuration.errors import DeltaMismatch, UnreadableChange
 from granitewell.controlplane.configuration.state import EMPTY, ConfigurationState, changed, whole_state
-from granitewell.model.configuration import Configuration
-from granitewell.model.errors import InvalidConfiguration
+from granitewell.domain.configuration import Configuration
+from granitewell.domain.errors import InvalidConfiguration
 
 
 class ConfigurationView:
--- a/granitewell/controlplane/ownership/record.py
+++ b/granitewell/controlplane/ownership/record.py
@@ -10,7 +10,7 @@
 import json
 from dataclasses import asdict, dataclass
 
-from granitewell.model.errors import GranitewellError
+from granitewell.domain.errors import GranitewellError
 
 
 class BadClaim(GranitewellError):
--- a/granitewell/controlplane/placement/controller.py
+++ b/granitewell/controlplane/placement/controller.py
@@ -20,8 +20,8 @@
 from granitewell.controlplane.placement.orders import HttpServerClient, OrderResult, ServerClient
 from granitewell.controlplane.placement.reconciler import PlacementReconciler
 from granitewell.controlplane.placement.steps import PlacementCounters, Poll, Send
-from granitewell.model.configuration import Engine
-from granitewell.model.servers import HeldModel, ModelDemand
+from granitewell.domain.configuration import Engine
+from granitewell.domain.servers import HeldModel, ModelDemand
 
 __all__ = ["ListedServer", "Ownership", "PlacementController"]
 
--- a/granitewell/controlplane/placement/demand.py
+++ b/granitewell/controlplane/placement/demand.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from granitewell.model.servers import ModelDemand, ModelRef
+from granitewell.domain.servers import ModelDemand, ModelRef
 
 FAST_S = 2.0  # time constant of the rate that shows a rise
 SLOW_S = 20.0  # time constant of the rate of models that are asked for rarely
--- a/granitewell/controlplane/placement/fleet.py
+++ b/granitewell/controlplane/placement/fleet.py
@@ -9,8 +9,8 @@
 from granitewell.controlplane.placement.demand import DemandView
 from granitewell.controlplane.placement.limits import SizeBook
 from granitewell.controlplane.placement.views import ServerView
-from granitewell.model.configuration import Engine, Model
-from granitewell.model.servers import ModelRef
+from granitewell.domain.configuration import Engine, Model
+from granitewell.domain.servers import ModelRef
 
 BUSY_RATE = 0.4  # requests a second from which a model has two copies
 KEEP_RATE = 0.25  # from here a lost last copy is loaded again before it is asked for
--- a/granitewell/controlplane/placement/issuing.py
+++ b/granitewell/controlplane/placement/issuing.py
@@ -13,8 +13,8 @@
 from granitewell.controlplane.placement.observation import OrderStage, PendingOrder, ServerRecord, shows
 from granitewell.controlplane.placement.orders import Operation, Order, OrderResult, OrderTicket, Report
 from granitewell.controlplane.placement.steps import PlacementCounters, Send
-from granitewell.model.configuration import Engine
-from granitewell.model.servers import ModelRef
+from granitewell.domain.configuration import Engine
+from granitewell.domain.servers import ModelRef
 
 REPORT_SHOWS_S = 0.1  # how old a report usually is; learned from nothing, only a first look depends on it
 UNLOAD_TAKES_S = 0.02
--- a/granitewell/controlplane/placement/limits.py
+++ b/granitewell/controlplane/placement/limits.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from granitewell.model.configuration import Engine, Model
-from granitewell.model.servers import HeldModel, ModelRef
+from granitewell.domain.configuration import Engine, Model
+from granitewell.domain.servers import HeldModel, ModelRef
 
 STORE_RATE_SHARE = 0.95  # of the permitted rate: the bound counts 1.1 times it, plus 3
 STORE_BURST = 2.0  # loads at once after a pause; the bound allows 3
--- a/granitewell/controlplane/placement/observation.py
+++ b/granitewell/controlplane/placement/observation.py
@@ -14,7 +14,7 @@
 
 from granitewell.controlplane.placement.limits import SizeBook, Usage, usage
 from granitewell.controlplane.placement.orders import Operation, Order, Report, ReportFailure
-from granitewell.model.servers import HeldModel, ModelRef, ServerState
+from granitewell.domain.servers import HeldModel, ModelRef, ServerState
 
 REPORT_LAG_S = 0.6  # a report is surely not older than this ("some hundred ms")
 OVERDUE_S = 3.0  # beyond its expected time, after which an order that left no trace is given up
--- a/granitewell/controlplane/placement/orders.py
+++ b/granitewell/controlplane/placement/orders.py
@@ -10,8 +10,8 @@
 
 import aiohttp
 
-from granitewell.model.errors import GranitewellError
-from granitewell.model.servers import HeldModel, ModelRef
+from granitewell.domain.errors import GranitewellError
+from granitewell.domain.servers import HeldModel, ModelRef
 
 EXPECT_INSTANCE = "Granitewell-Expect-Instance"
 REPORT_TIMEOUT_S = 0.5  # a report takes some ms, with one packet lost some 200 ms more
--- a/granitewell/controlplane/placement/placement_pass.py
+++ b/granitewell/controlplane/placement/placement_pass.py
@@ -11,8 +11,8 @@
 from granitewell.controlplane.placement.orders import Operation, Order
 from granitewell.controlplane.placement.values import CopyValues
 from granitewell.controlplane.placement.views import ServerView, StoreView
-from granitewell.model.configuration import Model
-from granitewell.model.servers import ModelRef
+from granitewell.domain.configuration import Model
+from granitewell.domain.servers import ModelRef
 
 # Cost of a place, in seconds of waiting
 UNLOAD_S = 0.2  # until a report shows an unload
--- a/granitewell/controlplane/placement/planner.py
+++ b/granitewell/controlplane/placement/planner.py
@@ -21,8 +21,8 @@
 from granitewell.controlplane.placement.placement_pass import Placing
 from granitewell.controlplane.placement.values import CopyValues
 from granitewell.controlplane.placement.views import ServerView, StoreView
-from granitewell.model.configuration import Engine
-from granitewell.model.servers import ModelRef
+from granitewell.domain.configuration import Engine
+from granitewell.domain.servers import ModelRef
 
 __all__ = ["BUSY_RATE", "KEEP_RATE", "ServerView", "StoreView", "plan"]
 
--- a/granitewell/controlplane/placement/readiness.py
+++ b/granitewell/controlplane/placement/readiness.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from granitewell.controlplane.placement.observation import ServerRecord, too_many_dark
-from granitewell.model.servers import HeldModel
+from granitewell.domain.servers import HeldModel
 
 
 class Readiness:
--- a/granitewell/controlplane/placement/reconciler.py
+++ b/granitewell/controlplane/placement/reconciler.py
@@ -35,8 +35,8 @@
 from granitewell.controlplane.placement.planner import ServerView, StoreView, plan
 from granitewell.controlplane.placement.readiness import Readiness
 from granitewell.controlplane.placement.steps import PlacementCounters, Poll, Send, Step
-from granitewell.model.configuration import Engine
-from granitewell.model.servers import HeldModel, ModelDemand, ModelRef
+from granitewell.domain.configuration import Engine
+from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef
 
 EDGES_LEARN_S = 0.2  # until edges have stopped sending for what was withdrawn
 LATELY_S = 2.0  # without a request for this long, a model is unloaded without waiting for the edges
--- a/granitewell/controlplane/placement/values.py
+++ b/granitewell/controlplane/placement/values.py
@@ -6,7 +6,7 @@
 
 from granitewell.controlplane.placement.fleet import FleetView
 from granitewell.controlplane.placement.views import ServerView
-from granitewell.model.servers import ModelRef
+from granitewell.domain.servers import ModelRef
 
 UNSEEN_VALUE = 0.02  # of a model not asked for yet: about the rate of one of many rare models
 EXTRA_VALUE = 0.03  # of a copy beyond those wanted, while its model is in use
--- a/granitewell/controlplane/placement/views.py
+++ b/granitewell/controlplane/placement/views.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from granitewell.model.servers import HeldModel, ModelRef
+from granitewell.domain.servers import HeldModel, ModelRef
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/controlplane/publication/publisher.py
+++ b/granitewell/controlplane/publication/publisher.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol
 
 from granitewell.controlplane.publication.table import ServerTable, Update, Version
-from granitewell.model.errors import GranitewellError
+from granitewell.domain.errors import GranitewellError
 from granitewell.rpc.messages import (
     ConfigurationUpdate,
     TableUpdate,
--- a/granitewell/controlplane/publication/table.py
+++ b/granitewell/controlplane/publication/table.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from granitewell.model.servers import Server
+from granitewell.domain.servers import Server
 
 MOST_REMOVED = 2_000  # removals remembered; a watcher from before them gets the whole table
 
--- a/granitewell/coordination/consensus/codec.py
+++ b/granitewell/coordination/consensus/codec.py
@@ -25,7 +25,7 @@
     unpack_membership,
 )
 from granitewell.coordination.consensus.messages import Message
-from granitewell.model.errors import BadFrame
+from granitewell.domain.errors import BadFrame
 from granitewell.rpc.serialization import encode as encode_struct
 
 VERSION = 1
--- a/granitewell/coordination/consensus/encoding.py
+++ b/granitewell/coordination/consensus/encoding.py
@@ -19,7 +19,7 @@
     Membership,
     VoterChange,
 )
-from granitewell.model.errors import BadFrame
+from granitewell.domain.errors import BadFrame
 from granitewell.rpc.serialization import decode, load_idl
 
 IDL: Any = load_idl(Path(__file__).with_name("consensus.thrift"))
--- a/granitewell/coordination/consensus/group.py
+++ b/granitewell/coordination/consensus/group.py
@@ -41,7 +41,7 @@
 from granitewell.coordination.disk_thread import DiskThread, Executor
 from granitewell.coordination.durable_log import DurableLog, WriteFailed
 from granitewell.coordination.log_file import LogFile
-from granitewell.model.errors import BadFrame, NotLeader, ProposalLost, UnknownFormat
+from granitewell.domain.errors import BadFrame, NotLeader, ProposalLost, UnknownFormat
 
 log = logbook.Logger("granitewell.consensus")
 
--- a/granitewell/coordination/consensus/proposals.py
+++ b/granitewell/coordination/consensus/proposals.py
@@ -7,7 +7,7 @@
 
 from granitewell.coordination.consensus.replica import Position
 from granitewell.coordination.consensus.types import Entry
-from granitewell.model.errors import ProposalLost
+from granitewell.domain.errors import ProposalLost
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/coordination/consensus/replica.py
+++ b/granitewell/coordination/consensus/replica.py
@@ -27,7 +27,7 @@
 from granitewell.coordination.consensus.roles import Roles
 from granitewell.coordination.consensus.settings import ReplicaSettings
 from granitewell.coordination.consensus.types import MEMBERSHIP_KINDS, Member, Role, Snapshot, StoredState
-from granitewell.model.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeader, ProposalLost
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/coordination/consensus/storage.py
+++ b/granitewell/coordination/consensus/storage.py
@@ -29,7 +29,7 @@
     StoredState,
 )
 from granitewell.coordination.log_format import DurableLogError
-from granitewell.model.errors import BadFrame
+from granitewell.domain.errors import BadFrame
 
 _RECORD = struct.Struct("!BI")
 _SNAPSHOT = struct.Struct("!QQ")
--- a/granitewell/coordination/log_format.py
+++ b/granitewell/coordination/log_format.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from granitewell.model.errors import GranitewellError
+from granitewell.domain.errors import GranitewellError
 
 MAGIC = b"GWDL"
 VERSION = 2
--- a/granitewell/dataplane/demand.py
+++ b/granitewell/dataplane/demand.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from granitewell.model.servers import ModelDemand, ModelRef
+from granitewell.domain.servers import ModelDemand, ModelRef
 
 REPORT_GAP_S = 0.03  # least time between two urgent reports: many requests for one model come together
 NO_PRIORITY = 9  # of a model that nobody waits for
--- a/granitewell/dataplane/dispatch.py
+++ b/granitewell/dataplane/dispatch.py
@@ -18,9 +18,9 @@
 from granitewell.dataplane.retry_budget import RetryBudget
 from granitewell.dataplane.server_selection import Pool
 from granitewell.dataplane.servers import ServerRecord
-from granitewell.model.configuration import Configuration, Service
-from granitewell.model.servers import ModelDemand, ModelRef, Server, ServerState
-from granitewell.model.settings import Bounds
+from granitewell.domain.configuration import Configuration, Service
+from granitewell.domain.servers import ModelDemand, ModelRef, Server, ServerState
+from granitewell.domain.settings import Bounds
 
 MOST_POOLS = 1_024  # kept at a node; beyond it those without requests go, the longest unused first
 PLAIN_SETUP_S = 2.0  # time that one more server of a service without models takes to be there
--- a/granitewell/dataplane/edge.py
+++ b/granitewell/dataplane/edge.py
@@ -41,9 +41,9 @@
 from granitewell.dataplane.request_forwarder import ClientRequest, Exchange, OwnAnswer, StreamEnd, WholeAnswer
 from granitewell.dataplane.routes import RouteTable, choose_service, host_name, path_of
 from granitewell.dataplane.upstream_pool import UpstreamPool
-from granitewell.model.configuration import Configuration, Limits, Route
-from granitewell.model.servers import ModelDemand, ModelRef, Server
-from granitewell.model.settings import Settings
+from granitewell.domain.configuration import Configuration, Limits, Route
+from granitewell.domain.servers import ModelDemand, ModelRef, Server
+from granitewell.domain.settings import Settings
 
 DEADLINE_MARGIN_S = 0.020  # our last word must reach the client before it gives up
 WAKE_GAP_S = 0.05  # between two looks for servers while requests wait: other nodes' requests end unseen
--- a/granitewell/dataplane/http_server.py
+++ b/granitewell/dataplane/http_server.py
@@ -26,8 +26,8 @@
 from granitewell.dataplane.addresses import host_and_port
 from granitewell.dataplane.request_forwarder import OwnAnswer, WholeAnswer
 from granitewell.dataplane.server_log import QUIET_LOGGER
-from granitewell.model.configuration import Limits
-from granitewell.model.errors import GranitewellError
+from granitewell.domain.configuration import Limits
+from granitewell.domain.errors import GranitewellError
 
 SWEEP_S = 0.5  # between two looks for clients that take too long over a head
 BACKLOG = 1_024  # new connections that may wait to be taken: one that is dropped comes again after seconds
--- a/granitewell/dataplane/request.py
+++ b/granitewell/dataplane/request.py
@@ -11,7 +11,7 @@
 from enum import Enum, auto
 from types import MappingProxyType
 
-from granitewell.model.configuration import Route
+from granitewell.domain.configuration import Route
 
 MOST_TRIES = 6  # of a request, those that reached no server included: each costs a connection's time
 
--- a/granitewell/dataplane/request_forwarder.py
+++ b/granitewell/dataplane/request_forwarder.py
@@ -35,9 +35,9 @@
 from granitewell.dataplane.servers import MOVED_FOR_S, ServerRecord
 from granitewell.dataplane.upstream import BrokenAnswer, NotWritten, UpstreamConnection
 from granitewell.dataplane.upstream_pool import UpstreamPool
-from granitewell.model.configuration import Route, RouteKind
-from granitewell.model.errors import GranitewellError
-from granitewell.model.servers import ModelRef
+from granitewell.domain.configuration import Route, RouteKind
+from granitewell.domain.errors import GranitewellError
+from granitewell.domain.servers import ModelRef
 from tiderelay.sizing import DELTA
 
 SERVER_MARGIN_S = 0.010  # a server is told that it has less time: its last word must reach the client
--- a/granitewell/dataplane/routes.py
+++ b/granitewell/dataplane/routes.py
@@ -6,7 +6,7 @@
 from itertools import accumulate
 from random import Random
 
-from granitewell.model.configuration import Configuration, Route
+from granitewell.domain.configuration import Configuration, Route
 
 
 def host_name(header: str) -> str:
--- a/granitewell/dataplane/servers.py
+++ b/granitewell/dataplane/servers.py
@@ -10,7 +10,7 @@
 
 from granitewell.dataplane.failure_suspicion import Doubt
 from granitewell.dataplane.headers import ServerLoad
-from granitewell.model.servers import Server
+from granitewell.domain.servers import Server
 
 LOAD_TAU_S = 1.5  # a server's word on its load loses its say over such a time
 WAITING_TAU_S = 0.4  # the same for requests that wait there: a queue is gone sooner
--- a/granitewell/dataplane/upstream.py
+++ b/granitewell/dataplane/upstream.py
@@ -56,7 +56,7 @@
     MalformedFraming,
 )
 from granitewell.dataplane.headers import REQUEST_ID, parse_keep_alive
-from granitewell.model.errors import GranitewellError
+from granitewell.domain.errors import GranitewellError
 
 SILENT_KEEP_ALIVE_S = 0.4  # use of an idle connection whose server doesn't say how long it keeps it
 KEEP_ALIVE_MARGIN_S = 0.5  # before the server closes an idle connection: a request must not cross that
--- a/granitewell/dataplane/upstream_pool.py
+++ b/granitewell/dataplane/upstream_pool.py
@@ -10,7 +10,7 @@
 from aiohttp.http_parser import RawResponseMessage
 
 from granitewell.dataplane.upstream import NotWritten, UpstreamConnection
-from granitewell.model.servers import Server
+from granitewell.domain.servers import Server
 
 CONNECT_TIMEOUT_S = 0.4  # a lost opening packet is sent again after seconds: another server is sooner
 MOST_IDLE_A_SERVER = 32
--- a/granitewell/discovery/instances.py
+++ b/granitewell/discovery/instances.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from granitewell.model.errors import GranitewellError
-from granitewell.model.servers import HeldModel, ServerState
+from granitewell.domain.errors import GranitewellError
+from granitewell.domain.servers import HeldModel, ServerState
 
 DRAINING = "draining"
 NO_END = -1
--- a/granitewell/discovery/reader.py
+++ b/granitewell/discovery/reader.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from granitewell.discovery.instances import BadList, ListedInstance, parse_page
-from granitewell.model.errors import GranitewellError
+from granitewell.domain.errors import GranitewellError
 
 MOST_PAGES = 200
 PAGE_TIMEOUT_S = 0.8
--- a/granitewell/model/configuration.py
+++ b/granitewell/domain/configuration.py
@@ -14,7 +14,7 @@
 from mashumaro import DataClassDictMixin, field_options
 from mashumaro.config import BaseConfig
 
-from granitewell.model.errors import GranitewellError
+from granitewell.domain.errors import GranitewellError
 
 
 class WrongType(GranitewellError):
--- a/granitewell/model/settings.py
+++ b/granitewell/domain/settings.py
@@ -12,7 +12,7 @@
 from mashumaro.config import BaseConfig
 from mashumaro.exceptions import InvalidFieldValue, MissingField
 
-from granitewell.model.errors import InvalidSettings
+from granitewell.domain.errors import InvalidSettings
 
 PATH_VARIABLE = "GRANITEWELL_NODE_FILE"
 DEFAULT_PATH = "/etc/granitewell/boot.json"
--- a/granitewell/nodes/control.py
+++ b/granitewell/nodes/control.py
@@ -20,8 +20,8 @@
 from granitewell.coordination.consensus.group import ReplicatedGroup
 from granitewell.coordination.consensus.identity import load_identity
 from granitewell.discovery.reader import InstanceReader, SharedReader
-from granitewell.model.errors import InvalidSettings
-from granitewell.model.settings import Settings
+from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.settings import Settings
 from granitewell.nodes.control_messages import ControlMessages
 from granitewell.nodes.layout import CONFIGURATION_GROUP, SHARDS, shard_group
 from granitewell.nodes.operator_server import OperatorServer
--- a/granitewell/nodes/control_watch.py
+++ b/granitewell/nodes/control_watch.py
@@ -26,9 +26,9 @@
 from granitewell.dataplane.edge import DataPlane
 from granitewell.discovery.instances import BadList, ListedInstance
 from granitewell.discovery.reader import InstanceReader, ListUnavailable
-from granitewell.model.errors import GranitewellError, RpcError, RpcTimeout
-from granitewell.model.servers import Server, ServerState
-from granitewell.model.settings import Settings
+from granitewell.domain.errors import GranitewellError, RpcError, RpcTimeout
+from granitewell.domain.servers import Server, ServerState
+from granitewell.domain.settings import Settings
 from granitewell.nodes.control_nodes import ControlNodes
 from granitewell.nodes.layout import SHARDS
 from granitewell.rpc.messages import TableVersion, WatchReply, WatchRequest, decode, encode
--- a/granitewell/nodes/edge.py
+++ b/granitewell/nodes/edge.py
@@ -8,7 +8,7 @@
 import aiohttp
 
 from granitewell.dataplane.edge import DataPlane
-from granitewell.model.settings import Settings
+from granitewell.domain.settings import Settings
 from granitewell.nodes.control_watch import ControlWatch, OwnList
 from granitewell.nodes.process import SettingsFile, Signals, follow_settings, run_process
 from granitewell.rpc.messages import DemandReport, encode
--- a/granitewell/nodes/process.py
+++ b/granitewell/nodes/process.py
@@ -12,8 +12,8 @@
 import uvloop
 
 from granitewell import logs
-from granitewell.model.errors import InvalidSettings
-from granitewell.model.settings import Settings, read_settings, settings_path
+from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.settings import Settings, read_settings, settings_path
 
 SETTINGS_LOOK_S = 1.0
 COLLECTOR_THRESHOLDS = (20_000, 20, 50)  # rare: little here is cyclic, and pauses are charged to requests
--- a/granitewell/nodes/shards.py
+++ b/granitewell/nodes/shards.py
@@ -18,10 +18,10 @@
 from granitewell.coordination.rendezvous import shard_of
 from granitewell.discovery.instances import BadList, ListedInstance
 from granitewell.discovery.reader import ListUnavailable, SharedReader
-from granitewell.model.configuration import Configuration, Service
-from granitewell.model.errors import NotLeader, ProposalLost
-from granitewell.model.servers import HeldModel, ModelDemand, Server
-from granitewell.model.settings import Settings
+from granitewell.domain.configuration import Configuration, Service
+from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.servers import HeldModel, ModelDemand, Server
+from granitewell.domain.settings import Settings
 from granitewell.nodes.layout import SHARDS
 
 MOST_LIST_EVERY_S = 0.5
--- a/granitewell/nodes/table_follower.py
+++ b/granitewell/nodes/table_follower.py
@@ -8,8 +8,8 @@
 
 from granitewell.controlplane.publication.publisher import update_from_message
 from granitewell.controlplane.publication.table import ServerTable
-from granitewell.model.errors import RpcError
-from granitewell.model.settings import Settings
+from granitewell.domain.errors import RpcError
+from granitewell.domain.settings import Settings
 from granitewell.rpc.messages import TableVersion, WatchReply, WatchRequest, decode, encode
 from granitewell.rpc.transport import Method, RpcPeers
 
--- a/granitewell/rpc/serialization.py
+++ b/granitewell/rpc/serialization.py
@@ -10,7 +10,7 @@
 from thriftpy2.protocol import TBinaryProtocolFactory
 from thriftpy2.utils import deserialize, serialize
 
-from granitewell.model.errors import BadFrame
+from granitewell.domain.errors import BadFrame
 from granitewell.rpc.structure import check_struct
 
 _PROTOCOL = TBinaryProtocolFactory(strict_decode=False)
--- a/granitewell/rpc/structure.py
+++ b/granitewell/rpc/structure.py
@@ -9,7 +9,7 @@
 import struct
 from enum import IntEnum
 
-from granitewell.model.errors import BadFrame
+from granitewell.domain.errors import BadFrame
 
 MOST_DEPTH = 8
 _LENGTH = struct.Struct("!i")
--- a/granitewell/rpc/translation.py
+++ b/granitewell/rpc/translation.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from granitewell.model.servers import HeldModel, ModelDemand, ModelRef, Server, ServerState
+from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef, Server, ServerState
 from granitewell.rpc.messages import Demand, HeldModelMessage, ServerMessage
 
 
--- a/granitewell/rpc/transport.py
+++ b/granitewell/rpc/transport.py
@@ -20,7 +20,7 @@
 from enum import IntEnum
 from typing import cast
 
-from granitewell.model.errors import BadFrame, PeerUnreachable, RpcError, RpcTimeout
+from granitewell.domain.errors import BadFrame, PeerUnreachable, RpcError, RpcTimeout
 
 HEAD = struct.Struct("!HBBHII")
 MAGIC = 0x6757
--- a/tests/controlplane/change_world.py
+++ b/tests/controlplane/change_world.py
@@ -23,7 +23,7 @@
 from granitewell.controlplane.configuration import history
 from granitewell.controlplane.configuration.api import OperatorApi
 from granitewell.controlplane.configuration.store import Change, ConfigurationStore, Operation
-from granitewell.model.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeader, ProposalLost
 
 FIRST_VERSION = 1
 FIRST = Change(Operation.PUT, 0, b'{"version":1,"routes":[],"services":[]}')
--- a/tests/controlplane/owner_judge.py
+++ b/tests/controlplane/owner_judge.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from granitewell.controlplane.placement.orders import Operation, Order
-from granitewell.model.servers import ModelRef
+from granitewell.domain.servers import ModelRef
 from tests.controlplane.owner_servers import EDGES, ENGINE, SIZES, EngineServer
 from tests.coordination.invariants import Violation
 
--- a/tests/controlplane/owner_servers.py
+++ b/tests/controlplane/owner_servers.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING, Any
 
 from granitewell.controlplane.placement.orders import Operation, Report
-from granitewell.model.configuration import Engine, Model
-from granitewell.model.servers import HeldModel, ModelRef
+from granitewell.domain.configuration import Engine, Model
+from granitewell.domain.servers import HeldModel, ModelRef
 
 if TYPE_CHECKING:
     from tests.controlplane.owner_world import OwnerWorld
--- a/tests/controlplane/owner_world.py
+++ b/tests/controlplane/owner_world.py
@@ -23,8 +23,8 @@
 from granitewell.coordination.consensus.ready import Ready
 from granitewell.coordination.consensus.storage import state_records
 from granitewell.coordination.consensus.types import EntryKind, StoredState
-from granitewell.model.errors import NotLeader, ProposalLost
-from granitewell.model.servers import ModelDemand, ModelRef, ServerState
+from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.servers import ModelDemand, ModelRef, ServerState
 from tests.controlplane.owner_judge import CONTACT_S, LEASE_S, Judge, Span, Troubles
 from tests.controlplane.owner_servers import (
     ADAPTERS,
--- a/tests/controlplane/test_configuration_examples.py
+++ b/tests/controlplane/test_configuration_examples.py
@@ -13,7 +13,7 @@
     Operation,
     Outcome,
 )
-from granitewell.model.configuration import Limits, RouteKind, WeightedService
+from granitewell.domain.configuration import Limits, RouteKind, WeightedService
 
 Json = dict[str, Any]
 
--- a/tests/controlplane/test_configuration_store.py
+++ b/tests/controlplane/test_configuration_store.py
@@ -23,7 +23,7 @@
     Outcome,
 )
 from granitewell.controlplane.configuration.view import ConfigurationView
-from granitewell.model.errors import UnknownFormat
+from granitewell.domain.errors import UnknownFormat
 from tests.controlplane.test_configuration_examples import (
     applied,
     outcomes,
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -20,7 +20,7 @@
 from granitewell.controlplane.configuration.api import OperatorApi
 from granitewell.controlplane.configuration.state import ConfigurationState, changed
 from granitewell.controlplane.configuration.store import Change, ChangeResult, ConfigurationStore, Operation
-from granitewell.model.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeader, ProposalLost
 from tests.controlplane.test_configuration_examples import (
     patch,
     patch_change,
--- a/tests/controlplane/test_order_wire.py
+++ b/tests/controlplane/test_order_wire.py
@@ -28,7 +28,7 @@
     ReportFailure,
 )
 from granitewell.controlplane.placement.server_session import open_server_session
-from granitewell.model.servers import ModelRef
+from granitewell.domain.servers import ModelRef
 
 LOOPS = [asyncio.new_event_loop, uvloop.new_event_loop]
 ORDER = Order("i-1", Operation.LOAD, ModelRef("m1", "a2"))
--- a/tests/controlplane/test_ownership.py
+++ b/tests/controlplane/test_ownership.py
@@ -17,7 +17,7 @@
 from granitewell.controlplane.ownership.processes import ANNOUNCED_EVERY_S, PROCESS_SILENT_S, KnownProcesses
 from granitewell.controlplane.ownership.record import BadClaim, OwnerClaimed, OwnerRecord
 from granitewell.controlplane.placement.orders import ORDER_TIMEOUT_S
-from granitewell.model.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeader, ProposalLost
 
 OTHER_ADDRESS = "10.0.0.2:7660"
 OWN_ADDRESS = "10.0.0.1:7660"
--- a/tests/controlplane/test_placement_controller.py
+++ b/tests/controlplane/test_placement_controller.py
@@ -21,8 +21,8 @@
     Report,
     ReportFailure,
 )
-from granitewell.model.configuration import Engine, Model
-from granitewell.model.servers import HeldModel, ModelDemand, ModelRef, ServerState
+from granitewell.domain.configuration import Engine, Model
+from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef, ServerState
 
 MODELS = tuple(Model(f"m{i}", 60_000.0, 0.6, 4, 40.0) for i in range(6))
 ENGINE = Engine(64, MODELS, 200_000.0, 8, 5.0)
--- a/tests/controlplane/test_placement_faults.py
+++ b/tests/controlplane/test_placement_faults.py
@@ -19,7 +19,7 @@
 from granitewell.controlplane.placement.orders import OrderResult, Report, ReportFailure
 from granitewell.controlplane.placement.reconciler import PlacementReconciler
 from granitewell.controlplane.placement.steps import Send
-from granitewell.model.servers import ModelRef, ServerState
+from granitewell.domain.servers import ModelRef, ServerState
 from tests.controlplane import test_placement_fleet
 from tests.controlplane.test_placement_fleet import Fleet, play_usual, tiny_fleet, usual_fleet
 
--- a/tests/controlplane/test_placement_fleet.py
+++ b/tests/controlplane/test_placement_fleet.py
@@ -25,8 +25,8 @@
 )
 from granitewell.controlplane.placement.reconciler import PlacementReconciler
 from granitewell.controlplane.placement.steps import Poll, Send
-from granitewell.model.configuration import Engine, Model
-from granitewell.model.servers import HeldModel, ModelDemand, ModelRef, ServerState
+from granitewell.domain.configuration import Engine, Model
+from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef, ServerState
 
 SERVICE = "llm"
 NETWORK_S = 0.002  # one way
--- a/tests/controlplane/test_placement_parts.py
+++ b/tests/controlplane/test_placement_parts.py
@@ -43,8 +43,8 @@
     parse_report,
 )
 from granitewell.controlplane.placement.planner import BUSY_RATE, KEEP_RATE
-from granitewell.model.configuration import Engine, Model
-from granitewell.model.servers import HeldModel, ModelDemand, ModelRef, ServerState
+from granitewell.domain.configuration import Engine, Model
+from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef, ServerState
 
 M = ModelRef("m")
 MODELS = (Model("m", 60_000.0, 0.6, 5, 40.0), Model("n", 30_000.0, 0.5))
--- a/tests/controlplane/test_placement_planner.py
+++ b/tests/controlplane/test_placement_planner.py
@@ -12,8 +12,8 @@
 from granitewell.controlplane.placement.limits import Capacity, SizeBook, usage
 from granitewell.controlplane.placement.orders import Operation, Order
 from granitewell.controlplane.placement.planner import ServerView, StoreView, plan
-from granitewell.model.configuration import Engine, Model
-from granitewell.model.servers import HeldModel, ModelRef
+from granitewell.domain.configuration import Engine, Model
+from granitewell.domain.servers import HeldModel, ModelRef
 
 MODELS = tuple(
     Model(f"m{i}", (60_000.0, 34_000.0, 72_000.0)[i % 3], 0.6, 10 if i < 4 else 0, 40.0) for i in range(20)
--- a/tests/controlplane/test_publication.py
+++ b/tests/controlplane/test_publication.py
@@ -18,7 +18,7 @@
     update_from_message,
 )
 from granitewell.controlplane.publication.table import ServerTable, Update, Version
-from granitewell.model.servers import HeldModel, Server, ServerState
+from granitewell.domain.servers import HeldModel, Server, ServerState
 from granitewell.rpc.messages import TableVersion, WatchReply, WatchRequest, decode, encode
 
 
--- a/tests/coordination/hundreds_of_changes.py
+++ b/tests/coordination/hundreds_of_changes.py
@@ -17,7 +17,7 @@
 
 from granitewell.coordination.consensus.settings import KIBIBYTE, ReplicaSettings
 from granitewell.coordination.disk_thread import Executor
-from granitewell.model.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeader, ProposalLost
 from tests.coordination.cluster import LOG, Cluster, Node, SlowLink, Words, group_of
 from tests.coordination.virtual_loop import run
 
--- a/tests/coordination/test_catch_up.py
+++ b/tests/coordination/test_catch_up.py
@@ -17,7 +17,7 @@
 from granitewell.coordination.consensus.progress import SnapshotTransfer
 from granitewell.coordination.consensus.settings import MEBIBYTE, ReplicaSettings
 from granitewell.coordination.consensus.types import Membership
-from granitewell.model.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeader, ProposalLost
 from tests.coordination.cluster import Cluster, Node, SlowLink, Words, group_of, until
 from tests.coordination.virtual_loop import run
 
--- a/tests/coordination/test_codec.py
+++ b/tests/coordination/test_codec.py
@@ -44,7 +44,7 @@
     StoredState,
     VoterChange,
 )
-from granitewell.model.errors import BadFrame
+from granitewell.domain.errors import BadFrame
 
 IDS = st.text(min_size=1, max_size=20)
 NUMBERS = st.integers(0, 2**62)
--- a/tests/coordination/test_full_disk.py
+++ b/tests/coordination/test_full_disk.py
@@ -17,7 +17,7 @@
 from granitewell.coordination.consensus.settings import KIBIBYTE, ReplicaSettings
 from granitewell.coordination.consensus.types import Role
 from granitewell.coordination.durable_log import DurableLog
-from granitewell.model.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeader, ProposalLost
 from tests.coordination.cluster import Cluster, Node, group_of, until
 from tests.coordination.virtual_loop import run
 
--- a/tests/coordination/test_group.py
+++ b/tests/coordination/test_group.py
@@ -17,7 +17,7 @@
 from granitewell.coordination.consensus.storage import UnknownRecord
 from granitewell.coordination.log_file import LogFile
 from granitewell.coordination.log_format import ForeignLog
-from granitewell.model.errors import NotLeader, ProposalLost, UnknownFormat
+from granitewell.domain.errors import NotLeader, ProposalLost, UnknownFormat
 from tests.coordination.cluster import ADDRESSES, LOG, Cluster, Node, Words, group_of, until
 from tests.coordination.virtual_loop import run
 
--- a/tests/coordination/world.py
+++ b/tests/coordination/world.py
@@ -32,7 +32,7 @@
     Role,
     StoredState,
 )
-from granitewell.model.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeader, ProposalLost
 from tests.coordination.invariants import Invariants, Violation
 
 MOST_DRIFT = 0.001
--- a/tests/dataplane/node_world.py
+++ b/tests/dataplane/node_world.py
@@ -12,8 +12,8 @@
 from random import Random
 from typing import Any
 
-from granitewell.model.configuration import Route
-from granitewell.model.servers import ServerState
+from granitewell.domain.configuration import Route
+from granitewell.domain.servers import ServerState
 from tests.dataplane.simulated_network import SimulatedTransport
 from tests.dataplane.standin import Message, Scene, Seen, configuration, route, scene
 
--- a/tests/dataplane/standin.py
+++ b/tests/dataplane/standin.py
@@ -12,9 +12,9 @@
 from typing import Any, TypeVar
 
 from granitewell.dataplane.edge import DataPlane
-from granitewell.model.configuration import Configuration, Engine, Limits, Model, Route, RouteKind, Service
-from granitewell.model.servers import HeldModel, Server, ServerState
-from granitewell.model.settings import Bounds, Listen, Platform, Settings
+from granitewell.domain.configuration import Configuration, Engine, Limits, Model, Route, RouteKind, Service
+from granitewell.domain.servers import HeldModel, Server, ServerState
+from granitewell.domain.settings import Bounds, Listen, Platform, Settings
 
 HOST = "shop.example"
 MOST_S = 10.0  # of any test here
--- a/tests/dataplane/test_dispatch.py
+++ b/tests/dataplane/test_dispatch.py
@@ -14,9 +14,9 @@
 from granitewell.dataplane.request_queue import LineFull
 from granitewell.dataplane.server_selection import COMFORTABLE_PART, Pool
 from granitewell.dataplane.servers import MOST_AVOIDANCE_S, REFUSED_FOR_S, ServerRecord
-from granitewell.model.configuration import Configuration, Engine, Model, Service
-from granitewell.model.servers import HeldModel, ModelRef, Server, ServerState
-from granitewell.model.settings import Bounds
+from granitewell.domain.configuration import Configuration, Engine, Model, Service
+from granitewell.domain.servers import HeldModel, ModelRef, Server, ServerState
+from granitewell.domain.settings import Bounds
 
 M1 = ModelRef("m1")
 
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -7,7 +7,7 @@
 import pytest
 
 from granitewell.dataplane.edge import DataPlane
-from granitewell.model.configuration import Configuration, Limits
+from granitewell.domain.configuration import Configuration, Limits
 from tests.dataplane.simulated_network import SimulatedTransport, play_simulated
 from tests.dataplane.standin import (
     Behaviour,
--- a/tests/dataplane/test_edge.py
+++ b/tests/dataplane/test_edge.py
@@ -9,7 +9,7 @@
 import pytest
 
 from granitewell.dataplane.http_server import DefectLog
-from granitewell.model.servers import ModelDemand, ModelRef, ServerState
+from granitewell.domain.servers import ModelDemand, ModelRef, ServerState
 from tests.dataplane.standin import (
     Behaviour,
     Scene,
--- a/tests/dataplane/test_failure_suspicion.py
+++ b/tests/dataplane/test_failure_suspicion.py
@@ -10,7 +10,7 @@
 from granitewell.dataplane.failure_suspicion import DOUBT_LASTS_S, MOST_PROOFS, PROOFS_AFTER_BREAK, Doubt
 from granitewell.dataplane.server_selection import Pool
 from granitewell.dataplane.servers import FIRST_AVOIDANCE_S, ServerRecord
-from granitewell.model.servers import Server, ServerState
+from granitewell.domain.servers import Server, ServerState
 
 PATIENCE_S = 0.5
 
--- a/tests/dataplane/test_planted_defects.py
+++ b/tests/dataplane/test_planted_defects.py
@@ -17,7 +17,7 @@
 from granitewell.dataplane.request_forwarder import Exchange
 from granitewell.dataplane.routes import RouteTable
 from granitewell.dataplane.servers import ServerRecord
-from granitewell.model.configuration import Configuration
+from granitewell.domain.configuration import Configuration
 from tests.dataplane import test_draining as draining
 from tests.dataplane import test_failure_suspicion as doubt
 from tests.dataplane import test_leaving_clients as leaving
--- a/tests/dataplane/test_refusals.py
+++ b/tests/dataplane/test_refusals.py
@@ -11,7 +11,7 @@
 import pytest
 
 from granitewell.dataplane.http_server import MOST_HEAD_BYTES
-from granitewell.model.configuration import Configuration, Limits
+from granitewell.domain.configuration import Configuration, Limits
 from tests.dataplane.simulated_network import play_simulated
 from tests.dataplane.standin import ROUTES, Scene, Seen, configuration, scene, well
 
--- a/tests/dataplane/test_rules.py
+++ b/tests/dataplane/test_rules.py
@@ -37,8 +37,8 @@
 from granitewell.dataplane.request_queue import LineFull, WaitingLine
 from granitewell.dataplane.retry_budget import RetryBudget
 from granitewell.dataplane.routes import RouteTable, choose_service, host_name, path_of
-from granitewell.model.configuration import Configuration, Route, RouteKind, WeightedService
-from granitewell.model.servers import ModelRef
+from granitewell.domain.configuration import Configuration, Route, RouteKind, WeightedService
+from granitewell.domain.servers import ModelRef
 
 
 def a_route(prefix: str = "/", host: str = "h", **fields: Any) -> Route:
--- a/tests/dataplane/test_time_left.py
+++ b/tests/dataplane/test_time_left.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from granitewell.model.configuration import Route
+from granitewell.domain.configuration import Route
 from tests.dataplane.simulated_network import play_simulated
 from tests.dataplane.standin import Behaviour, Message, Scene, Seen, configuration, route, scene
 
--- a/tests/dataplane/test_upstream.py
+++ b/tests/dataplane/test_upstream.py
@@ -12,7 +12,7 @@
 
 from granitewell.dataplane.upstream import NotWritten, UpstreamConnection
 from granitewell.dataplane.upstream_pool import UpstreamPool
-from granitewell.model.servers import Server, ServerState
+from granitewell.domain.servers import Server, ServerState
 from tests.dataplane.standin import play
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
--- a/tests/dataplane/wire_world.py
+++ b/tests/dataplane/wire_world.py
@@ -26,9 +26,9 @@
 )
 from granitewell.dataplane.upstream import NotWritten, UpstreamConnection
 from granitewell.dataplane.upstream_pool import CONNECT_TIMEOUT_S, UpstreamPool
-from granitewell.model.configuration import Configuration, Route, RouteKind, Service
-from granitewell.model.servers import Server, ServerState
-from granitewell.model.settings import Bounds
+from granitewell.domain.configuration import Configuration, Route, RouteKind, Service
+from granitewell.domain.servers import Server, ServerState
+from granitewell.domain.settings import Bounds
 from tests.coordination.virtual_loop import VirtualLoop
 
 SERVICE = "plain"
--- a/tests/discovery/test_instances.py
+++ b/tests/discovery/test_instances.py
@@ -12,7 +12,7 @@
 
 from granitewell.discovery.instances import BadList, ListedInstance, parse_page
 from granitewell.discovery.reader import InstanceReader, ListUnavailable, SharedReader
-from granitewell.model.servers import HeldModel, ServerState
+from granitewell.domain.servers import HeldModel, ServerState
 
 ENTRY: dict[str, Any] = {
     "id": "i-1", "service": "svc", "address": "10.0.0.9:80", "zone": "z1", "version": "v1", "slots": 64,
--- a/tests/nodes/cut_off_world.py
+++ b/tests/nodes/cut_off_world.py
@@ -26,10 +26,10 @@
 from granitewell.controlplane.publication.table import ServerTable
 from granitewell.coordination.consensus.group import ReplicatedGroup
 from granitewell.coordination.consensus.identity import NodeIdentity, first_replica_id
-from granitewell.model.configuration import Configuration
-from granitewell.model.errors import PeerUnreachable, RpcError, RpcTimeout
-from granitewell.model.servers import Server
-from granitewell.model.settings import Settings
+from granitewell.domain.configuration import Configuration
+from granitewell.domain.errors import PeerUnreachable, RpcError, RpcTimeout
+from granitewell.domain.servers import Server
+from granitewell.domain.settings import Settings
 from granitewell.nodes.control_watch import ControlWatch
 from granitewell.rpc.messages import WatchRequest, decode, encode
 from granitewell.rpc.transport import Method
--- a/tests/nodes/test_control_settings.py
+++ b/tests/nodes/test_control_settings.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from granitewell.model.errors import InvalidSettings
-from granitewell.model.settings import Settings
+from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.settings import Settings
 from granitewell.nodes.control import ControlNode
 
 FIELDS = {
--- a/tests/nodes/test_control_watch.py
+++ b/tests/nodes/test_control_watch.py
@@ -12,9 +12,9 @@
 from granitewell.controlplane.publication.publisher import members_digest
 from granitewell.coordination.rendezvous import shard_of
 from granitewell.discovery.instances import ListedInstance
-from granitewell.model.configuration import Configuration
-from granitewell.model.servers import HeldModel, Server, ServerState
-from granitewell.model.settings import Settings
+from granitewell.domain.configuration import Configuration
+from granitewell.domain.servers import HeldModel, Server, ServerState
+from granitewell.domain.settings import Settings
 from granitewell.nodes.control_nodes import ControlNodes
 from granitewell.nodes.control_watch import ControlWatch, OwnList
 from granitewell.nodes.layout import SHARDS
--- a/tests/nodes/test_edge.py
+++ b/tests/nodes/test_edge.py
@@ -9,7 +9,7 @@
 import pytest
 
 from granitewell.dataplane.edge import DataPlane
-from granitewell.model.settings import Settings
+from granitewell.domain.settings import Settings
 from granitewell.nodes import edge
 from granitewell.nodes.process import Signals
 from tests.dataplane.standin import Scene, Seen, StandIn, configuration, read_message, settings
--- a/tests/recorded/samples.py
+++ b/tests/recorded/samples.py
@@ -35,8 +35,8 @@
     Snapshot,
     VoterChange,
 )
+from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef, Server, ServerState
 from granitewell.leases import record as lease_record
-from granitewell.model.servers import HeldModel, ModelDemand, ModelRef, Server, ServerState
 from granitewell.protocols.peers import counts, frames, gossip, leases, rights
 from granitewell.rpc import messages as rpc
 from granitewell.rpc import translation
--- a/tests/recorded/test_recorded_bytes.py
+++ b/tests/recorded/test_recorded_bytes.py
@@ -12,7 +12,7 @@
 from granitewell.coordination.consensus import codec, storage
 from granitewell.coordination.consensus.identity import IDENTITY_NAME, load_identity
 from granitewell.coordination.log_format import CorruptLog
-from granitewell.model.errors import BadFrame, GranitewellError
+from granitewell.domain.errors import BadFrame, GranitewellError
 from granitewell.rpc.transport import HEAD, MAGIC, VERSION, Kind, Method
 from tests.recorded.samples import (
     CLAIM,
--- a/tests/recorded/test_recorded_inputs.py
+++ b/tests/recorded/test_recorded_inputs.py
@@ -16,8 +16,8 @@
 import orjson
 import pytest
 
-from granitewell.model.errors import InvalidSettings
-from granitewell.model.settings import parse_settings
+from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.settings import parse_settings
 from granitewell.operator.load import load
 from granitewell.operator.registry import Operator
 from tests.controlplane.test_configuration_examples import patch, put_change, route, whole
--- a/tests/rpc/test_transport.py
+++ b/tests/rpc/test_transport.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitewell.model.errors import BadFrame, PeerUnreachable, RpcError, RpcTimeout
+from granitewell.domain.errors import BadFrame, PeerUnreachable, RpcError, RpcTimeout
 from granitewell.rpc.messages import DemandReport, GroupMessage, WatchReply, decode, encode
 from granitewell.rpc.transport import (
     HEAD,
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -90,7 +90,7 @@
     loaded = set(done.stdout.split())
     assert "granitewell.net.loop" in loaded
     assert not {name.partition(".")[0] for name in loaded} & SYSTEM_PACKAGES
-    assert not [name for name in loaded if name.startswith(("granitewell.cli", "granitewell.model"))]
+    assert not [name for name in loaded if name.startswith(("granitewell.cli", "granitewell.domain"))]
 
 
 def test_files_of_the_packages_are_installed_with_them() -> None:
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -46,7 +46,7 @@
 from granitewell.cli.system.exit_handling import ended
 from granitewell.controlplane.configuration.api import OperatorApi
 from granitewell.controlplane.configuration.store import ConfigurationStore
-from granitewell.model.errors import InvalidSettings
+from granitewell.domain.errors import InvalidSettings
 from tests.test_system_settings import LEAST
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -677,7 +677,7 @@
 
 
 def test_the_settings_that_the_page_shows_are_good() -> None:
-    from granitewell.model.settings import parse_settings
+    from granitewell.domain.settings import parse_settings
 
     (example,) = re.findall(r"<!-- settings -->\n\n```json\n(.*?)```", PAGE, re.S)
     settings = parse_settings(example.encode())
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitewell.model.errors import InvalidSettings
-from granitewell.model.settings import (
+from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.settings import (
     DEFAULT_PATH,
     PATH_VARIABLE,
     Settings,
