--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -15,8 +15,8 @@
 from random import Random
 from typing import Any
 
-from tiderelay import interface as t
-from tiderelay.policy import Balancer
+from granitewell.balancing import interface as t
+from granitewell.balancing.balancer import Balancer
 
 HOSTS = 20
 USED = 0.7  # of the fleet's capacity, before all but the cold one leave
--- a/benchmarks/lab_speed.py
+++ b/benchmarks/lab_speed.py
@@ -23,12 +23,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from granitewell.lab import scenario  # noqa: E402
-from granitewell.lab.day import Day  # noqa: E402
-from granitewell.lab.judge import Judge  # noqa: E402
-from granitewell.lab.simulation.play import maker, play  # noqa: E402
-from granitewell.lab.simulation.profile import Sampler  # noqa: E402
-from granitewell.lab.simulation.world import World  # noqa: E402
+from granitewell.lab import scenario
+from granitewell.lab.day import Day
+from granitewell.lab.judge import Judge
+from granitewell.lab.simulation.play import maker, play
+from granitewell.lab.simulation.profile import Sampler
+from granitewell.lab.simulation.world import World
 
 SEED = 1
 LOOP = 2_000_000
--- a/benchmarks/status_cost.py
+++ b/benchmarks/status_cost.py
@@ -24,14 +24,14 @@
 import uvloop
 
 from granitewell import core as c
+from granitewell.balancing.balancer import Balancer
+from granitewell.balancing.interface import Effect, RequestClass, Settings, State, View
 from granitewell.config import Config
 from granitewell.net import status
 from granitewell.net.logs import HEAD_START_US, Log
 from granitewell.net.loop import Node
 from granitewell.status import snapshot, wire
 from granitewell.status.types import MOST_WORST, StatusSettings
-from tiderelay.interface import Effect, RequestClass, Settings, State, View
-from tiderelay.policy import Balancer
 
 FLEETS = 12, 300, 3000, 12_000
 WORST = 50, MOST_WORST
--- a/granitewell/__init__.py
+++ b/granitewell/__init__.py
@@ -1,1 +1,1 @@
-"""The load-balancing node of birlik-dispatch: real sockets around tiderelay's decisions."""
+"""A router and placer for servers that run models, and the load-balancing node of birlik-dispatch."""
--- a/granitewell/__main__.py
+++ b/granitewell/__main__.py
@@ -27,11 +27,11 @@
 
 import uvloop
 
+from granitewell.balancing.balancer import Balancer
 from granitewell.config import Config, ConfigError, load, reload
 from granitewell.core import Core
 from granitewell.handover import Handover
 from granitewell.net.loop import Node
-from tiderelay.policy import Balancer
 
 if TYPE_CHECKING:
     from granitewell.net.cluster import Cluster
--- a/tiderelay/policy.py
+++ b/granitewell/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer. Types, events and actions: tiderelay/interface.py.
+"""Every decision of the balancer. Types, events and actions: granitewell/balancing/interface.py.
 
 A gateway gives Balancer.handle each event and carries out the actions it returns. Nothing here does
 I/O or reads a clock, and instances share nothing. Times are in milliseconds.
@@ -18,17 +18,17 @@
 from typing import Any
 from zlib import crc32
 
-from tiderelay.health import FULL_SHARE, SICK, Call, Health, Pair
-from tiderelay.interface import (
+from granitewell.balancing.outlier_detection import FULL_SHARE, SICK, Call, Health, Pair
+from granitewell.balancing.interface import (
     Abandoned, Acting, Action, Broken, Cancel, Effect, Ended, Event, Fail, Field, FirstByte, Host, Hosts,
     Log, Outcome, PeerMessage, Probed, Refuse, Request, RequestClass, Resettled, Scope, Send, SetTimer,
     Settings, State, Timer, Uploaded, View, Watch,
 )  # fmt: skip
-from tiderelay.sizing import (
+from granitewell.balancing.prefix_sizing import (
     BINS, BURST, DELTA, EWMA_N, OVERRUN, PERIOD as PERIOD, RTT, SAMPLES, SCALE_IN as SCALE_IN, ActivePrefix,
     forecast, slots_needed,
 )  # fmt: skip
-from tiderelay.validate import validate
+from granitewell.balancing.settings_validation import validate
 
 # --- Constants: unit, reason ----------------------------------------------------------------------------
 CHOICES = 3  # hosts compared for a request (power of d choices, 4.5)
--- a/tiderelay/health.py
+++ b/granitewell/balancing/outlier_detection.py
@@ -17,7 +17,7 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-from tiderelay.interface import Outcome
+from granitewell.balancing.interface import Outcome
 
 FAIL_TAU = 6000.0  # ms in which failures are forgotten, so that a host is tried again
 FAIL_GAIN = 0.3  # weight of the newest outcome in a share of failures
--- a/tiderelay/validate.py
+++ b/granitewell/balancing/settings_validation.py
@@ -4,7 +4,7 @@
 
 import math
 
-from tiderelay.interface import Settings
+from granitewell.balancing.interface import Settings
 
 
 def _number(name: str, value: float, low: float, high: float = math.inf) -> None:
--- a/tiderelay/benchlink.py
+++ b/granitewell/balancing/simulator_adapter.py
@@ -7,23 +7,25 @@
 import traceback
 from typing import BinaryIO
 
-from tiderelay import wire
-from tiderelay.policy import Balancer
+from granitewell.balancing import simulator_protocol
+from granitewell.balancing.balancer import Balancer
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
     """One whole frame, or None at the end of input between frames."""
-    head = stream.read(wire.HEADER.size)
+    head = stream.read(simulator_protocol.HEADER.size)
     if not head:
         return None
-    if len(head) < wire.HEADER.size:
-        raise wire.WireError(f"byte {len(head)}: input ended inside a header")
-    length = wire.HEADER.unpack(head)[1]
-    if length < wire.HEADER.size:
-        raise wire.WireError(f"byte 4: a frame of {length} bytes is shorter than its header")
-    body = stream.read(length - wire.HEADER.size)
-    if len(body) < length - wire.HEADER.size:
-        raise wire.WireError(f"byte {len(head) + len(body)}: input ended inside a frame of {length}")
+    if len(head) < simulator_protocol.HEADER.size:
+        raise simulator_protocol.WireError(f"byte {len(head)}: input ended inside a header")
+    length = simulator_protocol.HEADER.unpack(head)[1]
+    if length < simulator_protocol.HEADER.size:
+        raise simulator_protocol.WireError(f"byte 4: a frame of {length} bytes is shorter than its header")
+    body = stream.read(length - simulator_protocol.HEADER.size)
+    if len(body) < length - simulator_protocol.HEADER.size:
+        raise simulator_protocol.WireError(
+            f"byte {len(head) + len(body)}: input ended inside a frame of {length}"
+        )
     return head + body
 
 
@@ -31,7 +33,7 @@
     """The balancers of one process, by instance number."""
 
     def __init__(self) -> None:
-        self.decoder = wire.Decoder()
+        self.decoder = simulator_protocol.Decoder()
         self.balancers: dict[int, Balancer | None] = {}  # None: its decisions broke
 
     def answer(self, frame: bytes) -> bytes:
@@ -39,24 +41,26 @@
         now, events = self.decoder.batch(frame)
         out: list[bytes] = []
         for inst, event in events:
-            if isinstance(event, wire.Stop):
+            if isinstance(event, simulator_protocol.Stop):
                 self.balancers.pop(inst, None)
                 continue
             try:
-                if isinstance(event, wire.Start):
+                if isinstance(event, simulator_protocol.Start):
                     self.balancers[inst] = Balancer(event.settings, event.seed)
                     continue
                 if inst not in self.balancers:
-                    raise wire.WireError(f"an event for instance {inst}, which was never created")
+                    raise simulator_protocol.WireError(
+                        f"an event for instance {inst}, which was never created"
+                    )
                 balancer = self.balancers[inst]
                 if balancer is not None:
-                    out.extend([wire.record(inst, a) for a in balancer.handle(now, event)])
-            except wire.WireError:
+                    out.extend([simulator_protocol.record(inst, a) for a in balancer.handle(now, event)])
+            except simulator_protocol.WireError:
                 raise
             except Exception:
-                out.append(wire.fault(inst, traceback.format_exc()))
+                out.append(simulator_protocol.fault(inst, traceback.format_exc()))
                 self.balancers[inst] = None
-        return wire.reply(out)
+        return simulator_protocol.reply(out)
 
 
 def main() -> int:
@@ -67,8 +71,8 @@
         while (frame := read_frame(stdin)) is not None:
             stdout.write(link.answer(frame))
             stdout.flush()
-    except wire.WireError as error:
-        print(f"tiderelay: {error}", file=sys.stderr)
+    except simulator_protocol.WireError as error:
+        print(f"granitewell: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/tiderelay/wire.py
+++ b/granitewell/balancing/simulator_protocol.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tiderelay import interface as t
-from tiderelay.validate import validate
+from granitewell.balancing import interface as t
+from granitewell.balancing.settings_validation import validate
 
 
 class WireError(Exception):
--- a/granitewell/config.py
+++ b/granitewell/config.py
@@ -2,7 +2,7 @@
 the start and once more for each reload.
 
 It owns the mapping of the deployment's names (classes, tenants, zones, kinds) to the module's indices, next
-to tiderelay.wire.parse_settings, which reads the figures. It must never hold defaults for what the platform
+to granitewell.balancing.simulator_protocol.parse_settings, which reads the figures. It must never hold defaults for what the platform
 has to say, open a socket, or change a Config that it has given out. Whatever is wrong is a ConfigError that
 names the field.
 """
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field, fields, replace
 from typing import Any
 
+from granitewell.balancing.interface import Effect, Settings
+from granitewell.balancing.simulator_protocol import WireError, parse_settings
 from granitewell.files import whole
-from tiderelay.interface import Effect, Settings
-from tiderelay.wire import WireError, parse_settings
 
 FIXED = ("name", "listen", "cores", "sockets", "memory_mb", "console", "inherited", "known", "seed")
 _HOST = re.compile(r"\[?(?=.{1,253}\Z)[A-Za-z0-9_:%-]{1,63}(?:\.[A-Za-z0-9_-]{1,63})*\]?\Z")
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -3,7 +3,7 @@
 It owns the request table, the outbound calls, the fleet, the timers, the phase and the Balancer, and it
 guards the platform's rules a second time, whatever the module asks for. It must never do I/O, read a clock,
 know a byte of any protocol (messages and answers pass through as opaque objects), or decide where a request
-goes: that is tiderelay's. Time is whole microseconds, given by the caller; the module's float milliseconds
+goes: that is granitewell.balancing's. Time is whole microseconds, given by the caller; the module's float milliseconds
 exist only at its door (_ask and _act).
 """
 
@@ -16,6 +16,8 @@
 from heapq import heappop, heappush
 from typing import Any, Protocol
 
+from granitewell.balancing import interface as t
+from granitewell.balancing.interface import Effect, Outcome, Scope, State, View
 from granitewell.core.tables import Call, Endpoint, Held
 from granitewell.core.types import (
     AbandonCall,
@@ -57,8 +59,6 @@
     Woken,
     WriteCall,
 )
-from tiderelay import interface as t
-from tiderelay.interface import Effect, Outcome, Scope, State, View
 
 # --- Figures of the node itself, in microseconds ---
 GUARD_US = 25_000  # past a request's due time, when the core itself answers: half of the platform's slack
@@ -84,7 +84,7 @@
 
 
 class Decider(Protocol):
-    """What the core needs of tiderelay.policy.Balancer."""
+    """What the core needs of granitewell.balancing.balancer.Balancer."""
 
     def handle(self, now: float, event: t.Event) -> list[t.Action]: ...
 
--- a/granitewell/core/tables.py
+++ b/granitewell/core/tables.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
+from granitewell.balancing import interface as t
+from granitewell.balancing.interface import Outcome
 from granitewell.core.types import Arrived, Member
-from tiderelay import interface as t
-from tiderelay.interface import Outcome
 
 
 class Call:
--- a/granitewell/core/types.py
+++ b/granitewell/core/types.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from tiderelay.interface import Outcome, Settings, State, View
+from granitewell.balancing.interface import Outcome, Settings, State, View
 
 
 class Phase(Enum):
--- a/granitewell/dataplane/request_forwarder.py
+++ b/granitewell/dataplane/request_forwarder.py
@@ -14,6 +14,7 @@
 from aiohttp.http_parser import RawResponseMessage
 from aiohttp.streams import StreamReader
 
+from granitewell.balancing.prefix_sizing import DELTA
 from granitewell.dataplane.dispatch import Dispatcher, Want
 from granitewell.dataplane.events import Event, EventCutter, EventTooLong, number_of
 from granitewell.dataplane.headers import (
@@ -38,7 +39,6 @@
 from granitewell.domain.configuration import Route, RouteKind
 from granitewell.domain.errors import GranitewellError
 from granitewell.domain.servers import ModelRef
-from tiderelay.sizing import DELTA
 
 SERVER_MARGIN_S = 0.010  # a server is told that it has less time: its last word must reach the client
 MISSING_PART = 0.45  # of its time that a request waits for a model: refused after half of it, it costs more
--- a/granitewell/dataplane/server_selection.py
+++ b/granitewell/dataplane/server_selection.py
@@ -1,7 +1,7 @@
 """The servers that may run a request, and which of them gets it. Pure; times in seconds.
 
 A pool is all ready servers of a service, or those that hold a model. All nodes sort them by id into one order
-and use the first ones, the active prefix, as many as the latency model asks for (tiderelay.sizing). A request
+and use the first ones, the active prefix, as many as the latency model asks for (granitewell.balancing.prefix_sizing). A request
 goes to a random server of the prefix; a server with too many requests of this node is busy and passed over,
 and past a prefix of busy servers the rest of the order is used. Departures from this, each for a rule or a
 deployment: of two random picks the less loaded one is taken, servers where requests wait or that look ill are
@@ -16,8 +16,7 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 from random import Random
 
-from granitewell.dataplane.servers import ServerRecord
-from tiderelay.sizing import (
+from granitewell.balancing.prefix_sizing import (
     BINS,
     BURST,
     EWMA_N,
@@ -29,6 +28,7 @@
     forecast,
     slots_needed,
 )
+from granitewell.dataplane.servers import ServerRecord
 
 COMFORTABLE_PART = 1 / 3  # of an engine's slots: with more at once its tokens come too slowly
 PATIENCE_MEANS = 8.0  # mean times to a first byte that a server may be silent,
--- a/granitewell/domain/configuration.py
+++ b/granitewell/domain/configuration.py
@@ -88,7 +88,7 @@
     class Config(BaseConfig):
         """What mashumaro reads each plain type with."""
 
-        serialization_strategy = {  # noqa: RUF012 (mashumaro reads it as a plain attribute)
+        serialization_strategy = {
             str: {"deserialize": _text},
             bool: {"deserialize": _truth},
             int: {"deserialize": _whole_number},
--- a/granitewell/lab/experiments/plan.py
+++ b/granitewell/lab/experiments/plan.py
@@ -12,7 +12,7 @@
     name = "today"
     [[variant]]
     name = "hasty"
-    constants = { "tiderelay.health.PATIENCE" = 3.0 }
+    constants = { "granitewell.balancing.outlier_detection.PATIENCE" = 3.0 }
     [[variant]]
     name = "plain"
     policy = "least-inflight"
@@ -289,8 +289,8 @@
         one.fail("constants", f"found {value!r}, allowed is a table of dotted names and numbers")
     for dotted, figure in value.items():
         module, _, name = dotted.rpartition(".")
-        if not module.startswith(("tiderelay.", "granitewell.")):
-            one.fail(f"constants.{dotted}", "allowed are names in tiderelay and granitewell")
+        if not module.startswith("granitewell."):
+            one.fail(f"constants.{dotted}", "allowed are names in granitewell")
         try:
             now = getattr(importlib.import_module(module), name)
         except (ImportError, AttributeError):
--- a/granitewell/lab/experiments/store.py
+++ b/granitewell/lab/experiments/store.py
@@ -50,7 +50,7 @@
 def fingerprint(root: Path) -> str:
     """Of all sources of the project: results of two codes must not be mixed."""
     total = blake2b(digest_size=8)
-    for package in ("granitewell", "tiderelay"):
+    for package in ("granitewell",):
         for path in sorted((root / package).rglob("*.py")):
             total.update(str(path.relative_to(root)).encode() + b"\0" + path.read_bytes())
     return total.hexdigest()
--- a/granitewell/lab/faults.py
+++ b/granitewell/lab/faults.py
@@ -30,7 +30,7 @@
 there does nothing. A condition belongs to the machine: a process that starts while it lasts has it too. Endpoints
 that come later need no fault: they stand in `Day.endpoints` with `started_us` > 0, and where `takes_over` names
 another, they have its address, where nobody listens any more by then. Changes of the load are in `Day.load`.
-"""  # noqa: E501
+"""
 
 from __future__ import annotations
 
--- a/granitewell/lab/mutants/catalogue.py
+++ b/granitewell/lab/mutants/catalogue.py
@@ -11,7 +11,11 @@
 
 from granitewell.lab.mutants.patch import Patch
 
-CORE, POLICY, HEALTH = "granitewell/core/reducer.py", "tiderelay/policy.py", "tiderelay/health.py"
+CORE, POLICY, HEALTH = (
+    "granitewell/core/reducer.py",
+    "granitewell/balancing/balancer.py",
+    "granitewell/balancing/outlier_detection.py",
+)
 HTTP1, LOOP = "granitewell/net/http1.py", "granitewell/net/loop.py"
 POOL = "granitewell/net/pool.py"
 
--- a/granitewell/lab/mutants/patch.py
+++ b/granitewell/lab/mutants/patch.py
@@ -12,9 +12,8 @@
 from pathlib import Path
 
 import granitewell
-import tiderelay
 
-_HOMES = {m.__name__: Path(str(m.__file__)).parent for m in (granitewell, tiderelay)}
+_HOMES = {m.__name__: Path(str(m.__file__)).parent for m in (granitewell,)}
 _LEFT_OUT = shutil.ignore_patterns("__pycache__", "*.pyc")
 
 
--- a/granitewell/lab/platform.py
+++ b/granitewell/lab/platform.py
@@ -1,7 +1,7 @@
 """What the platform tells a node of a drawn day: the JSON of `LB_CONFIG`, and the module's settings in it.
 
 It owns the platform's names for the day's figures. It must never tell a node what the platform does not: true
-speeds, queues, delays and faults stay out. `granitewell.config.load` and `tiderelay.wire.parse_settings` read
+speeds, queues, delays and faults stay out. `granitewell.config.load` and `granitewell.balancing.simulator_protocol.parse_settings` read
 what is made here.
 """
 
@@ -11,10 +11,10 @@
 from collections.abc import Mapping
 from typing import Any
 
+from granitewell.balancing.interface import Settings
+from granitewell.balancing.simulator_protocol import parse_settings
 from granitewell.lab.day import ClassDay, Day
 from granitewell.lab.engine import stream
-from tiderelay.interface import Settings
-from tiderelay.wire import parse_settings
 
 MEMORY_MB, SOCKETS, MOST_HELD = 192, 1024, 20_000
 REPORT_NAMES = {
--- a/granitewell/lab/scenarios/text.py
+++ b/granitewell/lab/scenarios/text.py
@@ -107,7 +107,7 @@
   what is allowed; the exit code is 2.
 - `--nodes`, `--endpoints`, `--rate` and `--length` of the commands take the place of what the file says. With
   `utilisation`, the rate grows with the fleet.
-""".splitlines()  # noqa: E501
+""".splitlines()
     yield f"""
 A trace is a CSV file with the header `{','.join(HEADER)}` and one line for each first try: seconds since
 the day began, rising; names as in the scenario; a whole number for the key (0: none).
--- a/granitewell/lab/simulation/node_host.py
+++ b/granitewell/lab/simulation/node_host.py
@@ -9,6 +9,7 @@
 from typing import TYPE_CHECKING
 
 from granitewell import core as c
+from granitewell.balancing.interface import State, View
 from granitewell.lab.day import NodeDay
 from granitewell.lab.emulator import types as t
 from granitewell.lab.engine import stream
@@ -16,7 +17,6 @@
 from granitewell.lab.simulation.node import Node
 from granitewell.lab.simulation.outbound import HEAD_START_US
 from granitewell.lab.simulation.probing import Probing
-from tiderelay.interface import State, View
 
 if TYPE_CHECKING:
     from granitewell.lab.simulation.world import World
--- a/granitewell/lab/simulation/oracle.py
+++ b/granitewell/lab/simulation/oracle.py
@@ -13,8 +13,8 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
+from granitewell.balancing.interface import Settings
 from granitewell.lab.simulation.policies import Held, Plain
-from tiderelay.interface import Settings
 
 if TYPE_CHECKING:
     from granitewell.lab.simulation.node_host import Seat
--- a/granitewell/lab/simulation/outbound.py
+++ b/granitewell/lab/simulation/outbound.py
@@ -11,9 +11,9 @@
 from typing import TYPE_CHECKING
 
 from granitewell import core as c
+from granitewell.balancing.interface import Outcome
 from granitewell.lab.emulator.types import Ask
 from granitewell.lab.simulation.pool import Conn, Pool
-from tiderelay.interface import Outcome
 
 if TYPE_CHECKING:
     from granitewell.lab.simulation.node import Node
--- a/granitewell/lab/simulation/play.py
+++ b/granitewell/lab/simulation/play.py
@@ -14,6 +14,8 @@
 from dataclasses import dataclass, field
 from typing import IO, Any
 
+from granitewell.balancing.balancer import Balancer
+from granitewell.balancing.interface import Settings
 from granitewell.core import Decider
 from granitewell.lab.day import Day
 from granitewell.lab.simulation import policies, published
@@ -22,8 +24,6 @@
 from granitewell.lab.simulation.probing import Probing
 from granitewell.lab.simulation.world import Maker, World
 from granitewell.lab.witness import Witness
-from tiderelay.interface import Settings
-from tiderelay.policy import Balancer
 
 STEP_US = 50_000  # between two looks whether anything is still owed
 GRACE_US = 5_000_000  # past the last deadlines, when a day ends whatever is still owed
--- a/granitewell/lab/simulation/policies.py
+++ b/granitewell/lab/simulation/policies.py
@@ -14,7 +14,7 @@
 
 from random import Random
 
-from tiderelay.interface import (
+from granitewell.balancing.interface import (
     Abandoned,
     Action,
     Cancel,
--- a/granitewell/lab/simulation/probing.py
+++ b/granitewell/lab/simulation/probing.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
+from granitewell.balancing.interface import Action, Event, Outcome, Probe, Probed
 from granitewell.core import Decider
-from tiderelay.interface import Action, Event, Outcome, Probe, Probed
 
 if TYPE_CHECKING:
     from granitewell.lab.simulation.node import Node
--- a/granitewell/lab/simulation/profile.py
+++ b/granitewell/lab/simulation/profile.py
@@ -19,7 +19,7 @@
     ("granitewell/lab/emulator/", "model"),
     ("granitewell/lab/judge/", "judge"),
     ("granitewell/core", "core"),
-    ("tiderelay/", "module"),
+    ("granitewell/balancing/", "module"),
 )
 
 
--- a/granitewell/lab/simulation/published.py
+++ b/granitewell/lab/simulation/published.py
@@ -13,8 +13,8 @@
 from collections.abc import Sequence
 from statistics import median
 
+from granitewell.balancing.interface import Ended, Field, Outcome, Probe, Probed, Settings
 from granitewell.lab.simulation.policies import Held, Plain
-from tiderelay.interface import Ended, Field, Outcome, Probe, Probed, Settings
 
 # --- Envoy: configuration reference of cluster.v3.OutlierDetection, defaults ---
 CONSECUTIVE_5XX = 5
--- a/granitewell/lab/simulation/world.py
+++ b/granitewell/lab/simulation/world.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable, Sequence
 from typing import IO
 
+from granitewell.balancing.interface import Settings
 from granitewell.core import Decider
 from granitewell.lab.day import Day
 from granitewell.lab.emulator import types as t
@@ -27,7 +28,6 @@
 from granitewell.lab.simulation.site import Alarm, Site
 from granitewell.lab.simulation.troubles import Troubles
 from granitewell.lab.witness import Witness
-from tiderelay.interface import Settings
 
 MOST_NOTES = 20  # kept of the lines that nodes write of their own faults
 
--- a/granitewell/net/discovery.py
+++ b/granitewell/net/discovery.py
@@ -17,11 +17,11 @@
 from dataclasses import dataclass
 from typing import Any
 
+from granitewell.balancing.interface import View
 from granitewell.core import FleetNews
 from granitewell.net import http1
 from granitewell.net.clock import Clock
 from granitewell.net.sockets import BUFFER, end, tcp
-from tiderelay.interface import View
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/net/downstream.py
+++ b/granitewell/net/downstream.py
@@ -241,7 +241,7 @@
             many: Descriptors are short.
         """
         for inbound in list(self.held.values()):
-            if not guarded(lambda: self.tend(inbound, now, many)):  # noqa: B023 (called at once)
+            if not guarded(lambda: self.tend(inbound, now, many)):
                 self.drop(inbound)
 
     def tend(self, inbound: Inbound, now: int, many: bool) -> None:
--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -18,9 +18,9 @@
 
 import httptools
 
+from granitewell.balancing.interface import Effect, Outcome, State, View
 from granitewell.config import Config, ConfigError, address
 from granitewell.core import Answer, FleetNews, Member, Verdict
-from tiderelay.interface import Effect, Outcome, State, View
 
 MOST_KEPT = 64 * 1024  # bytes of a body that are kept whole; a larger one is passed on as it comes
 MOST_BODY = 40 * 1024 * 1024  # bytes of any body
--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -19,6 +19,7 @@
 from typing import TYPE_CHECKING, Any
 
 from granitewell import core as c
+from granitewell.balancing.interface import Outcome, View
 from granitewell.config import Config, needs_restart, taken_up
 from granitewell.handover import Handover, Moment
 from granitewell.net import http1
@@ -33,7 +34,6 @@
 from granitewell.net.pool import Conn, Pool
 from granitewell.net.sockets import BUFFER
 from granitewell.reload import complete, follow
-from tiderelay.interface import Outcome, View
 
 if TYPE_CHECKING:
     from granitewell.net.status import Door
--- a/granitewell/protocols/peers/bodies.py
+++ b/granitewell/protocols/peers/bodies.py
@@ -31,7 +31,7 @@
 
     def __init__(self, *types: type[Body]) -> None:
         self._encoder = msgspec.msgpack.Encoder()
-        self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Union[types])  # noqa: UP007
+        self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Union[types])
 
     def write(self, message: T) -> bytes:
         """The body of a message."""
--- a/granitewell/status/metrics.py
+++ b/granitewell/status/metrics.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from dataclasses import dataclass
 
+from granitewell.balancing.interface import Outcome
 from granitewell.core import Phase, Verdict
 from granitewell.status.types import OLDER, Snapshot, Use
-from tiderelay.interface import Outcome
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 PREFIX = "granitewell_"
--- a/granitewell/status/snapshot.py
+++ b/granitewell/status/snapshot.py
@@ -17,6 +17,8 @@
 from heapq import heappush, heapreplace
 from typing import Any, Generic, Literal, Protocol, TypeVar, cast, runtime_checkable
 
+from granitewell.balancing.interface import State
+from granitewell.balancing.outlier_detection import Cause
 from granitewell.core import Core
 from granitewell.core.tables import Endpoint
 from granitewell.status.types import (
@@ -35,8 +37,6 @@
     Snapshot,
     Sockets,
 )  # fmt: skip
-from tiderelay.health import Cause
-from tiderelay.interface import State
 
 STEP = 100  # endpoints, calls or requests looked at in one step
 ROWS = 25  # rows made in one step
@@ -55,7 +55,7 @@
 
 @runtime_checkable
 class Judging(Protocol):
-    """What the look needs of tiderelay.policy.Balancer.
+    """What the look needs of granitewell.balancing.balancer.Balancer.
 
     Figures, by class whether its fleet is full, by held request its class and when it came (ms), and by ready
     endpoint what is known of it.
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from tiderelay.interface import (
+from granitewell.balancing.interface import (
     Abandoned,
     Action,
     Effect,
--- a/tests/cluster/test_frames.py
+++ b/tests/cluster/test_frames.py
@@ -185,7 +185,7 @@
     for_boot: int
     life: int
     term: int
-    mood: list[dict[str, int]] = []  # noqa: RUF012  (never changed)
+    mood: list[dict[str, int]] = []
 
 
 @pytest.mark.parametrize("said", SAID)
--- a/tests/cluster/test_virtual.py
+++ b/tests/cluster/test_virtual.py
@@ -51,7 +51,7 @@
     cluster = Cluster(7, replace(quality))
     nodes = []
     for name, script in zip("abcdef", scripts, strict=False):
-        make: Callable[[Boot], list[Echo]] = lambda boot, script=script: [Echo(boot, script)]  # type: ignore[misc] # noqa: E731
+        make: Callable[[Boot], list[Echo]] = lambda boot, script=script: [Echo(boot, script)]  # type: ignore[misc]
         nodes.append(cluster.add(Spec(name, name, make, **more)))
     for node in nodes:
         cluster.start(node)
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from granitewell import core as c
+from granitewell.balancing.interface import State, View
 from granitewell.net.loop import Node
 from tests.shell import turns
-from tiderelay.interface import State, View
 
 GET = b"GET /taxi-lookup/1 HTTP/1.1\r\nRequest-Id: %s\r\nRequest-Timeout-Ms: 5000\r\n\r\n"
 POST = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: %s\r\nRequest-Timeout-Ms: 5000\r\n"
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -39,8 +39,8 @@
     ("nodes = 1", "nodes = 0", r"scenarios\[0\].nodes: found 0"),
     ("nodes = 1", "nods = 1", r"scenarios\[0\].nods: unknown key"),
     ('"calm"', '"claim"', "scenarios 'claim.*'"),
-    ('policy = "random"', 'constants = { "tiderelay.policy.NOPE" = 1 }', "NOPE: there is no such name"),
-    ('policy = "random"', 'constants = { "os.path" = 1 }', "allowed are names in tiderelay"),
+    ('policy = "random"', 'constants = { "granitewell.balancing.balancer.NOPE" = 1 }', "NOPE: there is no such name"),
+    ('policy = "random"', 'constants = { "os.path" = 1 }', "allowed are names in granitewell"),
     ('policy = "random"', 'name = "module"', "not TOML"),
     ('seeds = "1..2"', 'seeds = "1..2"\nbase = "x"', "base: found 'x'"),
     ('seeds = "1..2"', 'seeds = "1..2"\nshell = "sockets"', r"variant\[1\].policy: on sockets"),
@@ -115,12 +115,12 @@
 
 
 def test_constants_belong_to_their_variant_alone() -> None:
-    import tiderelay.policy
+    import granitewell.balancing.balancer
 
-    text = PLAN.replace('policy = "random"', 'constants = { "tiderelay.policy.EARLY" = 0.0 }')
+    text = PLAN.replace('policy = "random"', 'constants = { "granitewell.balancing.balancer.EARLY" = 0.0 }')
     made = plan.parse(text)
     ended = list(runner.play(made.runs()[:2], made, 1))
-    assert [k.failed for k in ended] == ["", ""] and tiderelay.policy.EARLY != 0.0
+    assert [k.failed for k in ended] == ["", ""] and granitewell.balancing.balancer.EARLY != 0.0
     assert "EARLY = 0" in ended[1].command
 
 
--- a/tests/lab/test_ranking.py
+++ b/tests/lab/test_ranking.py
@@ -17,6 +17,7 @@
 import msgspec
 import pytest
 
+from granitewell.balancing.interface import Hosts
 from granitewell.core import Core
 from granitewell.lab.day import Day, Fault
 from granitewell.lab.judge import Judge
@@ -24,7 +25,6 @@
 from granitewell.lab.simulation.play import play
 from granitewell.lab.simulation.policies import RandomChoice
 from tests.lab.test_simulation_digest import small_day
-from tiderelay.interface import Hosts
 
 # scenario: length, begin and span of its fault, the module's G there, by how much the blind ones are worse
 LIKE = {
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -16,6 +16,8 @@
 import pytest
 from click.testing import CliRunner
 
+from granitewell.balancing import interface as t
+from granitewell.balancing.interface import Outcome, Settings
 from granitewell.cli.lab_sim import hunt as hunt_command
 from granitewell.cli.lab_sim import sim as sim_command
 from granitewell.core import Decider
@@ -30,8 +32,6 @@
 from granitewell.lab.simulation.troubles import FaultError
 from granitewell.lab.simulation.world import World
 from tests.lab.test_simulation_digest import small_day
-from tiderelay import interface as t
-from tiderelay.interface import Outcome, Settings
 
 S = 1_000_000
 NET_MS = 2.0  # one way between zones; all delays are fixed
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -13,11 +13,11 @@
 from typing import Any
 
 from granitewell import core as c
+from granitewell.balancing import interface as t
+from granitewell.balancing.balancer import Balancer
+from granitewell.balancing.interface import Effect, Host, Hosts, Outcome, State, View
 from tests import wirekit as w
 from tests.checker import Broken, Checker
-from tiderelay import interface as t
-from tiderelay.interface import Effect, Host, Hosts, Outcome, State, View
-from tiderelay.policy import Balancer
 
 STEP_US = 1_000  # between two events
 WAIT_US = 550_000  # of `wait`: past the 500 ms after which nothing new may go to what drains
--- a/tests/shell.py
+++ b/tests/shell.py
@@ -11,12 +11,12 @@
 import uvloop
 
 from granitewell import core as c
+from granitewell.balancing.balancer import Balancer
+from granitewell.balancing.interface import State, View
 from granitewell.config import load
 from granitewell.core import Core
 from granitewell.net.loop import Node
 from tests.test_config import write
-from tiderelay.interface import State, View
-from tiderelay.policy import Balancer
 
 TURNS = 200  # of the loop, in which whatever is on its way between two tasks has arrived
 LIMIT_S = 20.0  # for any one thing to happen; only a failing test waits so long
--- a/tests/test_behavior_digests.py
+++ b/tests/test_behavior_digests.py
@@ -17,11 +17,11 @@
 
 import pytest
 
+from granitewell.balancing.prefix_sizing import ActivePrefix
 from granitewell.controlplane.placement import limits
 from granitewell.coordination.consensus.core import Core
 from granitewell.coordination.consensus.election import Election
 from granitewell.dataplane.request import Attempts
-from tiderelay.sizing import ActivePrefix
 from tools.behavior_digests import HASH_SEED, WORLDS, Recorder, Row, play_seed
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -248,9 +248,9 @@
     hooks = "__editable__", "_distutils_hack", "sitecustomize", "org."
     strange = {x for x in loaded if not x.startswith(hooks)} - {"org"}
     assert {"granitewell.net.loop", "granitewell.net.logs", "uvloop", "httptools"} <= strange
-    assert {x.split(".")[0] for x in strange} == {"granitewell", "tiderelay", "uvloop", "httptools"}
+    assert {x.split(".")[0] for x in strange} == {"granitewell", "uvloop", "httptools"}
     rooms = {x.split(".")[1] for x in strange if x.startswith("granitewell.")}
-    assert rooms == {"config", "core", "files", "handover", "net", "pace", "reload"}
+    assert rooms == {"config", "core", "files", "handover", "net", "reload", "startup_pacing", "balancing"}
 
 
 # --- the project ----------------------------------------------------------------------------------------
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,11 +13,11 @@
 
 import pytest
 
+from granitewell.balancing.interface import State, View
 from granitewell.config import ConfigError, load, needs_restart, reload
 from granitewell.net.clock import Clock
 from granitewell.net.http1 import FleetReader, Names
 from tests.play import settings
-from tiderelay.interface import State, View
 
 
 def write(folder: Path, **changes: Any) -> dict[str, str]:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,10 +11,10 @@
 import pytest
 
 from granitewell import core as c
+from granitewell.balancing import interface as t
+from granitewell.balancing.balancer import Balancer
+from granitewell.balancing.interface import Outcome, State, View
 from tests import wirekit as w
-from tiderelay import interface as t
-from tiderelay.interface import Outcome, State, View
-from tiderelay.policy import Balancer
 
 SAFE, UNSAFE, KEYED = 0, 1, 2
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -11,6 +11,8 @@
 import pytest
 import uvloop
 
+from granitewell.balancing.balancer import Balancer
+from granitewell.balancing.interface import Outcome
 from granitewell.config import load
 from granitewell.core import Core
 from granitewell.net.downstream import (
@@ -28,8 +30,6 @@
 from granitewell.net.sockets import readable
 from tests.play import FOLDER, LIMIT_S, Player, play
 from tests.test_config import write
-from tiderelay.interface import Outcome
-from tiderelay.policy import Balancer
 
 
 @pytest.mark.parametrize("path", sorted(FOLDER.glob("*.txt")), ids=lambda p: p.stem)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -5,8 +5,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tiderelay.health import LEAST_N, MOST_SICK, PATIENCE, SICK, Call, Cause, Health, Pair
-from tiderelay.interface import Outcome
+from granitewell.balancing.interface import Outcome
+from granitewell.balancing.outlier_detection import (
+    LEAST_N,
+    MOST_SICK,
+    PATIENCE,
+    SICK,
+    Call,
+    Cause,
+    Health,
+    Pair,
+)
 
 SAFE, UNSAFE = 0, 1
 ENDS = [o for o in Outcome]
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -20,6 +20,8 @@
 import pytest
 
 from granitewell import core as c
+from granitewell.balancing.balancer import Balancer
+from granitewell.balancing.interface import Outcome, State, View
 from granitewell.config import ConfigError, load
 from granitewell.lab import capture, day_json, recording
 from granitewell.lab.experiments import plan
@@ -45,8 +47,6 @@
 from granitewell.status import wire
 from tests.shell import client_of, played, turns, until
 from tests.test_config import write
-from tiderelay.interface import Outcome, State, View
-from tiderelay.policy import Balancer
 
 ROOT = Path(__file__).resolve().parents[1]
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -14,7 +14,11 @@
 def run(data: bytes, hashseed: str = "0") -> subprocess.CompletedProcess[bytes]:
     env = os.environ | {"PYTHONHASHSEED": hashseed}
     return subprocess.run(
-        [sys.executable, "-m", "tiderelay.benchlink"], input=data, capture_output=True, env=env, check=False
+        [sys.executable, "-m", "granitewell.balancing.simulator_adapter"],
+        input=data,
+        capture_output=True,
+        env=env,
+        check=False,
     )
 
 
@@ -86,13 +90,13 @@
 
 
 def test_broken_decisions_are_reported(monkeypatch: Any) -> None:
-    from tiderelay import benchlink
+    from granitewell.balancing import simulator_adapter
 
     def boom(*_: Any) -> None:
         raise RuntimeError("no such thing")
 
-    monkeypatch.setattr("tiderelay.policy.Balancer.handle", boom)
-    link = benchlink.Link()
+    monkeypatch.setattr("granitewell.balancing.balancer.Balancer.handle", boom)
+    link = simulator_adapter.Link()
     link.answer(w.frame(1.0, w.create(0, 1, w.boot())))
     (action,) = w.read_reply(link.answer(w.frame(2.0, w.due(0, 0))))
     assert action[:2] == ("internal_error", 0) and b"no such thing" in action[2]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -16,10 +16,10 @@
 import pytest
 
 from granitewell import core as c
+from granitewell.balancing.balancer import Balancer
 from granitewell.lab.cluster.search import Seen, search
 from tests.checker import Broken
 from tests.orders import Event, Order, World
-from tiderelay.policy import Balancer
 
 # name: kinds of events, length, whether calls are dialed, nodes
 WORLDS = {
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tests import wirekit as w
-from tiderelay.interface import (
+from granitewell.balancing.balancer import PERIOD, SCALE_IN, Balancer
+from granitewell.balancing.interface import (
     Abandoned,
     Action,
     Ended,
@@ -27,7 +27,7 @@
     View,
     Watch,
 )
-from tiderelay.policy import PERIOD, SCALE_IN, Balancer
+from tests import wirekit as w
 
 
 def host(k: int, state: State = State.READY, started: float = 0.0, cell: int = 0, zone: int = 0) -> Host:
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -14,7 +14,7 @@
 from packaging.utils import canonicalize_name
 
 ROOT = Path(__file__).resolve().parent.parent
-POLICY = (ROOT / "tiderelay" / "policy.py").read_text().splitlines()
+POLICY = (ROOT / "granitewell" / "balancing" / "balancer.py").read_text().splitlines()
 
 
 def test_the_module_stays_within_its_lines() -> None:
@@ -23,8 +23,8 @@
 
 
 def test_the_module_names_its_interface_and_reads_no_names() -> None:
-    assert "tiderelay/interface.py" in POLICY[0]
-    interface = (ROOT / "tiderelay" / "interface.py").read_text()
+    assert "granitewell/balancing/interface.py" in POLICY[0]
+    interface = (ROOT / "granitewell" / "balancing" / "interface.py").read_text()
     assert not re.search(r"^    name:", interface, re.M)
     assert not [line for line in POLICY if re.search(r"\.name\b", line)]
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,6 +16,9 @@
 import pytest
 
 from granitewell import core as c
+from granitewell.balancing import interface as t
+from granitewell.balancing.balancer import Balancer
+from granitewell.balancing.interface import Effect, Outcome, State, View
 from granitewell.config import Config, ConfigError, load, reload
 from granitewell.net.http1 import MOST_PLACES, Ask, Bad, FleetReader, InboundParser, Names
 from granitewell.reload import MOST_NAMES, complete, follow
@@ -23,9 +26,6 @@
 from tests.play import LIMIT_S, Player, settings
 from tests.test_config import write
 from tests.test_core import SAFE, Script, calls, core, send
-from tiderelay import interface as t
-from tiderelay.interface import Effect, Outcome, State, View
-from tiderelay.policy import Balancer
 
 NEW = {"name": "taxi-lookup_b", "effect": "side_effect", "aimMs": 500.0, "giveUpMs": 900.0, "value": 2.0}
 
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -47,7 +47,7 @@
     "granitewell.config": "config",
     "granitewell.reload": "config",
     "granitewell.core": "core",
-    "tiderelay": "tiderelay",
+    "granitewell.balancing": "balancing",
     # the whole system
     "granitewell.domain": "model",
     "granitewell.rpc": "rpc",
@@ -66,29 +66,29 @@
 MAY = {
     "root": set(),
     "cli": {"lab", "operator", "subject", "config", *LAB},
-    "lab": {"files", "operator", "subject", "machine", "config", "protocols", "core", "tiderelay", *LAB},
+    "lab": {"files", "operator", "subject", "machine", "config", "protocols", "core", "balancing", *LAB},
     "lab cluster": {"lab base", "subject", "machine", "protocols"},
     "lab system": {"model"},  # starts the programs as processes, and imports none of their planes
-    "lab sim": {"lab platform", "lab base", "lab model", "protocols", "core", "tiderelay"},
-    "lab platform": {"lab base", "protocols", "config", "core", "tiderelay"},
+    "lab sim": {"lab platform", "lab base", "lab model", "protocols", "core", "balancing"},
+    "lab platform": {"lab base", "protocols", "config", "core", "balancing"},
     "lab model": {"lab base"},
     "lab judge": {"lab base"},
     "lab base": set(),
-    "start": {"net", "files", "operator", "config", "core", "tiderelay"},
-    "net": {"logs", "files", "subject", "machine", "protocols", "config", "core", "tiderelay"},
-    "protocols": {"config", "core", "tiderelay"},
-    "operator": {"logs", "files", "protocols", "subject", "config", "core", "tiderelay"},
-    "config": {"files", "tiderelay"},
-    "subject": {"machine", "protocols", "core", "tiderelay"},
+    "start": {"net", "files", "operator", "config", "core", "balancing"},
+    "net": {"logs", "files", "subject", "machine", "protocols", "config", "core", "balancing"},
+    "protocols": {"config", "core", "balancing"},
+    "operator": {"logs", "files", "protocols", "subject", "config", "core", "balancing"},
+    "config": {"files", "balancing"},
+    "subject": {"machine", "protocols", "core", "balancing"},
     "machine": set(),
-    "core": {"tiderelay"},
+    "core": {"balancing"},
     "logs": set(),
     "files": set(),
-    "tiderelay": set(),
-    "cli.system": {"nodes", "core", "tiderelay", *SYSTEM},
-    "nodes": {"core", "tiderelay", *SYSTEM},
+    "balancing": set(),
+    "cli.system": {"nodes", "core", "balancing", *SYSTEM},
+    "nodes": {"core", "balancing", *SYSTEM},
     "controlplane": {"coordination", "discovery", "rpc", "model"},  # the planes never import each other
-    "dataplane": {"discovery", "model", "core", "tiderelay"},
+    "dataplane": {"discovery", "model", "core", "balancing"},
     "coordination": {"rpc", "model"},
     "discovery": {"model"},
     "rpc": {"model"},
@@ -119,10 +119,10 @@
 
 # rooms that are pure: no clock, no descriptor, no random number of their own
 PURE = {"core", "subject", "machine", "protocols", "lab base", "lab model", "lab judge", "lab platform",
-        "lab sim", "lab cluster", "tiderelay",
+        "lab sim", "lab cluster", "balancing",
         "model", "rpc", "discovery", "coordination", "controlplane", "dataplane"}  # fmt: skip
 SHELLS = {  # the modules of pure rooms that are none: they run the pure ones on clocks, sockets and files
-    "tiderelay.benchlink",  # the simulator's adapter: reads and writes the pipe
+    "granitewell.balancing.simulator_adapter",  # the simulator's adapter: reads and writes the pipe
     "granitewell.rpc.transport",
     "granitewell.discovery.reader",
     "granitewell.coordination.consensus.group",
@@ -176,7 +176,7 @@
 
 
 def _ours(name: str) -> bool:
-    return name.partition(".")[0] in ("granitewell", "tiderelay")
+    return name.partition(".")[0] == "granitewell"
 
 
 def _sibling(a: str, b: str) -> bool:
@@ -221,7 +221,7 @@
 
 SOURCES = {
     ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
-    for folder in ("granitewell", "tiderelay")
+    for folder in ("granitewell",)
     for path in sorted((ROOT / folder).rglob("*.py"))
 }
 
@@ -249,7 +249,7 @@
         ("granitewell.lab.judge.x", "from granitewell.lab.emulator import terms", "lab judge imports lab model"),
         ("granitewell.limits.pure", "from granitewell.routes import x", "a subject imports another"),
         ("granitewell.limits.pure", "from granitewell.config import x", "subject imports config"),
-        ("tiderelay.policy", "if TYPE_CHECKING:\n    import granitewell.core", "tiderelay imports core"),
+        ("granitewell.balancing.balancer", "if TYPE_CHECKING:\n    import granitewell.core", "balancing imports core"),
         ("granitewell.net.loop", "import msgspec.json", "net imports the package msgspec"),
         ("granitewell.core", "import uvloop", "core imports the package uvloop"),
         ("granitewell.net.loop", "import importlib", "net loads by importlib"),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,9 +9,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule, run_state_machine_as_test
 
-from tests import wirekit as w
-from tests.checker import Broken, Checker
-from tiderelay.interface import (
+from granitewell.balancing.balancer import Balancer
+from granitewell.balancing.interface import (
     Abandoned,
     Action,
     Ended,
@@ -30,7 +29,8 @@
     Timer,
     View,
 )
-from tiderelay.policy import Balancer
+from tests import wirekit as w
+from tests.checker import Broken, Checker
 
 IDS = [bytes([10, 0, 0, k, 0, 80]) for k in range(9)]
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -13,6 +13,7 @@
 from pytest import MonkeyPatch as Patch
 
 from granitewell import core as c
+from granitewell.balancing.interface import Outcome
 from granitewell.handover import Handover, Moment
 from granitewell.net.console import Console
 from granitewell.net.discovery import APART_S, MOST_SWIFT, PUSHED
@@ -22,7 +23,6 @@
 from granitewell.net.status import Door
 from granitewell.status.types import StatusSettings
 from tests.shell import client_of, played, silent, turns, until
-from tiderelay.interface import Outcome
 
 LONG = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r%d\r\nRequest-Timeout-Ms: 2000\r\n"
         b"Content-Length: 900000\r\n\r\n")  # fmt: skip
--- a/tests/test_sizing.py
+++ b/tests/test_sizing.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tiderelay.sizing import (
+from granitewell.balancing.prefix_sizing import (
     PERIOD,
     SCALE_IN,
     SETUP,
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -21,6 +21,8 @@
 from hypothesis import strategies as st
 
 from granitewell import core as c
+from granitewell.balancing.balancer import Balancer
+from granitewell.balancing.interface import Effect, RequestClass, Settings, State, View
 from granitewell.cli.main import run
 from granitewell.config import load
 from granitewell.net import status as status_door
@@ -32,8 +34,6 @@
 from tests.play import LIMIT_S
 from tests.test_config import write
 from tests.test_operator import Watched
-from tiderelay.interface import Effect, RequestClass, Settings, State, View
-from tiderelay.policy import Balancer
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "operate" / "status.md").read_text()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,13 +24,13 @@
 import uvloop
 
 from granitewell import startup_pacing
+from granitewell.balancing.balancer import Balancer
 from granitewell.config import load
 from granitewell.core import Core
 from granitewell.handover import Handover
 from granitewell.net.loop import Node
 from tests.play import LIMIT_S, reserved, settings
 from tests.test_config import write
-from tiderelay.policy import Balancer
 
 ASK = b"GET /taxi-lookup/1 HTTP/1.1\r\nHost: n\r\nRequest-Id: %s\r\nRequest-Timeout-Ms: 2500\r\n\r\n"
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from granitewell.balancing import interface as t
+from granitewell.balancing import simulator_protocol
 from tests import wirekit as w
-from tiderelay import interface as t
-from tiderelay import wire
 
 HEX_EVENTS = """
 03000000 56000000 00000000206ec040
@@ -39,7 +39,7 @@
 
 
 def test_events_of_the_page() -> None:
-    now, events = wire.Decoder().batch(unhex(HEX_EVENTS))
+    now, events = simulator_protocol.Decoder().batch(unhex(HEX_EVENTS))
     assert now == 8412.25
     assert events == [
         (3, t.Request(RID, 0, 0, 0x91F03B7C55D20A64, 8652.25, 12.0)),
@@ -50,21 +50,21 @@
 
 def test_reply_of_the_page() -> None:
     actions = [
-        wire.record(3, t.Send(RID, w.HOST_A, 80.0)),
-        wire.record(3, t.SetTimer(8912.25, 77)),
-        wire.record(5, t.Log("two servers known")),
+        simulator_protocol.record(3, t.Send(RID, w.HOST_A, 80.0)),
+        simulator_protocol.record(3, t.SetTimer(8912.25, 77)),
+        simulator_protocol.record(5, t.Log("two servers known")),
     ]
-    assert wire.reply(actions) == unhex(HEX_REPLY)
+    assert simulator_protocol.reply(actions) == unhex(HEX_REPLY)
 
 
 def test_empty_batch_of_the_page() -> None:
-    now, events = wire.Decoder().batch(unhex("00000000 10000000 00000000206ec040"))
+    now, events = simulator_protocol.Decoder().batch(unhex("00000000 10000000 00000000206ec040"))
     assert (now, events) == (8412.25, [])
-    assert wire.reply([]) == unhex("00000000 08000000")
+    assert simulator_protocol.reply([]) == unhex("00000000 08000000")
 
 
 def test_host_list_of_the_page() -> None:
-    _, events = wire.Decoder().batch(sized(unhex(HEX_LISTS)))
+    _, events = simulator_protocol.Decoder().batch(sized(unhex(HEX_LISTS)))
     ((inst, hosts),) = events
     assert inst == 3
     assert hosts == t.Hosts(
@@ -89,11 +89,11 @@
         ),
         ("6e 03000000 0a9011f2 5423 0000 666666666666f63f 00", t.Probed(w.HOST_B, t.Outcome.OK, 1.4)),
         ("3c 03000000 0200 0400 68692037", t.PeerMessage(2, b"hi 7")),
-        ("32 03000000", wire.Stop()),
+        ("32 03000000", simulator_protocol.Stop()),
     ],
 )
-def test_other_events_of_the_page(text: str, event: wire.Incoming) -> None:
-    assert wire.Decoder().batch(w.frame(1.0, unhex(text)))[1] == [(3, event)]
+def test_other_events_of_the_page(text: str, event: simulator_protocol.Incoming) -> None:
+    assert simulator_protocol.Decoder().batch(w.frame(1.0, unhex(text)))[1] == [(3, event)]
 
 
 @pytest.mark.parametrize(
@@ -110,12 +110,12 @@
     ],
 )
 def test_other_actions_of_the_page(action: t.Action, text: str) -> None:
-    assert wire.record(3, action) == unhex(text)
+    assert simulator_protocol.record(3, action) == unhex(text)
 
 
 def test_fault_of_the_page() -> None:
     expected = unhex("46 03000000 1200 696e646578206f7574206f662072616e6765")
-    assert wire.fault(3, "index out of range") == expected
+    assert simulator_protocol.fault(3, "index out of range") == expected
 
 
 def test_catalog_number_reused_within_a_batch() -> None:
@@ -127,7 +127,7 @@
         w.view(1, 3, 4),
         w.view(2, 1, 9),
     )
-    events = wire.Decoder().batch(frame)[1]
+    events = simulator_protocol.Decoder().batch(frame)[1]
     seen = [(i, e.view, [h.id for h in e.hosts]) for i, e in events if isinstance(e, t.Hosts)]
     assert seen == [
         (0, t.View.FULL, [w.HOST_A]),
@@ -141,12 +141,12 @@
                           1: "CANCELLED", 9: "MOOT"}.items():  # fmt: skip
         raw = w.report_back(7, 5, code, 2.0, 1, w.HOST_A, 0, 0.5, 3.0)
         expected = t.Ended(5, 1, w.HOST_A, t.Outcome[outcome], 2.0, False, (0.5, 3.0))
-        assert wire.Decoder().batch(w.frame(1.0, raw))[1] == [(7, expected)]
+        assert simulator_protocol.Decoder().batch(w.frame(1.0, raw))[1] == [(7, expected)]
 
 
 def test_absurd_numbers_are_absent() -> None:
     raw = w.inbound(0, 1, 0, 50.0, math.nan), w.inbound(0, 2, 0, 50.0, -4.0)
-    events = wire.Decoder().batch(w.frame(1.0, *raw))[1]
+    events = simulator_protocol.Decoder().batch(w.frame(1.0, *raw))[1]
     assert [e.work_hint for _, e in events if isinstance(e, t.Request)] == [0.0, 0.0]
 
 
@@ -165,12 +165,12 @@
     ],
 )
 def test_malformed_frames_say_where(frame: bytes, says: str) -> None:
-    with pytest.raises(wire.WireError, match=says):
-        wire.Decoder().batch(frame)
+    with pytest.raises(simulator_protocol.WireError, match=says):
+        simulator_protocol.Decoder().batch(frame)
 
 
 def test_settings_are_read_and_new_keys_skipped() -> None:
-    s = wire.parse_settings(w.boot())
+    s = simulator_protocol.parse_settings(w.boot())
     assert (s.proxies, s.max_attempts, s.fall_ms) == (2, 4, 2000.0)
     assert s.classes[2].effect is t.Effect.KEYED and s.classes[2].scope is t.Scope.CELL
     assert s.report_fields == (t.Field.QUEUE, t.Field.UNKNOWN)
@@ -191,5 +191,5 @@
     ],
 )
 def test_bad_settings_name_the_key(text: bytes, says: str) -> None:
-    with pytest.raises(wire.WireError, match=says):
-        wire.parse_settings(text)
+    with pytest.raises(simulator_protocol.WireError, match=says):
+        simulator_protocol.parse_settings(text)
--- a/tests/wirekit.py
+++ b/tests/wirekit.py
@@ -6,7 +6,7 @@
 import struct
 from typing import Any
 
-from tiderelay.interface import Effect, RequestClass, Scope, Settings
+from granitewell.balancing.interface import Effect, RequestClass, Scope, Settings
 
 HOST_A = bytes.fromhex("0a124a072b23")
 HOST_B = bytes.fromhex("0a9011f25423")
