--- a/benchmarks/status_cost.py
+++ b/benchmarks/status_cost.py
@@ -31,10 +31,10 @@
 from granitewell.net.logs import HEAD_START_US, Log
 from granitewell.net.loop import Node
 from granitewell.status import snapshot, wire
-from granitewell.status.types import MOST_WORST, StatusSettings
+from granitewell.status.types import MAX_WORST, StatusSettings
 
 FLEETS = 12, 300, 3000, 12_000
-WORST = 50, MOST_WORST
+WORST = 50, MAX_WORST
 HELD = 20_000
 ASKING_S = 3.0
 
@@ -75,7 +75,7 @@
     took: list[tuple[float, float]] = []
     for n in range(times):
         now = node.clock.fresh()
-        seen = snapshot.look(node._core, status.sockets(node), status.about(node), now, MOST_WORST)
+        seen = snapshot.look(node._core, status.sockets(node), status.about(node), now, MAX_WORST)
         asked = wire.Asked((wire.STATUS, wire.METRICS)[n % 2], worst)
         driven(wire.body(asked, driven(seen, took)), took)
     return took
@@ -153,7 +153,7 @@
         took = steps(node, worst, times)
         cpu, clock = sorted(x for x, _ in took), sorted(x for _, x in took)
         whole, at = sum(cpu) / times, len(took) * 99 // 100
-        share = whole / (whole + min(whole * status.REST, status.MOST_REST_US / 1000))
+        share = whole / (whole + min(whole * status.REST, status.MAX_REST_US / 1000))
         quiet, busy, answers = await asking(node, worst)
         return [f"{whole:.1f}", f"{len(took) / times:.0f}", f"{cpu[at]:.2f}, {cpu[-1]:.2f}",
                 f"{clock[at]:.2f}, {clock[-1]:.2f}", f"{quiet.cpu:.1f}, {busy.cpu:.1f}",
--- a/granitewell/__main__.py
+++ b/granitewell/__main__.py
@@ -136,13 +136,13 @@
     if not path:
         return None
     try:
-        from granitewell.operator.load import Live, Refused
+        from granitewell.operator.load import InvalidOperatorFileError, Live
     except ModuleNotFoundError as error:
         print(f"granitewell: LB_OPERATOR needs {error.name}: pip install 'granitewell[cli]'", file=sys.stderr)
         return 3
     try:
         return Live(path)
-    except Refused as error:
+    except InvalidOperatorFileError as error:
         for problem in error.problems:
             print(f"granitewell: bad operator file: {path}: {problem.text()}", file=sys.stderr)
         return 2
--- a/granitewell/balancing/balancer.py
+++ b/granitewell/balancing/balancer.py
@@ -20,7 +20,7 @@
 
 from granitewell.balancing.outlier_detection import FULL_SHARE, SICK, Call, Health, Pair
 from granitewell.balancing.interface import (
-    Abandoned, Acting, Action, Broken, Cancel, Effect, Ended, Event, Fail, Field, FirstByte, Host, Hosts,
+    Abandoned, Acting, Action, MalformedMessageError, Cancel, Effect, Ended, Event, Fail, Field, FirstByte, Host, Hosts,
     Log, Outcome, PeerMessage, Probed, Refuse, Request, RequestClass, Resettled, Scope, Send, SetTimer,
     Settings, State, Timer, Uploaded, View, Watch,
 )  # fmt: skip
@@ -59,7 +59,7 @@
 EASE_QUICK = 0.25  # the same while so little of the late share that is borne is seen that there must be room:
 QUICK = 0.5  # what is shed for nothing comes back as retries. Late shares, as a mean latency is seconds old
 ROOM = 0.4  # part of the aim that requests in flight may fill while shedding; shows sooner than lateness
-MOST_SHED = 0.9  # of any class; the rest shows when there is room again, and starves no class
+MAX_SHED = 0.9  # of any class; the rest shows when there is room again, and starves no class
 ALLOWANCE = 2000.0  # ms of a tenant's allowance that may come at once
 RETRY_SHARE = 0.2  # retry budget: repeats a request, when hosts had to handle the first try
 RETRY_SAVED = 20.0  # repeats that may be saved up
@@ -221,7 +221,7 @@
                 self._copy(late)
         except Exception as error:  # a defect: what was decided stands, what else is due has its turn soon
             self._armed = self._now + DELTA
-            raise Broken([*self._do, SetTimer(self._armed, 0)]) from error
+            raise MalformedMessageError([*self._do, SetTimer(self._armed, 0)]) from error
         return self._do
 
     # --- Timers: one agenda, one armed timer ------------------------------------------------------------
@@ -499,7 +499,7 @@
         self._retries = min(self._retries + RETRY_SHARE, RETRY_SAVED)
         over = self._over(event.tenant)
         self._mix[req.index][over] += 1.0
-        shed = self._shed[req.index][over] if len(self._out) < self._limit else MOST_SHED
+        shed = self._shed[req.index][over] if len(self._out) < self._limit else MAX_SHED
         if self._level > 0.0 and self._rng.random() < shed:
             self._finish(req)
             return
@@ -538,7 +538,7 @@
         quick = late <= QUICK * TOLERATED * self._margin
         level = self._level * (1 - (EASE_QUICK if quick else SHED_EASE)) - 0.002
         level += gain * max(late - TOLERATED * self._margin, 0.0)
-        self._level = min(max(level, 0.0), MOST_SHED)
+        self._level = min(max(level, 0.0), MAX_SHED)
         seen = max(sum(map(sum, self._mix)), 1.0)
         aim = sum(sum(m) * a for m, a in zip(self._mix, aims, strict=True)) / seen
         room = self._rate_ok * ROOM * aim  # Little: so many in flight leave within that part of the aim
@@ -558,7 +558,7 @@
         for worth, k, over, work in ranks:
             if work > 0.05 * total and (left > 0.001 * total or not margin):  # what is shed next
                 margin = min(max(worth / max(mean, 1e-9), 0.2), 1.0)
-            self._shed[k][over] = min(left / work, MOST_SHED) if work > 0.0 else 0.0
+            self._shed[k][over] = min(left / work, MAX_SHED) if work > 0.0 else 0.0
             left -= self._shed[k][over] * work
         self._margin = margin or 1.0
 
--- a/granitewell/balancing/interface.py
+++ b/granitewell/balancing/interface.py
@@ -89,7 +89,7 @@
     allowance_per_s: float
 
 
-class Broken(Exception):
+class MalformedMessageError(Exception):
     """The decisions have failed on an event, for the reason behind this (`__cause__`).
 
     What they had decided by then stands and has to be carried out: they count on it.
--- a/granitewell/balancing/outlier_detection.py
+++ b/granitewell/balancing/outlier_detection.py
@@ -23,10 +23,10 @@
 FAIL_GAIN = 0.3  # weight of the newest outcome in a share of failures
 FULL_SHARE = 0.2  # of a failure that being turned away counts: it never ran, and another try costs little
 PATIENCE = 6.0  # times its class's mean that a call may be out before its host is suspected
-LEAST_N = 20  # answers of a class before its mean is worth anything
+MIN_N = 20  # answers of a class before its mean is worth anything
 SUSPECT = 0.6  # of a failure that such a call counts
 SICK = 0.3  # share of failures from which a class at a host says nothing of the others, nor of the fleet
-MOST_SICK = 0.6  # share of hosts from which they are held to be full, not ill
+MAX_SICK = 0.6  # share of hosts from which they are held to be full, not ill
 CLEARED = 0.5  # of its failures that remain with an unsafe class where a safe one has been tried with success
 ZONE_GAIN = 0.2  # weight of the newest outcome in a zone's share of unanswered attempts
 ZONE_BAD = 0.5  # share from which the zone is held to be cut off or lost
@@ -155,7 +155,7 @@
                     pair.since = now if bad else 0.0
                     pair.cause = pair.cause if bad else Cause.WELL
                     changed.append((n, k, pair))
-            self.full[k] = ill > MOST_SICK * len(hosts)
+            self.full[k] = ill > MAX_SICK * len(hosts)
         return changed
 
     # --- Evidence ---------------------------------------------------------------------------------------
@@ -199,7 +199,7 @@
             until = now - max(PATIENCE * self.mean[k], self._least[k])
             while recent and (recent[0].at < until or not recent[0].out):
                 call = recent.popleft()
-                if call.out and self.known[k] >= LEAST_N:
+                if call.out and self.known[k] >= MIN_N:
                     call.over = True
                     self._blame(call, k, SUSPECT, Cause.SILENT, now)
                     found.append(call)
--- a/granitewell/cli/check.py
+++ b/granitewell/cli/check.py
@@ -16,14 +16,14 @@
 from granitewell.cli.show import BAD_INPUT, as_json, emit
 from granitewell.config import ConfigError
 from granitewell.config import load as node_takes
-from granitewell.operator.load import MOST_FILE, Refused, data_of, read
+from granitewell.operator.load import MAX_FILE, InvalidOperatorFileError, data_of, read
 from granitewell.operator.platform import Platform
 from granitewell.operator.problem import Problem
 from granitewell.operator.reference import page
 from granitewell.operator.registry import Operator
 from granitewell.operator.table import examine
 
-MOST_PLATFORM = 16 * 1024 * 1024  # bytes; the list of the last known endpoints is in it
+MAX_PLATFORM = 16 * 1024 * 1024  # bytes; the list of the last known endpoints is in it
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,14 +55,14 @@
     """Look at one file, told apart by what is in it: JSON begins with a brace, which no TOML does."""
     kind = "a file"
     try:
-        raw = read(path, MOST_PLATFORM)
+        raw = read(path, MAX_PLATFORM)
         if raw.removeprefix(b"\xef\xbb\xbf").lstrip()[:1] == b"{":
             kind = "a platform configuration"
             return Verdict(path, kind, tuple(_platform(path, raw)))
         kind = "an operator file"
-        read(path, MOST_FILE)
+        read(path, MAX_FILE)
         return Verdict(path, kind, tuple(examine(data_of(path, raw), Operator)[1]))
-    except Refused as error:
+    except InvalidOperatorFileError as error:
         return Verdict(path, kind, tuple(error.problems))
 
 
--- a/granitewell/cli/lab_cluster.py
+++ b/granitewell/cli/lab_cluster.py
@@ -18,7 +18,7 @@
 from granitewell.lab.cluster.hunt import Found, seeds
 from granitewell.lab.cluster.subjects import NAMES, subject
 
-MOST_SEEDS = 100_000
+MAX_SEEDS = 100_000
 _HELP = "\n\n".join((
     "Play days of SUBJECT in virtual time, and print those on which an invariant does not hold, each with "
     "the command that plays it again, shrunk to the fewest troubles that still fail.",
@@ -83,7 +83,7 @@
 def _span(text: str) -> range:
     first, _, last = text.partition("..")
     last = last or first
-    if not first.isdecimal() or not last.isdecimal() or not 0 <= int(last) - int(first) < MOST_SEEDS:
+    if not first.isdecimal() or not last.isdecimal() or not 0 <= int(last) - int(first) < MAX_SEEDS:
         raise show.Told(f"--seeds: found {text!r}, allowed is FIRST..LAST, as in 1..200")
     return range(int(first), int(last) + 1)
 
--- a/granitewell/cli/lab_load.py
+++ b/granitewell/cli/lab_load.py
@@ -24,8 +24,8 @@
 from granitewell.lab.load.counts import End
 from granitewell.lab.load.knee import Sweep
 from granitewell.lab.load.plan import (
-    BadOption,
     LoadTenant,
+    OptionError,
     Plan,
     Step,
     read_class,
@@ -73,7 +73,7 @@
     within("--keys", o["keys"], 0, 1e9)
     if bool(o["target"]) == (o["against_bare"] is not None):
         allowed = "HOST:PORT[,HOST:PORT...], or --against-bare in its place"
-        raise BadOption("--target", o["target"] or "nothing", allowed)
+        raise OptionError("--target", o["target"] or "nothing", allowed)
     if o["against_bare"] is not None:
         within("--against-bare", o["against_bare"], 1, 16)
     plan = _plan(o)
@@ -81,7 +81,7 @@
         targets = len(plan.targets) or o["against_bare"]
         within("--connections", o["connections"], plan.workers * targets, 1_000_000)
     if not o["path"].startswith("/") or not o["path"].isascii() or any(c <= " " for c in o["path"]):
-        raise BadOption("--path", o["path"], "a path that starts with / and holds no space")
+        raise OptionError("--path", o["path"], "a path that starts with / and holds no space")
     length_us, bare = int(o["duration"] * 1e6), o["against_bare"] or 0
     return Asked(plan, rates, o["sweep"], length_us, o["connections"], bare, o["pin"], o["nice"], o["hdr"])
 
@@ -275,9 +275,9 @@
     """
     try:
         outcome = _play(_read(options))
-    except BadOption as error:
+    except OptionError as error:
         raise show.Told(str(error)) from None
-    except preflight.Lacking as error:
+    except preflight.PreflightError as error:
         raise show.NoMeans(str(error)) from None
     show.emit(run.figures(outcome), as_json, _render(outcome))
     if outcome.void:
--- a/granitewell/cli/lab_sim.py
+++ b/granitewell/cli/lab_sim.py
@@ -24,7 +24,7 @@
 from granitewell.lab.simulation.play import POLICIES, Played, play
 from granitewell.lab.simulation.profile import Sampler
 
-MOST_SEEDS = 100_000
+MAX_SEEDS = 100_000
 
 _SIZES = (
     click.option("--nodes", type=click.IntRange(1, 10_000), help="So many nodes."),
@@ -133,8 +133,8 @@
     first, dots, last = text.partition("..")
     if not dots or not first.isdecimal() or not last.isdecimal() or int(first) > int(last):
         raise show.Told(f"--seeds: found {text!r}, allowed is FIRST..LAST, as in 1..200")
-    if int(last) - int(first) >= MOST_SEEDS:
-        raise show.Told(f"--seeds: found {int(last) - int(first) + 1} seeds, allowed are {MOST_SEEDS}")
+    if int(last) - int(first) >= MAX_SEEDS:
+        raise show.Told(f"--seeds: found {int(last) - int(first) + 1} seeds, allowed are {MAX_SEEDS}")
     return range(int(first), int(last) + 1)
 
 
--- a/granitewell/cli/lab_trace.py
+++ b/granitewell/cli/lab_trace.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 
 from granitewell.cli import show
-from granitewell.lab.capture import BadTrace, Summary, read, summarise
+from granitewell.lab.capture import Summary, TraceError, read, summarise
 
 _ROWS = 20  # of the table of rates
 
@@ -27,7 +27,7 @@
     try:
         with show.progress("reading", os.path.getsize(file)) as steps:
             found = summarise(read(file, steps.step))
-    except BadTrace as e:
+    except TraceError as e:
         raise show.Told(str(e)) from None
     except OSError as e:
         raise show.Told(f"{file}: {e.strerror or e}") from None
--- a/granitewell/cli/node.py
+++ b/granitewell/cli/node.py
@@ -24,7 +24,7 @@
 import granitewell
 from granitewell.cli.show import FOUND, NoMeans, Told, as_json, emit
 from granitewell.status import descriptions
-from granitewell.status.types import ALLOWED_AT, MOST_ANSWER, MOST_WORST, Place, Snapshot
+from granitewell.status.types import ALLOWED_AT, MAX_ANSWER, MAX_WORST, Place, Snapshot
 from granitewell.status.types import place as placed
 
 WAIT_S = 3.0  # for a node that answers within one
@@ -80,7 +80,7 @@
     "--operator", metavar="FILE", type=click.Path(),
     help="Operator file of the node, whose [status] says where; wins over LB_OPERATOR.",
 )  # fmt: skip
-@click.option("--worst", type=click.IntRange(0, MOST_WORST), help="Rows of each table, the worst ones.")
+@click.option("--worst", type=click.IntRange(0, MAX_WORST), help="Rows of each table, the worst ones.")
 @click.option("--watch", metavar="S", type=click.FloatRange(0.2, 3600), help="Ask again every S seconds.")
 @as_json
 @click.pass_obj
@@ -120,12 +120,12 @@
 
 
 def _of_file(path: str) -> str:
-    from granitewell.operator.load import Refused, load
+    from granitewell.operator.load import InvalidOperatorFileError, load
     from granitewell.operator.registry import Operator
 
     try:
         at = load(path, Operator)[0].status.at
-    except Refused as error:
+    except InvalidOperatorFileError as error:
         raise Told(str(error)) from None
     if not at:
         raise Told(f"{path}: status.at: found nothing, allowed: {ALLOWED_AT}; this node serves no status")
@@ -156,7 +156,7 @@
     try:
         link.request(method, target)
         answer = link.getresponse()
-        return answer.status, answer.read(2 * MOST_ANSWER)
+        return answer.status, answer.read(2 * MAX_ANSWER)
     finally:
         link.close()
 
--- a/granitewell/cli/system/call_plan.py
+++ b/granitewell/cli/system/call_plan.py
@@ -14,8 +14,8 @@
 FINAL = frozenset({400, 409, 412, 413, 422})  # an operator's call ends at once on these
 RETRIED = frozenset({408, 429})
 REDIRECT = 307
-MOST_REDIRECTS = 2
-MOST_OTHER_REFUSALS = 3  # any other 4xx ends the call when it has come that often
+MAX_REDIRECTS = 2
+MAX_OTHER_REFUSALS = 3  # any other 4xx ends the call when it has come that often
 FIRST_PAUSE_S = 0.1
 LONGEST_PAUSE_S = 2.0
 
@@ -101,13 +101,13 @@
         if not 400 <= status < 500 or status in RETRIED:
             return False
         self._refusals += 1
-        return self._refusals >= MOST_OTHER_REFUSALS
+        return self._refusals >= MAX_OTHER_REFUSALS
 
     def _follow(self, reply: Reply, now: float) -> Step:
         address = _address_of(reply.location)
         if address is None:
             return self._next(f"redirected to {reply.location!r}", now)
-        if self._redirects >= MOST_REDIRECTS:
+        if self._redirects >= MAX_REDIRECTS:
             return self._next("redirected too often", now)
         self._redirects += 1
         return SendTo(address, 0.0)
--- a/granitewell/cli/system/configuration.py
+++ b/granitewell/cli/system/configuration.py
@@ -13,15 +13,15 @@
 
 from granitewell.cli.system.control_client import ControlClient, Method
 from granitewell.cli.system.differences import differences
-from granitewell.cli.system.errors import UnusableAddress, UnusableFile
+from granitewell.cli.system.errors import UnusableAddressError, UnusableFileError
 from granitewell.cli.system.exit_codes import ExitCode
 from granitewell.controlplane.configuration.change import Change, Operation
 from granitewell.controlplane.configuration.checks import ConfigurationPatch, read_patch
 from granitewell.controlplane.configuration.state import EMPTY, ConfigurationState, changed
-from granitewell.domain.errors import InvalidConfiguration, InvalidSettings
+from granitewell.domain.errors import InvalidConfigurationError, InvalidSettingsError
 from granitewell.domain.settings import read_settings, settings_path
 
-MOST_FILE = 64 * 1024 * 1024  # bytes of a configuration
+MAX_FILE = 64 * 1024 * 1024  # bytes of a configuration
 
 Result = TypeVar("Result")
 
@@ -38,7 +38,7 @@
     patience_s: float
 
     def addresses(self) -> tuple[str, ...]:
-        """Checked; raises UnusableAddress."""
+        """Checked; raises UnusableAddressError."""
         if not self.control:
             return _seeds()
         addresses = tuple(part.strip() for part in self.control.split(","))
@@ -119,27 +119,27 @@
     path = settings_path()
     try:
         seeds = read_settings(path).seeds
-    except InvalidSettings as error:
-        raise UnusableAddress(f"no --control, and no settings to take seeds from: {error}") from error
+    except InvalidSettingsError as error:
+        raise UnusableAddressError(f"no --control, and no settings to take seeds from: {error}") from error
     if not seeds:
-        raise UnusableAddress(f"no --control, and no seeds in {path}")
+        raise UnusableAddressError(f"no --control, and no seeds in {path}")
     return seeds
 
 
 def _check_address(address: str) -> None:
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise UnusableAddress(f"--control: {address!r} is no ip:port")
+        raise UnusableAddressError(f"--control: {address!r} is no ip:port")
 
 
 def _read(path: str) -> bytes:
     try:
         with Path(path).open("rb") as file:
-            body = file.read(MOST_FILE + 1)
+            body = file.read(MAX_FILE + 1)
     except OSError as error:
-        raise UnusableFile(path, error.strerror or "can't be read") from error
-    if len(body) > MOST_FILE:
-        raise UnusableFile(path, f"over {MOST_FILE} bytes")
+        raise UnusableFileError(path, error.strerror or "can't be read") from error
+    if len(body) > MAX_FILE:
+        raise UnusableFileError(path, f"over {MAX_FILE} bytes")
     return body
 
 
@@ -147,8 +147,8 @@
     """The outcome of a check, with the file's name before what is wrong."""
     try:
         return check()
-    except InvalidConfiguration as error:
-        raise UnusableFile(path, str(error)) from error
+    except InvalidConfigurationError as error:
+        raise UnusableFileError(path, str(error)) from error
 
 
 def _is_patch(body: bytes) -> bool:
@@ -160,12 +160,12 @@
 
 
 def _whole(body: bytes) -> ConfigurationState:
-    """A whole configuration by itself; raises InvalidConfiguration."""
+    """A whole configuration by itself; raises InvalidConfigurationError."""
     return changed(EMPTY, Change(Operation.PUT, EMPTY.version, body))
 
 
 def _patch_alone(body: bytes) -> ConfigurationPatch:
-    """A patch, as far as it can be checked without what it alters; raises InvalidConfiguration."""
+    """A patch, as far as it can be checked without what it alters; raises InvalidConfigurationError."""
     return read_patch(body, EMPTY.version, EMPTY.held_routes(), EMPTY.held_services())
 
 
@@ -185,9 +185,9 @@
     try:
         parsed = orjson.loads(document)
     except orjson.JSONDecodeError as error:
-        raise UnusableFile(source, f"not JSON: {error}") from error
+        raise UnusableFileError(source, f"not JSON: {error}") from error
     if not isinstance(parsed, dict):
-        raise UnusableFile(source, "not a JSON object")
+        raise UnusableFileError(source, "not a JSON object")
     return parsed
 
 
--- a/granitewell/cli/system/control_client.py
+++ b/granitewell/cli/system/control_client.py
@@ -12,10 +12,10 @@
 
 from granitewell.cli.system.call_plan import Answered, CallPlan, GiveUp, Reply, SendTo, Unanswered
 from granitewell.cli.system.errors import (
-    NoConfiguration,
-    NoControlNode,
-    OtherVersionInForce,
-    RefusedByControl,
+    NoConfigurationError,
+    NoControlNodeError,
+    RejectedByControlError,
+    VersionConflictError,
 )
 
 ANSWER_S = 1.0  # without an answer for that long, another node is asked
@@ -79,31 +79,31 @@
         self._sleep = sleep
 
     async def get(self) -> bytes:
-        """The newest configuration, as JSON; raises NoConfiguration, NoControlNode."""
+        """The newest configuration, as JSON; raises NoConfigurationError, NoControlNodeError."""
         reply = await self._call(Call(Method.GET))
         if reply.status == 404:
-            raise NoConfiguration
+            raise NoConfigurationError
         _raise_refusal(reply)
         return reply.body
 
     async def version(self) -> int:
-        """The newest version, 0 before the first; raises NoControlNode."""
+        """The newest version, 0 before the first; raises NoControlNodeError."""
         try:
             version = _version_in(Reply(200, await self.get()))
-        except NoConfiguration:
+        except NoConfigurationError:
             return 0
         if version is None:
-            raise NoControlNode("the configuration that was answered has no version")
+            raise NoControlNodeError("the configuration that was answered has no version")
         return version
 
     async def change(self, method: Method, body: bytes, if_match: int) -> int | None:
         """Put or patch; the version that is in force after it, where the node says so (that of a later change
         where this one was taken before). Raises
-        OtherVersionInForce, RefusedByControl, NoControlNode.
+        VersionConflictError, RejectedByControlError, NoControlNodeError.
         """
         reply = await self._call(Call(method, body, if_match))
         if reply.status == 412:
-            raise OtherVersionInForce(if_match, _reason(reply))
+            raise VersionConflictError(if_match, _reason(reply))
         _raise_refusal(reply)
         return _version_in(reply, "current-version") or _version_in(reply)
 
@@ -120,15 +120,15 @@
         raise _no_control_node(call, step)
 
 
-def _no_control_node(call: Call, step: GiveUp) -> NoControlNode:
+def _no_control_node(call: Call, step: GiveUp) -> NoControlNodeError:
     if call.method is Method.GET:
-        return NoControlNode(f"no control node answers: {step.reason}")
-    return NoControlNode(f"no clear answer, the change may have been taken: {step.reason}")
+        return NoControlNodeError(f"no control node answers: {step.reason}")
+    return NoControlNodeError(f"no clear answer, the change may have been taken: {step.reason}")
 
 
 def _raise_refusal(reply: Reply) -> None:
     if not 200 <= reply.status < 300:
-        raise RefusedByControl(reply.status, _reason(reply))
+        raise RejectedByControlError(reply.status, _reason(reply))
 
 
 def _version_in(reply: Reply, field: str = "version") -> int | None:
--- a/granitewell/cli/system/errors.py
+++ b/granitewell/cli/system/errors.py
@@ -12,18 +12,18 @@
     exit_code = ExitCode.BAD_INPUT
 
 
-class UnusableFile(CommandError):
+class UnusableFileError(CommandError):
     """A file that was named can't be read, or is no JSON object."""
 
     def __init__(self, path: str, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
 
 
-class UnusableAddress(CommandError):
+class UnusableAddressError(CommandError):
     """An address that was named is no `ip:port`, or there is none at all."""
 
 
-class RefusedByControl(CommandError):
+class RejectedByControlError(CommandError):
     """A control node understood the call and refuses it for good."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -31,7 +31,7 @@
         self.status = status
 
 
-class OtherVersionInForce(CommandError):
+class VersionConflictError(CommandError):
     """The configuration has moved on from the version that the change builds on."""
 
     exit_code = ExitCode.BAD_OUTCOME
@@ -40,7 +40,7 @@
         super().__init__(f"version {expected} is not the current one any more: {reason or 'no reason given'}")
 
 
-class NoConfiguration(CommandError):
+class NoConfigurationError(CommandError):
     """No configuration has been taken yet."""
 
     exit_code = ExitCode.BAD_OUTCOME
@@ -49,7 +49,7 @@
         super().__init__("no configuration has been taken yet")
 
 
-class NoControlNode(CommandError):
+class NoControlNodeError(CommandError):
     """No control node gave a clear answer; a change that was sent may have been taken all the same."""
 
     exit_code = ExitCode.NO_MEANS
--- a/granitewell/cli/system/exit_handling.py
+++ b/granitewell/cli/system/exit_handling.py
@@ -10,7 +10,7 @@
 
 from granitewell.cli.system.errors import CommandError
 from granitewell.cli.system.exit_codes import ExitCode
-from granitewell.domain.errors import GranitewellError, InvalidField
+from granitewell.domain.errors import GranitewellError, InvalidFieldError
 
 INSTALL = "pip install 'granitewell[system]'"
 
@@ -28,7 +28,7 @@
         return ExitCode.INTERRUPTED
     except CommandError as error:
         return _say(str(error), error.exit_code)
-    except InvalidField as error:
+    except InvalidFieldError as error:
         return _say(str(error), ExitCode.BAD_INPUT)
     except GranitewellError as error:
         return _say(str(error), ExitCode.BAD_OUTCOME)
--- a/granitewell/cluster/persisted_record.py
+++ b/granitewell/cluster/persisted_record.py
@@ -11,18 +11,18 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from granitewell.cluster.size_estimate import MOST_NAMES, Known
+from granitewell.cluster.size_estimate import MAX_NAMES, Known
 from granitewell.cluster.types import address
 from granitewell.protocols.peers.frames import MAX_NAME
-from granitewell.protocols.peers.gossip import MOST_GEN, MOST_INC, word
+from granitewell.protocols.peers.gossip import MAX_GEN, MAX_INC, word
 
 VERSION = 1
-MOST_BYTES = 4 * 1024 * 1024
-MOST_ADDRESSES = 64  # of members, as further seeds
+MAX_BYTES = 4 * 1024 * 1024
+MAX_ADDRESSES = 64  # of members, as further seeds
 SILENT_STEP_US = 60_000_000  # by which a silence must have grown to be written down again
-_MOST_BIRTH = (1 << 63) - 1
-_MOST_SEQ = 1 << 61
-_MOST_US = 1 << 60
+_MAX_BIRTH = (1 << 63) - 1
+_MAX_SEQ = 1 << 61
+_MAX_US = 1 << 60
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,8 +56,8 @@
     top = {
         "v": VERSION, "name": note.name,
         "gen": life.gen, "birth": life.birth, "inc": life.inc, "seq": life.seq,
-        "known": [[k.name, k.silent_us] for k in note.known[:MOST_NAMES]],
-        "addresses": list(note.addresses[:MOST_ADDRESSES]),
+        "known": [[k.name, k.silent_us] for k in note.known[:MAX_NAMES]],
+        "addresses": list(note.addresses[:MAX_ADDRESSES]),
     }  # fmt: skip
     line = json.dumps(top, separators=(",", ":")).encode()
     return b"%s\n%08x\n" % (line, crc32(line))
@@ -88,10 +88,10 @@
     if not isinstance(top, dict) or top.get("v") != VERSION:
         found = top.get("v") if isinstance(top, dict) else None
         raise ValueError(f"of version {str(found)[:20]}, and this program reads {VERSION}")
-    bounds = {"gen": MOST_GEN, "birth": _MOST_BIRTH, "inc": MOST_INC, "seq": _MOST_SEQ}
+    bounds = {"gen": MAX_GEN, "birth": _MAX_BIRTH, "inc": MAX_INC, "seq": _MAX_SEQ}
     figures = {key: _held(top, key, most) for key, most in bounds.items()}
-    known = [_known(x) for x in _list(top, "known", MOST_NAMES)]
-    addresses = [_address(x) for x in _list(top, "addresses", MOST_ADDRESSES)]
+    known = [_known(x) for x in _list(top, "known", MAX_NAMES)]
+    addresses = [_address(x) for x in _list(top, "addresses", MAX_ADDRESSES)]
     name = top.get("name")
     if not _named(name):
         raise ValueError("name: found no name")
@@ -119,7 +119,7 @@
 def _known(value: object) -> Known:
     if not isinstance(value, list) or len(value) != 2 or not _named(value[0]) or type(value[1]) is not int:
         raise ValueError("known: found no name with a time")
-    if not -1 <= value[1] <= _MOST_US:
+    if not -1 <= value[1] <= _MAX_US:
         raise ValueError("known: found a time out of its bounds")
     return Known(value[0], value[1])
 
--- a/granitewell/cluster/size_estimate.py
+++ b/granitewell/cluster/size_estimate.py
@@ -38,7 +38,7 @@
 FALL_US = 10_000_000  # in which a fall has done two thirds of its way
 AWAY_US = 300_000_000  # for which one that has left may come back
 NEAR = 0.05  # of a node; a fall that is so near its end is over
-MOST_NAMES = 20_000  # in all states; the membership shows half as many at a time
+MAX_NAMES = 20_000  # in all states; the membership shows half as many at a time
 
 
 class Place(Enum):
@@ -67,7 +67,8 @@
 # --- Events ---------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """Where those of our role stand in the view, all that it names; whom it does not name stays where it is."""
+    """Where those of our role stand in the view, all that it names; whom it does not name stays where it
+    is."""
 
     places: Mapping[str, Place]
 
@@ -129,7 +130,7 @@
         self._own, self._configured, self.unheard_us = own, max(configured, 1), unheard_us
         self._names: dict[str, _Name] = {own: _Name(Place.UP, 0)}
         for one in known:
-            if one.name != own and len(self._names) < MOST_NAMES:
+            if one.name != own and len(self._names) < MAX_NAMES:
                 self._names[one.name] = _Name(Place.SILENT, -max(one.silent_us, 0))
         self._peak = len(self._names)  # most names that were up or silent at a time
         self._up = float(self._target())
@@ -207,7 +208,7 @@
         if one is not None and one.place in STILL.get(place, ()):
             return  # who went does not come back silent, nor leaves twice
         if one is None:
-            if len(self._names) >= MOST_NAMES and not self._room():
+            if len(self._names) >= MAX_NAMES and not self._room():
                 return
             self._names[name] = _Name(place, self._now_us)
         elif one.place is not place:
--- a/granitewell/config.py
+++ b/granitewell/config.py
@@ -2,10 +2,9 @@
 the start and once more for each reload.
 
 It owns the mapping of the deployment's names (classes, tenants, zones, kinds) to the module's indices, next
-to granitewell.balancing.simulator_protocol.parse_settings, which reads the figures. It must never hold defaults for what the platform
-has to say, open a socket, or change a Config that it has given out. Whatever is wrong is a ConfigError that
-names the field.
-"""
+to granitewell.balancing.simulator_protocol.parse_settings, which reads the figures. It must never hold
+defaults for what the platform has to say, open a socket, or change a Config that it has given out. Whatever
+is wrong is a ConfigError that names the field."""
 
 from __future__ import annotations
 
@@ -22,8 +21,8 @@
 FIXED = ("name", "listen", "cores", "sockets", "memory_mb", "console", "inherited", "known", "seed")
 _HOST = re.compile(r"\[?(?=.{1,253}\Z)[A-Za-z0-9_:%-]{1,63}(?:\.[A-Za-z0-9_-]{1,63})*\]?\Z")
 _PORT = re.compile(r"[0-9]{1,5}\Z")
-MOST_FILE = 8 * 1024 * 1024  # bytes: settings, and a list as long as discovery may send one
-MOST_DESCRIPTORS = 1024  # of the platform's scored limits; a larger allowance is not used
+MAX_FILE = 8 * 1024 * 1024  # bytes: settings, and a list as long as discovery may send one
+MAX_DESCRIPTORS = 1024  # of the platform's scored limits; a larger allowance is not used
 
 
 class ConfigError(Exception):
@@ -133,7 +132,7 @@
     if not path:
         raise ConfigError("LB_CONFIG: not set")
     try:
-        text = json.loads(whole(path, MOST_FILE))
+        text = json.loads(whole(path, MAX_FILE))
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"LB_CONFIG: {' '.join(str(error).split())}") from None
     return _object(text, "LB_CONFIG")
@@ -161,7 +160,7 @@
         discovery=address(env.get("LB_DISCOVERY") or top.get("discovery"), "discovery"),
         seed=_seed(top.get("seed", 0)),
         cores=_number(limits, "cores", "limits.cores", 1.0, 0.01),
-        sockets=min(int(_number(limits, "sockets", "limits.sockets", 1024, 64)), MOST_DESCRIPTORS),
+        sockets=min(int(_number(limits, "sockets", "limits.sockets", 1024, 64)), MAX_DESCRIPTORS),
         known=_object(top.get("known") or {}, "known"),
         settings=settings,
         class_names=class_names,
--- a/granitewell/controlplane/configuration/api.py
+++ b/granitewell/controlplane/configuration/api.py
@@ -27,14 +27,14 @@
 from granitewell.controlplane.configuration.change import Change, Operation
 from granitewell.controlplane.configuration.if_match import base_version
 from granitewell.controlplane.configuration.store import ChangeResult, ConfigurationStore
-from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
 
 PATH = "/config"
 PROPOSAL_TIMEOUT_S = 3.0  # an acknowledgement later than this would find its operator gone
 LEADER_WAIT_S = 0.8  # an operator moves on after a second without an answer
 LEADER_POLL_S = 0.02  # short beside the above; an election takes some hundred milliseconds
 TURN_WAIT_S = 2.0  # a change that has waited longer for its turn is told to come again
-MOST_WAITING = 32  # changes that wait for their turn; operators have at most eight under way
+MAX_WAITING = 32  # changes that wait for their turn; operators have at most eight under way
 
 log = logbook.Logger("granitewell.configuration")
 
@@ -43,7 +43,7 @@
     """What the API needs of a replica group."""
 
     async def propose(self, data: bytes, timeout_s: float = ...) -> object:
-        """What applying gave; raises NotLeader, ProposalLost."""
+        """What applying gave; raises NotLeaderError, ProposalLostError."""
 
     def holds_lease(self) -> bool:
         """Whether nobody else can have committed anything that is not applied here."""
@@ -142,7 +142,7 @@
         leadership = await self._leadership()
         if leadership.standing is not Standing.SERVING:
             return self._elsewhere(leadership, path)
-        if self._waiting >= MOST_WAITING:
+        if self._waiting >= MAX_WAITING:
             return answers.unavailable("too many changes wait")
         return await self._in_turn(change, path)
 
@@ -171,9 +171,9 @@
     async def _proposed(self, change: Change, path: str) -> web.Response:
         try:
             result = await self._group.propose(change.encode(), timeout_s=PROPOSAL_TIMEOUT_S)
-        except NotLeader:
+        except NotLeaderError:
             return self._elsewhere(self._leadership_now(), path)
-        except (ProposalLost, TimeoutError) as error:
+        except (ProposalLostError, TimeoutError) as error:
             log.warning("a change on version {} has no outcome: {}", change.base_version, error)
             return answers.unavailable("no outcome; send it again")
         if not isinstance(result, ChangeResult):
--- a/granitewell/controlplane/configuration/body.py
+++ b/granitewell/controlplane/configuration/body.py
@@ -13,11 +13,11 @@
 
 from granitewell.controlplane.configuration.answers import Failure
 
-MOST_BODY = 16 * 1024 * 1024  # bytes; 10,000 routes take 4 MiB
-MOST_BODIES = 2 * MOST_BODY  # bytes held for all requests that are being read
+MAX_BODY = 16 * 1024 * 1024  # bytes; 10,000 routes take 4 MiB
+MAX_BODIES = 2 * MAX_BODY  # bytes held for all requests that are being read
 BODY_TIMEOUT_S = 10.0  # a client that has not sent all by then is given up
 
-TOO_LARGE = Failure(413, f"the body is above {MOST_BODY} bytes")
+TOO_LARGE = Failure(413, f"the body is above {MAX_BODY} bytes")
 TOO_SLOW = Failure(503, f"the body was not there after {BODY_TIMEOUT_S:g} s")
 TOO_MANY = Failure(503, "too many bodies at once")
 BROKEN_OFF = Failure(503, "the connection broke off within the body")
@@ -33,7 +33,7 @@
 
     async def read(self, request: web.Request) -> bytes | Failure:
         """The body, or why there is none."""
-        if (request.content_length or 0) > MOST_BODY:
+        if (request.content_length or 0) > MAX_BODY:
             return TOO_LARGE
         reading = asyncio.ensure_future(self._read_all(request))
         timing = asyncio.ensure_future(self._sleep(BODY_TIMEOUT_S))
@@ -52,9 +52,9 @@
                 size += len(chunk)
                 self._held += len(chunk)
                 chunks.append(chunk)
-                if size > MOST_BODY:
+                if size > MAX_BODY:
                     return TOO_LARGE
-                if self._held > MOST_BODIES:
+                if self._held > MAX_BODIES:
                     return TOO_MANY
         except (web.PayloadAccessError, OSError):
             return BROKEN_OFF
--- a/granitewell/controlplane/configuration/change.py
+++ b/granitewell/controlplane/configuration/change.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from granitewell.controlplane.configuration.errors import UnknownChange, UnreadableChange
+from granitewell.controlplane.configuration.errors import UnknownChangeError, UnreadableChangeError
 
 FORMAT = 1
 HEAD = struct.Struct("!BBq")  # format, operation, base version
-MOST_VERSION = 2**63 - 1  # versions travel as signed 64-bit numbers
+MAX_VERSION = 2**63 - 1  # versions travel as signed 64-bit numbers
 
 
 class Operation(Enum):
@@ -44,17 +44,17 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Change:
-        """A change from its form in the log; raises UnreadableChange."""
+        """A change from its form in the log; raises UnreadableChangeError."""
         if len(data) < HEAD.size:
-            raise UnreadableChange(f"{len(data)} bytes are too few")
+            raise UnreadableChangeError(f"{len(data)} bytes are too few")
         version, code, base_version = HEAD.unpack_from(data)
         if version != FORMAT:
-            raise UnknownChange(f"format {version} is not known")
+            raise UnknownChangeError(f"format {version} is not known")
         operation = _OPERATIONS.get(code)
         if operation is None:
-            raise UnknownChange(f"operation {code} is not known")
+            raise UnknownChangeError(f"operation {code} is not known")
         if base_version < 0:
-            raise UnreadableChange(f"base version {base_version} is below 0")
+            raise UnreadableChangeError(f"base version {base_version} is below 0")
         return cls(operation, base_version, bytes(data[HEAD.size :]))
 
     def digest(self) -> bytes:
--- a/granitewell/controlplane/configuration/checks.py
+++ b/granitewell/controlplane/configuration/checks.py
@@ -1,4 +1,4 @@
-"""Reads what an operator sends and checks it; InvalidConfiguration names the field that is wrong.
+"""Reads what an operator sends and checks it; InvalidConfigurationError names the field that is wrong.
 
 Checked here: all that can be seen in the body alone. What depends on the rest of the configuration (services
 that are known, hosts and prefixes) is checked by `state`.
@@ -15,13 +15,20 @@
 import orjson
 from mashumaro.exceptions import InvalidFieldValue, MissingField
 
-from granitewell.controlplane.configuration.change import MOST_VERSION
-from granitewell.domain.configuration import Limits, Route, Service, StrictFields, WrongItem, WrongType
-from granitewell.domain.errors import InvalidConfiguration
+from granitewell.controlplane.configuration.change import MAX_VERSION
+from granitewell.domain.configuration import (
+    Limits,
+    Route,
+    Service,
+    StrictFields,
+    WrongItemError,
+    WrongTypeError,
+)
+from granitewell.domain.errors import InvalidConfigurationError
 
 WHOLE_FIELDS = frozenset({"version", "routes", "services", "limits"})
 PATCH_FIELDS = frozenset({"version", "upsert", "remove", "limits"})
-MOST_SHOWN = 60  # characters of a wrong value in a message
+MAX_SHOWN = 60  # characters of a wrong value in a message
 
 Named = TypeVar("Named", Route, Service)
 
@@ -102,7 +109,7 @@
 def read_whole(
     body: bytes, current_version: int, held_routes: HeldItems[Route], held_services: HeldItems[Service]
 ) -> WholeConfiguration:
-    """The body of a PUT; raises InvalidConfiguration."""
+    """The body of a PUT; raises InvalidConfigurationError."""
     document = _read_object(body)
     version = _read_version(document, current_version)
     routes = _read_items(Route, _required(document, "routes"), "routes", held_routes)
@@ -120,12 +127,12 @@
 def read_patch(
     body: bytes, current_version: int, held_routes: HeldItems[Route], held_services: HeldItems[Service]
 ) -> ConfigurationPatch:
-    """The body of a PATCH; raises InvalidConfiguration."""
+    """The body of a PATCH; raises InvalidConfigurationError."""
     document = _read_object(body)
     version = _read_version(document, current_version)
     for misplaced in ("routes", "services"):
         if misplaced in document:
-            raise InvalidConfiguration(misplaced, "a PATCH has this under upsert or remove")
+            raise InvalidConfigurationError(misplaced, "a PATCH has this under upsert or remove")
     upsert = _optional_object(document, "upsert")
     remove = _optional_object(document, "remove")
     limits = _optional_object(document, "limits") | _optional_object(upsert, "limits", "upsert.")
@@ -142,7 +149,7 @@
 
 
 def read_limits(document: Mapping[str, Any] | None) -> Limits:
-    """Limits as the planes read them, defaults where there are none; raises InvalidConfiguration."""
+    """Limits as the planes read them, defaults where there are none; raises InvalidConfigurationError."""
     if document is None:
         return Limits()
     try:
@@ -152,11 +159,11 @@
 
 
 def encode_value(value: Any, path: str) -> bytes:
-    """JSON of a value that was read from JSON; raises InvalidConfiguration where it nests too deeply."""
+    """JSON of a value that was read from JSON; raises InvalidConfigurationError where it nests too deeply."""
     try:
         encoded = orjson.dumps(value)
     except orjson.JSONEncodeError as error:
-        raise InvalidConfiguration(path, f"can't be kept: {error}") from error
+        raise InvalidConfigurationError(path, f"can't be kept: {error}") from error
     return memoryview(encoded).tobytes()  # a copy, as each result of orjson takes up 4 KB
 
 
@@ -164,24 +171,24 @@
     try:
         document = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise InvalidConfiguration("body", f"not JSON: {error}") from error
+        raise InvalidConfigurationError("body", f"not JSON: {error}") from error
     return _as_object(document, "body")
 
 
 def _read_version(document: Mapping[str, Any], current_version: int) -> int:
     version = _required(document, "version")
     if type(version) is not int:
-        raise InvalidConfiguration("version", f"not a whole number: {_shown(version)}")
+        raise InvalidConfigurationError("version", f"not a whole number: {_shown(version)}")
     if version <= current_version:
-        raise InvalidConfiguration("version", f"{version} is not above {current_version}")
-    if version > MOST_VERSION:
-        raise InvalidConfiguration("version", f"{version} is above {MOST_VERSION}")
+        raise InvalidConfigurationError("version", f"{version} is not above {current_version}")
+    if version > MAX_VERSION:
+        raise InvalidConfigurationError("version", f"{version} is above {MAX_VERSION}")
     return version
 
 
 def _required(document: Mapping[str, Any], name: str) -> Any:
     if name not in document:
-        raise InvalidConfiguration(name, "missing")
+        raise InvalidConfigurationError(name, "missing")
     return document[name]
 
 
@@ -192,13 +199,13 @@
 
 def _as_object(value: Any, path: str) -> dict[str, Any]:
     if type(value) is not dict:
-        raise InvalidConfiguration(path, f"not an object: {_shown(value)}")
+        raise InvalidConfigurationError(path, f"not an object: {_shown(value)}")
     return value
 
 
 def _as_list(value: Any, path: str) -> list[Any]:
     if type(value) is not list:
-        raise InvalidConfiguration(path, f"not a list: {_shown(value)}")
+        raise InvalidConfigurationError(path, f"not a list: {_shown(value)}")
     return value
 
 
@@ -214,7 +221,7 @@
         item = _read_item(kind, document, group, index, held)
         name = item.value.name
         if name in names:
-            raise InvalidConfiguration(f"{item.path}.name", f"{_shown(name)} is there already")
+            raise InvalidConfigurationError(f"{item.path}.name", f"{_shown(name)} is there already")
         names.add(name)
         items.append(item)
     return tuple(items)
@@ -243,28 +250,30 @@
 
 def _check_route(route: Route, path: str) -> None:
     if route.timeout_ms <= 0:
-        raise InvalidConfiguration(f"{path}.timeout-ms", f"{route.timeout_ms:g} is not above 0")
+        raise InvalidConfigurationError(f"{path}.timeout-ms", f"{route.timeout_ms:g} is not above 0")
     if route.weighted_services:
         _check_weights(route, path)
     elif route.service is None:
-        raise InvalidConfiguration(f"{path}.service", "missing")
+        raise InvalidConfigurationError(f"{path}.service", "missing")
 
 
 def _check_weights(route: Route, path: str) -> None:
     weights = [weighted.weight for weighted in route.weighted_services]
     for index, weight in enumerate(weights):
         if not weight >= 0:  # neither is NaN
-            raise InvalidConfiguration(f"{path}.weighted-services[{index}].weight", f"{weight:g} is below 0")
+            raise InvalidConfigurationError(
+                f"{path}.weighted-services[{index}].weight", f"{weight:g} is below 0"
+            )
     total = sum(weights)
     if not 0 < total < math.inf:
-        raise InvalidConfiguration(f"{path}.weighted-services", f"the weights add up to {total:g}")
+        raise InvalidConfigurationError(f"{path}.weighted-services", f"the weights add up to {total:g}")
 
 
 def _read_names(remove: Mapping[str, Any], kind: str) -> frozenset[str]:
     names = _as_list(_optional(remove, kind), f"remove.{kind}")
     for index, name in enumerate(names):
         if type(name) is not str:
-            raise InvalidConfiguration(f"remove.{kind}[{index}]", f"not a name: {_shown(name)}")
+            raise InvalidConfigurationError(f"remove.{kind}[{index}]", f"not a name: {_shown(name)}")
     return frozenset(names)
 
 
@@ -283,25 +292,25 @@
     for index, item in enumerate(items):
         path = f"upsert.{kind}[{index}]"
         if type(_as_object(item, path).get("name")) is not str:
-            raise InvalidConfiguration(f"{path}.name", "missing or not a string")
+            raise InvalidConfigurationError(f"{path}.name", "missing or not a string")
     return UnknownItems(tuple(items), _read_names(remove, kind))
 
 
-def _wrong_field(error: BaseException, kind: type[StrictFields], path: str) -> InvalidConfiguration:
+def _wrong_field(error: BaseException, kind: type[StrictFields], path: str) -> InvalidConfigurationError:
     """What mashumaro found, by the field's path on the wire."""
     if isinstance(error, MissingField):
-        return InvalidConfiguration(f"{path}.{_wire_name(kind, error.field_name)}", "missing")
+        return InvalidConfigurationError(f"{path}.{_wire_name(kind, error.field_name)}", "missing")
     if not isinstance(error, InvalidFieldValue):
-        return InvalidConfiguration(path, f"can't be read: {error}")
+        return InvalidConfigurationError(path, f"can't be read: {error}")
     path = f"{path}.{_wire_name(kind, error.field_name)}"
     cause = error.__cause__ or error.__context__
-    if isinstance(cause, WrongItem):
+    if isinstance(cause, WrongItemError):
         path = f"{path}[{cause.index}]"
         cause = cause.__cause__
     if isinstance(cause, MissingField | InvalidFieldValue):
         return _wrong_field(cause, cause.holder_class, path)
-    reason = str(cause) if isinstance(cause, WrongType) else "not of its type"
-    return InvalidConfiguration(path, f"{reason}: {_shown(error.field_value)}")
+    reason = str(cause) if isinstance(cause, WrongTypeError) else "not of its type"
+    return InvalidConfigurationError(path, f"{reason}: {_shown(error.field_value)}")
 
 
 def _wire_name(kind: type[Any], name: str) -> str:
@@ -313,4 +322,4 @@
 
 def _shown(value: Any) -> str:
     text = repr(value)
-    return text if len(text) <= MOST_SHOWN else text[:MOST_SHOWN] + "..."
+    return text if len(text) <= MAX_SHOWN else text[:MAX_SHOWN] + "..."
--- a/granitewell/controlplane/configuration/history.py
+++ b/granitewell/controlplane/configuration/history.py
@@ -2,7 +2,7 @@
 
 What is taken forms one chain: each change is built on the version that the one before has led to. So the
 version that a change builds on says which of the changes taken it can be, if any, and the rest of its
-identity (operation and body) says whether it is that one. The oldest are forgotten beyond MOST_TAKEN; of a
+identity (operation and body) says whether it is that one. The oldest are forgotten beyond MAX_TAKEN; of a
 change on a version from before those that are remembered, it can't be told any more whether it was taken.
 """
 
@@ -14,9 +14,9 @@
 from itertools import pairwise
 
 from granitewell.controlplane.configuration.change import Change
-from granitewell.controlplane.configuration.errors import UnreadableSnapshot
+from granitewell.controlplane.configuration.errors import UnreadableSnapshotError
 
-MOST_TAKEN = 10_000  # changes remembered: weeks at some hundred changes a day, in 400 KB of a snapshot
+MAX_TAKEN = 10_000  # changes remembered: weeks at some hundred changes a day, in 400 KB of a snapshot
 
 RECORD = struct.Struct("!32sq")  # digest, version
 UNKNOWN_DIGEST = bytes(
@@ -72,7 +72,7 @@
 
     @classmethod
     def read(cls, data: bytes) -> ChangeHistory:
-        """The history from the records of a snapshot; raises UnreadableSnapshot."""
+        """The history from the records of a snapshot; raises UnreadableSnapshotError."""
         changes = [TakenChange(*fields) for fields in RECORD.iter_unpack(data)]
         history = cls()
         if changes and (changes[0].digest == UNKNOWN_DIGEST or len(changes) >= FULL_WITHOUT_MARK):
@@ -84,11 +84,11 @@
 
     def _append(self, change: TakenChange) -> None:
         self._taken[self.version] = change
-        while len(self._taken) > MOST_TAKEN:
+        while len(self._taken) > MAX_TAKEN:
             oldest = next(iter(self._taken))
             self._forgotten_version = self._taken.pop(oldest).version
 
 
 def _check_rising(versions: Iterable[int]) -> None:
     if any(later <= earlier for earlier, later in pairwise(versions)):
-        raise UnreadableSnapshot("versions of changes don't rise")
+        raise UnreadableSnapshotError("versions of changes don't rise")
--- a/granitewell/controlplane/configuration/if_match.py
+++ b/granitewell/controlplane/configuration/if_match.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from granitewell.controlplane.configuration.answers import Failure
-from granitewell.controlplane.configuration.change import MOST_VERSION
+from granitewell.controlplane.configuration.change import MAX_VERSION
 
 _VERSION = re.compile(r'(?:W/)?"([0-9]{1,19})"|([0-9]{1,19})')
 
@@ -21,6 +21,6 @@
     if match is None:
         return Failure(400, "If-Match is not a version")
     version = int(match[1] or match[2])
-    if version > MOST_VERSION:
+    if version > MAX_VERSION:
         return Failure(400, "If-Match is no version")
     return version
--- a/granitewell/controlplane/configuration/state.py
+++ b/granitewell/controlplane/configuration/state.py
@@ -24,7 +24,7 @@
     read_whole,
 )
 from granitewell.domain.configuration import Configuration, Limits, Route, Service
-from granitewell.domain.errors import InvalidConfiguration
+from granitewell.domain.errors import InvalidConfigurationError
 
 
 class MatchKey(NamedTuple):
@@ -91,7 +91,7 @@
 
 
 def changed(state: ConfigurationState, change: Change) -> ConfigurationState:
-    """The state after a change on top of this one; raises InvalidConfiguration."""
+    """The state after a change on top of this one; raises InvalidConfigurationError."""
     if change.operation is Operation.PUT:
         return whole_state(state, change.body)
     patch = read_patch(change.body, state.version, state.held_routes(), state.held_services())
@@ -99,7 +99,8 @@
 
 
 def whole_state(state: ConfigurationState, document: bytes) -> ConfigurationState:
-    """The state that a whole configuration stands for, on top of this one; raises InvalidConfiguration."""
+    """The state that a whole configuration stands for, on top of this one; raises
+    InvalidConfigurationError."""
     return _whole(read_whole(document, state.version, state.held_routes(), state.held_services()))
 
 
@@ -189,11 +190,11 @@
     """Every service that a route names is known."""
     route = item.value
     if route.service is not None and route.service not in services:
-        raise InvalidConfiguration(f"{item.path}.service", f"no service is named {route.service!r}")
+        raise InvalidConfigurationError(f"{item.path}.service", f"no service is named {route.service!r}")
     for index, weighted in enumerate(route.weighted_services):
         if weighted.service not in services:
             path = f"{item.path}.weighted-services[{index}].service"
-            raise InvalidConfiguration(path, f"no service is named {weighted.service!r}")
+            raise InvalidConfigurationError(path, f"no service is named {weighted.service!r}")
 
 
 def _check_removed_services(removed: set[str], routes: Mapping[str, Route]) -> None:
@@ -203,7 +204,7 @@
     for route in routes.values():
         for name in _named_services(route):
             if name in removed:
-                raise InvalidConfiguration("remove.services", f"route {route.name!r} names {name!r}")
+                raise InvalidConfigurationError("remove.services", f"route {route.name!r} names {name!r}")
 
 
 def _named_services(route: Route) -> list[str]:
@@ -223,7 +224,9 @@
         key = _match_key(item.value)
         other = matches.setdefault(key, name)
         if other != name:
-            raise InvalidConfiguration(f"{item.path}.prefix", f"route {other!r} has the same host and prefix")
+            raise InvalidConfigurationError(
+                f"{item.path}.prefix", f"route {other!r} has the same host and prefix"
+            )
 
 
 def _patched_matches(state: ConfigurationState, patch: ConfigurationPatch) -> Mapping[MatchKey, str]:
@@ -261,7 +264,7 @@
     """The list of a kind of items that is not known here, altered by name as the known kinds are."""
     before = [] if document is None else orjson.loads(document)
     if not isinstance(before, list):
-        raise InvalidConfiguration(f"upsert.{kind}", "not a list in the current configuration")
+        raise InvalidConfigurationError(f"upsert.{kind}", "not a list in the current configuration")
     merged = _merged(_by_name(before), items.remove, _by_name(items.upsert))
     return encode_value(list(merged.values()), f"upsert.{kind}")
 
--- a/granitewell/controlplane/configuration/store.py
+++ b/granitewell/controlplane/configuration/store.py
@@ -18,7 +18,7 @@
 from enum import Enum
 
 from granitewell.controlplane.configuration.change import Change, Operation
-from granitewell.controlplane.configuration.errors import UnreadableSnapshot
+from granitewell.controlplane.configuration.errors import UnreadableSnapshotError
 from granitewell.controlplane.configuration.history import RECORD, ChangeHistory
 from granitewell.controlplane.configuration.state import (
     EMPTY,
@@ -28,7 +28,7 @@
     whole_state,
 )
 from granitewell.domain.configuration import Configuration
-from granitewell.domain.errors import InvalidConfiguration
+from granitewell.domain.errors import InvalidConfigurationError
 
 __all__ = ["Change", "ChangeResult", "ConfigurationDelta", "ConfigurationStore", "Operation", "Outcome"]
 
@@ -36,10 +36,8 @@
 SNAPSHOT_HEAD = struct.Struct(
     "!BIII"
 )  # format, checksum of the rest, length of the document, records of changes
-MOST_DOCUMENT = (
-    24 * 1024 * 1024
-)  # bytes; patch by patch it may grow, and must fit into a snapshot and a reply
-MOST_STEPS = 128  # patches kept for edges that lag; one further behind is sent the whole
+MAX_DOCUMENT = 24 * 1024 * 1024  # bytes; patch by patch it may grow, and must fit into a snapshot and a reply
+MAX_STEPS = 128  # patches kept for edges that lag; one further behind is sent the whole
 
 
 class Outcome(Enum):
@@ -65,7 +63,7 @@
     outcome: Outcome
     version: int
     current_version: int
-    error: InvalidConfiguration | None = None
+    error: InvalidConfigurationError | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +102,7 @@
     def __init__(self, on_taken: Callable[[], None] | None = None) -> None:
         self._state = EMPTY
         self._history = ChangeHistory()
-        self._steps: deque[_Step] = deque(maxlen=MOST_STEPS)
+        self._steps: deque[_Step] = deque(maxlen=MAX_STEPS)
         self._document: bytes | None = None
         self._whole_size = 0
         self._checked: _Candidate | None = None  # the last that check passed, on the current state
@@ -135,7 +133,7 @@
         return None
 
     def apply(self, index: int, data: bytes) -> ChangeResult:
-        """A committed entry of the log; raises UnreadableChange."""
+        """A committed entry of the log; raises UnreadableChangeError."""
         change = Change.decode(data)
         verdict = self._judge(change)
         if isinstance(verdict, ChangeResult):
@@ -160,19 +158,20 @@
         return SNAPSHOT_HEAD.pack(SNAPSHOT_FORMAT, zlib.crc32(rest), len(document), len(records)) + rest
 
     def restore(self, data: bytes) -> None:
-        """Goes on from a snapshot instead of what was held; raises UnreadableSnapshot and then keeps it."""
+        """Goes on from a snapshot instead of what was held; raises UnreadableSnapshotError and then keeps
+        it."""
         if len(data) < SNAPSHOT_HEAD.size:
-            raise UnreadableSnapshot(f"{len(data)} bytes are too few")
+            raise UnreadableSnapshotError(f"{len(data)} bytes are too few")
         version, checksum, length, count = SNAPSHOT_HEAD.unpack_from(data)
         if version != SNAPSHOT_FORMAT:
-            raise UnreadableSnapshot(f"format {version} is not known")
+            raise UnreadableSnapshotError(f"format {version} is not known")
         rest = data[SNAPSHOT_HEAD.size :]
         if len(rest) != length + count * RECORD.size or zlib.crc32(rest) != checksum:
-            raise UnreadableSnapshot("damaged")
+            raise UnreadableSnapshotError("damaged")
         state = _restored_state(bytes(rest[:length]))
         history = ChangeHistory.read(rest[length:])
         if history.version != state.version:
-            raise UnreadableSnapshot(
+            raise UnreadableSnapshotError(
                 f"changes lead to {history.version}, the configuration is {state.version}"
             )
         self._history = history
@@ -187,7 +186,7 @@
             return self._checked
         try:
             return _Candidate(digest, _bounded(changed(self._state, change)))
-        except InvalidConfiguration as error:
+        except InvalidConfigurationError as error:
             return self._result(Outcome.INVALID, error)
 
     def _judge_on_another_version(self, change: Change) -> ChangeResult:
@@ -198,7 +197,7 @@
             return self._result(Outcome.STALE)
         return self._result(Outcome.FORGOTTEN)
 
-    def _result(self, outcome: Outcome, error: InvalidConfiguration | None = None) -> ChangeResult:
+    def _result(self, outcome: Outcome, error: InvalidConfigurationError | None = None) -> ChangeResult:
         return ChangeResult(outcome, self.version, self.version, error)
 
     def _take(self, change: Change, candidate: _Candidate, data: bytes) -> None:
@@ -228,9 +227,11 @@
 
 
 def _bounded(state: ConfigurationState) -> ConfigurationState:
-    """A state that is small enough to be kept; raises InvalidConfiguration."""
-    if state.size() > MOST_DOCUMENT:
-        raise InvalidConfiguration("body", f"the whole configuration would be above {MOST_DOCUMENT} bytes")
+    """A state that is small enough to be kept; raises InvalidConfigurationError."""
+    if state.size() > MAX_DOCUMENT:
+        raise InvalidConfigurationError(
+            "body", f"the whole configuration would be above {MAX_DOCUMENT} bytes"
+        )
     return state
 
 
@@ -245,5 +246,5 @@
         return EMPTY
     try:
         return whole_state(EMPTY, document)
-    except InvalidConfiguration as error:
-        raise UnreadableSnapshot(f"holds no configuration: {error}") from error
+    except InvalidConfigurationError as error:
+        raise UnreadableSnapshotError(f"holds no configuration: {error}") from error
--- a/granitewell/controlplane/configuration/view.py
+++ b/granitewell/controlplane/configuration/view.py
@@ -5,10 +5,10 @@
 from collections.abc import Sequence
 
 from granitewell.controlplane.configuration.change import Change
-from granitewell.controlplane.configuration.errors import DeltaMismatch, UnreadableChange
+from granitewell.controlplane.configuration.errors import DeltaMismatchError, UnreadableChangeError
 from granitewell.controlplane.configuration.state import EMPTY, ConfigurationState, changed, whole_state
 from granitewell.domain.configuration import Configuration
-from granitewell.domain.errors import InvalidConfiguration
+from granitewell.domain.errors import InvalidConfigurationError
 
 
 class ConfigurationView:
@@ -30,24 +30,24 @@
     def apply(self, version: int, whole: bool, documents: Sequence[bytes]) -> Configuration | None:
         """Goes on to a version by what changes_since gave; None where that is not newer than what is held.
 
-        Raises DeltaMismatch, and then holds what it held: ask for the whole (as from version 0).
+        Raises DeltaMismatchError, and then holds what it held: ask for the whole (as from version 0).
         """
         if version <= self.version:
             return None
         state = _from_whole(self._state, documents) if whole else _from_changes(self._state, documents)
         if state.version != version:
-            raise DeltaMismatch(f"leads to version {state.version} instead of {version}")
+            raise DeltaMismatchError(f"leads to version {state.version} instead of {version}")
         self._state = state
         return state.configuration
 
 
 def _from_whole(state: ConfigurationState, documents: Sequence[bytes]) -> ConfigurationState:
     if len(documents) != 1:
-        raise DeltaMismatch(f"{len(documents)} documents where one whole was expected")
+        raise DeltaMismatchError(f"{len(documents)} documents where one whole was expected")
     try:
         return whole_state(state, documents[0])
-    except InvalidConfiguration as error:
-        raise DeltaMismatch(f"the whole can't be read: {error}") from error
+    except InvalidConfigurationError as error:
+        raise DeltaMismatchError(f"the whole can't be read: {error}") from error
 
 
 def _from_changes(state: ConfigurationState, documents: Sequence[bytes]) -> ConfigurationState:
@@ -55,8 +55,8 @@
     for document in documents:
         try:
             state = _next(state, Change.decode(document))
-        except (InvalidConfiguration, UnreadableChange) as error:
-            raise DeltaMismatch(f"a change can't be read: {error}") from error
+        except (InvalidConfigurationError, UnreadableChangeError) as error:
+            raise DeltaMismatchError(f"a change can't be read: {error}") from error
     return state
 
 
@@ -64,5 +64,5 @@
     if change.base_version < state.version:
         return state  # there is one history: what was built on an older version than this is held already
     if change.base_version > state.version:
-        raise DeltaMismatch(f"builds on version {change.base_version}, held is {state.version}")
+        raise DeltaMismatchError(f"builds on version {change.base_version}, held is {state.version}")
     return changed(state, change)
--- a/granitewell/controlplane/ownership/owner.py
+++ b/granitewell/controlplane/ownership/owner.py
@@ -120,7 +120,7 @@
         return self.owns() and (self._clock() >= self._order_from or self._predecessor_is_gone())
 
     async def claim(self) -> None:
-        """Write the claim to the log; raises NotLeader or ProposalLost.
+        """Write the claim to the log; raises NotLeaderError or ProposalLostError.
 
         The last order of whoever it follows left before this commits.
         """
--- a/granitewell/controlplane/ownership/record.py
+++ b/granitewell/controlplane/ownership/record.py
@@ -13,7 +13,7 @@
 from granitewell.domain.errors import GranitewellError
 
 
-class BadClaim(GranitewellError):
+class MalformedClaimError(GranitewellError):
     """An entry of the log that is no claim."""
 
 
@@ -37,7 +37,7 @@
 
     @classmethod
     def decode(cls, data: bytes) -> OwnerClaimed:
-        """From the log; raises BadClaim."""
+        """From the log; raises MalformedClaimError."""
         try:
             document = json.loads(data)
             return cls(
@@ -47,7 +47,7 @@
                 str(document.get("incarnation", "")),
             )
         except (ValueError, KeyError, TypeError) as error:
-            raise BadClaim(repr(error)) from error
+            raise MalformedClaimError(repr(error)) from error
 
 
 NOBODY = OwnerClaimed("", 0)
--- a/granitewell/controlplane/placement/demand.py
+++ b/granitewell/controlplane/placement/demand.py
@@ -14,7 +14,7 @@
 
 FAST_S = 2.0  # time constant of the rate that shows a rise
 SLOW_S = 20.0  # time constant of the rate of models that are asked for rarely
-LEAST_FAST_REQUESTS = 2.5  # within FAST_S, below which a rise may be chance
+MIN_FAST_REQUESTS = 2.5  # within FAST_S, below which a rise may be chance
 SILENCE_SCALE_S = 10.0  # a rate is believed to be at most this / idle time squared
 MISS_S = 5.0  # time constant of the rate of misses
 GAUGE_LASTS_S = 2.0  # edges report every second at the latest; an older figure is taken for zero
@@ -114,7 +114,7 @@
         passed = max(0.0, now - self._at)
         fast = self._fast * math.exp(-passed / FAST_S)
         rate = self._slow * math.exp(-passed / SLOW_S) / SLOW_S
-        if fast >= LEAST_FAST_REQUESTS:
+        if fast >= MIN_FAST_REQUESTS:
             rate = max(rate, fast / FAST_S)
         if passed > 1.0:
             rate = min(rate, SILENCE_SCALE_S / (passed * passed))
--- a/granitewell/controlplane/placement/fleet.py
+++ b/granitewell/controlplane/placement/fleet.py
@@ -17,8 +17,8 @@
 ACTIVE_ADAPTER_RATE = 0.04  # adapters asked for this often want a place of their own
 SLOTS_SHARE = 0.2  # of a server's slots in use by one model, beyond which another copy is wanted
 EVEN_SHARE = 1.25  # of all requests over all servers: a model asked for more often a copy wants another copy
-LEAST_RATE_A_COPY = 1.0  # requests a second that one copy serves well anywhere: prompts are read one by one
-MOST_COPIES_SHARE = 0.7  # of the servers, for one model
+MIN_RATE_A_COPY = 1.0  # requests a second that one copy serves well anywhere: prompts are read one by one
+MAX_COPIES_SHARE = 0.7  # of the servers, for one model
 
 
 @dataclass(slots=True)
@@ -127,7 +127,7 @@
     def _well_served_rate(self) -> float:
         """Requests a second that a copy should get at most: about an even share of all requests."""
         asked = sum(seen.rate for seen in self.demand.models.values())
-        return max(LEAST_RATE_A_COPY, EVEN_SHARE * asked / max(1, len(self.lasting)))
+        return max(MIN_RATE_A_COPY, EVEN_SHARE * asked / max(1, len(self.lasting)))
 
     def _wanted_copies(self, name: str) -> int:
         seen = self.demand.models.get(name)
@@ -142,7 +142,7 @@
             places = self._engine.max_adapters
             if places:
                 wanted = max(wanted, math.ceil(self._active_adapters.get(name, 0) / places))
-        most = max(2, int(len(self.lasting) * MOST_COPIES_SHARE))
+        most = max(2, int(len(self.lasting) * MAX_COPIES_SHARE))
         return min(wanted, most, len(self.lasting))
 
     def _load_of(self, server: ServerView) -> float:
--- a/granitewell/controlplane/placement/orders.py
+++ b/granitewell/controlplane/placement/orders.py
@@ -16,12 +16,12 @@
 EXPECT_INSTANCE = "Granitewell-Expect-Instance"
 REPORT_TIMEOUT_S = 0.5  # a report takes some ms, with one packet lost some 200 ms more
 ORDER_TIMEOUT_S = 0.8  # the acceptance of an order takes some ms; the work itself is not waited for
-MOST_REPORT_BYTES = 256 * 1024  # far over a report with all models and adapters of a server
+MAX_REPORT_BYTES = 256 * 1024  # far over a report with all models and adapters of a server
 
 MISDIRECTED = 421
 
 
-class BadReport(GranitewellError):
+class MalformedReportError(GranitewellError):
     """A server's report can't be read."""
 
 
@@ -113,7 +113,7 @@
 
 
 def parse_report(body: bytes) -> Report:
-    """A report from its bytes; raises BadReport."""
+    """A report from its bytes; raises MalformedReportError."""
     try:
         document = json.loads(body)
         models = [HeldModel.parse(entry) for entry in document["models"]]
@@ -125,7 +125,7 @@
             queued=int(document.get("queued", 0)),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise BadReport(f"not a report: {error!r}") from error
+        raise MalformedReportError(f"not a report: {error!r}") from error
 
 
 def encode_order(order: Order, ticket: OrderTicket) -> bytes:
@@ -200,13 +200,13 @@
                     return ReportFailure.OTHER_SERVER
                 if response.status != 200:
                     return ReportFailure.BAD_ANSWER
-                body = await response.content.read(MOST_REPORT_BYTES)
-                while not response.content.at_eof() and len(body) < MOST_REPORT_BYTES:
-                    body += await response.content.read(MOST_REPORT_BYTES)
+                body = await response.content.read(MAX_REPORT_BYTES)
+                while not response.content.at_eof() and len(body) < MAX_REPORT_BYTES:
+                    body += await response.content.read(MAX_REPORT_BYTES)
                 return parse_report(body)
         except aiohttp.ClientConnectorError:
             return ReportFailure.REFUSED
-        except BadReport:
+        except MalformedReportError:
             return ReportFailure.BAD_ANSWER
         except (aiohttp.ClientError, TimeoutError, OSError):
             return ReportFailure.NO_ANSWER
--- a/granitewell/controlplane/placement/placement_pass.py
+++ b/granitewell/controlplane/placement/placement_pass.py
@@ -23,7 +23,7 @@
 SAME_ZONE_S = 0.3
 ADAPTER_HOST_S = 0.15  # a load holds up orders for adapters on this server
 
-MOST_MAKING_ROOM = 4  # unloads for a waiting load, at once, beyond the loads that may begin
+MAX_MAKING_ROOM = 4  # unloads for a waiting load, at once, beyond the loads that may begin
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
         return True
 
     def _may_make_room(self) -> bool:
-        return self.purposes.total() + len(self._reserved) < MOST_MAKING_ROOM
+        return self.purposes.total() + len(self._reserved) < MAX_MAKING_ROOM
 
     def _order_load(self, server: ServerView, name: str) -> None:
         cold = name not in server.held_before
--- a/granitewell/controlplane/placement/planner.py
+++ b/granitewell/controlplane/placement/planner.py
@@ -30,10 +30,10 @@
 
 # Value that may be given up, in misses a second
 RELIEF_VALUE = 0.3  # value that may be given up for each request a second taken off a copy
-MOST_FOR_WAITING = 1.2  # value that may be given up for a request that waits
-MOST_FOR_JUST_WAITING = 0.3  # the same when it has only begun to wait
-MOST_FOR_SPARE = 0.25  # value that may be given up for a copy that nobody waits for
-MOST_FOR_ROOM = 0.12  # value that may be given up for room ahead of need
+MAX_FOR_WAITING = 1.2  # value that may be given up for a request that waits
+MAX_FOR_JUST_WAITING = 0.3  # the same when it has only begun to wait
+MAX_FOR_SPARE = 0.25  # value that may be given up for a copy that nobody waits for
+MAX_FOR_ROOM = 0.12  # value that may be given up for room ahead of need
 
 # Who comes first
 PRIORITY_WEIGHTS = (3.0, 2.0, 1.0, 0.7, 0.5)  # of one request, by its priority
@@ -41,8 +41,8 @@
 RELIEF_WEIGHT = 2.0  # of one request a second that another copy takes off each of those there are
 
 # How much at once
-MOST_SPARE_LOADS = 2  # loads that nobody waits for, at once
-MOST_TRIED = 12  # models that could not be placed, after which the rest of the queue is left for later
+MAX_SPARE_LOADS = 2  # loads that nobody waits for, at once
+MAX_TRIED = 12  # models that could not be placed, after which the rest of the queue is left for later
 ROOM_S = 0.9  # of misses that find free room: about an unload, its report and a load
 ROOM_SERVERS_SHARE = 0.34  # of the servers, at most, with room made ahead
 
@@ -101,7 +101,7 @@
         now = self._demand.at
         waiting.sort(key=lambda item: (-_urgency(item[1], now), item[0].model, item[0].adapter))
         for ref, _ in waiting:
-            self._placing.place_adapter(ref, MOST_FOR_WAITING)
+            self._placing.place_adapter(ref, MAX_FOR_WAITING)
 
     # 2. Models that are waited for
 
@@ -111,7 +111,7 @@
         """
         urgent = {name: urgency for name in self._fleet.wanted if (urgency := self._urgency_of(name)) > 0}
         failures = 0
-        while urgent and self._placing.free and failures < MOST_TRIED:
+        while urgent and self._placing.free and failures < MAX_TRIED:
             name = min(urgent, key=lambda other: (-urgent[other], other))
             if not self._place_urgent(name):
                 failures += 1
@@ -147,13 +147,13 @@
         if self._fleet.is_missed(name):
             most_value = self._most_for_waiting(self._demand.models[name])
             return self._placing.place_model(name, most_value, self._at_once)
-        most_value = max(MOST_FOR_SPARE, min(MOST_FOR_WAITING, RELIEF_VALUE * self._relief(name)))
+        most_value = max(MAX_FOR_SPARE, min(MAX_FOR_WAITING, RELIEF_VALUE * self._relief(name)))
         return self._placing.place_model(name, most_value, self._at_once)
 
     def _most_for_waiting(self, seen: RefDemand) -> float:
         """Value that may be given up: little at first, as a better server may be free soon."""
         waited = max(0.0, self._demand.at - seen.waiting_since)
-        return min(MOST_FOR_WAITING, MOST_FOR_JUST_WAITING + round(waited, 1))
+        return min(MAX_FOR_WAITING, MAX_FOR_JUST_WAITING + round(waited, 1))
 
     # 3. Copies that demand wants
 
@@ -168,9 +168,9 @@
         short.sort(key=lambda item: (self._fleet.copies_of(item[0]).count, -item[1].rate, item[0]))
         for name, _ in short:
             lost = not self._fleet.copies_of(name).count
-            most_loads = self._at_once if lost else min(MOST_SPARE_LOADS, self._at_once)
+            most_loads = self._at_once if lost else min(MAX_SPARE_LOADS, self._at_once)
             if self._placing.under_way() < most_loads:
-                self._placing.place_model(name, MOST_FOR_SPARE, most_loads)
+                self._placing.place_model(name, MAX_FOR_SPARE, most_loads)
 
     def load_spare_adapters(self) -> None:
         """Adapters in use that have too few copies."""
@@ -180,7 +180,7 @@
             wanted = 2 if seen.rate >= BUSY_ADAPTER_RATE else 1
             wanted = min(wanted, max(1, self._fleet.copies_of(ref.model).ready))
             if self._fleet.adapter_copies(ref) < wanted:
-                self._placing.place_adapter(ref, MOST_FOR_SPARE)
+                self._placing.place_adapter(ref, MAX_FOR_SPARE)
 
     # 4. Room
 
@@ -219,7 +219,7 @@
             if server.reserved_for is not None or self._has_room(server, size):
                 continue
             for value, name in self._values.ranking(server):
-                if value > MOST_FOR_ROOM or (best is not None and (value, server.id) >= best[:2]):
+                if value > MAX_FOR_ROOM or (best is not None and (value, server.id) >= best[:2]):
                     break
                 if self._fleet.in_flight(name) or not self._makes_room(server, name, size):
                     continue
--- a/granitewell/controlplane/placement/reconciler.py
+++ b/granitewell/controlplane/placement/reconciler.py
@@ -41,7 +41,7 @@
 EDGES_LEARN_S = 0.2  # until edges have stopped sending for what was withdrawn
 LATELY_S = 2.0  # without a request for this long, a model is unloaded without waiting for the edges
 REPLAN_S = 0.25  # between plans when nothing happens
-LEAST_BETWEEN_PLANS_S = 0.02
+MIN_BETWEEN_PLANS_S = 0.02
 FIRST_REPORTS_S = 0.1  # before the first plan, so that it knows all servers
 FIRST_DEMAND_S = 1.2  # before the first unload: edges report every second, till then nothing seems in use
 AFTER_CONFLICT_S = 0.25  # a report asked for earlier may not show why an order was refused
@@ -244,7 +244,7 @@
 
     def _soon(self, now: float) -> None:
         if self._running:
-            self._plan_at = min(self._plan_at, max(now, self._planned_at + LEAST_BETWEEN_PLANS_S))
+            self._plan_at = min(self._plan_at, max(now, self._planned_at + MIN_BETWEEN_PLANS_S))
 
     # Plans
 
@@ -270,7 +270,7 @@
             if step is not None:
                 steps.append(step)
         if demand.models and store.tokens < 1:
-            self._plan_at = min(self._plan_at, max(bucket.next_at(now), now + LEAST_BETWEEN_PLANS_S))
+            self._plan_at = min(self._plan_at, max(bucket.next_at(now), now + MIN_BETWEEN_PLANS_S))
         return steps
 
     def _begin(self, now: float, order: Order, holder: str, fence: int) -> Send | None:
--- a/granitewell/controlplane/publication/publisher.py
+++ b/granitewell/controlplane/publication/publisher.py
@@ -22,14 +22,14 @@
 )
 from granitewell.rpc.translation import server_from_message, server_to_message
 
-MOST_HOLD_S = 2.0
+MAX_HOLD_S = 2.0
 GATHER_S = 0.015  # changes that come so close together are told together
 EDGE_FORGOTTEN_S = 4.0  # an edge that has not asked for so long is not counted
 PEAK_FORGOTTEN_S = 120.0
-MOST_CONTACT_AGE_S = 0.75  # what is published is no older; 0.3 s with all well, and two heartbeats may fail
+MAX_CONTACT_AGE_S = 0.75  # what is published is no older; 0.3 s with all well, and two heartbeats may fail
 
 
-class OutOfTouch(GranitewellError):
+class StaleReplicaError(GranitewellError):
     """This control node may be behind: the watcher should ask another."""
 
 
@@ -111,14 +111,14 @@
         self._changed = asyncio.Event()
 
     async def watch(self, request: Any) -> Any:
-        """The reply to a long-poll; raises OutOfTouch."""
-        deadline = self._clock() + min(max(request.hold_ms, 0) / 1000.0, MOST_HOLD_S)
+        """The reply to a long-poll; raises StaleReplicaError."""
+        deadline = self._clock() + min(max(request.hold_ms, 0) / 1000.0, MAX_HOLD_S)
         while True:
             changed = self._changed
             if request.edge:
                 self._edges.asked(request.node, self._clock())
-                if self._contact_age_s() > MOST_CONTACT_AGE_S:
-                    raise OutOfTouch("no word from a leader")
+                if self._contact_age_s() > MAX_CONTACT_AGE_S:
+                    raise StaleReplicaError("no word from a leader")
             reply = self._reply(request)
             left = deadline - self._clock()
             if reply is not None or left <= 0:
--- a/granitewell/controlplane/publication/table.py
+++ b/granitewell/controlplane/publication/table.py
@@ -11,7 +11,7 @@
 
 from granitewell.domain.servers import Server
 
-MOST_REMOVED = 2_000  # removals remembered; a watcher from before them gets the whole table
+MAX_REMOVED = 2_000  # removals remembered; a watcher from before them gets the whole table
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -107,7 +107,7 @@
             self._changed_at.pop(key, None)
             self._removed_at.pop(key, None)
             self._removed_at[key] = version.sequence
-        while len(self._removed_at) > MOST_REMOVED:
+        while len(self._removed_at) > MAX_REMOVED:
             self._complete_from = self._removed_at.pop(next(iter(self._removed_at))) + 1
 
     def since(self, version: Version) -> Update:
--- a/granitewell/coordination/consensus/codec.py
+++ b/granitewell/coordination/consensus/codec.py
@@ -2,7 +2,7 @@
 
 A frame is a version, the message's kind, a checksum of the rest, and a thrift struct of consensus.thrift.
 Fields that a newer sender added are skipped; a frame of another version, of an unknown kind, damaged or with
-a field missing or out of its range raises BadFrame.
+a field missing or out of its range raises MalformedFrameError.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
     unpack_membership,
 )
 from granitewell.coordination.consensus.messages import Message
-from granitewell.domain.errors import BadFrame
+from granitewell.domain.errors import MalformedFrameError
 from granitewell.rpc.serialization import encode as encode_struct
 
 VERSION = 1
 _HEAD = struct.Struct("!BBI")
-MOST_IDENTIFIER = 128
+MAX_IDENTIFIER = 128
 """Characters of a replica id."""
 
 
@@ -108,18 +108,18 @@
 
 
 def decode(frame: bytes) -> Message:
-    """The message of a frame; raises BadFrame."""
+    """The message of a frame; raises MalformedFrameError."""
     if len(frame) < _HEAD.size:
-        raise BadFrame("no head")
+        raise MalformedFrameError("no head")
     version, number, checksum = _HEAD.unpack_from(frame)
     if version != VERSION:
-        raise BadFrame(f"consensus version {version}, known: {VERSION}")
+        raise MalformedFrameError(f"consensus version {version}, known: {VERSION}")
     kind = _BY_NUMBER.get(number)
     if kind is None:
-        raise BadFrame(f"no message of kind {number}")
+        raise MalformedFrameError(f"no message of kind {number}")
     payload = frame[_HEAD.size :]
     if crc32(payload) != checksum:
-        raise BadFrame("checksum")
+        raise MalformedFrameError("checksum")
     body = decode_struct(kind.struct, payload)
     message = kind.message(*(_value(body, field) for field in kind.fields))
     _check(message)
@@ -131,19 +131,19 @@
     if field.kind is bytes and isinstance(value, str):
         value = value.encode()
     if not isinstance(value, field.kind):
-        raise BadFrame(f"field {field.name}")
+        raise MalformedFrameError(f"field {field.name}")
     if field.kind is int and value < 0:
-        raise BadFrame(f"field {field.name} is below 0")
+        raise MalformedFrameError(f"field {field.name} is below 0")
     return field.packing.unpack(value) if field.packing else value
 
 
 def _check(message: Message) -> None:
-    if not message.sender or len(message.sender) > MOST_IDENTIFIER or len(message.receiver) > MOST_IDENTIFIER:
-        raise BadFrame("no proper replica ids")
+    if not message.sender or len(message.sender) > MAX_IDENTIFIER or len(message.receiver) > MAX_IDENTIFIER:
+        raise MalformedFrameError("no proper replica ids")
     if isinstance(message, messages.Append):
         _check_entries(message)
     if isinstance(message, messages.SnapshotChunk) and message.offset + len(message.data) > message.total:
-        raise BadFrame("a chunk ends after its snapshot")
+        raise MalformedFrameError("a chunk ends after its snapshot")
 
 
 def _check_entries(message: messages.Append) -> None:
@@ -152,5 +152,5 @@
     for entry in message.entries:
         index += 1
         if entry.index != index or not term <= entry.term <= message.term:
-            raise BadFrame("entries out of order")
+            raise MalformedFrameError("entries out of order")
         term = entry.term
--- a/granitewell/coordination/consensus/core.py
+++ b/granitewell/coordination/consensus/core.py
@@ -65,7 +65,8 @@
         self.synced_messages.append(Outgoing(address, message))
 
     def send_in_term(self, address: str, message: Message) -> None:
-        """A reply that claims no more than that this replica is in its term: waits where that is not synced."""
+        """A reply that claims no more than that this replica is in its term: waits where that is not
+        synced."""
         if self.persistence.stable_term >= self.term:
             self.send(address, message)
         else:
@@ -83,7 +84,8 @@
         self.persistence.records.append(entry)
 
     def truncate(self, index: int) -> None:
-        """Drop uncommitted entries from an index on; what is written next at that index drops them on disk."""
+        """Drop uncommitted entries from an index on; what is written next at that index drops them on
+        disk."""
         assert index > self.commit_index, (index, self.commit_index)
         self.log.truncate(index)
         self.persistence.truncated(index)
--- a/granitewell/coordination/consensus/encoding.py
+++ b/granitewell/coordination/consensus/encoding.py
@@ -19,7 +19,7 @@
     Membership,
     VoterChange,
 )
-from granitewell.domain.errors import BadFrame
+from granitewell.domain.errors import MalformedFrameError
 from granitewell.rpc.serialization import decode, load_idl
 
 IDL: Any = load_idl(Path(__file__).with_name("consensus.thrift"))
@@ -37,21 +37,21 @@
 _FIXED_SIZES = {_BOOL: 1, 8: 4, 10: 8}  # bool, i32, i64: the only types in the IDL besides strings
 
 
-class NewerMembershipFormat(BadFrame):
+class NewerMembershipFormatError(MalformedFrameError):
     """Members in a form that a newer version wrote. None of it may be skipped: it may change who counts."""
 
 
-class UnknownEntryKind(BadFrame):
+class UnknownEntryKindError(MalformedFrameError):
     """An entry is of a kind that only a newer program knows."""
 
 
 def decode_struct(kind: Any, data: bytes) -> Any:
-    """A thrift struct of the IDL; raises BadFrame."""
+    """A thrift struct of the IDL; raises MalformedFrameError."""
     return decode(kind, data, check_flat)
 
 
 def check_flat(data: bytes) -> None:
-    """Raises BadFrame unless the bytes are one struct of plain fields.
+    """Raises MalformedFrameError unless the bytes are one struct of plain fields.
 
     The library trusts lengths and nesting: eight bytes that claim a long list would take all memory.
     """
@@ -66,16 +66,16 @@
             size = _FIXED_SIZES.get(kind)
             if size is None:
                 if kind != _STRING:
-                    raise BadFrame(f"a field of type {kind}")
+                    raise MalformedFrameError(f"a field of type {kind}")
                 (size,) = _LENGTH.unpack_from(data, at)
                 size += _LENGTH.size
             at += size
             if at >= end:
-                raise BadFrame("a field ends after the message")
+                raise MalformedFrameError("a field ends after the message")
     except (IndexError, struct.error) as error:
-        raise BadFrame("cut short") from error
+        raise MalformedFrameError("cut short") from error
     if at != end - 1:
-        raise BadFrame("bytes after the end")
+        raise MalformedFrameError("bytes after the end")
 
 
 def pack_list(parts: Iterable[bytes]) -> bytes:
@@ -88,13 +88,13 @@
 
 
 def unpack_list(data: bytes) -> list[bytes]:
-    """The byte strings that were packed as one; raises BadFrame."""
+    """The byte strings that were packed as one; raises MalformedFrameError."""
     parts: list[bytes] = []
     at = 0
     while at < len(data):
         at, length = _length_at(data, at)
         if at + length > len(data):
-            raise BadFrame("a part ends after the list")
+            raise MalformedFrameError("a part ends after the list")
         parts.append(data[at : at + length])
         at += length
     return parts
@@ -104,7 +104,7 @@
     try:
         (length,) = _LENGTH.unpack_from(data, at)
     except struct.error as error:
-        raise BadFrame("cut short") from error
+        raise MalformedFrameError("cut short") from error
     return at + _LENGTH.size, int(length)
 
 
@@ -114,14 +114,14 @@
 
 
 def unpack_member(data: bytes) -> Member:
-    """A member; raises BadFrame."""
+    """A member; raises MalformedFrameError."""
     parts = unpack_list(data)
     if len(parts) < 3:
-        raise BadFrame(f"a member of {len(parts)} parts")
+        raise MalformedFrameError(f"a member of {len(parts)} parts")
     try:
         replica_id, node_name, address = (part.decode() for part in parts[:3])
     except UnicodeDecodeError as error:
-        raise BadFrame("a member's text is not UTF-8") from error
+        raise MalformedFrameError("a member's text is not UTF-8") from error
     return Member(replica_id, node_name, address)
 
 
@@ -140,10 +140,10 @@
 
 
 def unpack_change(data: bytes) -> VoterChange:
-    """What an entry begins; raises BadFrame, NewerMembershipFormat."""
+    """What an entry begins; raises MalformedFrameError, NewerMembershipFormatError."""
     parts = unpack_list(_unversioned(data))
     if len(parts) != 2:
-        raise BadFrame(f"a change of members of {len(parts)} parts")
+        raise MalformedFrameError(f"a change of members of {len(parts)} parts")
     return VoterChange(_unpack_members(parts[0]), _unpack_members(parts[1]))
 
 
@@ -157,18 +157,18 @@
 
 
 def unpack_end(data: bytes) -> bool:
-    """Whether a change ends for the new voters; raises BadFrame, NewerMembershipFormat."""
+    """Whether a change ends for the new voters; raises MalformedFrameError, NewerMembershipFormatError."""
     rest = _unversioned(data)
     if rest not in (b"\0", b"\1"):
-        raise BadFrame("a change of members ends in no known way")
+        raise MalformedFrameError("a change of members ends in no known way")
     return rest == b"\1"
 
 
 def _unversioned(data: bytes) -> bytes:
     if not data:
-        raise BadFrame("a change of members without a version")
+        raise MalformedFrameError("a change of members without a version")
     if data[0] != CHANGE_VERSION:
-        raise NewerMembershipFormat(f"a change of members of version {data[0]}, known: {CHANGE_VERSION}")
+        raise NewerMembershipFormatError(f"a change of members of version {data[0]}, known: {CHANGE_VERSION}")
     return data[1:]
 
 
@@ -182,18 +182,18 @@
 
 
 def unpack_membership(data: bytes) -> Membership:
-    """A membership; raises BadFrame, NewerMembershipFormat."""
+    """A membership; raises MalformedFrameError, NewerMembershipFormatError."""
     parts = unpack_list(data)
     if len(parts) < 2:
-        raise BadFrame(f"a membership of {len(parts)} parts")
+        raise MalformedFrameError(f"a membership of {len(parts)} parts")
     if len(parts) > 3:
-        raise NewerMembershipFormat(f"a membership of {len(parts)} parts, known: 3")
+        raise NewerMembershipFormatError(f"a membership of {len(parts)} parts, known: 3")
     voters = _unpack_members(parts[0])
     outgoing_voters = _unpack_members(parts[2]) if len(parts) > 2 else ()
     try:
         removed = tuple(part.decode() for part in unpack_list(parts[1]))
     except UnicodeDecodeError as error:
-        raise BadFrame("an id is not UTF-8") from error
+        raise MalformedFrameError("an id is not UTF-8") from error
     return Membership(voters, removed, outgoing_voters)
 
 
@@ -208,7 +208,7 @@
 
 
 def unpack_entries(data: bytes) -> tuple[Entry, ...]:
-    """Entries that were packed one after the other; raises BadFrame."""
+    """Entries that were packed one after the other; raises MalformedFrameError."""
     entries: list[Entry] = []
     at = 0
     while at < len(data):
@@ -221,19 +221,19 @@
     try:
         index, term, kind, length = _ENTRY.unpack_from(data, at)
     except struct.error as error:
-        raise BadFrame("an entry is cut short") from error
+        raise MalformedFrameError("an entry is cut short") from error
     start = at + _ENTRY.size
     if start + length > len(data):
-        raise BadFrame("an entry ends after the message")
+        raise MalformedFrameError("an entry ends after the message")
     if kind not in _KINDS:
-        raise UnknownEntryKind(f"an entry of kind {kind}")
+        raise UnknownEntryKindError(f"an entry of kind {kind}")
     entry = Entry(index, term, _KINDS[kind], data[start : start + length])
     _check_change(entry)
     return entry, start + length
 
 
 def _check_change(entry: Entry) -> None:
-    """Raises BadFrame where an entry that changes members can't be read."""
+    """Raises MalformedFrameError where an entry that changes members can't be read."""
     if entry.kind is EntryKind.CHANGE_VOTERS:
         unpack_change(entry.data)
     elif entry.kind is EntryKind.END_CHANGE:
--- a/granitewell/coordination/consensus/group.py
+++ b/granitewell/coordination/consensus/group.py
@@ -41,14 +41,19 @@
 from granitewell.coordination.disk_thread import DiskThread, Executor
 from granitewell.coordination.durable_log import DurableLog, WriteFailed
 from granitewell.coordination.log_file import LogFile
-from granitewell.domain.errors import BadFrame, NotLeader, ProposalLost, UnknownFormat
+from granitewell.domain.errors import (
+    MalformedFrameError,
+    NotLeaderError,
+    ProposalLostError,
+    UnknownFormatError,
+)
 
 log = logbook.Logger("granitewell.consensus")
 
 WAKE_GRID_S = 0.05
 """Timers of all groups fire on common multiples of this, so that one wake-up serves them all."""
 
-LEAST_DELAY_S = 0.01
+MIN_DELAY_S = 0.01
 """Of a timer: event loops may fire a moment early, and must not be asked again at once."""
 
 SUCCESSOR_KNOWN_S = 0.5
@@ -311,7 +316,7 @@
             return
         try:
             message = codec.decode(payload)
-        except BadFrame as error:
+        except MalformedFrameError as error:
             log.debug("group {}: from {}: {}", self.name, sender_address, error)
             return
         replica.receive(sender_address, message, self._clock())
@@ -320,18 +325,18 @@
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
         """Replicate an entry; the state machine's result for it on this node.
 
-        Raises NotLeader (the entry is nowhere) and ProposalLost (it may be committed or not).
+        Raises NotLeaderError (the entry is nowhere) and ProposalLostError (it may be committed or not).
         """
         replica = self._replica
         if replica is None:
-            raise NotLeader(None)
+            raise NotLeaderError(None)
         future = self._proposals.wait(replica.propose(data, self._clock()))
         self._pump_soon()
         try:
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError as error:
-            raise ProposalLost(f"no outcome in {timeout_s} s") from error
+            raise ProposalLostError(f"no outcome in {timeout_s} s") from error
 
     def _tick(self) -> None:
         self._timer = None
@@ -442,7 +447,7 @@
         if entry.kind is EntryKind.DATA:
             try:
                 result = self._machine.apply(entry.index, entry.data)
-            except UnknownFormat as error:
+            except UnknownFormatError as error:
                 self._halt(f"its entry {entry.index} is not known", error)
                 return False
             except Exception as error:  # the same on all replicas: it goes to who proposed the entry
@@ -489,7 +494,7 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        delay_s = max(LEAST_DELAY_S, at - self._clock())
+        delay_s = max(MIN_DELAY_S, at - self._clock())
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
         self._timer_at = at
 
--- a/granitewell/coordination/consensus/membership.py
+++ b/granitewell/coordination/consensus/membership.py
@@ -23,7 +23,7 @@
 from granitewell.coordination.consensus.settings import ReplicaSettings
 from granitewell.coordination.consensus.types import Entry, EntryKind, Member, Membership, VoterChange
 
-MOST_REMOVED = 64
+MAX_REMOVED = 64
 """Ids of removed replicas that are kept, so that one that comes back late is told so."""
 
 
@@ -100,7 +100,7 @@
         for member in membership.outgoing_voters
         if not stays_voter(membership, member.replica_id)
     )
-    return Membership(membership.voters, (*membership.removed, *gone)[-MOST_REMOVED:])
+    return Membership(membership.voters, (*membership.removed, *gone)[-MAX_REMOVED:])
 
 
 def _with_voter(membership: Membership, added: Member) -> Membership:
@@ -116,7 +116,7 @@
 
 def _without_voter(membership: Membership, removed: Member) -> Membership:
     others = tuple(member for member in membership.voters if member.replica_id != removed.replica_id)
-    return Membership(others, (*membership.removed, removed.replica_id)[-MOST_REMOVED:])
+    return Membership(others, (*membership.removed, removed.replica_id)[-MAX_REMOVED:])
 
 
 def move_voter(member: Member) -> ProposedChange:
--- a/granitewell/coordination/consensus/pending_messages.py
+++ b/granitewell/coordination/consensus/pending_messages.py
@@ -7,7 +7,7 @@
 
 from granitewell.coordination.consensus.ready import Outgoing
 
-MOST_HELD = 256
+MAX_HELD = 256
 """Messages that wait for one write.
 
 Beyond it the oldest go, as the network might lose them: while a disk refuses, a peer's heartbeats would have
@@ -43,7 +43,7 @@
     def hold(self, write: int, batch: int, messages: tuple[Outgoing, ...]) -> None:
         """Keep messages of a batch until a write is synced."""
         if self._held and self._held[-1].write == write:
-            messages = (self._held.pop().messages + messages)[-MOST_HELD:]
+            messages = (self._held.pop().messages + messages)[-MAX_HELD:]
         self._held.append(_Held(write, batch, messages))
 
     def release(self, write: int) -> Released:
--- a/granitewell/coordination/consensus/proposals.py
+++ b/granitewell/coordination/consensus/proposals.py
@@ -7,7 +7,7 @@
 
 from granitewell.coordination.consensus.replica import Position
 from granitewell.coordination.consensus.types import Entry
-from granitewell.domain.errors import ProposalLost
+from granitewell.domain.errors import ProposalLostError
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,7 +17,7 @@
 
 
 class Proposals:
-    """By log index; each is told the state machine's result, or raises ProposalLost."""
+    """By log index; each is told the state machine's result, or raises ProposalLostError."""
 
     def __init__(self) -> None:
         self._waiters: dict[int, _Waiter] = {}
@@ -28,7 +28,7 @@
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         self._waiters[position.index] = _Waiter(position.term, future)
         if older is not None:
-            _fail(older, ProposalLost("another leader's entry took its place"))
+            _fail(older, ProposalLostError("another leader's entry took its place"))
         return future
 
     def applied(self, entry: Entry, result: object, failure: Exception | None) -> None:
@@ -37,7 +37,7 @@
         if waiter is None:
             return
         if waiter.term != entry.term:
-            failure = ProposalLost("another leader's entry took its place")
+            failure = ProposalLostError("another leader's entry took its place")
         if failure is not None:
             _fail(waiter, failure)
         elif not waiter.future.done():
@@ -46,7 +46,7 @@
     def lose(self, up_to: float) -> None:
         """What waits for entries up to an index will not be known here."""
         for index in [index for index in self._waiters if index <= up_to]:
-            _fail(self._waiters.pop(index), ProposalLost("its outcome is not known here"))
+            _fail(self._waiters.pop(index), ProposalLostError("its outcome is not known here"))
 
 
 def _fail(waiter: _Waiter, error: Exception) -> None:
--- a/granitewell/coordination/consensus/recovery.py
+++ b/granitewell/coordination/consensus/recovery.py
@@ -16,8 +16,8 @@
     joining_state,
 )
 from granitewell.coordination.consensus.storage import (
-    UnknownRecord,
-    UnreadableRecords,
+    UnknownRecordError,
+    UnreadableRecordsError,
     decode_records,
     replay,
 )
@@ -25,11 +25,11 @@
 from granitewell.coordination.disk_thread import Executor
 from granitewell.coordination.durable_log import RETRY_S
 from granitewell.coordination.log_file import LogFile
-from granitewell.coordination.log_format import CorruptLog
+from granitewell.coordination.log_format import CorruptLogError
 
 log = logbook.Logger("granitewell.consensus")
 
-MOST_PAUSE_S = 1.0
+MAX_PAUSE_S = 1.0
 """Between two attempts to load a log; each reads all of it."""
 
 
@@ -58,7 +58,7 @@
                 if pause_s == RETRY_S:
                     log.warning("group {}: the disk can't be read: {}", self._group, error)
                 await asyncio.sleep(pause_s)
-                pause_s = min(2 * pause_s, MOST_PAUSE_S)
+                pause_s = min(2 * pause_s, MAX_PAUSE_S)
 
     def new_state(self) -> StoredState:
         """The state of a log that is to be made."""
@@ -81,9 +81,9 @@
             if batches is None:
                 return None
             return replay(record for batch in batches for record in decode_records(batch))
-        except UnknownRecord:
+        except UnknownRecordError:
             raise
-        except (CorruptLog, UnreadableRecords) as error:
+        except (CorruptLogError, UnreadableRecordsError) as error:
             log.error("group {}: {}; this replica starts anew under another id", self._group, error)
             self._file.keep_corrupt()  # refused: tried again, since the damaged log is about to be replaced
             self._identity = replace(self._identity, replica_id=fresh_replica_id(), first_members=())
--- a/granitewell/coordination/consensus/replica.py
+++ b/granitewell/coordination/consensus/replica.py
@@ -27,7 +27,7 @@
 from granitewell.coordination.consensus.roles import Roles
 from granitewell.coordination.consensus.settings import ReplicaSettings
 from granitewell.coordination.consensus.types import MEMBERSHIP_KINDS, Member, Role, Snapshot, StoredState
-from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
 
 
 @dataclass(frozen=True, slots=True)
@@ -193,15 +193,15 @@
         self._roles.settle(now)
 
     def propose(self, data: bytes, now: float) -> Position:
-        """Append an entry; raises NotLeader, or ProposalLost where too much waits already."""
+        """Append an entry; raises NotLeaderError, or ProposalLostError where too much waits already."""
         leadership = self._leadership
         if leadership is None or leadership.handing_over or leadership.given_up:
-            raise NotLeader(self._core.leader_address if leadership is None else None)
+            raise NotLeaderError(self._core.leader_address if leadership is None else None)
         settings = self._core.settings
         if len(data) + leadership.uncommitted_bytes() > settings.uncommitted_most_bytes:
-            raise ProposalLost("too much is waiting to be committed")
+            raise ProposalLostError("too much is waiting to be committed")
         if len(data) > settings.entry_most_bytes:
-            raise ProposalLost(f"{len(data)} bytes are too many for one entry")
+            raise ProposalLostError(f"{len(data)} bytes are too many for one entry")
         entry = leadership.propose(data)
         return Position(entry.index, entry.term)
 
--- a/granitewell/coordination/consensus/settings.py
+++ b/granitewell/coordination/consensus/settings.py
@@ -13,7 +13,7 @@
     """What a replica is tuned by.
 
     The lease is shorter than the least election timeout by a margin that covers clocks that drift apart; see
-    `ClockMarginTooSmall`.
+    `ClockMarginError`.
     """
 
     heartbeat_s: float = 0.12
@@ -116,10 +116,10 @@
 
     def __post_init__(self) -> None:
         if self.lease_s > self.election_least_s * 0.9:
-            raise ClockMarginTooSmall(self.lease_s, self.election_least_s)
+            raise ClockMarginError(self.lease_s, self.election_least_s)
 
 
-class ClockMarginTooSmall(ValueError):
+class ClockMarginError(ValueError):
     """The lease is not shorter than the least election timeout by a tenth."""
 
     def __init__(self, lease_s: float, election_least_s: float) -> None:
--- a/granitewell/coordination/consensus/storage.py
+++ b/granitewell/coordination/consensus/storage.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 
 from granitewell.coordination.consensus.encoding import (
-    NewerMembershipFormat,
-    UnknownEntryKind,
+    NewerMembershipFormatError,
+    UnknownEntryKindError,
     pack_entry,
     pack_list,
     pack_membership,
@@ -29,7 +29,7 @@
     StoredState,
 )
 from granitewell.coordination.log_format import DurableLogError
-from granitewell.domain.errors import BadFrame
+from granitewell.domain.errors import MalformedFrameError
 
 _RECORD = struct.Struct("!BI")
 _SNAPSHOT = struct.Struct("!QQ")
@@ -40,11 +40,11 @@
 _SNAPSHOT_KIND = 4
 
 
-class UnreadableRecords(DurableLogError):
+class UnreadableRecordsError(DurableLogError):
     """A log's frames check, but what they hold does not add up to a replica's state."""
 
 
-class UnknownRecord(UnreadableRecords):
+class UnknownRecordError(UnreadableRecordsError):
     """A log holds a kind or form of record that only a newer program knows: it is not damaged."""
 
 
@@ -70,7 +70,7 @@
 
 
 def decode_records(payload: bytes) -> list[Record]:
-    """The records of a batch; raises UnreadableRecords and UnknownRecord."""
+    """The records of a batch; raises UnreadableRecordsError and UnknownRecordError."""
     records: list[Record] = []
     at = 0
     try:
@@ -78,13 +78,13 @@
             kind, length = _RECORD.unpack_from(payload, at)
             at += _RECORD.size
             if at + length > len(payload):
-                raise UnreadableRecords("a record ends after its batch")
+                raise UnreadableRecordsError("a record ends after its batch")
             records.append(_decode(kind, payload[at : at + length]))
             at += length
-    except (UnknownEntryKind, NewerMembershipFormat) as error:
-        raise UnknownRecord(str(error)) from error
-    except (struct.error, UnicodeDecodeError, BadFrame, ValueError) as error:
-        raise UnreadableRecords(str(error)) from error
+    except (UnknownEntryKindError, NewerMembershipFormatError) as error:
+        raise UnknownRecordError(str(error)) from error
+    except (struct.error, UnicodeDecodeError, MalformedFrameError, ValueError) as error:
+        raise UnreadableRecordsError(str(error)) from error
     return records
 
 
@@ -101,7 +101,7 @@
         where, membership, data = unpack_list(payload)
         index, term = _SNAPSHOT.unpack(where)
         return Snapshot(index, term, unpack_membership(membership), data)
-    raise UnknownRecord(f"a record of kind {kind}")
+    raise UnknownRecordError(f"a record of kind {kind}")
 
 
 def state_records(state: StoredState) -> list[Record]:
@@ -110,7 +110,7 @@
 
 
 def replay(records: Iterable[Record]) -> StoredState:
-    """The state that records add up to; raises UnreadableRecords."""
+    """The state that records add up to; raises UnreadableRecordsError."""
     replica_id: str | None = None
     hard_state = HardState()
     log = ReplicatedLog(Snapshot())
@@ -124,7 +124,7 @@
         else:
             _replay_entry(log, record)
     if replica_id is None:
-        raise UnreadableRecords("no identity")
+        raise UnreadableRecordsError("no identity")
     return StoredState(replica_id, hard_state, log.snapshot, tuple(log.entries))
 
 
@@ -132,7 +132,7 @@
     if entry.index <= log.snapshot.index:
         return
     if entry.index > log.last_index + 1:
-        raise UnreadableRecords(f"entry {entry.index} after {log.last_index}")
+        raise UnreadableRecordsError(f"entry {entry.index} after {log.last_index}")
     if entry.index <= log.last_index:
         log.truncate(entry.index)
     log.append(entry)
--- a/granitewell/coordination/log_file.py
+++ b/granitewell/coordination/log_file.py
@@ -14,7 +14,7 @@
 from granitewell.coordination.log_format import (
     HEAD_BYTES,
     Contents,
-    CorruptLog,
+    CorruptLogError,
     fingerprint,
     frame,
     head,
@@ -66,7 +66,7 @@
     def load(self) -> tuple[bytes, ...] | None:
         """Open the log and cut off what was never synced; its batches, or None where there is no log.
 
-        Raises CorruptLog, UnknownLogVersion and ForeignLog too, and has changed nothing then.
+        Raises CorruptLogError, UnknownLogVersionError and ForeignLogError too, and has changed nothing then.
         """
         self._files.make_folder(self._folder)
         data = self._files.read(self._path)
@@ -103,13 +103,14 @@
         self._files.sync(handle)
 
     def _whole_new_file(self) -> bytes | None:
-        """A loss of power may take the old name and not yet give the new one: then the new file is the log."""
+        """A loss of power may take the old name and not yet give the new one: then the new file is the
+        log."""
         data = self._files.read(self._new_path)
         if data is None:
             return None
         try:
             whole = len(parse(self._new_path, data, self._owner).payloads) > 0
-        except CorruptLog:
+        except CorruptLogError:
             whole = False
         if not whole:
             return None
--- a/granitewell/coordination/log_format.py
+++ b/granitewell/coordination/log_format.py
@@ -5,11 +5,10 @@
 frames before it are synced, so after a loss of power at most the last frame is missing or torn. At reading:
 
 - a frame that does not check and has no good frame after it was never acknowledged: the file is cut there;
-- a frame that does not check and has a good frame after it is damage: `CorruptLog`;
-- a file of another version is refused and left alone: `UnknownLogVersion`;
-- so is a file that belongs to another owner: `ForeignLog`. The upper half of the salt tells whose a file is;
-  in version 1 all of it was random.
-"""
+- a frame that does not check and has a good frame after it is damage: `CorruptLogError`;
+- a file of another version is refused and left alone: `UnknownLogVersionError`;
+- so is a file that belongs to another owner: `ForeignLogError`. The upper half of the salt tells whose a file
+  is; in version 1 all of it was random."""
 
 from __future__ import annotations
 
@@ -35,7 +34,7 @@
     """A log on the disk can't be used."""
 
 
-class CorruptLog(DurableLogError):
+class CorruptLogError(DurableLogError):
     """A log is damaged before its end: something that was synced is no longer what was written."""
 
     def __init__(self, path: str, offset: int) -> None:
@@ -44,7 +43,7 @@
         self.offset = offset
 
 
-class UnknownLogVersion(DurableLogError):
+class UnknownLogVersionError(DurableLogError):
     """A log was written by a newer program."""
 
     def __init__(self, path: str, version: int) -> None:
@@ -52,7 +51,7 @@
         self.version = version
 
 
-class ForeignLog(DurableLogError):
+class ForeignLogError(DurableLogError):
     """A log is whole, but another's."""
 
     def __init__(self, path: str) -> None:
@@ -102,7 +101,7 @@
 
 
 def parse(path: str, data: bytes, owner: int) -> Contents:
-    """The batches of an owner's file; raises CorruptLog, UnknownLogVersion or ForeignLog."""
+    """The batches of an owner's file; raises CorruptLogError, UnknownLogVersionError or ForeignLogError."""
     salt = _parse_head(path, data, owner)
     payloads: list[bytes] = []
     offset = last_offset = _HEAD.size
@@ -110,7 +109,7 @@
         payload = _frame_at(salt, data, offset)
         if payload is None:
             if _good_frame_after(salt, data, offset):
-                raise CorruptLog(path, offset)
+                raise CorruptLogError(path, offset)
             break
         payloads.append(payload)
         last_offset = offset
@@ -120,14 +119,14 @@
 
 def _parse_head(path: str, data: bytes, owner: int) -> int:
     if len(data) < _HEAD.size:
-        raise CorruptLog(path, 0)
+        raise CorruptLogError(path, 0)
     magic, version, salt, checksum = _HEAD.unpack_from(data)
     if magic != MAGIC or crc32(data[: _HEAD.size - 4]) != checksum:
-        raise CorruptLog(path, 0)
+        raise CorruptLogError(path, 0)
     if version == VERSION and salt >> _RANDOM_BITS != owner:
-        raise ForeignLog(path)
+        raise ForeignLogError(path)
     if version not in (VERSION, OWNERLESS_VERSION):
-        raise UnknownLogVersion(path, version)
+        raise UnknownLogVersionError(path, version)
     return int(salt)
 
 
--- a/granitewell/core/__init__.py
+++ b/granitewell/core/__init__.py
@@ -7,7 +7,7 @@
     ACCEPT_US,
     GUARD_US,
     HEAR_US,
-    LEAST_MOST_US,
+    MIN_MOST_US,
     NEVER_RAN,
     Core,
     Decider,
@@ -57,7 +57,7 @@
     "AbandonCall", "ACCEPT_US", "Acting", "Answer", "Arrived", "BanAsked", "BanLifted", "BansHeard", "Begin",
     "CallBegan", "CallDialed", "CallDialing", "CallEnded", "CallPart", "CloseIdle", "Core", "Decider",
     "Effects", "Event", "Finish", "FleetNews", "GUARD_US", "HEAR_US", "InboundGone",
-    "KeepBan", "LEAST_MOST_US", "Leave", "LetGo", "Listening", "Member", "NEVER_RAN", "Note", "Pass", "Phase",
+    "KeepBan", "MIN_MOST_US", "Leave", "LetGo", "Listening", "Member", "NEVER_RAN", "Note", "Pass", "Phase",
     "Ruled", "Ruling", "Serving", "Settled", "StartCall", "StopAsked", "StopListening", "Verdict", "Whole",
     "Woken", "WriteCall",
 ]  # fmt: skip
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -3,9 +3,8 @@
 It owns the request table, the outbound calls, the fleet, the timers, the phase and the Balancer, and it
 guards the platform's rules a second time, whatever the module asks for. It must never do I/O, read a clock,
 know a byte of any protocol (messages and answers pass through as opaque objects), or decide where a request
-goes: that is granitewell.balancing's. Time is whole microseconds, given by the caller; the module's float milliseconds
-exist only at its door (_ask and _act).
-"""
+goes: that is granitewell.balancing's. Time is whole microseconds, given by the caller; the module's float
+milliseconds exist only at its door (_ask and _act)."""
 
 from __future__ import annotations
 
@@ -62,16 +61,16 @@
 
 # --- Figures of the node itself, in microseconds ---
 GUARD_US = 25_000  # past a request's due time, when the core itself answers: half of the platform's slack
-LEAST_MOST_US = 10_000_000  # what a client may always ask for as its time, whatever its class
+MIN_MOST_US = 10_000_000  # what a client may always ask for as its time, whatever its class
 FLOW_US = 3_600_000_000  # the time of a request whose body still comes: its client's patience ends it
-LEAST_LEFT_US = 1_000  # a dialed call with less time than this left is not written
+MIN_LEFT_US = 1_000  # a dialed call with less time than this left is not written
 ACCEPT_US = 500_000  # after the stop signal connections still arrive for up to 400 ms
 LAST_US = 700_000  # the same where the listener is shared, for the last requests on connections kept so long
 HEAR_US = 100_000  # after the listener has closed, for requests on connections taken at the last moment
 LONGEST_US = 3_000_000  # the longest deadline that the platform waits out before SIGKILL
 STOP_SPARE_US = 450_000  # of the 700 ms that follow it, what may pass before the node leaves by itself,
 PARTING_US = 150_000  # and what more until its process is gone, for answers that its clients are slow to take
-MOST_NAMED = 10_000  # endpoints that an operator may name although no list has them now
+MAX_NAMED = 10_000  # endpoints that an operator may name although no list has them now
 FORGET_US = 60_000_000  # how long a gone endpoint stays known
 BEAT_US = 5_000_000  # between two lines of figures
 
@@ -319,7 +318,7 @@
         if once:
             cls = replace(cls, effect=Effect.UNSAFE)
         # a time without end would hold its place in every table; no client of the class waits longer
-        wait = min(event.timeout_us, max(int(cls.deadline_ms * 1000), LEAST_MOST_US))
+        wait = min(event.timeout_us, max(int(cls.deadline_ms * 1000), MIN_MOST_US))
         told = self._now + wait  # the module holds it for no longer, be its body whole or not
         due = self._now + FLOW_US if event.flows else told
         request = Held(self._last_id, event, cls, due, wait, self._set.max_attempts)
@@ -452,7 +451,7 @@
         request, endpoint = call.request, call.endpoint
         return (
             request.open and not request.streams
-            and call.due_us - self._now >= LEAST_LEFT_US
+            and call.due_us - self._now >= MIN_LEFT_US
             and call.address == endpoint.member.address
             and self._sendable(endpoint)
             and self._repeatable(request, endpoint, call)
@@ -550,7 +549,7 @@
         for eid in named:
             self._named.pop(eid, None)
             self._named[eid] = None
-        spare = len(self._named) - MOST_NAMED
+        spare = len(self._named) - MAX_NAMED
         if spare > 0:
             for eid in [k for k in self._named if k not in self._fleet and k not in self._bans][:spare]:
                 del self._named[eid]
@@ -633,7 +632,9 @@
             actions: Iterable[t.Action] = self._balancer.handle(self._now / 1000, event)
         except Exception as error:
             whole = False
-            actions = error.actions if isinstance(error, t.Broken) else ()  # the module counts on those
+            actions = (
+                error.actions if isinstance(error, t.MalformedMessageError) else ()
+            )  # the module counts on those
             self._fault(f"the decisions failed on {type(event).__name__}")
         for action in actions:
             try:
--- a/granitewell/dataplane/affinity.py
+++ b/granitewell/dataplane/affinity.py
@@ -7,8 +7,8 @@
 
 from granitewell.dataplane.headers import PromptPart
 
-MOST_PREFIXES = 4_096  # leading parts remembered over all pools of a node: some hundred bytes each
-MOST_SERVERS = 4  # of each, the latest ones
+MAX_PREFIXES = 4_096  # leading parts remembered over all pools of a node: some hundred bytes each
+MAX_SERVERS = 4  # of each, the latest ones
 
 Prefix = tuple[str, ...]
 """A pool's name, then the ids of the leading parts in order: a part is kept only behind those before it."""
@@ -27,9 +27,9 @@
             if server_id in servers:
                 servers.remove(server_id)
             servers.append(server_id)
-            del servers[:-MOST_SERVERS]
+            del servers[:-MAX_SERVERS]
             self._servers.move_to_end(prefix)
-        while len(self._servers) > MOST_PREFIXES:
+        while len(self._servers) > MAX_PREFIXES:
             self._servers.popitem(last=False)
 
     def kept_tokens(self, pool: str, parts: Sequence[PromptPart]) -> dict[str, int]:
--- a/granitewell/dataplane/dispatch.py
+++ b/granitewell/dataplane/dispatch.py
@@ -22,7 +22,7 @@
 from granitewell.domain.servers import ModelDemand, ModelRef, Server, ServerState
 from granitewell.domain.settings import Bounds
 
-MOST_POOLS = 1_024  # kept at a node; beyond it those without requests go, the longest unused first
+MAX_POOLS = 1_024  # kept at a node; beyond it those without requests go, the longest unused first
 PLAIN_SETUP_S = 2.0  # time that one more server of a service without models takes to be there
 LATEST_AIMS = 1.5  # aims in which an engine must be able to begin an answer: past it more requests there only
 # make all answers late, and the servers' own queues are too long to say so
@@ -190,11 +190,11 @@
         return Pool(key, engine.slots if engine else None, self.load_time_s(service, ref), self._rng)
 
     def _forget_pools(self) -> None:
-        if len(self._pools) <= MOST_POOLS:
+        if len(self._pools) <= MAX_POOLS:
             return
         idle = [key for key, entry in self._pools.items() if not entry.pool.in_flight]
         idle.sort(key=lambda key: self._pools[key].used_at)
-        for key in idle[: MOST_POOLS // 4]:
+        for key in idle[: MAX_POOLS // 4]:
             del self._pools[key]
 
     # --- Requests ---------------------------------------------------------------------------------------
@@ -252,7 +252,7 @@
 
     # --- The line ---------------------------------------------------------------------------------------
     def wait(self, want: Want, now: float) -> Place[Want]:
-        """Its place in the line; raises LineFull."""
+        """Its place in the line; raises QueueFullError."""
         place = self._state(want.service).line.join(want.priority, want)
         want.missing = want.ref is not None and self.pool(want.service, want.ref, now).empty(now)
         if want.ref is not None and want.missing:
--- a/granitewell/dataplane/edge.py
+++ b/granitewell/dataplane/edge.py
@@ -28,7 +28,7 @@
 )
 from granitewell.dataplane.http_server import (
     Front,
-    RefusedRequest,
+    RejectedRequestError,
     StreamedAnswer,
     check_head,
     has_more_requests,
@@ -50,7 +50,7 @@
 NO_CONFIGURATION_RETRY_S = 0.5
 CONFIGURATION_HOLD_S = 1.5  # an election and a long-poll
 CONFIGURATION_HOLD_PART = 0.4  # of a request's time, so that a retry elsewhere has some left
-MOST_HELD_FOR_CONFIGURATION = 256  # requests, with their bodies
+MAX_HELD_FOR_CONFIGURATION = 256  # requests, with their bodies
 BEYOND_LIMITS = frozenset({413, 431})  # statuses that only the limits in force can justify
 LISTENS_ON_S = 2.5  # after SIGTERM: the platform asks each second and needs two misses
 END_MARGIN_S = 0.6  # before SIGKILL
@@ -193,7 +193,7 @@
         arrived_at = self._clock()
         try:
             response = await self._routed(request, arrived_at)
-        except RefusedRequest as refused:
+        except RejectedRequestError as refused:
             response = own_response(OwnAnswer(refused.status, refused.message))
             if refused.status != 404:
                 response.force_close()
@@ -217,12 +217,12 @@
             return own_response(OwnAnswer(503, "no configuration yet", NO_CONFIGURATION_RETRY_S))
         route = routes.find(host_name(request.headers["Host"]), path_of(request.raw_path))
         if route is None:
-            raise RefusedRequest(404, "no such route")
+            raise RejectedRequestError(404, "no such route")
         request_ids = request.headers.getall(REQUEST_ID, [])
         if len(request_ids) != 1 or not request_ids[0]:
-            raise RefusedRequest(400, f"one {REQUEST_ID} is needed")
+            raise RejectedRequestError(400, f"one {REQUEST_ID} is needed")
         if peer_has_closed(request.transport):
-            raise RefusedRequest(503, "the client has left")
+            raise RejectedRequestError(503, "the client has left")
         return await self._exchanged(request, self._client_request(request, route, body, arrived_at), route)
 
     async def _read(self, request: BaseRequest) -> bytes | None:
@@ -236,9 +236,9 @@
         try:
             check_head(request, limits)
             return await read_body(request, limits)
-        except RefusedRequest as refused:
+        except RejectedRequestError as refused:
             if configuration is None and refused.status in BEYOND_LIMITS:
-                raise RefusedRequest(503, "no configuration yet") from refused
+                raise RejectedRequestError(503, "no configuration yet") from refused
             raise
 
     async def _wait_for_configuration(self, request: BaseRequest) -> None:
@@ -249,7 +249,7 @@
         hold_s = CONFIGURATION_HOLD_S
         if told_ms is not None:
             hold_s = min(hold_s, CONFIGURATION_HOLD_PART * told_ms / 1000.0)
-        if self._held_for_configuration >= MOST_HELD_FOR_CONFIGURATION:
+        if self._held_for_configuration >= MAX_HELD_FOR_CONFIGURATION:
             return
         self._held_for_configuration += 1
         try:
--- a/granitewell/dataplane/events.py
+++ b/granitewell/dataplane/events.py
@@ -9,13 +9,13 @@
 import re
 from dataclasses import dataclass
 
-MOST_EVENT_BYTES = 4 * 1024 * 1024  # of one event: beyond it the stream is held to be broken
+MAX_EVENT_BYTES = 4 * 1024 * 1024  # of one event: beyond it the stream is held to be broken
 
 _END = re.compile(rb"\r\n\r\n|\r\n\n|\n\r\n|\n\n|\r\r\n|\r\r(?!\n)|\n\r(?=[^\n])")
 _ID = re.compile(rb"(?:^|[\r\n])id(?::[ ]?([^\r\n]*))?(?=[\r\n])")
 
 
-class EventTooLong(Exception):
+class EventTooLongError(Exception):
     """An event goes on beyond all bounds."""
 
 
@@ -59,8 +59,8 @@
             start = search = match.end()
         self._rest = rest[start:]
         self._searched = max(len(self._rest) - 3, 0)
-        if len(self._rest) > MOST_EVENT_BYTES:
-            raise EventTooLong(f"an event of over {MOST_EVENT_BYTES} bytes")
+        if len(self._rest) > MAX_EVENT_BYTES:
+            raise EventTooLongError(f"an event of over {MAX_EVENT_BYTES} bytes")
         return events
 
 
--- a/granitewell/dataplane/failure_suspicion.py
+++ b/granitewell/dataplane/failure_suspicion.py
@@ -13,7 +13,7 @@
 
 PROOFS_AFTER_BREAK = 3  # whole answers in a row that end the doubt after a reset, a cut or silence
 PROOFS_AFTER_ERROR = 1  # the same after a failure that the server answered with
-MOST_PROOFS = 6
+MAX_PROOFS = 6
 DOUBT_LASTS_S = 8.0  # without further failures
 
 
@@ -59,7 +59,7 @@
             self._missing_proofs -= 1
 
     def _fail(self, proofs: int, now: float) -> None:
-        self._missing_proofs = min(self._missing_proofs + proofs, MOST_PROOFS)
+        self._missing_proofs = min(self._missing_proofs + proofs, MAX_PROOFS)
         self._failed_at = now
 
     # --- What follows -----------------------------------------------------------------------------------
--- a/granitewell/dataplane/framing.py
+++ b/granitewell/dataplane/framing.py
@@ -9,10 +9,10 @@
 from typing import Protocol
 
 HEAD_END = b"\r\n\r\n"
-MOST_LINE_BYTES = 4_096  # of a chunk's size or of a trailer
+MAX_LINE_BYTES = 4_096  # of a chunk's size or of a trailer
 
 
-class MalformedFraming(Exception):
+class MalformedFramingError(Exception):
     """What came can't be the body that the head has announced."""
 
 
@@ -44,7 +44,7 @@
         """Whether all of it has come."""
 
     def take(self, data: bytes) -> int:
-        """How many of these bytes belong to it; raises MalformedFraming."""
+        """How many of these bytes belong to it; raises MalformedFramingError."""
 
 
 class LengthFraming:
@@ -97,8 +97,8 @@
 
     def _begin_line(self, data: bytes) -> None:
         self._line += data
-        if len(self._line) > MOST_LINE_BYTES:
-            raise MalformedFraming("a line beyond all bounds")
+        if len(self._line) > MAX_LINE_BYTES:
+            raise MalformedFramingError("a line beyond all bounds")
 
     def _line_came(self, line: bytes) -> None:
         """A line without its end. What is no number here is none to the parser either, which is stricter."""
@@ -109,9 +109,9 @@
         try:
             length = int(line.partition(b";")[0] if b";" in line else line, 16)
         except ValueError as error:
-            raise MalformedFraming("a chunk without a size") from error
+            raise MalformedFramingError("a chunk without a size") from error
         if length < 0:
-            raise MalformedFraming("a chunk of a negative size")
+            raise MalformedFramingError("a chunk of a negative size")
         self._in_trailer = length == 0
         self._left = length + 2 if length else 0
 
--- a/granitewell/dataplane/headers.py
+++ b/granitewell/dataplane/headers.py
@@ -32,7 +32,7 @@
 _KEPT = frozenset({b"host", b"content-type", b"last-event-id"})
 """What a `Connection` header may not take away, besides the system's own."""
 
-MOST_LOAD = 1_000_000  # of any figure of a server's load: beyond it it's no figure
+MAX_LOAD = 1_000_000  # of any figure of a server's load: beyond it it's no figure
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,7 +112,7 @@
         running, waiting, slots = (int(part) for part in parts)
     except ValueError:
         return None
-    if min(running, waiting, slots) < 0 or max(running, waiting, slots) > MOST_LOAD:
+    if min(running, waiting, slots) < 0 or max(running, waiting, slots) > MAX_LOAD:
         return None
     return ServerLoad(running, waiting, slots)
 
--- a/granitewell/dataplane/http_server.py
+++ b/granitewell/dataplane/http_server.py
@@ -31,10 +31,10 @@
 
 SWEEP_S = 0.5  # between two looks for clients that take too long over a head
 BACKLOG = 1_024  # new connections that may wait to be taken: one that is dropped comes again after seconds
-MOST_HEADERS = 512  # of a request; the limit in bytes counts besides
+MAX_HEADERS = 512  # of a request; the limit in bytes counts besides
 DEFECT_GAP_S = 5.0  # between two lines about defects of ours
 LINGER_S = 2.0  # in which a refused body is read away, so that the answer isn't lost with a reset
-MOST_HEAD_BYTES = 65_536  # of a head that is read at all, or the limit in force where that is more
+MAX_HEAD_BYTES = 65_536  # of a head that is read at all, or the limit in force where that is more
 LIBRARY_KEEP_ALIVE_S = 86_400.0  # the library's own; idle connections end by the limit in force, see _sweep
 UNSENT_LOOK_S = 0.02  # between two looks whether the last answers have been sent
 
@@ -65,7 +65,7 @@
     return bool(poll.poll(0))
 
 
-class RefusedRequest(GranitewellError):
+class RejectedRequestError(GranitewellError):
     """A request that is not taken; status: the answer to it."""
 
     def __init__(self, status: int, message: str) -> None:
@@ -184,7 +184,7 @@
     @property
     def most_head_bytes(self) -> int:
         """Of a head that is read at all: check_head knows the limit in force, also for older connections."""
-        return max(self.limits.max_header_bytes, MOST_HEAD_BYTES)
+        return max(self.limits.max_header_bytes, MAX_HEAD_BYTES)
 
     @property
     def transports(self) -> dict[ClientConnection, asyncio.Transport]:
@@ -202,7 +202,7 @@
             keepalive_timeout=LIBRARY_KEEP_ALIVE_S,
             max_line_size=self.most_head_bytes,
             max_field_size=self.most_head_bytes,
-            max_headers=MOST_HEADERS,
+            max_headers=MAX_HEADERS,
             lingering_time=LINGER_S,
             auto_decompress=False,
         )
@@ -306,23 +306,23 @@
 
 # --- Reading a request ----------------------------------------------------------------------------------
 def check_head(request: BaseRequest, limits: Limits) -> None:
-    """Raises RefusedRequest for a head beyond the limits or one whose host is ambiguous."""
+    """Raises RejectedRequestError for a head beyond the limits or one whose host is ambiguous."""
     size = sum(len(name) + len(value) + 4 for name, value in request.raw_headers) + len(request.raw_path)
     if size > limits.max_header_bytes:
-        raise RefusedRequest(431, "headers beyond the limit")
+        raise RejectedRequestError(431, "headers beyond the limit")
     if len(request.headers.getall("Host", ())) != 1:
-        raise RefusedRequest(400, "one Host header is needed")
+        raise RejectedRequestError(400, "one Host header is needed")
     if not request.raw_path.startswith("/"):
-        raise RefusedRequest(400, "a path is needed")
+        raise RejectedRequestError(400, "a path is needed")
 
 
 async def read_body(request: BaseRequest, limits: Limits) -> bytes | None:
-    """The whole body, None where there is none; raises RefusedRequest."""
+    """The whole body, None where there is none; raises RejectedRequestError."""
     if not request.body_exists and request.content_length is None:
         return None
     most = limits.max_body_bytes
     if (request.content_length or 0) > most:
-        raise RefusedRequest(413, "a body beyond the limit")
+        raise RejectedRequestError(413, "a body beyond the limit")
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         request.writer.output_size = 0
@@ -330,9 +330,9 @@
         async with asyncio.timeout(limits.header_timeout_ms / 1000.0):
             return await _read_parts(request, most)
     except TimeoutError as error:
-        raise RefusedRequest(408, "the body took too long") from error
+        raise RejectedRequestError(408, "the body took too long") from error
     except (web.RequestPayloadError, ValueError) as error:
-        raise RefusedRequest(400, "a malformed body") from error
+        raise RejectedRequestError(400, "a malformed body") from error
 
 
 async def _read_parts(request: BaseRequest, most: int) -> bytes:
@@ -342,7 +342,7 @@
         parts.append(part)
         size += len(part)
         if size > most:
-            raise RefusedRequest(413, "a body beyond the limit")
+            raise RejectedRequestError(413, "a body beyond the limit")
     return parts[0] if len(parts) == 1 else b"".join(parts)
 
 
--- a/granitewell/dataplane/request.py
+++ b/granitewell/dataplane/request.py
@@ -13,7 +13,7 @@
 
 from granitewell.domain.configuration import Route
 
-MOST_TRIES = 6  # of a request, those that reached no server included: each costs a connection's time
+MAX_TRIES = 6  # of a request, those that reached no server included: each costs a connection's time
 
 
 class AttemptEnd(Enum):
@@ -73,7 +73,7 @@
 
     def may_repeat(self) -> bool:
         """Whether the rules allow one more attempt, budget and time aside."""
-        if self._out or self.arrivals >= self._most or self.tries >= MOST_TRIES:
+        if self._out or self.arrivals >= self._most or self.tries >= MAX_TRIES:
             return False
         return self._repeatable or not self.may_have_run
 
--- a/granitewell/dataplane/request_forwarder.py
+++ b/granitewell/dataplane/request_forwarder.py
@@ -16,7 +16,7 @@
 
 from granitewell.balancing.prefix_sizing import DELTA
 from granitewell.dataplane.dispatch import Dispatcher, Want
-from granitewell.dataplane.events import Event, EventCutter, EventTooLong, number_of
+from granitewell.dataplane.events import Event, EventCutter, EventTooLongError, number_of
 from granitewell.dataplane.headers import (
     DEADLINE_MS,
     EXPECT_INSTANCE,
@@ -32,9 +32,9 @@
     without,
 )
 from granitewell.dataplane.request import AttemptEnd, Attempts, passes_unchanged, proves_not_executed
-from granitewell.dataplane.request_queue import LineFull
+from granitewell.dataplane.request_queue import QueueFullError
 from granitewell.dataplane.servers import MOVED_FOR_S, ServerRecord
-from granitewell.dataplane.upstream import BrokenAnswer, NotWritten, UpstreamConnection
+from granitewell.dataplane.upstream import BrokenResponseError, RequestNotWrittenError, UpstreamConnection
 from granitewell.dataplane.upstream_pool import UpstreamPool
 from granitewell.domain.configuration import Route, RouteKind
 from granitewell.domain.errors import GranitewellError
@@ -43,10 +43,10 @@
 SERVER_MARGIN_S = 0.010  # a server is told that it has less time: its last word must reach the client
 MISSING_PART = 0.45  # of its time that a request waits for a model: refused after half of it, it costs more
 FULL_PART = 0.22  # of its aim that a request waits for a slot: refused within a quarter it may be in time yet
-LEAST_WAIT_S = 0.01
+MIN_WAIT_S = 0.01
 RETRY_AFTER_AIM = 0.25  # of the aim after which a client that was refused for want of slots may come again
 RETRY_AFTER_MISSING_S = 0.3  # the same for want of a model: a load is about to be done
-MOST_RETRY_AFTER_S = 2.0
+MAX_RETRY_AFTER_S = 2.0
 REFUSAL_BODY_S = 0.05  # in which the body of a refusal comes, or its connection is not worth keeping
 STREAM_TYPE = "text/event-stream"
 
@@ -119,7 +119,7 @@
         """The answer is whole."""
 
 
-class NoServer(GranitewellError):
+class NoServerError(GranitewellError):
     """No server may have the request in time."""
 
 
@@ -182,7 +182,7 @@
         while True:
             try:
                 record = await self._server()
-            except NoServer as error:
+            except NoServerError as error:
                 return self._given_up(str(error))
             answer = await self._attempt(record)
             if answer is not None:
@@ -216,7 +216,7 @@
     def _retry_after_s(self) -> float:
         missing = self.want.ref is not None and self._waited_for_model
         wait = RETRY_AFTER_MISSING_S if missing else self.aim_s * RETRY_AFTER_AIM
-        return min(wait, MOST_RETRY_AFTER_S)
+        return min(wait, MAX_RETRY_AFTER_S)
 
     # --- A server ---------------------------------------------------------------------------------------
     def _granted(self, record: ServerRecord) -> None:
@@ -234,13 +234,13 @@
         if record is not None:
             return record
         if not self.dispatcher.knows(self.want.service, self.want.ref):
-            raise NoServer("no such model")
+            raise NoServerError("no such model")
         if self.want.excluded:
-            raise NoServer("no other server")
+            raise NoServerError("no other server")
         try:
             place = self.dispatcher.wait(self.want, now)
-        except LineFull as error:
-            raise NoServer("too many requests wait") from error
+        except QueueFullError as error:
+            raise NoServerError("too many requests wait") from error
         self._waited_for_model = self.want.missing
         grant = self._grant = asyncio.get_running_loop().create_future()
         self._waits()
@@ -251,7 +251,7 @@
                 taken = True
                 return record
         except TimeoutError as error:
-            raise NoServer("no server has room") from error
+            raise NoServerError("no server has room") from error
         finally:
             self._grant = None
             self.dispatcher.leave(place)
@@ -262,9 +262,9 @@
         """How long a wait may be worth it."""
         left = self.left_s
         if self.want.missing or self.attempts.arrivals:
-            return max(left * MISSING_PART, LEAST_WAIT_S)
+            return max(left * MISSING_PART, MIN_WAIT_S)
         spent = self.clock() - self.request.arrived_at
-        return min(max(self.aim_s * FULL_PART - spent, LEAST_WAIT_S), max(left * MISSING_PART, LEAST_WAIT_S))
+        return min(max(self.aim_s * FULL_PART - spent, MIN_WAIT_S), max(left * MISSING_PART, MIN_WAIT_S))
 
     # --- An attempt -------------------------------------------------------------------------------------
     async def _attempt(self, record: ServerRecord) -> Answer | None:
@@ -294,13 +294,13 @@
         """The final answer; None where this attempt gave none: its end is noted."""
         try:
             await self._send()
-        except NotWritten:
+        except RequestNotWrittenError:
             self._ended(AttemptEnd.NOT_CONNECTED)
             self._record.failed(self._x.clock())
             return None
         try:
             return await self._read()
-        except BrokenAnswer:
+        except BrokenResponseError:
             self._ended(AttemptEnd.BROKEN)
             self._record.failed(self._x.clock())
             return None
@@ -320,7 +320,7 @@
         x.dispatcher.ended(x.want, record, now)
 
     async def _send(self) -> None:
-        """Raises NotWritten.
+        """Raises RequestNotWrittenError.
 
         An idle connection that takes not one byte had ended: that says nothing of the server.
         """
@@ -332,7 +332,7 @@
                 connection.write(
                     self._request_bytes(), method=x.request.method, repeatable=x.route.repeatable
                 )
-            except NotWritten:
+            except RequestNotWrittenError:
                 if not connection.used_before:
                     raise
                 x.upstreams.release(connection, None)
@@ -404,7 +404,7 @@
             async with asyncio.timeout(REFUSAL_BODY_S):
                 await self._connection.read_body(body)
             self._whole = message
-        except (BrokenAnswer, TimeoutError):
+        except (BrokenResponseError, TimeoutError):
             self._whole = None  # its word stands; the connection goes
 
     def _take_whole(self, message: RawResponseMessage, data: bytes, marked: bool) -> WholeAnswer | None:
@@ -443,12 +443,12 @@
         while part := await connection.read_part(body):
             try:
                 events = cutter.feed(part)
-            except EventTooLong as error:
-                raise BrokenAnswer(str(error)) from error
+            except EventTooLongError as error:
+                raise BrokenResponseError(str(error)) from error
             if events:
                 await self._pass_events(message, events)
         if cutter.rest and connection.ends_with_connection:
-            raise BrokenAnswer("a stream that ends within an event")
+            raise BrokenResponseError("a stream that ends within an event")
         await self._pass_bytes(message, cutter.rest)
         self._whole = message
         await x.stream.end()
--- a/granitewell/dataplane/request_queue.py
+++ b/granitewell/dataplane/request_queue.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
-MOST_WAITING = 512  # of one service at one node: beyond it a request is refused at once
+MAX_WAITING = 512  # of one service at one node: beyond it a request is refused at once
 
 T = TypeVar("T")
 
@@ -21,14 +21,14 @@
     request: T = field(compare=False)
 
 
-class LineFull(Exception):
+class QueueFullError(Exception):
     """No more requests may wait."""
 
 
 class WaitingLine(Generic[T]):
     """In order of priority, then of coming."""
 
-    def __init__(self, most: int = MOST_WAITING) -> None:
+    def __init__(self, most: int = MAX_WAITING) -> None:
         self._places: list[Place[T]] = []
         self._number = 0
         self._most = most
@@ -40,9 +40,9 @@
         return iter(list(self._places))
 
     def join(self, priority: int, request: T) -> Place[T]:
-        """Its place; raises LineFull."""
+        """Its place; raises QueueFullError."""
         if len(self._places) >= self._most:
-            raise LineFull()
+            raise QueueFullError()
         self._number += 1
         place = Place(priority, self._number, request)
         insort(self._places, place)
--- a/granitewell/dataplane/retry_budget.py
+++ b/granitewell/dataplane/retry_budget.py
@@ -10,7 +10,7 @@
 RATIO_PART = 0.6  # of the ratio that is spent; the rest covers requests that are counted in another window
 SLACK_PART = 0.5  # of the slack that all nodes together may save up; the rest covers nodes that restart
 
-MOST_SLACK_PART = 0.9  # the same where a node could not save up one repeat otherwise
+MAX_SLACK_PART = 0.9  # the same where a node could not save up one repeat otherwise
 
 
 class RetryBudget:
@@ -46,4 +46,4 @@
     The sum of what all save must stay below it.
     """
     part = slack / max(most_edges, 1)
-    return max(SLACK_PART * part, min(1.0, MOST_SLACK_PART * part))
+    return max(SLACK_PART * part, min(1.0, MAX_SLACK_PART * part))
--- a/granitewell/dataplane/server_selection.py
+++ b/granitewell/dataplane/server_selection.py
@@ -1,13 +1,12 @@
 """The servers that may run a request, and which of them gets it. Pure; times in seconds.
 
 A pool is all ready servers of a service, or those that hold a model. All nodes sort them by id into one order
-and use the first ones, the active prefix, as many as the latency model asks for (granitewell.balancing.prefix_sizing). A request
-goes to a random server of the prefix; a server with too many requests of this node is busy and passed over,
-and past a prefix of busy servers the rest of the order is used. Departures from this, each for a rule or a
-deployment: of two random picks the less loaded one is taken, servers where requests wait or that look ill are
-passed over while others have room, and a server that may have kept the leading parts of the prompt is
-preferred.
-"""
+and use the first ones, the active prefix, as many as the latency model asks for
+(granitewell.balancing.prefix_sizing). A request goes to a random server of the prefix; a server with too many
+requests of this node is busy and passed over, and past a prefix of busy servers the rest of the order is
+used. Departures from this, each for a rule or a deployment: of two random picks the less loaded one is taken,
+servers where requests wait or that look ill are passed over while others have room, and a server that may
+have kept the leading parts of the prompt is preferred."""
 
 from __future__ import annotations
 
@@ -32,7 +31,7 @@
 
 COMFORTABLE_PART = 1 / 3  # of an engine's slots: with more at once its tokens come too slowly
 PATIENCE_MEANS = 8.0  # mean times to a first byte that a server may be silent,
-LEAST_PATIENCE_S = 0.5  # and the least: below it a pause is no sign
+MIN_PATIENCE_S = 0.5  # and the least: below it a pause is no sign
 UNKNOWN_MEAN_S = 0.25  # mean time to a first byte until measured
 SIZING_S = 1.0  # between two sizings of a pool with little traffic: a sizing costs as much as a request
 SIZING_ARRIVALS = 10  # requests from which it is sized each period
@@ -184,7 +183,7 @@
     def patience(self) -> float:
         """Seconds that a server may owe answers before it is suspected."""
         mean = self.traffic.first_ms / 1000.0 if self.traffic.answers else UNKNOWN_MEAN_S
-        return max(PATIENCE_MEANS * mean, LEAST_PATIENCE_S)
+        return max(PATIENCE_MEANS * mean, MIN_PATIENCE_S)
 
     def pick(
         self,
--- a/granitewell/dataplane/servers.py
+++ b/granitewell/dataplane/servers.py
@@ -16,7 +16,7 @@
 WAITING_TAU_S = 0.4  # the same for requests that wait there: a queue is gone sooner
 WAITING_COST = 2.0  # of a request that waits, besides its place: it is read before the next, one by one
 FIRST_AVOIDANCE_S = 1.0  # after a failure a server gets no requests for so long, while others are there
-MOST_AVOIDANCE_S = 5.0
+MAX_AVOIDANCE_S = 5.0
 ERRORS_IN_A_ROW = 3  # own failures of a server, from which it is held to be ill
 READ_GAIN = 0.1  # weight of the newest time to a first byte
 REFUSED_FOR_S = 0.1  # a server that turned a request away is held to be full for so long
@@ -112,7 +112,7 @@
         self._failed_at = now
         self.failures += 1
         wait = FIRST_AVOIDANCE_S * 2.0 ** min(self.failures - 1, 8)
-        self.avoided_until = now + min(wait, MOST_AVOIDANCE_S)
+        self.avoided_until = now + min(wait, MAX_AVOIDANCE_S)
 
     def refused(self, now: float) -> None:
         """It turned a request away unseen."""
--- a/granitewell/dataplane/upstream.py
+++ b/granitewell/dataplane/upstream.py
@@ -53,7 +53,7 @@
     CloseFraming,
     HeadFraming,
     LengthFraming,
-    MalformedFraming,
+    MalformedFramingError,
 )
 from granitewell.dataplane.headers import REQUEST_ID, parse_keep_alive
 from granitewell.domain.errors import GranitewellError
@@ -62,11 +62,11 @@
 KEEP_ALIVE_MARGIN_S = 0.5  # before the server closes an idle connection: a request must not cross that
 KEEP_ALIVE_PART = 0.6  # of the server's time, where that is short
 EARLIER_REQUESTS = 8  # of a connection, of which a second answer may come late
-MOST_HEAD_BYTES = 65_536  # of an answer's line or header
-MOST_HEADERS = 256
+MAX_HEAD_BYTES = 65_536  # of an answer's line or header
+MAX_HEADERS = 256
 SWITCHING_PROTOCOLS = 101
 WITHOUT_BODY = frozenset({204, 304})
-MOST_BODY_BYTES = 32 * 1024 * 1024  # of an answer that is read whole
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of an answer that is read whole
 DEAD_AFTER_MS = 1_500  # unacknowledged bytes or probes for so long: the server's machine is gone
 PROBE_EVERY_S = 1  # of a silent connection, by the kernel
 
@@ -74,11 +74,11 @@
 """What aiohttp raises when an answer doesn't come whole."""
 
 
-class NotWritten(GranitewellError):
+class RequestNotWrittenError(GranitewellError):
     """No connection, or it ended before a byte of the request was written."""
 
 
-class BrokenAnswer(GranitewellError):
+class BrokenResponseError(GranitewellError):
     """What came is no whole answer to this request."""
 
 
@@ -143,7 +143,7 @@
     def _body_received(self, data: bytes) -> None:
         try:
             taken = self._body.take(data)
-        except MalformedFraming as error:
+        except MalformedFramingError as error:
             self._malformed, taken = str(error), len(data)  # the parser says what is to be said
             self.force_close()
         if taken < len(data):
@@ -198,9 +198,10 @@
         return not poll.poll(0)
 
     def write(self, request: bytes, *, method: str, repeatable: bool) -> None:
-        """Write a whole request; raises NotWritten, after which nothing of it can have arrived."""
+        """Write a whole request; raises RequestNotWrittenError, after which nothing of it can have
+        arrived."""
         if not self.usable or self.transport is None:
-            raise NotWritten("the connection had ended")
+            raise RequestNotWrittenError("the connection had ended")
         self._idle = False
         self._no_body = method == "HEAD"
         self._expect_head()
@@ -208,14 +209,14 @@
             skip_payload=self._no_body,
             read_until_eof=True,
             auto_decompress=False,
-            max_line_size=MOST_HEAD_BYTES,
-            max_field_size=MOST_HEAD_BYTES,
-            max_headers=MOST_HEADERS,
+            max_line_size=MAX_HEAD_BYTES,
+            max_field_size=MAX_HEAD_BYTES,
+            max_headers=MAX_HEADERS,
         )
         self._notice_death(repeatable)
         self.transport.write(request)
         if self.transport.is_closing():
-            raise NotWritten("the kernel refused the first byte")
+            raise RequestNotWrittenError("the kernel refused the first byte")
 
     def _expect_head(self) -> None:
         self._head = HeadFraming()
@@ -237,7 +238,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, int(wanted))
 
     async def read_head(self, request_id: str) -> tuple[RawResponseMessage, StreamReader]:
-        """The head of the answer to this request; raises BrokenAnswer.
+        """The head of the answer to this request; raises BrokenResponseError.
 
         One late answer to an earlier request may come in its place: it is read and dropped, and the
         connection not used again.
@@ -253,7 +254,7 @@
                 self.data_received(surplus)
             message, body = await self._next_head()
         if message.headers.getall(REQUEST_ID, ()) != [request_id]:
-            raise BrokenAnswer("an answer to another request")
+            raise BrokenResponseError("an answer to another request")
         self._earlier.append(request_id)
         return message, body
 
@@ -262,31 +263,31 @@
             try:
                 message, body = await self.read()
             except BREAKS as error:
-                raise BrokenAnswer(repr(error)) from error
+                raise BrokenResponseError(repr(error)) from error
             if self._malformed or message.code == SWITCHING_PROTOCOLS or not _coding_is_known(message):
-                raise BrokenAnswer(self._malformed or "an answer that can't be read")
+                raise BrokenResponseError(self._malformed or "an answer that can't be read")
             if message.code >= 200:
                 return message, body
 
     async def read_body(self, body: StreamReader) -> bytes:
-        """A whole body; raises BrokenAnswer."""
+        """A whole body; raises BrokenResponseError."""
         parts: list[bytes] = []
         size = 0
         while part := await self.read_part(body):
             parts.append(part)
             size += len(part)
-            if size > MOST_BODY_BYTES:
-                raise BrokenAnswer("a body beyond all bounds")
+            if size > MAX_BODY_BYTES:
+                raise BrokenResponseError("a body beyond all bounds")
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     async def read_part(self, body: StreamReader) -> bytes:
-        """What has come of a body; empty at its proper end; raises BrokenAnswer."""
+        """What has come of a body; empty at its proper end; raises BrokenResponseError."""
         try:
             part = await body.readany()
         except BREAKS as error:
-            raise BrokenAnswer(repr(error)) from error
+            raise BrokenResponseError(repr(error)) from error
         if not part and self.ends_with_connection and not self._closed_by_server:
-            raise BrokenAnswer("an answer without length was reset")
+            raise BrokenResponseError("an answer without length was reset")
         return part
 
     @property
--- a/granitewell/dataplane/upstream_pool.py
+++ b/granitewell/dataplane/upstream_pool.py
@@ -9,11 +9,11 @@
 
 from aiohttp.http_parser import RawResponseMessage
 
-from granitewell.dataplane.upstream import NotWritten, UpstreamConnection
+from granitewell.dataplane.upstream import RequestNotWrittenError, UpstreamConnection
 from granitewell.domain.servers import Server
 
 CONNECT_TIMEOUT_S = 0.4  # a lost opening packet is sent again after seconds: another server is sooner
-MOST_IDLE_A_SERVER = 32
+MAX_IDLE_A_SERVER = 32
 
 
 class UpstreamPool:
@@ -27,7 +27,7 @@
     async def connection(self, server: Server, request_id: str) -> UpstreamConnection:
         """An idle connection that its server keeps open and that hasn't carried this request, or a new one.
 
-        Raises NotWritten.
+        Raises RequestNotWrittenError.
         """
         connection = self._take_idle(server.id, request_id)
         if connection is None:
@@ -57,7 +57,7 @@
                     lambda: UpstreamConnection(loop, self._forget), host, int(port)
                 )
         except (OSError, ValueError) as error:  # a TimeoutError is an OSError
-            raise NotWritten(f"{server.address}: {error!r}") from error
+            raise RequestNotWrittenError(f"{server.address}: {error!r}") from error
         connection.server_id = server.id
         return connection
 
@@ -69,7 +69,7 @@
             return
         connection.rest(message, self._clock())
         idle = self._idle.setdefault(connection.server_id, deque())
-        if not connection.usable or len(idle) >= MOST_IDLE_A_SERVER:
+        if not connection.usable or len(idle) >= MAX_IDLE_A_SERVER:
             connection.close()
             if not idle:
                 self._idle.pop(connection.server_id, None)
--- a/granitewell/discovery/instances.py
+++ b/granitewell/discovery/instances.py
@@ -13,7 +13,7 @@
 NO_END = -1
 
 
-class BadList(GranitewellError):
+class MalformedListError(GranitewellError):
     """The platform's answer is no list of servers."""
 
 
@@ -64,16 +64,16 @@
 def _instances(entries: Iterable[object]) -> Iterable[ListedInstance]:
     for entry in entries:
         if not isinstance(entry, Mapping):
-            raise BadList("an instance is not an object")
+            raise MalformedListError("an instance is not an object")
         yield _instance(entry)
 
 
 def parse_page(document: object) -> Page:
-    """A page from its JSON; raises BadList."""
+    """A page from its JSON; raises MalformedListError."""
     if not isinstance(document, Mapping) or not isinstance(document.get("instances"), list):
-        raise BadList("no list of instances")
+        raise MalformedListError("no list of instances")
     token = document.get("next-page-token")
     try:
         return Page(tuple(_instances(document["instances"])), str(token) if token else None)
     except (KeyError, ValueError, TypeError, AttributeError) as error:
-        raise BadList(f"bad instance: {error!r}") from error
+        raise MalformedListError(f"bad instance: {error!r}") from error
--- a/granitewell/discovery/reader.py
+++ b/granitewell/discovery/reader.py
@@ -9,10 +9,10 @@
 
 import aiohttp
 
-from granitewell.discovery.instances import BadList, ListedInstance, parse_page
+from granitewell.discovery.instances import ListedInstance, MalformedListError, parse_page
 from granitewell.domain.errors import GranitewellError
 
-MOST_PAGES = 200
+MAX_PAGES = 200
 PAGE_TIMEOUT_S = 0.8
 OVER_RATE = 429
 
@@ -29,7 +29,7 @@
     asked_at: float
 
 
-class ListUnavailable(GranitewellError):
+class ListUnavailableError(GranitewellError):
     """The platform gave no list: it is down, slow or over its rate."""
 
 
@@ -44,7 +44,7 @@
         self._newest: DatedList | None = None
 
     async def read(self) -> DatedList:
-        """The list and when it was asked for; raises ListUnavailable or BadList."""
+        """The list and when it was asked for; raises ListUnavailableError or MalformedListError."""
         async with self._lock:
             now = self._clock()
             if self._newest is None or now - self._newest.asked_at >= self._fresh_s:
@@ -60,16 +60,16 @@
         self._session = session
 
     async def read(self) -> list[ListedInstance]:
-        """The whole list; raises ListUnavailable or BadList."""
+        """The whole list; raises ListUnavailableError or MalformedListError."""
         instances: list[ListedInstance] = []
         token: str | None = None
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             page = parse_page(await self._page(token))
             instances += page.instances
             token = page.next_token
             if token is None:
                 return instances
-        raise BadList(f"over {MOST_PAGES} pages")
+        raise MalformedListError(f"over {MAX_PAGES} pages")
 
     async def _page(self, token: str | None) -> object:
         query = {"page-token": token} if token else {}
@@ -78,10 +78,10 @@
             async with self._session.get(self._url, params=query, timeout=timeout) as response:
                 body = await response.read()
                 if response.status != 200:
-                    raise ListUnavailable(f"status {response.status}")
+                    raise ListUnavailableError(f"status {response.status}")
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            raise ListUnavailable(f"{type(error).__name__}: {error}") from error
+            raise ListUnavailableError(f"{type(error).__name__}: {error}") from error
         try:
             return json.loads(body)
         except ValueError as error:
-            raise BadList(f"not JSON: {error}") from error
+            raise MalformedListError(f"not JSON: {error}") from error
--- a/granitewell/domain/configuration.py
+++ b/granitewell/domain/configuration.py
@@ -17,11 +17,11 @@
 from granitewell.domain.errors import GranitewellError
 
 
-class WrongType(GranitewellError):
+class WrongTypeError(GranitewellError):
     """A value is not of its field's type."""
 
 
-class WrongItem(GranitewellError):
+class WrongItemError(GranitewellError):
     """An item of a list can't be read; the cause says why."""
 
     def __init__(self, index: int) -> None:
@@ -31,20 +31,20 @@
 
 def _text(value: Any) -> str:
     if type(value) is not str:
-        raise WrongType("not a string")
+        raise WrongTypeError("not a string")
     return value
 
 
 def _truth(value: Any) -> bool:
     if type(value) is not bool:
-        raise WrongType("not true or false")
+        raise WrongTypeError("not true or false")
     return value
 
 
 def _number(value: Any) -> float:
     kind = type(value)
     if kind is not float and kind is not int:
-        raise WrongType("not a number")
+        raise WrongTypeError("not a number")
     return float(value)
 
 
@@ -54,17 +54,17 @@
         return int(value)
     if kind is float and value.is_integer():
         return int(value)
-    raise WrongType("not a whole number")
+    raise WrongTypeError("not a whole number")
 
 
 def _list_of(kind: type[DataClassDictMixin]) -> Callable[[Any], tuple[Any, ...]]:
-    """Reads a list of objects; null is an empty list. Raises WrongItem, which names the index."""
+    """Reads a list of objects; null is an empty list. Raises WrongItemError, which names the index."""
 
     def read(value: Any) -> tuple[Any, ...]:
         if value is None:
             return ()
         if type(value) is not list:
-            raise WrongType("not a list")
+            raise WrongTypeError("not a list")
         items = []
         for index, item in enumerate(value):
             items.append(_item(kind, index, item))
@@ -76,10 +76,10 @@
 def _item(kind: type[DataClassDictMixin], index: int, value: Any) -> DataClassDictMixin:
     try:
         if type(value) is not dict:
-            raise WrongType("not an object")
+            raise WrongTypeError("not an object")
         return kind.from_dict(value)
     except (ValueError, LookupError, GranitewellError) as error:  # mashumaro's errors are of the first two
-        raise WrongItem(index) from error
+        raise WrongItemError(index) from error
 
 
 class StrictFields(DataClassDictMixin):
--- a/granitewell/domain/errors.py
+++ b/granitewell/domain/errors.py
@@ -7,7 +7,7 @@
     """The root of all errors that this system raises on purpose."""
 
 
-class InvalidField(GranitewellError):
+class InvalidFieldError(GranitewellError):
     """Input from outside that can't be taken.
 
     Attributes:
@@ -20,15 +20,15 @@
         self.reason = reason
 
 
-class InvalidSettings(InvalidField):
+class InvalidSettingsError(InvalidFieldError):
     """The settings file of this process can't be used."""
 
 
-class InvalidConfiguration(InvalidField):
+class InvalidConfigurationError(InvalidFieldError):
     """An operator's configuration can't be taken."""
 
 
-class NotLeader(GranitewellError):
+class NotLeaderError(GranitewellError):
     """Another replica leads this group; leader_address is its control address where it is known."""
 
     def __init__(self, leader_address: str | None = None) -> None:
@@ -36,11 +36,11 @@
         self.leader_address = leader_address
 
 
-class ProposalLost(GranitewellError):
+class ProposalLostError(GranitewellError):
     """A proposal got no outcome: it may be committed or not."""
 
 
-class UnknownFormat(GranitewellError):
+class UnknownFormatError(GranitewellError):
     """Bytes of a format that this program does not know, and a newer one may."""
 
 
@@ -48,13 +48,13 @@
     """A call to another node has failed."""
 
 
-class RpcTimeout(RpcError):
+class RpcTimeoutError(RpcError):
     """No reply in time."""
 
 
-class PeerUnreachable(RpcError):
+class PeerUnreachableError(RpcError):
     """No connection to the node."""
 
 
-class BadFrame(RpcError):
+class MalformedFrameError(RpcError):
     """A peer sent bytes that are no frame of a version that is known here."""
--- a/granitewell/domain/settings.py
+++ b/granitewell/domain/settings.py
@@ -12,7 +12,7 @@
 from mashumaro.config import BaseConfig
 from mashumaro.exceptions import InvalidFieldValue, MissingField
 
-from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.errors import InvalidSettingsError
 
 PATH_VARIABLE = "GRANITEWELL_NODE_FILE"
 DEFAULT_PATH = "/etc/granitewell/boot.json"
@@ -131,43 +131,43 @@
 
 
 def read_settings(path: Path) -> Settings:
-    """The checked settings; raises InvalidSettings, which names the field."""
+    """The checked settings; raises InvalidSettingsError, which names the field."""
     try:
         text = path.read_bytes()
     except OSError as error:
-        raise InvalidSettings(str(path), error.strerror or "can't be read") from error
+        raise InvalidSettingsError(str(path), error.strerror or "can't be read") from error
     return parse_settings(text)
 
 
 def parse_settings(text: bytes) -> Settings:
-    """Settings from JSON; raises InvalidSettings, which names the field."""
+    """Settings from JSON; raises InvalidSettingsError, which names the field."""
     try:
         document = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise InvalidSettings("file", f"not JSON: {error}") from error
+        raise InvalidSettingsError("file", f"not JSON: {error}") from error
     if not isinstance(document, dict):
-        raise InvalidSettings("file", "not an object")
+        raise InvalidSettingsError("file", "not an object")
     for name in LISTS:
         if not isinstance(document.get(name, []), list):
-            raise InvalidSettings(name, f"not a list: {document[name]!r}")
+            raise InvalidSettingsError(name, f"not a list: {document[name]!r}")
     try:
         return Settings.from_dict(document)
     except (MissingField, InvalidFieldValue) as error:
         raise _wrong_field(error) from error
     except (ValueError, TypeError, AttributeError) as error:
-        raise InvalidSettings("file", str(error)) from error
+        raise InvalidSettingsError("file", str(error)) from error
 
 
-def _wrong_field(error: MissingField | InvalidFieldValue) -> InvalidSettings:
+def _wrong_field(error: MissingField | InvalidFieldValue) -> InvalidSettingsError:
     """The innermost field that is wrong, by its path in the file, such as `bounds.lease-ms`."""
     path = _wire_name(error)
     while isinstance(error, InvalidFieldValue):
         cause = error.__cause__ or error.__context__
         if not isinstance(cause, MissingField | InvalidFieldValue):
-            return InvalidSettings(path, f"not of its type: {error.field_value!r}")
+            return InvalidSettingsError(path, f"not of its type: {error.field_value!r}")
         error = cause
         path = f"{path}.{_wire_name(error)}"
-    return InvalidSettings(path, "missing")
+    return InvalidSettingsError(path, "missing")
 
 
 def _wire_name(error: MissingField | InvalidFieldValue) -> str:
--- a/granitewell/handover.py
+++ b/granitewell/handover.py
@@ -26,10 +26,10 @@
 from granitewell.files import whole
 
 VERSION = 1
-MOST_BYTES = 2048  # of a file of ours
-MOST_SPELT = 96  # bytes of an id that its file's name spells
-MOST_FILES = 10_000  # of a kind that are read,
-MOST_NAMES = 50_000  # of all names in the folder that are looked at
+MAX_BYTES = 2048  # of a file of ours
+MAX_SPELT = 96  # bytes of an id that its file's name spells
+MAX_FILES = 10_000  # of a kind that are read,
+MAX_NAMES = 50_000  # of all names in the folder that are looked at
 SETTLED_NS = 100_000_000  # many ticks of a file system's clock
 LEFT_S = 60.0  # after which a file that is being written is one that a killed process has left behind
 KEEP_S = 120.0  # for which the end of a ban is worth knowing: longer than any endpoint takes to get warm
@@ -76,7 +76,7 @@
 
     A long id has a digest in place of itself: file names end at 255 bytes.
     """
-    if len(endpoint) <= MOST_SPELT:
+    if len(endpoint) <= MAX_SPELT:
         return f"{BAN}{endpoint.hex()}"
     return f"{BAN}id-{blake2b(endpoint, digest_size=32).hexdigest()}"
 
@@ -215,7 +215,7 @@
             return Kept(frozenset(), {}, (f"the folder: {error.strerror}",))
         for path in paths:
             try:
-                eid, banned, at = read(whole(path, MOST_BYTES, os.O_NOFOLLOW))
+                eid, banned, at = read(whole(path, MAX_BYTES, os.O_NOFOLLOW))
                 if path.name != name_of(eid):
                     raise ValueError("its name is another endpoint's")
             except FileNotFoundError:
@@ -241,18 +241,18 @@
             return []
         try:
             with os.scandir(self._folder) as found:
-                names = [x.name for _, x in zip(range(MOST_NAMES), found, strict=False)]
+                names = [x.name for _, x in zip(range(MAX_NAMES), found, strict=False)]
         except OSError as error:
             if error.errno in SHORT:
                 raise
             return []
         ours = sorted(name for name in names if name.startswith(prefix) and not name.endswith(NEW))
-        return [self._folder / name for name in ours[:MOST_FILES]]
+        return [self._folder / name for name in ours[:MAX_FILES]]
 
     def _tidy(self, folder: Path) -> None:
         """What processes that were killed in the middle of a write have left."""
         with contextlib.suppress(OSError), os.scandir(folder) as found:
-            for _, entry in zip(range(MOST_NAMES), found, strict=False):
+            for _, entry in zip(range(MAX_NAMES), found, strict=False):
                 if entry.name.endswith(NEW) and entry.name.startswith((BAN, RUN)):
                     with contextlib.suppress(OSError):
                         if abs(time.time() - entry.stat(follow_symlinks=False).st_mtime) > LEFT_S:
--- a/granitewell/lab/capture.py
+++ b/granitewell/lab/capture.py
@@ -26,7 +26,7 @@
 _STEP = 4096  # lines between two calls of `step`
 
 
-class BadTrace(ValueError):
+class TraceError(ValueError):
     """A trace that can't be taken: one line that names file, line, column, what was found and is allowed."""
 
     def __init__(self, path: Path | str, line: int, what: str) -> None:
@@ -60,13 +60,13 @@
 def read(path: Path | str, step: Callable[[int], None] | None = None) -> Iterator[Row]:
     """The trace's tries, one at a time; `step` is told how many bytes were read, about.
 
-    Raises BadTrace, or OSError where the file can't be read.
+    Raises TraceError, or OSError where the file can't be read.
     """
     return (row for _, row in _rows(path, step))
 
 
 def load(path: Path | str, names: Names) -> tuple[tuple[int, int, int, int, int], ...]:
-    """The trace for `LoadDay.trace`: names as indices. Raises BadTrace, also for a name that is none."""
+    """The trace for `LoadDay.trace`: names as indices. Raises TraceError, also for a name that is none."""
     columns = list(zip(("class", "tenant", "zone"), names, strict=True))
     places = [{name: k for k, name in enumerate(known)} for known in names]
     tries: list[tuple[int, int, int, int, int]] = []
@@ -76,7 +76,7 @@
             cls, tenant, zone = (place[name] for place, name in zip(places, found, strict=True))
         except KeyError:
             wrong = next((c, n, f) for (c, n), f in zip(columns, found, strict=True) if f not in n)
-            raise BadTrace(path, line, _unknown(*wrong)) from None
+            raise TraceError(path, line, _unknown(*wrong)) from None
         tries.append((row.at_us, cls, tenant, row.key, zone))
     return tuple(tries)
 
@@ -120,7 +120,7 @@
                 last = row.at_us
                 yield reader.line_num, row
         except csv.Error as e:
-            raise BadTrace(path, reader.line_num, f"found {e}, allowed: comma-separated values") from None
+            raise TraceError(path, reader.line_num, f"found {e}, allowed: comma-separated values") from None
 
 
 def _counted(file: TextIO, step: Callable[[int], None] | None) -> Iterator[str]:
@@ -136,21 +136,23 @@
 def _check_heading(path: Path | str, found: Sequence[str]) -> None:
     for k, name in enumerate(found):
         if name not in COLUMNS:
-            raise BadTrace(path, 1, f"column {k + 1}: {_unknown('name', COLUMNS, name)}")
+            raise TraceError(path, 1, f"column {k + 1}: {_unknown('name', COLUMNS, name)}")
     if tuple(found) != COLUMNS:
-        raise BadTrace(path, 1, f"heading: found {','.join(found)!r}, allowed: {','.join(COLUMNS)}")
+        raise TraceError(path, 1, f"heading: found {','.join(found)!r}, allowed: {','.join(COLUMNS)}")
 
 
 def _row(path: Path | str, line: int, fields: Sequence[str], last: int) -> Row:
     if len(fields) != len(COLUMNS):
-        raise BadTrace(path, line, f"found {len(fields)} columns, allowed: {len(COLUMNS)}")
+        raise TraceError(path, line, f"found {len(fields)} columns, allowed: {len(COLUMNS)}")
     at, cls, tenant, key, zone = fields
     for name, text in (("class", cls), ("tenant", tenant), ("zone", zone)):
         if not text or text != text.strip() or not text.isprintable():
-            raise BadTrace(path, line, f"column {name}: found {text[:40]!r}, allowed: a name")
+            raise TraceError(path, line, f"column {name}: found {text[:40]!r}, allowed: a name")
     at_us = _whole(path, line, "at_us", at)
     if at_us < last:
-        raise BadTrace(path, line, f"column at_us: found {at_us}, allowed: {last} (the line before) or more")
+        raise TraceError(
+            path, line, f"column at_us: found {at_us}, allowed: {last} (the line before) or more"
+        )
     return Row(at_us, cls, tenant, _whole(path, line, "key", key), zone)
 
 
@@ -158,7 +160,7 @@
     if text.isascii() and text.isdigit() and len(text) <= len(str(MOST)):
         return int(text)
     allowed = f"a whole number, 0 to {MOST}"
-    raise BadTrace(path, line, f"column {column}: found {text[:40]!r}, allowed: {allowed}")
+    raise TraceError(path, line, f"column {column}: found {text[:40]!r}, allowed: {allowed}")
 
 
 def _unknown(column: str, known: Sequence[str], found: str) -> str:
--- a/granitewell/lab/chaos.py
+++ b/granitewell/lab/chaos.py
@@ -16,9 +16,9 @@
 from granitewell.lab.faults import CATALOGUE, EFFECTS, fault
 
 SPARING = 0.5  # up to this severity a third is spared
-MOST_SLOWER = 100.0  # the largest factor on work, at severity 1
-MOST_LASTS_US = 12_000_000
-MOST_PER_20_S = 16.0  # faults at severity 1; at least a quarter of that
+MAX_SLOWER = 100.0  # the largest factor on work, at severity 1
+MAX_LASTS_US = 12_000_000
+MAX_PER_20_S = 16.0  # faults at severity 1; at least a quarter of that
 
 
 def chaos(
@@ -40,7 +40,7 @@
         return ()
     odds = _Odds(day, severity, rng, from_us, end)
     allowed = [k for k in CATALOGUE if not kinds or k in kinds]
-    count = round(severity * MOST_PER_20_S * (0.25 + 0.75 * rng.random()) * (end - from_us) / 20e6)
+    count = round(severity * MAX_PER_20_S * (0.25 + 0.75 * rng.random()) * (end - from_us) / 20e6)
     drawn = [odds.one(allowed[int(rng.random() * len(allowed))]) for _ in range(max(count, 1))]
     return tuple(sorted((f for f in drawn if f is not None), key=lambda f: f.at_us))
 
@@ -80,7 +80,7 @@
     def one(self, kind: str) -> Fault | None:
         """One fault of that kind; None where nobody is left whom it may befall."""
         self._at = self._begin + int(self._rng.random() * (self._end - self._begin) * 0.9)
-        lasts = 300_000 + int(self._severity * MOST_LASTS_US * self._rng.random())
+        lasts = 300_000 + int(self._severity * MAX_LASTS_US * self._rng.random())
         self._until = min(self._at + lasts, self._end)
         if kind in self._kinds:
             return self._kinds[kind]()
@@ -124,7 +124,7 @@
         targets, effect = self._some(self._endpoints), self._of(EFFECTS)
         params: dict[str, float | str] = {"effect": effect}
         if effect in ("slow", "speed"):
-            params["factor"] = exp(self._up(0.2, self._severity * log(MOST_SLOWER)))
+            params["factor"] = exp(self._up(0.2, self._severity * log(MAX_SLOWER)))
         elif effect == "late":
             params["late_ms"] = self._up(50, 3000 * self._severity)
         if self._chance(0.5):
--- a/granitewell/lab/cluster/chaos.py
+++ b/granitewell/lab/cluster/chaos.py
@@ -16,8 +16,8 @@
 
 KINDS = ("kill", "lose", "power", "stall", "cut", "oneway", "alone", "link", "slow_disk", "bad_disk", "drift",
          "snap", "twin")  # fmt: skip
-MOST_PER_20_S = 16.0  # troubles at severity 1
-MOST_LASTS_US = 12_000_000
+MAX_PER_20_S = 16.0  # troubles at severity 1
+MAX_LASTS_US = 12_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
     """Troubles by time; all are over by rules.until_us."""
     odds = _Odds(rng, names, severity, rules)
     length = rules.until_us - rules.from_us
-    count = round(severity * MOST_PER_20_S * (0.25 + 0.75 * rng.random()) * length / 20e6)
+    count = round(severity * MAX_PER_20_S * (0.25 + 0.75 * rng.random()) * length / 20e6)
     kinds = [k for k in rules.kinds if (k != "lose" or rules.may_lose) and (k != "twin" or rules.twins)]
     drawn = [odds.one(kinds[int(rng.random() * len(kinds))]) for _ in range(count)]
     return tuple(sorted(drawn, key=lambda t: t.at_us))
@@ -85,7 +85,7 @@
     def one(self, kind: str) -> Trouble:
         rng, rules = self._rng, self._rules
         at = rules.from_us + int(rng.random() * (rules.until_us - rules.from_us) * 0.95)
-        lasts = 50_000 + int(self._severity * MOST_LASTS_US * rng.random() ** 2)
+        lasts = 50_000 + int(self._severity * MAX_LASTS_US * rng.random() ** 2)
         until = min(at + lasts, rules.until_us)
         draws: dict[str, Callable[[], Trouble]] = {
             "lose": lambda: Trouble(kind, at, until, (self._of(rules.may_lose),)),
--- a/granitewell/lab/cluster/hunt.py
+++ b/granitewell/lab/cluster/hunt.py
@@ -16,7 +16,7 @@
 from granitewell.lab.cluster.world import Broken
 from granitewell.lab.simulation.hunt import ddmin
 
-MOST_PLAYS = 200  # of one seed, shrinking included
+MAX_PLAYS = 200  # of one seed, shrinking included
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
 
     def fails(only: tuple[int, ...]) -> bool:
         nonlocal best, plays
-        if plays >= MOST_PLAYS:
+        if plays >= MAX_PLAYS:
             return False
         plays += 1
         less = replace(case, only=only)
--- a/granitewell/lab/cluster/leases_search.py
+++ b/granitewell/lab/cluster/leases_search.py
@@ -33,7 +33,8 @@
 
 
 class Bounds(NamedTuple):
-    """How much may happen: steps of time, deaths (the disk stays), disks lost, twins, and processes standing."""
+    """How much may happen: steps of time, deaths (the disk stays), disks lost, twins, and processes
+    standing."""
 
     times: int = 0
     deaths: int = 0
@@ -62,7 +63,8 @@
 
 
 class Step(NamedTuple):
-    """What happens: to which process (its number, and its place in the world), with which message or helper."""
+    """What happens: to which process (its number, and its place in the world), with which message or
+    helper."""
 
     what: str
     number: int = -1
@@ -118,7 +120,8 @@
                 yield from self._follow(world, place, came, Step("does what is due", number, place))
 
     def _follow(self, world: World, place: int, came: Came, step: Step) -> Iterator[tuple[Step, World]]:
-        """The world after it; and, if something was to be written, the one in which the process died before."""
+        """The world after it; and, if something was to be written, the one in which the process died
+        before."""
         tables, processes = self.tables, _put(world.processes, place, came.process)
         led, said = world.led, tables.add(world.said, came.said)
         if came.led:
--- a/granitewell/lab/cluster/links.py
+++ b/granitewell/lab/cluster/links.py
@@ -13,7 +13,7 @@
 
 GIVE_UP_US = 5_000_000  # a stream that gets nothing through for so long is broken
 RESEND_US = 200_000  # a segment lost costs a stream so much, and twice that the next time
-MOST_QUEUED = 64  # messages that a stream holds while it can't send
+MAX_QUEUED = 64  # messages that a stream holds while it can't send
 
 
 @dataclass(slots=True)
--- a/granitewell/lab/cluster/world.py
+++ b/granitewell/lab/cluster/world.py
@@ -1,8 +1,8 @@
 """The virtual cluster: nodes that run pure machines in virtual time, and all that can befall them.
 
-It owns when a machine is called and with what, and carries out the shared effects (granitewell.state_machine). It
-must never know a subject: effects of a machine's own go to the node's `other`, which joins subjects as a
-shell would. The same seed and the same calls give the same digest.
+It owns when a machine is called and with what, and carries out the shared effects
+(granitewell.state_machine). It must never know a subject: effects of a machine's own go to the node's
+`other`, which joins subjects as a shell would. The same seed and the same calls give the same digest.
 
 Each node has a clock of its own, and only that is shown to its machines. A node is a process with a disk: it
 may be stalled (messages queue, `Woken` comes late), killed and started again with what its disk has kept, and
@@ -18,12 +18,12 @@
 
 from granitewell.lab.cluster.clock import Clock
 from granitewell.lab.cluster.disk import Disk, Fate
-from granitewell.lab.cluster.links import GIVE_UP_US, MOST_QUEUED, Links, Quality, Stream
+from granitewell.lab.cluster.links import GIVE_UP_US, MAX_QUEUED, Links, Quality, Stream
 from granitewell.lab.engine import Engine, stream
 from granitewell.state_machine import Heard, Line, Machine, Road, Say, Store, Stored, Woken
 
-MOST_DATAGRAM = 1_200
-MOST_WAITING = 512  # datagrams that a stalled process's socket holds; more are dropped
+MAX_DATAGRAM = 1_200
+MAX_WAITING = 512  # datagrams that a stalled process's socket holds; more are dropped
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
     text: str
 
 
-class _Stop(Exception):
+class _StopError(Exception):
     pass
 
 
@@ -237,17 +237,18 @@
             text = watch(self, node, event, effects)
             if text is not None:
                 self.broken = Broken(self.now_us, node.id, text)
-                raise _Stop
+                raise _StopError
 
     def run(self, until_us: int) -> Broken | None:
         """Let time pass until then, or until an invariant does not hold."""
         if self.broken is None:
-            with suppress(_Stop):
+            with suppress(_StopError):
                 self.engine.run(until_us)
         return self.broken
 
     def _agenda(self, node: Node, index: int) -> None:
-        """Put the machine's next waking on the agenda, unless an earlier one is on it: that one looks again."""
+        """Put the machine's next waking on the agenda, unless an earlier one is on it: that one looks
+        again."""
         wake = node.machines[index].wake_us
         if wake < 0:
             return
@@ -288,8 +289,8 @@
         if say.road is Road.STREAM:
             self._stream(source, say)
             return
-        if size > MOST_DATAGRAM:
-            raise ValueError(f"datagram: found {size} bytes, allowed are {MOST_DATAGRAM}")
+        if size > MAX_DATAGRAM:
+            raise ValueError(f"datagram: found {size} bytes, allowed are {MAX_DATAGRAM}")
         now = self.engine.now_us
         for takes in self.links.datagram(source, say.to):
             self.engine.at(now + takes, self._arrive, source, say.to, say.data)
@@ -304,7 +305,7 @@
             if not up:
                 return
             node = up[int(self._rng.random() * len(up))]
-        full = node.stalled and road is Road.DATAGRAM and len(node.waiting) >= MOST_WAITING
+        full = node.stalled and road is Road.DATAGRAM and len(node.waiting) >= MAX_WAITING
         if full or not node.up:
             return
         node.count.heard += 1
@@ -331,7 +332,7 @@
         elif self.now_us - one.stopped_us > GIVE_UP_US:
             one.snap()
             one.stopped_us = self.now_us
-        if len(one.queued) < MOST_QUEUED:
+        if len(one.queued) < MAX_QUEUED:
             one.queued.append(say.data)
             if len(one.queued) == 1:
                 self.engine.at(self.now_us + 200_000, self._again, one, one.turn, source, say.to)
--- a/granitewell/lab/experiments/plan.py
+++ b/granitewell/lab/experiments/plan.py
@@ -36,7 +36,7 @@
 from granitewell.lab.simulation.play import POLICIES
 
 SHELLS = ("sim", "sockets")
-MOST_RUNS = 100_000
+MAX_RUNS = 100_000
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._+-]{0,63}\Z")
 _SPAN = re.compile(r"(\d+)\.\.(\d+)\Z")
 _TOP = ("name", "question", "scenarios", "seeds", "variant", "base", "shell", "timeout_s")
@@ -227,8 +227,8 @@
         _seeds(top), base, top.figure("timeout_s", 1, 86_400, False) or 600.0, text,
     )  # fmt: skip
     count = len(plan.variants) * len(plan.settings) * len(plan.seeds)
-    if count > MOST_RUNS:
-        top.fail("seeds", f"found {count} runs in all, allowed are {MOST_RUNS} at most")
+    if count > MAX_RUNS:
+        top.fail("seeds", f"found {count} runs in all, allowed are {MAX_RUNS} at most")
     _draws(plan, top)
     return plan
 
@@ -236,7 +236,7 @@
 def _seeds(top: _Reader) -> tuple[int, ...]:
     value = top.table.get("seeds", "1..8")
     span = _SPAN.match(value) if isinstance(value, str) else None
-    if span and int(span[1]) <= int(span[2]) < int(span[1]) + MOST_RUNS:
+    if span and int(span[1]) <= int(span[2]) < int(span[1]) + MAX_RUNS:
         return tuple(range(int(span[1]), int(span[2]) + 1))
     listed = isinstance(value, list) and value and all(type(x) is int and x >= 0 for x in value)
     if not listed or len(set(value)) != len(value):
--- a/granitewell/lab/faults.py
+++ b/granitewell/lab/faults.py
@@ -1,36 +1,32 @@
 """The catalogue of faults: what a scenario file may let go wrong, and what is left of it for the shells.
 
-It owns the kinds with their targets, params and defaults, by which files are checked and the reference page is
-made. It must never draw a number or know a shell. `scenarios.expand` turns a day's schedule of these kinds into
-elementary faults, sorted by time, and those alone stand in `Day.faults`:
-
-| kind | target | span | params |
-| --- | --- | --- | --- |
-| `condition` | endpoints | until it ends | `effect`, `classes`, `tenants`, `nodes` (names), `keys` (numbers), each comma-joined; `before=1`: only connections opened before it began; `share`; `factor`, as `terms.Condition` has them |
-| `pause` | endpoint | until it goes on | |
-| `stop` | endpoint | at once, for good | |
-| `vanish` | endpoint | until it is back, cold, under its id; -1: never | |
-| `restart` | endpoint | down until then, back cold under its id | |
-| `drain` | endpoint | until its process ends | |
-| `node_kill`, `node_term` | node | until its new process starts; -1: never | |
-| `node_hup` | node | at once | |
-| `node_stall` | node | until it goes on | |
-| `node_cpu` | node | until it ends | `factor`: of one core |
-| `cut` | zone, endpoint or node | until it ends | `way`: `both`, `in`, `out` (`in`: nothing reaches it) |
-| `link` | `node>endpoint` pairs | until it ends | `what`: `delay` (`factor` us more each way), `loss` (`factor`: part of the exchanges that end in a reset), `silent`, `refuse` |
-| `discovery_silent` | `discovery` | until it ends | |
-| `discovery_late` | `discovery` | until it ends | `factor`: us later than usual |
-| `discovery_moved` | `discovery` | at once | its old address is closed; nodes learn the new one from `node_hup` |
+It owns the kinds with their targets, params and defaults, by which files are checked and the reference page
+is made. It must never draw a number or know a shell. `scenarios.expand` turns a day's schedule of these kinds
+into elementary faults, sorted by time, and those alone stand in `Day.faults`:
+
+| kind | target | span | params | | --- | --- | --- | --- | | `condition` | endpoints | until it ends |
+`effect`, `classes`, `tenants`, `nodes` (names), `keys` (numbers), each comma-joined; `before=1`: only
+connections opened before it began; `share`; `factor`, as `terms.Condition` has them | | `pause` | endpoint |
+until it goes on | | | `stop` | endpoint | at once, for good | | | `vanish` | endpoint | until it is back,
+cold, under its id; -1: never | | | `restart` | endpoint | down until then, back cold under its id | | |
+`drain` | endpoint | until its process ends | | | `node_kill`, `node_term` | node | until its new process
+starts; -1: never | | | `node_hup` | node | at once | | | `node_stall` | node | until it goes on | | |
+`node_cpu` | node | until it ends | `factor`: of one core | | `cut` | zone, endpoint or node | until it ends |
+`way`: `both`, `in`, `out` (`in`: nothing reaches it) | | `link` | `node>endpoint` pairs | until it ends |
+`what`: `delay` (`factor` us more each way), `loss` (`factor`: part of the exchanges that end in a reset),
+`silent`, `refuse` | | `discovery_silent` | `discovery` | until it ends | | | `discovery_late` | `discovery` |
+until it ends | `factor`: us later than usual | | `discovery_moved` | `discovery` | at once | its old address
+is closed; nodes learn the new one from `node_hup` |
 
 A target is one name, but for `condition` and `link`, where it may be several, comma-joined; a pair may be
 `node>*`. `until_us` -1 means to the end of the day. Every fault also has the param `source`: the place in
-`scenario.schedule` of what it comes from. Faults of one kind may overlap on one target, and each holds for its
-own span; only orders to a process (`pause`, `restart`, `drain`, `vanish`, `node_*` but for `node_cpu`) come one
-at a time, save that a process that drains may be paused, stopped or vanish. An order to a process that is not
-there does nothing. A condition belongs to the machine: a process that starts while it lasts has it too. Endpoints
-that come later need no fault: they stand in `Day.endpoints` with `started_us` > 0, and where `takes_over` names
-another, they have its address, where nobody listens any more by then. Changes of the load are in `Day.load`.
-"""
+`scenario.schedule` of what it comes from. Faults of one kind may overlap on one target, and each holds for
+its own span; only orders to a process (`pause`, `restart`, `drain`, `vanish`, `node_*` but for `node_cpu`)
+come one at a time, save that a process that drains may be paused, stopped or vanish. An order to a process
+that is not there does nothing. A condition belongs to the machine: a process that starts while it lasts has
+it too. Endpoints that come later need no fault: they stand in `Day.endpoints` with `started_us` > 0, and
+where `takes_over` names another, they have its address, where nobody listens any more by then. Changes of the
+load are in `Day.load`."""
 
 from __future__ import annotations
 
--- a/granitewell/lab/fleet/observations.py
+++ b/granitewell/lab/fleet/observations.py
@@ -15,8 +15,8 @@
 from granitewell.state_machine import Road
 
 KEPT = 8_192  # numbers of a process that are told apart
-MOST_BIRTHS = 2_000
-MOST_OFFENCES = 100
+MAX_BIRTHS = 2_000
+MAX_OFFENCES = 100
 LEFT = 3  # the state, as claims give it
 
 
@@ -57,7 +57,7 @@
 
     def offend(self, text: str) -> None:
         """Something that must not be."""
-        if len(self.offences) < MOST_OFFENCES:
+        if len(self.offences) < MAX_OFFENCES:
             self.offences.append(text)
 
     def _opened(self, data: bytes, limit: int) -> Letter | None:
@@ -71,7 +71,7 @@
         numbers = self._numbers.pop(letter.birth, None)
         if numbers is None:
             numbers = {}
-            while len(self._numbers) >= MOST_BIRTHS:
+            while len(self._numbers) >= MAX_BIRTHS:
                 del self._numbers[next(iter(self._numbers))]
         self._numbers[letter.birth] = numbers
         digest = blake2b(data, digest_size=8).digest()
--- a/granitewell/lab/fleet/rig.py
+++ b/granitewell/lab/fleet/rig.py
@@ -45,7 +45,7 @@
 BIND_S = 20.0
 TELL_S = 10.0
 KNOCK_S = 0.02  # between two tries whether a listener is gone
-MOST_RUMOURS, MOST_RUMOURS_S = 200, 5  # letters of news alone that a node may send, and more a second
+MAX_RUMOURS, MAX_RUMOURS_S = 200, 5  # letters of news alone that a node may send, and more a second
 AHEAD_NS = 600_000_000_000
 ROADS = frozenset({"cut", "oneway", "alone", "mute", "deaf", "link", "band", "snap", "torn", "half", "hold",
                    "noise"})  # fmt: skip
@@ -201,7 +201,7 @@
         counts = self.seen.get("counts", {})
         for name in self.schedule.names:
             said = counts.get(f"{name} rumour", 0)
-            if said > MOST_RUMOURS + MOST_RUMOURS_S * self.schedule.seconds:
+            if said > MAX_RUMOURS + MAX_RUMOURS_S * self.schedule.seconds:
                 self.judge.tell(self.now(), "chatter", f"{name} has sent {said} letters of news alone")
 
     def down(self) -> None:
--- a/granitewell/lab/fleet/switch.py
+++ b/granitewell/lab/fleet/switch.py
@@ -45,7 +45,7 @@
 PIECE = 64 * 1024
 BATCH = 64  # datagrams of one socket in one turn of the loop
 LOOK_S = 0.02  # between two looks whether a cut is over
-MOST_HELD = 200_000  # datagrams held back in all
+MAX_HELD = 200_000  # datagrams held back in all
 KEPT = 2_000  # frames of each node, for replays
 NOISE_S = 0.005  # between two handfuls of noise
 STAMPS, STAMP, ANCILLARY = 35, struct.Struct("qq"), 64  # SO_TIMESTAMPNS, socket(7)
@@ -278,7 +278,7 @@
         if self._mute[node] > 0 or self._deaf[other] > 0:
             return
         if self._hold[node] > 0 or self._hold[other] > 0:
-            if len(self._held) < MOST_HELD:
+            if len(self._held) < MAX_HELD:
                 self._held.append((source, to, data))
             return
         for takes in self._links.datagram(node, other):
--- a/granitewell/lab/fleet/types.py
+++ b/granitewell/lab/fleet/types.py
@@ -24,8 +24,8 @@
 
 BUILTIN = Path(__file__).parent / "scenarios"
 VERSION = 1
-MOST_NODES = 100
-MOST_TROUBLES = 1_000
+MAX_NODES = 100
+MAX_TROUBLES = 1_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     at_s: Second
     until_s: Second | None = None
     nodes: list[Word | int] = msgspec.field(default_factory=list)
-    count: Annotated[int, Meta(ge=1, le=MOST_NODES)] | None = None
+    count: Annotated[int, Meta(ge=1, le=MAX_NODES)] | None = None
     part: Annotated[float, Meta(gt=0, le=1)] | None = None
     value: Annotated[float, Meta(ge=0, le=1e12)] = 0.0
     how: Word = ""
@@ -132,7 +132,7 @@
     """A scenario file."""
 
     about: Annotated[str, Meta(max_length=300)] = ""
-    nodes: Annotated[int, Meta(ge=1, le=MOST_NODES)] = 5
+    nodes: Annotated[int, Meta(ge=1, le=MAX_NODES)] = 5
     endpoints: Annotated[int, Meta(ge=1, le=250)] = 6
     seconds: Annotated[float, Meta(ge=1, le=86_400)] = 30.0
     rate: Annotated[float, Meta(ge=0, le=100_000)] = 60.0
@@ -224,8 +224,8 @@
     if drawn is not None:
         share = severity if severity is not None else drawn.severity
         troubles += _drawn(drawn, share, names, length, rng)
-    if len(troubles) > MOST_TROUBLES:
-        raise FleetError(f"{name}: trouble: found {len(troubles)}, allowed are {MOST_TROUBLES}")
+    if len(troubles) > MAX_TROUBLES:
+        raise FleetError(f"{name}: trouble: found {len(troubles)}, allowed are {MAX_TROUBLES}")
     link = {
         "loss": table.link.loss, "doubled": table.link.doubled, "late": table.link.late,
         "delay_us": table.link.delay_ms * 1e3, "jitter_us": table.link.jitter_ms * 1e3,
--- a/granitewell/lab/fleet/virtual.py
+++ b/granitewell/lab/fleet/virtual.py
@@ -11,7 +11,7 @@
 from statistics import median
 from typing import Any
 
-from granitewell.cluster.persisted_record import MOST_ADDRESSES
+from granitewell.cluster.persisted_record import MAX_ADDRESSES
 from granitewell.cluster.size_estimate import Census, Count, Known, Seen, stands
 from granitewell.lab.cluster.chaos import Chaos, Trouble
 from granitewell.lab.cluster.links import Cut, Quality
@@ -79,7 +79,7 @@
         own = machine.own
         former = Former(own.gen, machine.seat.birth, own.inc, machine.seat.seq)
         near = tuple(m.about.address for m in machine.members() if m.name != node.id)
-        self._kept[node.id] = former, self._census[node.id].known(), near[:MOST_ADDRESSES]
+        self._kept[node.id] = former, self._census[node.id].known(), near[:MAX_ADDRESSES]
 
     def _counted(self, node: Node, event: object) -> None:
         for effect in self._census[node.id].handle(node.clock.local(self.cluster.now_us), event):
--- a/granitewell/lab/judge/counts.py
+++ b/granitewell/lab/judge/counts.py
@@ -17,7 +17,7 @@
 
 NEVER = 1 << 62
 LONGEST_US = 60_000_000  # from asking to answer; a try that took longer counts as unanswered
-MOST_TEXTS = 20
+MAX_TEXTS = 20
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
             made.figures += 1
             if told.high < sure or told.low > may:
                 made.broken += 1
-                if len(made.texts) < MOST_TEXTS:
+                if len(made.texts) < MAX_TEXTS:
                     was = f"{told.key or 'all'} was {sure} to {may}"
                     when = f"{told.at_us / 1e6:.2f} s {told.node}"
                     made.texts.append(f"{when}: {was}, told {told.low} to {told.high}")
--- a/granitewell/lab/judge/offence_agenda.py
+++ b/granitewell/lab/judge/offence_agenda.py
@@ -15,7 +15,7 @@
 
 from granitewell.lab.judge.records import Attempt, Offence, Try
 
-MOST_KEPT = 20  # offences kept whole, the earliest; of all others only the number by rule is known
+MAX_KEPT = 20  # offences kept whole, the earliest; of all others only the number by rule is known
 NEVER = 1 << 62
 
 
@@ -50,7 +50,7 @@
     ) -> None:  # fmt: skip
         """A rule was broken at this time, which may lie a little back."""
         self.counts[rule] += 1
-        if len(self.offences) >= MOST_KEPT and at >= self.offences[-1].at:
+        if len(self.offences) >= MAX_KEPT and at >= self.offences[-1].at:
             return
         if attempt is not None:
             node, endpoint = node or attempt.node, endpoint or attempt.endpoint
@@ -60,4 +60,4 @@
             node = node or of.node
         made = Offence(at, rule, text, rid, first, node, endpoint, history)
         insort(self.offences, made, key=attrgetter("at"))
-        del self.offences[MOST_KEPT:]
+        del self.offences[MAX_KEPT:]
