--- a/granitewell/lab/judge/records.py
+++ b/granitewell/lab/judge/records.py
@@ -11,7 +11,7 @@
 
 Observation = tuple[Any, ...]  # (at, method, *args), as in a recording but for the order of the first two
 
-MOST_HISTORY = 400  # observations kept of one request: a node that sends without end must not fill memory
+MAX_HISTORY = 400  # observations kept of one request: a node that sends without end must not fill memory
 
 
 class Attempt:
@@ -70,7 +70,7 @@
 
     def note(self, observation: Observation) -> None:
         """Keep one more observation, as far as there is room."""
-        if len(self.history) < MOST_HISTORY:
+        if len(self.history) < MAX_HISTORY:
             self.history.append(observation)
 
 
--- a/granitewell/lab/judge/repeats.py
+++ b/granitewell/lab/judge/repeats.py
@@ -17,7 +17,7 @@
 from granitewell.lab.judge.offence_agenda import Desk
 from granitewell.lab.judge.records import Attempt, Request, Try
 
-MOST_ATTEMPTS = 100  # records of one try; a node that sends without end is accused long before
+MAX_ATTEMPTS = 100  # records of one try; a node that sends without end is accused long before
 OVER = frozenset({"served", "refused", "failed", "left"})  # what a node knows to be over, once it hears of it
 
 
@@ -44,7 +44,7 @@
                 self._desk.at(at + self._order_us, self._again, at, of, attempt, tuple(earlier))
             if of.closed == "refused":
                 self._desk.accuse(at, "refusal", "an unsafe request was refused and sent", of, attempt)
-        if len(earlier) >= MOST_ATTEMPTS:
+        if len(earlier) >= MAX_ATTEMPTS:
             return None
         earlier.append(attempt)
         of.group.out += 1
--- a/granitewell/lab/judge/view.py
+++ b/granitewell/lab/judge/view.py
@@ -33,7 +33,7 @@
 CALM_US = 10_000_000  # without a trouble, after which a node hears all that is said to it
 SLACK = 1e-6
 SPAN_US = 3_500_000  # a node that stands still for no longer than this must not be buried
-MOST_OFFENCES = 200
+MAX_OFFENCES = 200
 
 
 @dataclass(frozen=True, slots=True)
@@ -384,7 +384,7 @@
 
     def _break(self, rule: str, at_us: int, text: str) -> None:
         self.report.broken[rule] += 1
-        if len(self.report.offences) < MOST_OFFENCES:
+        if len(self.report.offences) < MAX_OFFENCES:
             self.report.offences.append(Offence(rule, at_us, text))
 
 
--- a/granitewell/lab/load/counts.py
+++ b/granitewell/lab/load/counts.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MOST_US = 3_600_000_000  # an hour; longer times are counted as that
+MAX_US = 3_600_000_000  # an hour; longer times are counted as that
 _MAGNITUDE = 10  # 2**11 = 2048 sub-buckets are the first power of two over 2 * 10**3
 _MASK = (2 << _MAGNITUDE) - 1
 
@@ -31,7 +31,7 @@
     return low, low + (1 << shift) - 1
 
 
-BUCKETS = bucket(MOST_US) + 1
+BUCKETS = bucket(MAX_US) + 1
 
 
 class Hist:
@@ -48,7 +48,7 @@
 
     def add(self, us: int) -> None:
         """Count one value; below 0 counts as 0, over an hour as an hour."""
-        us = 0 if us < 0 else MOST_US if us > MOST_US else us
+        us = 0 if us < 0 else MAX_US if us > MAX_US else us
         shift = (us | _MASK).bit_length() - _MAGNITUDE - 1
         self.counts[(shift << _MAGNITUDE) + (us >> shift)] += 1
         self.total += 1
@@ -79,7 +79,7 @@
 
     def over(self, us: int) -> int:
         """How many are above this value (or in the same bucket but counted as above: those from the next)."""
-        return sum(self.counts[bucket(min(us, MOST_US)) + 1 :])
+        return sum(self.counts[bucket(min(us, MAX_US)) + 1 :])
 
 
 class End(Enum):
--- a/granitewell/lab/load/files.py
+++ b/granitewell/lab/load/files.py
@@ -13,14 +13,14 @@
 from hdrh.histogram import HdrHistogram
 from hdrh.log import HistogramLogWriter
 
-from granitewell.lab.load.counts import MOST_US, Hist, Tally, bounds
+from granitewell.lab.load.counts import MAX_US, Hist, Tally, bounds
 
 KINDS = ("latency", "service")
 
 
 def hdr(hist: Hist) -> HdrHistogram:
     """The same counts as an HdrHistogram of 1 microsecond to an hour with three digits."""
-    made = HdrHistogram(1, MOST_US, 3)
+    made = HdrHistogram(1, MAX_US, 3)
     for index, count in hist.sparse():
         made.record_value(bounds(index)[0], count)
     return made
--- a/granitewell/lab/load/knee.py
+++ b/granitewell/lab/load/knee.py
@@ -13,7 +13,7 @@
 P99_FACTOR = 3.0
 P99_FLOOR_US = 1000  # what p99 must have grown by at least: microseconds of noise are no knee
 SERVED_DROP = 0.01
-LEAST_SERVED = 0.9  # a base that serves less has no knee above it
+MIN_SERVED = 0.9  # a base that serves less has no knee above it
 CLIMB = 1.5
 NEAR = 1.05
 
@@ -63,7 +63,7 @@
     if not valid:
         return Knee(None, None, "every figure is void")
     base = valid[0]
-    if base.served < LEAST_SERVED:
+    if base.served < MIN_SERVED:
         return Knee(None, None, f"already at {base.rate:g}/s only {base.served:.1%} are served")
     good, from_rate, why = base.rate, None, "no rate broke away"
     for rate in sorted({p.rate for p in valid}, reverse=True):
--- a/granitewell/lab/load/plan.py
+++ b/granitewell/lab/load/plan.py
@@ -1,7 +1,7 @@
 """What a load run is asked to do: the options' values, checked, and handed to every worker.
 
 It owns the types and the reading of option texts. It must never open a socket or draw a random number. Every
-bad value ends as a `BadOption` that names the option, what was found and what is allowed.
+bad value ends as a `OptionError` that names the option, what was found and what is allowed.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 import re
 from dataclasses import dataclass
 
-MOST_BODY = 64 * 1024  # bytes; PROTOCOL's bound on any body
-MOST_RATE = 1_000_000.0  # requests a second: beyond any machine's means, so a slip of the keyboard
+MAX_BODY = 64 * 1024  # bytes; PROTOCOL's bound on any body
+MAX_RATE = 1_000_000.0  # requests a second: beyond any machine's means, so a slip of the keyboard
 _NAME = re.compile(r"[A-Za-z0-9._~-]{1,64}\Z")
 
 
-class BadOption(ValueError):
+class OptionError(ValueError):
     """An option's value that can't be taken. One line: option, what was found, what is allowed."""
 
     def __init__(self, option: str, found: object, allowed: str) -> None:
@@ -70,7 +70,7 @@
 
     def __post_init__(self) -> None:
         if self.arrivals not in ("poisson", "uniform"):
-            raise BadOption("--arrivals", self.arrivals, "poisson or uniform")
+            raise OptionError("--arrivals", self.arrivals, "poisson or uniform")
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,20 +91,20 @@
     host, colon, port = text.rpartition(":")
     bare = host.startswith("[") and host.endswith("]")
     if not colon or not port.isdigit() or not 0 < int(port) < 65536 or not host or (":" in host and not bare):
-        raise BadOption("--target", text, "HOST:PORT[,HOST:PORT...] with a port of 1 to 65535")
+        raise OptionError("--target", text, "HOST:PORT[,HOST:PORT...] with a port of 1 to 65535")
     return Target(host[1:-1] if bare else host, int(port))
 
 
 def read_class(text: str) -> LoadClass:
     """`NAME:share:GET|POST[:body_bytes]`."""
     parts = text.split(":")
-    form = f"NAME:share:GET|POST[:body_bytes], share over 0, body of 0 to {MOST_BODY} and 0 for GET"
+    form = f"NAME:share:GET|POST[:body_bytes], share over 0, body of 0 to {MAX_BODY} and 0 for GET"
     if len(parts) not in (3, 4) or not _NAME.match(parts[0]) or parts[2] not in ("GET", "POST"):
-        raise BadOption("--class", text, form)
+        raise OptionError("--class", text, form)
     body = parts[3] if len(parts) == 4 else "0"
     share = _share(parts[1])
-    if share is None or not body.isdigit() or int(body) > MOST_BODY or (parts[2] == "GET" and int(body)):
-        raise BadOption("--class", text, form)
+    if share is None or not body.isdigit() or int(body) > MAX_BODY or (parts[2] == "GET" and int(body)):
+        raise OptionError("--class", text, form)
     return LoadClass(parts[0], share, parts[2], int(body))
 
 
@@ -113,7 +113,7 @@
     name, _, part = text.partition(":")
     share = _share(part or "1")
     if not _NAME.match(name) or share is None:
-        raise BadOption("--tenant", text, "NAME[:share], share over 0")
+        raise OptionError("--tenant", text, "NAME[:share], share over 0")
     return LoadTenant(name, share)
 
 
@@ -134,25 +134,25 @@
     """The rates to hold: one, or for `A..B` the evenly spaced steps; for a sweep its two ends."""
     first, dots, last = text.partition("..")
     ends = [_number(part) for part in ((first, last) if dots else (first,))]
-    known = [end for end in ends if end is not None and 0.0 < end <= MOST_RATE]
+    known = [end for end in ends if end is not None and 0.0 < end <= MAX_RATE]
     if len(known) != len(ends) or (dots and known[0] >= known[1]):
-        allowed = f"R or A..B in requests a second, A below B, each over 0 and up to {MOST_RATE:.0f}"
-        raise BadOption("--rate", text, allowed)
+        allowed = f"R or A..B in requests a second, A below B, each over 0 and up to {MAX_RATE:.0f}"
+        raise OptionError("--rate", text, allowed)
     if steps is not None and sweep:
-        raise BadOption("--steps", steps, "either --steps or --sweep")
+        raise OptionError("--steps", steps, "either --steps or --sweep")
     if not dots:
         for option, given in (("--steps", steps is not None), ("--sweep", sweep)):
             if given:
-                raise BadOption(option, f"--rate {text}", f"{option} needs a range, --rate A..B")
+                raise OptionError(option, f"--rate {text}", f"{option} needs a range, --rate A..B")
         return (known[0],)
     if sweep:
         return (known[0], known[1])
     if steps is None or not 2 <= steps <= 1000:
-        raise BadOption("--steps", steps, "2 to 1000 for a range of rates, or --sweep in its place")
+        raise OptionError("--steps", steps, "2 to 1000 for a range of rates, or --sweep in its place")
     return tuple(known[0] + (known[1] - known[0]) * k / (steps - 1) for k in range(steps))
 
 
 def within(option: str, value: float, low: float, high: float) -> None:
-    """BadOption unless low <= value <= high."""
+    """OptionError unless low <= value <= high."""
     if not low <= value <= high:
-        raise BadOption(option, value, f"{low:g} to {high:g}")
+        raise OptionError(option, value, f"{low:g} to {high:g}")
--- a/granitewell/lab/load/preflight.py
+++ b/granitewell/lab/load/preflight.py
@@ -1,8 +1,7 @@
 """What this machine and the targets give, asked before anything starts.
 
-It owns the checks that end a run ahead of its first request. It must never send one. `Lacking` becomes exit
-code 3.
-"""
+It owns the checks that end a run ahead of its first request. It must never send one. `PreflightError` becomes
+exit code 3."""
 
 from __future__ import annotations
 
@@ -20,7 +19,7 @@
 LOOK_S = 0.1
 
 
-class Lacking(Exception):
+class PreflightError(Exception):
     """One line: what is missing, and which option or limit it concerns."""
 
 
@@ -34,7 +33,7 @@
         with socket.create_connection((target.host, target.port), REACH_S) as sock:
             return Target(str(sock.getpeername()[0]), target.port)
     except OSError as error:
-        raise Lacking(f"--target: nobody at {target}: {error.strerror or error}") from None
+        raise PreflightError(f"--target: nobody at {target}: {error.strerror or error}") from None
 
 
 def connections(asked: int | None, workers: int) -> int:
@@ -49,7 +48,7 @@
     if asked is None:
         share = min(share, room)
     if share > room or room < 1:
-        raise Lacking(
+        raise PreflightError(
             f"--connections: {asked or 1} over {workers} processes needs {share + SPARE} descriptors each; "
             f"the limit is {hard} (ulimit -Hn)"
         )
@@ -73,7 +72,7 @@
         probe.write_bytes(b"x")
         probe.unlink()
     except OSError as error:
-        raise Lacking(f"--hdr: can't write in {path}: {error.strerror}") from None
+        raise PreflightError(f"--hdr: can't write in {path}: {error.strerror}") from None
     return made
 
 
--- a/granitewell/lab/load/processes.py
+++ b/granitewell/lab/load/processes.py
@@ -19,7 +19,7 @@
 
 from granitewell.lab.load.counts import Tally, unpacked
 from granitewell.lab.load.plan import Plan, Step, Target
-from granitewell.lab.load.preflight import Lacking
+from granitewell.lab.load.preflight import PreflightError
 
 START_S = 30.0
 LEAD_US = 50_000  # from the word to the step's first moment
@@ -38,7 +38,9 @@
         os.setpriority(os.PRIO_PROCESS, child.pid, nice)
     except PermissionError:
         end([child])
-        raise Lacking(f"--nice: {nice} is not allowed here (a value below 0 needs the privilege)") from None
+        raise PreflightError(
+            f"--nice: {nice} is not allowed here (a value below 0 needs the privilege)"
+        ) from None
     return child
 
 
@@ -78,7 +80,9 @@
         assert child.stdout is not None
         line = child.stdout.readline().strip()
         if not line.isdigit():
-            raise Lacking(f"--against-bare: a stand-in did not start ({how_ended(child.wait(GRACE_S))})")
+            raise PreflightError(
+                f"--against-bare: a stand-in did not start ({how_ended(child.wait(GRACE_S))})"
+            )
         return Target("127.0.0.1", int(line))
 
     def close(self) -> None:
@@ -139,7 +143,7 @@
             raise
         if gone:
             self.close()
-            raise Lacking(f"--processes: {'; '.join(gone)}")
+            raise PreflightError(f"--processes: {'; '.join(gone)}")
         for member in self._members:
             member.heard.clear()
 
--- a/granitewell/lab/load/verdict.py
+++ b/granitewell/lab/load/verdict.py
@@ -11,13 +11,13 @@
 from granitewell.lab.load.counts import Tally
 
 LATE_US = 1000  # a departure later than this is a late one
-MOST_LATE = 0.01  # part of the step's requests that may be late
-MOST_BUSY = 0.9  # of a worker's loop; beyond, answers queue inside the tool
-MOST_HELD = 0.001  # part that may have been kept back at the cap, or lost to this machine's own errors
+MAX_LATE = 0.01  # part of the step's requests that may be late
+MAX_BUSY = 0.9  # of a worker's loop; beyond, answers queue inside the tool
+MAX_HELD = 0.001  # part that may have been kept back at the cap, or lost to this machine's own errors
 
 RULE = (
-    f"void if over {MOST_LATE:.0%} left, or may have been read, over {LATE_US / 1000:g} ms late; a worker's "
-    f"loop was busy over {MOST_BUSY:.0%} of the step; over {MOST_HELD:.1%} found the tool's connections all "
+    f"void if over {MAX_LATE:.0%} left, or may have been read, over {LATE_US / 1000:g} ms late; a worker's "
+    f"loop was busy over {MAX_BUSY:.0%} of the step; over {MAX_HELD:.1%} found the tool's connections all "
     "busy at its cap, or met an error of the tool's own machine; or a worker died"
 )
 
@@ -46,30 +46,30 @@
 
 def _late(whole: Tally) -> str:
     late = late_part(whole)
-    return f"late departures: {late:.2%} of the requests left over 1 ms late" if late > MOST_LATE else ""
+    return f"late departures: {late:.2%} of the requests left over 1 ms late" if late > MAX_LATE else ""
 
 
 def _unread(whole: Tally) -> str:
     late = whole.late_reads / max(whole.reads, 1)
     text = f"late reading: {late:.2%} of the answers may have lain unread over 1 ms"
-    return text if late > MOST_LATE else ""
+    return text if late > MAX_LATE else ""
 
 
 def _cap(whole: Tally) -> str:
     held = whole.waited / whole.due
     text = f"connection cap: {held:.2%} of the requests found every connection busy (raise --connections)"
-    return text if held > MOST_HELD else ""
+    return text if held > MAX_HELD else ""
 
 
 def _own(whole: Tally) -> list[str]:
     return [
         f"own machine: {name} on {count} of {whole.due} requests"
         for name, count in sorted(whole.own.items())
-        if count > MOST_HELD * whole.due
+        if count > MAX_HELD * whole.due
     ]
 
 
 def _busy(number: int, tally: Tally) -> str:
     part = busy_part(tally)
     text = f"own CPU: worker {number} was busy {part:.0%} of the time (raise --processes)"
-    return text if part > MOST_BUSY else ""
+    return text if part > MAX_BUSY else ""
--- a/granitewell/lab/load/wire.py
+++ b/granitewell/lab/load/wire.py
@@ -11,7 +11,7 @@
 from granitewell.lab.load.flow import Request
 from granitewell.lab.load.plan import LoadClass, Plan, Target
 
-MOST_HEAD = 64 * 1024  # bytes of an answer before its body begins
+MAX_HEAD = 64 * 1024  # bytes of an answer before its body begins
 
 
 class Heads:
@@ -72,7 +72,7 @@
             if not self.whole:
                 raise ValueError(f"no HTTP answer: {error}") from None
             self.keep = False  # the answer stands; what followed it does not
-        if self._head > MOST_HEAD and not self._in_body:
+        if self._head > MAX_HEAD and not self._in_body:
             raise ValueError("the head is too large")
         return self.whole
 
--- a/granitewell/lab/load/worker.py
+++ b/granitewell/lab/load/worker.py
@@ -35,8 +35,8 @@
 from granitewell.lab.load.wire import Answer, Heads, end_of
 
 SPIN_US = 150  # the kernel may wake a sleeper of up to 50 ms by 50 microseconds late, and waking takes time
-MOST_SLEEP_US = 50_000
-MOST_IN_A_ROW = 32  # departures between two looks at the sockets, however many are due
+MAX_SLEEP_US = 50_000
+MAX_IN_A_ROW = 32  # departures between two looks at the sockets, however many are due
 _IN, _OUT = select.EPOLLIN, select.EPOLLOUT
 # these say that this machine has no more to give, not that the target refused
 _OWN = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.ENOBUFS, errno.ENOMEM)
@@ -128,7 +128,7 @@
         wait_us = min(flow.next_us, flow.expiry_us) - before
         sleeps = wait_us > SPIN_US
         if sleeps:
-            select.select(self._ready, (), (), min(wait_us - SPIN_US, MOST_SLEEP_US) / 1e6)
+            select.select(self._ready, (), (), min(wait_us - SPIN_US, MAX_SLEEP_US) / 1e6)
         events = self._epoll.poll(0)
         woke = now_us()
         self._count_reads(len(events), (before if sleeps else woke) - self._looked_us)
@@ -153,7 +153,7 @@
     def _depart(self) -> None:
         flow = self._flow
         now = now_us()
-        for _ in range(MOST_IN_A_ROW):
+        for _ in range(MAX_IN_A_ROW):
             if flow.next_us > now:
                 break
             self._run(flow.depart(now))
--- a/granitewell/lab/loopback/agent.py
+++ b/granitewell/lab/loopback/agent.py
@@ -23,7 +23,7 @@
 from granitewell.lab.loopback.wire import Listener, Wire
 
 PATH = "/api/targets"
-MOST_WAIT_MS = 60_000
+MAX_WAIT_MS = 60_000
 TOLD_US = 6_000_000  # after which what the agent holds counts as told
 Render = Callable[[Line], dict[str, Any]]
 Told = Callable[[str, str], None]  # endpoint, state
@@ -149,7 +149,7 @@
             return wire.write(_response(404 if path != PATH else 400, b"", close))
         call = _Call(wire, int(words.get("after", -1)), close)
         self._calls.append(call)
-        wait_ms = min(int(words.get("wait_ms", 0)), MOST_WAIT_MS)
+        wait_ms = min(int(words.get("wait_ms", 0)), MAX_WAIT_MS)
         if call.after >= 0:
             self._loop.call_later(wait_ms / 1000, self._due, call)  # also before the day has begun
         self._answer_all()
--- a/granitewell/lab/loopback/plan.py
+++ b/granitewell/lab/loopback/plan.py
@@ -16,7 +16,7 @@
 
 from granitewell.lab.day import Day, EndpointDay
 
-MOST_NODES = 250
+MAX_NODES = 250
 LOCK_PORT = 47_001  # bound at 127.B.255.254 for as long as a run uses the range
 FIRST, LAST = 16, 250  # of B
 
@@ -122,8 +122,8 @@
 
 def node_places(day: Day, base: int, port: int) -> tuple[NodePlace, ...]:
     """Listening addresses for the day's nodes; port 0: any that is free. SocksError: a port is in use."""
-    if len(day.nodes) > MOST_NODES:
-        raise SocksError(f"nodes: found {len(day.nodes)}, on loopback at most {MOST_NODES} are possible")
+    if len(day.nodes) > MAX_NODES:
+        raise SocksError(f"nodes: found {len(day.nodes)}, on loopback at most {MAX_NODES} are possible")
     places = []
     for k, node in enumerate(day.nodes):
         host = f"127.{base}.0.{k + 1}"
--- a/granitewell/lab/loopback/platform_http.py
+++ b/granitewell/lab/loopback/platform_http.py
@@ -20,7 +20,7 @@
 from granitewell.lab.day import Day
 from granitewell.lab.emulator.types import Ask
 
-MOST_HEAD = 64 * 1024  # bytes of a head that a stand-in reads
+MAX_HEAD = 64 * 1024  # bytes of a head that a stand-in reads
 RUDE = "rude-"  # how ids of requests begin that belong to no client of the model
 
 
--- a/granitewell/lab/loopback/pulse.py
+++ b/granitewell/lab/loopback/pulse.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 WINDOW_S = 0.25  # between two samples
-MOST_S = 0.05  # waited in one window: the slack of an answer, gone before anybody has done anything
+MAX_S = 0.05  # waited in one window: the slack of an answer, gone before anybody has done anything
 SHARE = 0.05  # of the whole run
 LATE_US = 5_000  # 99th percentile of a stand-in's lateness
 
@@ -37,7 +37,7 @@
     def busy(self, late_us: dict[str, tuple[int, int]]) -> bool:
         """Whether the run's figures say more of this machine than of the nodes."""
         waited = any(x > SHARE * self.seconds for x in self.waited_s.values())
-        stuck = any(x > MOST_S for x in self.most_s.values())
+        stuck = any(x > MAX_S for x in self.most_s.values())
         return waited or stuck or any(p99 > LATE_US for p99, _ in late_us.values())
 
     def as_dict(self) -> dict[str, dict[str, float]]:
--- a/granitewell/lab/mutants/bench.py
+++ b/granitewell/lab/mutants/bench.py
@@ -32,7 +32,7 @@
 # What a mean change must reach, with its sign: G, the part of work that reached no client, and attempts and
 # failed tries for each first try
 FIGURES = {"g": -0.02, "waste": 0.02, "attempts": 0.05, "failed": 0.005}
-LEAST_DAYS = 4  # for a figure
+MIN_DAYS = 4  # for a figure
 DAY_S = 300.0  # real time after which a day is held to hang
 EXCHANGES_S = 300.0
 SAID = "standard-error.txt"  # of the process that plays a copy, in the copy
@@ -250,7 +250,7 @@
 def worse(found: Sequence[Found], control: Sequence[Found]) -> tuple[str, str]:
     """The figure that is worse on all of these days, by enough in the mean, and by how much; or two empty."""
     plain = {_day(one): one for one in control}
-    if len(found) < LEAST_DAYS:
+    if len(found) < MIN_DAYS:
         return "", ""
     for name, bound in FIGURES.items():
         changes = [one[name] - plain[_day(one)][name] for one in found]
--- a/granitewell/lab/mutants/catalogue.py
+++ b/granitewell/lab/mutants/catalogue.py
@@ -199,7 +199,7 @@
     ),
     Defect(
         "never-sheds", "nothing is turned away however late all answers are", ("figure",), ("overload",),
-        (_policy("self._level = min(max(level, 0.0), MOST_SHED)", "self._level = 0.0"),),
+        (_policy("self._level = min(max(level, 0.0), MAX_SHED)", "self._level = 0.0"),),
     ),
     Defect(
         "abandoned-kept", "a request whose client has left goes on as if it had not",
--- a/granitewell/lab/platform.py
+++ b/granitewell/lab/platform.py
@@ -1,9 +1,8 @@
 """What the platform tells a node of a drawn day: the JSON of `LB_CONFIG`, and the module's settings in it.
 
 It owns the platform's names for the day's figures. It must never tell a node what the platform does not: true
-speeds, queues, delays and faults stay out. `granitewell.config.load` and `granitewell.balancing.simulator_protocol.parse_settings` read
-what is made here.
-"""
+speeds, queues, delays and faults stay out. `granitewell.config.load` and
+`granitewell.balancing.simulator_protocol.parse_settings` read what is made here."""
 
 from __future__ import annotations
 
@@ -16,7 +15,7 @@
 from granitewell.lab.day import ClassDay, Day
 from granitewell.lab.engine import stream
 
-MEMORY_MB, SOCKETS, MOST_HELD = 192, 1024, 20_000
+MEMORY_MB, SOCKETS, MAX_HELD = 192, 1024, 20_000
 REPORT_NAMES = {
     "inflight": "busy_reqs", "queue": "pending", "util": "cpu_share", "latency_ms": "svc_ms",
     "qps": "served_ps", "eps": "failed_ps",
@@ -118,5 +117,5 @@
         "probes": day.probe.allowed, "retryAfter": rules.retry_after,
         "maxRetryAfterMs": day.clients.max_retry_after_us / 1e3,
         "dialTimeoutMs": day.conn.dial_timeout_us / 1e3, "connIdleMs": day.conn.idle_us / 1e3,
-        "mostHeld": MOST_HELD, "streamsPerConn": 1,
+        "mostHeld": MAX_HELD, "streamsPerConn": 1,
     }  # fmt: skip
--- a/granitewell/lab/recording.py
+++ b/granitewell/lab/recording.py
@@ -21,7 +21,7 @@
 from granitewell.lab.witness import Witness
 
 WINDOW_US = 1_000_000  # by which lines of one file may stand out of order
-MOST_LINE = 64 * 1024  # bytes of a line
+MAX_LINE = 64 * 1024  # bytes of a line
 
 
 class RecordingError(ValueError):
@@ -167,21 +167,21 @@
     """The lines of one recording as they stand. RecordingError: garbage; OSError: no such file."""
     with open(path, "rb") as lines:
         number = 0
-        while raw := lines.readline(MOST_LINE + 1):
+        while raw := lines.readline(MAX_LINE + 1):
             number += 1
             whole = raw.endswith(b"\n")
             problem, line = _parse(raw, file, number)
             if line is not None:
                 yield line
-            elif whole or len(raw) > MOST_LINE:
+            elif whole or len(raw) > MAX_LINE:
                 raise RecordingError(f"{path}:{number}: {problem}")
             # else it was cut off with the process that wrote it
 
 
 def _parse(raw: bytes, file: int, number: int) -> tuple[str, Line | None]:
     """What is wrong, or the line."""
-    if len(raw) > MOST_LINE:
-        return f"a line of over {MOST_LINE} bytes", None
+    if len(raw) > MAX_LINE:
+        return f"a line of over {MAX_LINE} bytes", None
     try:
         data = json.loads(raw)
     except (ValueError, RecursionError):
--- a/granitewell/lab/scenarios/expand.py
+++ b/granitewell/lab/scenarios/expand.py
@@ -16,7 +16,7 @@
 from granitewell.lab.scenarios.load import Hot, Swell, arrivals, heated, resampled, swollen
 
 HOT_KEY = 1 << 40  # above all keys of the day, however they churn
-LEAST_TERM_US, TERM_GRACE_US = 3_000_000, 700_000  # the platform's: SIGKILL comes no sooner after SIGTERM
+MIN_TERM_US, TERM_GRACE_US = 3_000_000, 700_000  # the platform's: SIGKILL comes no sooner after SIGTERM
 JITTER_US = 250_000  # for which one delay of a jittering link holds
 REPLACED_AFTER_US = 1000  # a quick restart is down for no longer
 
@@ -174,7 +174,7 @@
         back = _us(f, "back_s")
         if f.kind == "node_term":
             longest = max(c.deadline_us for c in self._day.classes)
-            back = max(back, max(longest, LEAST_TERM_US) + TERM_GRACE_US)
+            back = max(back, max(longest, MIN_TERM_US) + TERM_GRACE_US)
         until = f.at_us + back if f.get("back_s") >= 0 else -1
         for name in self._pick(f, self._fleet.nodes(f.at_us)):
             self._fleet.node_away(name, f.at_us, until)
--- a/granitewell/lab/scenarios/read.py
+++ b/granitewell/lab/scenarios/read.py
@@ -18,7 +18,7 @@
 
 from granitewell.files import BY_HAND, whole
 from granitewell.lab.scenarios.check import combinations
-from granitewell.lab.scenarios.trace import Row, TraceProblem, read_trace
+from granitewell.lab.scenarios.trace import Row, TraceFileError, read_trace
 from granitewell.lab.scenarios.types import ScenarioTable, Spec, Table, fields_of, spec_of
 from granitewell.lab.scenarios.values import allowed, fits, nearest, shown, unknown
 
@@ -86,7 +86,7 @@
     if table.load.trace and not told:
         try:
             rows = read_trace(Path(table.load.trace), table)
-        except TraceProblem as error:
+        except TraceFileError as error:
             told.append(f"{label}: load.trace: {error}")
     if told:
         raise ScenarioError(told)
--- a/granitewell/lab/scenarios/trace.py
+++ b/granitewell/lab/scenarios/trace.py
@@ -15,15 +15,16 @@
 
 Row = tuple[int, int, int, int, int]  # at_us, class, tenant, key, zone
 HEADER = ["at_s", "class", "tenant", "key", "zone"]
-MOST_KEY = 2**63
+MAX_KEY = 2**63
 
 
-class TraceProblem(Exception):
+class TraceFileError(Exception):
     """The trace can't be used; the text names the line, what was found and what is allowed."""
 
 
 def read_trace(path: Path, table: ScenarioTable) -> tuple[Row, ...]:
-    """All rows of the file; TraceProblem at the first line that is wrong, or where there is no such file."""
+    """All rows of the file; TraceFileError at the first line that is wrong, or where there is no such
+    file."""
     names: list[Mapping[str, int]] = [
         {c.name: k for k, c in enumerate(table.classes)},
         {t.name: k for k, t in enumerate(table.tenants)},
@@ -34,25 +35,25 @@
         with path.open(newline="", encoding="utf-8") as file:
             reader = csv.reader(file)
             if next(reader, None) != HEADER:
-                raise TraceProblem(f"{path.name}: line 1: allowed: the header {','.join(HEADER)}")
+                raise TraceFileError(f"{path.name}: line 1: allowed: the header {','.join(HEADER)}")
             for line in reader:
                 rows.append(_row(f"{path.name}: line {reader.line_num}", line, names, rows))
     except (OSError, UnicodeDecodeError, csv.Error) as error:
-        raise TraceProblem(f"{path.name}: {' '.join(str(error).split())}") from None
+        raise TraceFileError(f"{path.name}: {' '.join(str(error).split())}") from None
     if not rows:
-        raise TraceProblem(f"{path.name}: no arrivals; allowed: one line or more after the header")
+        raise TraceFileError(f"{path.name}: no arrivals; allowed: one line or more after the header")
     return tuple(rows)
 
 
 def _row(where: str, line: list[str], names: list[Mapping[str, int]], before: list[Row]) -> Row:
     if len(line) != len(HEADER):
-        raise TraceProblem(f"{where}: found {len(line)} fields; allowed: {len(HEADER)}")
+        raise TraceFileError(f"{where}: found {len(line)} fields; allowed: {len(HEADER)}")
     at_us = round(1e6 * _number(where, "at_s", line[0], 86_400))
     if before and at_us < before[-1][0]:
-        raise TraceProblem(f"{where}: at_s: found {line[0]}; allowed: no earlier than the line before")
-    key = _number(where, "key", line[3], MOST_KEY)
+        raise TraceFileError(f"{where}: at_s: found {line[0]}; allowed: no earlier than the line before")
+    key = _number(where, "key", line[3], MAX_KEY)
     if key != int(key):
-        raise TraceProblem(f"{where}: key: found {line[3]}; allowed: a whole number")
+        raise TraceFileError(f"{where}: key: found {line[3]}; allowed: a whole number")
     cls, tenant, zone = (
         _name(where, field, line[column], known)
         for field, column, known in (("class", 1, names[0]), ("tenant", 2, names[1]), ("zone", 4, names[2]))
@@ -66,11 +67,11 @@
     except ValueError:
         value = -1.0
     if not 0.0 <= value <= most:
-        raise TraceProblem(f"{where}: {field}: found {text!r}; allowed: a number of 0 to {most:g}")
+        raise TraceFileError(f"{where}: {field}: found {text!r}; allowed: a number of 0 to {most:g}")
     return value
 
 
 def _name(where: str, field: str, text: str, known: Mapping[str, int]) -> int:
     if text not in known:
-        raise TraceProblem(f"{where}: {field}: found {text!r}; allowed: {', '.join(known)}")
+        raise TraceFileError(f"{where}: {field}: found {text!r}; allowed: {', '.join(known)}")
     return known[text]
--- a/granitewell/lab/simulation/hunt.py
+++ b/granitewell/lab/simulation/hunt.py
@@ -18,7 +18,7 @@
 from granitewell.lab.judge import Judge
 from granitewell.lab.simulation.play import play
 
-MOST_PLAYS = 60  # of one seed, shrinking included
+MAX_PLAYS = 60  # of one seed, shrinking included
 BELOW, BROKEN_RUN = "below", "error"  # besides the names of rules
 
 
@@ -105,7 +105,7 @@
 
     def fails(only: tuple[int, ...]) -> bool:
         nonlocal found, plays
-        if plays >= MOST_PLAYS:
+        if plays >= MAX_PLAYS:
             return False
         plays += 1
         again = _play(case, day, only)
--- a/granitewell/lab/simulation/node.py
+++ b/granitewell/lab/simulation/node.py
@@ -23,7 +23,7 @@
     from granitewell.lab.simulation.world import World
 
 EXIT_US = 20_000  # from the end of its loop to the end of its process; the last answers are out by then
-MOST_LINES = MOST - MOST // 3  # of clients, as the loop's budget has it
+MAX_LINES = MOST - MOST // 3  # of clients, as the loop's budget has it
 
 
 class Node:
@@ -163,7 +163,7 @@
     # --- Inbounds ---------------------------------------------------------------------------------------
     def admit(self, line: Line) -> bool:
         """Take a client's new connection; False while there is no room for it."""
-        while len(self.lines) >= MOST_LINES or len(self.lines) + len(self.out.conns) >= MOST:
+        while len(self.lines) >= MAX_LINES or len(self.lines) + len(self.out.conns) >= MOST:
             if not self.evict():
                 return False
         self.lines[line.id] = line
@@ -175,7 +175,7 @@
         if oldest:
             self.drop(min(oldest, key=lambda x: (x[0].idle_us, x[0].id)).popleft())
             return True
-        return len(self.lines) < MOST_LINES and self.out.shed()
+        return len(self.lines) < MAX_LINES and self.out.shed()
 
     def drop(self, line: Line) -> None:
         """Close a client's connection."""
--- a/granitewell/lab/simulation/node_host.py
+++ b/granitewell/lab/simulation/node_host.py
@@ -13,7 +13,7 @@
 from granitewell.lab.day import NodeDay
 from granitewell.lab.emulator import types as t
 from granitewell.lab.engine import stream
-from granitewell.lab.platform import MOST_HELD, settings
+from granitewell.lab.platform import MAX_HELD, settings
 from granitewell.lab.simulation.node import Node
 from granitewell.lab.simulation.outbound import HEAD_START_US
 from granitewell.lab.simulation.probing import Probing
@@ -79,7 +79,7 @@
         seed = stream(self._world.day.seed, "node", self.name, self.starts).getrandbits(64)
         told = settings(self._world.day, self.index)
         decider = self._world.decider(self, told, seed)
-        core = c.Core(told, decider, MOST_HELD)
+        core = c.Core(told, decider, MAX_HELD)
         self.process = node = Node(self._world, self.spec, core)
         if isinstance(decider, Probing):
             decider.join(node, self._world.sites_by_key)
--- a/granitewell/lab/simulation/outbound.py
+++ b/granitewell/lab/simulation/outbound.py
@@ -28,8 +28,8 @@
 SOCKETS = 1024
 RESERVE = 32
 MOST = SOCKETS - RESERVE
-MOST_CONNS = MOST - min(SOCKETS // 3 + 8, MOST // 2)
-LEAST_LEFT_US = 1_000  # Request-Timeout-Ms is whole and at least 1
+MAX_CONNS = MOST - min(SOCKETS // 3 + 8, MOST // 2)
+MIN_LEFT_US = 1_000  # Request-Timeout-Ms is whole and at least 1
 
 ENDINGS = {"ok": Outcome.OK, "error": Outcome.ERROR, "full": Outcome.FULL}
 
@@ -135,9 +135,9 @@
 
     def _room(self) -> bool:
         held = len(self.conns)
-        if held < MOST_CONNS and len(self._node.lines) + held < MOST:
+        if held < MAX_CONNS and len(self._node.lines) + held < MOST:
             return True
-        return self.shed() or (held < MOST_CONNS and self._node.evict())
+        return self.shed() or (held < MAX_CONNS and self._node.evict())
 
     def shed(self) -> bool:
         """Close the connection that has been idle longest; False if none is."""
@@ -189,7 +189,7 @@
         if effect is None:
             call.site.probe(conn)
             return
-        left = max(effect.due_us - HEAD_START_US - self._engine.now_us, LEAST_LEFT_US) // 1000 * 1000
+        left = max(effect.due_us - HEAD_START_US - self._engine.now_us, MIN_LEFT_US) // 1000 * 1000
         ask = effect.message
         assert isinstance(ask, Ask)
         call.site.ask(conn, ask, left)
--- a/granitewell/lab/simulation/play.py
+++ b/granitewell/lab/simulation/play.py
@@ -41,7 +41,7 @@
 Invariant = Callable[[World], str]  # what is wrong, or an empty text
 
 
-class Violation(Exception):
+class ViolationError(Exception):
     """An invariant does not hold; the text says when and which."""
 
 
@@ -144,7 +144,7 @@
         for invariant in invariants:
             wrong = invariant(world)
             if wrong:
-                raise Violation(f"at {world.engine.now_us} us of seed {world.day.seed}: {wrong}")
+                raise ViolationError(f"at {world.engine.now_us} us of seed {world.day.seed}: {wrong}")
 
 
 def _played(world: World, policy: str, witness: Witness | None, seconds: float) -> Played:
--- a/granitewell/lab/simulation/world.py
+++ b/granitewell/lab/simulation/world.py
@@ -29,7 +29,7 @@
 from granitewell.lab.simulation.troubles import Troubles
 from granitewell.lab.witness import Witness
 
-MOST_NOTES = 20  # kept of the lines that nodes write of their own faults
+MAX_NOTES = 20  # kept of the lines that nodes write of their own faults
 
 Maker = Callable[["World", Seat, Settings, int], Decider]  # world, seat, settings, seed
 
@@ -54,7 +54,7 @@
         told = [k for k, x in enumerate(day.tenants) if x.allowance_per_s]
         self.tenants = [told.index(k) if k in told else len(told) for k in range(len(day.tenants))]
         self.notes: Counter[str] = Counter()
-        self.faults_noted: deque[str] = deque(maxlen=MOST_NOTES)
+        self.faults_noted: deque[str] = deque(maxlen=MAX_NOTES)
         self.sites: dict[str, Site] = {}
         self.sites_by_key: dict[bytes, Site] = {}
         for spec in day.endpoints:
--- a/granitewell/lab/system/__main__.py
+++ b/granitewell/lab/system/__main__.py
@@ -8,8 +8,8 @@
 import tempfile
 from pathlib import Path
 
-from granitewell.lab.system.callers import Refused
-from granitewell.lab.system.demo import ABSENT_MODEL, SceneFailed, Seen, run_scene
+from granitewell.lab.system.callers import RejectedChangeError
+from granitewell.lab.system.demo import ABSENT_MODEL, DemoFailedError, Seen, run_scene
 
 LIMIT_S = 15.0  # of the scene; with the end of the processes all stays below 20 s
 
@@ -48,7 +48,7 @@
     """Run the demo; 0 where all went as it should."""
     try:
         seen = asyncio.run(_run())
-    except (SceneFailed, Refused, OSError) as error:
+    except (DemoFailedError, RejectedChangeError, OSError) as error:
         print(f"granitewell: {error}", file=sys.stderr)
         return 1
     except (asyncio.CancelledError, KeyboardInterrupt):
--- a/granitewell/lab/system/callers.py
+++ b/granitewell/lab/system/callers.py
@@ -15,13 +15,13 @@
 from granitewell.lab.system.standins import MODEL, REQUEST_ID, SEAL, ModelServer, whole_answer
 
 CALL_S = 3.0  # one call of the operator
-FIRST_PAUSE_S, MOST_PAUSE_S = 0.02, 0.2  # after a failure, growing
+FIRST_PAUSE_S, MAX_PAUSE_S = 0.02, 0.2  # after a failure, growing
 REDIRECTS = 2
 DEADLINE_MS = 6_000  # one try of the client
-MOST_FAULTS = 20  # that are kept for the report
+MAX_FAULTS = 20  # that are kept for the report
 
 
-class Refused(Exception):
+class RejectedChangeError(Exception):
     """The system said no to what it should have taken."""
 
 
@@ -49,7 +49,7 @@
                 if reply is not None and reply.status in (200, 404):
                     return address
             await asyncio.sleep(pause)
-            pause = min(pause * 2, MOST_PAUSE_S)
+            pause = min(pause * 2, MAX_PAUSE_S)
 
     async def configuration(self) -> Any:
         """The newest configuration."""
@@ -60,7 +60,7 @@
         headers = {"If-Match": str(base_version), "Content-Type": "application/json"}
         reply = await self._ask(method, headers, json.dumps(document).encode())
         if reply.status != 200:
-            raise Refused(f"{method} on {base_version}: {reply.status} {reply.body}")
+            raise RejectedChangeError(f"{method} on {base_version}: {reply.status} {reply.body}")
 
     async def _ask(self, method: str, headers: Mapping[str, str], body: bytes | None) -> Reply:
         pause = FIRST_PAUSE_S
@@ -69,8 +69,8 @@
             if reply is not None and reply.status < 500 and reply.status not in (307, 408, 429):
                 return reply
             await asyncio.sleep(pause)
-            pause = min(pause * 2, MOST_PAUSE_S)
-        raise Refused("nobody to ask")
+            pause = min(pause * 2, MAX_PAUSE_S)
+        raise RejectedChangeError("nobody to ask")
 
     async def _call(
         self, method: str, address: str, headers: Mapping[str, str], body: bytes | None, redirects: int
@@ -113,7 +113,7 @@
         pause = FIRST_PAUSE_S
         while not await self.ask(edge, path, model):
             await asyncio.sleep(pause)
-            pause = min(pause * 2, MOST_PAUSE_S)
+            pause = min(pause * 2, MAX_PAUSE_S)
 
     async def ask(self, edge: str, path: str, model: str) -> bool:
         """One try; whether it was served."""
@@ -154,5 +154,5 @@
             self._fault(f"{request_id}: body {body[:80]!r}")
 
     def _fault(self, text: str) -> None:
-        if len(self.faults) < MOST_FAULTS:
+        if len(self.faults) < MAX_FAULTS:
             self.faults.append(text)
--- a/granitewell/lab/system/demo.py
+++ b/granitewell/lab/system/demo.py
@@ -206,7 +206,7 @@
         await asyncio.gather(*(server.stop() for server in servers))
 
 
-class SceneFailed(Exception):
+class DemoFailedError(Exception):
     """The scene did not come to its end in time; the text has the last log lines of each process."""
 
 
@@ -214,7 +214,7 @@
 
 
 async def run_scene(folder: Path, limit_s: float) -> Seen:
-    """Start all, play the scene within `limit_s`, end all; raises SceneFailed."""
+    """Start all, play the scene within `limit_s`, end all; raises DemoFailedError."""
     cluster = Cluster(folder, free_ports())
     async with _standins() as (servers, platform), aiohttp.ClientSession() as session:
         scene = Scene(cluster, servers, session)
@@ -223,7 +223,7 @@
                 await cluster.start(platform.address)
                 await scene.play()
         except TimeoutError as error:
-            raise SceneFailed(f"no end in {limit_s:g} s: {scene.seen}\n{_logs(cluster)}") from error
+            raise DemoFailedError(f"no end in {limit_s:g} s: {scene.seen}\n{_logs(cluster)}") from error
         finally:
             await cluster.stop()
     for node in cluster.nodes:
--- a/granitewell/leases/candidacy.py
+++ b/granitewell/leases/candidacy.py
@@ -20,7 +20,7 @@
 
 ROUNDS_A_LEASE = 8
 PROBES_A_LEASE = 16
-MOST_TERM = 1 << 53  # a term above it is not believed
+MAX_TERM = 1 << 53  # a term above it is not believed
 _ASKING = (State.CANDIDATE, State.HOLDER)
 
 
@@ -221,7 +221,7 @@
     # --- Higher terms -----------------------------------------------------------------------------------
     def hear(self, term: int) -> None:
         """Somebody is, or was, in that term: we stand in a higher one."""
-        if term < MOST_TERM:
+        if term < MAX_TERM:
             self._heard_term = max(self._heard_term, term)
 
     def floor(self, term: int) -> None:
--- a/granitewell/leases/record.py
+++ b/granitewell/leases/record.py
@@ -17,7 +17,7 @@
 _NUMBERS = ("epoch", "fleet", "life", "term", "lease_us")
 
 
-class BadRecord(ValueError):
+class MalformedRecordError(ValueError):
     """A record that can't be read: what is wrong with it, in words.
 
     To go on with an empty disk in its place is safe; to go on with an older record is not.
@@ -53,34 +53,38 @@
 
 
 def read(data: bytes, planners: int) -> Record:
-    """The record that a value holds. Raises BadRecord."""
+    """The record that a value holds. Raises MalformedRecordError."""
     if len(data) > MOST:
-        raise BadRecord(f"lease record: found {len(data)} bytes, allowed are {MOST}")
+        raise MalformedRecordError(f"lease record: found {len(data)} bytes, allowed are {MOST}")
     try:
         fields = json.loads(data)
     except (ValueError, RecursionError) as error:
-        raise BadRecord(f"lease record: not JSON: {error}") from None
+        raise MalformedRecordError(f"lease record: not JSON: {error}") from None
     if not isinstance(fields, dict) or type(fields.get("v")) is not int:
-        raise BadRecord("lease record: found no version v")
+        raise MalformedRecordError("lease record: found no version v")
     if fields["v"] > VERSION:
-        raise BadRecord(f"lease record: found version {fields['v']}, this node reads up to {VERSION}")
+        raise MalformedRecordError(
+            f"lease record: found version {fields['v']}, this node reads up to {VERSION}"
+        )
     try:
         return _record(fields, planners)
     except (KeyError, TypeError) as error:
-        raise BadRecord(f"lease record: {type(error).__name__} at {error}") from None
+        raise MalformedRecordError(f"lease record: {type(error).__name__} at {error}") from None
 
 
 def _record(fields: dict[str, Any], planners: int) -> Record:
     voted, lives = fields["voted"], fields["lives"]
     if voted is not None and [type(x) for x in voted] != [str, int]:
-        raise BadRecord(f"lease record: voted: found {voted!r}, allowed are null or [name, boot]")
+        raise MalformedRecordError(f"lease record: voted: found {voted!r}, allowed are null or [name, boot]")
     if type(lives) is not list or len(lives) != planners or not all(map(_natural, lives)):
-        raise BadRecord(f"lease record: lives: found {lives!r}, allowed are {planners} numbers")
+        raise MalformedRecordError(f"lease record: lives: found {lives!r}, allowed are {planners} numbers")
     for name in _NUMBERS:
         if not _natural(fields[name]):
-            raise BadRecord(f"lease record: {name}: found {fields[name]!r}, allowed is a number from 0")
+            raise MalformedRecordError(
+                f"lease record: {name}: found {fields[name]!r}, allowed is a number from 0"
+            )
     if fields["sworn"] not in (BLANK, FOUNDED, OATH):
-        raise BadRecord(f"lease record: sworn: found {fields['sworn']!r}")
+        raise MalformedRecordError(f"lease record: sworn: found {fields['sworn']!r}")
     pair = None if voted is None else (voted[0], voted[1])
     numbers = {name: fields[name] for name in _NUMBERS}
     return Record(sworn=fields["sworn"], voted=pair, lives=tuple(lives), **numbers)
--- a/granitewell/leases/state_machine.py
+++ b/granitewell/leases/state_machine.py
@@ -27,7 +27,7 @@
 from granitewell.leases.incarnations import join
 from granitewell.leases.participant import Seat
 from granitewell.leases.persistence import Desk, Go, Reply, Then
-from granitewell.leases.record import BLANK, KEY, OATH, BadRecord, Record, read
+from granitewell.leases.record import BLANK, KEY, OATH, MalformedRecordError, Record, read
 from granitewell.leases.types import LONGEST_US, Cause, Floor, Refuses, Settings, State, Stop
 from granitewell.leases.voter import Promise, at_start
 from granitewell.leases.voter_recovery import Swearing
@@ -52,10 +52,9 @@
 class Leases:
     """A planner.
 
-    Attributes:
-        disk: What the shell has found, by key; an empty one is a new disk. Raises BadRecord where the record
-            can't be read; a shell then stops, and an operator decides whether to go on with a new disk.
-    """
+    Attributes: disk: What the shell has found, by key; an empty one is a new disk. Raises
+        MalformedRecordError where the record can't be read; a shell then stops, and an operator decides
+        whether to go on with a new disk."""
 
     __slots__ = ("grants", "seat", "standing", "swearing", "twins")
 
@@ -226,15 +225,19 @@
 
 
 def restored(settings: Settings, disk: Mapping[str, bytes]) -> Record | None:
-    """The record on the disk; None for none of this epoch. Raises BadRecord."""
+    """The record on the disk; None for none of this epoch. Raises MalformedRecordError."""
     data = disk.get(KEY)
     if data is None:
         return None
     record = read(data, len(settings.names))
     if record.epoch > settings.epoch:
-        raise BadRecord(f"lease record: epoch: found {record.epoch}, allowed are up to {settings.epoch}")
+        raise MalformedRecordError(
+            f"lease record: epoch: found {record.epoch}, allowed are up to {settings.epoch}"
+        )
     if record.epoch < settings.epoch:
         return None
     if record.fleet != settings.fleet:
-        raise BadRecord("lease record: of other planners: a new list of planners needs a new epoch on all")
+        raise MalformedRecordError(
+            "lease record: of other planners: a new list of planners needs a new epoch on all"
+        )
     return record
--- a/granitewell/leases/types.py
+++ b/granitewell/leases/types.py
@@ -21,9 +21,9 @@
 LEAST, MOST = 3, 7  # planners
 LONGEST_US = 10_000_000  # the longest lease: a planner with a new disk waits so long, as it can't know better
 SHORTEST_US = 100_000
-MOST_DRIFT_PPM = 200_000
+MAX_DRIFT_PPM = 200_000
 TERMS_AN_EPOCH = 1 << 32
-MOST_EPOCH = 1 << 20
+MAX_EPOCH = 1 << 20
 
 
 class State(Enum):
@@ -142,9 +142,9 @@
         put(self, "names", tuple(name for name, _ in self.planners))
         addresses = {address for _, address in self.planners}
         _held("planners", len(self.planners), LEAST, MOST)
-        _held("epoch", self.epoch, 1, MOST_EPOCH)
+        _held("epoch", self.epoch, 1, MAX_EPOCH)
         _held("lease_us", self.lease_us, SHORTEST_US, LONGEST_US)
-        _held("drift_ppm", self.drift_ppm, 0, MOST_DRIFT_PPM)
+        _held("drift_ppm", self.drift_ppm, 0, MAX_DRIFT_PPM)
         if len(addresses) < len(self.planners) or len(set(self.names)) < len(self.names):
             raise ValueError(f"planners: found {self.planners}, allowed are different names and addresses")
         if self.name not in self.names:
--- a/granitewell/logs.py
+++ b/granitewell/logs.py
@@ -33,10 +33,10 @@
 RATE_PER_S = 0.5  # lines of one template after that, in the long run
 TOTAL_BURST = 40.0  # lines of all templates at once: a template that is no constant is bounded by this
 TOTAL_RATE_PER_S = 10.0
-MOST_TEMPLATES = 256  # buckets that are kept; the one used longest ago gives way
+MAX_TEMPLATES = 256  # buckets that are kept; the one used longest ago gives way
 TELL_EVERY_S = 10.0  # how often lines that were left out are told of, where there is something to tell
-MOST_LINE = 900  # characters: with its end a line stays below what a pipe takes whole (PIPE_BUF, 4,096 bytes)
-MOST_FRAMES = 4  # of a traceback, the innermost
+MAX_LINE = 900  # characters: with its end a line stays below what a pipe takes whole (PIPE_BUF, 4,096 bytes)
+MAX_FRAMES = 4  # of a traceback, the innermost
 STANDARD_ERROR = 2
 
 Clock = Callable[[], float]  # seconds on a steady clock
@@ -108,7 +108,7 @@
         bucket = self._buckets.get(key)
         if bucket is None:
             bucket = self._buckets[key] = TokenBucket(BURST, RATE_PER_S, now)
-            if len(self._buckets) > MOST_TEMPLATES:
+            if len(self._buckets) > MAX_TEMPLATES:
                 self._buckets.popitem(last=False)
         else:
             self._buckets.move_to_end(key)
@@ -133,7 +133,7 @@
         """The line with its end, bounded; whatever is in it, it stays one line."""
         words = [self.level, self.logger, self.message.strip()]
         words += [f"{key}={_value(value)}" for key, value in self.values.items()]
-        text = _one_line(" ".join(words))[:MOST_LINE]
+        text = _one_line(" ".join(words))[:MAX_LINE]
         if self.left_out:
             text += f" left_out={self.left_out}"
         return text.encode(errors="replace") + b"\n"
@@ -152,7 +152,7 @@
     text = str(value)
     if text and not re.search(r"[\s\"=]", text):
         return text
-    return '"' + text[:MOST_LINE].replace("\\", "\\\\").replace('"', '\\"') + '"'
+    return '"' + text[:MAX_LINE].replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
 def _traceback(error: ExceptionInfo) -> Iterator[tuple[str, str]]:
@@ -166,7 +166,7 @@
         code = trace.tb_frame.f_code
         frames.append(f"{os.path.basename(code.co_filename)}:{trace.tb_lineno}:{code.co_name}")
         trace = trace.tb_next
-    yield "at", "<".join(reversed(frames[-MOST_FRAMES:]))
+    yield "at", "<".join(reversed(frames[-MAX_FRAMES:]))
 
 
 class BoundedLines:
--- a/granitewell/membership/anti_entropy.py
+++ b/granitewell/membership/anti_entropy.py
@@ -17,12 +17,12 @@
 
 from granitewell.membership.local_member import Opened, Seat
 from granitewell.membership.states import Phase
-from granitewell.protocols.peers.gossip import MOST_PAGE, Hello, Page, Push, Welcome, packed
+from granitewell.protocols.peers.gossip import MAX_PAGE, Hello, Page, Push, Welcome, packed
 from granitewell.protocols.peers.limits import Bucket, Window
 from granitewell.state_machine import Road
 
 TALK_US = 10_000_000  # a conversation that takes longer is over
-MOST_ASKED, MOST_GUESTS = 8, 64
+MAX_ASKED, MAX_GUESTS = 8, 64
 JOIN_US = 500_000  # between hellos while we join
 SOON_US = 1_000_000  # after we have become a member, and while we are alone
 WAIT_US = 2_000_000  # while another has our name
@@ -92,7 +92,8 @@
         self._pause_us, self.due_us = SOON_US, self._seat.now_us
 
     def stirred(self) -> None:
-        """Somebody is lost to us: it may be we who are, so compare soon, and again after ever longer pauses."""
+        """Somebody is lost to us: it may be we who are, so compare soon, and again after ever longer
+        pauses."""
         if self._pause_us > SOON_US:
             self._pause_us = SOON_US
             self.within(SOON_US)
@@ -134,7 +135,7 @@
     def hello(self, address: str) -> None:
         """Ask whoever is at that address."""
         seat, number = self._seat, self._seat.number()
-        while len(self._asked) >= MOST_ASKED:
+        while len(self._asked) >= MAX_ASKED:
             del self._asked[next(iter(self._asked))]
         self._asked[number] = Asked(address, seat.now_us + TALK_US)
         seat.send(address, 0, Hello(number, seat.config.address), road=Road.STREAM)
@@ -151,7 +152,7 @@
         if not self._bucket.take(seat.now_us):
             seat.count("syncs")
             return
-        while len(self._guests) >= MOST_GUESTS:
+        while len(self._guests) >= MAX_GUESTS:
             del self._guests[next(iter(self._guests))]
         token = 1 + int(seat.rng.random() * (1 << 53))
         end = seat.now_us + TALK_US
@@ -203,7 +204,7 @@
         size = 0
         for claim in self._seat.table.claims(parts, self._seat.now_us):
             one = packed(claim)
-            if size + len(one) > MOST_PAGE:
+            if size + len(one) > MAX_PAGE:
                 yield page, True
                 page, size = [], 0
             page.append(one)
--- a/granitewell/membership/local_member.py
+++ b/granitewell/membership/local_member.py
@@ -231,7 +231,7 @@
 
     def _other(self, heard: Heard, frame: Frame) -> None:
         if frame.kind == Kind.REFUSAL:
-            versions = ", ".join(map(str, frame.body[: gossip.MOST_VERSIONS]))
+            versions = ", ".join(map(str, frame.body[: gossip.MAX_VERSIONS]))
             self.line("version", f"{heard.sender} reads versions {versions} of the wire alone")
 
 
--- a/granitewell/membership/probes.py
+++ b/granitewell/membership/probes.py
@@ -20,7 +20,7 @@
 from granitewell.membership.types import Member
 from granitewell.protocols.peers.gossip import Ack, Nack, Ping, Relay
 
-MOST_RELAYS = 256
+MAX_RELAYS = 256
 NACK_PART = 0.8  # of the time-out, after which a helper says that it has heard nothing
 
 
@@ -247,7 +247,7 @@
         """Ping somebody for somebody else."""
         seat, now = self._seat, self._seat.now_us
         letter, wait = opened.letter, int(seat.figures.timeout_us * NACK_PART)
-        if len(self._errands) >= MOST_RELAYS:
+        if len(self._errands) >= MAX_RELAYS:
             seat.count("relays")
             return
         mine = seat.number()
--- a/granitewell/membership/refutation.py
+++ b/granitewell/membership/refutation.py
@@ -21,13 +21,13 @@
 from granitewell.membership.suspicion import timeout_us
 from granitewell.membership.table import Record
 from granitewell.membership.types import Member, Moved, Twin
-from granitewell.protocols.peers.gossip import MOST_GEN, MOST_INC, Claim, Ping, Relay, packed
+from granitewell.protocols.peers.gossip import MAX_GEN, MAX_INC, Claim, Ping, Relay, packed
 from granitewell.state_machine import Road
 
 ROUND_US = 500_000  # between two questions to the holder of our name
 ROUNDS = 3  # unanswered, and it is gone if its address is ours
 SLOW_US = 2_000_000  # between questions after that
-MOST_TWINS = 64  # told of, each once
+MAX_TWINS = 64  # told of, each once
 
 
 class Own:
@@ -42,7 +42,7 @@
         former = seat.config.former
         self.gen = self.inc = 0
         if former is not None:
-            self.gen = former.gen if former.goes_on else min(former.gen + 1, MOST_GEN)
+            self.gen = former.gen if former.goes_on else min(former.gen + 1, MAX_GEN)
             self.inc = former.inc if former.goes_on else 0
         self._due_us = self._quiet_us = -1
         self._rounds = 0  # unanswered
@@ -96,10 +96,10 @@
 
     def _above(self, gen: int, inc: int) -> None:
         """Claim more than that."""
-        if inc < MOST_INC:
+        if inc < MAX_INC:
             self.gen, self.inc = gen, inc + 1
         else:  # said by somebody who means us ill: no incarnation is left in this life
-            self.gen, self.inc = min(gen + 1, MOST_GEN), 0
+            self.gen, self.inc = min(gen + 1, MAX_GEN), 0
         self.say()
 
     def enter(self) -> None:
@@ -108,7 +108,7 @@
         record, self._due_us = self.record, -1
         known = record.standing.gen if record is not None else 0
         mine = record is not None and record.standing.birth == self._seat.birth
-        self.gen = max(self.gen, known if mine else min(known + 1, MOST_GEN))
+        self.gen = max(self.gen, known if mine else min(known + 1, MAX_GEN))
         self._above(self.gen, max(self.inc, record.standing.inc if record is not None and mine else 0))
 
     def leave(self) -> None:
@@ -121,7 +121,8 @@
 
     # --- Hearing ----------------------------------------------------------------------------------------
     def look(self) -> None:
-        """What is known of our name has changed: refute it, take the name back, or find that it is another's."""
+        """What is known of our name has changed: refute it, take the name back, or find that it is
+        another's."""
         record = self.record
         if record is None or record.standing == self.standing and record.about in (None, self._about):
             return
@@ -132,7 +133,7 @@
             self._seat.health.note(health.REFUTED)
             self._above(standing.gen, standing.inc)
         elif self.phase is Phase.IN and standing.state in GONE:
-            self._above(min(standing.gen + 1, MOST_GEN), self.inc)
+            self._above(min(standing.gen + 1, MAX_GEN), self.inc)
         elif self.phase is Phase.IN:
             self.dispute()
         elif self.phase in (Phase.DISPUTED, Phase.TAKEN) and (mine or standing.state in GONE):
@@ -229,5 +230,5 @@
         what = "holds our name: we wait until it is gone" if not holds else "goes by our name, and waits"
         seat.line("twin", f"another living process, at {address}, {what} ({seat.config.name})")
         if birth not in self._twins:
-            self._twins = [*self._twins[-MOST_TWINS:], birth]
+            self._twins = [*self._twins[-MAX_TWINS:], birth]
             seat.out.append(Twin(birth, address, holds))
--- a/granitewell/membership/state_machine.py
+++ b/granitewell/membership/state_machine.py
@@ -327,6 +327,7 @@
             self._sync.soon(opened.address)
 
     def _again(self, opened: Opened, before: Member | None) -> None:
-        """Somebody we took for dead talks to us: we were cut off from each other, and have much to compare."""
+        """Somebody we took for dead talks to us: we were cut off from each other, and have much to
+        compare."""
         if before is not None and before.state is State.DEAD and self.alive(opened.sender):
             self._sync.soon(opened.address)
--- a/granitewell/membership/types.py
+++ b/granitewell/membership/types.py
@@ -251,12 +251,12 @@
 
     def __post_init__(self) -> None:
         _word("name", self.name, 1, MAX_NAME)
-        _word("address", self.address, 1, gossip.MOST_ADDRESS)
-        _word("role", self.role, 1, gossip.MOST_ROLE)
-        _word("zone", self.zone, 0, gossip.MOST_ZONE)
+        _word("address", self.address, 1, gossip.MAX_ADDRESS)
+        _word("role", self.role, 1, gossip.MAX_ROLE)
+        _word("zone", self.zone, 0, gossip.MAX_ZONE)
         for seed in self.seeds:
-            _word("seeds", seed, 1, gossip.MOST_ADDRESS)
-        _held("versions", len(self.versions), 1, gossip.MOST_VERSIONS)
+            _word("seeds", seed, 1, gossip.MAX_ADDRESS)
+        _held("versions", len(self.versions), 1, gossip.MAX_VERSIONS)
         check_payload(self.payload)
 
     @property
@@ -267,7 +267,7 @@
 
 def check_payload(payload: bytes) -> None:
     """Raises ValueError where it is too long."""
-    _held("payload", len(payload), 0, gossip.MOST_PAYLOAD)
+    _held("payload", len(payload), 0, gossip.MAX_PAYLOAD)
 
 
 def _word(name: str, text: str, least: int, most: int) -> None:
--- a/granitewell/net/bodies.py
+++ b/granitewell/net/bodies.py
@@ -16,7 +16,7 @@
 
 from granitewell.net import http1
 
-LEAST_PIECE, MOST_PIECE = 8 * 1024, 64 * 1024  # bytes read at a time
+MIN_PIECE, MAX_PIECE = 8 * 1024, 64 * 1024  # bytes read at a time
 COPIES = 4  # pieces that a flow may hold at once: its buffer, parsed, framed, and with the kernel. A request
 # holds up to 64 KiB besides, which are kept so that it may go again
 BASE_MB = 44.0  # of the memory limit, what the process takes without bodies
@@ -37,7 +37,7 @@
     def piece(self) -> int:
         """The bytes that a flow may read at a time now."""
         fair = max(self.most - self.kept, 0) // (COPIES * max(self.flows, 1))
-        return min(max(fair, LEAST_PIECE), MOST_PIECE)
+        return min(max(fair, MIN_PIECE), MAX_PIECE)
 
 
 class Waits:
@@ -48,7 +48,7 @@
 
     async def until_room(self, flow: http1.Flow) -> None:
         """Until less than a piece is unread. A client that leaves meanwhile is seen once it is read again."""
-        while flow.unread > http1.MOST_KEPT and not flow.done:
+        while flow.unread > http1.MAX_KEPT and not flow.done:
             self.room.clear()
             await self.room.wait()
 
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -77,7 +77,7 @@
 MANY_PART, MANY_US, MANY_LEAST = 3, 12_000_000, 2  # one in so many members lost within that time
 LINES = 3  # lines of a topic a second, twice that at once
 FIGURES = membership.Figures()
-MOST_ROWS = 1_000  # members in an answer, those first who are not well: a look is made in one turn
+MAX_ROWS = 1_000  # members in an answer, those first who are not well: a look is made in one turn
 ORDER = {State.SUSPECT: 0, State.DEAD: 1, State.ALIVE: 2, State.LEFT: 3}
 
 
@@ -198,7 +198,7 @@
         self._count()
 
     def _read(self) -> persisted_record.Note | None:
-        raw, wrong = self._kept.read(persisted_record.MOST_BYTES)
+        raw, wrong = self._kept.read(persisted_record.MAX_BYTES)
         if raw:
             try:
                 note = persisted_record.read(raw)
@@ -540,8 +540,8 @@
             "streams": dict(zip(("ours", "theirs"), self.roads.streams, strict=True)),
         }  # fmt: skip
         everyone = sorted(machine.everyone(), key=lambda e: ORDER[e.standing.state])
-        made["cut"] = len(everyone) > MOST_ROWS
-        for e in everyone[:MOST_ROWS]:
+        made["cut"] = len(everyone) > MAX_ROWS
+        for e in everyone[:MAX_ROWS]:
             gen, birth, inc, state = e.standing
             about = e.about
             made["members"].append({
@@ -598,7 +598,8 @@
 
 
 def _folder(name: str) -> str:
-    """Where there is no lasting one: outlives a process in an upgrade, if the platform gives such a folder."""
+    """Where there is no lasting one: outlives a process in an upgrade, if the platform gives such a
+    folder."""
     temporary = os.environ.get("TMPDIR", "")
     return os.path.join(temporary, f"granitewell-member-{name}") if temporary else ""
 
--- a/granitewell/net/console.py
+++ b/granitewell/net/console.py
@@ -23,10 +23,10 @@
 
 SEATS = 24  # connections held at once
 BACKLOG = 256
-MOST_TAKEN = 32  # connections taken in one turn of the loop
-MOST_HEAD = 8 * 1024  # bytes of a call's line and headers,
-MOST_BODY = 1024  # of its body,
-MOST_CALL = MOST_HEAD + 8 * MOST_BODY  # and of all of it, frames and trailers too
+MAX_TAKEN = 32  # connections taken in one turn of the loop
+MAX_HEAD = 8 * 1024  # bytes of a call's line and headers,
+MAX_BODY = 1024  # of its body,
+MAX_CALL = MAX_HEAD + 8 * MAX_BODY  # and of all of it, frames and trailers too
 WAIT_S = 5.0  # for a whole call
 LINGER_S = 0.5  # for the caller to take its answer
 CHUNK = 2048
@@ -35,7 +35,7 @@
 _ID = re.compile(rb"[\x21-\x7e]{1,256}\Z")
 
 
-class No(Exception):
+class RejectedCommandError(Exception):
     """A call that is answered without the core: status and one line of text."""
 
     def __init__(self, status: int, text: str, header: str = "") -> None:
@@ -55,7 +55,7 @@
         self.body = b""
         self.path = b""
         self.done = self.expects = False
-        self._wrong: No | None = None
+        self._wrong: RejectedCommandError | None = None
 
     def feed(self, data: bytes) -> bool:
         """True once the call is whole; what follows it is not read."""
@@ -64,11 +64,13 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self.done:
-                raise self._wrong or No(400, "this is no HTTP/1.1 call") from None
+                raise self._wrong or RejectedCommandError(400, "this is no HTTP/1.1 call") from None
         if self._wrong is not None:
             raise self._wrong
-        if self._size > (MOST_HEAD if self._in_head else MOST_CALL):
-            raise No(431, f"line and headers over {MOST_HEAD} bytes, or a call over {MOST_CALL}")
+        if self._size > (MAX_HEAD if self._in_head else MAX_CALL):
+            raise RejectedCommandError(
+                431, f"line and headers over {MAX_HEAD} bytes, or a call over {MAX_CALL}"
+            )
         return self.done
 
     # httptools calls these
@@ -89,22 +91,26 @@
         try:
             self.path = httptools.parse_url(self._url).path or b"/"
         except httptools.HttpParserInvalidURLError:
-            self._wrong = No(400, "the path is malformed")
+            self._wrong = RejectedCommandError(400, "the path is malformed")
             return
         allowed = METHODS.get(self.path)
         if allowed is None:
-            self._wrong = No(404, "no such call: /ready, /dispatch-servers/disable, /dispatch-servers/enable")
+            self._wrong = RejectedCommandError(
+                404, "no such call: /ready, /dispatch-servers/disable, /dispatch-servers/enable"
+            )
         elif self._parser.get_method() != allowed:
-            self._wrong = No(405, f"this call takes {allowed.decode()}", f"Allow: {allowed.decode()}\r\n")
-        elif any(x.isdigit() and int(x) > MOST_BODY for x in self._lengths):
-            self._wrong = No(413, f"body over {MOST_BODY} bytes")
+            self._wrong = RejectedCommandError(
+                405, f"this call takes {allowed.decode()}", f"Allow: {allowed.decode()}\r\n"
+            )
+        elif any(x.isdigit() and int(x) > MAX_BODY for x in self._lengths):
+            self._wrong = RejectedCommandError(413, f"body over {MAX_BODY} bytes")
 
     def on_body(self, body: bytes) -> None:
         if self.done:
             return
-        self.body += body[: MOST_BODY + 1]
-        if len(self.body) > MOST_BODY:
-            self._wrong = self._wrong or No(413, f"body over {MOST_BODY} bytes")
+        self.body += body[: MAX_BODY + 1]
+        if len(self.body) > MAX_BODY:
+            self._wrong = self._wrong or RejectedCommandError(413, f"body over {MAX_BODY} bytes")
 
     def on_message_complete(self) -> None:
         self.done = True
@@ -113,7 +119,9 @@
         """The id that the body names."""
         eid = self.body.strip()
         if not _ID.match(eid):
-            raise No(400, "the body is not the id of a dispatch server" if eid else "the body names no id")
+            raise RejectedCommandError(
+                400, "the body is not the id of a dispatch server" if eid else "the body names no id"
+            )
         return eid
 
 
@@ -161,7 +169,7 @@
             try:
                 sock, _ = await self._loop.sock_accept(self._listener)
                 self._admit(sock)
-                for _ in range(MOST_TAKEN):
+                for _ in range(MAX_TAKEN):
                     self._admit(self._listener.accept()[0])
             except (BlockingIOError, ConnectionAbortedError):
                 continue
@@ -184,7 +192,7 @@
         try:
             try:
                 raw = await self._heard(number, sock)
-            except No as error:
+            except RejectedCommandError as error:
                 raw = answer(error.status, error.text, error.header)
             except OSError:
                 return
@@ -216,7 +224,7 @@
                         told = True
                         await self._loop.sock_sendall(sock, b"HTTP/1.1 100 Continue\r\n\r\n")
         except TimeoutError:
-            raise No(408, f"the call did not come whole within {WAIT_S:g} s") from None
+            raise RejectedCommandError(408, f"the call did not come whole within {WAIT_S:g} s") from None
         return self._taken(number, parser)
 
     # --- Calls ------------------------------------------------------------------------------------------
--- a/granitewell/net/discovery.py
+++ b/granitewell/net/discovery.py
@@ -46,10 +46,10 @@
 PUSHED = Patience(500, 0.35, 0.35, (0.02, 0.1))
 # Where lists are asked for, calls wait in turn, and lines have a price.
 ASKED = Patience(2_000, 1.0, 2.0, (0.05, 1.0))
-MOST_S = 2.0  # beyond that for an answer that comes slowly, yet comes
+MAX_S = 2.0  # beyond that for an answer that comes slowly, yet comes
 RENEW_S = 3.5  # from one whole list to the next, and a watch's wait at most: under the 6 s
 SWIFT_S = 0.01  # an answer that comes so soon was not waited for:
-MOST_SWIFT = 20  # after so many in a row calls are held apart by
+MAX_SWIFT = 20  # after so many in a row calls are held apart by
 APART_S = 0.04  # so long: far under a drain's grace
 
 
@@ -83,7 +83,7 @@
         backoff, swift, renew_us = patience.backoff_s[0], 0, 0
         try:
             while True:
-                if swift > MOST_SWIFT:  # an agent that never waits would have the core to itself
+                if swift > MAX_SWIFT:  # an agent that never waits would have the core to itself
                     await asyncio.sleep(APART_S)
                 began_us = self._clock.fresh()
                 if sock is not None and (after is None or began_us >= renew_us):
@@ -95,7 +95,7 @@
                         renew_us = began_us + int(RENEW_S * 1e6)
                     else:
                         wait_s = patience.spare_s + patience.watch_ms / 1000
-                    async with asyncio.timeout(wait_s + MOST_S):
+                    async with asyncio.timeout(wait_s + MAX_S):
                         if sock is None:
                             sock = tcp(address)
                             async with asyncio.timeout(patience.list_s):
@@ -151,7 +151,7 @@
     ) -> http1.ResponseParser:
         """One call and its answer, which has to begin within first_s and may pause for gap_s at most."""
         await self._loop.sock_sendall(sock, call)
-        parser, buffer = http1.ResponseParser(http1.MOST_LIST), bytearray(BUFFER)
+        parser, buffer = http1.ResponseParser(http1.MAX_LIST), bytearray(BUFFER)
         while True:
             async with asyncio.timeout(first_s):
                 n = await self._loop.sock_recv_into(sock, buffer)
--- a/granitewell/net/downstream.py
+++ b/granitewell/net/downstream.py
@@ -24,7 +24,7 @@
 from granitewell.net.pool import Pool
 from granitewell.net.sockets import BUFFER, end, has_left, readable
 
-MOST_ACCEPTED = 64  # connections taken in one turn of the loop
+MAX_ACCEPTED = 64  # connections taken in one turn of the loop
 # A client that sends nothing of use is owed an error or a close within 3 s of connecting; a usual client's
 # first request is there within milliseconds.
 HEAD_US = 2_400_000  # for a client to get the head of a begun request across; on a new connection, since it
@@ -41,13 +41,13 @@
 SHORT_IDLE_US = 100_000  # the same on a connection with one answer, where inbounds are more than
 ONCE_PART = 8  # one in so many descriptors
 SCRAP = bytearray(64 * 1024)  # takes what comes in behind an error; never read
-MOST_SCRAP = 1024 * 1024  # of that, bytes that are taken before the connection ends: some clients send 60 MB
+MAX_SCRAP = 1024 * 1024  # of that, bytes that are taken before the connection ends: some clients send 60 MB
 WRITE_TIMEOUT_S = 5.0  # for a client to take its answer,
 SHUTDOWN_STEP_S = 0.01  # between two looks at them
 PARTING_US = 200_000  # for the clients of a process that leaves to close, once nothing is owed to any
 FIRST_REQUEST_US = 2_000_000  # for the first byte of the first request on a new connection
 LINGER_US = 1_000_000  # for a client to close after our last answer on a connection
-MOST_QUEUED = 4  # requests written ahead on one inbound, after which it is read on once one is answered
+MAX_QUEUED = 4  # requests written ahead on one inbound, after which it is read on once one is answered
 
 
 @dataclass(slots=True)
@@ -163,7 +163,7 @@
         One connection a turn of the loop is too few where clients open many and turns get long: requests
         would wait unseen in the kernel until their clients leave.
         """
-        for _ in range(MOST_ACCEPTED):
+        for _ in range(MAX_ACCEPTED):
             if not self.room(self._limits.inbound, len(self.held)):
                 return
             try:
@@ -255,7 +255,7 @@
         if inbound.closing and waited >= LINGER_US:
             self.drop(inbound)
         elif inbound.busy and inbound.flow is not None and not inbound.flow.done:
-            trickle = inbound.flow.unread <= http1.MOST_KEPT and trickles(inbound, inbound.flow, now)
+            trickle = inbound.flow.unread <= http1.MAX_KEPT and trickles(inbound, inbound.flow, now)
             if trickle or not self.waits(inbound.id):
                 self.drop(inbound)
         elif inbound.busy and inbound.turn is not None:
@@ -297,7 +297,7 @@
                     break
                 if spent or inbound.closing:
                     scrap += n
-                    if scrap > MOST_SCRAP and inbound.closing:
+                    if scrap > MAX_SCRAP and inbound.closing:
                         break  # it has been told why; taking all of it would cost the core to the others
                     continue
                 inbound.heard_us = self._clock.now()
@@ -358,7 +358,7 @@
         if not flow.done:
             if len(inbound.buffer) != self._budget.piece():
                 inbound.buffer = bytearray(self._budget.piece())
-            if flow.unread > http1.MOST_KEPT:
+            if flow.unread > http1.MAX_KEPT:
                 began_us = self._clock.now()
                 await flow.owner.until_room(flow)
                 inbound.heard_us = self._clock.now()  # from here on it is the client's turn again
@@ -518,7 +518,7 @@
 
 def _far_ahead(inbound: Inbound) -> bool:
     """Does a client wait with more than it should be read on for? One body kept whole is enough."""
-    return len(inbound.queue) >= MOST_QUEUED or _written_ahead(inbound) > 0
+    return len(inbound.queue) >= MAX_QUEUED or _written_ahead(inbound) > 0
 
 
 def is_idle(inbound: Inbound, now_us: int, fresh_us: int = FIRST_REQUEST_US) -> bool:
--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -22,11 +22,11 @@
 from granitewell.config import Config, ConfigError, address
 from granitewell.core import Answer, FleetNews, Member, Verdict
 
-MOST_KEPT = 64 * 1024  # bytes of a body that are kept whole; a larger one is passed on as it comes
-MOST_BODY = 40 * 1024 * 1024  # bytes of any body
-MOST_HEAD = 16 * 1024  # bytes of request line and headers
-MOST_LIST = 4 * 1024 * 1024  # bytes of a list from discovery
-MOST_PLACES = 1_000  # zones, or kinds, that discovery can name
+MAX_KEPT = 64 * 1024  # bytes of a body that are kept whole; a larger one is passed on as it comes
+MAX_BODY = 40 * 1024 * 1024  # bytes of any body
+MAX_HEAD = 16 * 1024  # bytes of request line and headers
+MAX_LIST = 4 * 1024 * 1024  # bytes of a list from discovery
+MAX_PLACES = 1_000  # zones, or kinds, that discovery can name
 READY_PATH = b"/-/ready"
 LIST_PATH = "/api/targets"
 _ID = re.compile(rb"[\x21-\x7e]{1,128}\Z")
@@ -41,7 +41,7 @@
 # all that is read of a head: what is not is not held, as a head of 16 KiB may name thousands
 _ASKED = frozenset({*_SINGLE, *_PASSED, b"content-length", b"expect"})
 _TOLD = frozenset({b"content-length", b"transfer-encoding", b"content-type", b"server-load", b"not-started"})
-LEAST_PART = 4 * 1024  # bytes of a part of a body, under which the next goes with it
+MIN_PART = 4 * 1024  # bytes of a part of a body, under which the next goes with it
 _STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
@@ -58,10 +58,10 @@
 
     Small ones go together: a body in chunks of two bytes would be twenty times as large as an object each.
     """
-    if parts and isinstance(parts[-1], bytearray) and len(parts[-1]) < LEAST_PART:
+    if parts and isinstance(parts[-1], bytearray) and len(parts[-1]) < MIN_PART:
         parts[-1] += data
     else:
-        parts.append(bytearray(data) if len(data) < LEAST_PART else data)
+        parts.append(bytearray(data) if len(data) < MIN_PART else data)
 
 
 class Flow:
@@ -88,7 +88,7 @@
         if self.taken < len(self.parts):
             gather(self.parts, data)
         else:  # the last one is with the call under way
-            self.parts.append(bytearray(data) if len(data) < LEAST_PART else data)
+            self.parts.append(bytearray(data) if len(data) < MIN_PART else data)
         self.came += len(data)
         self.unread += len(data)
 
@@ -98,7 +98,7 @@
 
     def take(self) -> bytes | None:
         """The next part for the call under way; None where no further one has come."""
-        if self.came > MOST_KEPT and self.taken:
+        if self.came > MAX_KEPT and self.taken:
             for _ in range(self.taken):
                 self.parts.popleft()
             self.taken, self.let_go = 0, True
@@ -251,9 +251,9 @@
             except httptools.HttpParserError:
                 self._refuse(400, "malformed HTTP")
             # a header line that never ends reaches no callback: count what has come in
-            if self._in_head and self._head > MOST_HEAD:
+            if self._in_head and self._head > MAX_HEAD:
                 self._refuse(431, "headers over 16 KiB")
-            if self.in_body and self._between > MOST_KEPT + MOST_HEAD:
+            if self.in_body and self._between > MAX_KEPT + MAX_HEAD:
                 self._refuse(431, "trailers over 16 KiB")
         return self._items
 
@@ -281,13 +281,13 @@
 
     def on_headers_complete(self) -> None:
         self._in_head = False
-        if len(self._target) + self._lines > MOST_HEAD:
+        if len(self._target) + self._lines > MAX_HEAD:
             self._refuse(431, "headers over 16 KiB")
         length = self._headers.get(b"content-length", b"0")
         self.in_body, self._between = True, 0
-        if length.isdigit() and (len(length) > 9 or int(length) > MOST_BODY):
-            self._refuse(413, f"body over {MOST_BODY >> 20} MiB")
-        elif length.isdigit() and int(length) > MOST_KEPT and not self.broken:
+        if length.isdigit() and (len(length) > 9 or int(length) > MAX_BODY):
+            self._refuse(413, f"body over {MAX_BODY >> 20} MiB")
+        elif length.isdigit() and int(length) > MAX_KEPT and not self.broken:
             self._begin_flow(int(length))
         self.expecting = not self.broken and self._headers.get(b"expect", b"").lower() == b"100-continue"
 
@@ -310,13 +310,13 @@
         self.expecting = False
         if self.broken:
             return
-        if self.size > MOST_BODY:
-            self._refuse(413, f"body over {MOST_BODY >> 20} MiB")
+        if self.size > MAX_BODY:
+            self._refuse(413, f"body over {MAX_BODY >> 20} MiB")
         elif self.flow is not None:
             self.flow.put(body)
         else:
             gather(self._body, body)
-            if self.size > MOST_KEPT:
+            if self.size > MAX_KEPT:
                 self._begin_flow(None)
 
     def on_message_complete(self) -> None:
@@ -437,7 +437,7 @@
     passed on as it comes.
     """
 
-    def __init__(self, most: int = MOST_KEPT) -> None:
+    def __init__(self, most: int = MAX_KEPT) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._most = most
         self.status = 0
@@ -456,7 +456,7 @@
     @property
     def flows(self) -> bool:
         """Is this the body of a 200, which may be passed on as it comes?"""
-        return self._most == MOST_KEPT and self._in_body and self.status == 200
+        return self._most == MAX_KEPT and self._in_body and self.status == 200
 
     @property
     def large(self) -> bool:
@@ -495,11 +495,11 @@
                 if not data:
                     raise ValueError(f"no HTTP: {error}") from None
                 self._parser, self.status = httptools.HttpResponseParser(self), 0
-        if self._size > (MOST_BODY if self.flows else self._most):
+        if self._size > (MAX_BODY if self.flows else self._most):
             raise ValueError("the body is too large")
-        if not self._in_body and self._head > 2 * MOST_HEAD:
+        if not self._in_body and self._head > 2 * MAX_HEAD:
             raise ValueError("the headers are too large")
-        if self._in_body and not self.done and self._between > MOST_KEPT + MOST_HEAD:
+        if self._in_body and not self.done and self._between > MAX_KEPT + MAX_HEAD:
             raise ValueError("the trailers are too large")
         return self.done
 
@@ -653,7 +653,8 @@
 
 
 def _place(places: dict[str, int], name: str) -> int:
-    """The index of a name; those beyond all bounds share one, as memory must not grow with names ever heard."""
-    if name not in places and len(places) >= MOST_PLACES:
-        return MOST_PLACES
+    """The index of a name; those beyond all bounds share one, as memory must not grow with names ever
+    heard."""
+    if name not in places and len(places) >= MAX_PLACES:
+        return MAX_PLACES
     return places.setdefault(name, len(places))
--- a/granitewell/net/listener.py
+++ b/granitewell/net/listener.py
@@ -14,8 +14,8 @@
 from granitewell.net.sockets import bound
 
 BACKLOG = 1024
-LEAST_AGE_S = 0.6  # of a process under a CPU limit below one core before it is ready
-MOST_DEBT_S = 2.0  # that a node puts off being ready, whatever its limit says
+MIN_AGE_S = 0.6  # of a process under a CPU limit below one core before it is ready
+MAX_DEBT_S = 2.0  # that a node puts off being ready, whatever its limit says
 
 
 def listening(config: Config) -> socket.socket:
@@ -45,7 +45,7 @@
     their answers. The limit is kept over stretches of time, so a young process is stopped although its mean
     is within it.
     """
-    return min(max(cpu_s / cores, LEAST_AGE_S) - age_s, MOST_DEBT_S) if cores < 1.0 else 0.0  # under 0: none
+    return min(max(cpu_s / cores, MIN_AGE_S) - age_s, MAX_DEBT_S) if cores < 1.0 else 0.0  # under 0: none
 
 
 def age_s() -> float:
--- a/granitewell/net/logs.py
+++ b/granitewell/net/logs.py
@@ -20,10 +20,10 @@
 from typing import Any, Literal
 
 HEAD_START_US = 3_600_000_000  # the core's clock begins at an hour, so that earlier starts of endpoints fit
-MOST_LINE = 900  # characters of a log line: what a pipe takes whole as soon as it takes anything
-MOST_BYTES = 4096  # of a JSON line with its end, for the same reason (PIPE_BUF)
-MOST_NAME = 64  # characters of the node's name in a line
-MOST_FIELDS = 1024  # bytes that the operator's own fields may take of a JSON line
+MAX_LINE = 900  # characters of a log line: what a pipe takes whole as soon as it takes anything
+MAX_BYTES = 4096  # of a JSON line with its end, for the same reason (PIPE_BUF)
+MAX_NAME = 64  # characters of the node's name in a line
+MAX_FIELDS = 1024  # bytes that the operator's own fields may take of a JSON line
 
 Form = Literal["lines", "json"]
 Level = Literal["info", "warning", "error"]
@@ -62,32 +62,32 @@
     """The form for people: one line with its end, whatever the text holds."""
     more = f" (and {left_out} more like it)" if left_out else ""
     seconds = (now_us - HEAD_START_US) / 1e6
-    text = f"granitewell {name[:MOST_NAME]} {seconds:.3f} {topic}: {line[:MOST_LINE]}{more}"
+    text = f"granitewell {name[:MAX_NAME]} {seconds:.3f} {topic}: {line[:MAX_LINE]}{more}"
     return text.replace("\n", " ").encode(errors="replace") + b"\n"
 
 
 def as_json(
     name: str, now_us: int, unix_us: int, topic: str, line: str, left_out: int, fields: Mapping[str, str]
 ) -> bytes:
-    """The form for programs: one object (RFC 8259) with its end, of `MOST_BYTES` at most.
+    """The form for programs: one object (RFC 8259) with its end, of `MAX_BYTES` at most.
 
     The text is what gives way, and `cut` says so. The time is RFC 3339 in UTC.
     """
-    made: dict[str, Any] = dict(fields) if fields_bytes(fields) <= MOST_FIELDS else {}
+    made: dict[str, Any] = dict(fields) if fields_bytes(fields) <= MAX_FIELDS else {}
     made |= {  # the fields came first, so that they can take the place of nothing
         "time": rfc3339(unix_us),
         "seconds": round((now_us - HEAD_START_US) / 1e6, 3),
-        "node": name[:MOST_NAME],
+        "node": name[:MAX_NAME],
         "level": TOPICS.get(topic, "info"),
         "topic": topic,
-        "text": line[:MOST_LINE],
+        "text": line[:MAX_LINE],
         "more": left_out,
     }
-    if numbers := figures(line[:MOST_LINE]):
+    if numbers := figures(line[:MAX_LINE]):
         made["figures"] = numbers
-    if len(line) > MOST_LINE:
+    if len(line) > MAX_LINE:
         made["cut"] = True
-    while len(raw := _packed(made)) > MOST_BYTES and made["text"]:
+    while len(raw := _packed(made)) > MAX_BYTES and made["text"]:
         made["cut"] = True
         if not made.pop("figures", None):
             made["text"] = made["text"][: len(made["text"]) * 3 // 4]
--- a/granitewell/net/peers.py
+++ b/granitewell/net/peers.py
@@ -39,15 +39,15 @@
 BACKLOG = 64
 SEND = 128 * 1024  # bytes of a stream that the kernel is asked to hold, so that a stuck one costs no more,
 RECEIVE = 512 * 1024  # bytes of datagrams that the kernel is asked to hold
-MOST_FRAMES, MOST_BYTES = 128, 2 * 1024 * 1024  # queued for one address: a whole table, in pages
-MOST_QUEUES = 1_024  # addresses that something is queued for,
-MOST_ALL = 16 * 1024 * 1024  # and bytes for all of them together
+MAX_FRAMES, MAX_BYTES = 128, 2 * 1024 * 1024  # queued for one address: a whole table, in pages
+MAX_QUEUES = 1_024  # addresses that something is queued for,
+MAX_ALL = 16 * 1024 * 1024  # and bytes for all of them together
 DIAL_S, WRITE_S = 2.0, 5.0  # for a connection to come up, and for a frame to be taken
 GIVE_UP_US = 15_000_000  # for which frames wait for a road; what they say is no news any more
 IDLE_US = 10_000_000  # for which a stream of ours stands without a frame
 SILENT_S = 60.0  # the same for one of another's,
 PART_S = 10.0  # and for the rest of a frame that has begun
-BACK_US, MOST_BACK_US = 100_000, 5_000_000  # pauses between dials
+BACK_US, MAX_BACK_US = 100_000, 5_000_000  # pauses between dials
 SWEEP_S = 0.5
 MARK = "~"  # begins the name of a connection of another's, at which no address does
 
@@ -79,7 +79,7 @@
         gone = 0
         if not self.frames:
             self.waits_us = now_us
-        while self.frames and (len(self.frames) >= MOST_FRAMES or self.bytes + len(frame) > MOST_BYTES):
+        while self.frames and (len(self.frames) >= MAX_FRAMES or self.bytes + len(frame) > MAX_BYTES):
             self.bytes -= len(self.frames.popleft())
             gone += 1
         self.frames.append(frame)
@@ -95,7 +95,7 @@
 
     def failed(self, now_us: int, rng: Random) -> None:
         """A dial came to nothing: a longer pause, up to half of it more."""
-        self.back_us = min(max(2 * self.back_us, BACK_US), MOST_BACK_US)
+        self.back_us = min(max(2 * self.back_us, BACK_US), MAX_BACK_US)
         self.not_before_us = now_us + self.back_us + int(rng.random() * self.back_us / 2)
 
 
@@ -213,14 +213,14 @@
             return
         queue = self._queues.get(address)
         if queue is None:
-            if len(self._queues) >= MOST_QUEUES and not self._forget():
+            if len(self._queues) >= MAX_QUEUES and not self._forget():
                 self.counts["queues"] += 1
                 return
             queue = self._queues[address] = Queue(address, self._clock.now())
         self._queue(queue, say.data)
 
     def _queue(self, queue: Queue, frame: bytes) -> None:
-        if sum(q.bytes for q in self._queues.values()) + len(frame) > MOST_ALL:
+        if sum(q.bytes for q in self._queues.values()) + len(frame) > MAX_ALL:
             self.counts["full"] += 1
             return
         self.counts["pushed_out"] += queue.put(frame, self._clock.now())
--- a/granitewell/net/shared_counters.py
+++ b/granitewell/net/shared_counters.py
@@ -23,7 +23,7 @@
     from granitewell.net.loop import Node
 
 NOBODY = "-"  # the key of requests that name no tenant that counts
-MOST_KEYS = 200  # in one answer
+MAX_KEYS = 200  # in one answer
 
 
 class Shared:
@@ -105,13 +105,13 @@
         made: dict[str, Any] = {
             "version": 1, "name": counts.name, "machine_us": time.monotonic_ns() // 1000,
             "window_s": figures.window_us / 1e6,
-            "speaks": self._say is not None, "cut": len(keys) > MOST_KEYS, "keys": [],
+            "speaks": self._say is not None, "cut": len(keys) > MAX_KEYS, "keys": [],
             "letters": dict(sorted(counts.counts.items())),
             "assumed": {"ceiling_per_s": figures.ceiling_per_s, "growth": figures.growth,
                         "floor_per_s": figures.floor_per_s, "drift_ppm": figures.drift_ppm},
         }  # fmt: skip
         whole = [None] if not key else []
-        for one in (*whole, *keys[:MOST_KEYS]):
+        for one in (*whole, *keys[:MAX_KEYS]):
             found = counts.figure(now, one)
             row: dict[str, Any] = {"key": one, "low": found.low, "high": found.high, "unnamed": found.unnamed}
             if key or one is None:
--- a/granitewell/net/status.py
+++ b/granitewell/net/status.py
@@ -21,16 +21,16 @@
 from granitewell.net.loop import RESERVE, Node
 from granitewell.status import fleet, shared, wire
 from granitewell.status.snapshot import look
-from granitewell.status.types import MOST_WORST, About, Place, Snapshot, Sockets, StatusSettings, place
+from granitewell.status.types import MAX_WORST, About, Place, Snapshot, Sockets, StatusSettings, place
 
 REST = 19  # times what a look took, before the next one: at most a twentieth of the core,
-MOST_REST_US = 500_000  # unless it took more than a part of this
-MOST_FORMS = 8  # made of one look: two paths, and what `worst` asks for
-MOST_PER_S = 200  # connections taken a second, also where answers are there already
+MAX_REST_US = 500_000  # unless it took more than a part of this
+MAX_FORMS = 8  # made of one look: two paths, and what `worst` asks for
+MAX_PER_S = 200  # connections taken a second, also where answers are there already
 AGAIN_S = 0.25  # between two tries to have the place
 BACKLOG = 16  # that wait for a seat; a unix socket turns further ones away at once
 CHUNK = 2048  # bytes of a request read at a time
-MOST_REST_BYTES = 64 * 1024  # read behind a request, so that closing does not reset its answer away
+MAX_REST_BYTES = 64 * 1024  # read behind a request, so that closing does not reset its answer away
 
 T = TypeVar("T")
 
@@ -146,7 +146,7 @@
                 try:
                     asked = wire.asked(await self._head(sock), settings.worst, sock.family == socket.AF_INET)
                     raw = await self._answer(asked)
-                except wire.Refused as error:
+                except wire.RejectedQueryError as error:
                     raw = error.raw
                 except OSError:
                     raise
@@ -162,7 +162,7 @@
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
-            self._loop.call_later(settings.connections / MOST_PER_S, self._free)
+            self._loop.call_later(settings.connections / MAX_PER_S, self._free)
 
     def _free(self) -> None:
         self._held -= 1
@@ -170,7 +170,7 @@
 
     async def _head(self, sock: socket.socket) -> bytes:
         head = b""
-        while b"\r\n\r\n" not in head and len(head) <= wire.MOST_HEAD:
+        while b"\r\n\r\n" not in head and len(head) <= wire.MAX_HEAD:
             more = await self._loop.sock_recv(sock, CHUNK)
             if not more:
                 raise ConnectionError("left before it had asked")
@@ -179,7 +179,7 @@
 
     async def _drain(self, sock: socket.socket) -> None:
         """Until the other side has closed: bytes that are left unread would reset the answer away."""
-        left = MOST_REST_BYTES
+        left = MAX_REST_BYTES
         while left > 0 and (more := await self._loop.sock_recv(sock, CHUNK)):
             left -= len(more)
 
@@ -194,7 +194,7 @@
             resting = self._kept is not None and self._clock.fresh() < self._rest_us
             if resting and asked in self._forms:
                 return self._forms[asked]
-            if not resting or len(self._forms) >= MOST_FORMS:
+            if not resting or len(self._forms) >= MAX_FORMS:
                 await self._look()
             assert self._kept is not None
             try:
@@ -215,7 +215,7 @@
         self._forms.clear()
         node, began_us = self._node, self._clock.now()
         try:
-            kept = await self._driven(look(node._core, sockets(node), about(node), began_us, MOST_WORST))
+            kept = await self._driven(look(node._core, sockets(node), about(node), began_us, MAX_WORST))
         finally:  # what was begun and not waited for has cost as much
             self._done_us = self._clock.fresh()
             self._rest()
@@ -226,7 +226,7 @@
         """For a multiple of what the last look and its forms have taken, and so short that who has to wait
         for it has half of its time left.
         """
-        most_us = min(MOST_REST_US, self._settings.seconds * 500_000)
+        most_us = min(MAX_REST_US, self._settings.seconds * 500_000)
         self._rest_us = self._done_us + int(min(self._cost_us * REST, most_us))
 
     async def _driven(self, steps: Generator[None, None, T]) -> T:
--- a/granitewell/nodes/control.py
+++ b/granitewell/nodes/control.py
@@ -20,7 +20,7 @@
 from granitewell.coordination.consensus.group import ReplicatedGroup
 from granitewell.coordination.consensus.identity import load_identity
 from granitewell.discovery.reader import InstanceReader, SharedReader
-from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.errors import InvalidSettingsError
 from granitewell.domain.settings import Settings
 from granitewell.nodes.control_messages import ControlMessages
 from granitewell.nodes.layout import CONFIGURATION_GROUP, SHARDS, shard_group
@@ -39,9 +39,9 @@
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         if settings.data_dir is None:
-            raise InvalidSettings("data-dir", "missing: the control role keeps its state there")
+            raise InvalidSettingsError("data-dir", "missing: the control role keeps its state there")
         if settings.listen.control is None:
-            raise InvalidSettings("listen.control", "missing: operators call there")
+            raise InvalidSettingsError("listen.control", "missing: operators call there")
         self.settings = settings
         self._rng = rng
         self._control_port = settings.listen.control.rpartition(":")[2]
--- a/granitewell/nodes/control_watch.py
+++ b/granitewell/nodes/control_watch.py
@@ -1,9 +1,9 @@
 """What an edge learns: from the control plane by long-polls, from the platform's list where that is old.
 
-A control node publishes nothing that is older than MOST_CONTACT_AGE_S (publisher.py). On the way a reply may
+A control node publishes nothing that is older than MAX_CONTACT_AGE_S (publisher.py). On the way a reply may
 wait for any time: at a process that was frozen after it had made it, on a slow link, at this edge. So a reply
 counts only if it is here `hold + REPLY_SLACK_S` after its request was sent, by this edge's own clock. What an
-edge takes lacks nothing that was committed `hold + REPLY_SLACK_S + MOST_CONTACT_AGE_S` before, also right
+edge takes lacks nothing that was committed `hold + REPLY_SLACK_S + MAX_CONTACT_AGE_S` before, also right
 after its start. Once it has a configuration, its version never falls.
 """
 
@@ -24,9 +24,9 @@
 from granitewell.controlplane.publication.table import Version
 from granitewell.coordination.rendezvous import shard_of
 from granitewell.dataplane.edge import DataPlane
-from granitewell.discovery.instances import BadList, ListedInstance
-from granitewell.discovery.reader import InstanceReader, ListUnavailable
-from granitewell.domain.errors import GranitewellError, RpcError, RpcTimeout
+from granitewell.discovery.instances import ListedInstance, MalformedListError
+from granitewell.discovery.reader import InstanceReader, ListUnavailableError
+from granitewell.domain.errors import GranitewellError, RpcError, RpcTimeoutError
 from granitewell.domain.servers import Server, ServerState
 from granitewell.domain.settings import Settings
 from granitewell.nodes.control_nodes import ControlNodes
@@ -34,11 +34,11 @@
 from granitewell.rpc.messages import TableVersion, WatchReply, WatchRequest, decode, encode
 from granitewell.rpc.transport import Method, RpcPeers
 
-MOST_HOLD_S = 1.0
+MAX_HOLD_S = 1.0
 HOLD_PART = 0.4  # of config-apply-ms: a control node that falls silent and the next one fit in
 REPLY_SLACK_S = 0.4  # beyond the hold, after which a control node is given up
 RETRY_S = 0.1
-MOST_LIST_OLD_S = 1.5  # a list older than that is read from the platform itself
+MAX_LIST_OLD_S = 1.5  # a list older than that is read from the platform itself
 LIST_OLD_PART = 0.5  # of drain-ms: looking, reading and dropping servers fit in
 LIST_LOOK_PART = 0.2  # of the age at which it is old: how often that is looked at
 LIST_PAUSE_PART = 0.57  # of that age: least time between two readings
@@ -65,7 +65,7 @@
         self.peers = RpcPeers()
         self.nodes = ControlNodes(settings.node_name)
         self._wanted_whole = False
-        self._hold_s = min(MOST_HOLD_S, HOLD_PART * settings.bounds.config_apply_ms / 1000.0)
+        self._hold_s = min(MAX_HOLD_S, HOLD_PART * settings.bounds.config_apply_ms / 1000.0)
         self.take_settings(settings)
 
     def take_settings(self, settings: Settings) -> None:
@@ -93,7 +93,7 @@
         sent_at = self._clock()
         reply = await self.peers[node].call(Method.WATCH, encode(self._request()), patience_s)
         if self._clock() - sent_at > patience_s:  # this process was frozen meanwhile
-            raise RpcTimeout(f"{node}: the reply came after {patience_s} s")
+            raise RpcTimeoutError(f"{node}: the reply came after {patience_s} s")
         return decode(WatchReply, reply)
 
     def _request(self) -> Any:
@@ -214,7 +214,7 @@
         self._watch = watch
         self._plane = plane
         self._rng = rng
-        self._old_s = min(MOST_LIST_OLD_S, LIST_OLD_PART * settings.bounds.drain_ms / 1000.0)
+        self._old_s = min(MAX_LIST_OLD_S, LIST_OLD_PART * settings.bounds.drain_ms / 1000.0)
 
     async def run(self, session: aiohttp.ClientSession) -> None:
         """Until cancelled."""
@@ -225,7 +225,7 @@
                 continue
             try:
                 instances = await reader.read()
-            except (ListUnavailable, BadList) as error:
+            except (ListUnavailableError, MalformedListError) as error:
                 log.debug("own list: {}", error)
                 continue
             self._watch.take_own_list(instances)
--- a/granitewell/nodes/operator_server.py
+++ b/granitewell/nodes/operator_server.py
@@ -6,7 +6,7 @@
 
 from granitewell.controlplane.configuration.api import OperatorApi
 
-MOST_REQUEST_BYTES = 32 * 1024 * 1024  # the library's bound; the API's own is lower
+MAX_REQUEST_BYTES = 32 * 1024 * 1024  # the library's bound; the API's own is lower
 
 
 class OperatorServer:
@@ -19,7 +19,7 @@
 
     async def start(self) -> None:
         """Listen; raises OSError."""
-        app = web.Application(client_max_size=MOST_REQUEST_BYTES)
+        app = web.Application(client_max_size=MAX_REQUEST_BYTES)
         self._api.routes(app)
         runner = web.AppRunner(app, access_log=None, handle_signals=False)
         await runner.setup()
--- a/granitewell/nodes/process.py
+++ b/granitewell/nodes/process.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from granitewell import logs
-from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.errors import InvalidSettingsError
 from granitewell.domain.settings import Settings, read_settings, settings_path
 
 SETTINGS_LOOK_S = 1.0
@@ -46,7 +46,7 @@
             return None
         try:
             fresh = self._read()
-        except InvalidSettings:
+        except InvalidSettingsError:
             return None
         if fresh == self.settings:
             return None
@@ -88,7 +88,7 @@
     """Run a role until it ends; the exit code."""
     try:
         file = SettingsFile(settings_path())
-    except InvalidSettings as error:
+    except InvalidSettingsError as error:
         print(f"granitewell: {error}", file=sys.stderr)
         return BAD_SETTINGS
 
@@ -103,7 +103,7 @@
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
     try:
         uvloop.run(main())
-    except InvalidSettings as error:  # of a field that only this role needs
+    except InvalidSettingsError as error:  # of a field that only this role needs
         print(f"granitewell: {error}", file=sys.stderr)
         return BAD_SETTINGS
     return 0
--- a/granitewell/nodes/shards.py
+++ b/granitewell/nodes/shards.py
@@ -16,15 +16,15 @@
 from granitewell.controlplane.placement.controller import ListedServer, PlacementController
 from granitewell.controlplane.publication.table import ServerTable
 from granitewell.coordination.rendezvous import shard_of
-from granitewell.discovery.instances import BadList, ListedInstance
-from granitewell.discovery.reader import ListUnavailable, SharedReader
+from granitewell.discovery.instances import ListedInstance, MalformedListError
+from granitewell.discovery.reader import ListUnavailableError, SharedReader
 from granitewell.domain.configuration import Configuration, Service
-from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
 from granitewell.domain.servers import HeldModel, ModelDemand, Server
 from granitewell.domain.settings import Settings
 from granitewell.nodes.layout import SHARDS
 
-MOST_LIST_EVERY_S = 0.5
+MAX_LIST_EVERY_S = 0.5
 LIST_EVERY_PART = 1 / 6  # of drain-ms: a reading that fails, and the way to every edge, fit in
 LIST_FRESH_PART = 0.8  # of the time between two readings: so fresh, a list serves all shards of a node
 LEASE_LOOK_S = 0.1  # between two looks whether this node leads a shard's group
@@ -34,7 +34,7 @@
 
 def list_every_s(settings: Settings) -> float:
     """Seconds between two readings of the platform's list."""
-    return min(MOST_LIST_EVERY_S, LIST_EVERY_PART * settings.bounds.drain_ms / 1000.0)
+    return min(MAX_LIST_EVERY_S, LIST_EVERY_PART * settings.bounds.drain_ms / 1000.0)
 
 
 @dataclass(frozen=True)
@@ -77,7 +77,7 @@
         """Until the lease is lost."""
         try:
             await self.ownership.claim()
-        except (NotLeader, ProposalLost):
+        except (NotLeaderError, ProposalLostError):
             await asyncio.sleep(LEASE_LOOK_S)
             return
         log.info("owner of shard {} under fence {}", self._shard, self.ownership.fence)
@@ -107,7 +107,7 @@
             started = time.monotonic()
             try:
                 listed = await self._services.instances.read()
-            except (ListUnavailable, BadList) as error:
+            except (ListUnavailableError, MalformedListError) as error:
                 log.warning("no list of servers: {}", error)
             else:
                 self._take_list(listed.instances, listed.asked_at)
--- a/granitewell/operator/cluster.py
+++ b/granitewell/operator/cluster.py
@@ -17,12 +17,12 @@
     ALLOWED_ADDRESS,
     ALLOWED_KEYS,
     ALLOWED_NAME,
-    LEAST_STREAMS,
-    LEAST_UNHEARD_S,
-    MOST_KEYS_FILE,
-    MOST_SEEDS,
-    MOST_STREAMS,
-    MOST_UNHEARD_S,
+    MAX_KEYS_FILE,
+    MAX_SEEDS,
+    MAX_STREAMS,
+    MAX_UNHEARD_S,
+    MIN_STREAMS,
+    MIN_UNHEARD_S,
     ClusterSettings,
     address,
     keys_of,
@@ -34,7 +34,7 @@
 from granitewell.operator.problem import Problem, shown
 from granitewell.operator.table import Table
 from granitewell.protocols.peers.frames import Keys
-from granitewell.protocols.peers.gossip import MOST_ROLE, MOST_ZONE
+from granitewell.protocols.peers.gossip import MAX_ROLE, MAX_ZONE
 
 PLAIN = ClusterSettings()
 OTHERS = stat.S_IRWXG | stat.S_IRWXO  # of a mode: what anybody but the owner may do
@@ -62,7 +62,7 @@
         extra={"restart": True, "allowed": f"{ALLOWED_ADDRESS}, or empty"},
     )] = PLAIN.advertise  # fmt: skip
     seeds: Annotated[tuple[Seed, ...], Meta(
-        max_length=MOST_SEEDS, description="Addresses that are asked who is there, the node's own may be "
+        max_length=MAX_SEEDS, description="Addresses that are asked who is there, the node's own may be "
         "among them. Two or three that are rarely down at a time are enough.",
     )] = PLAIN.seeds  # fmt: skip
     keys: Annotated[str, Meta(
@@ -71,12 +71,12 @@
         extra={"allowed": "the path of a file, or empty"},
     )] = ""  # fmt: skip
     role: Annotated[str, Meta(
-        max_length=MOST_ROLE, description="Nodes of one role share budgets.",
-        extra={"restart": True, "allowed": f"1 to {MOST_ROLE} bytes of printable ASCII without blanks"},
+        max_length=MAX_ROLE, description="Nodes of one role share budgets.",
+        extra={"restart": True, "allowed": f"1 to {MAX_ROLE} bytes of printable ASCII without blanks"},
     )] = PLAIN.role  # fmt: skip
     zone: Annotated[str, Meta(
-        max_length=MOST_ZONE, description="Shown to operators.",
-        extra={"restart": True, "allowed": f"at most {MOST_ZONE} bytes of printable ASCII without blanks"},
+        max_length=MAX_ZONE, description="Shown to operators.",
+        extra={"restart": True, "allowed": f"at most {MAX_ZONE} bytes of printable ASCII without blanks"},
     )] = PLAIN.zone  # fmt: skip
     folder: Annotated[str, Meta(
         max_length=4096, description="A folder on a disk that lasts, of this node alone, for its life's "
@@ -84,16 +84,17 @@
         extra={"restart": True, "allowed": "the path of a folder, or empty"},
     )] = PLAIN.folder  # fmt: skip
     streams: Annotated[int, Meta(
-        ge=LEAST_STREAMS, le=MOST_STREAMS, description="Connections to other nodes at a time, and as many "
+        ge=MIN_STREAMS, le=MAX_STREAMS, description="Connections to other nodes at a time, and as many "
         "from them. Clients and endpoints have that many descriptors fewer.", extra={"restart": True},
     )] = PLAIN.streams  # fmt: skip
     unheard_s: Annotated[float, Meta(
-        ge=LEAST_UNHEARD_S, le=MOST_UNHEARD_S, description="A node that is silent and has not left counts in "
+        ge=MIN_UNHEARD_S, le=MAX_UNHEARD_S, description="A node that is silent and has not left counts in "
         "all budgets for so long: it may only be cut off, and go on serving.",
     )] = PLAIN.unheard_s  # fmt: skip
 
     def settings(self) -> ClusterSettings:
-        """The same for the node, which knows nothing of this file, with the keys as they are on the disk now."""
+        """The same for the node, which knows nothing of this file, with the keys as they are on the disk
+        now."""
         keys, why = None, ""
         if self.name:
             try:
@@ -123,9 +124,9 @@
             if why := _address(seed):
                 yield Problem(("seeds", k), why, ALLOWED_ADDRESS)
         if not role_fits(self.role):
-            yield Problem(("role",), shown(self.role), f"1 to {MOST_ROLE} bytes of printable ASCII")
+            yield Problem(("role",), shown(self.role), f"1 to {MAX_ROLE} bytes of printable ASCII")
         if not zone_fits(self.zone):
-            yield Problem(("zone",), shown(self.zone), f"at most {MOST_ZONE} bytes of printable ASCII")
+            yield Problem(("zone",), shown(self.zone), f"at most {MAX_ZONE} bytes of printable ASCII")
         try:
             read_keys(self.keys)
         except ValueError as error:
@@ -156,7 +157,7 @@
                              f"allowed: mode 600 or 400")  # fmt: skip
         if about.st_uid not in (os.geteuid(), 0):
             raise ValueError("found a file of another user, allowed: one of the node's own user")
-        raw = whole(path, MOST_KEYS_FILE)
+        raw = whole(path, MAX_KEYS_FILE)
     except OSError as error:
         found = f"found nothing that can be read ({error.strerror})"
         raise ValueError(f"{found}, allowed: {ALLOWED_KEYS}") from None
--- a/granitewell/operator/counts.py
+++ b/granitewell/operator/counts.py
@@ -16,7 +16,7 @@
 from granitewell.shared_counters.types import Figures
 
 PLAIN = Figures()
-MOST_SLICES = 480  # in a window: an answer to whoever knows nothing stays a few letters
+MAX_SLICES = 480  # in a window: an answer to whoever knows nothing stays a few letters
 
 
 class CountsTable(Table, frozen=True, kw_only=True):
@@ -74,7 +74,7 @@
             if self != type(self)():
                 yield Problem(("window_s",), "nothing", "nothing is counted", note=True)
             return
-        least, most = self.window_s / MOST_SLICES, self.window_s / 4
+        least, most = self.window_s / MAX_SLICES, self.window_s / 4
         if not least <= self.slice_s <= most:
             yield Problem(("slice_s",), f"{self.slice_s:g}", f"{least:g} to {most:g} (of this window)")
         if self.floor_per_s > self.ceiling_per_s:
--- a/granitewell/operator/load.py
+++ b/granitewell/operator/load.py
@@ -19,12 +19,12 @@
 from granitewell.operator.table import Table, checked, examine
 from granitewell.operator.tree_reader import extra, type_of
 
-MOST_FILE = 32 * 1024  # bytes of an operator file: a running node reads it between two requests
+MAX_FILE = 32 * 1024  # bytes of an operator file: a running node reads it between two requests
 
 T = TypeVar("T", bound=Table)
 
 
-class Refused(Exception):
+class InvalidOperatorFileError(Exception):
     """The file can't be used; `problems` holds all that is wrong with it, each of them one line."""
 
     def __init__(self, path: str, problems: list[Problem]) -> None:
@@ -32,18 +32,20 @@
         self.path, self.problems = path, problems
 
 
-def read(path: str, most: int = MOST_FILE) -> bytes:
+def read(path: str, most: int = MAX_FILE) -> bytes:
     """The file's bytes; Refused where there is no such file, it is no file, or it is larger than that."""
     try:
         about = Path(path).stat()
         if not stat.S_ISREG(about.st_mode):  # a pipe could make a running node wait for ever
-            raise Refused(path, [Problem((), "no regular file", "a regular file")])
+            raise InvalidOperatorFileError(path, [Problem((), "no regular file", "a regular file")])
         if about.st_size > most:
-            raise Refused(path, [Problem((), f"{about.st_size} bytes", f"at most {most}")])
+            raise InvalidOperatorFileError(path, [Problem((), f"{about.st_size} bytes", f"at most {most}")])
         return Path(path).read_bytes()
     except (OSError, ValueError) as error:  # ValueError: a path with a null byte
         why = getattr(error, "strerror", None) or str(error)
-        raise Refused(path, [Problem((), f"nothing that can be read ({why})", "a file")]) from None
+        raise InvalidOperatorFileError(
+            path, [Problem((), f"nothing that can be read ({why})", "a file")]
+        ) from None
 
 
 def data_of(path: str, raw: bytes) -> dict[str, Any]:
@@ -56,14 +58,14 @@
         why = f"byte {error.start} that is not UTF-8"
     except ValueError as error:
         why = " ".join(str(error).split())[:200]
-    raise Refused(path, [Problem((), why, "TOML 1.0")])
+    raise InvalidOperatorFileError(path, [Problem((), why, "TOML 1.0")])
 
 
 def load(path: str, kind: type[T]) -> tuple[T, list[Problem]]:
     """The object that the file gives, and notes on it; Refused with all that is wrong."""
     made, problems = examine(data_of(path, read(path)), kind)
     if made is None:
-        raise Refused(path, [p for p in problems if not p.note])
+        raise InvalidOperatorFileError(path, [p for p in problems if not p.note])
     return made, problems
 
 
@@ -94,7 +96,7 @@
     """What the file as it is now changes for a node that holds `old`. Never raises."""
     try:
         new, _ = load(path, type(old))
-    except Refused as error:
+    except InvalidOperatorFileError as error:
         return Plan(old, problems=tuple(error.problems))
     now: list[str] = []
     waits: list[str] = []
--- a/granitewell/operator/log.py
+++ b/granitewell/operator/log.py
@@ -14,7 +14,7 @@
     KEPT,
     KEYS,
     LEVELS,
-    MOST_FIELDS,
+    MAX_FIELDS,
     PLAIN,
     TOPICS,
     Form,
@@ -83,8 +83,8 @@
             if name in KEYS:
                 yield Problem(("fields", name), "a name that each line has", f"none of {', '.join(KEYS)}")
         size = fields_bytes(self.fields)
-        if size > MOST_FIELDS:
-            yield Problem(("fields",), f"{size} bytes as JSON", f"at most {MOST_FIELDS} for all together")
+        if size > MAX_FIELDS:
+            yield Problem(("fields",), f"{size} bytes as JSON", f"at most {MAX_FIELDS} for all together")
         if self.fields and self.form != "json":
             yield Problem(("fields",), "fields", f"not written with form = {self.form!r}", note=True)
 
--- a/granitewell/operator/problem.py
+++ b/granitewell/operator/problem.py
@@ -12,7 +12,7 @@
 from difflib import get_close_matches
 from typing import Any
 
-MOST_SHOWN = 60  # characters of a key or value that came from a file
+MAX_SHOWN = 60  # characters of a key or value that came from a file
 _PLAIN_KEY = re.compile(r"[A-Za-z0-9_-]{1,60}")
 
 Path = tuple[str | int, ...]
@@ -49,7 +49,7 @@
         if isinstance(part, int):
             text += f"[{part}]"
         else:
-            key = part if _PLAIN_KEY.fullmatch(part) else json.dumps(part[:MOST_SHOWN])
+            key = part if _PLAIN_KEY.fullmatch(part) else json.dumps(part[:MAX_SHOWN])
             text += f".{key}" if text else key
     return text
 
@@ -64,11 +64,11 @@
         return f"a whole number of {value.bit_length()} bits"
     if value is None or isinstance(value, bool | int | float):
         return json.dumps(value)
-    text = json.dumps(value[: MOST_SHOWN + 1] if isinstance(value, str) else str(value), ensure_ascii=True)
-    return text if len(text) <= MOST_SHOWN + 2 else text[:MOST_SHOWN] + '.."'
+    text = json.dumps(value[: MAX_SHOWN + 1] if isinstance(value, str) else str(value), ensure_ascii=True)
+    return text if len(text) <= MAX_SHOWN + 2 else text[:MAX_SHOWN] + '.."'
 
 
 def unknown(path: Path, word: str, known: tuple[str, ...], found: str = "", near: str = "") -> Problem:
     """A word at this path that is none of the known ones, with the one that is most like it."""
-    near = near or next(iter(get_close_matches(word[:MOST_SHOWN], known, 1, 0.0)), "")
+    near = near or next(iter(get_close_matches(word[:MAX_SHOWN], known, 1, 0.0)), "")
     return Problem(path, found or "an unknown key", ", ".join(known) or "none", near)
--- a/granitewell/operator/status.py
+++ b/granitewell/operator/status.py
@@ -13,7 +13,7 @@
 
 from granitewell.operator.problem import Problem, shown
 from granitewell.operator.table import Table
-from granitewell.status.types import ALLOWED_AT, MOST_WORST, StatusSettings, place
+from granitewell.status.types import ALLOWED_AT, MAX_WORST, StatusSettings, place
 
 PLAIN = StatusSettings()
 
@@ -35,7 +35,7 @@
         ge=0.1, le=10, description="For one connection, after which it is closed, read or not."
     )] = PLAIN.seconds  # fmt: skip
     worst: Annotated[int, Meta(
-        ge=0, le=MOST_WORST, description="Rows of each table, the worst ones, where a request does not say."
+        ge=0, le=MAX_WORST, description="Rows of each table, the worst ones, where a request does not say."
     )] = PLAIN.worst  # fmt: skip
 
     def settings(self) -> StatusSettings:
--- a/granitewell/operator/tree_reader.py
+++ b/granitewell/operator/tree_reader.py
@@ -22,11 +22,11 @@
 import msgspec
 from msgspec import inspect as t
 
-from granitewell.operator.problem import MOST_SHOWN, Path, Problem, dotted, shown, unknown
+from granitewell.operator.problem import MAX_SHOWN, Path, Problem, dotted, shown, unknown
 
 Sized = t.StrType | t.ListType | t.VarTupleType | t.DictType
 
-MOST_PROBLEMS = 200  # listed of one file; the time that a spoilt file can cost is bounded with them
+MAX_PROBLEMS = 200  # listed of one file; the time that a spoilt file can cost is bounded with them
 SLIP = 0.8  # likeness from which an unknown key of a lenient type counts as a known one misspelt
 
 
@@ -117,10 +117,10 @@
         return any(not p.note and p.path[:1] == (top,) for p in self.problems)
 
     def _add(self, problem: Problem) -> None:
-        if len(self.problems) < MOST_PROBLEMS:
+        if len(self.problems) < MAX_PROBLEMS:
             self.problems.append(problem)
-        elif len(self.problems) == MOST_PROBLEMS:
-            self.problems.append(Problem((), f"over {MOST_PROBLEMS} problems", "the rest is not listed"))
+        elif len(self.problems) == MAX_PROBLEMS:
+            self.problems.append(Problem((), f"over {MAX_PROBLEMS} problems", "the rest is not listed"))
 
     def _struct(self, value: Any, node: t.StructType, path: Path) -> Any:
         if not isinstance(value, dict):
@@ -148,14 +148,14 @@
         return not twice
 
     def _unknown(self, key: str, node: t.StructType, value: Mapping[str, Any], path: Path) -> None:
-        if len(self.problems) > MOST_PROBLEMS:
+        if len(self.problems) > MAX_PROBLEMS:
             return
         known = tuple(f.encode_name for f in node.fields)
         if node.forbid_unknown_fields:
             self._add(unknown((*path, key), key, known, near=_deeper(key, node)))
             return
         absent = tuple(k for k in known if k not in value)
-        likeness = {k: SequenceMatcher(None, key[:MOST_SHOWN].lower(), k.lower()).ratio() for k in absent}
+        likeness = {k: SequenceMatcher(None, key[:MAX_SHOWN].lower(), k.lower()).ratio() for k in absent}
         near = max(likeness, key=lambda k: likeness[k], default="")
         if near and likeness[near] >= SLIP:
             self._add(unknown((*path, key), key, absent, near=near))
--- a/granitewell/protocols/peers/counts.py
+++ b/granitewell/protocols/peers/counts.py
@@ -16,10 +16,10 @@
 
 from granitewell.protocols.peers.bodies import Bodies, Body, Count, Time
 
-MOST_KEY = 96  # bytes of a key
-MOST_SLOTS, MOST_SLICES = 256, 512  # in one letter
+MAX_KEY = 96  # bytes of a key
+MAX_SLOTS, MAX_SLICES = 256, 512  # in one letter
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
-Key = Annotated[str, msgspec.Meta(max_length=MOST_KEY)]
+Key = Annotated[str, msgspec.Meta(max_length=MAX_KEY)]
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True):
@@ -36,7 +36,7 @@
     """What was used in one slice of time: pairs of slot and count."""
 
     index: Number
-    used: Annotated[list[Count], msgspec.Meta(max_length=2 * MOST_SLOTS)]
+    used: Annotated[list[Count], msgspec.Meta(max_length=2 * MAX_SLOTS)]
 
 
 class Ask(
@@ -89,8 +89,8 @@
     since: Number = 0
     slots: Number = 0
     open: bool = False
-    new: Annotated[list[Slot], msgspec.Meta(max_length=MOST_SLOTS)] = msgspec.field(default_factory=list)
-    slices: Annotated[list[Slice], msgspec.Meta(max_length=MOST_SLICES)] = msgspec.field(default_factory=list)
+    new: Annotated[list[Slot], msgspec.Meta(max_length=MAX_SLOTS)] = msgspec.field(default_factory=list)
+    slices: Annotated[list[Slice], msgspec.Meta(max_length=MAX_SLICES)] = msgspec.field(default_factory=list)
 
 
 LETTERS: Bodies[Ask | Word] = Bodies(Ask, Word)
--- a/granitewell/protocols/peers/frames.py
+++ b/granitewell/protocols/peers/frames.py
@@ -39,7 +39,7 @@
 MAX_STREAM = 1 << 20
 MAX_NAME = 63
 TAG = 16
-LEAST_SECRET, MOST_SECRET = 16, 64  # bytes; BLAKE2b takes a key of up to 64
+MIN_SECRET, MAX_SECRET = 16, 64  # bytes; BLAKE2b takes a key of up to 64
 
 _HEAD = Struct(">2sBBI4sB")
 _TAG_PERSON = b"granitewell peer"  # BLAKE2b's personalisation: the key serves no other purpose by accident
@@ -114,8 +114,8 @@
 
     def __post_init__(self) -> None:
         size = len(self.secret)
-        if not LEAST_SECRET <= size <= MOST_SECRET:
-            raise ValueError(f"key: found {size} bytes, allowed are {LEAST_SECRET} to {MOST_SECRET}")
+        if not MIN_SECRET <= size <= MAX_SECRET:
+            raise ValueError(f"key: found {size} bytes, allowed are {MIN_SECRET} to {MAX_SECRET}")
         object.__setattr__(self, "id", blake2b(self.secret, digest_size=4, person=_KEY_PERSON).digest())
 
     def tag(self, data: bytes) -> bytes:
@@ -184,7 +184,8 @@
 
 
 def refusal(keys: Keys, sender: str, versions: Sequence[int] = VERSIONS) -> bytes:
-    """The answer to a version that is not known: a frame of the first version that names ours, a byte each."""
+    """The answer to a version that is not known: a frame of the first version that names ours, a byte
+    each."""
     return seal(Kind.REFUSAL, bytes(versions), keys, sender, version=1)
 
 
--- a/granitewell/protocols/peers/gossip.py
+++ b/granitewell/protocols/peers/gossip.py
@@ -18,27 +18,27 @@
 from granitewell.protocols.peers.bodies import Bodies, Body, Count
 from granitewell.protocols.peers.frames import HEAD, MAX_DATAGRAM, MAX_NAME, TAG
 
-MOST_INC = 1 << 40  # an incarnation above it is not believed: nobody changes so often
-MOST_GEN = 1 << 32
-MOST_ROLE, MOST_ADDRESS, MOST_ZONE, MOST_PAYLOAD, MOST_VERSIONS = 16, 64, 32, 128, 8
+MAX_INC = 1 << 40  # an incarnation above it is not believed: nobody changes so often
+MAX_GEN = 1 << 32
+MAX_ROLE, MAX_ADDRESS, MAX_ZONE, MAX_PAYLOAD, MAX_VERSIONS = 16, 64, 32, 128, 8
 BUCKETS = 32  # parts of a table that are compared by a digest each
 DIGEST = 8  # bytes of one
-MOST_PAGE = 32_768  # bytes of claims in one letter on a stream
+MAX_PAGE = 32_768  # bytes of claims in one letter on a stream
 
 Birth = Annotated[int, msgspec.Meta(ge=1, le=(1 << 63) - 1)]
 To = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-Inc = Annotated[int, msgspec.Meta(ge=0, le=MOST_INC)]
-Gen = Annotated[int, msgspec.Meta(ge=1, le=MOST_GEN)]
+Inc = Annotated[int, msgspec.Meta(ge=0, le=MAX_INC)]
+Gen = Annotated[int, msgspec.Meta(ge=1, le=MAX_GEN)]
 Age = Annotated[int, msgspec.Meta(ge=0, le=1 << 32)]
 State = Annotated[int, msgspec.Meta(ge=0, le=3)]  # alive, suspect, dead, left
 Named = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
 By = Annotated[str, msgspec.Meta(max_length=MAX_NAME)]
-Address = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_ADDRESS)]
-Role = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_ROLE)]
-Zone = Annotated[str, msgspec.Meta(max_length=MOST_ZONE)]
-Payload = Annotated[bytes, msgspec.Meta(max_length=MOST_PAYLOAD)]
+Address = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ADDRESS)]
+Role = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ROLE)]
+Zone = Annotated[str, msgspec.Meta(max_length=MAX_ZONE)]
+Payload = Annotated[bytes, msgspec.Meta(max_length=MAX_PAYLOAD)]
 Version = Annotated[int, msgspec.Meta(ge=0, le=255)]
-Versions = Annotated[tuple[Version, ...], msgspec.Meta(min_length=1, max_length=MOST_VERSIONS)]
+Versions = Annotated[tuple[Version, ...], msgspec.Meta(min_length=1, max_length=MAX_VERSIONS)]
 Digests = Annotated[bytes, msgspec.Meta(min_length=BUCKETS * DIGEST, max_length=BUCKETS * DIGEST)]
 Mask = Annotated[int, msgspec.Meta(ge=0, le=(1 << BUCKETS) - 1)]
 
--- a/granitewell/protocols/peers/rights.py
+++ b/granitewell/protocols/peers/rights.py
@@ -12,10 +12,10 @@
 
 from granitewell.protocols.peers.bodies import Bodies, Body, Count
 
-MOST_KEY = 96  # bytes of a key
-MOST_LOANS = 64  # in one letter
+MAX_KEY = 96  # bytes of a key
+MAX_LOANS = 64  # in one letter
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
-Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_KEY)]
+Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_KEY)]
 
 
 class Want(Body, frozen=True, tag="w", rename={"number": "n", "amount": "a", "birth": "b", "again": "g"}):
@@ -25,7 +25,7 @@
     key: Key
     amount: Count = 0
     birth: Number = 0
-    again: Annotated[list[Number], msgspec.Meta(max_length=MOST_LOANS)] = msgspec.field(default_factory=list)
+    again: Annotated[list[Number], msgspec.Meta(max_length=MAX_LOANS)] = msgspec.field(default_factory=list)
 
 
 class Lend(Body, frozen=True, tag="l", rename={"number": "n", "birth": "b", "loans": "o"}):
@@ -34,7 +34,7 @@
     number: Number
     key: Key
     birth: Number
-    loans: Annotated[list[Count], msgspec.Meta(max_length=2 * MOST_LOANS + 2)] = msgspec.field(
+    loans: Annotated[list[Count], msgspec.Meta(max_length=2 * MAX_LOANS + 2)] = msgspec.field(
         default_factory=list
     )
 
@@ -44,7 +44,7 @@
 
     key: Key
     birth: Number
-    loans: Annotated[list[Number], msgspec.Meta(max_length=MOST_LOANS)]
+    loans: Annotated[list[Number], msgspec.Meta(max_length=MAX_LOANS)]
 
 
 LETTERS: Bodies[Want | Lend | Back] = Bodies(Want, Lend, Back)
--- a/granitewell/quotas/state_machine.py
+++ b/granitewell/quotas/state_machine.py
@@ -16,7 +16,7 @@
 
 from granitewell.protocols.peers.frames import Frame, Keys, Kind, open_, seal
 from granitewell.protocols.peers.limits import Bucket
-from granitewell.protocols.peers.rights import LETTERS, MOST_LOANS, Back, Lend, Want
+from granitewell.protocols.peers.rights import LETTERS, MAX_LOANS, Back, Lend, Want
 from granitewell.quotas.quota_transfer import Rights
 from granitewell.quotas.types import MILLI, Acting, Figures, Rekey, Wholes
 from granitewell.state_machine import Heard, Say, Woken
@@ -175,10 +175,10 @@
             short -= loan.amount
         for (name, birth), numbers in back.items():
             if name in self._peers:
-                self._say(name, Back(key, birth, numbers[:MOST_LOANS]))
+                self._say(name, Back(key, birth, numbers[:MAX_LOANS]))
         for (name, birth), numbers in again.items():
             if name in self._peers:
-                self._say(name, Want(self._next(name, key), key, 0, birth, numbers[:MOST_LOANS]))
+                self._say(name, Want(self._next(name, key), key, 0, birth, numbers[:MAX_LOANS]))
         if short >= LEAST and need > rights.right(now) * figures.ask_at and self._peers:
             self._more(key, budget, short)
 
--- a/granitewell/reload.py
+++ b/granitewell/reload.py
@@ -19,7 +19,7 @@
     "aimStretch", "familyInfo", "passesDeadline", "warmKeys", "known", "seed", "console", "limits",
 })  # fmt: skip
 
-MOST_NAMES = 250  # classes, or tenants, that a process can have known: each costs its work for good
+MAX_NAMES = 250  # classes, or tenants, that a process can have known: each costs its work for good
 
 T = TypeVar("T")
 
@@ -68,8 +68,8 @@
 def _behind(old: tuple[str, ...], new: tuple[str, ...], field: str) -> tuple[tuple[str, ...], list[int]]:
     """The names in their places for good, and the place of each of the newer ones."""
     names = (*old, *(n for n in new if n not in old))
-    if len(names) > max(MOST_NAMES, len(old)):
-        many = f"{len(names)} names since the start, {MOST_NAMES} are allowed"
+    if len(names) > max(MAX_NAMES, len(old)):
+        many = f"{len(names)} names since the start, {MAX_NAMES} are allowed"
         raise ConfigError(f"{field}: {many}: restart the node")
     return names, [names.index(n) for n in new]
 
--- a/granitewell/rpc/serialization.py
+++ b/granitewell/rpc/serialization.py
@@ -10,7 +10,7 @@
 from thriftpy2.protocol import TBinaryProtocolFactory
 from thriftpy2.utils import deserialize, serialize
 
-from granitewell.domain.errors import BadFrame
+from granitewell.domain.errors import MalformedFrameError
 from granitewell.rpc.structure import check_struct
 
 _PROTOCOL = TBinaryProtocolFactory(strict_decode=False)
@@ -27,7 +27,7 @@
 
 
 def decode(kind: Any, data: bytes, check: Callable[[bytes], None] = check_struct) -> Any:
-    """A message of a kind from its binary form; raises BadFrame.
+    """A message of a kind from its binary form; raises MalformedFrameError.
 
     Args:
         check: Raises it for bytes that the library must not see, as it believes their counts.
@@ -36,4 +36,4 @@
     try:
         return deserialize(kind(), data, _PROTOCOL)
     except Exception as error:  # the library raises whatever the bytes lead it to
-        raise BadFrame(f"not a {kind.__name__}: {error!r}") from error
+        raise MalformedFrameError(f"not a {kind.__name__}: {error!r}") from error
--- a/granitewell/rpc/structure.py
+++ b/granitewell/rpc/structure.py
@@ -9,9 +9,9 @@
 import struct
 from enum import IntEnum
 
-from granitewell.domain.errors import BadFrame
+from granitewell.domain.errors import MalformedFrameError
 
-MOST_DEPTH = 8
+MAX_DEPTH = 8
 _LENGTH = struct.Struct("!i")
 _FIELD_HEAD = 3  # a byte for the type, two for the field's id
 _LIST_HEAD = 5  # a byte for the type, four for the count
@@ -48,17 +48,17 @@
 
 
 def check_struct(data: bytes) -> None:
-    """Raises BadFrame unless the bytes begin with a whole struct."""
+    """Raises MalformedFrameError unless the bytes begin with a whole struct."""
     try:
         _after_struct(data, 0, 0)
     except (IndexError, struct.error) as error:
-        raise BadFrame("a struct is cut short") from error
+        raise MalformedFrameError("a struct is cut short") from error
 
 
 def _after_struct(data: bytes, at: int, depth: int) -> int:
     """The place behind a struct."""
-    if depth > MOST_DEPTH:
-        raise BadFrame("structs are nested too deeply")
+    if depth > MAX_DEPTH:
+        raise MalformedFrameError("structs are nested too deeply")
     while True:
         kind = data[at]
         if kind == FieldType.STOP:
@@ -79,13 +79,13 @@
         return _after_items(data, at + _LIST_HEAD, _count(data, at + 1), (data[at],), depth)
     if kind == FieldType.MAP:
         return _after_items(data, at + _MAP_HEAD, _count(data, at + 2), (data[at], data[at + 1]), depth)
-    raise BadFrame(f"no type {kind}")
+    raise MalformedFrameError(f"no type {kind}")
 
 
 def _after_items(data: bytes, at: int, count: int, kinds: tuple[int, ...], depth: int) -> int:
     """The place behind the items of a list, a set or a map."""
-    if depth > MOST_DEPTH:
-        raise BadFrame("lists are nested too deeply")
+    if depth > MAX_DEPTH:
+        raise MalformedFrameError("lists are nested too deeply")
     least = sum(_SIZES.get(kind) or _LEAST.get(kind, 1) for kind in kinds)  # type: ignore[call-overload]
     _within(data, at + count * least)
     for _ in range(count):
@@ -97,11 +97,11 @@
 def _count(data: bytes, at: int) -> int:
     count = int(_LENGTH.unpack_from(data, at)[0])
     if count < 0:
-        raise BadFrame("a negative length")
+        raise MalformedFrameError("a negative length")
     return count
 
 
 def _within(data: bytes, at: int) -> int:
     if at > len(data):
-        raise BadFrame("a value is cut short")
+        raise MalformedFrameError("a value is cut short")
     return at
--- a/granitewell/rpc/transport.py
+++ b/granitewell/rpc/transport.py
@@ -20,13 +20,13 @@
 from enum import IntEnum
 from typing import cast
 
-from granitewell.domain.errors import BadFrame, PeerUnreachable, RpcError, RpcTimeout
+from granitewell.domain.errors import MalformedFrameError, PeerUnreachableError, RpcError, RpcTimeoutError
 
 HEAD = struct.Struct("!HBBHII")
 MAGIC = 0x6757
 VERSION = 1
-MOST_PAYLOAD = 32 * 1024 * 1024
-MOST_BUFFERED = 8 * 1024 * 1024  # bytes waiting for one peer, beyond which one-way messages are dropped
+MAX_PAYLOAD = 32 * 1024 * 1024
+MAX_BUFFERED = 8 * 1024 * 1024  # bytes waiting for one peer, beyond which one-way messages are dropped
 CONNECT_TIMEOUT_S = 0.4
 USER_TIMEOUT_MS = 1_500
 
@@ -81,15 +81,15 @@
         self._buffer += data
         try:
             self._cut()
-        except BadFrame:
+        except MalformedFrameError:
             self.close()
 
     def _cut(self) -> None:
         buffer = self._buffer
         while len(buffer) >= HEAD.size:
             magic, version, kind, method, call, length = HEAD.unpack_from(buffer)
-            if magic != MAGIC or version != VERSION or length > MOST_PAYLOAD:
-                raise BadFrame(f"magic {magic:#x}, version {version}, length {length}")
+            if magic != MAGIC or version != VERSION or length > MAX_PAYLOAD:
+                raise MalformedFrameError(f"magic {magic:#x}, version {version}, length {length}")
             end = HEAD.size + length
             if len(buffer) < end:
                 return
@@ -135,7 +135,7 @@
 
     def frame(self, kind: int, method: int, call: int, payload: bytes) -> None:
         if kind not in (Kind.CALL, Kind.ONE_WAY):
-            raise BadFrame(f"a frame of kind {kind} at a server")
+            raise MalformedFrameError(f"a frame of kind {kind} at a server")
         task = asyncio.get_running_loop().create_task(self._answer(kind, method, call, payload))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -144,7 +144,7 @@
         handler = self._server.handlers.get(method)
         try:
             if handler is None:
-                raise BadFrame(f"no method {method}")
+                raise MalformedFrameError(f"no method {method}")
             reply = await handler(payload, self._peer)
         except Exception as error:  # a bad call ends here; the connection and the process go on
             if kind == Kind.CALL:
@@ -194,9 +194,9 @@
         self.closed = False
 
     def expect(self, call: int, method: int) -> asyncio.Future[bytes]:
-        """The reply to come; raises PeerUnreachable where none can."""
+        """The reply to come; raises PeerUnreachableError where none can."""
         if self.closed:
-            raise PeerUnreachable("connection lost")
+            raise PeerUnreachableError("connection lost")
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self._waiting[call] = _Waiting(method, future)
         return future
@@ -207,12 +207,12 @@
 
     def frame(self, kind: int, method: int, call: int, payload: bytes) -> None:
         if kind not in (Kind.REPLY, Kind.FAILURE):
-            raise BadFrame(f"a frame of kind {kind} at a client")
+            raise MalformedFrameError(f"a frame of kind {kind} at a client")
         waiting = self._waiting.get(call)
         if waiting is None:
             return
         if waiting.method != method:
-            raise BadFrame(f"a reply of method {method} to a call of {waiting.method}")
+            raise MalformedFrameError(f"a reply of method {method} to a call of {waiting.method}")
         del self._waiting[call]
         if waiting.future.done():
             return
@@ -225,7 +225,7 @@
         self.closed = True
         for waiting in self._waiting.values():
             if not waiting.future.done():
-                waiting.future.set_exception(PeerUnreachable("connection lost"))
+                waiting.future.set_exception(PeerUnreachableError("connection lost"))
         self._waiting.clear()
 
 
@@ -251,10 +251,10 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, protocol = await loop.create_connection(_ClientProtocol, self._host, self._port)
         except (OSError, TimeoutError) as error:
-            raise PeerUnreachable(f"{self.address}: {error!r}") from error
+            raise PeerUnreachableError(f"{self.address}: {error!r}") from error
         if self._dropped:
             protocol.close()
-            raise PeerUnreachable(f"{self.address}: no longer wanted")
+            raise PeerUnreachableError(f"{self.address}: no longer wanted")
         self._protocol = protocol
         return protocol
 
@@ -266,7 +266,8 @@
         return await asyncio.shield(self._connecting)
 
     async def call(self, method: Method, payload: bytes, timeout_s: float) -> bytes:
-        """A call and its reply; raises RpcTimeout, PeerUnreachable, or RpcError with what the peer said."""
+        """A call and its reply; raises RpcTimeoutError, PeerUnreachableError, or RpcError with what the peer
+        said."""
         call = self._next_call = (self._next_call + 1) & 0xFFFFFFFF
         protocol: _ClientProtocol | None = None
         try:
@@ -276,7 +277,7 @@
                 protocol.write(Kind.CALL, method, call, payload)
                 return await future
         except TimeoutError as error:
-            raise RpcTimeout(f"{self.address}: no reply in {timeout_s} s") from error
+            raise RpcTimeoutError(f"{self.address}: no reply in {timeout_s} s") from error
         finally:
             if protocol is not None:
                 protocol.forget(call)
@@ -290,7 +291,7 @@
             connecting = self._connecting
             connecting.add_done_callback(lambda task: self._send_after(task, method, payload))
             return
-        if self._protocol.buffered() < MOST_BUFFERED:
+        if self._protocol.buffered() < MAX_BUFFERED:
             self._protocol.write(Kind.ONE_WAY, method, 0, payload)
 
     def _send_after(self, task: asyncio.Task[_ClientProtocol], method: Method, payload: bytes) -> None:
--- a/granitewell/shared_counters/remote_counts.py
+++ b/granitewell/shared_counters/remote_counts.py
@@ -15,7 +15,7 @@
 from granitewell.protocols.peers.counts import Slot, Word
 from granitewell.shared_counters.types import OTHERS, Figures, Part
 
-MOST_LIVES = 8  # of one name that are told apart
+MAX_LIVES = 8  # of one name that are told apart
 LONG_AGO = -(1 << 62)
 
 
@@ -154,7 +154,7 @@
             life = self.lives[word.birth] = Life(word.life, word.birth, word.width_us, drift)
         life.measure(asked_us - word.ago_most_us, now_us - word.ago_least_us, word.up_us, now_us)
         life.merge(word)
-        while len(self.lives) > MOST_LIVES:
+        while len(self.lives) > MAX_LIVES:
             del self.lives[min(self.lives, key=lambda b: self.lives[b].low_us)]
 
     def forget(self, now_us: int) -> None:
--- a/granitewell/shared_counters/state_machine.py
+++ b/granitewell/shared_counters/state_machine.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import NamedTuple
 
-from granitewell.protocols.peers.counts import LETTERS, MOST_SLICES, Ask, Slice, Slot, Word
+from granitewell.protocols.peers.counts import LETTERS, MAX_SLICES, Ask, Slice, Slot, Word
 from granitewell.protocols.peers.frames import MAX_DATAGRAM, OVERHEAD, Frame, Keys, Kind, open_, seal
 from granitewell.protocols.peers.limits import Bucket
 from granitewell.shared_counters.local_counts import Own
@@ -30,7 +30,7 @@
 PENDING = 32  # questions to one node that may still be answered
 PER_SENDER = 40  # letters a second that are looked at, of each and
 IN_ALL = 4_000  # of all
-MOST_NODES = 10_000
+MAX_NODES = 10_000
 TICK_US = 20_000  # between two looks at whom to ask, at least
 SILENT = 3  # times every_us without a word, after which a node is asked of others
 
@@ -174,7 +174,7 @@
         self._peers = {n: p for n, p in event.peers.items() if n != self.name}
         for name, peer in self._peers.items():
             node = self.nodes.get(name)
-            if node is None and len(self.nodes) < MOST_NODES:
+            if node is None and len(self.nodes) < MAX_NODES:
                 node = self.nodes[name] = Node(self.figures)
             if name not in self._asked:
                 wait_us = int(self._rng.random() * self.figures.every_us)
@@ -374,7 +374,7 @@
                 if room < 0:
                     break
                 slices.append(one)
-            if upto >= tale.upto or len(slices) >= MOST_SLICES:
+            if upto >= tale.upto or len(slices) >= MAX_SLICES:
                 whole = upto >= tale.upto and tale.open
                 break
             upto += 1
--- a/granitewell/shared_counters/types.py
+++ b/granitewell/shared_counters/types.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from granitewell.protocols.peers.counts import MOST_KEY
+from granitewell.protocols.peers.counts import MAX_KEY
 from granitewell.protocols.peers.frames import Keys
 
 OTHERS = 0  # the slot of keys that have none of their own
@@ -123,4 +123,4 @@
 
 def key_fits(key: str) -> bool:
     """Whether this can be counted under its own name."""
-    return 0 < len(key.encode()) <= MOST_KEY
+    return 0 < len(key.encode()) <= MAX_KEY
--- a/granitewell/startup_pacing.py
+++ b/granitewell/startup_pacing.py
@@ -11,7 +11,7 @@
 
 WORK_S = 0.008  # of CPU, after which a start rests
 REST = 2.0  # times as long as it has worked: the rest of the limit is the serving process's
-MOST_S = 1.0  # that a start rests in all: where all is slow it must be ready in time, too
+MAX_S = 1.0  # that a start rests in all: where all is slow it must be ready in time, too
 
 
 class Pace:
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self._since_s = time.process_time()
-        self._left_s = MOST_S
+        self._left_s = MAX_S
 
     def find_spec(self, *_: object) -> None:
         """Nothing is found here."""
--- a/granitewell/status/snapshot.py
+++ b/granitewell/status/snapshot.py
@@ -23,7 +23,7 @@
 from granitewell.core.tables import Endpoint
 from granitewell.status.types import (
     AGES_MS,
-    MOST_TEXT,
+    MAX_TEXT,
     OLDER,
     VERSION,
     About,
@@ -92,9 +92,9 @@
 
 def short(text: str) -> str:
     """A name, bounded, and still its own where it is cut: two of them never look alike."""
-    if len(text) <= MOST_TEXT:
+    if len(text) <= MAX_TEXT:
         return text
-    return f"{text[: MOST_TEXT - 13]}~{blake2b(text.encode(errors='replace'), digest_size=6).hexdigest()}"
+    return f"{text[: MAX_TEXT - 13]}~{blake2b(text.encode(errors='replace'), digest_size=6).hexdigest()}"
 
 
 def look(core: Core, sockets: Sockets, about: About, now_us: int, worst: int) -> Steps[Snapshot]:
@@ -267,7 +267,7 @@
         return {
             "address": short("%s:%d" % s.discovery), "heard_s": self._ago_s(s.heard_us),
             "news_s": self._ago_s(s.news_us), "failed_s": self._ago_s(s.failed_us),
-            "failure": s.failure[: 2 * MOST_TEXT],
+            "failure": s.failure[: 2 * MAX_TEXT],
         }  # fmt: skip
 
     def _module(self, figures: dict[str, float]) -> Module:
--- a/granitewell/status/types.py
+++ b/granitewell/status/types.py
@@ -11,10 +11,10 @@
 from typing import Literal, TypedDict
 
 VERSION = 1  # of the snapshot's shape; keys may be added without a new one
-MOST_WORST = 500  # rows of either table, whatever is asked for
-MOST_TEXT = 100  # characters of a name in it
-MOST_ANSWER = 1024 * 1024  # bytes of a body
-MOST_PATH = 107  # bytes of a unix socket's path on Linux: sun_path less its end
+MAX_WORST = 500  # rows of either table, whatever is asked for
+MAX_TEXT = 100  # characters of a name in it
+MAX_ANSWER = 1024 * 1024  # bytes of a body
+MAX_PATH = 107  # bytes of a unix socket's path on Linux: sun_path less its end
 AGES_MS = (10, 100, 1000, 10_000)  # upper ends of the ages by which held requests are counted
 OLDER = "more"  # and the name of what lies beyond
 
@@ -55,8 +55,8 @@
     if not at.isprintable() or at.endswith(("/", "/.", "/..")) or at in ("", ".", ".."):
         raise ValueError("what is no path of a socket")
     path = at if at.startswith("/") else f"{folder.rstrip('/')}/{at}"
-    if (size := len(path.encode(errors="replace"))) > MOST_PATH:
-        raise ValueError(f"a path of {size} bytes, over the {MOST_PATH} that a unix socket may have")
+    if (size := len(path.encode(errors="replace"))) > MAX_PATH:
+        raise ValueError(f"a path of {size} bytes, over the {MAX_PATH} that a unix socket may have")
     return Place(path=path)
 
 
--- a/granitewell/status/wire.py
+++ b/granitewell/status/wire.py
@@ -13,9 +13,9 @@
 from typing import Any, Protocol, cast
 
 from granitewell.status import metrics
-from granitewell.status.types import MOST_ANSWER, MOST_WORST, EndpointRow, PairRow, Snapshot
+from granitewell.status.types import MAX_ANSWER, MAX_WORST, EndpointRow, PairRow, Snapshot
 
-MOST_HEAD = 4096  # bytes of a request's head
+MAX_HEAD = 4096  # bytes of a request's head
 BATCH = 25  # rows made into bytes in one step
 SPARE = 64 * 1024  # bytes of an answer for all that is no row
 STATUS, METRICS = "/status", "/metrics"
@@ -39,7 +39,7 @@
     name: str = ""  # of a member
 
 
-class Refused(Exception):
+class RejectedQueryError(Exception):
     """A request that can't be; `raw` is what it gets."""
 
     def __init__(self, status: int, why: str, more: str = "") -> None:
@@ -68,21 +68,21 @@
     under a name of its own (DNS rebinding), and Host must name this machine.
     """
     whole, end, _ = head.partition(b"\r\n\r\n")
-    if not end or len(whole) > MOST_HEAD:
-        raise Refused(431, f"the head of a request has at most {MOST_HEAD} bytes")
+    if not end or len(whole) > MAX_HEAD:
+        raise RejectedQueryError(431, f"the head of a request has at most {MAX_HEAD} bytes")
     first, *headers = whole.split(b"\r\n")
     found = _LINE.fullmatch(first)
     if not found:
-        raise Refused(400, "not HTTP/1.1")
+        raise RejectedQueryError(400, "not HTTP/1.1")
     if local and _host(headers) not in LOCAL:
-        raise Refused(421, f"Host must be one of {', '.join(LOCAL)}")
+        raise RejectedQueryError(421, f"Host must be one of {', '.join(LOCAL)}")
     path, _, query = found[2].decode().partition("?")
     if path in CLUSTER:
         return _of_cluster(path, found[1], query, worst)
     if path not in KINDS:
-        raise Refused(404, f"there are {' and '.join(KINDS)}")
+        raise RejectedQueryError(404, f"there are {' and '.join(KINDS)}")
     if found[1] != b"GET":
-        raise Refused(405, "GET only", "Allow: GET\r\n")
+        raise RejectedQueryError(405, "GET only", "Allow: GET\r\n")
     return Asked(path, _worst(query, worst))
 
 
@@ -90,19 +90,21 @@
     """What is asked of the fleet: all members, one of them by name, or that one is gone for good."""
     wanted = b"POST" if path == FORGET else b"GET"
     if method != wanted:
-        raise Refused(405, f"{wanted.decode()} only", f"Allow: {wanted.decode()}\r\n")
+        raise RejectedQueryError(405, f"{wanted.decode()} only", f"Allow: {wanted.decode()}\r\n")
     if path == MEMBERS:
         if query:
-            raise Refused(400, "found a query, allowed: none")
+            raise RejectedQueryError(400, "found a query, allowed: none")
         return Asked(path, worst)
     if path == COUNTS:
         found = re.fullmatch("(?:key=([!-%'-~]{1,96}))?", query)
         if not found:
-            raise Refused(400, "key: found no key, allowed: key=KEY, 1 to 96 characters, or none")
+            raise RejectedQueryError(400, "key: found no key, allowed: key=KEY, 1 to 96 characters, or none")
         return Asked(path, worst, found[1] or "")
     found = re.fullmatch("name=([!-%'-~]{1,63})", query)
     if not found:
-        raise Refused(400, "name: found no name of a member, allowed: name=NAME, 1 to 63 characters")
+        raise RejectedQueryError(
+            400, "name: found no name of a member, allowed: name=NAME, 1 to 63 characters"
+        )
     return Asked(path, worst, found[1])
 
 
@@ -150,16 +152,18 @@
     for part in filter(None, query.split("&")):
         key, _, value = part.partition("=")
         if key != "worst":
-            raise Refused(400, f"{key}: found an unknown key, allowed: worst")
-        if not re.fullmatch("[0-9]{1,4}", value) or int(value) > MOST_WORST:
-            raise Refused(400, f"worst: found {value[:20]}, allowed: a whole number from 0 to {MOST_WORST}")
+            raise RejectedQueryError(400, f"{key}: found an unknown key, allowed: worst")
+        if not re.fullmatch("[0-9]{1,4}", value) or int(value) > MAX_WORST:
+            raise RejectedQueryError(
+                400, f"worst: found {value[:20]}, allowed: a whole number from 0 to {MAX_WORST}"
+            )
         worst = int(value)
     return worst
 
 
 # --- Answers, a step at a time --------------------------------------------------------------------------
 def body(asked: Asked, snapshot: Snapshot) -> Generator[None, None, bytes]:
-    """The body of an answer, of MOST_ANSWER bytes at most.
+    """The body of an answer, of MAX_ANSWER bytes at most.
 
     Where it would be more, rows are left out from the best ones on, and `cut` says so. The snapshot stays as
     it is, for other forms of it.
@@ -178,7 +182,7 @@
 
     Names can be long, and each stands in several lines of the metrics.
     """
-    left = MOST_ANSWER - SPARE
+    left = MAX_ANSWER - SPARE
     pairs, endpoints = snapshot["pairs"], snapshot["endpoints"]
     for n in range(max(len(pairs), len(endpoints))):
         left -= _cost(pairs[n]) if n < len(pairs) else 0
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -26,7 +26,7 @@
 NEVER = {Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT}
 
 
-class Broken(AssertionError):
+class BrokenRuleError(AssertionError):
     """A rule is broken."""
 
 
@@ -68,7 +68,7 @@
                 self._answer(action)
         for rid, req in self.open.items():
             if now > req.due_ms + 20.0:
-                raise Broken(f"rule 1: {rid} has no answer")
+                raise BrokenRuleError(f"rule 1: {rid} has no answer")
 
     def _close(self, rid: int) -> None:
         self.open.pop(rid, None)
@@ -92,29 +92,29 @@
 
     def _answer(self, action: Refuse | Fail) -> None:
         if action.id not in self.open:
-            raise Broken(f"rule 1: {action.id} was answered twice or never asked")
+            raise BrokenRuleError(f"rule 1: {action.id} was answered twice or never asked")
         cls = self.settings.classes[self.open[action.id].class_index]
         ran = [x for x in self.tries[action.id] if x[2] not in NEVER]
         if isinstance(action, Refuse) and ran:
             keyed_all = cls.effect is Effect.KEYED and cls.scope is Scope.ALL
             if cls.effect is not Effect.SAFE and not keyed_all:
-                raise Broken(f"rule 2: {action.id} may have run and was refused")
+                raise BrokenRuleError(f"rule 2: {action.id} may have run and was refused")
         self._close(action.id)
 
     def _send(self, now: float, action: Send) -> None:
         if action.id not in self.open:
-            raise Broken(f"rule 1: {action.id} was sent after its end")
+            raise BrokenRuleError(f"rule 1: {action.id} was sent after its end")
         if now - self.told.get(action.host, now) > self.settings.drain_grace_ms:
-            raise Broken(f"rule 3: {action.host!r} drains or is gone")
+            raise BrokenRuleError(f"rule 3: {action.host!r} drains or is gone")
         cls = self.settings.classes[self.open[action.id].class_index]
         tries = self.tries[action.id]
         if any(x[2] is None for x in tries) and not self.settings.parallel_tries:
-            raise Broken(f"rule 2: {action.id} has two attempts out")
+            raise BrokenRuleError(f"rule 2: {action.id} has two attempts out")
         for host_, at, outcome, zone, cell in tries:
             if outcome in NEVER or cls.effect is Effect.SAFE:
                 continue
             if cls.effect is Effect.UNSAFE:
-                raise Broken(f"rule 2: {action.id} may have run at {host_!r} and was sent again")
+                raise BrokenRuleError(f"rule 2: {action.id} may have run at {host_!r} and was sent again")
             assert isinstance(at, float)
             here = self.where[action.host]
             group = (
@@ -122,9 +122,9 @@
                 or here[cls.scope is Scope.CELL] == (zone, cell)[cls.scope is Scope.CELL]
             )
             if not group or now - at > cls.window_ms:
-                raise Broken(f"rule 2: {action.id} left its group or its window")
+                raise BrokenRuleError(f"rule 2: {action.id} left its group or its window")
         if len(tries) >= self.settings.max_attempts:
-            raise Broken(f"rule 2: {action.id} has too many attempts")
+            raise BrokenRuleError(f"rule 2: {action.id} has too many attempts")
         tries.append([action.host, now, None, *self.where[action.host]])
         self._cold_send(now, action.host)
 
@@ -138,4 +138,4 @@
         sends = [x for x in self.cold_sends.get(host, []) if now - x < s.fall_ms] + [now]
         self.cold_sends[host] = sends
         if len(sends) > s.fall_multiple * share * self.peak + 2:
-            raise Broken(f"rule 4: {host!r} is cold and got {len(sends)} in a span")
+            raise BrokenRuleError(f"rule 4: {host!r} is cold and got {len(sends)} in a span")
--- a/tests/cluster/test_gossip.py
+++ b/tests/cluster/test_gossip.py
@@ -42,7 +42,7 @@
         name, gen, birth, inc, state, age, by, about if state == 0 else None
     ),
     st.text(st.characters(min_codepoint=33, max_codepoint=126), min_size=1, max_size=63),
-    st.integers(1, gossip.MOST_GEN), _BIRTH, st.integers(0, gossip.MOST_INC), st.integers(0, 3),
+    st.integers(1, gossip.MAX_GEN), _BIRTH, st.integers(0, gossip.MAX_INC), st.integers(0, 3),
     st.integers(0, 1 << 32), _WORD, abouts,
 )  # fmt: skip
 saids: st.SearchStrategy[Said] = st.one_of(
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -24,7 +24,7 @@
 from granitewell.lab.cluster.world import Boot, Cluster, Node
 from granitewell.leases.duplicate_identity import younger
 from granitewell.leases.incarnations import A_COUNT, join, takes
-from granitewell.leases.record import BLANK, FOUNDED, KEY, OATH, BadRecord, Record, read
+from granitewell.leases.record import BLANK, FOUNDED, KEY, OATH, MalformedRecordError, Record, read
 from granitewell.leases.state_machine import Leases
 from granitewell.leases.types import (
     LONGEST_US,
@@ -336,20 +336,20 @@
 def test_a_bad_record_names_what_is_wrong(changed: dict[str, object], words: str) -> None:
     good = Record(1, FLEET.fleet, LIVES[0], OATH, FIRST + 7, ("p1", 8), 9, LIVES)
     assert read(good.write(), 3) == good
-    with pytest.raises(BadRecord, match=words.replace("[", r"\[")):
+    with pytest.raises(MalformedRecordError, match=words.replace("[", r"\[")):
         read(json.dumps(json.loads(good.write()) | changed).encode(), 3)
     missing = {k: v for k, v in json.loads(good.write()).items() if k != "term"}
-    with pytest.raises(BadRecord, match="KeyError at 'term'"):
+    with pytest.raises(MalformedRecordError, match="KeyError at 'term'"):
         read(json.dumps(missing).encode(), 3)
 
 
 def test_a_record_cut_at_any_byte_or_of_another_fleet_is_never_taken() -> None:
     good = Record(1, FLEET.fleet, LIVES[1], FOUNDED, FIRST + 7, None, 0, LIVES)
     for length in range(len(good.write())):
-        with pytest.raises(BadRecord):
+        with pytest.raises(MalformedRecordError):
             read(good.write()[:length], 3)
     for bad in (replace(good, fleet=5), replace(good, epoch=2)):
-        with pytest.raises(BadRecord, match="allowed are up to 1|new epoch"):
+        with pytest.raises(MalformedRecordError, match="allowed are up to 1|new epoch"):
             Hand(bad)
     assert Hand(good, epoch=2).machine.state is State.BLANK  # the operator has begun anew
 
--- a/tests/cluster/test_search.py
+++ b/tests/cluster/test_search.py
@@ -11,7 +11,7 @@
 from granitewell.lab.cluster.leases_search import CATCHES, SEARCHES, Bounds, Planners, founded, look
 from granitewell.lab.cluster.search import Seen
 
-LEAST_STATES = 100_000
+MIN_STATES = 100_000
 
 
 def _text(name: str, bounds: Bounds, seen: Seen[str]) -> str:
@@ -28,7 +28,7 @@
         states += seen.states
     with capsys.disabled():
         print("", *lines, f"{states:,} states in all", sep="\n  ")
-    assert states >= LEAST_STATES
+    assert states >= MIN_STATES
 
 
 @pytest.mark.parametrize(
--- a/tests/controlplane/change_world.py
+++ b/tests/controlplane/change_world.py
@@ -23,16 +23,16 @@
 from granitewell.controlplane.configuration import history
 from granitewell.controlplane.configuration.api import OperatorApi
 from granitewell.controlplane.configuration.store import Change, ConfigurationStore, Operation
-from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
 
 FIRST_VERSION = 1
 FIRST = Change(Operation.PUT, 0, b'{"version":1,"routes":[],"services":[]}')
 CLEAR = (200, 400, 412)
 UNCLEAR = (307, 503)
-MOST_ROUNDS = 40  # in which a healthy group must have answered all
+MAX_ROUNDS = 40  # in which a healthy group must have answered all
 
 
-class Violation(AssertionError):
+class ViolationError(AssertionError):
     """An invariant does not hold."""
 
 
@@ -71,7 +71,7 @@
     restarts: int = 0  # of any node, from its own snapshot
     timeouts: int = 1  # of proposals that may still be committed
     strays: int = 1  # calls of a node that is behind and leads no more
-    remembered: int = history.MOST_TAKEN
+    remembered: int = history.MAX_TAKEN
 
 
 class Reference:
@@ -97,7 +97,7 @@
         if not self.would_take(change):
             return
         if change in self.refused:
-            raise Violation(f"refused, and then taken: {change}")
+            raise ViolationError(f"refused, and then taken: {change}")
         self.versions.append(_version_in(change))
         self.taken[change] = self.version
 
@@ -108,25 +108,27 @@
         elif status in (400, 412):
             self._refuse(change, status)
         elif status not in UNCLEAR:
-            raise Violation(f"{status} for {change}")
+            raise ViolationError(f"{status} for {change}")
 
     def _confirm(self, change: Change, version: int) -> None:
         if change not in self.taken:
-            raise Violation(f"confirmed, and not in force: {change}")
+            raise ViolationError(f"confirmed, and not in force: {change}")
         if self.taken[change] != version:
-            raise Violation(f"confirmed as {version}, taken as {self.taken[change]}: {change}")
+            raise ViolationError(f"confirmed as {version}, taken as {self.taken[change]}: {change}")
         self.confirmed[change] = version
         bases = [confirmed.base_version for confirmed in self.confirmed]
         if len(set(bases)) != len(bases) or len(set(self.confirmed.values())) != len(bases):
-            raise Violation(f"two changes confirmed on one version or under one number: {self.confirmed}")
+            raise ViolationError(
+                f"two changes confirmed on one version or under one number: {self.confirmed}"
+            )
 
     def _refuse(self, change: Change, status: int) -> None:
         if change in self.taken:
-            raise Violation(f"{status} for what was taken: {change}")
+            raise ViolationError(f"{status} for what was taken: {change}")
         if self.would_take(change):
-            raise Violation(f"{status} for a valid change on the current version: {change}")
+            raise ViolationError(f"{status} for a valid change on the current version: {change}")
         if status == 400 and _version_in(change) > change.base_version:
-            raise Violation(f"{status} for a valid change: {change}")
+            raise ViolationError(f"{status} for a valid change: {change}")
         self.refused.add(change)
 
     def may_be_forgotten(self, change: Change, remembered: int) -> bool:
@@ -182,7 +184,7 @@
         """As ReplicatedGroup.propose."""
         world = self.world
         if world.leader is not self:
-            raise NotLeader
+            raise NotLeaderError
         world.tail.append(Entry(world.term, data))
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         self.waiters.append(Waiter(len(world.committed) + len(world.tail), world.term, future))
@@ -204,13 +206,13 @@
         if waiter.term == entry.term:
             waiter.future.set_result(result)
         else:
-            waiter.future.set_exception(ProposalLost())
+            waiter.future.set_exception(ProposalLostError())
 
     def lose_waiters(self, up_to: int) -> None:
         """Their outcome is not known here."""
         for waiter in [waiter for waiter in self.waiters if waiter.index <= up_to]:
             self.waiters.remove(waiter)
-            waiter.future.set_exception(ProposalLost())
+            waiter.future.set_exception(ProposalLostError())
 
     def restore(self, data: bytes, applied: int) -> None:
         """Go on from another node's snapshot."""
@@ -421,7 +423,7 @@
 
     def _time_out(self, place: int) -> None:
         self.spent["timeouts"] += 1
-        self.nodes[place].waiters.pop(0).future.set_exception(ProposalLost())
+        self.nodes[place].waiters.pop(0).future.set_exception(ProposalLostError())
 
     def _learn(self, place: int) -> None:
         self.nodes[place].apply_committed()
@@ -448,8 +450,8 @@
             for call in self.calls:
                 self._look_at(call)
             self._check_lease()
-        except Violation as violation:
-            raise Violation(f"{violation}; after: {self.told()}") from violation
+        except ViolationError as violation:
+            raise ViolationError(f"{violation}; after: {self.told()}") from violation
 
     def told(self) -> str:
         """What has happened."""
@@ -467,7 +469,7 @@
     def _check_lease(self) -> None:
         for node in self.nodes:
             if node.holds_lease() and node.store.version != self.reference.version:
-                raise Violation(f"{node.name} serves {node.store.version} of {self.reference.version}")
+                raise ViolationError(f"{node.name} serves {node.store.version} of {self.reference.version}")
 
     # For a search
 
@@ -507,12 +509,12 @@
         """
         if self.lease is None:
             await self.act(Action("elect", (0, len(self.tail))))
-        for _ in range(MOST_ROUNDS):
+        for _ in range(MAX_ROUNDS):
             for action in self._healthy_actions():
                 await self.act(action)
             if all(operator.done for operator in self.operators):
                 return
-        raise Violation(f"no clear answer; after: {self.told()}")
+        raise ViolationError(f"no clear answer; after: {self.told()}")
 
     def _healthy_actions(self) -> list[Action]:
         actions = [Action("commit") for _ in self.tail]
@@ -526,7 +528,7 @@
         node.apply_committed()
         for waiter in [waiter for waiter in node.waiters if waiter.term < self.term]:
             node.waiters.remove(waiter)
-            waiter.future.set_exception(ProposalLost())
+            waiter.future.set_exception(ProposalLostError())
 
     def _go_on(self, number: int) -> None:
         """An operator hears an answer, or sends once more where none can come."""
--- a/tests/controlplane/owner_judge.py
+++ b/tests/controlplane/owner_judge.py
@@ -10,7 +10,7 @@
 from granitewell.controlplane.placement.orders import Operation, Order
 from granitewell.domain.servers import ModelRef
 from tests.controlplane.owner_servers import EDGES, ENGINE, SIZES, EngineServer
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 
 if TYPE_CHECKING:
     from tests.controlplane.owner_world import OwnerProcess, OwnerWorld
@@ -95,22 +95,24 @@
         """An order leaves."""
         machine = process.machine.name
         if not process.group.holds_lease():
-            raise Violation(f"{machine} orders under the fence {fence} without its lease")
+            raise ViolationError(f"{machine} orders under the fence {fence} without its lease")
         if fence < self._sent.get(machine, 0):
-            raise Violation(f"{machine} orders under the fence {fence}, after {self._sent[machine]}")
+            raise ViolationError(f"{machine} orders under the fence {fence}, after {self._sent[machine]}")
         self._sent[machine] = fence
         if order.operation is Operation.UNLOAD and process.reported != set(EDGES):
-            raise Violation(f"{machine} unloads {order.ref} and has heard {sorted(process.reported)} only")
+            raise ViolationError(
+                f"{machine} unloads {order.ref} and has heard {sorted(process.reported)} only"
+            )
         self._world.order_left(process)
 
     def arrived(self, server: str, machine: str, document: Mapping[str, Any], instance: str | None) -> None:
         """An order has come to a server, whatever that says to it."""
         at = self._world.now
         if instance is None or "if-revision" not in document:
-            raise Violation(f"an order of {machine} without an instance or a revision: {document}")
+            raise ViolationError(f"an order of {machine} without an instance or a revision: {document}")
         fence = int(document["fence-token"])
         if self._holders.setdefault(fence, machine) != machine:
-            raise Violation(f"{machine} and {self._holders[fence]} order under one fence {fence}")
+            raise ViolationError(f"{machine} and {self._holders[fence]} order under one fence {fence}")
         self.orders += 1
         troubles = self._world.troubles
         if troubles.excused(machine, at):
@@ -125,9 +127,9 @@
         others = [arrival for arrival in before if arrival.machine != now.machine]
         self.turns += bool(others) and before[-1].machine != now.machine
         if others and now.at - others[-1].at < LEASE_S:
-            raise Violation(f"{server} is ordered by {others[-1]}, then {now}")
+            raise ViolationError(f"{server} is ordered by {others[-1]}, then {now}")
         if not self._world.fencing and before and now.fence < max(arrival.fence for arrival in before):
-            raise Violation(f"{server} gets the fence {now.fence} after a higher one")
+            raise ViolationError(f"{server} gets the fence {now.fence} after a higher one")
 
     def took(self, server: EngineServer, order: Mapping[str, Any], ref: ModelRef) -> None:
         """A server begins an order."""
@@ -139,7 +141,7 @@
         mb += SIZES[ref.model].adapter_mb if ref.adapter else SIZES[ref.model].weights_mb
         adapters += bool(ref.adapter)
         if mb > ENGINE.weights_mb or adapters > ENGINE.max_adapters:
-            raise Violation(f"{server.address} loads {ref} beyond its memory")
+            raise ViolationError(f"{server.address} loads {ref} beyond its memory")
 
     def loaded_from_store(self) -> None:
         """A load from the weight store begins."""
@@ -148,4 +150,4 @@
         while self._loads[0] < at - CEILING_WINDOW_S:
             self._loads.popleft()
         if len(self._loads) > ENGINE.loads_per_s * CEILING_WINDOW_S * CEILING_OVERAGE + 3:
-            raise Violation(f"{len(self._loads)} loads within {CEILING_WINDOW_S} s")
+            raise ViolationError(f"{len(self._loads)} loads within {CEILING_WINDOW_S} s")
--- a/tests/controlplane/owner_world.py
+++ b/tests/controlplane/owner_world.py
@@ -23,7 +23,7 @@
 from granitewell.coordination.consensus.ready import Ready
 from granitewell.coordination.consensus.storage import state_records
 from granitewell.coordination.consensus.types import EntryKind, StoredState
-from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
 from granitewell.domain.servers import ModelDemand, ModelRef, ServerState
 from tests.controlplane.owner_judge import CONTACT_S, LEASE_S, Judge, Span, Troubles
 from tests.controlplane.owner_servers import (
@@ -38,7 +38,7 @@
 )
 from tests.controlplane.owner_wire import NETWORK_S, SimulatedClient, Wire
 from tests.controlplane.process_loop import ProcessLoop
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 from tests.coordination.world import SETTINGS, Machine, Process, World
 
 LOOK_S = 0.1  # as nodes look whether they lead a shard's group
@@ -79,7 +79,7 @@
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError as error:
-            raise ProposalLost(f"no outcome in {timeout_s} s") from error
+            raise ProposalLostError(f"no outcome in {timeout_s} s") from error
 
 
 class OwnerProcess(Process):
@@ -119,20 +119,20 @@
             if entry.kind is EntryKind.DATA:
                 result = self.record.apply(entry.index, entry.data)
             if owners.setdefault(entry.index, self.record.owner) != self.record.owner:
-                raise Violation(f"two owners at {entry.index}")
+                raise ViolationError(f"two owners at {entry.index}")
             term, future = self.claims.pop(entry.index, (0, None))
             if future is None or future.done():
                 continue
             if term == entry.term:
                 future.set_result(result)
             else:
-                future.set_exception(ProposalLost("another leader's entry took its place"))
+                future.set_exception(ProposalLostError("another leader's entry took its place"))
 
     def _lose_claims(self, up_to: int) -> None:
         for index in [index for index in self.claims if index <= up_to]:
             _, future = self.claims.pop(index)
             if not future.done():
-                future.set_exception(ProposalLost("its outcome is not known here"))
+                future.set_exception(ProposalLostError("its outcome is not known here"))
 
     # As the node does it
 
@@ -143,7 +143,7 @@
                 continue
             try:
                 await self.ownership.claim()
-            except (NotLeader, ProposalLost):
+            except (NotLeaderError, ProposalLostError):
                 await asyncio.sleep(LOOK_S)
                 continue
             await self._own()
--- a/tests/controlplane/test_change_identity_search.py
+++ b/tests/controlplane/test_change_identity_search.py
@@ -22,13 +22,13 @@
 from granitewell.controlplane.configuration.api import OperatorApi
 from granitewell.controlplane.configuration.store import Operation
 from tests.controlplane import change_defects as defects
-from tests.controlplane.change_world import Action, Bounds, Step, Violation, World
+from tests.controlplane.change_world import Action, Bounds, Step, ViolationError, World
 
 PUT, PATCH = Operation.PUT, Operation.PATCH
 SHORT_SEEDS = 200
 SEEDS = int(os.environ.get("GRANITEWELL_CHANGE_SEEDS", SHORT_SEEDS))
-MOST_DEFECT_SEEDS = 400
-MOST_ACTS = 70  # of a day
+MAX_DEFECT_SEEDS = 400
+MAX_ACTS = 70  # of a day
 
 Plant = Callable[[pytest.MonkeyPatch], None]
 
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
 def test_all_orders(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(history_module, "MOST_TAKEN", case.bounds.remembered)
+    monkeypatch.setattr(history_module, "MAX_TAKEN", case.bounds.remembered)
     found = asyncio.run(search(lambda: World(case.plans, case.bounds, OperatorApi)))
     print(f"{case.name}: {found} states")
     assert found == case.states
@@ -124,19 +124,19 @@
 async def play(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """A random day, at the end of which all is well again."""
     plans, bounds = day_of(seed)
-    monkeypatch.setattr(history_module, "MOST_TAKEN", bounds.remembered)
+    monkeypatch.setattr(history_module, "MAX_TAKEN", bounds.remembered)
     rng = Random(seed)
     world = World(plans, bounds, OperatorApi)
     try:
-        for _ in range(rng.randint(1, MOST_ACTS)):
+        for _ in range(rng.randint(1, MAX_ACTS)):
             actions = world.actions()
             if not actions:
                 break
             name = rng.choice(sorted({action.name for action in actions}))
             await world.act(rng.choice([action for action in actions if action.name == name]))
         await world.heal()
-    except Violation as violation:
-        raise Violation(f"seed {seed}: {violation}") from violation
+    except ViolationError as violation:
+        raise ViolationError(f"seed {seed}: {violation}") from violation
     finally:
         await world.close()
 
@@ -170,7 +170,7 @@
 @pytest.mark.parametrize("plant", DEFECTS, ids=lambda plant: getattr(plant, "__name__", ""))
 def test_the_days_notice(plant: Plant, monkeypatch: pytest.MonkeyPatch) -> None:
     plant(monkeypatch)
-    with pytest.raises(Violation) as raised:
-        asyncio.run(play_all(MOST_DEFECT_SEEDS, monkeypatch))
+    with pytest.raises(ViolationError) as raised:
+        asyncio.run(play_all(MAX_DEFECT_SEEDS, monkeypatch))
     print(raised.value)
     assert re.search(DEFECTS[plant], str(raised.value))
--- a/tests/controlplane/test_changes_on_bad_days.py
+++ b/tests/controlplane/test_changes_on_bad_days.py
@@ -29,20 +29,20 @@
 from granitewell.coordination.consensus.identity import NodeIdentity, first_replica_id
 from granitewell.coordination.consensus.settings import ReplicaSettings
 from tests.controlplane import change_defects as defects
-from tests.controlplane.change_world import UNCLEAR, Operator, Reference, Step, Violation
+from tests.controlplane.change_world import UNCLEAR, Operator, Reference, Step, ViolationError
 from tests.coordination.simulated_files import SimulatedFiles
 from tests.coordination.virtual_loop import LoopExecutor, run
 
 ADDRESSES = ("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7")
 DAYS = int(os.environ.get("GRANITEWELL_CHANGE_DAYS", "10"))
-MOST_DEFECT_DAYS = 60
+MAX_DEFECT_DAYS = 60
 QUICK_SEEDS = (10, 4)  # of the days that notice what the first day doesn't
 TROUBLES = 6  # in a day
 ANSWER_S = 1.0  # an operator moves on then
 RECOVERY_S = 20.0  # after the last trouble; elections, a refused disk's retry, three proposals that time out
 LOST = 0.2  # of the answers
 ROOM_AGAIN_S = 4.0  # until a change is taken: one proposal may time out, one leader may change
-MOST_PAUSE_S = 0.4  # between the changes of one operator
+MAX_PAUSE_S = 0.4  # between the changes of one operator
 
 
 class Committed:
@@ -58,7 +58,7 @@
             self._entries[index] = data
             self.reference.commit(Change.decode(data))
         elif self._entries[index] != data:
-            raise Violation(f"two entries at {index}")
+            raise ViolationError(f"two entries at {index}")
 
 
 class WatchedStore(ConfigurationStore):
@@ -134,7 +134,7 @@
         self.committed = Committed()
         self.nodes = {address: ControlNode(self, address) for address in ADDRESSES}
         self.cut: set[frozenset[str]] = set()
-        self.violations: list[Violation] = []
+        self.violations: list[ViolationError] = []
         self.ending = False
         self.tasks: list[asyncio.Task[None]] = []
 
@@ -159,7 +159,7 @@
             answer = await self._asked(address, change)
             if answer is not None and answer.status not in UNCLEAR:
                 operator.hear(answer.status, orjson.loads(_bytes(answer)).get("version", 0))
-                await asyncio.sleep(self.rng.uniform(0, MOST_PAUSE_S))
+                await asyncio.sleep(self.rng.uniform(0, MAX_PAUSE_S))
             elif answer is not None and answer.status == 307:
                 address = answer.headers["Location"].split("/")[2]
                 await asyncio.sleep(0.01)
@@ -189,23 +189,23 @@
         try:
             response = call.result()
             self.committed.reference.answer(change, response.status, orjson.loads(_bytes(response)))
-        except Violation as violation:
+        except ViolationError as violation:
             self.violations.append(violation)
 
     async def read(self) -> None:
         """Get the configuration again and again: an answer is the newest that was taken."""
         request = cast(web.Request, SimpleNamespace(path_qs="/config"))
         while True:
-            await asyncio.sleep(self.rng.uniform(0, MOST_PAUSE_S))
+            await asyncio.sleep(self.rng.uniform(0, MAX_PAUSE_S))
             node = self.nodes[self.rng.choice(ADDRESSES)]
             if node.api is None:
                 continue
             response = await node.api.get(request)
             newest = self.committed.reference.version
             if response.status == 200 and orjson.loads(_bytes(response))["version"] != newest:
-                self.violations.append(Violation(f"read {_bytes(response)!r}, the newest is {newest}"))
+                self.violations.append(ViolationError(f"read {_bytes(response)!r}, the newest is {newest}"))
             elif response.status not in (200, *UNCLEAR):
-                self.violations.append(Violation(f"{response.status} for a GET"))
+                self.violations.append(ViolationError(f"{response.status} for a GET"))
 
     # Troubles
 
@@ -257,7 +257,7 @@
         _, late = await asyncio.wait(operating, timeout=RECOVERY_S)
         self.check()
         if late:
-            raise Violation(
+            raise ViolationError(
                 f"no clear answer: {[operator.change() for operator in operators if operator.sent]}"
             )
         await self.read_back()
@@ -316,8 +316,10 @@
         day = Day(seed)
         try:
             await day.play(chosen, plans_of(rng))
-        except Violation as violation:
-            raise Violation(f"seed {seed}, {[trouble.__name__ for trouble in chosen]}: {violation}") from None
+        except ViolationError as violation:
+            raise ViolationError(
+                f"seed {seed}, {[trouble.__name__ for trouble in chosen]}: {violation}"
+            ) from None
         finally:
             await day.stop()
 
@@ -346,8 +348,8 @@
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    with pytest.raises(Violation) as raised:
-        for seed in (*QUICK_SEEDS, *range(MOST_DEFECT_DAYS)):
+    with pytest.raises(ViolationError) as raised:
+        for seed in (*QUICK_SEEDS, *range(MAX_DEFECT_DAYS)):
             played(seed, ALL)
     print(raised.value)
     assert re.search(DEFECTS[plant], str(raised.value))
--- a/tests/controlplane/test_configuration_store.py
+++ b/tests/controlplane/test_configuration_store.py
@@ -14,7 +14,11 @@
 
 from granitewell.controlplane.configuration import history as history_module
 from granitewell.controlplane.configuration import store as store_module
-from granitewell.controlplane.configuration.errors import DeltaMismatch, UnreadableChange, UnreadableSnapshot
+from granitewell.controlplane.configuration.errors import (
+    DeltaMismatchError,
+    UnreadableChangeError,
+    UnreadableSnapshotError,
+)
 from granitewell.controlplane.configuration.store import (
     Change,
     ConfigurationDelta,
@@ -23,7 +27,7 @@
     Outcome,
 )
 from granitewell.controlplane.configuration.view import ConfigurationView
-from granitewell.domain.errors import UnknownFormat
+from granitewell.domain.errors import UnknownFormatError
 from tests.controlplane.test_configuration_examples import (
     applied,
     outcomes,
@@ -58,11 +62,11 @@
     "data", [b"", FIRST.encode()[:9], b"\x02" + FIRST.encode()[1:], b"\x01\x09" + bytes(8)]
 )
 def test_unknown_forms_of_changes_are_refused(data: bytes) -> None:
-    with pytest.raises(UnreadableChange) as refused:
+    with pytest.raises(UnreadableChangeError) as refused:
         Change.decode(data)
-    assert isinstance(refused.value, UnknownFormat) is (len(data) >= 10)
+    assert isinstance(refused.value, UnknownFormatError) is (len(data) >= 10)
     store = ConfigurationStore()
-    with pytest.raises(UnreadableChange):
+    with pytest.raises(UnreadableChangeError):
         store.apply(1, data)
 
 
@@ -153,7 +157,7 @@
 def test_a_configuration_is_bounded_in_bytes_also_if_it_grows_by_patches(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(store_module, "MOST_DOCUMENT", 10_000)
+    monkeypatch.setattr(store_module, "MAX_DOCUMENT", 10_000)
     store = store_of(FIRST)
     for number in range(100):
         change = patch_change(store.version, patch(store.version + 1, {"routes": [route(f"r{number}")]}))
@@ -188,7 +192,7 @@
 
     Of one on a version that the history reaches, it is certain.
     """
-    monkeypatch.setattr(history_module, "MOST_TAKEN", 3)
+    monkeypatch.setattr(history_module, "MAX_TAKEN", 3)
     store = store_of(*CHAIN)
     fresh = ConfigurationStore()
     fresh.restore(store.snapshot())
@@ -251,12 +255,12 @@
     store = store_of(put_change(0, whole(99)))
     before = store.snapshot()
     for length in range(len(data)):
-        with pytest.raises(UnreadableSnapshot):
+        with pytest.raises(UnreadableSnapshotError):
             store.restore(data[:length])
     for place in range(len(data)):
-        with pytest.raises(UnreadableSnapshot):
+        with pytest.raises(UnreadableSnapshotError):
             store.restore(data[:place] + bytes([data[place] ^ 0x10]) + data[place + 1 :])
-    with pytest.raises(UnreadableSnapshot):
+    with pytest.raises(UnreadableSnapshotError):
         store.restore(data + b"\0")
     assert store.snapshot() == before
 
@@ -266,7 +270,7 @@
     store = store_of(put_change(0, whole(99)))
     before = store.snapshot()
     for number in (0, 2, 3, 255):
-        with pytest.raises(UnreadableSnapshot, match=f"format {number} "):
+        with pytest.raises(UnreadableSnapshotError, match=f"format {number} "):
             store.restore(bytes([number]) + data[1:])
     assert store.snapshot() == before
 
@@ -320,7 +324,7 @@
         snapshot_of(document[:-1], (digest, 5)),
     ):
         store = store_of(put_change(0, whole(99)))
-        with pytest.raises(UnreadableSnapshot):
+        with pytest.raises(UnreadableSnapshotError):
             store.restore(data)
         assert store.version == 99
 
@@ -328,10 +332,10 @@
 def test_the_largest_history_has_few_bytes_and_comes_back_whole() -> None:
     history = history_module.ChangeHistory()
     change = Change(Operation.PATCH, 0, b"")
-    for version in range(1, history_module.MOST_TAKEN + 50):
+    for version in range(1, history_module.MAX_TAKEN + 50):
         history.add(change, version)
     records = history.records()
-    assert len(b"".join(records)) == 40 * (history_module.MOST_TAKEN + 1)
+    assert len(b"".join(records)) == 40 * (history_module.MAX_TAKEN + 1)
     read = history_module.ChangeHistory.read(b"".join(records))
     assert read.records() == records
     assert [read.reaches(base) for base in (48, 49)] == [False, True]
@@ -386,8 +390,8 @@
     store = store_of(put_change(0, whole(5, route("a", note="x" * 100_000))))
     for version in range(5, 305):
         store.apply(0, patch_change(version, patch(version + 1)).encode())
-    assert store.changes_since(304 - store_module.MOST_STEPS).whole
-    assert not store.changes_since(305 - store_module.MOST_STEPS).whole
+    assert store.changes_since(304 - store_module.MAX_STEPS).whole
+    assert not store.changes_since(305 - store_module.MAX_STEPS).whole
 
 
 def test_a_whole_that_alters_little_is_told_as_a_patch() -> None:
@@ -467,7 +471,7 @@
         (10, True, [store.document()]),
     ]
     for version, is_whole, documents in wrong:
-        with pytest.raises(DeltaMismatch):
+        with pytest.raises(DeltaMismatchError):
             view.apply(version, is_whole, documents)
         assert view.version == 5 and view.configuration is before
     follow(view, store.changes_since(0))
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -20,7 +20,7 @@
 from granitewell.controlplane.configuration.api import OperatorApi
 from granitewell.controlplane.configuration.state import ConfigurationState, changed
 from granitewell.controlplane.configuration.store import Change, ChangeResult, ConfigurationStore, Operation
-from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
 from tests.controlplane.test_configuration_examples import (
     patch,
     patch_change,
@@ -176,7 +176,7 @@
     async def story(rig: Rig) -> None:
         async def lost(data: bytes) -> object:
             rig.store.apply(1, data)
-            raise ProposalLost
+            raise ProposalLostError
 
         rig.group.plan = lost
         document = patch(9, {"routes": [route("c")]})
@@ -230,7 +230,7 @@
 def test_a_change_from_before_what_is_remembered_is_left_without_a_clear_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(history_module, "MOST_TAKEN", 1)
+    monkeypatch.setattr(history_module, "MAX_TAKEN", 1)
 
     async def story(rig: Rig) -> None:
         assert (await rig.patch(5, patch(9))).status == 200
@@ -247,7 +247,7 @@
 
     async def story(rig: Rig) -> None:
         async def no_room(data: bytes) -> object:
-            raise ProposalLost
+            raise ProposalLostError
 
         rig.group.plan = no_room
         change = patch(9, {"routes": [route("c")]})
@@ -270,7 +270,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All else is left without a clear answer: it may have been taken, or be taken on the other side."""
-    monkeypatch.setattr(body_module, "MOST_BODY", 1_000)
+    monkeypatch.setattr(body_module, "MAX_BODY", 1_000)
 
     async def story(rig: Rig) -> None:
         rig.group.lease, rig.group.leader = False, None
@@ -307,7 +307,7 @@
     played(story)
 
 
-@pytest.mark.parametrize("error", [ProposalLost(), TimeoutError()])
+@pytest.mark.parametrize("error", [ProposalLostError(), TimeoutError()])
 def test_a_proposal_without_outcome_is_unclear_and_may_be_sent_again(error: Exception) -> None:
     async def story(rig: Rig) -> None:
         async def lost(data: bytes) -> object:
@@ -381,7 +381,7 @@
     async def story(rig: Rig) -> None:
         async def deposed(data: bytes) -> object:
             rig.group.lease, rig.group.leader = False, f"{OTHER}:7660"
-            raise NotLeader
+            raise NotLeaderError
 
         rig.group.plan = deposed
         answer = await rig.patch(5, patch(9))
@@ -408,7 +408,7 @@
     async def story(rig: Rig) -> None:
         async def deposed(data: bytes) -> object:
             rig.group.lease = False
-            raise NotLeader
+            raise NotLeaderError
 
         rig.group.plan = deposed
         assert (await rig.patch(5, patch(9))).status == 503
@@ -461,7 +461,7 @@
 
 
 def test_one_proposal_at_a_time_and_a_bound_on_those_that_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(api_module, "MOST_WAITING", 3)
+    monkeypatch.setattr(api_module, "MAX_WAITING", 3)
 
     async def story(rig: Rig) -> None:
         open_now, most_open = 0, 0
@@ -497,7 +497,7 @@
         async def slow(data: bytes) -> object:
             reached.set()
             await go_on.wait()
-            raise ProposalLost
+            raise ProposalLostError
 
         rig.group.plan = slow
         first = asyncio.create_task(rig.patch(5, patch(9)))
@@ -589,7 +589,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_above_the_bound_is_refused(monkeypatch: pytest.MonkeyPatch, chunked: bool) -> None:
-    monkeypatch.setattr(body_module, "MOST_BODY", 1_000)
+    monkeypatch.setattr(body_module, "MAX_BODY", 1_000)
 
     async def story(rig: Rig) -> None:
         async def chunks() -> Any:
@@ -668,7 +668,7 @@
 
 
 def test_bodies_together_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(body_module, "MOST_BODIES", 1_500)
+    monkeypatch.setattr(body_module, "MAX_BODIES", 1_500)
 
     async def story(rig: Rig) -> None:
         half = HEAD + b"Content-Length: 2000\r\n\r\n" + b" " * 1_000
--- a/tests/controlplane/test_owner_defects.py
+++ b/tests/controlplane/test_owner_defects.py
@@ -22,7 +22,7 @@
 from tests.controlplane.owner_wire import SimulatedClient, Wire
 from tests.controlplane.owner_world import OwnerProcess, OwnerWorld
 from tests.controlplane.test_owner_search import (
-    MOST_STALL_S,
+    MAX_STALL_S,
     PACE_S,
     QUIET,
     TROUBLES,
@@ -31,10 +31,10 @@
     play,
 )
 from tests.coordination.faults import good_disk
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 from tests.coordination.world import Process
 
-MOST_SEEDS = 60
+MAX_SEEDS = 60
 
 
 def no_wait(patch: pytest.MonkeyPatch) -> None:
@@ -162,7 +162,7 @@
 
 def busy_owner(world: OwnerWorld) -> None:
     """The owner is busy with itself until another leads, then goes on."""
-    stall_leader(world, MOST_STALL_S)
+    stall_leader(world, MAX_STALL_S)
 
 
 def owner_restarted(world: OwnerWorld) -> None:
@@ -268,11 +268,11 @@
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda defect: defect.plant.__name__)
 def test_the_days_notice(defect: Defect, monkeypatch: pytest.MonkeyPatch) -> None:
     defect.plant(monkeypatch)
-    for seed in (defect.seed, *range(MOST_SEEDS)):
+    for seed in (defect.seed, *range(MAX_SEEDS)):
         try:
             play(seed, defect.fencing, defect.troubles, defect.pace_s)
-        except Violation as violation:
+        except ViolationError as violation:
             print(seed, violation)
             assert re.search(defect.shows, str(violation))
             return
-    pytest.fail(f"{MOST_SEEDS} days without a violation")
+    pytest.fail(f"{MAX_SEEDS} days without a violation")
--- a/tests/controlplane/test_owner_search.py
+++ b/tests/controlplane/test_owner_search.py
@@ -16,7 +16,7 @@
 from granitewell.coordination.consensus.types import Role
 from tests.controlplane.owner_world import OwnerWorld
 from tests.coordination.faults import good_disk
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 from tests.coordination.world import Link, Machine, Process
 
 SEEDS = 1
@@ -26,7 +26,7 @@
 CALM_S = 7.0
 PACE_S = 0.9  # between troubles
 RARE_S = 4.0  # where machines are to be in touch in between
-MOST_STALL_S = 1.0  # a process that stands still of itself, with no fault: shorter than SILENT_S
+MAX_STALL_S = 1.0  # a process that stands still of itself, with no fault: shorter than SILENT_S
 
 Trouble = Callable[[OwnerWorld], None]
 
@@ -206,7 +206,7 @@
         return
     process = machine.process
     process.frozen = True
-    world.after(world.rng.uniform(0.1, MOST_STALL_S), lambda: process.thaw() if process.alive else None)
+    world.after(world.rng.uniform(0.1, MAX_STALL_S), lambda: process.thaw() if process.alive else None)
 
 
 def _transfer(process: Process) -> None:
@@ -228,9 +228,9 @@
     world = OwnerWorld(seed, fencing)
     try:
         _play(world, troubles, pace_s)
-    except Violation as error:
+    except ViolationError as error:
         name = "fencing" if fencing else "no fencing"
-        raise Violation(f"seed {seed}, {name}, at {world.now:.3f} s: {error}") from error
+        raise ViolationError(f"seed {seed}, {name}, at {world.now:.3f} s: {error}") from error
     finally:
         world.abandon()
     return world
@@ -246,7 +246,7 @@
     world.run_until(world.now + CALM_S)
     owners = [process for process in world.owner_processes() if process.ownership.may_order()]
     if len(owners) != 1:
-        raise Violation(f"{len(owners)} owners may order at the end")
+        raise ViolationError(f"{len(owners)} owners may order at the end")
 
 
 def _heal(world: OwnerWorld) -> None:
@@ -280,7 +280,7 @@
         for fenced in (True, False):
             try:
                 judge = play(number, fenced, *DAYS[number % len(DAYS)]).judge
-            except Violation as violation:
+            except ViolationError as violation:
                 print(violation)
                 broken += 1
                 continue
--- a/tests/controlplane/test_ownership.py
+++ b/tests/controlplane/test_ownership.py
@@ -15,9 +15,9 @@
     TurnRules,
 )
 from granitewell.controlplane.ownership.processes import ANNOUNCED_EVERY_S, PROCESS_SILENT_S, KnownProcesses
-from granitewell.controlplane.ownership.record import BadClaim, OwnerClaimed, OwnerRecord
+from granitewell.controlplane.ownership.record import MalformedClaimError, OwnerClaimed, OwnerRecord
 from granitewell.controlplane.placement.orders import ORDER_TIMEOUT_S
-from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
 
 OTHER_ADDRESS = "10.0.0.2:7660"
 OWN_ADDRESS = "10.0.0.1:7660"
@@ -38,7 +38,7 @@
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
         if not self.lease:
-            raise NotLeader()
+            raise NotLeaderError()
         return self.record.apply(1, data)
 
 
@@ -223,11 +223,11 @@
 
     async def lost(data: bytes, timeout_s: float = 3.0) -> object:
         await real(data)
-        raise ProposalLost("stepped down")
+        raise ProposalLostError("stepped down")
 
     group.term = 5
     group.propose = lost  # type: ignore[method-assign]
-    with pytest.raises(ProposalLost):
+    with pytest.raises(ProposalLostError):
         asyncio.run(ownership.claim())
     group.term = 6
     group.propose = real  # type: ignore[method-assign]
@@ -266,6 +266,6 @@
     record.apply(1, OwnerClaimed("core-3", 9).encode())
     other.restore(record.snapshot())
     assert other.owner == OwnerClaimed("core-3", 9)
-    with pytest.raises(BadClaim):
+    with pytest.raises(MalformedClaimError):
         other.apply(2, b"{}")
     assert other.owner == OwnerClaimed("core-3", 9)
--- a/tests/controlplane/test_placement_faults.py
+++ b/tests/controlplane/test_placement_faults.py
@@ -385,5 +385,5 @@
 def test_the_loop_never_spins() -> None:
     fleet = troubled(11, 0.2, 0.1, 0.1, 4)
     counters = fleet.reconciler.counters
-    assert counters.plans < 12.0 / reconciler.LEAST_BETWEEN_PLANS_S
+    assert counters.plans < 12.0 / reconciler.MIN_BETWEEN_PLANS_S
     assert counters.polls < 12.0 * 9 * 6
--- a/tests/controlplane/test_placement_parts.py
+++ b/tests/controlplane/test_placement_parts.py
@@ -31,7 +31,7 @@
     ServerRecord,
 )
 from granitewell.controlplane.placement.orders import (
-    BadReport,
+    MalformedReportError,
     Operation,
     Order,
     OrderResult,
@@ -246,7 +246,7 @@
 
 @pytest.mark.parametrize("cut", range(len(REPORT)))
 def test_a_report_cut_anywhere_is_refused(cut: int) -> None:
-    with pytest.raises(BadReport):
+    with pytest.raises(MalformedReportError):
         parse_report(REPORT[:cut])
 
 
@@ -258,13 +258,13 @@
      b'{"models":[{"name":"m","adapters":7}],"busy":false,"sequence":1}', b"\xff\xfe"],
 )  # fmt: skip
 def test_a_report_of_another_shape_is_refused(body: bytes) -> None:
-    with pytest.raises(BadReport):
+    with pytest.raises(MalformedReportError):
         parse_report(body)
 
 
 @given(st.binary(max_size=80))
 def test_any_bytes_are_a_report_or_refused(body: bytes) -> None:
-    with contextlib.suppress(BadReport):
+    with contextlib.suppress(MalformedReportError):
         parse_report(body)
 
 
--- a/tests/controlplane/test_publication.py
+++ b/tests/controlplane/test_publication.py
@@ -12,8 +12,8 @@
 from granitewell.controlplane.publication import table as table_module
 from granitewell.controlplane.publication.publisher import (
     EdgeCounter,
-    OutOfTouch,
     Publisher,
+    StaleReplicaError,
     members_digest,
     update_from_message,
 )
@@ -79,7 +79,7 @@
 def test_removals_are_bounded_and_a_watcher_from_before_gets_the_whole(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(table_module, "MOST_REMOVED", 2)
+    monkeypatch.setattr(table_module, "MAX_REMOVED", 2)
     for seed in range(100):
         play(seed)
 
@@ -224,7 +224,7 @@
 
 def test_out_of_touch_an_edge_is_sent_elsewhere() -> None:
     made, *_ = publisher(contact=5.0)
-    with pytest.raises(OutOfTouch):
+    with pytest.raises(StaleReplicaError):
         asyncio.run(made.watch(request()))
 
 
--- a/tests/coordination/cluster.py
+++ b/tests/coordination/cluster.py
@@ -94,7 +94,7 @@
         self.first = False
 
 
-MOST_QUEUED_BYTES = 8 << 20
+MAX_QUEUED_BYTES = 8 << 20
 """Of one link, beyond which messages are dropped, as rpc/transport.py does."""
 FRAME_BYTES = 120
 """What a message costs on the wire beside its payload, about."""
@@ -110,7 +110,7 @@
     def delay(self, now: float, size: int) -> float | None:
         """How long a message takes; None where it is dropped."""
         queued_s = max(0.0, self._free_at - now)
-        if queued_s * self.bytes_s > MOST_QUEUED_BYTES:
+        if queued_s * self.bytes_s > MAX_QUEUED_BYTES:
             return None
         self._free_at = now + queued_s + (size + FRAME_BYTES) / self.bytes_s
         return self._free_at - now
