--- a/tests/coordination/faults.py
+++ b/tests/coordination/faults.py
@@ -1,4 +1,5 @@
-"""Days of a simulated group: what goes wrong, drawn from the seed, then a calm end in which all must be well."""
+"""Days of a simulated group: what goes wrong, drawn from the seed, then a calm end in which all must be
+well."""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 from granitewell.coordination.consensus.quorum import quorum_of
 from granitewell.coordination.consensus.settings import ReplicaSettings
 from granitewell.coordination.consensus.types import Role
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 from tests.coordination.world import SETTINGS, Link, Machine, Process, World, replica_id
 
 TROUBLE_S = 9.0
@@ -292,8 +293,8 @@
     try:
         _trouble(day, troubles, pace_s)
         _calm(day, progress)
-    except Violation as error:
-        raise Violation(f"seed {seed} at {world.now:.3f} s: {error}") from error
+    except ViolationError as error:
+        raise ViolationError(f"seed {seed} at {world.now:.3f} s: {error}") from error
     return world
 
 
@@ -322,7 +323,7 @@
             return
     world.run_until(world.now + 0.5)
     if progress and not world.beyond_tolerance and not _is_well(day, committed):
-        raise Violation(f"no progress: {describe(world)}")
+        raise ViolationError(f"no progress: {describe(world)}")
 
 
 def _is_well(day: Day, committed: int) -> bool:
--- a/tests/coordination/hundreds_of_changes.py
+++ b/tests/coordination/hundreds_of_changes.py
@@ -17,7 +17,7 @@
 
 from granitewell.coordination.consensus.settings import KIBIBYTE, ReplicaSettings
 from granitewell.coordination.disk_thread import Executor
-from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
 from tests.coordination.cluster import LOG, Cluster, Node, SlowLink, Words, group_of
 from tests.coordination.virtual_loop import run
 
@@ -31,7 +31,7 @@
 SLOWEST_BYTES_S = 20_000.0
 
 
-class Violation(AssertionError):
+class ViolationError(AssertionError):
     """What must hold does not; the text names the seed."""
 
 
@@ -81,7 +81,7 @@
         data = b"%d" % self._number
         try:
             await group_of(node).propose(data, timeout_s=0.7)
-        except (NotLeader, ProposalLost):
+        except (NotLeaderError, ProposalLostError):
             return
         self.confirmed.append(data)
 
@@ -97,14 +97,14 @@
         """Leases, and what their holders know."""
         holders = [node for node in self.running() if group_of(node).holds_lease()]
         if len(holders) > 1:
-            raise Violation(f"seed {self.seed}: {len(holders)} leases")
+            raise ViolationError(f"seed {self.seed}: {len(holders)} leases")
         for holder in holders:
             words = holder.machine.words
             missing = set(self.confirmed) - set(words)
             if missing:
-                raise Violation(f"seed {self.seed}: a lease without {sorted(missing)[:5]}")
+                raise ViolationError(f"seed {self.seed}: a lease without {sorted(missing)[:5]}")
             if len(set(words)) != len(words):
-                raise Violation(f"seed {self.seed}: a change was applied twice")
+                raise ViolationError(f"seed {self.seed}: a change was applied twice")
 
     def running(self) -> list[Node]:
         """Nodes whose process takes part."""
@@ -318,7 +318,7 @@
         if day.is_level():
             break
         if loop.time() > began_at + LEVEL_S:
-            raise Violation(f"seed {day.seed}: not level after {LEVEL_S} s\n{describe(day)}")
+            raise ViolationError(f"seed {day.seed}: not level after {LEVEL_S} s\n{describe(day)}")
     day.level_s = max(day.level_s, loop.time() - began_at)
 
 
@@ -327,7 +327,7 @@
         content = node.files.read(LOG) or b""
         state = len(node.machine.snapshot())
         if len(content) > 4 * SETTINGS.compact_bytes + 8 * state:
-            raise Violation(f"seed {day.seed}: a log of {len(content)} bytes for a state of {state}")
+            raise ViolationError(f"seed {day.seed}: a log of {len(content)} bytes for a state of {state}")
 
 
 def describe(day: Day) -> str:
--- a/tests/coordination/invariants.py
+++ b/tests/coordination/invariants.py
@@ -14,7 +14,7 @@
 """Entries before a change that are looked at once it has ended."""
 
 
-class Violation(AssertionError):
+class ViolationError(AssertionError):
     """An invariant does not hold."""
 
 
@@ -51,7 +51,7 @@
             ids = {member.replica_id for member in group}
             held = {id for id in ids if id in holders or self.snapshots.get(id, 0) >= entry.index}
             if ids and 2 * len(held) <= len(ids):
-                raise Violation(f"committed {entry.index} on {len(held)} of {len(ids)} disks")
+                raise ViolationError(f"committed {entry.index} on {len(held)} of {len(ids)} disks")
 
     def _changed(self, entry: Entry, membership: Membership) -> None:
         """A change ends for the new voters only once each that came in has the entry that began it.
@@ -68,7 +68,7 @@
                 if member in self.membership.outgoing_voters or id in holders:
                     continue
                 if self.snapshots.get(id, 0) < began.index:
-                    raise Violation(f"the change of entry {began.index} ends without {id}")
+                    raise ViolationError(f"the change of entry {began.index} ends without {id}")
             for index in range(max(FIRST_INDEX + 1, began.index - LOOKED_BACK), entry.index):
                 self._stands(self.committed[index], membership)
 
@@ -76,7 +76,7 @@
         """Log matching: an index and a term name one entry, with one before it."""
         known = self.entries.setdefault((entry.index, entry.term), (entry, previous_term))
         if known != (entry, previous_term):
-            raise Violation(f"two entries {entry.index} in term {entry.term}")
+            raise ViolationError(f"two entries {entry.index} in term {entry.term}")
 
     def commit(self, entry: Entry, term: int, membership: Membership, in_force: Membership) -> None:
         """What is committed stays, is the same everywhere, and is on enough disks.
@@ -88,10 +88,10 @@
         known = self.committed.get(entry.index)
         if known is not None:
             if known != entry:
-                raise Violation(f"committed {known}, then {entry}")
+                raise ViolationError(f"committed {known}, then {entry}")
             return
         if entry.index != self.last_committed + 1:
-            raise Violation(f"committed {entry.index} after {self.last_committed}")
+            raise ViolationError(f"committed {entry.index} after {self.last_committed}")
         self._stands(entry, in_force)
         self._changed(entry, membership)
         self.committed[entry.index] = entry
@@ -103,7 +103,7 @@
         """One leader a term, and it has all that was committed in terms before."""
         leader = self.leaders.setdefault(replica.term, replica.replica_id)
         if leader != replica.replica_id:
-            raise Violation(f"two leaders in term {replica.term}")
+            raise ViolationError(f"two leaders in term {replica.term}")
         log = replica._core.log
         last = self.last_committed
         while self.committed_in.get(last, 0) >= replica.term:
@@ -111,16 +111,16 @@
         if last > log.last_index or (
             last > log.snapshot.index and log.term_at(last) != self.committed[last].term
         ):
-            raise Violation(f"the leader of term {replica.term} lacks entry {last}")
+            raise ViolationError(f"the leader of term {replica.term} lacks entry {last}")
 
     def say(self, message: Message) -> None:
         """A replica whose disk is gone says nothing, and votes are given once a term."""
         if message.sender in self.dead_ids:
-            raise Violation(f"{message.sender} speaks after its disk was lost")
+            raise ViolationError(f"{message.sender} speaks after its disk was lost")
         if isinstance(message, VoteReply) and message.granted:
             vote = self.votes.setdefault((message.sender, message.term), message.receiver)
             if vote != message.receiver:
-                raise Violation(f"{message.sender} votes twice in term {message.term}")
+                raise ViolationError(f"{message.sender} votes twice in term {message.term}")
 
     def leases(self, applied: Sequence[int]) -> None:
         """One holder of a lease, and it has all that was acknowledged.
@@ -129,6 +129,6 @@
             applied: Of each holder.
         """
         if len(applied) > 1:
-            raise Violation(f"{len(applied)} hold leases")
+            raise ViolationError(f"{len(applied)} hold leases")
         if applied and applied[0] < self.last_acknowledged:
-            raise Violation(f"a lease at {applied[0]}, acknowledged {self.last_acknowledged}")
+            raise ViolationError(f"a lease at {applied[0]}, acknowledged {self.last_acknowledged}")
--- a/tests/coordination/replacement.py
+++ b/tests/coordination/replacement.py
@@ -18,7 +18,7 @@
 
 from granitewell.coordination.consensus.types import Role
 from tests.coordination.faults import Day, describe
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 from tests.coordination.world import Link, Machine, Process, World
 
 SETTLED_S = 4.0
@@ -156,7 +156,7 @@
         world.run_until(world.now + 0.5)
         holder = world.holder()
         if holder is None:
-            raise Violation("no leader on a quiet day")
+            raise ViolationError("no leader on a quiet day")
         followers = [machine for machine in world.machines if machine not in (holder.machine, spare)]
         replaced = holder.machine if self.plan.leads else followers[0]
         world.on_step = self._step
@@ -327,7 +327,7 @@
     world.at(world.now + REPLACEMENT_S / 2, replacement.heal)
     while not replacement.is_over():
         if world.now > end:
-            raise Violation(f"{plan}, seed {seed}: not over in time: {describe(world)}")
+            raise ViolationError(f"{plan}, seed {seed}: not over in time: {describe(world)}")
         world.run_until(world.now + 0.05)
     return replacement.steps
 
@@ -337,9 +337,9 @@
     replacement = Replacement(plan, seed)
     try:
         return _play(replacement, step)
-    except Violation as error:
+    except ViolationError as error:
         now = replacement.world.now
-        raise Violation(f"{plan}, step {step}, seed {seed}, at {now:.3f} s: {error}") from error
+        raise ViolationError(f"{plan}, step {step}, seed {seed}, at {now:.3f} s: {error}") from error
 
 
 def _play(replacement: Replacement, step: int) -> Outcome:
@@ -358,9 +358,9 @@
     if not replacement.allowed:
         return Outcome.NOT_ALLOWED
     if replacement.tolerated() and not replacement.commits_within(AVAILABLE_S):
-        raise Violation(f"not available: {describe(world)}")
+        raise ViolationError(f"not available: {describe(world)}")
     world.run_until(world.now + 0.5)
     replacement.heal()
     if not replacement.until_over(WELL_S):
-        raise Violation(f"not well: {describe(world)}")
+        raise ViolationError(f"not well: {describe(world)}")
     return Outcome.PLAYED
--- a/tests/coordination/test_catch_up.py
+++ b/tests/coordination/test_catch_up.py
@@ -17,13 +17,13 @@
 from granitewell.coordination.consensus.progress import SnapshotTransfer
 from granitewell.coordination.consensus.settings import MEBIBYTE, ReplicaSettings
 from granitewell.coordination.consensus.types import Membership
-from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
 from tests.coordination.cluster import Cluster, Node, SlowLink, Words, group_of, until
 from tests.coordination.virtual_loop import run
 
 MEGABITS_5 = 5e6 / 8
 SETTINGS = ReplicaSettings(compact_entries=200)
-MOST_CATCH_UP_S = 12.0
+MAX_CATCH_UP_S = 12.0
 """A snapshot of 4 MiB takes 6.7 s on a link of 5 Mbit/s; then come the entries since, and the vote."""
 
 
@@ -82,7 +82,7 @@
 
         self.cluster.send = counted  # type: ignore[method-assign]
 
-    async def catch_up_s(self, changes_s: float, most_s: float = MOST_CATCH_UP_S) -> float:
+    async def catch_up_s(self, changes_s: float, most_s: float = MAX_CATCH_UP_S) -> float:
         """How long it takes until it votes and has what the leader had a moment before."""
         loop = self.cluster.loop
         began_at = loop.time()
@@ -104,7 +104,7 @@
     async def _change_on(self, changes_s: float) -> None:
         while True:
             await asyncio.sleep(1 / changes_s)
-            with suppress(NotLeader, ProposalLost):
+            with suppress(NotLeaderError, ProposalLostError):
                 await self.change(1)
 
 
@@ -136,7 +136,7 @@
 def test_a_lost_disk_behind_a_slow_link_is_made_good_while_changes_go_on(changes_s: float) -> None:
     seconds, sent = catch_up(changes_s)
     print(f"{changes_s} changes/s: {seconds:.2f} s, {sent} bytes of snapshots")
-    assert seconds < MOST_CATCH_UP_S
+    assert seconds < MAX_CATCH_UP_S
     assert sent < 1.1 * len(Large.PADDING)
 
 
@@ -149,11 +149,11 @@
         day = Day(3, MEGABITS_5)
         await day.begin()
         day.disk_s = len(Large.PADDING) / 3.3e6
-        seconds = await day.catch_up_s(4.0, 2 * MOST_CATCH_UP_S)
+        seconds = await day.catch_up_s(4.0, 2 * MAX_CATCH_UP_S)
 
     run(play())
     print(f"{seconds:.2f} s")
-    assert seconds < 2 * MOST_CATCH_UP_S
+    assert seconds < 2 * MAX_CATCH_UP_S
 
 
 def test_a_transfer_that_ends_in_between_begins_again_and_ends() -> None:
@@ -180,7 +180,7 @@
 
     run(play())
     print(f"{seconds:.2f} s after the last death")
-    assert seconds < MOST_CATCH_UP_S
+    assert seconds < MAX_CATCH_UP_S
 
 
 # Guards taken out
--- a/tests/coordination/test_codec.py
+++ b/tests/coordination/test_codec.py
@@ -13,7 +13,7 @@
 
 from granitewell.coordination.consensus import codec, messages
 from granitewell.coordination.consensus.encoding import (
-    NewerMembershipFormat,
+    NewerMembershipFormatError,
     check_flat,
     pack_change,
     pack_end,
@@ -27,7 +27,7 @@
 )
 from granitewell.coordination.consensus.messages import Message
 from granitewell.coordination.consensus.storage import (
-    UnreadableRecords,
+    UnreadableRecordsError,
     decode_records,
     encode_records,
     replay,
@@ -44,7 +44,7 @@
     StoredState,
     VoterChange,
 )
-from granitewell.domain.errors import BadFrame
+from granitewell.domain.errors import MalformedFrameError
 
 IDS = st.text(min_size=1, max_size=20)
 NUMBERS = st.integers(0, 2**62)
@@ -130,25 +130,25 @@
 def test_a_frame_that_is_cut_anywhere_is_bad() -> None:
     frame = codec.encode(EXAMPLE)
     for length in range(len(frame)):
-        with pytest.raises(BadFrame):
+        with pytest.raises(MalformedFrameError):
             codec.decode(frame[:length])
 
 
 def test_a_frame_with_a_flipped_byte_is_bad() -> None:
     frame = codec.encode(EXAMPLE)
     for offset in range(2, len(frame)):
-        with pytest.raises(BadFrame):
+        with pytest.raises(MalformedFrameError):
             codec.decode(frame[:offset] + bytes([frame[offset] ^ 1]) + frame[offset + 1 :])
 
 
 def test_a_newer_version_is_refused_and_named() -> None:
     frame = codec.encode(EXAMPLE)
-    with pytest.raises(BadFrame, match="version 2, known: 1"):
+    with pytest.raises(MalformedFrameError, match="version 2, known: 1"):
         codec.decode(b"\x02" + frame[1:])
 
 
 def test_a_kind_that_is_not_known_is_refused() -> None:
-    with pytest.raises(BadFrame, match="kind 99"):
+    with pytest.raises(MalformedFrameError, match="kind 99"):
         codec.decode(sealed(99, b"\0"))
 
 
@@ -159,7 +159,7 @@
 
 
 def test_a_missing_field_is_refused() -> None:
-    with pytest.raises(BadFrame, match="field sender"):
+    with pytest.raises(MalformedFrameError, match="field sender"):
         codec.decode(sealed(5, b"\0"))
 
 
@@ -179,7 +179,7 @@
 def test_what_the_library_would_choke_on_is_refused_at_once(payload: bytes) -> None:
     started = time.process_time()
     for number in range(1, 16):
-        with pytest.raises(BadFrame):
+        with pytest.raises(MalformedFrameError):
             codec.decode(sealed(number, payload))
     assert time.process_time() - started < 0.2
 
@@ -187,7 +187,7 @@
 @given(st.integers(0, 15), st.binary(max_size=80))
 @settings(max_examples=300, deadline=None)
 def test_garbage_is_a_bad_frame_or_a_message(number: int, payload: bytes) -> None:
-    with suppress(BadFrame):
+    with suppress(MalformedFrameError):
         assert isinstance(codec.decode(sealed(number, payload)), Message)
 
 
@@ -198,13 +198,13 @@
         (Entry(4, 1, EntryKind.DATA),),
         (Entry(4, 4, EntryKind.DATA), Entry(5, 3, EntryKind.DATA)),
     ):
-        with pytest.raises(BadFrame, match="out of order"):
+        with pytest.raises(MalformedFrameError, match="out of order"):
             codec.decode(codec.encode(messages.Append("a", "b", 5, 3, 2, 3, entries)))
 
 
 def test_a_change_of_members_without_a_member_is_refused() -> None:
     entry = Entry(4, 5, EntryKind.ADD_VOTER, b"nobody")
-    with pytest.raises(BadFrame):
+    with pytest.raises(MalformedFrameError):
         codec.decode(codec.encode(messages.Append("a", "b", 5, 3, 2, 3, (entry,))))
 
 
@@ -216,15 +216,15 @@
 
 @pytest.mark.parametrize("entry", NEWER_ENTRIES, ids=lambda entry: entry.kind.name)
 def test_a_change_of_members_of_a_newer_version_is_refused_and_named(entry: Entry) -> None:
-    with pytest.raises(NewerMembershipFormat, match="version 2, known: 1"):
+    with pytest.raises(NewerMembershipFormatError, match="version 2, known: 1"):
         unpack_entries(pack_entries((entry,)))
-    with pytest.raises(UnreadableRecords, match="version 2, known: 1"):
+    with pytest.raises(UnreadableRecordsError, match="version 2, known: 1"):
         decode_records(encode_records([entry]))
 
 
 @pytest.mark.parametrize("data", [b"", b"\1", b"\1\2", b"\1\1\1"])
 def test_an_end_of_a_change_that_says_nothing_is_refused(data: bytes) -> None:
-    with pytest.raises(BadFrame):
+    with pytest.raises(MalformedFrameError):
         unpack_entries(pack_entries((Entry(4, 5, EntryKind.END_CHANGE, data),)))
 
 
@@ -232,7 +232,7 @@
     member = Member("me", "node", "1.2.3.4:5")
     parts = unpack_list(pack_membership(Membership((member,), ("gone",), (member,))))
     assert unpack_membership(pack_list(parts[:2])) == Membership((member,), ("gone",))
-    with pytest.raises(NewerMembershipFormat, match="4 parts"):
+    with pytest.raises(NewerMembershipFormatError, match="4 parts"):
         unpack_membership(pack_list([*parts, b""]))
 
 
@@ -243,14 +243,14 @@
     assert unpack_list(data) == parts
     ends = {len(pack_list(parts[:count])) for count in range(len(parts) + 1)}
     for length in set(range(len(data))) - ends:
-        with pytest.raises(BadFrame):
+        with pytest.raises(MalformedFrameError):
             unpack_list(data[:length])
 
 
 def test_entries_that_are_cut_are_bad() -> None:
     data = pack_entries((Entry(1, 1, EntryKind.DATA, b"abc"),))
     for length in range(1, len(data)):
-        with pytest.raises(BadFrame):
+        with pytest.raises(MalformedFrameError):
             unpack_entries(data[:length])
 
 
@@ -290,12 +290,12 @@
     "records", [[], [HardState(1, "")], [Identity("me"), Entry(5, 1, EntryKind.DATA)]], ids=str
 )
 def test_records_that_do_not_add_up_are_refused(records: list[Entry]) -> None:
-    with pytest.raises(UnreadableRecords):
+    with pytest.raises(UnreadableRecordsError):
         replay(records)
 
 
 @given(st.binary(max_size=60))
 @settings(max_examples=300, deadline=None)
 def test_garbage_records_are_refused_or_read(payload: bytes) -> None:
-    with suppress(UnreadableRecords):
+    with suppress(UnreadableRecordsError):
         replay(decode_records(payload))
--- a/tests/coordination/test_crash_points.py
+++ b/tests/coordination/test_crash_points.py
@@ -17,10 +17,10 @@
 
 from granitewell.coordination import log_file, log_format
 from granitewell.coordination.log_file import LogFile
-from granitewell.coordination.log_format import Contents, CorruptLog
+from granitewell.coordination.log_format import Contents, CorruptLogError
 from tests.coordination.simulated_files import Killed, SimulatedFiles
 
-MOST_CALLS = 60
+MAX_CALLS = 60
 
 
 def open_log(files: SimulatedFiles) -> LogFile:
@@ -28,7 +28,7 @@
     return LogFile(files, "/disk", "group", lambda: 7)
 
 
-class Lost(AssertionError):
+class LostEntryError(AssertionError):
     """What a recovered log holds is not what it must."""
 
 
@@ -81,8 +81,8 @@
     """What a process finds; None where there is no log. Raises Lost."""
     try:
         batches = log.load()
-    except CorruptLog as error:
-        raise Lost(str(error)) from error
+    except CorruptLogError as error:
+        raise LostEntryError(str(error)) from error
     return None if batches is None else b"".join(batches)
 
 
@@ -90,10 +90,10 @@
     """How many letters are there; raises Lost."""
     if found is None:
         if synced:
-            raise Lost(f"{synced} were synced, and there is no log")
+            raise LostEntryError(f"{synced} were synced, and there is no log")
         return 0
     if not synced <= len(found) <= tried or found != LETTERS[: len(found)]:
-        raise Lost(f"{found!r} with {synced} synced of {tried}")
+        raise LostEntryError(f"{found!r} with {synced} synced of {tried}")
     return len(found)
 
 
@@ -130,7 +130,7 @@
 
         How many calls it makes.
         """
-        for death in range(refuse_at + 1, MOST_CALLS):
+        for death in range(refuse_at + 1, MAX_CALLS):
             files = SimulatedFiles(Random(0))
             files.refuse_at, files.renames_anyway = refuse_at, renames_anyway
             files.kill_at = death
@@ -151,7 +151,7 @@
         if key in self._seen:
             return
         self._seen.add(key)
-        for death in range(1, MOST_CALLS):
+        for death in range(1, MAX_CALLS):
             self.recoveries += 1
             files = disk.copy()
             files.kill_at = death
@@ -279,5 +279,5 @@
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    with pytest.raises(Lost):
+    with pytest.raises(LostEntryError):
         Search().run()
--- a/tests/coordination/test_durable_log.py
+++ b/tests/coordination/test_durable_log.py
@@ -17,9 +17,9 @@
 from granitewell.coordination.log_file import LogFile
 from granitewell.coordination.log_format import (
     HEAD_BYTES,
-    CorruptLog,
-    ForeignLog,
-    UnknownLogVersion,
+    CorruptLogError,
+    ForeignLogError,
+    UnknownLogVersionError,
     fingerprint,
     frame,
     head,
@@ -61,7 +61,7 @@
 
 def test_a_file_without_a_whole_head_is_damaged() -> None:
     for length in range(len(head(SALT))):
-        with pytest.raises(CorruptLog):
+        with pytest.raises(CorruptLogError):
             parse("log", written()[:length], OWNER_MARK)
 
 
@@ -73,7 +73,7 @@
         if offset >= last:
             assert parse("log", flipped, OWNER_MARK).payloads == BATCHES[:-1]
         else:
-            with pytest.raises(CorruptLog):
+            with pytest.raises(CorruptLogError):
                 parse("log", flipped, OWNER_MARK)
 
 
@@ -92,7 +92,7 @@
     monkeypatch.setattr(log_format, "VERSION", 3)
     newer = written()
     monkeypatch.undo()
-    with pytest.raises(UnknownLogVersion, match="version 3, known: 1 to 2"):
+    with pytest.raises(UnknownLogVersionError, match="version 3, known: 1 to 2"):
         parse("log", newer, OWNER_MARK)
 
 
@@ -102,7 +102,7 @@
     other.load()
     other.rewrite(b"theirs")
     before = files.state()
-    with pytest.raises(ForeignLog):
+    with pytest.raises(ForeignLogError):
         log_file(files).load()
     assert files.state() == before
     assert LogFile(files, "/disk", "other", lambda: SALT).load() == (b"theirs",)
@@ -125,7 +125,7 @@
         if count == len(BATCHES) - 1:
             assert parse("log", overwritten, OWNER_MARK).payloads == BATCHES[:-1]
         else:
-            with pytest.raises(CorruptLog):
+            with pytest.raises(CorruptLogError):
                 parse("log", overwritten, OWNER_MARK)
 
 
@@ -137,7 +137,7 @@
     newer.rewrite(b"newer")
     monkeypatch.undo()
     before = files.state()
-    with pytest.raises(UnknownLogVersion):
+    with pytest.raises(UnknownLogVersionError):
         log_file(files).load()
     assert files.state() == before
 
@@ -473,7 +473,7 @@
 
 def test_a_missing_sync_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SimulatedFiles, "sync", lambda self, handle: self._call())
-    with pytest.raises((AssertionError, CorruptLog)):
+    with pytest.raises((AssertionError, CorruptLogError)):
         test_what_was_synced_is_there_whenever_the_process_dies(True)
 
 
--- a/tests/coordination/test_full_disk.py
+++ b/tests/coordination/test_full_disk.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from granitewell.coordination.consensus.pending_messages import MOST_HELD
+from granitewell.coordination.consensus.pending_messages import MAX_HELD
 from granitewell.coordination.consensus.progress import Progress
 from granitewell.coordination.consensus.settings import KIBIBYTE, ReplicaSettings
 from granitewell.coordination.consensus.types import Role
 from granitewell.coordination.durable_log import DurableLog
-from granitewell.domain.errors import NotLeader, ProposalLost
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
 from tests.coordination.cluster import Cluster, Node, group_of, until
 from tests.coordination.virtual_loop import run
 
@@ -59,7 +59,7 @@
             if node.group is not None and node.group.is_leader:
                 try:
                     await node.group.propose(data, timeout_s)
-                except (NotLeader, ProposalLost):
+                except (NotLeaderError, ProposalLostError):
                     continue
                 self.confirmed.append(data)
                 return True
@@ -202,7 +202,7 @@
             log = group_of(follower)._log
             assert log is not None
             most = max(most, log.waiting_bytes)
-            assert held(follower) <= MOST_HELD * 20
+            assert held(follower) <= MAX_HELD * 20
         day.free()
         await until(lambda: is_settled(follower), HEAL_S)
 
--- a/tests/coordination/test_group.py
+++ b/tests/coordination/test_group.py
@@ -11,13 +11,13 @@
 
 from granitewell.coordination.consensus.group import ReplicatedGroup
 from granitewell.coordination.consensus.messages import AppendReply
-from granitewell.coordination.consensus.pending_messages import MOST_HELD, HeldMessages
+from granitewell.coordination.consensus.pending_messages import MAX_HELD, HeldMessages
 from granitewell.coordination.consensus.ready import Outgoing, Ready
 from granitewell.coordination.consensus.settings import ReplicaSettings
-from granitewell.coordination.consensus.storage import UnknownRecord
+from granitewell.coordination.consensus.storage import UnknownRecordError
 from granitewell.coordination.log_file import LogFile
-from granitewell.coordination.log_format import ForeignLog
-from granitewell.domain.errors import NotLeader, ProposalLost, UnknownFormat
+from granitewell.coordination.log_format import ForeignLogError
+from granitewell.domain.errors import NotLeaderError, ProposalLostError, UnknownFormatError
 from tests.coordination.cluster import ADDRESSES, LOG, Cluster, Node, Words, group_of, until
 from tests.coordination.virtual_loop import run
 
@@ -49,7 +49,7 @@
         cluster = Cluster(2)
         leader = await cluster.start()
         other = cluster.others(leader)[0]
-        with pytest.raises(NotLeader) as refused:
+        with pytest.raises(NotLeaderError) as refused:
             await group_of(other).propose(b"one")
         assert refused.value.leader_address == leader.address
 
@@ -73,7 +73,7 @@
         leader = await cluster.start()
         for other in cluster.others(leader):
             await other.die(power=False)
-        with pytest.raises(ProposalLost):
+        with pytest.raises(ProposalLostError):
             await group_of(leader).propose(b"one", timeout_s=0.5)
 
     run(day())
@@ -92,7 +92,7 @@
         cluster._deliver = deliver  # type: ignore[method-assign]
         new = await cluster.leader()
         await group_of(new).propose(b"kept")
-        with pytest.raises(ProposalLost):
+        with pytest.raises(ProposalLostError):
             await lost
         assert leader.machine.words == [b"kept"]
 
@@ -314,7 +314,7 @@
         group = group_of(node)
         assert not group.holds_lease() and not group.is_leader and group.leader_address is None
         assert group.term == 0 and group.members == () and group.contact_age_s() == float("inf")
-        with pytest.raises(NotLeader):
+        with pytest.raises(NotLeaderError):
             await group.propose(b"one")
         await starting
 
@@ -355,7 +355,7 @@
         await until(lambda: group.halted_by is not None, 5)
         assert str(group.halted_by) == "format 2 is not known"
         assert not group.holds_lease() and not group.is_leader and group.term == 0
-        with pytest.raises(NotLeader):
+        with pytest.raises(NotLeaderError):
             await group.propose(b"one")
         assert older.machine.words == [b"before"]
         await asyncio.sleep(1)
@@ -375,7 +375,7 @@
 
     def apply(self, index: int, data: bytes) -> object:
         if data == b"newer":
-            raise UnknownFormat("a newer word")
+            raise UnknownFormatError("a newer word")
         return super().apply(index, data)
 
 
@@ -393,11 +393,11 @@
         for word in (b"newer", b"after"):
             await group_of(leader).propose(word)
         await until(lambda: group.halted_by is not None, 5)
-        assert isinstance(group.halted_by, UnknownFormat)
+        assert isinstance(group.halted_by, UnknownFormatError)
         await asyncio.sleep(1)
         assert older.machine.words == [b"before"]
         assert not group.holds_lease() and not group.is_leader
-        with pytest.raises(NotLeader):
+        with pytest.raises(NotLeaderError):
             await group.propose(b"one")
         await group_of(leader).propose(b"the others go on")
         await older.die(power=True)
@@ -419,12 +419,12 @@
         assert log.load() is not None
         log.append(b"\x63\x00\x00\x00\x00")
         content = other.files.read(LOG)
-        with pytest.raises(UnknownRecord, match="kind 99"):
+        with pytest.raises(UnknownRecordError, match="kind 99"):
             await other.start()
         assert other.files.read(LOG) == content
         LogFile(other.files, "/data/group", "shard-0", lambda: 5).rewrite(b"")
         content = other.files.read(LOG)
-        with pytest.raises(ForeignLog):
+        with pytest.raises(ForeignLogError):
             await other.start()
         assert other.files.read(LOG) == content
 
@@ -433,10 +433,10 @@
 
 def test_replies_that_wait_for_a_full_disk_stay_bounded() -> None:
     held = HeldMessages()
-    for number in range(10 * MOST_HELD):
+    for number in range(10 * MAX_HELD):
         held.hold(1, number, (Outgoing("peer", AppendReply("me", "peer", 2, True, number)),))
-    held.hold(2, 10 * MOST_HELD, ())
+    held.hold(2, 10 * MAX_HELD, ())
     released = held.release(1)
     indexes = [outgoing.message.index for outgoing in released.messages]  # type: ignore[attr-defined]
-    assert indexes == list(range(9 * MOST_HELD, 10 * MOST_HELD)) and released.batch == 10 * MOST_HELD - 1
-    assert held.release(2).batch == 10 * MOST_HELD
+    assert indexes == list(range(9 * MAX_HELD, 10 * MAX_HELD)) and released.batch == 10 * MAX_HELD - 1
+    assert held.release(2).batch == 10 * MAX_HELD
--- a/tests/coordination/test_hundreds_of_changes.py
+++ b/tests/coordination/test_hundreds_of_changes.py
@@ -20,13 +20,13 @@
 from granitewell.coordination.durable_log import DurableLog
 from granitewell.coordination.log_file import LogFile
 from tests.coordination.cluster import Cluster, group_of, until
-from tests.coordination.hundreds_of_changes import Day, Trouble, Violation, play
+from tests.coordination.hundreds_of_changes import Day, Trouble, ViolationError, play
 from tests.coordination.virtual_loop import run
 
 DAYS = 16
 DAYS_A_TEST = 4
 LONG_DAY = 600
-MOST_SEEDS = 150
+MAX_SEEDS = 150
 
 
 @pytest.mark.parametrize("first", range(0, DAYS, DAYS_A_TEST))
@@ -143,13 +143,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     plant(monkeypatch)
-    for seed in range(first, first + MOST_SEEDS):
+    for seed in range(first, first + MAX_SEEDS):
         try:
             play(seed, troubles=troubles)
-        except (Violation, AssertionError) as violation:
+        except (ViolationError, AssertionError) as violation:
             print(f"seed {seed}: {violation}")
             return
-    pytest.fail(f"{MOST_SEEDS} days without a violation")
+    pytest.fail(f"{MAX_SEEDS} days without a violation")
 
 
 def main(numbers: Sequence[int]) -> None:
--- a/tests/coordination/test_joint_consensus.py
+++ b/tests/coordination/test_joint_consensus.py
@@ -19,7 +19,7 @@
     election_counts_new_voters_only,
     lease_counts_new_voters_only,
 )
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 from tests.coordination.test_scenarios import Group, leave, process_of, voters
 from tests.coordination.world import Machine
 
@@ -142,13 +142,13 @@
 
 def test_a_lease_that_counts_the_new_voters_only_is_held_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     lease_counts_new_voters_only(monkeypatch)
-    with pytest.raises(Violation, match="hold leases"):
+    with pytest.raises(ViolationError, match="hold leases"):
         split_as_a_change_begins(Group(0))
 
 
 def test_a_swap_without_joint_majorities_splits_the_group(monkeypatch: pytest.MonkeyPatch) -> None:
     change_without_joint_majorities(monkeypatch)
-    with pytest.raises(Violation, match="hold leases|two leaders|committed|lacks entry"):
+    with pytest.raises(ViolationError, match="hold leases|two leaders|committed|lacks entry"):
         split_as_a_change_begins(Group(0))
 
 
@@ -186,7 +186,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     election_counts_new_voters_only(monkeypatch)
-    with pytest.raises(Violation, match="two leaders|lacks entry"):
+    with pytest.raises(ViolationError, match="two leaders|lacks entry"):
         split_as_the_leader_forgets(Group(0))
 
 
@@ -221,7 +221,7 @@
 
 def test_a_change_that_ends_before_the_newcomer_has_it_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     change_ends_before_arrival(monkeypatch)
-    with pytest.raises(Violation, match="ends without"):
+    with pytest.raises(ViolationError, match="ends without"):
         newcomer_is_lost(Group(0))
 
 
--- a/tests/coordination/test_planted_defects.py
+++ b/tests/coordination/test_planted_defects.py
@@ -13,9 +13,9 @@
 
 from tests.coordination import defects
 from tests.coordination.faults import Day, Trouble, play
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 
-MOST_SEEDS = 400
+MAX_SEEDS = 400
 
 
 @dataclass(frozen=True)
@@ -54,11 +54,11 @@
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda defect: defect.plant.__name__)
 def test_the_simulation_notices(defect: Defect, monkeypatch: pytest.MonkeyPatch) -> None:
     defect.plant(monkeypatch)
-    for seed in range(MOST_SEEDS):
+    for seed in range(MAX_SEEDS):
         try:
             play(seed, defect.troubles, pace_s=0.7)
-        except Violation as violation:
+        except ViolationError as violation:
             print(violation)
             assert re.search(defect.shows, str(violation))
             return
-    pytest.fail(f"{MOST_SEEDS} days without a violation")
+    pytest.fail(f"{MAX_SEEDS} days without a violation")
--- a/tests/coordination/test_read_staleness.py
+++ b/tests/coordination/test_read_staleness.py
@@ -19,12 +19,12 @@
 from granitewell.coordination.consensus.types import Entry, Membership, Role
 from tests.coordination import faults, test_scenarios
 from tests.coordination.faults import Day, Trouble, play
-from tests.coordination.invariants import Invariants, Violation
+from tests.coordination.invariants import Invariants, ViolationError
 from tests.coordination.test_scenarios import Group, process_of
 from tests.coordination.world import Link, Process, World
 
 SEEDS = int(os.environ.get("GRANITEWELL_SEEDS", "24"))
-MOST_SEEDS = 200
+MAX_SEEDS = 200
 CLOCK_SLACK_S = 1e-6
 
 
@@ -70,7 +70,7 @@
             return
         least = self.timed.committed_before(self.now - age_s - CLOCK_SLACK_S)
         if process.applied_index < least:
-            raise Violation(
+            raise ViolationError(
                 f"{process.machine.name} with a contact age of {age_s:.3f} s is at {process.applied_index}, "
                 f"{least} was committed"
             )
@@ -226,6 +226,6 @@
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    with pytest.raises(Violation, match="with a contact age of"):
-        for seed in range(MOST_SEEDS):
+    with pytest.raises(ViolationError, match="with a contact age of"):
+        for seed in range(MAX_SEEDS):
             play(seed, HARD, pace_s=0.6)
--- a/tests/coordination/test_removed_ids.py
+++ b/tests/coordination/test_removed_ids.py
@@ -16,7 +16,7 @@
 def test_a_replica_that_was_removed_long_ago_comes_back_as_a_learner_and_disturbs_nobody(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(membership, "MOST_REMOVED", KEPT)
+    monkeypatch.setattr(membership, "MAX_REMOVED", KEPT)
 
     async def day() -> None:
         cluster = Cluster(1)
--- a/tests/coordination/test_replacement_search.py
+++ b/tests/coordination/test_replacement_search.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.coordination import defects
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 from tests.coordination.replacement import (
     DiskTrouble,
     Kind,
@@ -29,7 +29,7 @@
 )
 
 DRAWN_IN_CI = 40
-MOST_STEP_DRAWN = 60
+MAX_STEP_DRAWN = 60
 
 PLANNED = Plan(3, Kind.LEAVING, False, Victim.LEADER, Loss.GONE, DiskTrouble.NONE, Victim.LEADER)
 """A planned replacement in a group of three, and the leader is lost for good."""
@@ -45,7 +45,7 @@
     rng = Random(seed)
     among = all_plans()
     for number in range(count):
-        yield rng.choice(among), rng.randint(1, MOST_STEP_DRAWN), number
+        yield rng.choice(among), rng.randint(1, MAX_STEP_DRAWN), number
 
 
 def all_cases(disks: bool) -> Iterator[tuple[Plan, int, int]]:
@@ -69,7 +69,7 @@
 
 def test_removing_before_adding_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     defects.change_removes_first(monkeypatch)
-    with pytest.raises(Violation, match="not available"):
+    with pytest.raises(ViolationError, match="not available"):
         for step in range(1, steps_of(PLANNED, 0) + 1):
             play(PLANNED, step, 0)
 
@@ -93,7 +93,7 @@
     plant: defects.Plant, plan: Plan, shows: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    with pytest.raises(Violation, match=shows):
+    with pytest.raises(ViolationError, match=shows):
         for step in range(1, 40):
             play(plan, step, 0)
 
@@ -114,7 +114,7 @@
             continue
         try:
             outcomes[play(*case).value] += 1
-        except Violation as violation:
+        except ViolationError as violation:
             outcomes["violation"] += 1
             print(violation, flush=True)
     print(f"{dict(outcomes)} in {time.monotonic() - started:.0f} s")
--- a/tests/coordination/test_scenarios.py
+++ b/tests/coordination/test_scenarios.py
@@ -19,7 +19,7 @@
     removed_is_not_told,
 )
 from tests.coordination.faults import describe
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 from tests.coordination.world import Link, Machine, Process, World
 
 
@@ -277,7 +277,7 @@
 
 def test_overlapping_changes_lose_what_is_committed(monkeypatch: pytest.MonkeyPatch) -> None:
     changes_overlap(monkeypatch)
-    with pytest.raises(Violation):
+    with pytest.raises(ViolationError):
         overlapping_changes(Group(5))
 
 
@@ -301,7 +301,7 @@
 def test_followers_that_vote_right_after_a_restart_break_the_lease(monkeypatch: pytest.MonkeyPatch) -> None:
     group = Group(0)
     forget_at_restart(monkeypatch)
-    with pytest.raises(Violation, match="hold leases"):
+    with pytest.raises(ViolationError, match="hold leases"):
         followers_restart_while_the_leader_is_cut_off(group)
 
 
@@ -323,7 +323,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     no_stickiness(monkeypatch)
-    with pytest.raises(Violation, match="hold leases"):
+    with pytest.raises(ViolationError, match="hold leases"):
         cut_off_from_one_follower(Group(0))
 
 
@@ -345,7 +345,7 @@
 
 def test_late_replies_that_renew_the_lease_break_it(monkeypatch: pytest.MonkeyPatch) -> None:
     late_round_renews(monkeypatch)
-    with pytest.raises(Violation, match="hold leases"):
+    with pytest.raises(ViolationError, match="hold leases"):
         old_replies_come_late(Group(2))
 
 
@@ -377,7 +377,7 @@
 
 def test_a_leader_that_hands_over_and_keeps_its_lease_breaks_it(monkeypatch: pytest.MonkeyPatch) -> None:
     hand_over_keeps_lease(monkeypatch)
-    with pytest.raises(Violation, match="hold leases"):
+    with pytest.raises(ViolationError, match="hold leases"):
         hand_over_into_silence(Group(6))
 
 
@@ -428,7 +428,8 @@
 
 
 def own_entry_unsynced(group: Group) -> None:
-    """The leader's disk hangs, one follower is cut off; the other holds an entry alone, and loses its disk."""
+    """The leader's disk hangs, one follower is cut off; the other holds an entry alone, and loses its
+    disk."""
     cut_off, holds = group.others
     group.isolate(cut_off)
     group.leader.disk.delay_s = 10
@@ -453,7 +454,7 @@
 
 def test_an_unsynced_own_entry_that_counts_is_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     count_unsynced_own_entry(monkeypatch)
-    with pytest.raises(Violation, match="committed 3 on 1 of 3 disks"):
+    with pytest.raises(ViolationError, match="committed 3 on 1 of 3 disks"):
         own_entry_unsynced(Group(0))
 
 
--- a/tests/coordination/test_simulation.py
+++ b/tests/coordination/test_simulation.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.coordination.faults import TROUBLES, Day, play
-from tests.coordination.invariants import Violation
+from tests.coordination.invariants import ViolationError
 
 DAYS = 500
 DAYS_A_TEST = 50
@@ -60,7 +60,7 @@
         for voters, troubles, pace_s in ((3, TROUBLES, 1.0), (3, REPLACEMENTS, 0.7), (5, TROUBLES, 1.0)):
             try:
                 play(seed, troubles, pace_s=pace_s, voters=voters)
-            except Violation as violation:
+            except ViolationError as violation:
                 violations += 1
                 print(violation, flush=True)
     print(f"{violations} violations")
--- a/tests/coordination/world.py
+++ b/tests/coordination/world.py
@@ -32,10 +32,10 @@
     Role,
     StoredState,
 )
-from granitewell.domain.errors import NotLeader, ProposalLost
-from tests.coordination.invariants import Invariants, Violation
+from granitewell.domain.errors import NotLeaderError, ProposalLostError
+from tests.coordination.invariants import Invariants, ViolationError
 
-MOST_DRIFT = 0.001
+MAX_DRIFT = 0.001
 DISK_RETRY_S = 0.1
 WAKE_GRID_S = 0.05
 SETTINGS = ReplicaSettings(compact_entries=12)
@@ -153,7 +153,7 @@
         """A client's order."""
         try:
             position = self.replica.propose(data, self.now)
-        except (NotLeader, ProposalLost):
+        except (NotLeaderError, ProposalLostError):
             return
         self.waiting[position.index] = position.term
 
@@ -205,10 +205,10 @@
             self.applied_index = ready.restore.index
             self.chain = ready.restore.data or b"0"
             if world.invariants.chain.get(self.applied_index) != self.chain:
-                raise Violation(f"a snapshot at {self.applied_index} differs")
+                raise ViolationError(f"a snapshot at {self.applied_index} differs")
         for entry in ready.committed:
             if entry.index != self.applied_index + 1:
-                raise Violation(f"applied {entry.index} after {self.applied_index}")
+                raise ViolationError(f"applied {entry.index} after {self.applied_index}")
             log = self.replica._core.log
             membership = log.membership_at(entry.index)
             world.invariants.commit(entry, self.replica.term, membership, log.membership)
@@ -302,7 +302,7 @@
         self.disk = Disk()
         self.process: Process | None = None
         self.gone = False
-        self.rate = 1 + world.rng.uniform(-MOST_DRIFT, MOST_DRIFT)
+        self.rate = 1 + world.rng.uniform(-MAX_DRIFT, MAX_DRIFT)
         self.offset = world.rng.uniform(0, 1000)
 
     def clock(self, true_time: float) -> float:
--- a/tests/dataplane/node_world.py
+++ b/tests/dataplane/node_world.py
@@ -28,7 +28,7 @@
 KINDS = ("once", "again", "stream", "resume", "model")
 
 
-class Violation(AssertionError):
+class ViolationError(AssertionError):
     """A rule is broken."""
 
 
@@ -93,7 +93,7 @@
         loop = asyncio.get_running_loop()
         handed = seen.request.header("Granitewell-Deadline-Ms")
         if handed is None:
-            raise Violation(f"{seen.id} without the time that is left")
+            raise ViolationError(f"{seen.id} without the time that is left")
         arrival = Arrival(seen.id, seen.server.name, loop.time(), int(handed) / 1000.0)
         self.arrivals.append(arrival)
         fault = self.rng.choice(("none", "none", "none", "refuse", "silent", "close", "error", "late"))
@@ -156,7 +156,7 @@
             client = await s.connect()
         except ConnectionError:
             if loop.time() < self.term_at + LISTENS_S or not self.term_at:
-                raise Violation(f"{request.id} finds nobody at {loop.time():.3f}") from None
+                raise ViolationError(f"{request.id} finds nobody at {loop.time():.3f}") from None
             return
         self.sent.append(request)
         request.sent_at = loop.time()
@@ -245,7 +245,7 @@
 def check(world: World) -> None:
     """Raises Violation."""
     if world.gone_at - world.term_at > GRACE_S:
-        raise Violation(f"the process needs {world.gone_at - world.term_at:.3f} s to end")
+        raise ViolationError(f"the process needs {world.gone_at - world.term_at:.3f} s to end")
     for request in world.sent:
         arrivals = [arrival for arrival in world.arrivals if arrival.id == request.id]
         _check_arrivals(request, arrivals)
@@ -258,56 +258,56 @@
 def _check_arrivals(request: Sent, arrivals: list[Arrival]) -> None:
     most = 3 if request.name in ("again", "resume") else 2
     if len(arrivals) > most:
-        raise Violation(f"{request} on {len(arrivals)} servers")
+        raise ViolationError(f"{request} on {len(arrivals)} servers")
     ran = [arrival for arrival in arrivals if arrival.ran]
     if request.name in ("once", "stream", "model") and len(ran) > 1:
-        raise Violation(f"{request} runs twice")
+        raise ViolationError(f"{request} runs twice")
     for arrival in arrivals:
         if arrival.at + arrival.handed_s > request.due_at + TRAVEL_S:
-            raise Violation(f"{arrival} is handed more time than is left of {request}")
+            raise ViolationError(f"{arrival} is handed more time than is left of {request}")
 
 
 def _check_after_leaving(request: Sent, arrivals: list[Arrival]) -> None:
     assert request.left_at is not None
     for arrival in arrivals:
         if arrival.at > request.left_at + BOUND_S:
-            raise Violation(f"{arrival} after its client left: {request}")
+            raise ViolationError(f"{arrival} after its client left: {request}")
         if arrival.ended_at > request.left_at + BOUND_S:
-            raise Violation(f"{arrival} is worked on after its client left: {request}")
+            raise ViolationError(f"{arrival} is worked on after its client left: {request}")
 
 
 def _check_answer(world: World, request: Sent, arrivals: list[Arrival]) -> None:
     answer, ended_at = request.answer, request.ended_at
     assert ended_at is not None
     if ended_at > request.due_at + BOUND_S:
-        raise Violation(f"{request} has no end at {request.due_at:.3f}")
+        raise ViolationError(f"{request} has no end at {request.due_at:.3f}")
     if answer is None:
         if arrivals or not world.term_at or request.sent_at < world.term_at + LISTENS_S:
-            raise Violation(f"{request} is lost")
+            raise ViolationError(f"{request} is lost")
         return
     if answer.status not in (200, 500, 502, 503, 504):
-        raise Violation(f"{request} is denied: {answer}")
+        raise ViolationError(f"{request} is denied: {answer}")
     if answer.status == 503 and any(arrival.ran for arrival in arrivals):
-        raise Violation(f"{request} has run, yet it gets 503")
+        raise ViolationError(f"{request} has run, yet it gets 503")
     if answer.status in (200, 500):
         _check_passed_answer(world, request, answer, arrivals)
     elif not answer.complete:
-        raise Violation(f"{request} gets a part of an answer of the node's own: {answer}")
+        raise ViolationError(f"{request} gets a part of an answer of the node's own: {answer}")
 
 
 def _check_passed_answer(world: World, request: Sent, answer: Message, arrivals: list[Arrival]) -> None:
     sealed = answer.header("Granitewell-Response-Seal") is not None
     if answer.header("Granitewell-Request-Id") != request.id or not sealed:
-        raise Violation(f"{request} gets an answer to another one: {answer}")
+        raise ViolationError(f"{request} gets an answer to another one: {answer}")
     events = [b"id: %d\ndata: %s\n\n" % (k, request.id.encode()) for k in range(1, EVENTS + 1)]
     streams = answer.status == 200 and request.name in ("stream", "resume")
     whole = b"".join(events) if streams else request.id.encode()
     if answer.complete and answer.body != whole:
-        raise Violation(f"{request} gets a wrong answer: {answer}")
+        raise ViolationError(f"{request} gets a wrong answer: {answer}")
     if not answer.complete and not _may_be_cut(world, request, arrivals):
-        raise Violation(f"{request} is cut, and nobody but the node did it: {arrivals}")
+        raise ViolationError(f"{request} is cut, and nobody but the node did it: {arrivals}")
     if streams and answer.body not in [b"".join(events[:k]) for k in range(EVENTS + 1)]:
-        raise Violation(f"{request} gets no whole events in order: {answer}")
+        raise ViolationError(f"{request} gets no whole events in order: {answer}")
 
 
 def _may_be_cut(world: World, request: Sent, arrivals: list[Arrival]) -> bool:
@@ -323,6 +323,6 @@
     for state in s.plane._dispatcher._services.values():
         counts = [(record.in_flight, record.unanswered) for record in state.records.values()]
         if state.line or any(count != (0, 0) for count in counts):
-            raise Violation(f"{len(state.line)} in line, {counts} at servers")
+            raise ViolationError(f"{len(state.line)} in line, {counts} at servers")
     if s.plane._exchanges or s.plane._front._busy or s.plane._upstreams._busy:
-        raise Violation("requests or connections are left")
+        raise ViolationError("requests or connections are left")
--- a/tests/dataplane/simulated_network.py
+++ b/tests/dataplane/simulated_network.py
@@ -16,7 +16,7 @@
 from tests.coordination.virtual_loop import VirtualLoop
 
 DELAY_S = 0.001  # one way
-MOST_SCENE_S = 120.0  # virtual seconds of any scene
+MAX_SCENE_S = 120.0  # virtual seconds of any scene
 WINDOW_BYTES = 64 * 1024  # on their way to an end that does not read
 HIGH_WATER_BYTES = 64 * 1024  # unsent: above it the writer is told to pause
 
@@ -231,7 +231,7 @@
     """Run a scene to its end on virtual time."""
     loop = SimulatedLoop()
     try:
-        result = loop.run_until_complete(asyncio.wait_for(scene, MOST_SCENE_S))
+        result = loop.run_until_complete(asyncio.wait_for(scene, MAX_SCENE_S))
         left = asyncio.all_tasks(loop)
         for task in left:
             task.cancel()
--- a/tests/dataplane/standin.py
+++ b/tests/dataplane/standin.py
@@ -17,13 +17,13 @@
 from granitewell.domain.settings import Bounds, Listen, Platform, Settings
 
 HOST = "shop.example"
-MOST_S = 10.0  # of any test here
+MAX_S = 10.0  # of any test here
 T = TypeVar("T")
 
 
 def play(scene: Coroutine[Any, Any, T]) -> T:
     """Run a test's scene, bounded in time."""
-    return asyncio.run(asyncio.wait_for(scene, MOST_S))
+    return asyncio.run(asyncio.wait_for(scene, MAX_S))
 
 
 # --- Messages -------------------------------------------------------------------------------------------
--- a/tests/dataplane/test_dispatch.py
+++ b/tests/dataplane/test_dispatch.py
@@ -9,11 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitewell.dataplane.dispatch import MOST_POOLS, Dispatcher, Want
+from granitewell.dataplane.dispatch import MAX_POOLS, Dispatcher, Want
 from granitewell.dataplane.headers import PromptPart, ServerLoad
-from granitewell.dataplane.request_queue import LineFull
+from granitewell.dataplane.request_queue import QueueFullError
 from granitewell.dataplane.server_selection import COMFORTABLE_PART, Pool
-from granitewell.dataplane.servers import MOST_AVOIDANCE_S, REFUSED_FOR_S, ServerRecord
+from granitewell.dataplane.servers import MAX_AVOIDANCE_S, REFUSED_FOR_S, ServerRecord
 from granitewell.domain.configuration import Configuration, Engine, Model, Service
 from granitewell.domain.servers import HeldModel, ModelRef, Server, ServerState
 from granitewell.domain.settings import Bounds
@@ -120,7 +120,7 @@
         assert set(picks(made, 30, now=now)) == {"s01"}
         waits.append(sick.avoided_until - now)
         now = sick.avoided_until
-    assert waits == [1.0, 2.0, 4.0, MOST_AVOIDANCE_S, MOST_AVOIDANCE_S, MOST_AVOIDANCE_S]
+    assert waits == [1.0, 2.0, 4.0, MAX_AVOIDANCE_S, MAX_AVOIDANCE_S, MAX_AVOIDANCE_S]
     sick.failed(now)
     made.servers[1].failed(now)
     assert set(picks(made, 30, now=now)) <= {"s00", "s01"} and picks(made, 1, now=now)
@@ -337,7 +337,7 @@
 
 def test_a_line_is_bounded() -> None:
     made = dispatcher()
-    with pytest.raises(LineFull):
+    with pytest.raises(QueueFullError):
         for _ in range(10_000):
             made.wait(Waiter(5), 0.0)
 
@@ -375,9 +375,9 @@
     waiter = Waiter(5)
     record = made.choose(waiter, 0.0)
     assert record is not None
-    for k in range(3 * MOST_POOLS):
+    for k in range(3 * MAX_POOLS):
         made.pool("engine", ModelRef(f"x{k}"), float(k + 1))
-        assert len(made._pools) <= MOST_POOLS
+        assert len(made._pools) <= MAX_POOLS
     made.ended(waiter, record, 0.0)
 
 
--- a/tests/dataplane/test_edge.py
+++ b/tests/dataplane/test_edge.py
@@ -314,7 +314,7 @@
             without_configuration(s)
             answer = await s.call("/once/x", Granitewell_Deadline_Ms="25")
             assert answer.status == 503 and answer.header("Retry-After")
-            monkeypatch.setattr("granitewell.dataplane.edge.MOST_HELD_FOR_CONFIGURATION", 0)
+            monkeypatch.setattr("granitewell.dataplane.edge.MAX_HELD_FOR_CONFIGURATION", 0)
             monkeypatch.setattr("granitewell.dataplane.edge.CONFIGURATION_HOLD_S", 1e9)
             assert (await s.call("/once/x", Granitewell_Deadline_Ms="100000000")).status == 503
 
--- a/tests/dataplane/test_failure_suspicion.py
+++ b/tests/dataplane/test_failure_suspicion.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from granitewell.dataplane.failure_suspicion import DOUBT_LASTS_S, MOST_PROOFS, PROOFS_AFTER_BREAK, Doubt
+from granitewell.dataplane.failure_suspicion import DOUBT_LASTS_S, MAX_PROOFS, PROOFS_AFTER_BREAK, Doubt
 from granitewell.dataplane.server_selection import Pool
 from granitewell.dataplane.servers import FIRST_AVOIDANCE_S, ServerRecord
 from granitewell.domain.servers import Server, ServerState
@@ -46,7 +46,7 @@
     doubt = Doubt()
     for _ in range(50):
         doubt.broke(1.0)
-    for _ in range(MOST_PROOFS):
+    for _ in range(MAX_PROOFS):
         doubt.succeeded(1.0)
     assert not doubt.holds(1.0, PATIENCE_S)
     doubt.broke(2.0)
--- a/tests/dataplane/test_framing.py
+++ b/tests/dataplane/test_framing.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from granitewell.dataplane.framing import (
-    MOST_LINE_BYTES,
+    MAX_LINE_BYTES,
     BodyFraming,
     ChunkedFraming,
     CloseFraming,
     HeadFraming,
     LengthFraming,
-    MalformedFraming,
+    MalformedFramingError,
 )
 
 HEAD = b"HTTP/1.1 200 OK\r\nA: b\r\nC: \r\n\r\n"
@@ -85,14 +85,14 @@
 
 @pytest.mark.parametrize("data", [b"\r\n", b"x\r\n", b"-1\r\n", b";x\r\n", b"1 1\r\n"])
 def test_what_is_no_chunk(data: bytes) -> None:
-    with pytest.raises(MalformedFraming):
+    with pytest.raises(MalformedFramingError):
         ChunkedFraming().take(data)
 
 
 def test_a_line_without_end_is_bounded() -> None:
     framing = ChunkedFraming()
-    with pytest.raises(MalformedFraming):
-        for _ in range(MOST_LINE_BYTES + 1):
+    with pytest.raises(MalformedFramingError):
+        for _ in range(MAX_LINE_BYTES + 1):
             framing.take(b"1")
 
 
--- a/tests/dataplane/test_node_world.py
+++ b/tests/dataplane/test_node_world.py
@@ -13,11 +13,11 @@
 from granitewell.dataplane.request import Attempts
 from granitewell.dataplane.request_forwarder import Exchange
 from tests.dataplane import test_planted_defects as defects
-from tests.dataplane.node_world import Violation, play
+from tests.dataplane.node_world import ViolationError, play
 from tests.dataplane.simulated_network import play_simulated
 
 SEEDS = int(os.environ.get("GRANITEWELL_SEEDS", "30"))
-MOST_SEEDS = 60  # in which a planted defect must show
+MAX_SEEDS = 60  # in which a planted defect must show
 
 
 def test_no_rule_is_broken_whatever_happens() -> None:
@@ -25,7 +25,7 @@
     for seed in range(SEEDS):
         try:
             world = play_simulated(play(seed))
-        except Violation as violation:
+        except ViolationError as violation:
             raise AssertionError(f"seed {seed}: {violation}") from violation
         statuses.update("left" if r.left_at else r.answer and r.answer.status for r in world.sent)
     assert statuses[200] > SEEDS and statuses["left"] > SEEDS  # the days are not empty
@@ -65,9 +65,9 @@
 @pytest.mark.parametrize("plant", DEFECTS, ids=lambda plant: plant.__name__)
 def test_a_planted_defect_is_noticed(plant: Callable[[Any], None], monkeypatch: pytest.MonkeyPatch) -> None:
     plant(monkeypatch)
-    for seed in range(MOST_SEEDS):
+    for seed in range(MAX_SEEDS):
         try:
             play_simulated(play(seed))
-        except (Violation, TimeoutError):
+        except (ViolationError, TimeoutError):
             return
-    raise AssertionError(f"not noticed in {MOST_SEEDS} seeds")
+    raise AssertionError(f"not noticed in {MAX_SEEDS} seeds")
--- a/tests/dataplane/test_planted_defects.py
+++ b/tests/dataplane/test_planted_defects.py
@@ -80,7 +80,7 @@
 
 
 def limits_of_the_connection(patch: Patch) -> None:
-    patch.setattr("granitewell.dataplane.http_server.MOST_HEAD_BYTES", 0)
+    patch.setattr("granitewell.dataplane.http_server.MAX_HEAD_BYTES", 0)
 
 
 def bodies_dropped_by_a_drain(patch: Patch) -> None:
--- a/tests/dataplane/test_refusals.py
+++ b/tests/dataplane/test_refusals.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from granitewell.dataplane.http_server import MOST_HEAD_BYTES
+from granitewell.dataplane.http_server import MAX_HEAD_BYTES
 from granitewell.domain.configuration import Configuration, Limits
 from tests.dataplane.simulated_network import play_simulated
 from tests.dataplane.standin import ROUTES, Scene, Seen, configuration, scene, well
@@ -83,13 +83,13 @@
             client = await s.connect()
             client.writer.write(b"POST /once/x HTTP/1.1\r\n")
             sent = 0
-            while sent < 4 * MOST_HEAD_BYTES and not client.reader.at_eof():
+            while sent < 4 * MAX_HEAD_BYTES and not client.reader.at_eof():
                 field = b"X-%d: " % sent + b"a" * 1_000 + b"\r\n"
                 client.writer.write(field)
                 sent += len(field)
                 await asyncio.sleep(0.001)
             assert await client.reader.read() == b""
-            assert MOST_HEAD_BYTES < sent < 1.2 * MOST_HEAD_BYTES
+            assert MAX_HEAD_BYTES < sent < 1.2 * MAX_HEAD_BYTES
 
     play_simulated(run())
 
--- a/tests/dataplane/test_rules.py
+++ b/tests/dataplane/test_rules.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitewell.dataplane.affinity import MOST_PREFIXES, MOST_SERVERS, PromptMemory
+from granitewell.dataplane.affinity import MAX_PREFIXES, MAX_SERVERS, PromptMemory
 from granitewell.dataplane.demand import REPORT_GAP_S, Demand
-from granitewell.dataplane.events import MOST_EVENT_BYTES, EventCutter, EventTooLong, number_of
+from granitewell.dataplane.events import MAX_EVENT_BYTES, EventCutter, EventTooLongError, number_of
 from granitewell.dataplane.headers import (
     PromptPart,
     ServerLoad,
@@ -27,14 +27,14 @@
 )
 from granitewell.dataplane.request import (
     CONSEQUENCES,
-    MOST_TRIES,
+    MAX_TRIES,
     PROMISES,
     AttemptEnd,
     Attempts,
     passes_unchanged,
     proves_not_executed,
 )
-from granitewell.dataplane.request_queue import LineFull, WaitingLine
+from granitewell.dataplane.request_queue import QueueFullError, WaitingLine
 from granitewell.dataplane.retry_budget import RetryBudget
 from granitewell.dataplane.routes import RouteTable, choose_service, host_name, path_of
 from granitewell.domain.configuration import Configuration, Route, RouteKind, WeightedService
@@ -143,8 +143,8 @@
 
 def test_an_event_without_end_is_given_up() -> None:
     cutter = EventCutter()
-    with pytest.raises(EventTooLong):
-        for _ in range(MOST_EVENT_BYTES // 65536 + 2):
+    with pytest.raises(EventTooLongError):
+        for _ in range(MAX_EVENT_BYTES // 65536 + 2):
             cutter.feed(b"x" * 65536)
 
 
@@ -218,7 +218,7 @@
         runs += end in (AttemptEnd.FAILED, AttemptEnd.BROKEN)
     assert runs <= 1 or route.repeatable
     assert arrivals <= most
-    assert attempts.tries <= MOST_TRIES
+    assert attempts.tries <= MAX_TRIES
     promised = attempts.failure_status in PROMISES or attempts.overdue_status in PROMISES
     assert promised == (runs == 0)
 
@@ -292,7 +292,7 @@
     got = [(place.priority, place.request) for place in line]
     assert got == sorted((priority, number) for number, priority in enumerate(priorities[:20]))
     if len(priorities) > 20:
-        with pytest.raises(LineFull):
+        with pytest.raises(QueueFullError):
             line.join(0, 99)
     for place in line:
         line.leave(place)
@@ -335,12 +335,12 @@
     for part, server in sends:
         memory.sent("p", [PromptPart(str(part), 1)], str(server))
     for part, _ in sends:
-        assert len(memory.kept_tokens("p", [PromptPart(str(part), 1)])) <= MOST_SERVERS
+        assert len(memory.kept_tokens("p", [PromptPart(str(part), 1)])) <= MAX_SERVERS
 
 
 def test_what_is_remembered_is_bounded() -> None:
     memory = PromptMemory()
-    for k in range(MOST_PREFIXES + 10):
+    for k in range(MAX_PREFIXES + 10):
         memory.sent("p", [PromptPart(str(k), 1)], "s")
-    assert len(memory._servers) == MOST_PREFIXES
+    assert len(memory._servers) == MAX_PREFIXES
     assert not memory.kept_tokens("p", [PromptPart("0", 1)])
--- a/tests/dataplane/test_time_left.py
+++ b/tests/dataplane/test_time_left.py
@@ -10,7 +10,7 @@
 from tests.dataplane.simulated_network import play_simulated
 from tests.dataplane.standin import Behaviour, Message, Scene, Seen, configuration, route, scene
 
-MOST_BEYOND_S = 0.5  # that a server may be handed, or a client may wait, beyond what is left
+MAX_BEYOND_S = 0.5  # that a server may be handed, or a client may wait, beyond what is left
 SEND_MARGIN_S = 0.05  # by which less is handed on, at most: the answers must travel
 KINDS = {"once": "non_idempotent", "again": "idempotent", "stream": "streaming"}
 
@@ -134,7 +134,7 @@
             s.plane.apply_configuration(configuration(2, routes(1200.0)))
             s.fund()
             answer, after_s = await answer_or_end(s, f"/{name}/x")
-            assert answer is not None and after_s < 1.2 + MOST_BEYOND_S
+            assert answer is not None and after_s < 1.2 + MAX_BEYOND_S
             if behaviour is refuses_for_ever:
                 assert answer.status == 503
             elif behaviour is stalls_in_a_stream and name == "stream":
@@ -170,7 +170,7 @@
             length = "5" if stage == "body" else "0"
             client.send("/r/x", Granitewell_Request_Id="1", Content_Length=length, Granitewell_Model="m1")
             answer = await client.answer()
-            assert answer is not None and loop.time() - began < 1.2 + MOST_BEYOND_S
+            assert answer is not None and loop.time() - began < 1.2 + MAX_BEYOND_S
             assert answer.status in ({200} if stage == "resumption" else {408, 503, 504})
             assert answer.complete is (stage != "resumption")
 
@@ -187,9 +187,9 @@
             await asyncio.sleep(0.2)
             s.plane.apply_configuration(configuration(3, routes(800.0)))
             _, after_s = await answer_or_end(s, "/again/x")
-            assert after_s < 0.8 + MOST_BEYOND_S
+            assert after_s < 0.8 + MAX_BEYOND_S
             _, after_s = await earlier
-            assert 2.9 < after_s < 3.0 + MOST_BEYOND_S
+            assert 2.9 < after_s < 3.0 + MAX_BEYOND_S
 
     play_simulated(run())
 
--- a/tests/dataplane/test_upstream.py
+++ b/tests/dataplane/test_upstream.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from granitewell.dataplane.upstream import NotWritten, UpstreamConnection
+from granitewell.dataplane.upstream import RequestNotWrittenError, UpstreamConnection
 from granitewell.dataplane.upstream_pool import UpstreamPool
 from granitewell.domain.servers import Server, ServerState
 from tests.dataplane.standin import play
@@ -88,7 +88,7 @@
         reset(await link.answered())
         connection = await link.pool.connection(link.server, "2")
         assert connection.used_before
-        with pytest.raises(NotWritten):
+        with pytest.raises(RequestNotWrittenError):
             connection.write(REQUEST, method="GET", repeatable=False)
         link.pool.close()
 
--- a/tests/dataplane/test_wire.py
+++ b/tests/dataplane/test_wire.py
@@ -24,13 +24,13 @@
     extra_bytes,
     play_course,
 )
-from tests.dataplane.wire_world import Act, Extra, Runner, Then, Violation, When, answer_status
+from tests.dataplane.wire_world import Act, Extra, Runner, Then, ViolationError, When, answer_status
 
 Troubles = Callable[[], Iterator[Trouble]]
 
 PART = 61  # of all split points, one in so many is tried here: prime, so that each kind gets others
 COURSES = 400
-MOST_TRIED = 4_000  # of a planted defect's troubles
+MAX_TRIED = 4_000  # of a planted defect's troubles
 
 
 @pytest.fixture
@@ -45,8 +45,8 @@
     for trouble in troubles:
         try:
             trouble.play(runner)
-        except Violation as violation:
-            raise Violation(f"{violation}: {trouble}") from violation
+        except ViolationError as violation:
+            raise ViolationError(f"{violation}: {trouble}") from violation
         count += 1
     return count
 
@@ -140,10 +140,10 @@
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda defect: defect.plant.__name__)
 def test_the_search_notices(defect: Defect, runner: Runner, monkeypatch: pytest.MonkeyPatch) -> None:
     defect.plant(monkeypatch)
-    for trouble in islice(defect.troubles(), 0, MOST_TRIED, defect.step):
+    for trouble in islice(defect.troubles(), 0, MAX_TRIED, defect.step):
         try:
             trouble.play(runner)
-        except Violation as violation:
+        except ViolationError as violation:
             assert re.search(defect.shows, str(violation)), violation
             return
     pytest.fail("no violation")
@@ -162,8 +162,8 @@
     for seed in range(first, last):
         try:
             play_course(runner, seed)
-        except Violation as violation:
-            raise Violation(f"{violation}: seed {seed}") from violation
+        except ViolationError as violation:
+            raise ViolationError(f"{violation}: seed {seed}") from violation
     print(f"courses {first} to {last - 1}: {time.monotonic() - began:.0f} s")
 
 
--- a/tests/dataplane/wire_world.py
+++ b/tests/dataplane/wire_world.py
@@ -24,7 +24,7 @@
     StreamEnd,
     WholeAnswer,
 )
-from granitewell.dataplane.upstream import NotWritten, UpstreamConnection
+from granitewell.dataplane.upstream import RequestNotWrittenError, UpstreamConnection
 from granitewell.dataplane.upstream_pool import CONNECT_TIMEOUT_S, UpstreamPool
 from granitewell.domain.configuration import Configuration, Route, RouteKind, Service
 from granitewell.domain.servers import Server, ServerState
@@ -50,7 +50,7 @@
 )
 
 
-class Violation(AssertionError):
+class ViolationError(AssertionError):
     """A rule is broken."""
 
 
@@ -243,15 +243,15 @@
         return len(self._unsent)
 
     def pause_reading(self) -> None:
-        raise Violation("these answers are too short for a pause")
+        raise ViolationError("these answers are too short for a pause")
 
     def resume_reading(self) -> None: ...
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         if self._closing:
-            raise Violation("a write on a closed connection")
+            raise ViolationError("a write on a closed connection")
         if self._unsent:
-            raise Violation("a request is written where the rest of another one is due")
+            raise ViolationError("a request is written where the rest of another one is due")
         if self._gone is not None:
             self._closing = self._gone is Extra.UNSEEN_RESET
             self.world.loop.call_later(LATENCY_S, self._end, ConnectionResetError(104, "reset"))
@@ -309,7 +309,7 @@
         if request is None:
             return
         if self._arrival is None or self._arrival.request_id not in ("", request[0]):
-            raise Violation("another request where the rest of one is due")
+            raise ViolationError("another request where the rest of one is due")
         self._rest_due = False
         self._inbox = self._inbox[request[2] :]
         self._look()
@@ -467,7 +467,7 @@
             self._world.loop.call_soon(self._world.cancel, "")
         await asyncio.sleep(CONNECTS_IN_S.get(what, LATENCY_S))
         if what in (Connect.REFUSED, Connect.LOST):
-            raise NotWritten(what.name)
+            raise RequestNotWrittenError(what.name)
         connection = UpstreamConnection(self._world.loop, self._forget)
         connection.server_id = server.id
         wire = Wire(self._world, server.id, connection)
@@ -592,18 +592,18 @@
         first, *lines = head.split(b"\r\n")
         pairs = [tuple(line.split(b": ", 1)) for line in lines]
         if first != b"POST /x/%2f?a=%20 HTTP/1.1":
-            raise Violation(f"another method, path or query: {first!r}")
+            raise ViolationError(f"another method, path or query: {first!r}")
         fields = {name.lower(): value for name, value in pairs}
         size = int(fields[b"content-length"])
         if len(rest) < size:
             return None
         if rest[:size] != BODY:
-            raise Violation(f"another body: {rest[:size]!r}")
+            raise ViolationError(f"another body: {rest[:size]!r}")
         if [pair for pair in pairs if pair in HEADERS] != list(HEADERS):
-            raise Violation(f"other headers: {pairs!r}")
+            raise ViolationError(f"other headers: {pairs!r}")
         request_id = fields[b"granitewell-request-id"].decode()
         if request_id not in self.callers:
-            raise Violation(f"an id that nobody has sent: {request_id}")
+            raise ViolationError(f"an id that nobody has sent: {request_id}")
         after = int(fields.get(b"last-event-id", b"0"))
         return request_id, after, len(head) + 4 + size
 
@@ -662,10 +662,10 @@
         for caller in self.callers.values():
             self._check(caller)
         if self.pool._busy or self.pool._idle:
-            raise Violation("a connection outlives its requests")
+            raise ViolationError("a connection outlives its requests")
         records = self.dispatcher._services[SERVICE].records
         if any(record.in_flight or record.unanswered for record in records.values()):
-            raise Violation("a request is held to be at a server for ever")
+            raise ViolationError("a request is held to be at a server for ever")
 
     def check_served(self, spoiled: int) -> None:
         """Beyond the first requests, which met the script, all must be served. Raises Violation."""
@@ -673,29 +673,29 @@
             answer = caller.answer
             served = answer.whole if isinstance(answer, StreamEnd) else answer_status(answer) == 200
             if not served:
-                raise Violation(f"a request that met no trouble got {answer}")
+                raise ViolationError(f"a request that met no trouble got {answer}")
 
     def _check(self, caller: Caller) -> None:
         request_id, answer = caller.request.request_id, caller.answer
         mine = [arrival for arrival in self.arrivals if arrival.request_id == request_id]
         runs = sum(arrival.ran for arrival in mine)
         if runs > 1 and not self.route.repeatable:
-            raise Violation(f"TWICE: {request_id} ran {runs} times")
+            raise ViolationError(f"TWICE: {request_id} ran {runs} times")
         if len(mine) > self.route.max_attempts:
-            raise Violation(f"BUDGET: {request_id} arrived {len(mine)} times")
+            raise ViolationError(f"BUDGET: {request_id} arrived {len(mine)} times")
         match answer:
             case OwnAnswer():
                 if answer.status in PROMISES and runs:
-                    raise Violation(f"REFUSED: {request_id} has run and got {answer.status}")
+                    raise ViolationError(f"REFUSED: {request_id} has run and got {answer.status}")
             case WholeAnswer():
                 self._check_whole(mine, answer)
             case StreamEnd():
                 self._check_stream(mine, caller, answer)
             case None:
                 if not caller.cancelled:
-                    raise Violation("no answer")
+                    raise ViolationError("no answer")
         if caller.began and not isinstance(answer, StreamEnd) and answer is not None:
-            raise Violation("two answers to one request")
+            raise ViolationError("two answers to one request")
 
     def _check_whole(self, mine: list[Arrival], answer: WholeAnswer) -> None:
         seal = _field(answer.headers, SEAL)
@@ -704,27 +704,27 @@
             if given is None or (given.status, given.body, given.seal) != (answer.status, answer.body, seal):
                 continue
             if not arrival.whole:
-                raise Violation("MIXED: an answer that was cut looks complete")
+                raise ViolationError("MIXED: an answer that was cut looks complete")
             if 200 <= answer.status < 300 and seal is None:
-                raise Violation("MIXED: a success without its seal")
+                raise ViolationError("MIXED: a success without its seal")
             if answer.status in PROMISES and any(arrival.ran for arrival in mine):
-                raise Violation("REFUSED: a promise is passed on")
+                raise ViolationError("REFUSED: a promise is passed on")
             return
-        raise Violation(f"MIXED: nobody gave {answer} to this request")
+        raise ViolationError(f"MIXED: nobody gave {answer} to this request")
 
     def _check_stream(self, mine: list[Arrival], caller: Caller, answer: StreamEnd) -> None:
         if answer.whole != caller.ended:
-            raise Violation("the client's end and the exchange's differ")
+            raise ViolationError("the client's end and the exchange's differ")
         events = [event(number) for number in range(1, EVENTS + 1)]
         prefixes = [b"".join(events[:count]) for count in range(EVENTS + 1)]
         if caller.passed not in prefixes:
-            raise Violation(f"ORDER: {caller.passed!r}")
+            raise ViolationError(f"ORDER: {caller.passed!r}")
         if answer.whole and caller.passed != prefixes[-1]:
-            raise Violation("ORDER: a cut stream looks complete")
+            raise ViolationError("ORDER: a cut stream looks complete")
         if caller.status != 200 or _field(caller.headers, SEAL) not in [f"s.{a.number}" for a in mine]:
-            raise Violation("MIXED: a stream with another head")
+            raise ViolationError("MIXED: a stream with another head")
         if answer.whole and not any(arrival.whole for arrival in mine):
-            raise Violation("MIXED: a stream that was cut looks complete")
+            raise ViolationError("MIXED: a stream that was cut looks complete")
 
 
 def answer_status(answer: Answer | None) -> int:
--- a/tests/discovery/test_instances.py
+++ b/tests/discovery/test_instances.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 from aiohttp.test_utils import TestServer
 
-from granitewell.discovery.instances import BadList, ListedInstance, parse_page
-from granitewell.discovery.reader import InstanceReader, ListUnavailable, SharedReader
+from granitewell.discovery.instances import ListedInstance, MalformedListError, parse_page
+from granitewell.discovery.reader import InstanceReader, ListUnavailableError, SharedReader
 from granitewell.domain.servers import HeldModel, ServerState
 
 ENTRY: dict[str, Any] = {
@@ -39,7 +39,7 @@
     "document", [None, [], {}, {"instances": 3}, {"instances": [3]}, {"instances": [{}]}]
 )
 def test_what_is_no_list_is_refused(document: object) -> None:
-    with pytest.raises(BadList):
+    with pytest.raises(MalformedListError):
         parse_page(document)
 
 
@@ -87,7 +87,7 @@
     async def handler(request: web.Request) -> web.Response:
         return web.Response(status=429)
 
-    with pytest.raises(ListUnavailable):
+    with pytest.raises(ListUnavailableError):
         read(handler)
 
 
@@ -95,5 +95,5 @@
     async def handler(request: web.Request) -> web.Response:
         return web.Response(body=b"{")
 
-    with pytest.raises(BadList):
+    with pytest.raises(MalformedListError):
         read(handler)
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -14,7 +14,7 @@
 
 from granitewell.cli.main import run
 from granitewell.durable_folder import FILE, SLOTS
-from granitewell.operator.load import Live, Refused, load
+from granitewell.operator.load import InvalidOperatorFileError, Live, load
 from granitewell.operator.registry import Operator
 from granitewell.status import fleet, wire
 from tests.fleet.few import few, until
@@ -186,7 +186,7 @@
     held = live.held
     (tmp_path / "keys").unlink()
     path = written(tmp_path, table, keys, mode)
-    with pytest.raises(Refused) as caught:
+    with pytest.raises(InvalidOperatorFileError) as caught:
         load(str(path), Operator)
     assert says in str(caught.value) and "\n" not in str(caught.value)
     assert KEY not in str(caught.value) and "abcd" not in str(caught.value)
@@ -198,7 +198,7 @@
     path = written(tmp_path, "")
     path.write_text(path.read_text().replace('"n1"', json.dumps(name)))
     if name:
-        with pytest.raises(Refused, match=r"cluster\.name"):
+        with pytest.raises(InvalidOperatorFileError, match=r"cluster\.name"):
             load(str(path), Operator)
     else:  # in no fleet; a note says so
         made, notes = load(str(path), Operator)
@@ -260,7 +260,7 @@
 def test_the_door_answers_what_it_is_asked_and_nothing_else(head: str, own: bool, code: int) -> None:
     try:
         raw = wire.of_cluster(wire.asked(f"{head} HTTP/1.1\r\n\r\n".encode(), 5, False), View(), own)
-    except wire.Refused as error:
+    except wire.RejectedQueryError as error:
         raw = error.raw
     assert raw.startswith(b"HTTP/1.1 %d " % code)
     asked = wire.Asked("/cluster", 5)
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -18,7 +18,7 @@
 from granitewell.lab.fleet.planted import _half_sent, _one_lane
 from granitewell.net import peers
 from granitewell.net.clock import Clock
-from granitewell.net.peers import MOST_BYTES, MOST_FRAMES, Roads, parsed
+from granitewell.net.peers import MAX_BYTES, MAX_FRAMES, Roads, parsed
 from granitewell.protocols.peers.frames import MAX_STREAM, Key, Keys, Splitter, seal
 from granitewell.state_machine import Heard, Road, Say
 from tests.shell import until
@@ -185,7 +185,7 @@
         else:
             await asyncio.sleep(0.5)
         assert (len(b.heard) == 3) is free
-        assert len(queue.frames) <= MOST_FRAMES and queue.bytes <= MOST_BYTES + MAX_STREAM
+        assert len(queue.frames) <= MAX_FRAMES and queue.bytes <= MAX_BYTES + MAX_STREAM
         stuck.close()
 
     play(scenario)
@@ -199,12 +199,12 @@
 
     async def scenario(a: Place) -> None:
         nobody = "127.201.7.77:9"
-        for k in range(MOST_FRAMES + 10):
+        for k in range(MAX_FRAMES + 10):
             a.roads.say(Say(nobody, frame(k + 1), Road.STREAM))
         queue = next(iter(a.roads._queues.values()))
         assert a.roads.counts["pushed_out"] == 10 and queue.frames[0] == frame(11)
         await until(lambda: a.roads.counts["undialed"])
-        await until(lambda: a.roads.counts["waited_out"] == MOST_FRAMES)
+        await until(lambda: a.roads.counts["waited_out"] == MAX_FRAMES)
         assert queue.bytes == 0 and a.roads.streams == (0, 0)
 
     play(scenario, 1)
--- a/tests/fleet/test_size_estimate.py
+++ b/tests/fleet/test_size_estimate.py
@@ -14,7 +14,7 @@
 from granitewell.cluster.persisted_record import Life, Note, form, read
 from granitewell.cluster.size_estimate import (
     FALL_US,
-    MOST_NAMES,
+    MAX_NAMES,
     Census,
     Configured,
     Count,
@@ -108,9 +108,9 @@
 
 def test_names_are_bounded_and_those_that_went_make_room() -> None:
     made = census(1)
-    made.handle(S, Seen({f"x{k}": OUT for k in range(MOST_NAMES + 50)}))
+    made.handle(S, Seen({f"x{k}": OUT for k in range(MAX_NAMES + 50)}))
     made.handle(2 * S, seen(a=UP))
-    assert len(made.names(OUT)) < MOST_NAMES and made.names(UP) == ["a", "me"]
+    assert len(made.names(OUT)) < MAX_NAMES and made.names(UP) == ["a", "me"]
 
 
 @settings(max_examples=200, deadline=None)
--- a/tests/lab/test_clients.py
+++ b/tests/lab/test_clients.py
@@ -301,7 +301,7 @@
         ("s\n", "line 1: column 5: name: found 'zones', .*; did you mean 'zone'"),
     ):
         path.write_text("at_us,class,tenant,key,zone" + lines)
-        with pytest.raises(capture.BadTrace, match=what):
+        with pytest.raises(capture.TraceError, match=what):
             capture.load(path, capture.Names.of(a_day()))
 
 
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -29,7 +29,7 @@
 
 from granitewell.cli.lab_load import load
 from granitewell.lab.load import files, knee, preflight, run, verdict
-from granitewell.lab.load.counts import MOST_US, End, Hist, Tally, bounds, bucket, packed, unpacked
+from granitewell.lab.load.counts import MAX_US, End, Hist, Tally, bounds, bucket, packed, unpacked
 from granitewell.lab.load.flow import NEVER, Close, Dial, Effect, Flow, Request
 from granitewell.lab.load.knee import Point, Sweep
 from granitewell.lab.load.plan import LoadClass, LoadTenant, Plan, Step, Target
@@ -50,12 +50,12 @@
 
 
 # --- Counting ---
-@given(st.lists(st.integers(0, MOST_US + 5), min_size=1), st.sampled_from([0.001, 0.5, 0.9, 0.99, 1.0]))
+@given(st.lists(st.integers(0, MAX_US + 5), min_size=1), st.sampled_from([0.001, 0.5, 0.9, 0.99, 1.0]))
 def test_histograms_agree_with_the_library_and_survive_its_format(values: list[int], part: float) -> None:
-    mine, theirs = Hist(), HdrHistogram(1, MOST_US, 3)
+    mine, theirs = Hist(), HdrHistogram(1, MAX_US, 3)
     for value in values:
         mine.add(value)
-        theirs.record_value(min(value, MOST_US))
+        theirs.record_value(min(value, MAX_US))
     assert mine.at(part) == theirs.get_value_at_percentile(100 * part)
     line = files.log_text(mine, 1.0, 2.0, "x").splitlines()[-1]
     back = HdrHistogram.decode(line.split(",")[3])
@@ -63,7 +63,7 @@
     assert back.get_total_count() == len(values) == Hist(mine.sparse()).total
 
 
-@given(st.integers(0, MOST_US))
+@given(st.integers(0, MAX_US))
 def test_buckets_hold_three_digits(us: int) -> None:
     low, high = bounds(bucket(us))
     assert low <= us <= high and high - low <= us / 1000
@@ -406,7 +406,7 @@
     (step,) = told["steps"]
     assert step["served"] == step["due"] == 300
     hist = HdrHistogram.decode(next(tmp_path.glob("step-*.latency.hlog")).read_text().split(",")[-1].strip())
-    slow = sum(hist.get_count_at_index(k) for k in range(bucket(100_000), bucket(MOST_US)))
+    slow = sum(hist.get_count_at_index(k) for k in range(bucket(100_000), bucket(MAX_US)))
     assert slow >= 49  # due in the stall's first 100 ms, one each 2 ms; the machine's delays only add some
     assert hist.get_value_at_percentile(99) / 1000 == step["latency_ms"]["p99"]
 
@@ -544,5 +544,5 @@
 def test_descriptors_are_asked_for_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda _: (256, 1024))
     assert preflight.connections(None, 2) == 1024 - preflight.SPARE and preflight.connections(100, 2) == 50
-    with pytest.raises(preflight.Lacking, match=r"--connections: 4000 .* the limit is 1024"):
+    with pytest.raises(preflight.PreflightError, match=r"--connections: 4000 .* the limit is 1024"):
         preflight.connections(4000, 2)
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -27,7 +27,7 @@
 from granitewell.lab.simulation import policies, published
 from granitewell.lab.simulation.hunt import Case, Found, ddmin, look, seeds
 from granitewell.lab.simulation.outbound import HEAD_START_US, WHOLE_US
-from granitewell.lab.simulation.play import POLICIES, Played, Violation, play
+from granitewell.lab.simulation.play import POLICIES, Played, ViolationError, play
 from granitewell.lab.simulation.pool import Conn, Pool
 from granitewell.lab.simulation.troubles import FaultError
 from granitewell.lab.simulation.world import World
@@ -303,7 +303,7 @@
     looks: list[int] = []
     played = play(day, invariants=[lambda world: looks.append(world.engine.now_us) or ""])  # type: ignore[func-returns-value]
     assert len(looks) == played.events
-    with pytest.raises(Violation, match=r"at 1000\d+ us of seed 1: a request is there"):
+    with pytest.raises(ViolationError, match=r"at 1000\d+ us of seed 1: a request is there"):
         play(day, invariants=[lambda world: "a request is there" if world.street.asked else ""])
 
 
--- a/tests/nodes/cut_off_days.py
+++ b/tests/nodes/cut_off_days.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Awaitable, Callable
 
-from tests.nodes.cut_off_invariants import Violation
+from tests.nodes.cut_off_invariants import ViolationError
 from tests.nodes.cut_off_world import ControlProcess, World
 
 FIRST_S = 3.0
@@ -127,10 +127,12 @@
         world.run_until(world.now + LAST_READ_S)
         newest = world.invariants.newest
         if reader.known != newest:
-            raise Violation(f"{reader.known} is read back, the newest is {newest}")
+            raise ViolationError(f"{reader.known} is read back, the newest is {newest}")
         for edge in world.edges:
             if edge.plane.version != newest:
-                raise Violation(f"{edge.host} has {edge.plane.version} in the end, the newest is {newest}")
+                raise ViolationError(
+                    f"{edge.host} has {edge.plane.version} in the end, the newest is {newest}"
+                )
         world.invariants.end()
 
 
@@ -146,8 +148,8 @@
     day = Day(seed)
     try:
         return day.play()
-    except Violation as error:
-        raise Violation(f"seed {seed} at {day.world.now:.3f} s: {error}") from error
+    except ViolationError as error:
+        raise ViolationError(f"seed {seed} at {day.world.now:.3f} s: {error}") from error
     finally:
         for process in day.world.processes:
             process.end()
--- a/tests/nodes/cut_off_invariants.py
+++ b/tests/nodes/cut_off_invariants.py
@@ -1,6 +1,6 @@
 """What must hold of all that leaves a control node, whatever is cut, frozen or killed.
 
-With lease = ReplicaSettings.lease_s, age = MOST_CONTACT_AGE_S, hold and slack those of the edge's watch, and
+With lease = ReplicaSettings.lease_s, age = MAX_CONTACT_AGE_S, hold and slack those of the edge's watch, and
 clocks that drift by up to `drift`:
 
 - an answer to an operator is true at a moment between its request's sending and its leaving;
@@ -20,15 +20,15 @@
 
 import orjson
 
-from granitewell.controlplane.publication.publisher import MOST_CONTACT_AGE_S
+from granitewell.controlplane.publication.publisher import MAX_CONTACT_AGE_S
 from granitewell.coordination.consensus.settings import ReplicaSettings
 
 SLACK_S = 1e-6
-MOST_DRIFT = 0.05
+MAX_DRIFT = 0.05
 """Of the rate of a steady clock; a lease of 0.5 s under an election of 0.65 s bears 0.13."""
 
 
-class Violation(AssertionError):
+class ViolationError(AssertionError):
     """Something left a process that must not."""
 
 
@@ -56,11 +56,11 @@
         """A node has applied a change."""
         known = self._indexes.setdefault(index, (version, document))
         if known != (version, document):
-            raise Violation(f"entry {index} is version {version} here and {known[0]} there")
+            raise ViolationError(f"entry {index} is version {version} here and {known[0]} there")
         if version in self._bodies:
             return
         if self._versions and version <= self._versions[-1]:
-            raise Violation(f"version {version} after {self._versions[-1]}")
+            raise ViolationError(f"version {version} after {self._versions[-1]}")
         self._times.append(self._world.now)
         self._versions.append(version)
         self._bodies[version] = document
@@ -80,7 +80,7 @@
     def confirmed(self, version: int, body: bytes) -> None:
         """A 200 to a change leaves."""
         if version not in self._bodies or not _same(self._bodies[version], body):
-            raise Violation(f"version {version} is confirmed, and not what was taken")
+            raise ViolationError(f"version {version} is confirmed, and not what was taken")
         self._confirmed[version] = body
         self._confirmed_at.append((self._world.now, version))
 
@@ -104,17 +104,17 @@
         lease_s = ReplicaSettings().lease_s / node.rate
         if kind != "PUT 200" and self._world.now > node.cut_off_since + lease_s + SLACK_S:
             cut_s = self._world.now - node.cut_off_since
-            raise Violation(f"{node.host} answers {kind}, cut off for {cut_s:.3f} s")
+            raise ViolationError(f"{node.host} answers {kind}, cut off for {cut_s:.3f} s")
 
     def _check_read(self, node: Any, response: Any) -> None:
         version = orjson.loads(response.body)["version"] if response.status == 200 else 0
         if version < self.newest:
-            raise Violation(f"{node.host} reads {version}, {self.newest} is committed")
+            raise ViolationError(f"{node.host} reads {version}, {self.newest} is committed")
 
     def _check_stale(self, node: Any, version: int, sent_at: float) -> None:
         least = self.committed_before(sent_at)
         if version < least:
-            raise Violation(f"{node.host} refuses by version {version}, {least} was committed")
+            raise ViolationError(f"{node.host} refuses by version {version}, {least} was committed")
 
     # Edges
 
@@ -124,28 +124,28 @@
         Args:
             version: The newer of what it brings and what the edge has.
         """
-        least = self.committed_before(self._world.now - MOST_CONTACT_AGE_S / rate - SLACK_S)
+        least = self.committed_before(self._world.now - MAX_CONTACT_AGE_S / rate - SLACK_S)
         if version < least:
-            raise Violation(f"{host} publishes {version}, {least} is older than a contact may be")
+            raise ViolationError(f"{host} publishes {version}, {least} is older than a contact may be")
 
     def took(self, host: str, version: int, patience_s: float, rate: float) -> None:
         """An edge has taken a reply; version: what it has now."""
-        bound_s = patience_s / rate + MOST_CONTACT_AGE_S / (1 - MOST_DRIFT)
+        bound_s = patience_s / rate + MAX_CONTACT_AGE_S / (1 - MAX_DRIFT)
         least = self.committed_before(self._world.now - bound_s - SLACK_S)
         if version < least:
-            raise Violation(f"{host} takes {version}, {least} was committed {bound_s:.3f} s before")
+            raise ViolationError(f"{host} takes {version}, {least} was committed {bound_s:.3f} s before")
 
     def in_force(self, host: str, before: int, version: int) -> None:
         """An edge puts a configuration in force."""
         if version <= before:
-            raise Violation(f"{host} goes back from {before} to {version}")
+            raise ViolationError(f"{host} goes back from {before} to {version}")
         if version not in self._bodies:
-            raise Violation(f"{host} has {version}, which was not taken")
+            raise ViolationError(f"{host} has {version}, which was not taken")
 
     def in_touch(self, host: str, version: int, confirmed: int) -> None:
         """An edge that is in touch, config-apply-ms after a confirmation."""
         if version < confirmed:
-            raise Violation(f"{host} in touch has {version}, {confirmed} was confirmed")
+            raise ViolationError(f"{host} in touch has {version}, {confirmed} was confirmed")
 
     # The end
 
@@ -154,10 +154,10 @@
         for body, status in self._refused:
             version = orjson.loads(body)["version"]
             if version in self._bodies and _same(self._bodies[version], body):
-                raise Violation(f"version {version} was taken, and refused with {status}")
+                raise ViolationError(f"version {version} was taken, and refused with {status}")
         last = max(self._confirmed, default=0)
         if last > self.newest:
-            raise Violation(f"version {last} was confirmed, the newest is {self.newest}")
+            raise ViolationError(f"version {last} was confirmed, the newest is {self.newest}")
 
     @property
     def confirmations(self) -> int:
--- a/tests/nodes/cut_off_world.py
+++ b/tests/nodes/cut_off_world.py
@@ -27,7 +27,7 @@
 from granitewell.coordination.consensus.group import ReplicatedGroup
 from granitewell.coordination.consensus.identity import NodeIdentity, first_replica_id
 from granitewell.domain.configuration import Configuration
-from granitewell.domain.errors import PeerUnreachable, RpcError, RpcTimeout
+from granitewell.domain.errors import PeerUnreachableError, RpcError, RpcTimeoutError
 from granitewell.domain.servers import Server
 from granitewell.domain.settings import Settings
 from granitewell.nodes.control_watch import ControlWatch
@@ -35,7 +35,7 @@
 from granitewell.rpc.transport import Method
 from tests.coordination.simulated_files import SimulatedFiles
 from tests.coordination.virtual_loop import LoopExecutor
-from tests.nodes.cut_off_invariants import MOST_DRIFT, Invariants
+from tests.nodes.cut_off_invariants import MAX_DRIFT, Invariants
 from tests.nodes.stepped_loop import SteppedLoop
 
 ROUNDING_S = 1e-9  # a timer fires so much late: rounding could keep it from firing ever
@@ -52,7 +52,7 @@
     def __init__(self, world: World, host: str) -> None:
         self.world = world
         self.host = host
-        self.rate = 1.0 + world.rng.uniform(-MOST_DRIFT, MOST_DRIFT)
+        self.rate = 1.0 + world.rng.uniform(-MAX_DRIFT, MAX_DRIFT)
         self._offset = world.rng.uniform(0.0, 1000.0)
         self.frozen = False
         self.running = False
@@ -332,14 +332,14 @@
             target.spawn(target.answer_watch(edge, payload, answered))
 
         def refused() -> None:
-            edge.call(lambda: answered(PeerUnreachable(self._host)))
+            edge.call(lambda: answered(PeerUnreachableError(self._host)))
 
         edge.leave(lambda: world.send(edge, target, arrive, refused))
         try:
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError as error:
-            raise RpcTimeout(self._host) from error
+            raise RpcTimeoutError(self._host) from error
 
 
 class Plane:
@@ -535,7 +535,7 @@
         version = orjson.loads(body)["version"]
         self.invariants.confirmed(version, body)
         at = self.now
-        due = at + self.config_apply_ms / 1000.0 * (1 + MOST_DRIFT)
+        due = at + self.config_apply_ms / 1000.0 * (1 + MAX_DRIFT)
         self.at(due, lambda: self._check_edges(version, at))
 
     def _check_edges(self, version: int, confirmed_at: float) -> None:
--- a/tests/nodes/test_control_settings.py
+++ b/tests/nodes/test_control_settings.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.errors import InvalidSettingsError
 from granitewell.domain.settings import Settings
 from granitewell.nodes.control import ControlNode
 
@@ -29,6 +29,6 @@
     ],
 )
 def test_a_field_that_only_this_role_needs_is_named(more: dict[str, object], field: str) -> None:
-    with pytest.raises(InvalidSettings) as raised:
+    with pytest.raises(InvalidSettingsError) as raised:
         ControlNode(Settings.from_dict(FIELDS | more), Random(1))
     assert raised.value.field == field
--- a/tests/nodes/test_edge.py
+++ b/tests/nodes/test_edge.py
@@ -14,7 +14,7 @@
 from granitewell.nodes.process import Signals
 from tests.dataplane.standin import Scene, Seen, StandIn, configuration, read_message, settings
 
-MOST_S = 10.0
+MAX_S = 10.0
 
 
 @dataclass
@@ -90,4 +90,4 @@
         assert await readiness(plane.ready_port) == 0
         server.close()
 
-    asyncio.run(asyncio.wait_for(run(), MOST_S))
+    asyncio.run(asyncio.wait_for(run(), MAX_S))
--- a/tests/nodes/test_serving_while_cut_off.py
+++ b/tests/nodes/test_serving_while_cut_off.py
@@ -22,12 +22,12 @@
 from granitewell.rpc.transport import Method
 from tests.coordination import test_read_staleness
 from tests.nodes.cut_off_days import play
-from tests.nodes.cut_off_invariants import Violation
+from tests.nodes.cut_off_invariants import ViolationError
 from tests.nodes.cut_off_world import CheckedWatch
 
 SEEDS = int(os.environ.get("GRANITEWELL_SEEDS", "8"))
 FIRST_SEED = int(os.environ.get("GRANITEWELL_FIRST_SEED", "0"))
-MOST_SEEDS = 60
+MAX_SEEDS = 60
 
 
 def test_days() -> None:
@@ -110,7 +110,7 @@
     plant: Callable[[pytest.MonkeyPatch], None], shows: str, first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    with pytest.raises(Violation, match=shows) as violation:
-        for seed in range(first, first + MOST_SEEDS):
+    with pytest.raises(ViolationError, match=shows) as violation:
+        for seed in range(first, first + MAX_SEEDS):
             play(seed)
     print(violation.value)
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -17,7 +17,7 @@
 from granitewell.balancing.balancer import Balancer
 from granitewell.balancing.interface import Effect, Host, Hosts, Outcome, State, View
 from tests import wirekit as w
-from tests.checker import Broken, Checker
+from tests.checker import BrokenRuleError, Checker
 
 STEP_US = 1_000  # between two events
 WAIT_US = 550_000  # of `wait`: past the 500 ms after which nothing new may go to what drains
@@ -112,7 +112,9 @@
             self.answered(effect.inbound)
             if effect.verdict is c.Verdict.SERVED:
                 if effect.inbound in self.checker.open:
-                    raise Broken(f"rule 1: {effect.inbound} was served without an answer of an endpoint")
+                    raise BrokenRuleError(
+                        f"rule 1: {effect.inbound} was served without an answer of an endpoint"
+                    )
             else:
                 refused = effect.verdict is c.Verdict.FAIL_FAST
                 self.judge(t.Timer(0), t.Refuse(effect.inbound) if refused else t.Fail(effect.inbound))
@@ -121,16 +123,16 @@
             self.begun.add(effect.inbound)
             self.judge(t.FirstByte(effect.inbound, 0, 0.0))
         elif isinstance(effect, c.Note) and effect.topic in ("fault", "overdue", "guard"):
-            raise Broken(f"the node says {effect.topic}: {effect.line}")
+            raise BrokenRuleError(f"the node says {effect.topic}: {effect.line}")
 
     dials = True  # a call needs a new connection; False: an idle one is there, and it is written at once
 
     def written(self, call: Out) -> None:
         call.attempt = len(self.checker.tries[call.inbound])
         if call.inbound in self.let_go:
-            raise Broken(f"rule 2: {call.inbound} goes out again, and its beginning is held no more")
+            raise BrokenRuleError(f"rule 2: {call.inbound} goes out again, and its beginning is held no more")
         if call.address != self.members[IDS.index(call.endpoint)].address:
-            raise Broken(f"rule 3: {call.inbound} goes to an address that the list has taken back")
+            raise BrokenRuleError(f"rule 3: {call.inbound} goes to an address that the list has taken back")
         self.judge(t.Timer(0), t.Send(call.inbound, call.endpoint))
 
     def over(self, call: Out, outcome: Outcome) -> None:
@@ -141,7 +143,7 @@
     def answered(self, inbound: int) -> None:
         self.answers[inbound] = self.answers.get(inbound, 0) + 1
         if self.answers[inbound] > 1:
-            raise Broken(f"rule 1: {inbound} has two answers")
+            raise BrokenRuleError(f"rule 1: {inbound} has two answers")
 
     # --- Time -------------------------------------------------------------------------------------------
     def pass_(self, us: int) -> None:
@@ -163,7 +165,7 @@
             self.play(("gone", inbound))
         self.pass_(END_US)
         if left := set(self.checker.open) | {k for k in self.begun if self.answers[k] != 1}:
-            raise Broken(f"rule 1: {left} have no answer")
+            raise BrokenRuleError(f"rule 1: {left} have no answer")
 
     # --- Events -----------------------------------------------------------------------------------------
     def play(self, event: Event) -> None:
@@ -208,7 +210,9 @@
         self.over(call, outcome)
         self.feed(node, c.CallEnded(number, outcome, (), "answer"))
         if outcome is Outcome.OK and call.inbound in self.left and self.answers.get(call.inbound, 0) != 1:
-            raise Broken(f"rule 1: {call.inbound} was served by an endpoint, and its client has no answer")
+            raise BrokenRuleError(
+                f"rule 1: {call.inbound} was served by an endpoint, and its client has no answer"
+            )
 
     @property
     def left(self) -> set[int]:
@@ -319,7 +323,8 @@
 
     # --- What may come next -----------------------------------------------------------------------------
     def possible(self, kinds: tuple[str, ...], order: Order) -> Iterator[Event]:
-        """What can happen now, of these kinds: each once, or once for each call or request that it is about."""
+        """What can happen now, of these kinds: each once, or once for each call or request that it is
+        about."""
         had = {what for what, _ in order}
         calls = [x for each in self.out.values() for x in each.values()]
         for kind in kinds:
--- a/tests/recorded/test_recorded_bytes.py
+++ b/tests/recorded/test_recorded_bytes.py
@@ -11,8 +11,8 @@
 from granitewell.controlplane.configuration.store import ConfigurationStore
 from granitewell.coordination.consensus import codec, storage
 from granitewell.coordination.consensus.identity import IDENTITY_NAME, load_identity
-from granitewell.coordination.log_format import CorruptLog
-from granitewell.domain.errors import BadFrame, GranitewellError
+from granitewell.coordination.log_format import CorruptLogError
+from granitewell.domain.errors import GranitewellError, MalformedFrameError
 from granitewell.rpc.transport import HEAD, MAGIC, VERSION, Kind, Method
 from tests.recorded.samples import (
     CLAIM,
@@ -51,12 +51,12 @@
 def test_a_message_with_one_byte_changed_or_cut_is_refused(name: str) -> None:
     recorded = path_of(name).read_bytes()
     for length in range(len(recorded)):
-        with pytest.raises(BadFrame):
+        with pytest.raises(MalformedFrameError):
             codec.decode(recorded[:length])
     for place in range(len(recorded)):
         changed = bytearray(recorded)
         changed[place] ^= 0x10
-        with pytest.raises(BadFrame):
+        with pytest.raises(MalformedFrameError):
             codec.decode(bytes(changed))
 
 
@@ -67,7 +67,7 @@
     for length in range(len(recorded)):
         try:
             kept.add(log_payloads(recorded[:length]))
-        except CorruptLog:
+        except CorruptLogError:
             assert length < 18
     assert kept == {whole[:count] for count in range(len(whole))}
 
--- a/tests/recorded/test_recorded_inputs.py
+++ b/tests/recorded/test_recorded_inputs.py
@@ -16,7 +16,7 @@
 import orjson
 import pytest
 
-from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.errors import InvalidSettingsError
 from granitewell.domain.settings import parse_settings
 from granitewell.operator.load import load
 from granitewell.operator.registry import Operator
@@ -66,12 +66,12 @@
         ):
             try:
                 parse_settings(json.dumps(changed).encode())
-            except InvalidSettings as error:
+            except InvalidSettingsError as error:
                 found[f"{name}{'' if name in changed else ' missing'}"] = str(error)
     for name in document["bounds"]:
         try:
             parse_settings(json.dumps(document | {"bounds": {name: []}}).encode())
-        except InvalidSettings as error:
+        except InvalidSettingsError as error:
             found[f"bounds.{name}"] = str(error)
     return found
 
--- a/tests/rpc/test_transport.py
+++ b/tests/rpc/test_transport.py
@@ -12,12 +12,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitewell.domain.errors import BadFrame, PeerUnreachable, RpcError, RpcTimeout
+from granitewell.domain.errors import MalformedFrameError, PeerUnreachableError, RpcError, RpcTimeoutError
 from granitewell.rpc.messages import DemandReport, GroupMessage, WatchReply, decode, encode
 from granitewell.rpc.transport import (
     HEAD,
     MAGIC,
-    MOST_PAYLOAD,
+    MAX_PAYLOAD,
     VERSION,
     Kind,
     Method,
@@ -80,9 +80,9 @@
         return b""
 
     async def use(peers: RpcPeers, address: str, server: RpcServer) -> None:
-        with pytest.raises(RpcTimeout):
+        with pytest.raises(RpcTimeoutError):
             await peers[address].call(Method.WATCH, b"", 0.01)
-        with pytest.raises(PeerUnreachable):
+        with pytest.raises(PeerUnreachableError):
             await peers["127.0.0.1:1"].call(Method.WATCH, b"", 5)
 
     play(never, use)
@@ -116,7 +116,7 @@
     [
         HEAD.pack(MAGIC + 1, VERSION, Kind.CALL, Method.WATCH, 1, 0),
         HEAD.pack(MAGIC, VERSION + 1, Kind.CALL, Method.WATCH, 1, 0),
-        HEAD.pack(MAGIC, VERSION, Kind.CALL, Method.WATCH, 1, MOST_PAYLOAD + 1),
+        HEAD.pack(MAGIC, VERSION, Kind.CALL, Method.WATCH, 1, MAX_PAYLOAD + 1),
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     ],
 )
@@ -140,7 +140,7 @@
     for kind in (WatchReply, DemandReport, GroupMessage):
         try:
             decode(kind, data)
-        except BadFrame:
+        except MalformedFrameError:
             continue
 
 
@@ -151,14 +151,14 @@
     long_map = bytes([13, 0, 1, 2, 2]) + (2**31 - 1).to_bytes(4, "big")
     deep = bytes([12, 0, 1]) * 50 + b"\0" * 51
     for data in (long_list, long_text, negative, long_map, deep, b"", b"\x0c", b"\x63\0\1"):
-        with pytest.raises(BadFrame):
+        with pytest.raises(MalformedFrameError):
             decode(WatchReply, data)
 
 
 def test_a_message_cut_anywhere_is_refused() -> None:
     whole = encode(GroupMessage(group="g", sender_address="10.0.0.1:7660", payload=b"payload"))
     for length in range(len(whole)):
-        with pytest.raises(BadFrame):
+        with pytest.raises(MalformedFrameError):
             decode(GroupMessage, whole[:length])
 
 
@@ -250,7 +250,7 @@
 )
 def test_a_frame_that_can_be_no_reply_ends_the_connection_and_answers_nobody(foreign: bytes) -> None:
     first, second, ended = feed(foreign + REPLIES["first"] + REPLIES["second"], 0)
-    assert isinstance(first, PeerUnreachable) and isinstance(second, PeerUnreachable) and ended
+    assert isinstance(first, PeerUnreachableError) and isinstance(second, PeerUnreachableError) and ended
 
 
 @pytest.mark.parametrize("kind", [Kind.REPLY, Kind.FAILURE, 0, 77])
@@ -294,7 +294,7 @@
         new_call, new = await calls.get()
         new.write(frame(Kind.REPLY, Method.WATCH, old_call, b"old"))
         new.write(frame(Kind.REPLY, Method.WATCH, new_call, b"new"))
-        with pytest.raises(PeerUnreachable):
+        with pytest.raises(PeerUnreachableError):
             await first
         assert await second == b"new"
     client.close()
@@ -340,12 +340,12 @@
         call = asyncio.create_task(client.call(Method.WATCH, b"", 5))
         await asyncio.sleep(0)
         client.close()
-        with pytest.raises(PeerUnreachable):
+        with pytest.raises(PeerUnreachableError):
             await call
         async with asyncio.timeout(5):
             while server.connections:
                 await asyncio.sleep(0.001)
-        with pytest.raises(PeerUnreachable):
+        with pytest.raises(PeerUnreachableError):
             await client.call(Method.WATCH, b"", 5)
 
     play(echo, use)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,7 +13,7 @@
 import pytest
 
 from granitewell.config import load
-from granitewell.net.bodies import COPIES, LEAST_PIECE, MOST_PIECE, Budget
+from granitewell.net.bodies import COPIES, MAX_PIECE, MIN_PIECE, Budget
 from granitewell.net.downstream import (
     BODY_GAP_US,
     BODY_PER_S,
@@ -24,7 +24,7 @@
     too_slow,
     trickles,
 )
-from granitewell.net.http1 import MOST_KEPT, Ask, Flow, InboundParser, Names
+from granitewell.net.http1 import MAX_KEPT, Ask, Flow, InboundParser, Names
 from tests.play import LIMIT_S
 from tests.test_config import write
 from tests.test_upgrade import Agent, Site
@@ -35,14 +35,14 @@
 
 def test_up_to_64_kib_a_body_may_go_again_and_beyond_it_is_let_go() -> None:
     """A call that never ran is followed by another; memory holds no more than that for it."""
-    flow = Flow(MOST_KEPT + 1)
+    flow = Flow(MAX_KEPT + 1)
     for _ in range(4):
-        flow.put(bytes(MOST_KEPT // 4))
+        flow.put(bytes(MAX_KEPT // 4))
     flow.begin()
-    assert sum(len(flow.take() or b"") for _ in range(4)) == MOST_KEPT and flow.take() is None
+    assert sum(len(flow.take() or b"") for _ in range(4)) == MAX_KEPT and flow.take() is None
     assert not flow.let_go and flow.unread == 0
     flow.begin()  # the first call did not come up
-    assert sum(len(flow.take() or b"") for _ in range(4)) == MOST_KEPT
+    assert sum(len(flow.take() or b"") for _ in range(4)) == MAX_KEPT
     flow.put(b"x")
     assert flow.take() == b"x" and flow.let_go and len(flow.parts) == 1
 
@@ -69,11 +69,11 @@
 
 def test_many_flows_share_the_budget_in_smaller_pieces_and_none_waits() -> None:
     budget = Budget(80.0)
-    assert budget.piece() == MOST_PIECE
+    assert budget.piece() == MAX_PIECE
     budget.flows = 150
-    assert LEAST_PIECE <= budget.piece() < MOST_PIECE and budget.piece() * COPIES * 150 <= budget.most
+    assert MIN_PIECE <= budget.piece() < MAX_PIECE and budget.piece() * COPIES * 150 <= budget.most
     budget.flows = 10_000
-    assert budget.piece() == LEAST_PIECE
+    assert budget.piece() == MIN_PIECE
 
 
 def test_a_client_may_send_its_body_slowly_as_long_as_it_sends(tmp_path: Path) -> None:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from granitewell.net.console import MOST_BODY, MOST_HEAD, SEATS, CallParser, No
+from granitewell.net.console import MAX_BODY, MAX_HEAD, SEATS, CallParser, RejectedCommandError
 from tests.play import LIMIT_S, Player, reserved
 
 
@@ -41,13 +41,13 @@
         (b"GET /status HTTP/1.1\r\n\r\n", 404),
         (b"POST /ready HTTP/1.1\r\n\r\n", 405),
         (b"GET /dispatch-servers/enable HTTP/1.1\r\n\r\n", 405),
-        (b"POST /dispatch-servers/enable HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MOST_BODY + 1), 413),
+        (b"POST /dispatch-servers/enable HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY + 1), 413),
         (b"\x16\x03\x01 no http\r\n\r\n", 400),
-        (b"GET /ready HTTP/1.1\r\nX: " + b"x" * MOST_HEAD, 431),
+        (b"GET /ready HTTP/1.1\r\nX: " + b"x" * MAX_HEAD, 431),
     ],
 )
 def test_what_is_no_call_gets_its_error(raw: bytes, status: int) -> None:
-    with pytest.raises(No) as error:
+    with pytest.raises(RejectedCommandError) as error:
         call(CallParser(), raw, 512)
     assert error.value.status == status and "\n" not in error.value.text
 
@@ -57,7 +57,7 @@
     parser = CallParser()
     head = b"POST /dispatch-servers/disable HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body)
     assert call(parser, head + body, 4096)
-    with pytest.raises(No) as error:
+    with pytest.raises(RejectedCommandError) as error:
         parser.endpoint()
     assert error.value.status == 400
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -322,7 +322,8 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_the_call_of_a_body_that_will_never_be_whole_ends_with_its_client(may_cancel: bool) -> None:
-    """Where calls may not be called off it stayed for good: it has no time of its own before its last byte."""
+    """Where calls may not be called off it stayed for good: it has no time of its own before its last
+    byte."""
     script = Script(Request=send, Abandoned=lambda e: [t.Cancel(e.id, 0)] if may_cancel else [])
     node = core(script)
     (call,) = calls(node.handle(1, c.Arrived(7, SAFE, 0, 0, 900_000, "message", flows=True)))
@@ -344,7 +345,7 @@
     """A client that names eleven days would hold its place in every table for as long."""
     node = core(Script(Request=send))
     (call,) = calls(ask(node, 0, 1, timeout=999_999_999_000))
-    assert call.due_us == c.LEAST_MOST_US
+    assert call.due_us == c.MIN_MOST_US
 
 
 def test_a_new_process_or_address_makes_idle_connections_useless() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,7 +11,7 @@
 import pytest
 from pytest import MonkeyPatch as Patch
 
-from granitewell.handover import KEEP_S, MOST_FILES, Handover, Moment, form
+from granitewell.handover import KEEP_S, MAX_FILES, Handover, Moment, form
 
 NOW = Moment(1_800_000_000_000_000, 7_000_000_000)
 
@@ -33,7 +33,8 @@
 
 
 def test_an_id_of_any_length_that_the_console_takes_can_be_banned(tmp_path: Path) -> None:
-    """The file's name spelt the id in hexadecimal: from 118 bytes on it was too long, and the call got a 500."""
+    """The file's name spelt the id in hexadecimal: from 118 bytes on it was too long, and the call got a
+    500."""
     files = Handover(str(tmp_path), "n1")
     ids = {bytes([65 + n % 50]) * n for n in (1, 95, 96, 97, 117, 118, 200, 256)}
     assert [files.keep(eid, True, NOW) for eid in ids] == [""] * 8 and files.kept(NOW).bans == ids
@@ -104,7 +105,7 @@
     """
     files, folder = Handover(str(tmp_path), "n1"), tmp_path / "granitewell-n1"
     assert files.enter() == ""
-    for k in range(MOST_FILES):
+    for k in range(MAX_FILES):
         (folder / f"ban-{k:06x}.{k}.new").touch()
     assert files.keep(b"s-a", True, NOW) == "" and files.kept(NOW).bans == {b"s-a"}
     for entry in os.scandir(folder):
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -7,8 +7,8 @@
 
 from granitewell.balancing.interface import Outcome
 from granitewell.balancing.outlier_detection import (
-    LEAST_N,
-    MOST_SICK,
+    MAX_SICK,
+    MIN_N,
     PATIENCE,
     SICK,
     Call,
@@ -80,7 +80,7 @@
 
 def test_a_class_not_known_yet_is_not_suspected() -> None:
     h = health()
-    h.known[SAFE] = LEAST_N - 1
+    h.known[SAFE] = MIN_N - 1
     call = Call(h.pairs(), SAFE, 0, 0.0)
     h.sent(call)
     assert h.overdue(1e6) == []
@@ -96,7 +96,7 @@
     play(h, hosts[6][0], SAFE, Outcome.ERROR, 6.0, 6)
     assert [(n, k) for n, k, _ in h.review(hosts, 10.0)] == [(6, SAFE)]
     assert h.full[SAFE] and not h.sick(hosts[0][0], SAFE, 0, 10.0)
-    assert not h.full[UNSAFE] and 6 <= MOST_SICK * 10 < 7
+    assert not h.full[UNSAFE] and 6 <= MAX_SICK * 10 < 7
 
 
 def test_what_was_ill_as_a_whole_comes_back_by_safe_requests() -> None:
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -28,7 +28,7 @@
 from granitewell.lab.experiments.store import Kept, Store, StoreError
 from granitewell.lab.scenario import ScenarioError, draw
 from granitewell.lab.scenario import load as scenario_file
-from granitewell.net.console import CallParser, No
+from granitewell.net.console import CallParser, RejectedCommandError
 from granitewell.net.http1 import (
     Ask,
     Bad,
@@ -41,7 +41,7 @@
     report,
 )
 from granitewell.net.loop import Node
-from granitewell.operator.load import Refused
+from granitewell.operator.load import InvalidOperatorFileError
 from granitewell.operator.load import load as of
 from granitewell.operator.registry import Operator
 from granitewell.status import wire
@@ -51,8 +51,8 @@
 ROOT = Path(__file__).resolve().parents[1]
 
 PIECE = 8192
-MOST_FED = 400_000  # bytes that a parser may take of something endless before it says no
-MOST_HELD = 600_000  # and what may be held of it meanwhile
+MAX_FED = 400_000  # bytes that a parser may take of something endless before it says no
+MAX_HELD = 600_000  # and what may be held of it meanwhile
 ASK = b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout-Ms: 2000\r\n%s\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
@@ -64,9 +64,9 @@
     try:
         for piece in pieces:
             fed += len(piece)
-            if feed(piece) or fed > MOST_FED:
+            if feed(piece) or fed > MAX_FED:
                 break
-        assert tracemalloc.get_traced_memory()[1] < MOST_HELD
+        assert tracemalloc.get_traced_memory()[1] < MAX_HELD
     finally:
         tracemalloc.stop()
     return fed
@@ -96,7 +96,7 @@
         return got
 
     fed = endless(feed, ever(ASK % CHUNKED + begin, more))
-    assert [x.status for x in got if isinstance(x, Bad)] in ([431], [400]) and fed <= MOST_FED
+    assert [x.status for x in got if isinstance(x, Bad)] in ([431], [400]) and fed <= MAX_FED
 
 
 @pytest.mark.parametrize("what", ENDLESS)
@@ -113,7 +113,7 @@
                 return said
 
         fed = endless(feed, ever(b"HTTP/1.1 200 OK\r\n" + CHUNKED + b"\r\n" + begin, more))
-        assert said and fed <= MOST_FED
+        assert said and fed <= MAX_FED
 
 
 @pytest.mark.parametrize("what", ENDLESS)
@@ -124,7 +124,7 @@
     def feed(data: bytes) -> bool:
         try:
             return parser.feed(data)
-        except No:
+        except RejectedCommandError:
             return True
 
     head = b"POST /dispatch-servers/disable HTTP/1.1\r\n" + CHUNKED + b"\r\n"
@@ -329,7 +329,7 @@
             report(answer, ("failed_ps",))
             outcome(answer)
         call = CallParser()
-        with contextlib.suppress(No):
+        with contextlib.suppress(RejectedCommandError):
             call.feed(spoilt(rng, b"POST /dispatch-servers/enable HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-a"))
             call.endpoint()
 
@@ -347,11 +347,15 @@
 
 FILES: dict[str, tuple[str, Callable[[Path], object], type[Exception]]] = {
     "configuration": ("", lambda path: load({"LB_CONFIG": str(path)}), ConfigError),
-    "operator file": ("deploy/operator-example.toml", lambda path: of(str(path), Operator), Refused),
+    "operator file": (
+        "deploy/operator-example.toml",
+        lambda path: of(str(path), Operator),
+        InvalidOperatorFileError,
+    ),
     "scenario": ("granitewell/lab/scenarios/chaos.toml", lambda path: scenario_file(path), ScenarioError),
     "experiment": ("deploy/experiments/cold-share.toml", lambda path: plan.load(path), plan.PlanError),
     "day": ("", day_json.load_file, day_json.DayError),
-    "trace": ("", lambda path: list(capture.read(path)), capture.BadTrace),
+    "trace": ("", lambda path: list(capture.read(path)), capture.TraceError),
     "results": ("", lambda path: list(Store(path.parent).all()), StoreError),
     "recording": ("", lambda path: list(recording.read(path)), recording.RecordingError),
 }
@@ -418,5 +422,5 @@
     for data in [good[:k] for k in range(len(good))] + [spoilt(rng, good) for _ in range(4000)]:
         try:
             assert isinstance(wire.asked(data, 10, rng.random() < 0.5), wire.Asked)
-        except wire.Refused as error:
+        except wire.RejectedQueryError as error:
             assert error.raw.startswith(b"HTTP/1.1 4")
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from granitewell.net import logs
-from granitewell.net.logs import HEAD_START_US, LEVELS, MOST_BYTES, TOPICS, Log, LogSettings, as_json
+from granitewell.net.logs import HEAD_START_US, LEVELS, MAX_BYTES, TOPICS, Log, LogSettings, as_json
 
 ROOT = Path(__file__).resolve().parent.parent
 ANY = st.text(st.characters(exclude_categories=()), max_size=1500)  # lone surrogates too
@@ -39,7 +39,7 @@
 ) -> dict[str, Any]:
     at, unix_us = HEAD_START_US + 5_000_250, 1_796_149_805_120_045
     raw = as_json(name, at, unix_us, "beat", text, left_out, fields or {})
-    assert raw.endswith(b"\n") and raw.count(b"\n") == 1 and len(raw) <= MOST_BYTES
+    assert raw.endswith(b"\n") and raw.count(b"\n") == 1 and len(raw) <= MAX_BYTES
     parsed = json.loads(raw.decode())  # as UTF-8, strictly: from bytes, Python takes more
     assert isinstance(parsed, dict)
     return parsed
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -20,13 +20,13 @@
 from granitewell.cli.check import judge
 from granitewell.config import load as node_takes
 from granitewell.net.logs import PLAIN, TOPICS
-from granitewell.operator.load import MOST_FILE, Live, Refused, load, reload
+from granitewell.operator.load import MAX_FILE, InvalidOperatorFileError, Live, load, reload
 from granitewell.operator.platform import Platform
 from granitewell.operator.problem import Problem
 from granitewell.operator.reference import page
 from granitewell.operator.registry import Operator
 from granitewell.operator.table import Table, examine
-from granitewell.operator.tree_reader import MOST_PROBLEMS, type_of
+from granitewell.operator.tree_reader import MAX_PROBLEMS, type_of
 from tests.play import LIMIT_S, Player
 from tests.test_config import write
 
@@ -109,7 +109,7 @@
 
 def test_a_storm_of_problems_is_bounded() -> None:
     found = said({f"key{k}": k for k in range(20_000)})
-    assert len(found) == MOST_PROBLEMS + 1 and "the rest is not listed" in found[-1]
+    assert len(found) == MAX_PROBLEMS + 1 and "the rest is not listed" in found[-1]
 
 
 class Inner(Table, frozen=True, kw_only=True):
@@ -159,7 +159,7 @@
     ("raw", "says"),
     [
         (b"a = ]", "line 1"), (b"\xff", "byte 0"), (b"a = " + b"[" * 20_000, "without end"),
-        (b"#" * (MOST_FILE + 1), "at most"), (b"a = 1" + b"0" * 5000, "TOML"), (b"[log]\n[log]", "line 2"),
+        (b"#" * (MAX_FILE + 1), "at most"), (b"a = 1" + b"0" * 5000, "TOML"), (b"[log]\n[log]", "line 2"),
         (b"[log]\nrate = nan", "log.rate: found NaN"), (b"[log]\nform = 2026-12-01", "2026-12-01"),
         (b"[log]\nrate = 0x" + b"f" * 5000, "a whole number of 20000 bits"),
     ],
@@ -168,7 +168,7 @@
 def test_what_is_no_operator_file_is_refused_in_one_line(tmp_path: Path, raw: bytes, says: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_bytes(raw)
-    with pytest.raises(Refused) as caught:
+    with pytest.raises(InvalidOperatorFileError) as caught:
         load(str(path), Operator)
     assert says in str(caught.value) and "\n" not in str(caught.value) and len(str(caught.value)) < 500
 
@@ -176,7 +176,7 @@
 def test_a_path_that_is_no_file_is_refused_and_waits_for_nobody(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "fifo")
     for name in ("fifo", "none", ".", "null\0byte"):
-        with pytest.raises(Refused):
+        with pytest.raises(InvalidOperatorFileError):
             load(f"{tmp_path}/{name}", Operator)
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -18,7 +18,7 @@
 from granitewell import core as c
 from granitewell.balancing.balancer import Balancer
 from granitewell.lab.cluster.search import Seen, search
-from tests.checker import Broken
+from tests.checker import BrokenRuleError
 from tests.orders import Event, Order, World
 
 # name: kinds of events, length, whether calls are dialed, nodes
@@ -60,7 +60,7 @@
             if len(order) < self.length:
                 self._next[order] = tuple(world.possible(self.kinds, order))
             world.end()
-        except Broken as error:
+        except BrokenRuleError as error:
             return str(error)
         return ""
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -20,8 +20,8 @@
 from granitewell.balancing.balancer import Balancer
 from granitewell.balancing.interface import Effect, Outcome, State, View
 from granitewell.config import Config, ConfigError, load, reload
-from granitewell.net.http1 import MOST_PLACES, Ask, Bad, FleetReader, InboundParser, Names
-from granitewell.reload import MOST_NAMES, complete, follow
+from granitewell.net.http1 import MAX_PLACES, Ask, Bad, FleetReader, InboundParser, Names
+from granitewell.reload import MAX_NAMES, complete, follow
 from tests import wirekit as w
 from tests.play import LIMIT_S, Player, settings
 from tests.test_config import write
@@ -52,7 +52,7 @@
 def test_names_that_come_and_go_for_months_are_bounded(tmp_path: Path) -> None:
     """Each kept its place for good, in the module's rows and the work of each period, without any bound."""
     held = load(env := write(tmp_path))
-    for k in range(MOST_NAMES):
+    for k in range(MAX_NAMES):
         text = settings()
         text["classes"].append(NEW | {"name": f"class-{k}"})
         write(tmp_path, settings=text)
@@ -61,14 +61,14 @@
         except ConfigError as error:
             assert str(error).startswith("settings.classes: 251 names since the start")
             break
-    assert len(held.class_names) == MOST_NAMES and k == MOST_NAMES - 2
+    assert len(held.class_names) == MAX_NAMES and k == MAX_NAMES - 2
     write(tmp_path)
     assert again(env, held).live == {"taxi-lookup", "ride-assign"}  # what needs no new place is taken
     reader = FleetReader(held, lambda unix_us: unix_us)
     entry = {"id": "s", "host_port": "10.1.0.18:9000", "phase": "ready"}
     many = [entry | {"locality": f"z{k}", "flavor": f"f{k}"} for k in range(3000)]
     members = reader.parsed({"revision": 1, "complete": False, "members": many})[1].members
-    assert max(m.zone for m in members) == max(m.kind for m in members) == MOST_PLACES
+    assert max(m.zone for m in members) == max(m.kind for m in members) == MAX_PLACES
 
 
 def _paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,7 +30,7 @@
     View,
 )
 from tests import wirekit as w
-from tests.checker import Broken, Checker
+from tests.checker import BrokenRuleError, Checker
 
 IDS = [bytes([10, 0, 0, k, 0, 80]) for k in range(9)]
 
@@ -230,5 +230,5 @@
     mutate: Callable[[float, Event, list[Action]], list[Action]],
     events: list[tuple[float, Event]],
 ) -> None:
-    with pytest.raises(Broken, match=says):
+    with pytest.raises(BrokenRuleError, match=says):
         _day(mutate, *events)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -16,7 +16,7 @@
 from granitewell.balancing.interface import Outcome
 from granitewell.handover import Handover, Moment
 from granitewell.net.console import Console
-from granitewell.net.discovery import APART_S, MOST_SWIFT, PUSHED
+from granitewell.net.discovery import APART_S, MAX_SWIFT, PUSHED
 from granitewell.net.downstream import Inbound
 from granitewell.net.loop import RESERVE, Node
 from granitewell.net.sockets import readable
@@ -180,7 +180,7 @@
         agent = Agent(NOTHING)
         server = await asyncio.start_server(agent, "127.0.0.1", 0)
         node.discovery.at(server.sockets[0].getsockname(), PUSHED)
-        await until(lambda: agent.calls > MOST_SWIFT)
+        await until(lambda: agent.calls > MAX_SWIFT)
         loop = asyncio.get_running_loop()
         before, began = agent.calls, loop.time()
         await asyncio.sleep(10 * APART_S)
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -251,7 +251,7 @@
         for n in (5, 5, *range(20)):
             assert f'"worst":{n},'.encode() in await door._answer(wire.Asked(wire.STATUS, n))
             seen.append(len(looks))
-        assert door._rest_us - door._done_us == status_door.MOST_REST_US
+        assert door._rest_us - door._done_us == status_door.MAX_REST_US
         door._settings = types.StatusSettings(seconds=0.2)  # who waits must have time left
         await door._answer(wire.Asked(wire.STATUS, 20))
         assert door._rest_us - door._done_us == 100_000
@@ -388,7 +388,7 @@
     snap, _ = taken(look(core_of(ids, 3), NONE, about, HOUR, 9))
     got = parsed(taken(wire.body(wire.Asked(wire.METRICS, 9), snap))[0].decode())
     rows = {dict(key[1])["endpoint"]: v for key, v in got.items() if key[0] == "granitewell_endpoint_calls"}
-    assert len(rows) == len(ids) and {x for x in ids if len(x) <= types.MOST_TEXT} <= {*rows}
+    assert len(rows) == len(ids) and {x for x in ids if len(x) <= types.MAX_TEXT} <= {*rows}
     assert sum(rows.values()) == sum(e["calls"] for e in snap["endpoints"])
     raw, _ = taken(wire.body(wire.Asked(wire.STATUS, 9), snap))
     assert descriptions.taken(json.loads(raw))["pairs"] == snap["pairs"]
@@ -398,19 +398,19 @@
 
 
 def test_long_names_that_begin_alike_are_two() -> None:
-    ids = ["x" * types.MOST_TEXT + end for end in "ab"]
+    ids = ["x" * types.MAX_TEXT + end for end in "ab"]
     snap, _ = taken(look(core_of(ids), NONE, ABOUT, HOUR, 9))
     assert len({e["endpoint"] for e in snap["endpoints"]}) == 2
-    assert all(len(e["endpoint"]) == types.MOST_TEXT for e in snap["endpoints"])
+    assert all(len(e["endpoint"]) == types.MAX_TEXT for e in snap["endpoints"])
 
 
 def test_an_answer_is_bounded_whatever_the_names() -> None:
     core = core_of([f"{k}".rjust(80, "\x01") for k in range(600)])
     for path in wire.KINDS:
-        snap, _ = taken(look(core, NONE, ABOUT, HOUR, types.MOST_WORST))
-        raw, _ = taken(wire.body(wire.Asked(path, types.MOST_WORST), snap))
+        snap, _ = taken(look(core, NONE, ABOUT, HOUR, types.MAX_WORST))
+        raw, _ = taken(wire.body(wire.Asked(path, types.MAX_WORST), snap))
         rows = raw.count(b'"own_failures"') + raw.count(b"granitewell_pair_ill{")
-        assert len(raw) <= types.MOST_ANSWER and 100 < rows < len(snap["pairs"]) == 500
+        assert len(raw) <= types.MAX_ANSWER and 100 < rows < len(snap["pairs"]) == 500
         assert path != wire.STATUS or json.loads(raw)["cut"]
 
 
@@ -420,8 +420,8 @@
     for head in (raw, b"GET /status?" + raw + b" HTTP/1.1\r\nHost: localhost\r\n\r\n"):
         try:
             got = wire.asked(head, 50, local)
-            assert got.path in wire.KINDS and 0 <= got.worst <= types.MOST_WORST
-        except wire.Refused as error:
+            assert got.path in wire.KINDS and 0 <= got.worst <= types.MAX_WORST
+        except wire.RejectedQueryError as error:
             assert re.match(rb"HTTP/1\.1 4\d\d ", error.raw)
 
 
@@ -432,11 +432,11 @@
         ("GET /status?best=1 HTTP/1.1", 400), ("GET /status HTTP/2", 400), ("POST /status HTTP/1.1", 405),
         ("GET /statu HTTP/1.1", 404), ("GET /metrics HTTP/1.1\r\nHost: evil.example:80", 421),
         ("GET /metrics HTTP/1.1\r\nHost: localhost\r\nHost: localhost", 421),
-        ("GET /metrics HTTP/1.1\r\nX: " + "y" * wire.MOST_HEAD, 431),
+        ("GET /metrics HTTP/1.1\r\nX: " + "y" * wire.MAX_HEAD, 431),
     ],
 )  # fmt: skip
 def test_what_is_refused(line: str, code: int) -> None:
-    with pytest.raises(wire.Refused) as caught:
+    with pytest.raises(wire.RejectedQueryError) as caught:
         wire.asked(f"{line}\r\n\r\n".encode(), 50, "Host" in line)
     assert caught.value.raw.startswith(f"HTTP/1.1 {code} ".encode())
 
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -31,7 +31,7 @@
 from granitewell.cli.system.call_plan import (
     FIRST_PAUSE_S,
     LONGEST_PAUSE_S,
-    MOST_REDIRECTS,
+    MAX_REDIRECTS,
     Answered,
     CallPlan,
     GiveUp,
@@ -41,12 +41,17 @@
 )
 from granitewell.cli.system.control_client import Call, ControlClient, Method
 from granitewell.cli.system.differences import differences
-from granitewell.cli.system.errors import CommandError, NoControlNode, OtherVersionInForce, RefusedByControl
+from granitewell.cli.system.errors import (
+    CommandError,
+    NoControlNodeError,
+    RejectedByControlError,
+    VersionConflictError,
+)
 from granitewell.cli.system.exit_codes import ExitCode
 from granitewell.cli.system.exit_handling import ended
 from granitewell.controlplane.configuration.api import OperatorApi
 from granitewell.controlplane.configuration.store import ConfigurationStore
-from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.errors import InvalidSettingsError
 from tests.test_system_settings import LEAST
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -142,9 +147,9 @@
     ("error", "code", "says"),
     [
         (CommandError("a\nb"), 2, "granitewell: a b\n"),
-        (InvalidSettings("seeds", "missing"), 2, "granitewell: seeds: missing\n"),
-        (OtherVersionInForce(5, "7"), 1, "granitewell: version 5 is not the current one any more: 7\n"),
-        (NoControlNode("gone"), 3, "granitewell: gone\n"),
+        (InvalidSettingsError("seeds", "missing"), 2, "granitewell: seeds: missing\n"),
+        (VersionConflictError(5, "7"), 1, "granitewell: version 5 is not the current one any more: 7\n"),
+        (NoControlNodeError("gone"), 3, "granitewell: gone\n"),
         (OSError(98, "Address in use"), 1, "granitewell: address or output: Address in use\n"),
         (OSError(28, "No space left", "log"), 3, "granitewell: log: No space left\n"),
         (ModuleNotFoundError("x", name="cappa.arg"), 3, "not installed: pip install 'granitewell[system]'\n"),
@@ -252,7 +257,7 @@
 
 def test_a_redirect_is_followed_twice_without_a_pause() -> None:
     plan, reply = CallPlan([A, B], 0.0, 60.0), Reply(307, b"", "http://10.0.0.9:8080/config")
-    for _ in range(MOST_REDIRECTS):
+    for _ in range(MAX_REDIRECTS):
         assert plan.after(reply, 0.0) == SendTo("10.0.0.9:8080", 0.0)
     assert plan.after(reply, 0.0) == SendTo(B, FIRST_PAUSE_S)
     assert plan.after(reply, 0.0) == SendTo("10.0.0.9:8080", 0.0)
@@ -282,7 +287,7 @@
         if not isinstance(step, SendTo):
             break
         redirects = redirects + 1 if step.pause_s == 0.0 else 0
-        assert redirects <= MOST_REDIRECTS
+        assert redirects <= MAX_REDIRECTS
         now += step.pause_s
         assert redirects or now <= patience
 
@@ -322,7 +327,7 @@
 
 def test_a_change_without_a_clear_answer_is_never_called_refused() -> None:
     nodes = ScriptedNodes([Reply(503, b"no quorum")] * 50)
-    with pytest.raises(NoControlNode, match="the change may have been taken: answered 503 no quorum"):
+    with pytest.raises(NoControlNodeError, match="the change may have been taken: answered 503 no quorum"):
         nodes.ask(lambda client: client.change(Method.PATCH, b"{}", 5))
     assert nodes.now <= 15.0
 
@@ -339,7 +344,7 @@
 )
 def test_a_refusal_says_what_the_node_said(body: bytes, says: str) -> None:
     nodes = ScriptedNodes([Reply(400, body)])
-    with pytest.raises(RefusedByControl) as raised:
+    with pytest.raises(RejectedByControlError) as raised:
         nodes.ask(lambda client: client.change(Method.PUT, b"{}", 5))
     assert str(raised.value) == f"refused with 400: {says}"
 
@@ -350,7 +355,7 @@
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"version": "7"}'])
 def test_a_configuration_without_a_version_is_no_base_for_a_change(body: bytes) -> None:
-    with pytest.raises(NoControlNode):
+    with pytest.raises(NoControlNodeError):
         ScriptedNodes([Reply(200, body)]).ask(lambda client: client.version())
 
 
--- a/tests/test_system_demo.py
+++ b/tests/test_system_demo.py
@@ -25,7 +25,7 @@
 from granitewell.lab.system.standins import ModelServer
 
 LIMIT_S = 33.0  # of the scene: with the start of the stand-ins and the end of all processes below 40 s
-MOST_S = 10.0  # of any other test here
+MAX_S = 10.0  # of any other test here
 CONTROLS = {f"control-{number}" for number in range(1, len(CONTROL_IPS) + 1)}
 EDGES = {f"edge-{number}" for number in range(1, len(EDGE_IPS) + 1)}
 T = TypeVar("T")
@@ -84,7 +84,7 @@
 
 # --- The stand-ins and the checks -----------------------------------------------------------------------
 def play(scene: Coroutine[Any, Any, T]) -> T:
-    return asyncio.run(asyncio.wait_for(scene, MOST_S))
+    return asyncio.run(asyncio.wait_for(scene, MAX_S))
 
 
 async def asked(server: ModelServer, model: str, known: list[ModelServer]) -> Client:
--- a/tests/test_system_logs.py
+++ b/tests/test_system_logs.py
@@ -129,7 +129,7 @@
     bound = logs.RateBound(0.0)
     for number in range(10_000):
         bound.admits("x", str(number), 0.0)
-    assert len(bound._buckets) == logs.MOST_TEMPLATES
+    assert len(bound._buckets) == logs.MAX_TEMPLATES
 
 
 @given(st.lists(st.floats(0.0, 5.0), max_size=200))
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitewell.domain.errors import InvalidSettings
+from granitewell.domain.errors import InvalidSettingsError
 from granitewell.domain.settings import (
     DEFAULT_PATH,
     PATH_VARIABLE,
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("name", LEAST)
 def test_a_field_that_is_needed_and_missing_is_named(name: str) -> None:
-    with pytest.raises(InvalidSettings) as raised:
+    with pytest.raises(InvalidSettingsError) as raised:
         parse({key: value for key, value in LEAST.items() if key != name})
     assert raised.value.field == name and raised.value.reason == "missing"
 
@@ -99,7 +99,7 @@
     ],
 )
 def test_a_field_of_another_type_is_named_by_its_path(name: str, value: Any, field: str) -> None:
-    with pytest.raises(InvalidSettings) as raised:
+    with pytest.raises(InvalidSettingsError) as raised:
         parse(LEAST | {name: value})
     assert raised.value.field == field
 
@@ -110,7 +110,7 @@
     ids=lambda text: repr(text[:9]),
 )
 def test_what_is_no_object_is_refused_and_no_defect(text: bytes) -> None:
-    with pytest.raises(InvalidSettings):
+    with pytest.raises(InvalidSettingsError):
         parse_settings(text)
 
 
@@ -125,13 +125,13 @@
 def test_whatever_a_field_holds_it_is_taken_or_named(name: str, value: Any) -> None:
     try:
         parse(WHOLE | {name: value})
-    except InvalidSettings as error:
+    except InvalidSettingsError as error:
         assert error.field.split(".")[0].split("[")[0] in (name, "file")
 
 
 @given(st.integers(0, len(json.dumps(WHOLE)) - 1))
 def test_a_file_that_was_cut_is_refused(length: int) -> None:
-    with pytest.raises(InvalidSettings):
+    with pytest.raises(InvalidSettingsError):
         parse_settings(json.dumps(WHOLE).encode()[:length])
 
 
@@ -140,7 +140,7 @@
     assert settings_path() == Path(DEFAULT_PATH)
     path = tmp_path / "node.json"
     monkeypatch.setenv(PATH_VARIABLE, str(path))
-    with pytest.raises(InvalidSettings) as raised:
+    with pytest.raises(InvalidSettingsError) as raised:
         read_settings(settings_path())
     assert raised.value.field == str(path)
     path.write_text(json.dumps(LEAST))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -299,7 +299,7 @@
         [startup_pacing.WORK_S * startup_pacing.REST, 0.05 * startup_pacing.REST]
     )
     assert len(rested) == 3 and sum(rested) == pytest.approx(
-        startup_pacing.MOST_S
+        startup_pacing.MAX_S
     )  # a slow machine is ready in time
     assert sys.meta_path == finders
 
