--- a/granitewell/cli/system/configuration.py
+++ b/granitewell/cli/system/configuration.py
@@ -166,7 +166,7 @@
 
 def _patch_alone(body: bytes) -> ConfigurationPatch:
     """A patch, as far as it can be checked without what it alters; raises InvalidConfigurationError."""
-    return read_patch(body, EMPTY.version, EMPTY.held_routes(), EMPTY.held_services())
+    return read_patch(body, EMPTY.version, EMPTY.current_routes(), EMPTY.current_services())
 
 
 def _patched(file: str, patch: bytes, whole: bytes, source: str) -> bytes:
--- a/granitewell/controlplane/configuration/body.py
+++ b/granitewell/controlplane/configuration/body.py
@@ -29,7 +29,7 @@
 
     def __init__(self, sleep: Callable[[float], Awaitable[None]]) -> None:
         self._sleep = sleep
-        self._held = 0
+        self._buffered_bytes = 0
 
     async def read(self, request: web.Request) -> bytes | Failure:
         """The body, or why there is none."""
@@ -50,16 +50,16 @@
         try:
             async for chunk in request.content.iter_any():
                 size += len(chunk)
-                self._held += len(chunk)
+                self._buffered_bytes += len(chunk)
                 chunks.append(chunk)
                 if size > MAX_BODY:
                     return TOO_LARGE
-                if self._held > MAX_BODIES:
+                if self._buffered_bytes > MAX_BODIES:
                     return TOO_MANY
         except (web.PayloadAccessError, OSError):
             return BROKEN_OFF
         except web.RequestPayloadError:
             return UNDECODABLE
         finally:
-            self._held -= size
+            self._buffered_bytes -= size
         return b"".join(chunks)
--- a/granitewell/controlplane/configuration/checks.py
+++ b/granitewell/controlplane/configuration/checks.py
@@ -26,7 +26,7 @@
 )
 from granitewell.domain.errors import InvalidConfigurationError
 
-WHOLE_FIELDS = frozenset({"version", "routes", "services", "limits"})
+COMPLETE_FIELDS = frozenset({"version", "routes", "services", "limits"})
 PATCH_FIELDS = frozenset({"version", "upsert", "remove", "limits"})
 MAX_SHOWN = 60  # characters of a wrong value in a message
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldItems(Generic[Named]):
+class CurrentItems(Generic[Named]):
     """Items of the current configuration by name. One that is sent again unaltered isn't read again."""
 
     values: Mapping[str, Named]
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeConfiguration:
+class CompleteConfiguration:
     """The body of a PUT.
 
     Attributes:
@@ -106,26 +106,32 @@
     unknown_items: Mapping[str, UnknownItems]
 
 
-def read_whole(
-    body: bytes, current_version: int, held_routes: HeldItems[Route], held_services: HeldItems[Service]
-) -> WholeConfiguration:
+def read_complete(
+    body: bytes,
+    current_version: int,
+    current_routes: CurrentItems[Route],
+    current_services: CurrentItems[Service],
+) -> CompleteConfiguration:
     """The body of a PUT; raises InvalidConfigurationError."""
     document = _read_object(body)
     version = _read_version(document, current_version)
-    routes = _read_items(Route, _required(document, "routes"), "routes", held_routes)
-    services = _read_items(Service, _required(document, "services"), "services", held_services)
+    routes = _read_items(Route, _required(document, "routes"), "routes", current_routes)
+    services = _read_items(Service, _required(document, "services"), "services", current_services)
     limits = document.get("limits")
-    return WholeConfiguration(
+    return CompleteConfiguration(
         version=version,
         routes=routes,
         services=services,
         limits=None if limits is None else _as_object(limits, "limits"),
-        other=_encode_others(document, WHOLE_FIELDS),
+        other=_encode_others(document, COMPLETE_FIELDS),
     )
 
 
 def read_patch(
-    body: bytes, current_version: int, held_routes: HeldItems[Route], held_services: HeldItems[Service]
+    body: bytes,
+    current_version: int,
+    current_routes: CurrentItems[Route],
+    current_services: CurrentItems[Service],
 ) -> ConfigurationPatch:
     """The body of a PATCH; raises InvalidConfigurationError."""
     document = _read_object(body)
@@ -138,8 +144,8 @@
     limits = _optional_object(document, "limits") | _optional_object(upsert, "limits", "upsert.")
     return ConfigurationPatch(
         version=version,
-        routes=_read_items(Route, _optional(upsert, "routes"), "upsert.routes", held_routes),
-        services=_read_items(Service, _optional(upsert, "services"), "upsert.services", held_services),
+        routes=_read_items(Route, _optional(upsert, "routes"), "upsert.routes", current_routes),
+        services=_read_items(Service, _optional(upsert, "services"), "upsert.services", current_services),
         removed_routes=_read_names(remove, "routes"),
         removed_services=_read_names(remove, "services"),
         limits=limits,
@@ -214,11 +220,13 @@
     return {} if value is None else _as_object(value, parent + name)
 
 
-def _read_items(kind: type[Named], value: Any, group: str, held: HeldItems[Named]) -> tuple[Item[Named], ...]:
+def _read_items(
+    kind: type[Named], value: Any, group: str, current: CurrentItems[Named]
+) -> tuple[Item[Named], ...]:
     items = []
     names = set()
     for index, document in enumerate(_as_list(value, group)):
-        item = _read_item(kind, document, group, index, held)
+        item = _read_item(kind, document, group, index, current)
         name = item.value.name
         if name in names:
             raise InvalidConfigurationError(f"{item.path}.name", f"{_shown(name)} is there already")
@@ -228,11 +236,11 @@
 
 
 def _read_item(
-    kind: type[Named], document: Any, group: str, index: int, held: HeldItems[Named]
+    kind: type[Named], document: Any, group: str, index: int, current: CurrentItems[Named]
 ) -> Item[Named]:
     path = f"{group}[{index}]"
     encoded = encode_value(_as_object(document, path), path)
-    value = held.same(document, encoded)
+    value = current.same(document, encoded)
     if value is None:
         value = _read_new(kind, document, path)
     return Item(value, encoded, group, index)
@@ -282,8 +290,8 @@
 
 
 def _read_unknown_items(upsert: Mapping[str, Any], remove: Mapping[str, Any]) -> dict[str, UnknownItems]:
-    kinds = [kind for kind in upsert if kind not in WHOLE_FIELDS]
-    kinds += [kind for kind in remove if kind not in WHOLE_FIELDS and kind not in upsert]
+    kinds = [kind for kind in upsert if kind not in COMPLETE_FIELDS]
+    kinds += [kind for kind in remove if kind not in COMPLETE_FIELDS and kind not in upsert]
     return {kind: _read_unknown_kind(upsert, remove, kind) for kind in kinds}
 
 
--- a/granitewell/controlplane/configuration/state.py
+++ b/granitewell/controlplane/configuration/state.py
@@ -13,15 +13,15 @@
 
 from granitewell.controlplane.configuration.change import Change, Operation
 from granitewell.controlplane.configuration.checks import (
+    CompleteConfiguration,
     ConfigurationPatch,
-    HeldItems,
+    CurrentItems,
     Item,
     UnknownItems,
-    WholeConfiguration,
     encode_value,
+    read_complete,
     read_limits,
     read_patch,
-    read_whole,
 )
 from granitewell.domain.configuration import Configuration, Limits, Route, Service
 from granitewell.domain.errors import InvalidConfigurationError
@@ -58,13 +58,13 @@
         """The version, 0 where there is no configuration yet."""
         return self.configuration.version
 
-    def held_routes(self) -> HeldItems[Route]:
+    def current_routes(self) -> CurrentItems[Route]:
         """The routes, for reading those that are sent again."""
-        return HeldItems(self.configuration.routes, self.route_documents)
+        return CurrentItems(self.configuration.routes, self.route_documents)
 
-    def held_services(self) -> HeldItems[Service]:
+    def current_services(self) -> CurrentItems[Service]:
         """The services, for reading those that are sent again."""
-        return HeldItems(self.configuration.services, self.service_documents)
+        return CurrentItems(self.configuration.services, self.service_documents)
 
     def size(self) -> int:
         """The bytes of all parts as JSON: nearly those of the whole document."""
@@ -93,15 +93,15 @@
 def changed(state: ConfigurationState, change: Change) -> ConfigurationState:
     """The state after a change on top of this one; raises InvalidConfigurationError."""
     if change.operation is Operation.PUT:
-        return whole_state(state, change.body)
-    patch = read_patch(change.body, state.version, state.held_routes(), state.held_services())
+        return complete_state(state, change.body)
+    patch = read_patch(change.body, state.version, state.current_routes(), state.current_services())
     return _patched(state, patch)
 
 
-def whole_state(state: ConfigurationState, document: bytes) -> ConfigurationState:
+def complete_state(state: ConfigurationState, document: bytes) -> ConfigurationState:
     """The state that a whole configuration stands for, on top of this one; raises
     InvalidConfigurationError."""
-    return _whole(read_whole(document, state.version, state.held_routes(), state.held_services()))
+    return _whole(read_complete(document, state.version, state.current_routes(), state.current_services()))
 
 
 def difference(before: ConfigurationState, after: ConfigurationState) -> bytes | None:
@@ -124,23 +124,23 @@
     return b",".join(upserted), removed
 
 
-def _whole(whole: WholeConfiguration) -> ConfigurationState:
-    services = _values(whole.services)
-    for item in whole.routes:
+def _whole(is_complete: CompleteConfiguration) -> ConfigurationState:
+    services = _values(is_complete.services)
+    for item in is_complete.routes:
         _check_services(item, services)
     matches: dict[MatchKey, str] = {}
-    _add_matches(matches, whole.routes)
+    _add_matches(matches, is_complete.routes)
     return ConfigurationState(
         configuration=Configuration(
-            version=whole.version,
-            routes=_values(whole.routes),
+            version=is_complete.version,
+            routes=_values(is_complete.routes),
             services=services,
-            limits=read_limits(whole.limits),
+            limits=read_limits(is_complete.limits),
         ),
-        route_documents=_documents(whole.routes),
-        service_documents=_documents(whole.services),
-        limits_document=None if whole.limits is None else encode_value(whole.limits, "limits"),
-        other=whole.other,
+        route_documents=_documents(is_complete.routes),
+        service_documents=_documents(is_complete.services),
+        limits_document=None if is_complete.limits is None else encode_value(is_complete.limits, "limits"),
+        other=is_complete.other,
         matches=matches,
     )
 
--- a/granitewell/controlplane/configuration/store.py
+++ b/granitewell/controlplane/configuration/store.py
@@ -24,8 +24,8 @@
     EMPTY,
     ConfigurationState,
     changed,
+    complete_state,
     difference,
-    whole_state,
 )
 from granitewell.domain.configuration import Configuration
 from granitewell.domain.errors import InvalidConfigurationError
@@ -71,7 +71,7 @@
     """What leads to a version: one whole configuration (JSON), or encoded patches (Change) in order."""
 
     version: int
-    whole: bool
+    is_complete: bool
     documents: tuple[bytes, ...]
 
 
@@ -104,7 +104,7 @@
         self._history = ChangeHistory()
         self._steps: deque[_Step] = deque(maxlen=MAX_STEPS)
         self._document: bytes | None = None
-        self._whole_size = 0
+        self._document_size = 0
         self._checked: _Candidate | None = None  # the last that check passed, on the current state
         self._on_taken = on_taken
 
@@ -213,13 +213,13 @@
     def _drop_long_steps(self) -> None:
         """Keeps no more than is of use: together no longer than the whole."""
         size = sum(len(step.data) for step in self._steps)
-        while self._steps and size >= self._whole_size:
+        while self._steps and size >= self._document_size:
             size -= len(self._steps.popleft().data)
 
     def _set_state(self, state: ConfigurationState) -> None:
         self._state = state
         self._document = None
-        self._whole_size = state.size()
+        self._document_size = state.size()
         self._checked = None
         self._drop_long_steps()
         if self._on_taken is not None:
@@ -245,6 +245,6 @@
     if not document:
         return EMPTY
     try:
-        return whole_state(EMPTY, document)
+        return complete_state(EMPTY, document)
     except InvalidConfigurationError as error:
         raise UnreadableSnapshotError(f"holds no configuration: {error}") from error
--- a/granitewell/controlplane/configuration/view.py
+++ b/granitewell/controlplane/configuration/view.py
@@ -6,7 +6,7 @@
 
 from granitewell.controlplane.configuration.change import Change
 from granitewell.controlplane.configuration.errors import DeltaMismatchError, UnreadableChangeError
-from granitewell.controlplane.configuration.state import EMPTY, ConfigurationState, changed, whole_state
+from granitewell.controlplane.configuration.state import EMPTY, ConfigurationState, changed, complete_state
 from granitewell.domain.configuration import Configuration
 from granitewell.domain.errors import InvalidConfigurationError
 
@@ -27,25 +27,27 @@
         """The newest version, 0 before the first."""
         return self._state.version
 
-    def apply(self, version: int, whole: bool, documents: Sequence[bytes]) -> Configuration | None:
+    def apply(self, version: int, is_complete: bool, documents: Sequence[bytes]) -> Configuration | None:
         """Goes on to a version by what changes_since gave; None where that is not newer than what is held.
 
         Raises DeltaMismatchError, and then holds what it held: ask for the whole (as from version 0).
         """
         if version <= self.version:
             return None
-        state = _from_whole(self._state, documents) if whole else _from_changes(self._state, documents)
+        state = (
+            _from_complete(self._state, documents) if is_complete else _from_changes(self._state, documents)
+        )
         if state.version != version:
             raise DeltaMismatchError(f"leads to version {state.version} instead of {version}")
         self._state = state
         return state.configuration
 
 
-def _from_whole(state: ConfigurationState, documents: Sequence[bytes]) -> ConfigurationState:
+def _from_complete(state: ConfigurationState, documents: Sequence[bytes]) -> ConfigurationState:
     if len(documents) != 1:
         raise DeltaMismatchError(f"{len(documents)} documents where one whole was expected")
     try:
-        return whole_state(state, documents[0])
+        return complete_state(state, documents[0])
     except InvalidConfigurationError as error:
         raise DeltaMismatchError(f"the whole can't be read: {error}") from error
 
--- a/granitewell/controlplane/ownership/owner.py
+++ b/granitewell/controlplane/ownership/owner.py
@@ -12,7 +12,9 @@
 from granitewell.controlplane.ownership.record import NOBODY, OwnerClaimed
 
 ORDER_LASTS_S = 1.0  # an order that has left has arrived, or its connection was reset, within this time
-SILENT_S = 1.2  # longer than a process that is well may be busy with itself, by 0.2 s for what is on its way
+UNRESPONSIVE_AFTER_S = (
+    1.2  # longer than a process that is well may be busy with itself, by 0.2 s for what is on its way
+)
 
 
 class LeasedGroup(Protocol):
@@ -25,7 +27,7 @@
     def holds_lease(self) -> bool:
         """Whether this node leads and a quorum grants it that now."""
 
-    def silent_s(self, address: str) -> float:
+    def seconds_since_contact(self, address: str) -> float:
         """Seconds since the member at an internal address was heard; infinite where there is none."""
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
@@ -107,7 +109,7 @@
         self._predecessor = NOBODY
 
     @property
-    def fence(self) -> int:
+    def fencing_token(self) -> int:
         """The fencing token: the term in which this node claimed the shard."""
         return self._claimed_term
 
@@ -150,7 +152,7 @@
         """Whether the process that ordered before is known to be out of touch."""
         if not self._rules.faults_excuse or not self._predecessor.address:
             return False
-        if not self._has_restarted() and not self._is_silent():
+        if not self._has_restarted() and not self._is_unresponsive():
             return False
         self._order_from = self._clock()
         return True
@@ -162,7 +164,9 @@
         heard = self._processes.incarnation_at(predecessor.address)
         return heard is not None and bool(predecessor.incarnation) and heard != predecessor.incarnation
 
-    def _is_silent(self) -> bool:
+    def _is_unresponsive(self) -> bool:
         """Silence in the group alone may be a disk that hangs: a replica answers once its term is synced."""
         address = self._predecessor.address
-        return SILENT_S <= self._group.silent_s(address) < math.inf and self._processes.is_silent(address)
+        return UNRESPONSIVE_AFTER_S <= self._group.seconds_since_contact(
+            address
+        ) < math.inf and self._processes.is_unresponsive(address)
--- a/granitewell/controlplane/ownership/processes.py
+++ b/granitewell/controlplane/ownership/processes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 ANNOUNCED_EVERY_S = 1.0  # by each process, to all others; no disk has a part in it
-PROCESS_SILENT_S = 1.3  # longer than between two announcements, and than what a loss can hide
+PROCESS_UNRESPONSIVE_AFTER_S = 1.3  # longer than between two announcements, and than what a loss can hide
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,8 +32,8 @@
         heard = self._heard.get(address)
         return heard.incarnation if heard is not None else None
 
-    def is_silent(self, address: str) -> bool:
+    def is_unresponsive(self, address: str) -> bool:
         """Whether none has been heard for longer than one that runs would be silent."""
         heard = self._heard.get(address)
         heard_at = heard.at if heard is not None else self._since
-        return self._clock() - heard_at >= PROCESS_SILENT_S
+        return self._clock() - heard_at >= PROCESS_UNRESPONSIVE_AFTER_S
--- a/granitewell/controlplane/placement/controller.py
+++ b/granitewell/controlplane/placement/controller.py
@@ -21,7 +21,7 @@
 from granitewell.controlplane.placement.reconciler import PlacementReconciler
 from granitewell.controlplane.placement.steps import PlacementCounters, Poll, Send
 from granitewell.domain.configuration import Engine
-from granitewell.domain.servers import HeldModel, ModelDemand
+from granitewell.domain.servers import LoadedModel, ModelDemand
 
 __all__ = ["ListedServer", "Ownership", "PlacementController"]
 
@@ -36,7 +36,7 @@
     holder: str
 
     @property
-    def fence(self) -> int:
+    def fencing_token(self) -> int:
         """The term of the leadership."""
 
     def may_order(self) -> bool:
@@ -78,13 +78,13 @@
         """What was done since the start."""
         return self._reconciler.counters
 
-    def set_engine(self, engine: Engine, load_share: float) -> None:
+    def set_engine(self, engine: Engine, load_rate_fraction: float) -> None:
         """A configuration came into force.
 
         Args:
-            load_share: This service's part of the store's rate.
+            load_rate_fraction: This service's part of the store's rate.
         """
-        self._reconciler.set_engine(self._clock(), engine, load_share)
+        self._reconciler.set_engine(self._clock(), engine, load_rate_fraction)
         self._after_event()
 
     def set_servers(self, servers: Sequence[ListedServer]) -> None:
@@ -97,7 +97,7 @@
         self._reconciler.add_demand(self._clock(), demands, source)
         self._after_event()
 
-    def ready_models(self, server_id: str) -> Mapping[str, HeldModel]:
+    def ready_models(self, server_id: str) -> Mapping[str, LoadedModel]:
         """What requests may be sent for to a server now."""
         return self._reconciler.ready_models(server_id)
 
@@ -118,7 +118,9 @@
 
     def _step(self) -> None:
         ownership = self._ownership
-        steps = self._reconciler.due(self._clock(), ownership.holder, ownership.fence, ownership.may_order())
+        steps = self._reconciler.due(
+            self._clock(), ownership.holder, ownership.fencing_token, ownership.may_order()
+        )
         self._tell_changes()
         for step in steps:
             self._spawn(self._poll(step) if isinstance(step, Poll) else self._send(step))
@@ -148,16 +150,16 @@
 
     async def _send(self, step: Send) -> None:
         ownership = self._ownership
-        fence = step.ticket.fence
+        fencing_token = step.ticket.fencing_token
 
         def may_send() -> bool:
-            return ownership.may_order() and ownership.fence == fence
+            return ownership.may_order() and ownership.fencing_token == fencing_token
 
         result = await self._client.send(step.address, step.order, step.ticket, may_send)
         if result is OrderResult.FENCED:
             log.warning(
                 "{}: server {} has seen a fence above {}; no orders to it until ownership changes",
-                self._service, step.order.server_id, fence,
+                self._service, step.order.server_id, fencing_token,
             )  # fmt: skip
         log.debug("{}: {} {} on {}: {}", self._service, step.order.operation.value, step.order.ref,
                   step.order.server_id, result.value)  # fmt: skip
--- a/granitewell/controlplane/placement/demand.py
+++ b/granitewell/controlplane/placement/demand.py
@@ -15,7 +15,7 @@
 FAST_S = 2.0  # time constant of the rate that shows a rise
 SLOW_S = 20.0  # time constant of the rate of models that are asked for rarely
 MIN_FAST_REQUESTS = 2.5  # within FAST_S, below which a rise may be chance
-SILENCE_SCALE_S = 10.0  # a rate is believed to be at most this / idle time squared
+INACTIVITY_SCALE_S = 10.0  # a rate is believed to be at most this / idle time squared
 MISS_S = 5.0  # time constant of the rate of misses
 GAUGE_LASTS_S = 2.0  # edges report every second at the latest; an older figure is taken for zero
 FORGET_S = 90.0  # a model not asked for in this time is forgotten
@@ -117,7 +117,7 @@
         if fast >= MIN_FAST_REQUESTS:
             rate = max(rate, fast / FAST_S)
         if passed > 1.0:
-            rate = min(rate, SILENCE_SCALE_S / (passed * passed))
+            rate = min(rate, INACTIVITY_SCALE_S / (passed * passed))
         return rate
 
 
--- a/granitewell/controlplane/placement/fleet.py
+++ b/granitewell/controlplane/placement/fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from granitewell.controlplane.placement.demand import DemandView
-from granitewell.controlplane.placement.limits import SizeBook
+from granitewell.controlplane.placement.limits import ModelSizes
 from granitewell.controlplane.placement.views import ServerView
 from granitewell.domain.configuration import Engine, Model
 from granitewell.domain.servers import ModelRef
@@ -15,10 +15,12 @@
 BUSY_RATE = 0.4  # requests a second from which a model has two copies
 KEEP_RATE = 0.25  # from here a lost last copy is loaded again before it is asked for
 ACTIVE_ADAPTER_RATE = 0.04  # adapters asked for this often want a place of their own
-SLOTS_SHARE = 0.2  # of a server's slots in use by one model, beyond which another copy is wanted
-EVEN_SHARE = 1.25  # of all requests over all servers: a model asked for more often a copy wants another copy
+SLOTS_FRACTION = 0.2  # of a server's slots in use by one model, beyond which another copy is wanted
+EVEN_FRACTION = (
+    1.25  # of all requests over all servers: a model asked for more often a copy wants another copy
+)
 MIN_RATE_A_COPY = 1.0  # requests a second that one copy serves well anywhere: prompts are read one by one
-MAX_COPIES_SHARE = 0.7  # of the servers, for one model
+MAX_REPLICAS_FRACTION = 0.7  # of the servers, for one model
 
 
 @dataclass(slots=True)
@@ -40,7 +42,7 @@
     """Servers and demand at the time of one plan. Only the copies change, as the plan gives out orders."""
 
     def __init__(
-        self, servers: Sequence[ServerView], demand: DemandView, engine: Engine, sizes: SizeBook
+        self, servers: Sequence[ServerView], demand: DemandView, engine: Engine, sizes: ModelSizes
     ) -> None:
         self.demand = demand
         self._engine = engine
@@ -52,7 +54,7 @@
         self._copies = self._count_copies()
         self._active_adapters = self._count_active_adapters()
         self.adapter_hosts = {
-            server.id for server in servers if not self._active_adapters.keys().isdisjoint(server.held)
+            server.id for server in servers if not self._active_adapters.keys().isdisjoint(server.loaded)
         }
         self.rate_a_copy = self._well_served_rate()
         self.wanted = {name: self._wanted_copies(name) for name in demand.models if name in self.models}
@@ -63,13 +65,13 @@
     def _count_copies(self) -> dict[str, _Copies]:
         copies: dict[str, _Copies] = {}
         for server in self.lasting:
-            for name in server.held:
+            for name in server.loaded:
                 if server.has(ModelRef(name)):
                     entry = copies.setdefault(name, _Copies())
                     entry.servers.append(server)
                     entry.ready += 1
             coming = server.coming
-            if coming is not None and not coming.adapter and coming.model not in server.held:
+            if coming is not None and not coming.adapter and coming.model not in server.loaded:
                 copies.setdefault(coming.model, _Copies()).servers.append(server)
         return copies
 
@@ -104,8 +106,8 @@
         """Memory that an unload frees; 0 where the size is not known."""
         if ref.adapter:
             return self._finite(self._sizes.adapter_mb(ref.model))
-        held = server.held.get(ref.model)
-        return self._finite(self._sizes.held_mb(held)) if held is not None else 0.0
+        loaded = server.loaded.get(ref.model)
+        return self._finite(self._sizes.loaded_mb(loaded)) if loaded is not None else 0.0
 
     @staticmethod
     def _finite(mb: float) -> float:
@@ -127,7 +129,7 @@
     def _well_served_rate(self) -> float:
         """Requests a second that a copy should get at most: about an even share of all requests."""
         asked = sum(seen.rate for seen in self.demand.models.values())
-        return max(MIN_RATE_A_COPY, EVEN_SHARE * asked / max(1, len(self.lasting)))
+        return max(MIN_RATE_A_COPY, EVEN_FRACTION * asked / max(1, len(self.lasting)))
 
     def _wanted_copies(self, name: str) -> int:
         seen = self.demand.models.get(name)
@@ -138,16 +140,16 @@
             wanted = 1
         if seen.rate >= BUSY_RATE:
             wanted = max(2, math.ceil(seen.rate / self.rate_a_copy))
-            wanted = max(wanted, math.ceil(seen.in_flight / (SLOTS_SHARE * self._engine.slots)))
+            wanted = max(wanted, math.ceil(seen.in_flight / (SLOTS_FRACTION * self._engine.slots)))
             places = self._engine.max_adapters
             if places:
                 wanted = max(wanted, math.ceil(self._active_adapters.get(name, 0) / places))
-        most = max(2, int(len(self.lasting) * MAX_COPIES_SHARE))
+        most = max(2, int(len(self.lasting) * MAX_REPLICAS_FRACTION))
         return min(wanted, most, len(self.lasting))
 
     def _load_of(self, server: ServerView) -> float:
         load = 0.0
-        for name in server.held:
+        for name in server.loaded:
             seen = self.demand.models.get(name)
             if seen is not None and seen.rate >= BUSY_RATE:
                 load += seen.rate / max(1, self.copies_of(name).count)
--- a/granitewell/controlplane/placement/issuing.py
+++ b/granitewell/controlplane/placement/issuing.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from statistics import fmean
 
-from granitewell.controlplane.placement.limits import Capacity, LoadBucket, LoadPace, SizeBook, Usage, usage
+from granitewell.controlplane.placement.limits import Capacity, LoadBucket, LoadPace, ModelSizes, Usage, usage
 from granitewell.controlplane.placement.observation import OrderStage, PendingOrder, ServerRecord, shows
 from granitewell.controlplane.placement.orders import Operation, Order, OrderResult, OrderTicket, Report
 from granitewell.controlplane.placement.steps import PlacementCounters, Send
@@ -19,7 +19,7 @@
 REPORT_SHOWS_S = 0.1  # how old a report usually is; learned from nothing, only a first look depends on it
 UNLOAD_TAKES_S = 0.02
 ADAPTER_TAKES_S = 0.02
-WARM_SHARE = 0.85  # of its load time, for a model from the server's own disk
+WARM_UP_FRACTION = 0.85  # of its load time, for a model from the server's own disk
 
 _NEVER_BEGAN = frozenset(
     {
@@ -27,7 +27,7 @@
         OrderResult.CONFLICT,
         OrderResult.FENCED,
         OrderResult.OTHER_SERVER,
-        OrderResult.HELD,
+        OrderResult.ALREADY_HOLDS,
     }
 )
 
@@ -36,13 +36,13 @@
     """Gives out orders within a server's memory and the weight store's rate."""
 
     def __init__(self, records: Mapping[str, ServerRecord], counters: PlacementCounters) -> None:
-        self.sizes = SizeBook()
+        self.sizes = ModelSizes()
         self.bucket = LoadBucket(0.0)
         self.pace = LoadPace()
         self._records = records
         self._counters = counters
         self._engine: Engine | None = None
-        self._load_share = 1.0
+        self._load_rate_fraction = 1.0
 
     def start(self, now: float) -> None:
         """Ownership was gained: what an earlier owner has just loaded counts, so begin without a token."""
@@ -50,14 +50,14 @@
         self.bucket = LoadBucket(now)
         self._set_rate(now)
 
-    def set_engine(self, now: float, engine: Engine, load_share: float) -> None:
+    def set_engine(self, now: float, engine: Engine, load_rate_fraction: float) -> None:
         """A configuration came into force.
 
         Args:
-            load_share: This service's part of the store's rate.
+            load_rate_fraction: This service's part of the store's rate.
         """
         self._engine = engine
-        self._load_share = load_share
+        self._load_rate_fraction = load_rate_fraction
         self.sizes.learn(engine)
         self._set_rate(now)
 
@@ -65,16 +65,16 @@
         engine = self._engine
         if engine is None:
             return
-        loads_per_s = engine.loads_per_s * self._load_share
+        loads_per_s = engine.loads_per_s * self._load_rate_fraction
         self.bucket.set_rate(now, loads_per_s)
         if engine.models:
             self.pace.expect(loads_per_s, fmean(model.load_time_s for model in engine.models))
 
-    def issue(self, now: float, order: Order, holder: str, fence: int) -> Send | None:
+    def issue(self, now: float, order: Order, holder: str, fencing_token: int) -> Send | None:
         """Put an order on the record and give it out, unless it would break a limit."""
         record = self._records.get(order.server_id)
         engine = self._engine
-        if record is None or engine is None or not record.orderable(now, fence):
+        if record is None or engine is None or not record.orderable(now, fencing_token):
             return None
         if order.operation is Operation.LOAD and not self._admits(record, engine, order):
             return None
@@ -88,7 +88,7 @@
         record.calling = True
         record.reservation = None
         self._count(order)
-        return Send(record.listed.address, order, OrderTicket(holder, fence, report.sequence))
+        return Send(record.listed.address, order, OrderTicket(holder, fencing_token, report.sequence))
 
     def answered(self, order: Order, result: OrderResult) -> None:
         """An order was answered, or got no answer."""
@@ -112,7 +112,7 @@
     def _usage_with(self, record: ServerRecord, ref: ModelRef) -> Usage:
         coming = record.coming()
         loads = [ref] if coming is None else [coming, ref]
-        return usage(record.held().values(), loads, self.sizes)
+        return usage(record.loaded().values(), loads, self.sizes)
 
     def _expected_s(self, engine: Engine, order: Order, at_once: int) -> float:
         if order.operation is Operation.UNLOAD:
@@ -120,7 +120,7 @@
         if order.ref.adapter:
             return ADAPTER_TAKES_S + REPORT_SHOWS_S
         seconds = _load_time(engine, order.ref.model) * max(1.0, at_once / self.pace.at_once)
-        return seconds * (1.0 if order.from_store else WARM_SHARE) + REPORT_SHOWS_S
+        return seconds * (1.0 if order.from_store else WARM_UP_FRACTION) + REPORT_SHOWS_S
 
     def _count(self, order: Order) -> None:
         counters = self._counters
--- a/granitewell/controlplane/placement/limits.py
+++ b/granitewell/controlplane/placement/limits.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 from granitewell.domain.configuration import Engine, Model
-from granitewell.domain.servers import HeldModel, ModelRef
+from granitewell.domain.servers import LoadedModel, ModelRef
 
-STORE_RATE_SHARE = 0.95  # of the permitted rate: the bound counts 1.1 times it, plus 3
+STORE_RATE_FRACTION = 0.95  # of the permitted rate: the bound counts 1.1 times it, plus 3
 STORE_BURST = 2.0  # loads at once after a pause; the bound allows 3
 MEMORY_SLACK_MB = 1.0  # for sums of rounded sizes
 AT_ONCE_FIRST = 4  # simultaneous loads that are tried before anything is known of the store
@@ -39,7 +39,7 @@
         return usage.mb <= self.mb - MEMORY_SLACK_MB and usage.adapters <= self.adapters
 
 
-class SizeBook:
+class ModelSizes:
     """Sizes of models, also of those that a newer configuration no longer lists."""
 
     def __init__(self) -> None:
@@ -63,20 +63,20 @@
         """Size of a model alone, or of one adapter."""
         return self.adapter_mb(ref.model) if ref.adapter else self.weights_mb(ref.model)
 
-    def held_mb(self, held: HeldModel) -> float:
+    def loaded_mb(self, loaded: LoadedModel) -> float:
         """Size of a model with the adapters held of it."""
-        adapters = len(held.adapters) * self.adapter_mb(held.name) if held.adapters else 0.0
-        return self.weights_mb(held.name) + adapters
+        adapters = len(loaded.adapters) * self.adapter_mb(loaded.name) if loaded.adapters else 0.0
+        return self.weights_mb(loaded.name) + adapters
 
 
-def usage(held: Iterable[HeldModel], coming: Iterable[ModelRef], sizes: SizeBook) -> Usage:
+def usage(loaded: Iterable[LoadedModel], coming: Iterable[ModelRef], sizes: ModelSizes) -> Usage:
     """What is held, together with loads that are under way or whose fate is unknown."""
     mb = 0.0
     adapters = 0
-    present: dict[str, HeldModel] = {}
-    for model in held:
+    present: dict[str, LoadedModel] = {}
+    for model in loaded:
         present[model.name] = model
-        mb += sizes.held_mb(model)
+        mb += sizes.loaded_mb(model)
         adapters += len(model.adapters)
     for ref in coming:
         if _holds(present, ref):
@@ -86,7 +86,7 @@
     return Usage(mb, adapters)
 
 
-def _holds(present: dict[str, HeldModel], ref: ModelRef) -> bool:
+def _holds(present: dict[str, LoadedModel], ref: ModelRef) -> bool:
     model = present.get(ref.model)
     return model is not None and (not ref.adapter or ref.adapter in model.adapters)
 
@@ -105,7 +105,7 @@
     def set_rate(self, now: float, loads_per_s: float) -> None:
         """The rate permitted to this service from now on."""
         self._fill(now)
-        self._rate = loads_per_s * STORE_RATE_SHARE
+        self._rate = loads_per_s * STORE_RATE_FRACTION
 
     def _fill(self, now: float) -> None:
         passed = max(0.0, now - self._at)
@@ -145,22 +145,22 @@
 
     def __init__(self) -> None:
         self.at_once = AT_ONCE_FIRST
-        self._least_overhead_s = math.inf
+        self._min_overhead_s = math.inf
 
     def expect(self, loads_per_s: float, load_time_s: float) -> None:
         """The store permits this rate of loads, of this many seconds each in the mean.
 
         Without effect once loads were measured.
         """
-        if math.isinf(self._least_overhead_s):
+        if math.isinf(self._min_overhead_s):
             under_way = round(loads_per_s * load_time_s)  # Little's law
             self.at_once = max(AT_ONCE_LEAST, min(AT_ONCE_MOST, under_way))
 
     def learn(self, at_once: int, took_s: float, nominal_s: float) -> None:
         """A load from the store took this long, beside at_once loads in all (itself included)."""
         overhead = took_s - nominal_s
-        self._least_overhead_s = min(self._least_overhead_s, max(overhead, -0.5 * nominal_s))
-        slowness = (took_s - self._least_overhead_s) / max(nominal_s, 0.05)
+        self._min_overhead_s = min(self._min_overhead_s, max(overhead, -0.5 * nominal_s))
+        slowness = (took_s - self._min_overhead_s) / max(nominal_s, 0.05)
         if slowness >= SLOWED and at_once > AT_ONCE_LEAST:
             self.at_once = max(AT_ONCE_LEAST, min(self.at_once, round(at_once / slowness)))
         elif slowness <= UNSLOWED and at_once >= self.at_once:
--- a/granitewell/controlplane/placement/observation.py
+++ b/granitewell/controlplane/placement/observation.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from granitewell.controlplane.placement.limits import SizeBook, Usage, usage
+from granitewell.controlplane.placement.limits import ModelSizes, Usage, usage
 from granitewell.controlplane.placement.orders import Operation, Order, Report, ReportFailure
-from granitewell.domain.servers import HeldModel, ModelRef, ServerState
+from granitewell.domain.servers import LoadedModel, ModelRef, ServerState
 
 REPORT_LAG_S = 0.6  # a report is surely not older than this ("some hundred ms")
 OVERDUE_S = 3.0  # beyond its expected time, after which an order that left no trace is given up
@@ -30,7 +30,7 @@
     """A server as the platform lists it.
 
     Attributes:
-        leaves_in_ms: -1 for no end in sight.
+        remaining_ms: -1 for no end in sight.
         models: As the list says, about a second old.
     """
 
@@ -39,8 +39,8 @@
     zone: str
     state: ServerState
     slots: int
-    leaves_in_ms: int = -1
-    models: tuple[HeldModel, ...] = ()
+    remaining_ms: int = -1
+    models: tuple[LoadedModel, ...] = ()
 
 
 class OrderStage(Enum):
@@ -99,7 +99,7 @@
         self.pending: PendingOrder | None = None
         self.withdrawal: Withdrawal | None = None
         self.reservation: Reservation | None = None
-        self.held_before: set[str] = {model.name for model in listed.models}
+        self.loaded_before: set[str] = {model.name for model in listed.models}
         self.fenced_at: int | None = None
         self.misdirected = False
         self.no_orders_until = -math.inf
@@ -111,7 +111,7 @@
     def relist(self, listed: ListedServer) -> None:
         """Take the newest entry of the list."""
         self.listed = listed
-        self.held_before.update(model.name for model in listed.models)
+        self.loaded_before.update(model.name for model in listed.models)
 
     def forget_calls(self, now: float) -> None:
         """Start from nothing: no report, no order; what the server has held stays known."""
@@ -132,7 +132,7 @@
         self._answered()
         self.report = report
         self.report_asked_at = asked_at
-        self.held_before.update(report.models)
+        self.loaded_before.update(report.models)
         pending = self.pending
         if pending is None or not _settled(pending, asked_at, report):
             return None
@@ -180,24 +180,24 @@
 
     # What it holds
 
-    def held(self) -> Mapping[str, HeldModel]:
+    def loaded(self) -> Mapping[str, LoadedModel]:
         """What the newest report shows, or the list where there is none yet."""
         if self.report is not None:
             return self.report.models
         return {model.name: model for model in self.listed.models}
 
-    def ready(self) -> Mapping[str, HeldModel]:
+    def ready(self) -> Mapping[str, LoadedModel]:
         """What requests may be sent for: held, and not about to be unloaded."""
         going = self.going()
-        held = self.held()
-        if going is None or going.model not in held:
-            return held
-        ready = dict(held)
+        loaded = self.loaded()
+        if going is None or going.model not in loaded:
+            return loaded
+        ready = dict(loaded)
         if not going.adapter:
             del ready[going.model]
             return ready
         model = ready[going.model]
-        ready[going.model] = HeldModel(model.name, model.adapters - {going.adapter})
+        ready[going.model] = LoadedModel(model.name, model.adapters - {going.adapter})
         return ready
 
     def going(self) -> ModelRef | None:
@@ -226,10 +226,10 @@
             return self.pending.order
         return None
 
-    def usage(self, sizes: SizeBook) -> Usage:
+    def usage(self, sizes: ModelSizes) -> Usage:
         """What it holds, with all that may be loading."""
         coming = self.coming()
-        return usage(self.held().values(), () if coming is None else (coming,), sizes)
+        return usage(self.loaded().values(), () if coming is None else (coming,), sizes)
 
     # Orders
 
@@ -237,9 +237,9 @@
     def lasting(self) -> bool:
         """Whether it is to stay."""
         listed = self.listed
-        return listed.state is ServerState.READY and listed.leaves_in_ms < 0 and not self.misdirected
+        return listed.state is ServerState.READY and listed.remaining_ms < 0 and not self.misdirected
 
-    def orderable(self, now: float, fence: int) -> bool:
+    def orderable(self, now: float, fencing_token: int) -> bool:
         """Whether an order may go to it now."""
         report = self.report
         return (
@@ -249,7 +249,7 @@
             and self.pending is None
             and self.lasting
             and not self.failing
-            and (self.fenced_at is None or self.fenced_at < fence)
+            and (self.fenced_at is None or self.fenced_at < fencing_token)
             and now >= self.no_orders_until
             and self.report_asked_at >= self.no_orders_until
             and now - self.report_asked_at <= REPORT_LASTS_S
@@ -270,8 +270,8 @@
 
 def shows(report: Report, order: Order) -> bool:
     """Whether the result of an order stands in a report."""
-    held = report.models.get(order.ref.model)
-    present = held is not None and (not order.ref.adapter or order.ref.adapter in held.adapters)
+    loaded = report.models.get(order.ref.model)
+    present = loaded is not None and (not order.ref.adapter or order.ref.adapter in loaded.adapters)
     return present is (order.operation is Operation.LOAD)
 
 
--- a/granitewell/controlplane/placement/orders.py
+++ b/granitewell/controlplane/placement/orders.py
@@ -11,7 +11,7 @@
 import aiohttp
 
 from granitewell.domain.errors import GranitewellError
-from granitewell.domain.servers import HeldModel, ModelRef
+from granitewell.domain.servers import LoadedModel, ModelRef
 
 EXPECT_INSTANCE = "Granitewell-Expect-Instance"
 REPORT_TIMEOUT_S = 0.5  # a report takes some ms, with one packet lost some 200 ms more
@@ -58,7 +58,7 @@
     """What makes an order conditional: the holder, its fence, the server's revision."""
 
     holder: str
-    fence: int
+    fencing_token: int
     revision: int
 
 
@@ -66,7 +66,7 @@
     """What is known of an order after it was sent."""
 
     TAKEN = "taken"  # 202: being done
-    HELD = "held"  # 200: nothing to do
+    ALREADY_HOLDS = "held"  # 200: nothing to do
     CONFLICT = "conflict"  # 409: another order is under way, or the revision has moved
     FENCED = "fenced"  # 412: the server has seen a higher fence
     INVALID = "invalid"  # 400 and every other refusal
@@ -95,7 +95,7 @@
 
     sequence: int
     busy: bool
-    models: Mapping[str, HeldModel]
+    models: Mapping[str, LoadedModel]
     running: int = 0
     queued: int = 0
 
@@ -116,7 +116,7 @@
     """A report from its bytes; raises MalformedReportError."""
     try:
         document = json.loads(body)
-        models = [HeldModel.parse(entry) for entry in document["models"]]
+        models = [LoadedModel.parse(entry) for entry in document["models"]]
         return Report(
             sequence=int(document["sequence"]),
             busy=bool(document["busy"]),
@@ -135,12 +135,12 @@
         fields["adapter"] = order.ref.adapter
     fields["if-revision"] = ticket.revision
     fields["holder"] = ticket.holder
-    fields["fence-token"] = ticket.fence
+    fields["fence-token"] = ticket.fencing_token
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
 _RESULTS = {
-    200: OrderResult.HELD,
+    200: OrderResult.ALREADY_HOLDS,
     202: OrderResult.TAKEN,
     409: OrderResult.CONFLICT,
     412: OrderResult.FENCED,
--- a/granitewell/controlplane/placement/placement_pass.py
+++ b/granitewell/controlplane/placement/placement_pass.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from granitewell.controlplane.placement.fleet import FleetView
-from granitewell.controlplane.placement.limits import MEMORY_SLACK_MB, SizeBook
+from granitewell.controlplane.placement.limits import MEMORY_SLACK_MB, ModelSizes
 from granitewell.controlplane.placement.orders import Operation, Order
 from granitewell.controlplane.placement.values import CopyValues
 from granitewell.controlplane.placement.views import ServerView, StoreView
@@ -18,16 +18,16 @@
 UNLOAD_S = 0.2  # until a report shows an unload
 RUNS_S = 1.5  # the same where runs must end first
 VALUE_S = 10.0  # seconds for one miss a second
-COLD_S = 0.3  # beyond the load time: a token of the store, a place among its loads
+IDLE_AFTER_S = 0.3  # beyond the load time: a token of the store, a place among its loads
 BUSY_LOAD_S = 0.1  # for each request a second that the server already has of busy models
 SAME_ZONE_S = 0.3
 ADAPTER_HOST_S = 0.15  # a load holds up orders for adapters on this server
 
-MAX_MAKING_ROOM = 4  # unloads for a waiting load, at once, beyond the loads that may begin
+MAX_EVICTIONS = 4  # unloads for a waiting load, at once, beyond the loads that may begin
 
 
 @dataclass(frozen=True, slots=True)
-class _Place:
+class _Candidate:
     """A server for a load, what must go first, and what it costs."""
 
     server: ServerView
@@ -35,14 +35,14 @@
     cost: float
 
 
-class Placing:
+class PlacementPass:
     """Places what the planner asks for, at most one order a server."""
 
     def __init__(
         self,
         fleet: FleetView,
         values: CopyValues,
-        sizes: SizeBook,
+        sizes: ModelSizes,
         store: StoreView,
     ) -> None:
         self.orders: list[Order] = []
@@ -67,49 +67,51 @@
 
     # A model
 
-    def place_model(self, name: str, most_value: float, most_loads: int) -> bool:
+    def place_model(self, name: str, max_value: float, max_loads: int) -> bool:
         """Order the load of a model, or the unload that it needs first. False where neither can be now."""
         ref = ModelRef(name)
-        place = self._best_place(name, most_value, most_loads)
-        if place is None:
+        candidate = self._best_candidate(name, max_value, max_loads)
+        if candidate is None:
             return False
-        if place.victims:
-            self.order(place.server, Operation.UNLOAD, place.victims[0], purpose=ref)
+        if candidate.victims:
+            self.order(candidate.server, Operation.UNLOAD, candidate.victims[0], purpose=ref)
             self.purposes[ref] += 1
             return True
-        self._order_load(place.server, name)
+        self._order_load(candidate.server, name)
         return True
 
-    def _may_make_room(self) -> bool:
-        return self.purposes.total() + len(self._reserved) < MAX_MAKING_ROOM
+    def _may_evict(self) -> bool:
+        return self.purposes.total() + len(self._reserved) < MAX_EVICTIONS
 
     def _order_load(self, server: ServerView, name: str) -> None:
-        cold = name not in server.held_before
+        idle = name not in server.loaded_before
         self._loading += 1
-        self._tokens -= 1 if cold else 0
-        self.order(server, Operation.LOAD, ModelRef(name), from_store=cold)
+        self._tokens -= 1 if idle else 0
+        self.order(server, Operation.LOAD, ModelRef(name), from_store=idle)
 
-    def _best_place(self, name: str, most_value: float, most_loads: int) -> _Place | None:
-        best: _Place | None = None
-        held_up: _Place | None = None
-        may_make_room = self._may_make_room()
+    def _best_candidate(self, name: str, max_value: float, max_loads: int) -> _Candidate | None:
+        best: _Candidate | None = None
+        rate_limited: _Candidate | None = None
+        may_evict = self._may_evict()
         for server in self.free.values():
-            if name in server.held or server.id in self._reserved:
+            if name in server.loaded or server.id in self._reserved:
                 continue
-            if not may_make_room and server.free_mb < self._fleet.models[name].weights_mb + MEMORY_SLACK_MB:
+            if not may_evict and server.free_mb < self._fleet.models[name].weights_mb + MEMORY_SLACK_MB:
                 continue
             if self._kept_for_another(server, name):
                 continue
-            place = self._place_on(server, name, most_value)
-            if place is None:
+            candidate = self._candidate_on(server, name, max_value)
+            if candidate is None:
                 continue
-            if place.victims or self._may_load(server, name, most_loads):
-                best = _cheaper(best, place)
+            if candidate.victims or self._may_load(server, name, max_loads):
+                best = _cheaper(best, candidate)
             else:
-                held_up = _cheaper(held_up, place)
-        if held_up is None or (best is not None and not best.victims):
+                rate_limited = _cheaper(rate_limited, candidate)
+        if rate_limited is None or (best is not None and not best.victims):
             return best
-        self._reserved.add(held_up.server.id)  # it has room: nothing need be unloaded while the store is busy
+        self._reserved.add(
+            rate_limited.server.id
+        )  # it has room: nothing need be unloaded while the store is busy
         return None
 
     def _kept_for_another(self, server: ServerView, name: str) -> bool:
@@ -120,41 +122,41 @@
             return not self._fleet.adapter_copies(kept_for)
         return self._fleet.copies_of(kept_for.model).count < max(1, self._fleet.wanted.get(kept_for.model, 0))
 
-    def _may_load(self, server: ServerView, name: str, most_loads: int) -> bool:
-        if self._loading >= most_loads:
+    def _may_load(self, server: ServerView, name: str, max_loads: int) -> bool:
+        if self._loading >= max_loads:
             return False
-        return self._tokens >= 1 or name in server.held_before
+        return self._tokens >= 1 or name in server.loaded_before
 
-    def _place_on(self, server: ServerView, name: str, most_value: float) -> _Place | None:
+    def _candidate_on(self, server: ServerView, name: str, max_value: float) -> _Candidate | None:
         model = self._fleet.models[name]
         if server.free_mb == -math.inf:
-            return self._place_beside_unknown(server, model)
-        if model.weights_mb > self._values.reach_mb(server, most_value):
+            return self._candidate_beside_unknown(server, model)
+        if model.weights_mb > self._values.reach_mb(server, max_value):
             return None
         need = model.weights_mb + MEMORY_SLACK_MB - server.free_mb
         victims: tuple[ModelRef, ...] = ()
         given_up = 0.0
         if need > 0:
-            chosen = self._values.victims(server, need, most_value)
+            chosen = self._values.victims(server, need, max_value)
             if chosen is None:
                 return None
             victims, given_up = chosen
         cost = model.load_time_s + VALUE_S * given_up
         for victim in victims:
             cost += RUNS_S if self._fleet.in_flight(victim.model) else UNLOAD_S
-        return _Place(server, victims, cost + self._standing_cost(server, model))
+        return _Candidate(server, victims, cost + self._standing_cost(server, model))
 
-    def _place_beside_unknown(self, server: ServerView, model: Model) -> _Place | None:
+    def _candidate_beside_unknown(self, server: ServerView, model: Model) -> _Candidate | None:
         """What has no size that is known counts as all memory until it is gone, so it goes first."""
-        unknown = [held for held in server.held if math.isinf(self._sizes.weights_mb(held))]
+        unknown = [loaded for loaded in server.loaded if math.isinf(self._sizes.weights_mb(loaded))]
         if not unknown:
             return None
-        return _Place(server, (ModelRef(min(unknown)),), model.load_time_s + RUNS_S)
+        return _Candidate(server, (ModelRef(min(unknown)),), model.load_time_s + RUNS_S)
 
     def _standing_cost(self, server: ServerView, model: Model) -> float:
         cost = BUSY_LOAD_S * self._fleet.load[server.id]
-        if model.name not in server.held_before:
-            cost += COLD_S
+        if model.name not in server.loaded_before:
+            cost += IDLE_AFTER_S
         if server.id in self._fleet.adapter_hosts:
             cost += ADAPTER_HOST_S
         if any(copy.zone == server.zone for copy in self._fleet.copies_of(model.name).servers):
@@ -163,7 +165,7 @@
 
     # An adapter
 
-    def place_adapter(self, ref: ModelRef, most_value: float) -> bool:
+    def place_adapter(self, ref: ModelRef, max_value: float) -> bool:
         """Order the load of an adapter, or the unload that it needs first. False where neither can be now."""
         if ref in self.purposes:
             return True
@@ -171,7 +173,7 @@
         for server in self.free.values():
             if not server.has(ModelRef(ref.model)) or server.has(ref):
                 continue
-            placed = self._adapter_place_on(server, ref, most_value)
+            placed = self._adapter_candidate_on(server, ref, max_value)
             if placed is None:
                 continue
             cost, victim = placed
@@ -187,21 +189,21 @@
             self.purposes[ref] += 1
         return True
 
-    def _adapter_place_on(
-        self, server: ServerView, ref: ModelRef, most_value: float
+    def _adapter_candidate_on(
+        self, server: ServerView, ref: ModelRef, max_value: float
     ) -> tuple[float, ModelRef | None] | None:
         """Cost of an adapter on a server, and the adapter that must go first."""
         size = self._sizes.adapter_mb(ref.model) + MEMORY_SLACK_MB
         if server.free_adapters >= 1 and server.free_mb >= size:
             return 1.0 / (1.0 + server.free_adapters), None
         best: tuple[float, ModelRef] | None = None
-        for held in server.held.values():
-            for adapter in sorted(held.adapters):
-                victim = ModelRef(held.name, adapter)
+        for loaded in server.loaded.values():
+            for adapter in sorted(loaded.adapters):
+                victim = ModelRef(loaded.name, adapter)
                 if server.free_mb + self._fleet.freed_mb(server, victim) < size:
                     continue
                 value = self._values.adapter_value(victim)
-                if value <= most_value and (best is None or value < best[0]):
+                if value <= max_value and (best is None or value < best[0]):
                     best = (value, victim)
         if best is None:
             return None
@@ -231,7 +233,7 @@
             self._values.forget(ref.model)
 
 
-def _cheaper(best: _Place | None, place: _Place) -> _Place:
-    if best is None or (place.cost, place.server.id) < (best.cost, best.server.id):
-        return place
+def _cheaper(best: _Candidate | None, candidate: _Candidate) -> _Candidate:
+    if best is None or (candidate.cost, candidate.server.id) < (best.cost, best.server.id):
+        return candidate
     return best
--- a/granitewell/controlplane/placement/planner.py
+++ b/granitewell/controlplane/placement/planner.py
@@ -16,9 +16,9 @@
 
 from granitewell.controlplane.placement.demand import DemandView, RefDemand
 from granitewell.controlplane.placement.fleet import BUSY_RATE, KEEP_RATE, FleetView
-from granitewell.controlplane.placement.limits import MEMORY_SLACK_MB, SizeBook
+from granitewell.controlplane.placement.limits import MEMORY_SLACK_MB, ModelSizes
 from granitewell.controlplane.placement.orders import Operation, Order
-from granitewell.controlplane.placement.placement_pass import Placing
+from granitewell.controlplane.placement.placement_pass import PlacementPass
 from granitewell.controlplane.placement.values import CopyValues
 from granitewell.controlplane.placement.views import ServerView, StoreView
 from granitewell.domain.configuration import Engine
@@ -33,7 +33,7 @@
 MAX_FOR_WAITING = 1.2  # value that may be given up for a request that waits
 MAX_FOR_JUST_WAITING = 0.3  # the same when it has only begun to wait
 MAX_FOR_SPARE = 0.25  # value that may be given up for a copy that nobody waits for
-MAX_FOR_ROOM = 0.12  # value that may be given up for room ahead of need
+MAX_EVICTIONS_FOR_CAPACITY = 0.12  # value that may be given up for room ahead of need
 
 # Who comes first
 PRIORITY_WEIGHTS = (3.0, 2.0, 1.0, 0.7, 0.5)  # of one request, by its priority
@@ -43,15 +43,15 @@
 # How much at once
 MAX_SPARE_LOADS = 2  # loads that nobody waits for, at once
 MAX_TRIED = 12  # models that could not be placed, after which the rest of the queue is left for later
-ROOM_S = 0.9  # of misses that find free room: about an unload, its report and a load
-ROOM_SERVERS_SHARE = 0.34  # of the servers, at most, with room made ahead
+EVICTION_INTERVAL_S = 0.9  # of misses that find free room: about an unload, its report and a load
+SPARE_SERVERS_FRACTION = 0.34  # of the servers, at most, with room made ahead
 
 
 def plan(
     servers: Sequence[ServerView],
     demand: DemandView,
     engine: Engine,
-    sizes: SizeBook,
+    sizes: ModelSizes,
     store: StoreView,
 ) -> list[Order]:
     """The orders to send now."""
@@ -62,7 +62,7 @@
     planning.load_urgent_models()
     planning.load_spare_models()
     planning.load_spare_adapters()
-    planning.make_room()
+    planning.evict_for_capacity()
     return planning.orders
 
 
@@ -74,13 +74,13 @@
         servers: Sequence[ServerView],
         demand: DemandView,
         engine: Engine,
-        sizes: SizeBook,
+        sizes: ModelSizes,
         store: StoreView,
     ) -> None:
         self._demand = demand
         self._fleet = FleetView(servers, demand, engine, sizes)
         self._values = CopyValues(self._fleet)
-        self._placing = Placing(self._fleet, self._values, sizes, store)
+        self._placing = PlacementPass(self._fleet, self._values, sizes, store)
         self._at_once = store.at_once
         self._blocked_waiting = False
 
@@ -145,10 +145,10 @@
 
     def _place_urgent(self, name: str) -> bool:
         if self._fleet.is_missed(name):
-            most_value = self._most_for_waiting(self._demand.models[name])
-            return self._placing.place_model(name, most_value, self._at_once)
-        most_value = max(MAX_FOR_SPARE, min(MAX_FOR_WAITING, RELIEF_VALUE * self._relief(name)))
-        return self._placing.place_model(name, most_value, self._at_once)
+            max_value = self._most_for_waiting(self._demand.models[name])
+            return self._placing.place_model(name, max_value, self._at_once)
+        max_value = max(MAX_FOR_SPARE, min(MAX_FOR_WAITING, RELIEF_VALUE * self._relief(name)))
+        return self._placing.place_model(name, max_value, self._at_once)
 
     def _most_for_waiting(self, seen: RefDemand) -> float:
         """Value that may be given up: little at first, as a better server may be free soon."""
@@ -168,9 +168,9 @@
         short.sort(key=lambda item: (self._fleet.copies_of(item[0]).count, -item[1].rate, item[0]))
         for name, _ in short:
             lost = not self._fleet.copies_of(name).count
-            most_loads = self._at_once if lost else min(MAX_SPARE_LOADS, self._at_once)
-            if self._placing.under_way() < most_loads:
-                self._placing.place_model(name, MAX_FOR_SPARE, most_loads)
+            max_loads = self._at_once if lost else min(MAX_SPARE_LOADS, self._at_once)
+            if self._placing.under_way() < max_loads:
+                self._placing.place_model(name, MAX_FOR_SPARE, max_loads)
 
     def load_spare_adapters(self) -> None:
         """Adapters in use that have too few copies."""
@@ -184,17 +184,19 @@
 
     # 4. Room
 
-    def make_room(self) -> None:
+    def evict_for_capacity(self) -> None:
         """Unload what is worth least on a few servers, so that the next miss needs no unload first."""
         if self._blocked_waiting or not self._demand.misses_per_s:
             return
-        most = int(len(self._fleet.lasting) * ROOM_SERVERS_SHARE)
-        wanted = min(most, int(self._demand.misses_per_s * ROOM_S + 0.5))
+        most = int(len(self._fleet.lasting) * SPARE_SERVERS_FRACTION)
+        wanted = min(most, int(self._demand.misses_per_s * EVICTION_INTERVAL_S + 0.5))
         size = self._typical_mb()
-        roomy = [server for server in self._fleet.lasting if self._is_roomy(server, size)]
-        missing = wanted - len(roomy)
+        with_spare_capacity = [
+            server for server in self._fleet.lasting if self._has_spare_capacity(server, size)
+        ]
+        missing = wanted - len(with_spare_capacity)
         for _ in range(missing):
-            if not self._make_room_once(size):
+            if not self._evict_once(size):
                 return
 
     def _typical_mb(self) -> float:
@@ -202,26 +204,28 @@
         away = self._fleet.sizes_away()
         return away[int(len(away) * 0.9)] if away else math.inf
 
-    def _is_roomy(self, server: ServerView, size: float) -> bool:
+    def _has_spare_capacity(self, server: ServerView, size: float) -> bool:
         """Whether it has or gets room that nothing is to take."""
         spoken_for = server.purpose or server.reserved_for or server.id in self._placing.taken
-        return not spoken_for and self._has_room(server, size)
+        return not spoken_for and self._has_capacity(server, size)
 
-    def _has_room(self, server: ServerView, size: float) -> bool:
+    def _has_capacity(self, server: ServerView, size: float) -> bool:
         freed = 0.0
         if server.going is not None:
             freed = self._fleet.freed_mb(server, server.going)
         return server.free_mb + freed - MEMORY_SLACK_MB >= size
 
-    def _make_room_once(self, size: float) -> bool:
+    def _evict_once(self, size: float) -> bool:
         best: tuple[float, str, str] | None = None
         for server in self._placing.free.values():
-            if server.reserved_for is not None or self._has_room(server, size):
+            if server.reserved_for is not None or self._has_capacity(server, size):
                 continue
             for value, name in self._values.ranking(server):
-                if value > MAX_FOR_ROOM or (best is not None and (value, server.id) >= best[:2]):
+                if value > MAX_EVICTIONS_FOR_CAPACITY or (
+                    best is not None and (value, server.id) >= best[:2]
+                ):
                     break
-                if self._fleet.in_flight(name) or not self._makes_room(server, name, size):
+                if self._fleet.in_flight(name) or not self._evicts(server, name, size):
                     continue
                 best = (value, server.id, name)
                 break
@@ -230,7 +234,7 @@
         self._placing.order(self._placing.free[best[1]], Operation.UNLOAD, ModelRef(best[2]))
         return True
 
-    def _makes_room(self, server: ServerView, name: str, size: float) -> bool:
+    def _evicts(self, server: ServerView, name: str, size: float) -> bool:
         return server.free_mb + self._fleet.freed_mb(server, ModelRef(name)) - MEMORY_SLACK_MB >= size
 
 
--- a/granitewell/controlplane/placement/polling.py
+++ b/granitewell/controlplane/placement/polling.py
@@ -14,7 +14,7 @@
 POLL_ORDER_S = 0.07  # while an order is about to be done
 POLL_LATE_S = 0.2  # when it takes far longer than expected
 FIRST_POLLS_S = 0.05  # over which the first reports of all servers are spread
-FIRST_LOOK_SHARE = 0.9  # of the expected time of an order
+FIRST_POLL_FRACTION = 0.9  # of the expected time of an order
 MIN_FIRST_LOOK_S = 0.05
 
 
@@ -40,7 +40,7 @@
 
 def after_acceptance(now: float, expected_s: float) -> float:
     """When to look for the result of an order that a server has taken."""
-    return now + max(MIN_FIRST_LOOK_S, FIRST_LOOK_SHARE * expected_s)
+    return now + max(MIN_FIRST_LOOK_S, FIRST_POLL_FRACTION * expected_s)
 
 
 def first_poll(now: float, rng: Random) -> float:
--- a/granitewell/controlplane/placement/readiness.py
+++ b/granitewell/controlplane/placement/readiness.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from granitewell.controlplane.placement.observation import ServerRecord, too_many_dark
-from granitewell.domain.servers import HeldModel
+from granitewell.domain.servers import LoadedModel
 
 
 class Readiness:
@@ -13,10 +13,10 @@
 
     def __init__(self, records: Mapping[str, ServerRecord]) -> None:
         self._records = records
-        self._published: dict[str, Mapping[str, HeldModel]] = {}
+        self._published: dict[str, Mapping[str, LoadedModel]] = {}
         self._changed: set[str] = set()
 
-    def ready_models(self, server_id: str) -> Mapping[str, HeldModel]:
+    def ready_models(self, server_id: str) -> Mapping[str, LoadedModel]:
         """What requests may be sent for to a server now."""
         return self._published.get(server_id, {})
 
@@ -48,7 +48,7 @@
         dark = record.dark(now) and server_id in self.dark(now)
         self._set(server_id, {} if dark else record.ready())
 
-    def _set(self, server_id: str, ready: Mapping[str, HeldModel]) -> None:
+    def _set(self, server_id: str, ready: Mapping[str, LoadedModel]) -> None:
         if self._published.get(server_id) != ready:
             self._published[server_id] = ready
             self._changed.add(server_id)
--- a/granitewell/controlplane/placement/reconciler.py
+++ b/granitewell/controlplane/placement/reconciler.py
@@ -36,7 +36,7 @@
 from granitewell.controlplane.placement.readiness import Readiness
 from granitewell.controlplane.placement.steps import PlacementCounters, Poll, Send, Step
 from granitewell.domain.configuration import Engine
-from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef
+from granitewell.domain.servers import LoadedModel, ModelDemand, ModelRef
 
 EDGES_LEARN_S = 0.2  # until edges have stopped sending for what was withdrawn
 LATELY_S = 2.0  # without a request for this long, a model is unloaded without waiting for the edges
@@ -58,7 +58,7 @@
         self._records: dict[str, ServerRecord] = {}
         self._demand = DemandTable()
         self._running = False
-        self._last_fence = 0
+        self._last_fencing_token = 0
         self._plan_at = math.inf
         self._planned_at = -math.inf
         self._unload_from = math.inf
@@ -90,14 +90,14 @@
             record.next_poll_at = polling.first_poll(now, self._rng)
         self._readiness.publish_all(now)
 
-    def set_engine(self, now: float, engine: Engine, load_share: float) -> None:
+    def set_engine(self, now: float, engine: Engine, load_rate_fraction: float) -> None:
         """A configuration came into force.
 
         Args:
-            load_share: This service's part of the store's rate.
+            load_rate_fraction: This service's part of the store's rate.
         """
         self._engine = engine
-        self._issuer.set_engine(now, engine, load_share)
+        self._issuer.set_engine(now, engine, load_rate_fraction)
         self._soon(now)
 
     def set_servers(self, now: float, servers: Sequence[ListedServer]) -> None:
@@ -165,7 +165,7 @@
         elif result is OrderResult.UNKNOWN:
             pending.stage = OrderStage.UNKNOWN
             record.next_poll_at = now
-        elif result is OrderResult.HELD:
+        elif result is OrderResult.ALREADY_HOLDS:
             pending.stage = OrderStage.SETTLING
             record.next_poll_at = now + REPORT_SHOWS_S
         else:
@@ -176,7 +176,7 @@
     def _refused(self, now: float, record: ServerRecord, result: OrderResult) -> None:
         """The order did not and will not begin."""
         if result is OrderResult.FENCED:
-            record.fenced_at = self._last_fence
+            record.fenced_at = self._last_fencing_token
         elif result is OrderResult.OTHER_SERVER:
             record.misdirected = True
             self._readiness.publish_all(now)
@@ -205,17 +205,17 @@
                 times.append(record.withdrawal.at)
         return min(times)
 
-    def due(self, now: float, holder: str, fence: int, may_order: bool) -> list[Step]:
+    def due(self, now: float, holder: str, fencing_token: int, may_order: bool) -> list[Step]:
         """The calls to begin now. Each must be answered by on_report or on_order."""
         if not self._running:
             return []
-        self._last_fence = fence
+        self._last_fencing_token = fencing_token
         steps: list[Step] = []
         self._notice_dark(now)
         if may_order:
-            steps.extend(self._due_withdrawals(now, holder, fence))
+            steps.extend(self._due_withdrawals(now, holder, fencing_token))
             if now >= self._plan_at:
-                steps.extend(self._replan(now, holder, fence))
+                steps.extend(self._replan(now, holder, fencing_token))
         else:
             self._drop_withdrawals(now)
             self._plan_at = max(self._plan_at, now + REPLAN_S)
@@ -248,7 +248,7 @@
 
     # Plans
 
-    def _replan(self, now: float, holder: str, fence: int) -> list[Step]:
+    def _replan(self, now: float, holder: str, fencing_token: int) -> list[Step]:
         self._plan_at = now + REPLAN_S
         self._planned_at = now
         engine = self._engine
@@ -258,7 +258,7 @@
         demand = self._demand.view(now)
         bucket = self._issuer.bucket
         store = StoreView(bucket.available(now), self._issuer.pace.at_once)
-        views = self._views(now, fence, engine)
+        views = self._views(now, fencing_token, engine)
         steps: list[Step] = []
         for order in plan(views, demand, engine, self._issuer.sizes, store):
             if order.operation is Operation.UNLOAD and now < self._unload_from:
@@ -266,25 +266,25 @@
             if order.operation is Operation.UNLOAD and self._in_use(demand, order.ref):
                 self._withdraw(now, order)
                 continue
-            step = self._begin(now, order, holder, fence)
+            step = self._begin(now, order, holder, fencing_token)
             if step is not None:
                 steps.append(step)
         if demand.models and store.tokens < 1:
             self._plan_at = min(self._plan_at, max(bucket.next_at(now), now + MIN_BETWEEN_PLANS_S))
         return steps
 
-    def _begin(self, now: float, order: Order, holder: str, fence: int) -> Send | None:
-        step = self._issuer.issue(now, order, holder, fence)
+    def _begin(self, now: float, order: Order, holder: str, fencing_token: int) -> Send | None:
+        step = self._issuer.issue(now, order, holder, fencing_token)
         if step is not None:
             self._readiness.publish(now, self._records[order.server_id])
         return step
 
-    def _views(self, now: float, fence: int, engine: Engine) -> list[ServerView]:
+    def _views(self, now: float, fencing_token: int, engine: Engine) -> list[ServerView]:
         dark = self._readiness.dark(now)
-        return [self._view(now, fence, engine, record, dark) for record in self._records.values()]
+        return [self._view(now, fencing_token, engine, record, dark) for record in self._records.values()]
 
     def _view(
-        self, now: float, fence: int, engine: Engine, record: ServerRecord, dark: set[str]
+        self, now: float, fencing_token: int, engine: Engine, record: ServerRecord, dark: set[str]
     ) -> ServerView:
         used = record.usage(self._issuer.sizes)
         listed = record.listed
@@ -293,15 +293,15 @@
             zone=listed.zone,
             slots=listed.slots,
             lasting=record.lasting and listed.id not in dark,
-            orderable=record.withdrawal is None and record.orderable(now, fence),
-            held=record.held(),
+            orderable=record.withdrawal is None and record.orderable(now, fencing_token),
+            loaded=record.loaded(),
             free_mb=engine.weights_mb - used.mb,
             free_adapters=engine.max_adapters - used.adapters,
             going=record.going(),
             coming=record.coming(),
             purpose=record.purpose(now),
             reserved_for=record.reserved_for(now),
-            held_before=record.held_before,
+            loaded_before=record.loaded_before,
         )
 
     # Withdrawals
@@ -316,15 +316,17 @@
         record.withdrawal = Withdrawal(order, now + EDGES_LEARN_S)
         self._readiness.publish(now, record)
 
-    def _due_withdrawals(self, now: float, holder: str, fence: int) -> list[Step]:
+    def _due_withdrawals(self, now: float, holder: str, fencing_token: int) -> list[Step]:
         steps: list[Step] = []
         for record in self._records.values():
             withdrawal = record.withdrawal
             if withdrawal is None or now < withdrawal.at or record.calling:
                 continue
             record.withdrawal = None
-            if record.orderable(now, fence) and not self._wanted_again(now, record, withdrawal.order.ref):
-                step = self._begin(now, withdrawal.order, holder, fence)
+            if record.orderable(now, fencing_token) and not self._wanted_again(
+                now, record, withdrawal.order.ref
+            ):
+                step = self._begin(now, withdrawal.order, holder, fencing_token)
                 if step is not None:
                     steps.append(step)
             self._readiness.publish(now, record)
@@ -346,7 +348,7 @@
 
     # What is ready
 
-    def ready_models(self, server_id: str) -> Mapping[str, HeldModel]:
+    def ready_models(self, server_id: str) -> Mapping[str, LoadedModel]:
         """What requests may be sent for to a server now."""
         return self._readiness.ready_models(server_id)
 
@@ -356,5 +358,5 @@
 
 
 def _ready_for(record: ServerRecord, ref: ModelRef) -> bool:
-    held = record.ready().get(ref.model)
-    return held is not None and (not ref.adapter or ref.adapter in held.adapters)
+    loaded = record.ready().get(ref.model)
+    return loaded is not None and (not ref.adapter or ref.adapter in loaded.adapters)
--- a/granitewell/controlplane/placement/values.py
+++ b/granitewell/controlplane/placement/values.py
@@ -13,7 +13,7 @@
 SECOND_VALUE = 0.5  # of a wanted second copy: a crash or a hot spot away from being the only one
 RECENT_VALUE = 0.5  # of the last copy of a model asked for just now, falling to 0 over RECENT_S
 RECENT_S = 2.0
-SILENT_S = 3.0  # without a request, a model's extra copies are worth nothing
+UNRESPONSIVE_AFTER_S = 3.0  # without a request, a model's extra copies are worth nothing
 
 
 class CopyValues:
@@ -41,7 +41,7 @@
         if name not in self._fleet.models:
             return 0.0 if seen is None or not seen.in_flight else EXTRA_VALUE
         if copies.ready > max(1, self._fleet.wanted.get(name, 0)):
-            return EXTRA_VALUE if seen is not None and seen.idle_s < SILENT_S else 0.0
+            return EXTRA_VALUE if seen is not None and seen.idle_s < UNRESPONSIVE_AFTER_S else 0.0
         if seen is None:
             return UNSEEN_VALUE
         if copies.ready > 1:
@@ -64,30 +64,30 @@
         """What a server holds, by value."""
         ranking = self._ranked.get(server.id)
         if ranking is None:
-            ranking = sorted((self._value(server, name), name) for name in server.held)
+            ranking = sorted((self._value(server, name), name) for name in server.loaded)
             self._ranked[server.id] = ranking
         return ranking
 
-    def reach_mb(self, server: ServerView, most_value: float) -> float:
+    def reach_mb(self, server: ServerView, max_value: float) -> float:
         """Memory that a server has after giving up all copies of at most that value."""
-        reach = self._reach.get((server.id, most_value))
+        reach = self._reach.get((server.id, max_value))
         if reach is None:
             reach = server.free_mb
             for value, name in self.ranking(server):
-                if value > most_value:
+                if value > max_value:
                     break
                 reach += self._fleet.freed_mb(server, ModelRef(name))
-            self._reach[server.id, most_value] = reach
+            self._reach[server.id, max_value] = reach
         return reach
 
     def victims(
-        self, server: ServerView, need_mb: float, most_value: float
+        self, server: ServerView, need_mb: float, max_value: float
     ) -> tuple[tuple[ModelRef, ...], float] | None:
         """Models whose unload frees that much, at the least value; None where the value is too high."""
         chosen: list[tuple[float, str, float]] = []
         freed = 0.0
         for value, name in self.ranking(server):
-            if freed >= need_mb or value > most_value:
+            if freed >= need_mb or value > max_value:
                 break
             size = self._fleet.freed_mb(server, ModelRef(name))
             chosen.append((value, name, size))
@@ -99,7 +99,7 @@
                 chosen.remove(entry)
                 freed -= entry[2]
         total = sum(value for value, _, _ in chosen)
-        if total > most_value:
+        if total > max_value:
             return None
         return tuple(ModelRef(name) for _, name, _ in chosen), total
 
--- a/granitewell/controlplane/placement/views.py
+++ b/granitewell/controlplane/placement/views.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from granitewell.domain.servers import HeldModel, ModelRef
+from granitewell.domain.servers import LoadedModel, ModelRef
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,21 +24,21 @@
     slots: int
     lasting: bool
     orderable: bool
-    held: Mapping[str, HeldModel]
+    loaded: Mapping[str, LoadedModel]
     free_mb: float
     free_adapters: int
     going: ModelRef | None = None
     coming: ModelRef | None = None
     purpose: ModelRef | None = None
     reserved_for: ModelRef | None = None
-    held_before: frozenset[str] | set[str] = frozenset()
+    loaded_before: frozenset[str] | set[str] = frozenset()
 
     def has(self, ref: ModelRef) -> bool:
         """Whether it holds that and keeps it."""
-        held = self.held.get(ref.model)
-        if held is None or self.going == ref or self.going == ModelRef(ref.model):
+        loaded = self.loaded.get(ref.model)
+        if loaded is None or self.going == ref or self.going == ModelRef(ref.model):
             return False
-        return not ref.adapter or ref.adapter in held.adapters
+        return not ref.adapter or ref.adapter in loaded.adapters
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/controlplane/publication/publisher.py
+++ b/granitewell/controlplane/publication/publisher.py
@@ -26,7 +26,7 @@
 GATHER_S = 0.015  # changes that come so close together are told together
 EDGE_FORGOTTEN_S = 4.0  # an edge that has not asked for so long is not counted
 PEAK_FORGOTTEN_S = 120.0
-MAX_CONTACT_AGE_S = 0.75  # what is published is no older; 0.3 s with all well, and two heartbeats may fail
+MAX_READ_STALENESS_S = 0.75  # what is published is no older; 0.3 s with all well, and two heartbeats may fail
 
 
 class StaleReplicaError(GranitewellError):
@@ -63,7 +63,7 @@
         """An edge has asked."""
         self._asked_at[edge] = now
 
-    def told(self, node: str, edges: int, now: float) -> None:
+    def notified(self, node: str, edges: int, now: float) -> None:
         """Another control node says how many ask there."""
         self._others[node] = (edges, now)
 
@@ -93,14 +93,14 @@
         configuration: Deltas,
         tables: Mapping[int, ServerTable],
         control_nodes: Callable[[], Sequence[str]],
-        contact_age_s: Callable[[], float],
+        read_staleness_s: Callable[[], float],
         edges: EdgeCounter,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._configuration = configuration
         self._tables = tables
         self._control_nodes = control_nodes
-        self._contact_age_s = contact_age_s
+        self._read_staleness_s = read_staleness_s
         self._edges = edges
         self._clock = clock
         self._changed = asyncio.Event()
@@ -117,7 +117,7 @@
             changed = self._changed
             if request.edge:
                 self._edges.asked(request.node, self._clock())
-                if self._contact_age_s() > MAX_CONTACT_AGE_S:
+                if self._read_staleness_s() > MAX_READ_STALENESS_S:
                     raise StaleReplicaError("no word from a leader")
             reply = self._reply(request)
             left = deadline - self._clock()
@@ -136,8 +136,8 @@
         updates = list(self._table_updates(request))
         nodes = list(self._control_nodes()) if request.edge else []
         digest = members_digest(nodes) if request.edge else request.members_digest
-        news = configuration is not None or any(lacks for _, lacks in updates)
-        if not news and digest == request.members_digest and not empty:
+        update = configuration is not None or any(lacks for _, lacks in updates)
+        if not update and digest == request.members_digest and not empty:
             return None
         now = self._clock()
         return WatchReply(
@@ -146,14 +146,16 @@
             control_nodes=nodes if digest != request.members_digest else [],
             members_digest=digest,
             edges=self._edges.all(now),
-            most_edges=self._edges.most(now),
+            max_edges=self._edges.most(now),
         )
 
     def _configuration_update(self, request: Any) -> Any | None:
         if not request.edge or self._configuration.version <= request.configuration_version:
             return None
         delta = self._configuration.changes_since(request.configuration_version)
-        return ConfigurationUpdate(version=delta.version, whole=delta.whole, documents=list(delta.documents))
+        return ConfigurationUpdate(
+            version=delta.version, is_complete=delta.is_complete, documents=list(delta.documents)
+        )
 
     def _table_updates(self, request: Any) -> Sequence[tuple[Any, bool]]:
         """An update of each shard that was asked for (all for an edge), and whether it says anything new."""
@@ -175,7 +177,7 @@
         age = -1 if table.listed_at is None else int((self._clock() - table.listed_at) * 1000)
         return TableUpdate(
             version=TableVersion(shard=shard, epoch=update.version.epoch, sequence=update.version.sequence),
-            whole=update.whole,
+            is_complete=update.is_complete,
             changed=[server_to_message(server) for server in update.changed],
             removed=list(update.removed),
             list_age_ms=age,
@@ -186,7 +188,7 @@
     """The typed update of a message."""
     return Update(
         Version(message.version.epoch, message.version.sequence),
-        bool(message.whole),
+        bool(message.is_complete),
         tuple(server_from_message(server) for server in message.changed or ()),
         tuple(message.removed or ()),
     )
--- a/granitewell/controlplane/publication/table.py
+++ b/granitewell/controlplane/publication/table.py
@@ -31,7 +31,7 @@
     """
 
     version: Version
-    whole: bool
+    is_complete: bool
     changed: tuple[Server, ...]
     removed: tuple[str, ...]
 
@@ -86,7 +86,7 @@
             return
         if listed_at is not None:
             self.listed_at = max(self.listed_at or listed_at, listed_at)
-        if update.whole:
+        if update.is_complete:
             kept = {server.id for server in update.changed}
             removed = [key for key in self._servers if key not in kept]
             if update.version.epoch != self.version.epoch:
--- a/granitewell/coordination/consensus/codec.py
+++ b/granitewell/coordination/consensus/codec.py
@@ -16,13 +16,13 @@
 from granitewell.coordination.consensus import messages
 from granitewell.coordination.consensus.encoding import (
     IDL,
+    decode_entries,
+    decode_member,
+    decode_membership,
     decode_struct,
-    pack_entries,
-    pack_member,
-    pack_membership,
-    unpack_entries,
-    unpack_member,
-    unpack_membership,
+    encode_entries,
+    encode_member,
+    encode_membership,
 )
 from granitewell.coordination.consensus.messages import Message
 from granitewell.domain.errors import MalformedFrameError
@@ -35,17 +35,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Packing:
+class _FieldCodec:
     """How a field that thrift has no plain type for is packed."""
 
     pack: Callable[[Any], bytes]
     unpack: Callable[[bytes], Any]
 
 
-_PACKINGS = {
-    "entries": _Packing(pack_entries, unpack_entries),
-    "membership": _Packing(pack_membership, unpack_membership),
-    "member": _Packing(pack_member, unpack_member),
+_FIELD_CODECS = {
+    "entries": _FieldCodec(encode_entries, decode_entries),
+    "membership": _FieldCodec(encode_membership, decode_membership),
+    "member": _FieldCodec(encode_member, decode_member),
 }
 _TYPES = {"str": str, "int": int, "bool": bool, "bytes": bytes}
 
@@ -54,7 +54,7 @@
 class _Field:
     name: str
     kind: Any
-    packing: _Packing | None
+    field_codec: _FieldCodec | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,8 +66,8 @@
 
 
 def _field(name: str, kind: str) -> _Field:
-    packing = _PACKINGS.get(name)
-    return _Field(name, bytes if packing else _TYPES[kind], packing)
+    field_codec = _FIELD_CODECS.get(name)
+    return _Field(name, bytes if field_codec else _TYPES[kind], field_codec)
 
 
 def _kind(number: int, message: type[Message]) -> _Kind:
@@ -86,7 +86,7 @@
     8: messages.AppendReply,
     9: messages.SnapshotChunk,
     10: messages.SnapshotReply,
-    11: messages.HandOver,
+    11: messages.TimeoutNow,
     12: messages.Join,
     13: messages.Removed,
     14: messages.Leave,
@@ -102,7 +102,7 @@
     body = kind.struct()
     for field in kind.fields:
         value = getattr(message, field.name)
-        setattr(body, field.name, field.packing.pack(value) if field.packing else value)
+        setattr(body, field.name, field.field_codec.pack(value) if field.field_codec else value)
     payload = encode_struct(body)
     return _HEAD.pack(VERSION, kind.number, crc32(payload)) + payload
 
@@ -134,7 +134,7 @@
         raise MalformedFrameError(f"field {field.name}")
     if field.kind is int and value < 0:
         raise MalformedFrameError(f"field {field.name} is below 0")
-    return field.packing.unpack(value) if field.packing else value
+    return field.field_codec.unpack(value) if field.field_codec else value
 
 
 def _check(message: Message) -> None:
--- a/granitewell/coordination/consensus/consensus.thrift
+++ b/granitewell/coordination/consensus/consensus.thrift
@@ -1,11 +1,11 @@
 // What replicas of a group say to each other. Read at run time by thriftpy2; fields are only ever added, and only
-// plain ones: lists are packed into binaries (packing.py says why). sender and receiver are replica ids.
+// plain ones: lists are packed into binaries (encoding.py says why). sender and receiver are replica ids.
 namespace py granitewell.coordination.consensus
 
 struct PreVote { 1: string sender, 2: string receiver, 3: i64 term, 4: i64 last_index, 5: i64 last_term }
 struct PreVoteReply { 1: string sender, 2: string receiver, 3: i64 term, 4: bool granted }
 struct Vote {
-  1: string sender, 2: string receiver, 3: i64 term, 4: i64 last_index, 5: i64 last_term, 6: bool handed_over
+  1: string sender, 2: string receiver, 3: i64 term, 4: i64 last_index, 5: i64 last_term, 6: bool leadership_transfer
 }
 struct VoteReply { 1: string sender, 2: string receiver, 3: i64 term, 4: bool granted }
 struct Heartbeat {
@@ -25,7 +25,7 @@
   7: i64 offset, 8: i64 total, 9: binary data
 }
 struct SnapshotReply { 1: string sender, 2: string receiver, 3: i64 term, 4: i64 index, 5: i64 received }
-struct HandOver { 1: string sender, 2: string receiver, 3: i64 term }
+struct TimeoutNow { 1: string sender, 2: string receiver, 3: i64 term }
 struct Join { 1: string sender, 2: string receiver, 3: i64 term, 4: binary member, 5: bool forwarded }
 struct Removed { 1: string sender, 2: string receiver, 3: i64 term }
 struct Leave { 1: string sender, 2: string receiver, 3: i64 term }
--- a/granitewell/coordination/consensus/election.py
+++ b/granitewell/coordination/consensus/election.py
@@ -28,7 +28,7 @@
     def __init__(self, core: Core, now: float, fresh: bool) -> None:
         self._core = core
         self._votes: set[str] = set()
-        self._no_vote_before = NEVER if fresh else now + core.settings.election_least_s
+        self._no_vote_before = NEVER if fresh else now + core.settings.election_timeout_min_s
         self.heard_at = NEVER
         self.due_at = now
         self.restart_timer(now)
@@ -38,7 +38,9 @@
     def restart_timer(self, now: float) -> None:
         """Wait for a whole election timeout from now on."""
         settings = self._core.settings
-        self.due_at = now + self._core.rng.uniform(settings.election_least_s, settings.election_most_s)
+        self.due_at = now + self._core.rng.uniform(
+            settings.election_timeout_min_s, settings.election_timeout_max_s
+        )
 
     def heard_leader(self, now: float) -> None:
         """The leader of this term lives."""
@@ -69,7 +71,7 @@
             request = PreVote(core.id, peer.replica_id, core.term + 1, log.last_index, log.last_term)
             core.send(peer.address, request)
 
-    def stand(self, now: float, handed_over: bool = False) -> None:
+    def campaign(self, now: float, leadership_transfer: bool = False) -> None:
         """Ask for votes in a new term.
 
         Its own vote counts once it is on the disk, which is also when the requests leave.
@@ -82,7 +84,9 @@
         self.due_at = now + core.settings.candidate_s * core.rng.uniform(1.0, 2.0)
         log = core.log
         for peer in core.peers():
-            request = Vote(core.id, peer.replica_id, core.term, log.last_index, log.last_term, handed_over)
+            request = Vote(
+                core.id, peer.replica_id, core.term, log.last_index, log.last_term, leadership_transfer
+            )
             core.send_synced(peer.address, request)
 
     def on_pre_vote_reply(self, reply: PreVoteReply) -> None:
@@ -113,7 +117,7 @@
         """Whether this replica owes its leader to vote for nobody else."""
         if self._core.role is Role.LEADER:
             return True
-        return now < max(self._no_vote_before, self.heard_at + self._core.settings.election_least_s)
+        return now < max(self._no_vote_before, self.heard_at + self._core.settings.election_timeout_min_s)
 
     def on_pre_vote(self, address: str, request: PreVote, now: float) -> None:
         """Say whether a vote would be granted."""
@@ -128,7 +132,7 @@
 
     def may_consider(self, request: Vote, now: float) -> bool:
         """Whether a request for a vote may be looked at, and its term taken over."""
-        return request.handed_over or not self.sticky(now)
+        return request.leadership_transfer or not self.sticky(now)
 
     def on_vote(self, address: str, request: Vote, now: float) -> None:
         """Vote, or not, in the term that this replica has taken over from the request."""
--- a/granitewell/coordination/consensus/encoding.py
+++ b/granitewell/coordination/consensus/encoding.py
@@ -78,16 +78,16 @@
         raise MalformedFrameError("bytes after the end")
 
 
-def pack_list(parts: Iterable[bytes]) -> bytes:
+def encode_list(parts: Iterable[bytes]) -> bytes:
     """Several byte strings as one."""
-    pieces: list[bytes] = []
+    encoded: list[bytes] = []
     for part in parts:
-        pieces.append(_LENGTH.pack(len(part)))
-        pieces.append(part)
-    return b"".join(pieces)
+        encoded.append(_LENGTH.pack(len(part)))
+        encoded.append(part)
+    return b"".join(encoded)
 
 
-def unpack_list(data: bytes) -> list[bytes]:
+def decode_list(data: bytes) -> list[bytes]:
     """The byte strings that were packed as one; raises MalformedFrameError."""
     parts: list[bytes] = []
     at = 0
@@ -108,14 +108,14 @@
     return at + _LENGTH.size, int(length)
 
 
-def pack_member(member: Member) -> bytes:
+def encode_member(member: Member) -> bytes:
     """A member's binary form."""
-    return pack_list((member.replica_id.encode(), member.node_name.encode(), member.address.encode()))
+    return encode_list((member.replica_id.encode(), member.node_name.encode(), member.address.encode()))
 
 
-def unpack_member(data: bytes) -> Member:
+def decode_member(data: bytes) -> Member:
     """A member; raises MalformedFrameError."""
-    parts = unpack_list(data)
+    parts = decode_list(data)
     if len(parts) < 3:
         raise MalformedFrameError(f"a member of {len(parts)} parts")
     try:
@@ -125,29 +125,29 @@
     return Member(replica_id, node_name, address)
 
 
-def _pack_members(members: Iterable[Member]) -> bytes:
-    return pack_list(pack_member(member) for member in members)
+def _encode_members(members: Iterable[Member]) -> bytes:
+    return encode_list(encode_member(member) for member in members)
 
 
-def _unpack_members(data: bytes) -> tuple[Member, ...]:
-    return tuple(unpack_member(part) for part in unpack_list(data))
+def _decode_members(data: bytes) -> tuple[Member, ...]:
+    return tuple(decode_member(part) for part in decode_list(data))
 
 
-def pack_change(change: VoterChange) -> bytes:
+def encode_change(change: VoterChange) -> bytes:
     """The data of an entry that begins a change of members."""
-    parts = pack_list((_pack_members(change.added), _pack_members(change.removed)))
+    parts = encode_list((_encode_members(change.added), _encode_members(change.removed)))
     return bytes((CHANGE_VERSION,)) + parts
 
 
-def unpack_change(data: bytes) -> VoterChange:
+def decode_change(data: bytes) -> VoterChange:
     """What an entry begins; raises MalformedFrameError, NewerMembershipFormatError."""
-    parts = unpack_list(_unversioned(data))
+    parts = decode_list(_unversioned(data))
     if len(parts) != 2:
         raise MalformedFrameError(f"a change of members of {len(parts)} parts")
-    return VoterChange(_unpack_members(parts[0]), _unpack_members(parts[1]))
+    return VoterChange(_decode_members(parts[0]), _decode_members(parts[1]))
 
 
-def pack_end(taken_over: bool) -> bytes:
+def encode_end(taken_over: bool) -> bytes:
     """The data of an entry that ends a change of members.
 
     Args:
@@ -156,7 +156,7 @@
     return bytes((CHANGE_VERSION, taken_over))
 
 
-def unpack_end(data: bytes) -> bool:
+def decode_end(data: bytes) -> bool:
     """Whether a change ends for the new voters; raises MalformedFrameError, NewerMembershipFormatError."""
     rest = _unversioned(data)
     if rest not in (b"\0", b"\1"):
@@ -172,42 +172,42 @@
     return data[1:]
 
 
-def pack_membership(membership: Membership) -> bytes:
+def encode_membership(membership: Membership) -> bytes:
     """A membership's binary form. The outgoing voters are there only while members change."""
-    removed = pack_list(replica_id.encode() for replica_id in membership.removed)
-    parts = [_pack_members(membership.voters), removed]
+    removed = encode_list(replica_id.encode() for replica_id in membership.removed)
+    parts = [_encode_members(membership.voters), removed]
     if membership.is_joint:
-        parts.append(_pack_members(membership.outgoing_voters))
-    return pack_list(parts)
+        parts.append(_encode_members(membership.outgoing_voters))
+    return encode_list(parts)
 
 
-def unpack_membership(data: bytes) -> Membership:
+def decode_membership(data: bytes) -> Membership:
     """A membership; raises MalformedFrameError, NewerMembershipFormatError."""
-    parts = unpack_list(data)
+    parts = decode_list(data)
     if len(parts) < 2:
         raise MalformedFrameError(f"a membership of {len(parts)} parts")
     if len(parts) > 3:
         raise NewerMembershipFormatError(f"a membership of {len(parts)} parts, known: 3")
-    voters = _unpack_members(parts[0])
-    outgoing_voters = _unpack_members(parts[2]) if len(parts) > 2 else ()
+    voters = _decode_members(parts[0])
+    outgoing_voters = _decode_members(parts[2]) if len(parts) > 2 else ()
     try:
-        removed = tuple(part.decode() for part in unpack_list(parts[1]))
+        removed = tuple(part.decode() for part in decode_list(parts[1]))
     except UnicodeDecodeError as error:
         raise MalformedFrameError("an id is not UTF-8") from error
     return Membership(voters, removed, outgoing_voters)
 
 
-def pack_entry(entry: Entry) -> bytes:
+def encode_entry(entry: Entry) -> bytes:
     """An entry's binary form, which says its own length."""
     return _ENTRY.pack(entry.index, entry.term, entry.kind, len(entry.data)) + entry.data
 
 
-def pack_entries(entries: Iterable[Entry]) -> bytes:
+def encode_entries(entries: Iterable[Entry]) -> bytes:
     """Entries one after the other."""
-    return b"".join(pack_entry(entry) for entry in entries)
+    return b"".join(encode_entry(entry) for entry in entries)
 
 
-def unpack_entries(data: bytes) -> tuple[Entry, ...]:
+def decode_entries(data: bytes) -> tuple[Entry, ...]:
     """Entries that were packed one after the other; raises MalformedFrameError."""
     entries: list[Entry] = []
     at = 0
@@ -235,8 +235,8 @@
 def _check_change(entry: Entry) -> None:
     """Raises MalformedFrameError where an entry that changes members can't be read."""
     if entry.kind is EntryKind.CHANGE_VOTERS:
-        unpack_change(entry.data)
+        decode_change(entry.data)
     elif entry.kind is EntryKind.END_CHANGE:
-        unpack_end(entry.data)
+        decode_end(entry.data)
     elif entry.kind in MEMBERSHIP_KINDS:
-        unpack_member(entry.data)
+        decode_member(entry.data)
--- a/granitewell/coordination/consensus/follower.py
+++ b/granitewell/coordination/consensus/follower.py
@@ -86,7 +86,7 @@
             reply = AppendReply(core.id, chunk.sender, core.term, True, core.commit_index)
             core.send_synced(address, reply)
             return
-        if chunk.total > core.settings.snapshot_most_bytes:
+        if chunk.total > core.settings.snapshot_max_bytes:
             return
         assembly = self._assembly
         if assembly is None or not assembly.matches(chunk):
--- a/granitewell/coordination/consensus/group.py
+++ b/granitewell/coordination/consensus/group.py
@@ -22,7 +22,7 @@
 
 from granitewell.coordination.consensus import codec
 from granitewell.coordination.consensus.identity import NodeIdentity, fresh_replica_id, joining_state
-from granitewell.coordination.consensus.pending_messages import HeldMessages
+from granitewell.coordination.consensus.pending_messages import PendingMessages
 from granitewell.coordination.consensus.proposals import Proposals
 from granitewell.coordination.consensus.ready import Outgoing, Ready
 from granitewell.coordination.consensus.recovery import Recovery, with_first_members
@@ -143,7 +143,7 @@
         self._write = 0
         self._written_bytes = 0
         self._rewritten_bytes = 0
-        self._held = HeldMessages()
+        self._pending = PendingMessages()
         self._proposals = Proposals()
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = math.inf
@@ -203,19 +203,19 @@
             and self._applied_index >= replica.commit_index
         )
 
-    def contact_age_s(self) -> float:
+    def read_staleness_s(self) -> float:
         """The state here holds all that was committed this many seconds ago.
 
         0 where this replica holds the lease.
         """
-        return self._replica.contact_age(self._clock()) if self._replica else math.inf
+        return self._replica.read_staleness(self._clock()) if self._replica else math.inf
 
-    def silent_s(self, address: str) -> float:
+    def seconds_since_contact(self, address: str) -> float:
         """Seconds since this leader heard a member at an internal address.
 
         Infinite where it leads nobody there.
         """
-        return self._replica.silent_s(address, self._clock()) if self._replica else math.inf
+        return self._replica.seconds_since_contact(address, self._clock()) if self._replica else math.inf
 
     # Life
 
@@ -347,7 +347,7 @@
 
     def _on_synced(self, write: int) -> None:
         self._disk_failing = False
-        released = self._held.release(write)
+        released = self._pending.release(write)
         for done in [number for number in self._after_write if number <= write]:
             self._after_write.pop(done)()
         if self._replica is None:
@@ -402,7 +402,7 @@
             self._written_bytes += len(payload)
             self._log.append(self._write, payload)
         if ready.records or ready.synced_messages:
-            self._held.hold(self._write, ready.batch, ready.synced_messages)
+            self._pending.add(self._write, ready.batch, ready.synced_messages)
 
     def _send_all(self, messages: Sequence[Outgoing]) -> None:
         for outgoing in messages:
@@ -459,7 +459,7 @@
         """This replica is out of the group: forget all and join under a fresh id."""
         log.info("group {}: removed as {}; joining anew", self.name, self.replica_id)
         self._replica = None
-        self._held.clear()
+        self._pending.clear()
         self._proposals.lose(math.inf)
         self._machine.restore(self._empty_machine)
         self._applied_index = 0
@@ -477,12 +477,12 @@
 
     def _is_long(self, replica: Replica) -> bool:
         settings = self._settings
-        most_bytes = settings.compact_bytes + 2 * replica.snapshot_bytes
-        if self._written_bytes > 2 * max(most_bytes, self._rewritten_bytes):
+        max_bytes = settings.compact_bytes + 2 * replica.snapshot_bytes
+        if self._written_bytes > 2 * max(max_bytes, self._rewritten_bytes):
             return True
         if self._applied_index <= replica.snapshot_index:
             return False
-        length = max(replica.log_entries / settings.compact_entries, replica.log_bytes / most_bytes)
+        length = max(replica.log_entries / settings.compact_entries, replica.log_bytes / max_bytes)
         return length > CATCH_UP_PATIENCE or (length > 1 and not replica.has_peer_behind(self._clock()))
 
     def _schedule(self) -> None:
--- a/granitewell/coordination/consensus/handlers.py
+++ b/granitewell/coordination/consensus/handlers.py
@@ -12,7 +12,6 @@
 from granitewell.coordination.consensus.messages import (
     Append,
     AppendReply,
-    HandOver,
     Heartbeat,
     HeartbeatReply,
     Join,
@@ -24,10 +23,11 @@
     Removed,
     SnapshotChunk,
     SnapshotReply,
+    TimeoutNow,
     Vote,
     VoteReply,
 )
-from granitewell.coordination.consensus.read_staleness import LeaderContact
+from granitewell.coordination.consensus.read_staleness import ReadStaleness
 from granitewell.coordination.consensus.roles import Roles
 from granitewell.coordination.consensus.types import Role
 
@@ -38,13 +38,13 @@
     """Hands messages to the parts of one replica."""
 
     def __init__(
-        self, core: Core, roles: Roles, election: Election, joining: Joining, contact: LeaderContact
+        self, core: Core, roles: Roles, election: Election, joining: Joining, staleness: ReadStaleness
     ) -> None:
         self._core = core
         self._roles = roles
         self._election = election
         self._joining = joining
-        self._contact = contact
+        self._staleness = staleness
         self._following = Following(core)
 
     def handle(self, address: str, message: Message, now: float) -> None:
@@ -99,7 +99,7 @@
         if not self._accept_leader(address, message, now):
             core.send_in_term(address, HeartbeatReply(core.id, message.sender, core.term, 0, 0))
             return
-        stamp = self._contact.on_heartbeat(message, now)
+        stamp = self._staleness.on_heartbeat(message, now)
         core.commit(message.commit_index)
         core.send_in_term(address, HeartbeatReply(core.id, message.sender, core.term, message.round, stamp))
 
@@ -130,11 +130,11 @@
         self._roles.see_term(message.term, now)
         return message.term == self._core.term
 
-    def _on_hand_over(self, address: str, message: HandOver, now: float) -> None:
+    def _on_timeout_now(self, address: str, message: TimeoutNow, now: float) -> None:
         core = self._core
         if message.term == core.term and core.role is not Role.LEADER and core.is_voter:
             self._roles.old_leader = None
-            self._election.stand(now, handed_over=True)
+            self._election.campaign(now, leadership_transfer=True)
 
     def _on_join(self, address: str, message: Join, now: float) -> None:
         core = self._core
@@ -167,7 +167,7 @@
     HeartbeatReply: MessageHandlers._on_heartbeat_reply,
     SnapshotChunk: MessageHandlers._on_snapshot_chunk,
     SnapshotReply: MessageHandlers._on_snapshot_reply,
-    HandOver: MessageHandlers._on_hand_over,
+    TimeoutNow: MessageHandlers._on_timeout_now,
     Join: MessageHandlers._on_join,
     Removed: MessageHandlers._on_removed,
     Leave: MessageHandlers._on_leave,
--- a/granitewell/coordination/consensus/leadership.py
+++ b/granitewell/coordination/consensus/leadership.py
@@ -22,11 +22,11 @@
 from granitewell.coordination.consensus.messages import (
     Append,
     AppendReply,
-    HandOver,
     Heartbeat,
     HeartbeatReply,
     SnapshotChunk,
     SnapshotReply,
+    TimeoutNow,
 )
 from granitewell.coordination.consensus.progress import HeartbeatRounds, Progress, SnapshotTransfer
 from granitewell.coordination.consensus.reconfiguration import Reconfiguration
@@ -39,12 +39,12 @@
 CATCHING_UP_ENTRIES = 100
 """A peer that lacks more entries than this is behind, and not just some messages late."""
 
-RETRY_HAND_OVER_S = 2.0
+TRANSFER_RETRY_S = 2.0
 """After a hand-over that found nobody ready in time."""
 
 
 @dataclass(slots=True)
-class _HandOver:
+class _LeadershipTransfer:
     target: str
     deadline: float
 
@@ -53,7 +53,7 @@
     """A leader's state, for one term.
 
     Attributes:
-        given_up: It must become a follower now.
+        stepped_down: It must become a follower now.
     """
 
     def __init__(
@@ -63,15 +63,15 @@
         self._elected_at = now
         self._rounds = HeartbeatRounds()
         self._tracker = ProgressTracker(core, now)
-        self._hand_over: _HandOver | None = None
-        self._no_hand_over_before = now
+        self._transfer: _LeadershipTransfer | None = None
+        self._no_transfer_before = now
         self._announce_commit = False
         self._uncommitted: deque[Entry] = deque()
         self._uncommitted_bytes = 0
         self._reconfiguration = Reconfiguration(
-            core, self._tracker, target_voters, now, self._append, self.hand_over
+            core, self._tracker, target_voters, now, self._append, self.transfer_leadership
         )
-        self.given_up = False
+        self.stepped_down = False
         self.heartbeat_at = now
         if old_leader in self._tracker.peers:
             self._tracker.peers[old_leader].heard_at = old_leader_heard_at
@@ -81,9 +81,9 @@
     # Views
 
     @property
-    def handing_over(self) -> bool:
+    def is_transferring_leadership(self) -> bool:
         """Whether proposals are refused because another is to lead."""
-        return self._hand_over is not None
+        return self._transfer is not None
 
     @property
     def established(self) -> bool:
@@ -95,13 +95,13 @@
         least = self._core.commit_index - CATCHING_UP_ENTRIES
         return any(
             (peer.transfer is not None or peer.match_index < least)
-            and not peer.silent(now, self._core.settings)
+            and not peer.is_unresponsive(now, self._core.settings)
             for peer in self._tracker.peers.values()
         )
 
     def holds_lease(self, now: float) -> bool:
         """Whether no other replica can be leader now."""
-        if self.given_up or not self.established:
+        if self.stepped_down or not self.established:
             return False
         return now < self.acknowledged_at(now) + self._core.settings.lease_s
 
@@ -109,9 +109,9 @@
         """Send time of the newest heartbeat round that a quorum has acknowledged."""
         return self._tracker.reached(now, lambda peer: peer.acknowledged_at)
 
-    def silent_s(self, address: str, now: float) -> float:
+    def seconds_since_contact(self, address: str, now: float) -> float:
         """Seconds since anything was heard from a member at an address; infinite where none is there."""
-        return self._tracker.silent_s(address, now)
+        return self._tracker.seconds_since_contact(address, now)
 
     # Log
 
@@ -141,9 +141,9 @@
         if index > core.commit_index and core.log.term_at(index) == core.term:
             core.commit(index)
             self._announce_commit = True
-            self._reconfiguration.tell_removed()
+            self._reconfiguration.notify_removed()
             if not is_voter(core.log.membership_at(core.commit_index), core.id):
-                self.given_up = True
+                self.stepped_down = True
 
     # Timers
 
@@ -152,19 +152,19 @@
         if now < self.heartbeat_at:
             return
         if self._lost_quorum(now):
-            self.given_up = True
+            self.stepped_down = True
             return
         self.heartbeat_at = now + self._core.settings.heartbeat_s  # not moved by rounds that announce commits
         self._tracker.forget_learners(now)
         self._send_heartbeats(now)
         self._resend(now)
         self._check_disk(now)
-        self._check_hand_over(now)
+        self._check_transfer(now)
         self.change_members(now)
 
     def _lost_quorum(self, now: float) -> bool:
         heard = self._tracker.reached(now, lambda peer: peer.heard_at)
-        return now - max(heard, self._elected_at) > self._core.settings.election_least_s
+        return now - max(heard, self._elected_at) > self._core.settings.election_timeout_min_s
 
     def _send_heartbeats(self, now: float) -> None:
         core = self._core
@@ -181,7 +181,7 @@
     def _resend(self, now: float) -> None:
         settings = self._core.settings
         for peer in self._tracker.peers.values():
-            if peer.silent(now, settings) or not peer.overdue(now, settings):
+            if peer.is_unresponsive(now, settings) or not peer.overdue(now, settings):
                 continue
             peer.restart(peer.match_index + 1)
             peer.moved_at = now
@@ -192,7 +192,7 @@
 
     def flush(self, now: float) -> None:
         """Send what the peers lack; called once for all that was appended since."""
-        if self.given_up:
+        if self.stepped_down:
             return
         for peer in self._tracker.peers.values():
             self._replicate(peer, now)
@@ -201,7 +201,7 @@
 
     def _replicate(self, peer: Progress, now: float) -> None:
         settings = self._core.settings
-        if peer.transfer is not None or peer.silent(now, settings):
+        if peer.transfer is not None or peer.is_unresponsive(now, settings):
             return
         if peer.probing:
             if not peer.waiting and peer.next_index <= self._core.log.last_index + 1:
@@ -212,7 +212,7 @@
             if not self._send_entries(peer, settings.append_bytes, now):
                 return
 
-    def _send_entries(self, peer: Progress, most_bytes: int, now: float) -> bool:
+    def _send_entries(self, peer: Progress, max_bytes: int, now: float) -> bool:
         core = self._core
         previous = peer.next_index - 1
         previous_term = core.log.term_at(previous)
@@ -220,9 +220,9 @@
             peer.transfer = SnapshotTransfer(core.log.snapshot)
             self._send_chunk(peer, now)
             return False
-        entries = core.log.batch(peer.next_index, most_bytes)
+        entries = core.log.batch(peer.next_index, max_bytes)
         size = sum(len(entry.data) + ENTRY_OVERHEAD_BYTES for entry in entries)
-        if peer.probing and size > most_bytes:
+        if peer.probing and size > max_bytes:
             entries, size = (), 0
         append = Append(
             core.id, peer.member.replica_id, core.term, previous, previous_term, core.commit_index, entries
@@ -275,7 +275,7 @@
             peer.transfer = None
             peer.restart(peer.match_index + 1)
         self.advance_commit()
-        self._finish_hand_over()
+        self._finish_transfer()
         self.change_members(now)
 
     def on_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
@@ -308,15 +308,15 @@
 
     def on_leave(self, replica_id: str, now: float) -> bool:
         """A voter is about to stop; says whether it should wait."""
-        self._reconfiguration.leaves(replica_id, now)
+        self._reconfiguration.record_leaving(replica_id, now)
         self.change_members(now)
         return self._reconfiguration.should_wait(replica_id, now)
 
     def _may_change(self) -> bool:
         """One change at a time, and none before an entry of this term is committed."""
         core = self._core
-        settled = core.commit_index >= max(core.log.last_change_index, self.first_index)
-        return settled and not self.handing_over and not self.given_up
+        is_change_committed = core.commit_index >= max(core.log.last_change_index, self.first_index)
+        return is_change_committed and not self.is_transferring_leadership and not self.stepped_down
 
     def change_members(self, now: float) -> None:
         """Begin the next change of members, or end the one under way, where that is due."""
@@ -325,33 +325,33 @@
 
     # Handing over
 
-    def hand_over(self, now: float) -> bool:
+    def transfer_leadership(self, now: float) -> bool:
         """Let the best follower lead; False where none answers. Proposals are refused meanwhile."""
-        if self._hand_over is not None:
+        if self._transfer is not None:
             return True
-        if self.given_up:
+        if self.stepped_down:
             return False
         best = self._tracker.best_successor(now)
-        if best is None or now < self._no_hand_over_before:
+        if best is None or now < self._no_transfer_before:
             return False
-        self._hand_over = _HandOver(best.member.replica_id, now + self._core.settings.transfer_s)
-        self._finish_hand_over()
+        self._transfer = _LeadershipTransfer(best.member.replica_id, now + self._core.settings.transfer_s)
+        self._finish_transfer()
         return True
 
-    def _finish_hand_over(self) -> None:
+    def _finish_transfer(self) -> None:
         core = self._core
-        if self._hand_over is None or self.given_up:
+        if self._transfer is None or self.stepped_down:
             return
-        peer = self._tracker.peers.get(self._hand_over.target)
+        peer = self._tracker.peers.get(self._transfer.target)
         if peer is not None and peer.match_index == core.log.last_index:
-            self.given_up = True
-            core.send(peer.member.address, HandOver(core.id, peer.member.replica_id, core.term))
+            self.stepped_down = True
+            core.send(peer.member.address, TimeoutNow(core.id, peer.member.replica_id, core.term))
 
-    def _check_hand_over(self, now: float) -> None:
-        if self._hand_over is not None and now > self._hand_over.deadline:
-            self._hand_over = None
-            self._no_hand_over_before = now + RETRY_HAND_OVER_S
+    def _check_transfer(self, now: float) -> None:
+        if self._transfer is not None and now > self._transfer.deadline:
+            self._transfer = None
+            self._no_transfer_before = now + TRANSFER_RETRY_S
 
     def _check_disk(self, now: float) -> None:
         if self._core.persistence.stalled_for(now) > self._core.settings.disk_stall_s:
-            self.hand_over(now)
+            self.transfer_leadership(now)
--- a/granitewell/coordination/consensus/log.py
+++ b/granitewell/coordination/consensus/log.py
@@ -69,14 +69,14 @@
         base = self.snapshot.index + 1
         return tuple(self.entries[first - base : last - base + 1])
 
-    def batch(self, first: int, most_bytes: int) -> tuple[Entry, ...]:
+    def batch(self, first: int, max_bytes: int) -> tuple[Entry, ...]:
         """Entries from an index on that fit into so many bytes, but at least one where there is one."""
         start = first - self.snapshot.index - 1
         size = 0
         stop = start
         while stop < len(self.entries):
             size += len(self.entries[stop].data) + ENTRY_OVERHEAD_BYTES
-            if size > most_bytes and stop > start:
+            if size > max_bytes and stop > start:
                 break
             stop += 1
         return tuple(self.entries[start:stop])
--- a/granitewell/coordination/consensus/membership.py
+++ b/granitewell/coordination/consensus/membership.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 
 from granitewell.coordination.consensus.encoding import (
-    pack_change,
-    pack_end,
-    pack_member,
-    unpack_change,
-    unpack_end,
-    unpack_member,
+    decode_change,
+    decode_end,
+    decode_member,
+    encode_change,
+    encode_end,
+    encode_member,
 )
 from granitewell.coordination.consensus.quorum import quorum_of
 from granitewell.coordination.consensus.settings import ReplicaSettings
@@ -32,13 +32,13 @@
     """What the leader sees of a member.
 
     Attributes:
-        silent_s: Since its last answer, 0 for the leader itself, or since the term began.
+        seconds_since_contact: Since its last answer, 0 for the leader itself, or since the term began.
         answering: It has answered lately.
         caught_up: It has on its disk all that is committed, or while members change the entry that began it.
     """
 
     member: Member
-    silent_s: float
+    seconds_since_contact: float
     answering: bool
     caught_up: bool
 
@@ -74,13 +74,13 @@
 def after_entry(membership: Membership, entry: Entry) -> Membership:
     """The membership once an entry is appended."""
     if entry.kind is EntryKind.CHANGE_VOTERS:
-        return _joint(membership, unpack_change(entry.data))
+        return _joint(membership, decode_change(entry.data))
     if entry.kind is EntryKind.END_CHANGE:
-        return _ended(membership, taken_over=unpack_end(entry.data))
+        return _ended(membership, taken_over=decode_end(entry.data))
     if entry.kind is EntryKind.ADD_VOTER:
-        return _with_voter(membership, unpack_member(entry.data))
+        return _with_voter(membership, decode_member(entry.data))
     if entry.kind is EntryKind.REMOVE_VOTER:
-        return _without_voter(membership, unpack_member(entry.data))
+        return _without_voter(membership, decode_member(entry.data))
     return membership
 
 
@@ -95,12 +95,12 @@
         return membership
     if not taken_over:
         return Membership(membership.outgoing_voters, membership.removed)
-    gone = tuple(
+    removed_ids = tuple(
         member.replica_id
         for member in membership.outgoing_voters
         if not stays_voter(membership, member.replica_id)
     )
-    return Membership(membership.voters, (*membership.removed, *gone)[-MAX_REMOVED:])
+    return Membership(membership.voters, (*membership.removed, *removed_ids)[-MAX_REMOVED:])
 
 
 def _with_voter(membership: Membership, added: Member) -> Membership:
@@ -121,7 +121,7 @@
 
 def move_voter(member: Member) -> ProposedChange:
     """A voter is at another address. Changes no quorum."""
-    return ProposedChange(EntryKind.ADD_VOTER, pack_member(member))
+    return ProposedChange(EntryKind.ADD_VOTER, encode_member(member))
 
 
 # What to propose
@@ -154,7 +154,7 @@
     ready = [view for view in learners if view.dependable]
     for change in _wanted_changes(membership, voters, ready, target_voters, leaving, settings):
         if may_begin(membership, change, voters):
-            return ProposedChange(EntryKind.CHANGE_VOTERS, pack_change(change))
+            return ProposedChange(EntryKind.CHANGE_VOTERS, encode_change(change))
     return None
 
 
@@ -176,8 +176,8 @@
     for spare in spares:
         if len(voters) < target_voters:
             yield VoterChange((spare,), ())
-        for view in sorted(voters, key=lambda view: -view.silent_s):
-            if view.silent_s >= settings.unreachable_s or view.member.replica_id in leaving:
+        for view in sorted(voters, key=lambda view: -view.seconds_since_contact):
+            if view.seconds_since_contact >= settings.unreachable_s or view.member.replica_id in leaving:
                 yield VoterChange((spare,), (view.member,))
 
 
@@ -210,7 +210,7 @@
         return None
     if not quorum_of(_ended(membership, taken_over=taken_over)).satisfied_by(_dependable(voters)):
         return None
-    return ProposedChange(EntryKind.END_CHANGE, pack_end(taken_over), taken_over)
+    return ProposedChange(EntryKind.END_CHANGE, encode_end(taken_over), taken_over)
 
 
 def _incoming(membership: Membership, voters: Iterable[MemberView]) -> list[MemberView]:
@@ -234,8 +234,8 @@
     """
     if under_way_s < settings.unreachable_s:
         return False
-    if any(view.silent_s >= settings.unreachable_s for view in _incoming(membership, voters)):
+    if any(view.seconds_since_contact >= settings.unreachable_s for view in _incoming(membership, voters)):
         return True
-    if under_way_s >= settings.change_most_s:
+    if under_way_s >= settings.change_max_s:
         return True
     return all(view.answering for view in _outgoing(membership, voters))
--- a/granitewell/coordination/consensus/messages.py
+++ b/granitewell/coordination/consensus/messages.py
@@ -43,12 +43,12 @@
     """A candidate asks for a vote.
 
     Attributes:
-        handed_over: The leader before gave up its lease and asked it to stand.
+        leadership_transfer: The leader before gave up its lease and asked it to stand.
     """
 
     last_index: int
     last_term: int
-    handed_over: bool
+    leadership_transfer: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +133,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandOver(Message):
+class TimeoutNow(Message):
     """The leader has given up: stand for election at once."""
 
 
--- a/granitewell/coordination/consensus/pending_messages.py
+++ b/granitewell/coordination/consensus/pending_messages.py
@@ -7,7 +7,7 @@
 
 from granitewell.coordination.consensus.ready import Outgoing
 
-MAX_HELD = 256
+MAX_PENDING_MESSAGES = 256
 """Messages that wait for one write.
 
 Beyond it the oldest go, as the network might lose them: while a disk refuses, a peer's heartbeats would have
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Held:
+class _Pending:
     write: int
     batch: int
     messages: tuple[Outgoing, ...]
@@ -34,28 +34,28 @@
     messages: tuple[Outgoing, ...]
 
 
-class HeldMessages:
+class PendingMessages:
     """In the order of the writes that they wait for."""
 
     def __init__(self) -> None:
-        self._held: deque[_Held] = deque()
+        self._pending: deque[_Pending] = deque()
 
-    def hold(self, write: int, batch: int, messages: tuple[Outgoing, ...]) -> None:
+    def add(self, write: int, batch: int, messages: tuple[Outgoing, ...]) -> None:
         """Keep messages of a batch until a write is synced."""
-        if self._held and self._held[-1].write == write:
-            messages = (self._held.pop().messages + messages)[-MAX_HELD:]
-        self._held.append(_Held(write, batch, messages))
+        if self._pending and self._pending[-1].write == write:
+            messages = (self._pending.pop().messages + messages)[-MAX_PENDING_MESSAGES:]
+        self._pending.append(_Pending(write, batch, messages))
 
     def release(self, write: int) -> Released:
         """All writes up to one are synced."""
         batch = 0
         released: list[Outgoing] = []
-        while self._held and self._held[0].write <= write:
-            held = self._held.popleft()
-            batch = held.batch
-            released += held.messages
+        while self._pending and self._pending[0].write <= write:
+            pending = self._pending.popleft()
+            batch = pending.batch
+            released += pending.messages
         return Released(batch, tuple(released))
 
     def clear(self) -> None:
         """Forget them: their sender is no replica any more."""
-        self._held.clear()
+        self._pending.clear()
--- a/granitewell/coordination/consensus/persistence.py
+++ b/granitewell/coordination/consensus/persistence.py
@@ -33,7 +33,7 @@
         self._failed_at: float | None = None
 
     @property
-    def settled(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether all that was written is on the disk."""
         return not self._in_flight and not self.records
 
--- a/granitewell/coordination/consensus/progress.py
+++ b/granitewell/coordination/consensus/progress.py
@@ -76,13 +76,13 @@
 
     def heard(self, now: float, settings: ReplicaSettings) -> None:
         """The peer answers; what went to it while it was silent is sent again."""
-        if self.silent(now, settings):
+        if self.is_unresponsive(now, settings):
             self.restart(self.match_index + 1)
             self.moved_at = NEVER
         self.heard_at = now
         self.answered = True
 
-    def silent(self, now: float, settings: ReplicaSettings) -> bool:
+    def is_unresponsive(self, now: float, settings: ReplicaSettings) -> bool:
         """Whether the peer gets heartbeats only, since it does not answer."""
         return now - self.heard_at > settings.reachable_s
 
--- a/granitewell/coordination/consensus/read_staleness.py
+++ b/granitewell/coordination/consensus/read_staleness.py
@@ -29,7 +29,7 @@
     at: float
 
 
-class LeaderContact:
+class ReadStaleness:
     """What the heartbeats of leaders prove of this replica's state. Times are those of its own clock."""
 
     def __init__(self) -> None:
--- a/granitewell/coordination/consensus/reconfiguration.py
+++ b/granitewell/coordination/consensus/reconfiguration.py
@@ -37,7 +37,7 @@
 
     Attributes:
         append: An entry to the leader's log.
-        hand_over: Leadership to a voter that stays, says whether that is under way.
+        transfer_leadership: Leadership to a voter that stays, says whether that is under way.
     """
 
     def __init__(
@@ -47,20 +47,20 @@
         target_voters: int,
         now: float,
         append: Callable[[EntryKind, bytes], object],
-        hand_over: Callable[[float], bool],
+        transfer_leadership: Callable[[float], bool],
     ) -> None:
         self._core = core
         self._tracker = tracker
         self._target_voters = target_voters
         self._append = append
-        self._hand_over = hand_over
+        self._transfer = transfer_leadership
         self._changed_at = now
         self._leaving: dict[str, _Leaving] = {}
         self._removals: list[Member] = []
 
     # Voters that are about to stop
 
-    def leaves(self, replica_id: str, now: float) -> None:
+    def record_leaving(self, replica_id: str, now: float) -> None:
         """A voter is about to stop: a spare may take its place."""
         core = self._core
         asked = self._leaving.get(replica_id)
@@ -111,7 +111,7 @@
         change = next_end(membership, self._tracker.voter_views(now), under_way_s, core.settings)
         if change is None:
             return
-        if change.takes_over and not stays_voter(membership, core.id) and self._hand_over(now):
+        if change.takes_over and not stays_voter(membership, core.id) and self._transfer(now):
             return
         self._change(change, now)
         if change.takes_over:
@@ -125,7 +125,7 @@
         self._changed_at = now
         self._tracker.follow_membership(now)
 
-    def tell_removed(self) -> None:
+    def notify_removed(self) -> None:
         """Once it is committed that voters are out, tell them; who misses it is told when it next asks."""
         core = self._core
         if not self._removals or core.commit_index < core.log.last_change_index:
--- a/granitewell/coordination/consensus/replica.py
+++ b/granitewell/coordination/consensus/replica.py
@@ -22,7 +22,7 @@
 from granitewell.coordination.consensus.leadership import Leadership
 from granitewell.coordination.consensus.learner import Joining
 from granitewell.coordination.consensus.messages import Message
-from granitewell.coordination.consensus.read_staleness import LeaderContact
+from granitewell.coordination.consensus.read_staleness import ReadStaleness
 from granitewell.coordination.consensus.ready import Ready
 from granitewell.coordination.consensus.roles import Roles
 from granitewell.coordination.consensus.settings import ReplicaSettings
@@ -61,12 +61,12 @@
     ) -> None:
         self._core = Core(me, state, settings, rng)
         self._election = Election(self._core, now, fresh)
-        self._contact = LeaderContact()
-        self._handed_index = state.snapshot.index
+        self._staleness = ReadStaleness()
+        self._delivered_index = state.snapshot.index
         self._joining = Joining(self._core, seeds, now)
         self._roles = Roles(self._core, self._election, target_voters)
         self._handlers = MessageHandlers(
-            self._core, self._roles, self._election, self._joining, self._contact
+            self._core, self._roles, self._election, self._joining, self._staleness
         )
         if state.snapshot.index > 0:
             self._core.restore = state.snapshot
@@ -146,18 +146,18 @@
         """Whether this replica leads, and no other can now."""
         return self._leadership is not None and self._leadership.holds_lease(now)
 
-    def contact_age(self, now: float) -> float:
+    def read_staleness(self, now: float) -> float:
         """The state here holds all that was committed this many seconds ago; 0 for who holds the lease."""
         leadership = self._leadership
         if leadership is None or not leadership.established:
-            return now - self._contact.proven_at(self._core.commit_index)
+            return now - self._staleness.proven_at(self._core.commit_index)
         if leadership.holds_lease(now):
             return 0.0
         return now - leadership.acknowledged_at(now)
 
-    def silent_s(self, address: str, now: float) -> float:
+    def seconds_since_contact(self, address: str, now: float) -> float:
         """Seconds since this leader heard a member at an address; infinite where it leads nobody there."""
-        return math.inf if self._leadership is None else self._leadership.silent_s(address, now)
+        return math.inf if self._leadership is None else self._leadership.seconds_since_contact(address, now)
 
     @property
     def wake_at(self) -> float:
@@ -190,17 +190,17 @@
         else:
             self._election.tick(now)
             self._joining.tick(now, self._election.heard_at)
-        self._roles.settle(now)
+        self._roles.update_role(now)
 
     def propose(self, data: bytes, now: float) -> Position:
         """Append an entry; raises NotLeaderError, or ProposalLostError where too much waits already."""
         leadership = self._leadership
-        if leadership is None or leadership.handing_over or leadership.given_up:
+        if leadership is None or leadership.is_transferring_leadership or leadership.stepped_down:
             raise NotLeaderError(self._core.leader_address if leadership is None else None)
         settings = self._core.settings
-        if len(data) + leadership.uncommitted_bytes() > settings.uncommitted_most_bytes:
+        if len(data) + leadership.uncommitted_bytes() > settings.uncommitted_max_bytes:
             raise ProposalLostError("too much is waiting to be committed")
-        if len(data) > settings.entry_most_bytes:
+        if len(data) > settings.entry_max_bytes:
             raise ProposalLostError(f"{len(data)} bytes are too many for one entry")
         entry = leadership.propose(data)
         return Position(entry.index, entry.term)
@@ -211,7 +211,7 @@
         self._election.own_vote_synced()
         if self._leadership is not None:
             self._leadership.advance_commit()
-        self._roles.settle(now)
+        self._roles.update_role(now)
 
     def disk_failed(self, now: float) -> None:
         """The disk has refused a batch; the shell tries it again."""
@@ -225,8 +225,8 @@
         """Hand leadership over; False where this replica does not lead or no follower answers."""
         if self._leadership is None:
             return False
-        started = self._leadership.hand_over(now)
-        self._roles.settle(now)
+        started = self._leadership.transfer_leadership(now)
+        self._roles.update_role(now)
         return started
 
     def leave(self, now: float) -> bool:
@@ -238,7 +238,7 @@
         if self.removed or self._leadership is None:
             return not self.removed and self._joining.leave(now)
         wait = self._leadership.on_leave(self._core.id, now)
-        self._roles.settle(now)
+        self._roles.update_role(now)
         return wait
 
     def receive(self, address: str, message: Message, now: float) -> None:
@@ -250,7 +250,7 @@
         if self.removed:
             return
         self._handlers.handle(address, message, now)
-        self._roles.settle(now)
+        self._roles.update_role(now)
 
     # Work for the shell
 
@@ -263,7 +263,7 @@
         records = persistence.take(core.log.last_index, core.term, now)
         messages, synced = core.messages, core.synced_messages
         core.messages, core.synced_messages = [], []
-        if persistence.settled:
+        if persistence.is_idle:
             messages, synced = messages + synced, []
         restore, core.restore = core.restore, None
         committed = self._newly_committed(restore)
@@ -274,9 +274,9 @@
     def _newly_committed(self, restore: Snapshot | None) -> tuple[Any, ...]:
         core = self._core
         if restore is not None:
-            self._handed_index = restore.index
-        committed = core.log.between(self._handed_index + 1, core.commit_index)
-        self._handed_index = core.commit_index
+            self._delivered_index = restore.index
+        committed = core.log.between(self._delivered_index + 1, core.commit_index)
+        self._delivered_index = core.commit_index
         if any(entry.kind in MEMBERSHIP_KINDS for entry in committed) and core.is_removed(core.id):
             core.removed = True
         return committed
--- a/granitewell/coordination/consensus/roles.py
+++ b/granitewell/coordination/consensus/roles.py
@@ -52,13 +52,13 @@
         core.leader_id = core.leader_address = None
         self.leadership = None
 
-    def settle(self, now: float) -> None:
+    def update_role(self, now: float) -> None:
         """Change role where that is due."""
         core = self._core
-        if self.leadership is not None and self.leadership.given_up:
+        if self.leadership is not None and self.leadership.stepped_down:
             self.become_follower(core.term, now)
         if core.role is Role.PRE_CANDIDATE and self._election.has_quorum():
-            self._election.stand(now)
+            self._election.campaign(now)
         if core.role is Role.CANDIDATE and self._election.has_quorum():
             self._lead(now)
 
--- a/granitewell/coordination/consensus/settings.py
+++ b/granitewell/coordination/consensus/settings.py
@@ -23,10 +23,10 @@
     lease of 0.5 s ends.
     """
 
-    election_least_s: float = 0.65
+    election_timeout_min_s: float = 0.65
     """A follower that heard its leader within this time grants no vote."""
 
-    election_most_s: float = 1.2
+    election_timeout_max_s: float = 1.2
     """Election timeouts are drawn between the least and this."""
 
     lease_s: float = 0.5
@@ -56,7 +56,7 @@
     A change of members that has not come through for this long may be taken back.
     """
 
-    change_most_s: float = 5.0
+    change_max_s: float = 5.0
     """A change of members that has not come through for this long is taken back, also where the voter that it
     replaces is lost: another learner may be ready."""
 
@@ -96,13 +96,13 @@
     snapshot_chunk_bytes: int = 128 * KIBIBYTE
     """Of a snapshot in one message. Heartbeats wait behind it: 0.2 s on a link of 5 Mbit/s."""
 
-    snapshot_most_bytes: int = 64 * MEBIBYTE
+    snapshot_max_bytes: int = 64 * MEBIBYTE
     """A snapshot larger than this is refused by who receives it."""
 
-    entry_most_bytes: int = 24 * MEBIBYTE
+    entry_max_bytes: int = 24 * MEBIBYTE
     """The largest entry that can be proposed."""
 
-    uncommitted_most_bytes: int = 48 * MEBIBYTE
+    uncommitted_max_bytes: int = 48 * MEBIBYTE
     """Proposals beyond this wait for nobody: they are refused."""
 
     compact_bytes: int = 4 * MEBIBYTE
@@ -111,16 +111,16 @@
     compact_entries: int = 2_000
     """The log is compacted when it has more entries than this."""
 
-    most_learners: int = 16
+    max_learners: int = 16
     """Learners that a leader serves."""
 
     def __post_init__(self) -> None:
-        if self.lease_s > self.election_least_s * 0.9:
-            raise ClockMarginError(self.lease_s, self.election_least_s)
+        if self.lease_s > self.election_timeout_min_s * 0.9:
+            raise ClockMarginError(self.lease_s, self.election_timeout_min_s)
 
 
 class ClockMarginError(ValueError):
     """The lease is not shorter than the least election timeout by a tenth."""
 
-    def __init__(self, lease_s: float, election_least_s: float) -> None:
-        super().__init__(f"a lease of {lease_s} s under an election timeout of {election_least_s} s")
+    def __init__(self, lease_s: float, election_timeout_min_s: float) -> None:
+        super().__init__(f"a lease of {lease_s} s under an election timeout of {election_timeout_min_s} s")
--- a/granitewell/coordination/consensus/storage.py
+++ b/granitewell/coordination/consensus/storage.py
@@ -12,12 +12,12 @@
 from granitewell.coordination.consensus.encoding import (
     NewerMembershipFormatError,
     UnknownEntryKindError,
-    pack_entry,
-    pack_list,
-    pack_membership,
-    unpack_entries,
-    unpack_list,
-    unpack_membership,
+    decode_entries,
+    decode_list,
+    decode_membership,
+    encode_entry,
+    encode_list,
+    encode_membership,
 )
 from granitewell.coordination.consensus.log import ReplicatedLog
 from granitewell.coordination.consensus.types import (
@@ -50,23 +50,23 @@
 
 def encode_records(records: Iterable[Record]) -> bytes:
     """Records one after the other."""
-    pieces: list[bytes] = []
+    parts: list[bytes] = []
     for record in records:
         kind, payload = _encode(record)
-        pieces.append(_RECORD.pack(kind, len(payload)))
-        pieces.append(payload)
-    return b"".join(pieces)
+        parts.append(_RECORD.pack(kind, len(payload)))
+        parts.append(payload)
+    return b"".join(parts)
 
 
 def _encode(record: Record) -> tuple[int, bytes]:
     if isinstance(record, Entry):
-        return _ENTRY_KIND, pack_entry(record)
+        return _ENTRY_KIND, encode_entry(record)
     if isinstance(record, HardState):
         return _HARD_STATE_KIND, _TERM.pack(record.term) + record.vote.encode()
     if isinstance(record, Identity):
         return _IDENTITY_KIND, record.replica_id.encode()
     where = _SNAPSHOT.pack(record.index, record.term)
-    return _SNAPSHOT_KIND, pack_list((where, pack_membership(record.membership), record.data))
+    return _SNAPSHOT_KIND, encode_list((where, encode_membership(record.membership), record.data))
 
 
 def decode_records(payload: bytes) -> list[Record]:
@@ -90,7 +90,7 @@
 
 def _decode(kind: int, payload: bytes) -> Record:
     if kind == _ENTRY_KIND:
-        (entry,) = unpack_entries(payload)
+        (entry,) = decode_entries(payload)
         return entry
     if kind == _HARD_STATE_KIND:
         (term,) = _TERM.unpack_from(payload)
@@ -98,9 +98,9 @@
     if kind == _IDENTITY_KIND:
         return Identity(payload.decode())
     if kind == _SNAPSHOT_KIND:
-        where, membership, data = unpack_list(payload)
+        where, membership, data = decode_list(payload)
         index, term = _SNAPSHOT.unpack(where)
-        return Snapshot(index, term, unpack_membership(membership), data)
+        return Snapshot(index, term, decode_membership(membership), data)
     raise UnknownRecordError(f"a record of kind {kind}")
 
 
--- a/granitewell/coordination/consensus/tracker.py
+++ b/granitewell/coordination/consensus/tracker.py
@@ -63,7 +63,7 @@
             peer.heard(now, self._core.settings)
         return peer
 
-    def silent_s(self, address: str, now: float) -> float:
+    def seconds_since_contact(self, address: str, now: float) -> float:
         """Seconds since anything was heard from a member at an address; infinite where none is there."""
         heard = [peer.heard_at for peer in self.peers.values() if peer.member.address == address]
         return now - max(heard, default=NEVER)
@@ -100,15 +100,17 @@
             peer.member = member
             peer.heard(now, self._core.settings)
             return
-        if sum(peer.learner for peer in self.peers.values()) < self._core.settings.most_learners:
+        if sum(peer.learner for peer in self.peers.values()) < self._core.settings.max_learners:
             next_index = self._core.log.last_index + 1
             self.peers[member.replica_id] = Progress(member, next_index, now, learner=True)
 
     def forget_learners(self, now: float) -> None:
         """Learners that no longer answer are nobody."""
         expiry = self._core.settings.learner_expiry_s
-        silent = [id for id, peer in self.peers.items() if peer.learner and now - peer.heard_at > expiry]
-        for id in silent:
+        is_unresponsive = [
+            id for id, peer in self.peers.items() if peer.learner and now - peer.heard_at > expiry
+        ]
+        for id in is_unresponsive:
             del self.peers[id]
 
     # Views for changes of members
@@ -140,13 +142,13 @@
 
     def _voter_view(self, voter: Member, now: float) -> MemberView:
         core = self._core
-        least_index = core.log.last_change_index if core.log.membership.is_joint else core.commit_index
+        min_index = core.log.last_change_index if core.log.membership.is_joint else core.commit_index
         if voter.replica_id == core.id:
-            return MemberView(voter, 0.0, True, core.persistence.stable_index >= least_index)
-        return self._view(self.peers[voter.replica_id], least_index, now)
+            return MemberView(voter, 0.0, True, core.persistence.stable_index >= min_index)
+        return self._view(self.peers[voter.replica_id], min_index, now)
 
-    def _view(self, peer: Progress, least_index: int, now: float) -> MemberView:
-        caught_up = peer.transfer is None and peer.match_index >= least_index
+    def _view(self, peer: Progress, min_index: int, now: float) -> MemberView:
+        caught_up = peer.transfer is None and peer.match_index >= min_index
         answering = self._answers(peer.member.replica_id, now)
         return MemberView(peer.member, now - peer.heard_at, answering, caught_up)
 
--- a/granitewell/coordination/durable_log.py
+++ b/granitewell/coordination/durable_log.py
@@ -35,7 +35,7 @@
 class _Job:
     batch: int
     payload: bytes
-    whole: bool
+    replaces_file: bool
     optional: bool = False
 
 
@@ -79,7 +79,7 @@
 
     def append(self, batch: int, payload: bytes) -> None:
         """Write a batch after all others."""
-        self._waiting.append(_Job(batch, payload, whole=False))
+        self._waiting.append(_Job(batch, payload, replaces_file=False))
         self._next()
 
     def rewrite(self, batch: int, payload: bytes, *, optional: bool) -> None:
@@ -93,7 +93,7 @@
         if self.waiting_bytes >= len(payload):
             optional = optional and not self._waiting
             self._waiting.clear()
-        self._waiting.append(_Job(batch, payload, whole=True, optional=optional))
+        self._waiting.append(_Job(batch, payload, replaces_file=True, optional=optional))
         self._next()
 
     def close(self) -> None:
@@ -111,19 +111,19 @@
 
     def _take_job(self) -> _Job:
         job = self._waiting.popleft()
-        if job.whole:
+        if job.replaces_file:
             return job
         parts = [job.payload]
-        while self._waiting and not self._waiting[0].whole:
+        while self._waiting and not self._waiting[0].replaces_file:
             following = self._waiting.popleft()
             parts.append(following.payload)
             job = following
-        return _Job(job.batch, b"".join(parts), whole=False)
+        return _Job(job.batch, b"".join(parts), replaces_file=False)
 
     def _run(self, job: _Job) -> None:
         """On the disk thread."""
         try:
-            if job.whole:
+            if job.replaces_file:
                 self._file.rewrite(job.payload)
             else:
                 self._file.append(job.payload)
@@ -146,7 +146,7 @@
         if self._closed:
             return
         self._on_failed(failure)
-        self._later(REWRITE_RETRY_S if job.whole else RETRY_S, lambda: self._retry(job))
+        self._later(REWRITE_RETRY_S if job.replaces_file else RETRY_S, lambda: self._retry(job))
 
     def _retry(self, job: _Job) -> None:
         if not self._closed:
--- a/granitewell/coordination/log_file.py
+++ b/granitewell/coordination/log_file.py
@@ -70,14 +70,14 @@
         """
         self._files.make_folder(self._folder)
         data = self._files.read(self._path)
-        if data is None and (data := self._whole_new_file()) is None:
+        if data is None and (data := self._complete_new_file()) is None:
             return None
         contents = parse(self._path, data, self._owner)
         with suppress(FileNotFoundError):
             self._files.remove(self._new_path)
         handle = self._files.open(self._path, create=False)
         try:
-            self._settle(handle, data, contents)
+            self._sync_contents(handle, data, contents)
             self._files.sync_folder(self._folder)
         except OSError:
             self._tail_in_doubt = True
@@ -86,7 +86,7 @@
         self._take(handle, contents.salt, contents.length)
         return contents.payloads
 
-    def _settle(self, handle: int, data: bytes, contents: Contents) -> None:
+    def _sync_contents(self, handle: int, data: bytes, contents: Contents) -> None:
         """Bring what was read to the disk.
 
         A killed process may have left a last batch that was not synced, or whose sync had failed, so it is
@@ -102,17 +102,17 @@
                 self._files.write(handle, contents.last_offset, data[contents.last_offset : contents.length])
         self._files.sync(handle)
 
-    def _whole_new_file(self) -> bytes | None:
+    def _complete_new_file(self) -> bytes | None:
         """A loss of power may take the old name and not yet give the new one: then the new file is the
         log."""
         data = self._files.read(self._new_path)
         if data is None:
             return None
         try:
-            whole = len(parse(self._new_path, data, self._owner).payloads) > 0
+            is_complete = len(parse(self._new_path, data, self._owner).payloads) > 0
         except CorruptLogError:
-            whole = False
-        if not whole:
+            is_complete = False
+        if not is_complete:
             return None
         self._sync_again(data)
         self._files.rename(self._new_path, self._path)
--- a/granitewell/coordination/log_format.py
+++ b/granitewell/coordination/log_format.py
@@ -133,9 +133,9 @@
 def _frame_at(salt: int, data: bytes, offset: int) -> bytes | None:
     if offset + _FRAME.size > len(data):
         return None
-    mark, length, place, checksum = _FRAME.unpack_from(data, offset)
+    mark, length, stored_offset, checksum = _FRAME.unpack_from(data, offset)
     start = offset + _FRAME.size
-    if mark != _MARK or place != offset or length > len(data) - start:
+    if mark != _MARK or stored_offset != offset or length > len(data) - start:
         return None
     payload = data[start : start + length]
     bare = data[offset : start - 4]
--- a/granitewell/dataplane/dispatch.py
+++ b/granitewell/dataplane/dispatch.py
@@ -78,7 +78,7 @@
         self._service_of: dict[str, str] = {}
         self._pools: dict[tuple[str, ModelRef | None], _PoolEntry] = {}
         self._configured: dict[str, Service] = {}
-        self._edges, self._most_edges = 1, 1
+        self._edges, self._max_edges = 1, 1
         self._memory = PromptMemory()
         self._demand = Demand()
 
@@ -93,9 +93,9 @@
 
     def set_edges(self, alive: int, most: int) -> None:
         """How many nodes share the traffic, and how many may share the budget."""
-        self._edges, self._most_edges = max(alive, 1), max(most, alive, 1)
+        self._edges, self._max_edges = max(alive, 1), max(most, alive, 1)
         for state in self._services.values():
-            state.budget.share_among(self._bounds.retry_budget_slack, self._most_edges)
+            state.budget.share_among(self._bounds.retry_budget_slack, self._max_edges)
 
     def apply_servers(
         self,
@@ -141,7 +141,7 @@
         state = self._services.get(service)
         if state is None:
             bounds = self._bounds
-            budget = RetryBudget(bounds.retry_budget_ratio, bounds.retry_budget_slack, self._most_edges)
+            budget = RetryBudget(bounds.retry_budget_ratio, bounds.retry_budget_slack, self._max_edges)
             state = self._services[service] = _ServiceState(budget)
         return state
 
--- a/granitewell/dataplane/edge.py
+++ b/granitewell/dataplane/edge.py
@@ -265,7 +265,7 @@
     ) -> ClientRequest:
         headers = request.headers
         told_ms = parse_milliseconds(headers.get(DEADLINE_MS))
-        most_ms = min(told_ms, route.timeout_ms) if told_ms is not None else route.timeout_ms
+        max_ms = min(told_ms, route.timeout_ms) if told_ms is not None else route.timeout_ms
         return ClientRequest(
             method=request.method,
             target=request.raw_path,
@@ -275,7 +275,7 @@
             body=body,
             parts=parse_prompt_parts(headers.get(PROMPT_PREFIX)),
             arrived_at=arrived_at,
-            deadline=arrived_at + most_ms / 1000.0 - DEADLINE_MARGIN_S,
+            deadline=arrived_at + max_ms / 1000.0 - DEADLINE_MARGIN_S,
         )
 
     async def _exchanged(
--- a/granitewell/dataplane/http_server.py
+++ b/granitewell/dataplane/http_server.py
@@ -121,7 +121,7 @@
             return  # the rest of a body that was refused is read away
         self._head_bytes += by
         server = self._manager
-        if isinstance(server, FrontServer) and self._head_bytes > server.most_head_bytes:
+        if isinstance(server, FrontServer) and self._head_bytes > server.max_head_bytes:
             self.force_close()
 
     def mark_active(self) -> None:
@@ -182,7 +182,7 @@
         self.limits = limits
 
     @property
-    def most_head_bytes(self) -> int:
+    def max_head_bytes(self) -> int:
         """Of a head that is read at all: check_head knows the limit in force, also for older connections."""
         return max(self.limits.max_header_bytes, MAX_HEAD_BYTES)
 
@@ -200,8 +200,8 @@
             logger=QUIET_LOGGER,
             idle_timeout_s=limits.idle_timeout_ms / 1000.0,
             keepalive_timeout=LIBRARY_KEEP_ALIVE_S,
-            max_line_size=self.most_head_bytes,
-            max_field_size=self.most_head_bytes,
+            max_line_size=self.max_head_bytes,
+            max_field_size=self.max_head_bytes,
             max_headers=MAX_HEADERS,
             lingering_time=LINGER_S,
             auto_decompress=False,
--- a/granitewell/dataplane/request.py
+++ b/granitewell/dataplane/request.py
@@ -46,11 +46,11 @@
 class Attempts:
     """The attempts of one request so far."""
 
-    __slots__ = ("_most", "_out", "_repeatable", "arrivals", "may_have_run", "tries")
+    __slots__ = ("_max", "_out", "_repeatable", "arrivals", "may_have_run", "tries")
 
     def __init__(self, route: Route) -> None:
         self._repeatable = route.repeatable
-        self._most = max(route.max_attempts, 1)
+        self._max = max(route.max_attempts, 1)
         self._out = False  # one is under way, its end not known
         self.tries = 0
         self.arrivals = 0  # of them, those that reached a server
@@ -73,14 +73,14 @@
 
     def may_repeat(self) -> bool:
         """Whether the rules allow one more attempt, budget and time aside."""
-        if self._out or self.arrivals >= self._most or self.tries >= MAX_TRIES:
+        if self._out or self.arrivals >= self._max or self.tries >= MAX_TRIES:
             return False
         return self._repeatable or not self.may_have_run
 
     @property
     def last(self) -> bool:
         """Whether a failure of the next attempt would be final."""
-        return not self._repeatable or self.arrivals + 1 >= self._most
+        return not self._repeatable or self.arrivals + 1 >= self._max
 
     @property
     def failure_status(self) -> int:
--- a/granitewell/dataplane/request_forwarder.py
+++ b/granitewell/dataplane/request_forwarder.py
@@ -246,7 +246,7 @@
         self._waits()
         taken = False
         try:
-            async with asyncio.timeout(self._most_wait_s()):
+            async with asyncio.timeout(self._max_wait_s()):
                 record = await grant
                 taken = True
                 return record
@@ -258,7 +258,7 @@
             if not taken and grant.done() and not grant.cancelled():
                 self.dispatcher.give_back(self.want, grant.result(), self.clock())
 
-    def _most_wait_s(self) -> float:
+    def _max_wait_s(self) -> float:
         """How long a wait may be worth it."""
         left = self.left_s
         if self.want.missing or self.attempts.arrivals:
--- a/granitewell/dataplane/request_queue.py
+++ b/granitewell/dataplane/request_queue.py
@@ -31,7 +31,7 @@
     def __init__(self, most: int = MAX_WAITING) -> None:
         self._places: list[Place[T]] = []
         self._number = 0
-        self._most = most
+        self._max = most
 
     def __len__(self) -> int:
         return len(self._places)
@@ -41,7 +41,7 @@
 
     def join(self, priority: int, request: T) -> Place[T]:
         """Its place; raises QueueFullError."""
-        if len(self._places) >= self._most:
+        if len(self._places) >= self._max:
             raise QueueFullError()
         self._number += 1
         place = Place(priority, self._number, request)
@@ -60,4 +60,4 @@
     @property
     def full(self) -> bool:
         """Whether nobody more may join."""
-        return len(self._places) >= self._most
+        return len(self._places) >= self._max
--- a/granitewell/dataplane/retry_budget.py
+++ b/granitewell/dataplane/retry_budget.py
@@ -16,21 +16,21 @@
 class RetryBudget:
     """A token bucket: each first send of a request earns a part of a repeat, each repeat spends one."""
 
-    __slots__ = ("_most", "_ratio", "_tokens")
+    __slots__ = ("_max", "_ratio", "_tokens")
 
-    def __init__(self, ratio: float, slack: float, most_edges: int) -> None:
+    def __init__(self, ratio: float, slack: float, max_edges: int) -> None:
         self._ratio = RATIO_PART * ratio
         self._tokens = 0.0  # nothing at the start: a node that restarts often must not gain by it
-        self._most = _most_saved(slack, most_edges)
+        self._max = _most_saved(slack, max_edges)
 
-    def share_among(self, slack: float, most_edges: int) -> None:
+    def share_among(self, slack: float, max_edges: int) -> None:
         """Another number of nodes: what has been saved beyond the new part is gone."""
-        self._most = _most_saved(slack, most_edges)
-        self._tokens = min(self._tokens, self._most)
+        self._max = _most_saved(slack, max_edges)
+        self._tokens = min(self._tokens, self._max)
 
     def earn(self) -> None:
         """A request of this node is sent for the first time."""
-        self._tokens = min(self._tokens + self._ratio, self._most)
+        self._tokens = min(self._tokens + self._ratio, self._max)
 
     def spend(self) -> bool:
         """Whether one more repeat may be sent now; if so, it counts."""
@@ -40,10 +40,10 @@
         return True
 
 
-def _most_saved(slack: float, most_edges: int) -> float:
+def _most_saved(slack: float, max_edges: int) -> float:
     """Where the slack has not one repeat for each node, a node saves less than one and makes none.
 
     The sum of what all save must stay below it.
     """
-    part = slack / max(most_edges, 1)
+    part = slack / max(max_edges, 1)
     return max(SLACK_PART * part, min(1.0, MAX_SLACK_PART * part))
--- a/granitewell/discovery/instances.py
+++ b/granitewell/discovery/instances.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from granitewell.domain.errors import GranitewellError
-from granitewell.domain.servers import HeldModel, ServerState
+from granitewell.domain.servers import LoadedModel, ServerState
 
 DRAINING = "draining"
 NO_END = -1
@@ -22,7 +22,7 @@
     """One server as the platform lists it.
 
     Attributes:
-        leaves_in_ms: Time left, -1 for no end in sight.
+        remaining_ms: Time left, -1 for no end in sight.
     """
 
     id: str
@@ -31,8 +31,8 @@
     zone: str
     slots: int
     state: ServerState
-    leaves_in_ms: int
-    models: tuple[HeldModel, ...]
+    remaining_ms: int
+    models: tuple[LoadedModel, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 
 
 def _instance(entry: Mapping[str, Any]) -> ListedInstance:
-    leaves = entry.get("remaining-ms")
+    remaining = entry.get("remaining-ms")
     return ListedInstance(
         id=str(entry["id"]),
         service=str(entry["service"]),
@@ -56,8 +56,8 @@
         zone=str(entry.get("zone", "")),
         slots=int(entry.get("slots") or 1),
         state=ServerState.DRAINING if entry.get("state") == DRAINING else ServerState.READY,
-        leaves_in_ms=NO_END if leaves is None else max(int(leaves), 0),
-        models=tuple(HeldModel.parse(held) for held in entry.get("models") or ()),
+        remaining_ms=NO_END if remaining is None else max(int(remaining), 0),
+        models=tuple(LoadedModel.parse(loaded) for loaded in entry.get("models") or ()),
     )
 
 
--- a/granitewell/domain/configuration.py
+++ b/granitewell/domain/configuration.py
@@ -48,7 +48,7 @@
     return float(value)
 
 
-def _whole_number(value: Any) -> int:
+def _integer(value: Any) -> int:
     kind = type(value)
     if kind is int:
         return int(value)
@@ -91,7 +91,7 @@
         serialization_strategy = {
             str: {"deserialize": _text},
             bool: {"deserialize": _truth},
-            int: {"deserialize": _whole_number},
+            int: {"deserialize": _integer},
             float: {"deserialize": _number},
         }
 
@@ -131,7 +131,7 @@
     max_attempts: int = field(default=1, metadata=field_options(alias="max-attempts"))
     sticky: bool = False
     resumable: bool = False
-    gap_aim_ms: float = 0.0
+    gap_target_ms: float = field(default=0.0, metadata=field_options(alias="gap_aim_ms"))
 
     @property
     def services(self) -> tuple[WeightedService, ...]:
--- a/granitewell/domain/servers.py
+++ b/granitewell/domain/servers.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldModel:
+class LoadedModel:
     """A model that a server holds, loaded and ready.
 
     Attributes:
@@ -26,7 +26,7 @@
     adapters: frozenset[str] = frozenset()
 
     @classmethod
-    def parse(cls, entry: Mapping[str, object]) -> HeldModel:
+    def parse(cls, entry: Mapping[str, object]) -> LoadedModel:
         """From an entry of a report or of the platform's list; raises KeyError or TypeError."""
         name = entry["name"]
         adapters = entry.get("adapters") or ()
@@ -42,7 +42,7 @@
     Attributes:
         address: `host:port`.
         slots: Requests at once.
-        leaves_in_ms: Time left when this was listed, -1 for no end in sight.
+        remaining_ms: Time left when this was listed, -1 for no end in sight.
         models: By name, what requests may be sent for.
     """
 
@@ -52,8 +52,8 @@
     zone: str
     slots: int
     state: ServerState
-    leaves_in_ms: int = -1
-    models: Mapping[str, HeldModel] = field(default_factory=dict)
+    remaining_ms: int = -1
+    models: Mapping[str, LoadedModel] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/domain/settings.py
+++ b/granitewell/domain/settings.py
@@ -77,8 +77,8 @@
     fencing: bool = True
     lease_ms: float = field(default=3_000, metadata=field_options(alias="lease-ms"))
     thaw_ms: float = field(default=300, metadata=field_options(alias="thaw-ms"))
-    ceiling_window_s: float = field(default=5, metadata=field_options(alias="ceiling-window-s"))
-    ceiling_overage: float = field(default=1.1, metadata=field_options(alias="ceiling-overage"))
+    load_rate_window_s: float = field(default=5, metadata=field_options(alias="ceiling-window-s"))
+    load_rate_tolerance: float = field(default=1.1, metadata=field_options(alias="ceiling-overage"))
 
 
 @dataclass(frozen=True)
--- a/granitewell/lab/system/demo.py
+++ b/granitewell/lab/system/demo.py
@@ -62,7 +62,7 @@
         "service": SERVICE,
         "max-attempts": 3,
         "sticky": True,
-        "gap_aim_ms": 400,
+        "gap_target_ms": 400,
     }
 
 
--- a/granitewell/logs.py
+++ b/granitewell/logs.py
@@ -72,8 +72,8 @@
     def __init__(self, now: float) -> None:
         self._total = TokenBucket(TOTAL_BURST, TOTAL_RATE_PER_S, now)
         self._buckets: OrderedDict[tuple[str, str], TokenBucket] = OrderedDict()
-        self._untold = 0
-        self._told_at = now
+        self._suppressed = 0
+        self._reported_at = now
 
     def admits(self, logger: str, template: str, now: float) -> bool:
         """Whether this line may be written; counted as left out where not."""
@@ -86,20 +86,20 @@
     def leave_out(self, logger: str, template: str, now: float, lines: int = 1) -> None:
         """Lines were not written."""
         self._bucket((logger, template), now).left_out += lines
-        self._untold += lines
+        self._suppressed += lines
 
     def take_left_out(self, logger: str, template: str, now: float) -> int:
         """Lines of this template that were left out since the last one written; told by the caller now."""
         bucket = self._bucket((logger, template), now)
         count, bucket.left_out = bucket.left_out, 0
-        self._untold = max(0, self._untold - count)
+        self._suppressed = max(0, self._suppressed - count)
         return count
 
-    def take_untold(self, now: float) -> int:
+    def take_suppressed(self, now: float) -> int:
         """All lines left out that no line has told of, now and then; else 0."""
-        if not self._untold or now - self._told_at < TELL_EVERY_S:
+        if not self._suppressed or now - self._reported_at < TELL_EVERY_S:
             return 0
-        count, self._untold, self._told_at = self._untold, 0, now
+        count, self._suppressed, self._reported_at = self._suppressed, 0, now
         for bucket in self._buckets.values():
             bucket.left_out = 0
         return count
@@ -116,7 +116,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """What a line says, before it is text.
 
     Attributes:
@@ -169,7 +169,7 @@
     yield "at", "<".join(reversed(frames[-MAX_FRAMES:]))
 
 
-class BoundedLines:
+class BoundedLog:
     """Writes lines as far as the rate bound admits them."""
 
     def __init__(self, clock: Clock, write: Write) -> None:
@@ -181,7 +181,7 @@
         """Whether a line may be made and written; asked first, so that what is left out costs little."""
         return self._bound.admits(logger, template, self._clock())
 
-    def write(self, line: Line, template: str) -> None:
+    def write(self, line: LogLine, template: str) -> None:
         """Write a line that was admitted."""
         now = self._clock()
         left_out = self._bound.take_left_out(line.logger, template, now)
@@ -191,16 +191,16 @@
             self._bound.leave_out(line.logger, template, now, left_out + 1)
 
     def _tell(self, now: float) -> None:
-        count = self._bound.take_untold(now)
+        count = self._bound.take_suppressed(now)
         if count:
-            line = Line("warning", "granitewell.logs", "lines were left out", {"left_out": count})
+            line = LogLine("warning", "granitewell.logs", "lines were left out", {"left_out": count})
             self._write(line.encode())
 
 
-class LineHandler(logbook.Handler):  # type: ignore[misc]  # logbook ships no types
+class LogLineHandler(logbook.Handler):  # type: ignore[misc]  # logbook ships no types
     """Logbook's records as bounded lines."""
 
-    def __init__(self, lines: BoundedLines, level: int = logbook.INFO) -> None:
+    def __init__(self, lines: BoundedLog, level: int = logbook.INFO) -> None:
         super().__init__(level=level)
         self._lines = lines
 
@@ -213,7 +213,7 @@
         if record.exc_info:
             values.update(_traceback(record.exc_info))
         level = logbook.get_level_name(record.level).lower()
-        self._lines.write(Line(level, logger, _message(record, template), values), template)
+        self._lines.write(LogLine(level, logger, _message(record, template), values), template)
 
 
 def _message(record: Any, template: str) -> str:
@@ -226,7 +226,7 @@
 class StandardLoggingHandler(logging.Handler):
     """Records of libraries that use Python's own logging (asyncio, aiohttp), as the same lines."""
 
-    def __init__(self, lines: BoundedLines) -> None:
+    def __init__(self, lines: BoundedLog) -> None:
         super().__init__(logging.WARNING)
         self._lines = lines
 
@@ -240,7 +240,7 @@
         except (TypeError, ValueError):  # its arguments don't fit its template
             message = template
         values = dict(_traceback(record.exc_info)) if record.exc_info else {}
-        self._lines.write(Line(record.levelname.lower(), record.name, message, values), template)
+        self._lines.write(LogLine(record.levelname.lower(), record.name, message, values), template)
 
 
 class DescriptorWriter:
@@ -263,13 +263,13 @@
 
 def set_up(
     level: int = logbook.INFO, clock: Clock = time.monotonic, write: Write | None = None
-) -> LineHandler:
+) -> LogLineHandler:
     """Send all records of this process, those of Python's own logging and its warnings too, to bounded lines.
 
     `clock` is steady. The handler, which a test takes away again with `pop_application`.
     """
-    lines = BoundedLines(clock, write or DescriptorWriter())
-    handler = LineHandler(lines, level)
+    lines = BoundedLog(clock, write or DescriptorWriter())
+    handler = LogLineHandler(lines, level)
     handler.push_application()
     root = logging.getLogger()
     root.handlers[:] = [StandardLoggingHandler(lines)]
@@ -279,13 +279,13 @@
     return handler
 
 
-def unraisable_hook(lines: BoundedLines) -> Callable[[sys.UnraisableHookArgs], None]:
+def unraisable_hook(lines: BoundedLog) -> Callable[[sys.UnraisableHookArgs], None]:
     """What Python would write to standard error by itself, and wait for its reader."""
 
     def say(what: sys.UnraisableHookArgs) -> None:
         if not lines.admits("python", "unraisable"):
             return
         values = dict(_traceback((what.exc_type, what.exc_value, what.exc_traceback)))
-        lines.write(Line("error", "python", what.err_msg or "exception ignored", values), "unraisable")
+        lines.write(LogLine("error", "python", what.err_msg or "exception ignored", values), "unraisable")
 
     return say
--- a/granitewell/nodes/control.py
+++ b/granitewell/nodes/control.py
@@ -26,7 +26,7 @@
 from granitewell.nodes.layout import CONFIGURATION_GROUP, SHARDS, shard_group
 from granitewell.nodes.operator_server import OperatorServer
 from granitewell.nodes.process import SettingsFile, Signals, follow_settings, run_process
-from granitewell.nodes.shard_supervisor import ShardKeeper
+from granitewell.nodes.shard_supervisor import ShardSupervisor
 from granitewell.nodes.shards import LIST_FRESH_PART, OwnedShard, ShardServices, list_every_s
 from granitewell.rpc.messages import GroupMessage, encode
 from granitewell.rpc.transport import Method, RpcPeers, RpcServer
@@ -55,7 +55,7 @@
         self.configuration_group = self.groups[CONFIGURATION_GROUP]
         self.edges = EdgeCounter()
         self.publisher = Publisher(
-            self.store, self.tables, self.control_nodes, self.configuration_group.contact_age_s, self.edges
+            self.store, self.tables, self.control_nodes, self.configuration_group.read_staleness_s, self.edges
         )
         self.owned: dict[int, OwnedShard] = {}
         self._messages = ControlMessages(
@@ -126,9 +126,9 @@
         await self._operator_server.start()
         self._session = open_server_session()
         groups = {shard: self.groups[shard_group(shard)] for shard in range(SHARDS)}
-        keeper = ShardKeeper(groups, self.tables, self.peers, self._shard_services(), self.owned)
+        supervisor = ShardSupervisor(groups, self.tables, self.peers, self._shard_services(), self.owned)
         self._tasks = [asyncio.create_task(self._messages.tell_edge_count(self.control_nodes))]
-        self._tasks += [asyncio.create_task(keeper.keep(shard)) for shard in range(SHARDS)]
+        self._tasks += [asyncio.create_task(supervisor.keep(shard)) for shard in range(SHARDS)]
 
     def _shard_services(self) -> ShardServices:
         settings = self.settings
--- a/granitewell/nodes/control_messages.py
+++ b/granitewell/nodes/control_messages.py
@@ -71,7 +71,7 @@
 
     async def _edge_count(self, payload: bytes, peer: str) -> bytes:
         count = decode(EdgeCount, payload)
-        self._edges.told(count.node, count.edges, time.monotonic())
+        self._edges.notified(count.node, count.edges, time.monotonic())
         if count.address:
             self.processes.announce(count.address, count.incarnation or "")
         return b""
--- a/granitewell/nodes/control_watch.py
+++ b/granitewell/nodes/control_watch.py
@@ -1,11 +1,10 @@
 """What an edge learns: from the control plane by long-polls, from the platform's list where that is old.
 
-A control node publishes nothing that is older than MAX_CONTACT_AGE_S (publisher.py). On the way a reply may
-wait for any time: at a process that was frozen after it had made it, on a slow link, at this edge. So a reply
-counts only if it is here `hold + REPLY_SLACK_S` after its request was sent, by this edge's own clock. What an
-edge takes lacks nothing that was committed `hold + REPLY_SLACK_S + MAX_CONTACT_AGE_S` before, also right
-after its start. Once it has a configuration, its version never falls.
-"""
+A control node publishes nothing that is older than MAX_READ_STALENESS_S (publisher.py). On the way a reply
+may wait for any time: at a process that was frozen after it had made it, on a slow link, at this edge. So a
+reply counts only if it is here `hold + REPLY_SLACK_S` after its request was sent, by this edge's own clock.
+What an edge takes lacks nothing that was committed `hold + REPLY_SLACK_S + MAX_READ_STALENESS_S` before, also
+right after its start. Once it has a configuration, its version never falls."""
 
 from __future__ import annotations
 
@@ -42,7 +41,7 @@
 LIST_OLD_PART = 0.5  # of drain-ms: looking, reading and dropping servers fit in
 LIST_LOOK_PART = 0.2  # of the age at which it is old: how often that is looked at
 LIST_PAUSE_PART = 0.57  # of that age: least time between two readings
-RATE_SHARE = 0.5  # of the platform's rate, for all edges together
+RATE_FRACTION = 0.5  # of the platform's rate, for all edges together
 
 log = Logger("granitewell.edge")
 
@@ -61,10 +60,10 @@
         self._servers: dict[int, dict[str, Server]] = {}  # by shard and id
         self._own_servers: dict[int, list[Server]] = {}  # by shard, until its first table comes
         self.listed_at: dict[int, float] = {}
-        self.most_edges = 1
+        self.max_edges = 1
         self.peers = RpcPeers()
         self.nodes = ControlNodes(settings.node_name)
-        self._wanted_whole = False
+        self._complete_tables_wanted = False
         self._hold_s = min(MAX_HOLD_S, HOLD_PART * settings.bounds.config_apply_ms / 1000.0)
         self.take_settings(settings)
 
@@ -101,7 +100,7 @@
             node=self._settings.node_name,
             zone=self._settings.zone,
             edge=True,
-            configuration_version=0 if self._wanted_whole else self._view.version,
+            configuration_version=0 if self._complete_tables_wanted else self._view.version,
             tables=[
                 TableVersion(shard=shard, epoch=version.epoch, sequence=version.sequence)
                 for shard, version in self._versions.items()
@@ -118,17 +117,19 @@
         for message in reply.tables or ():
             self._take_table(message)
         # a control node that has just started knows few edges: shared budgets must not grow by that
-        self.most_edges = max(reply.most_edges, self.most_edges)
-        self._plane.set_edges(max(reply.edges, 1), self.most_edges)
+        self.max_edges = max(reply.max_edges, self.max_edges)
+        self._plane.set_edges(max(reply.edges, 1), self.max_edges)
 
     def _take_configuration(self, message: Any) -> None:
         try:
-            configuration = self._view.apply(message.version, bool(message.whole), message.documents or ())
+            configuration = self._view.apply(
+                message.version, bool(message.is_complete), message.documents or ()
+            )
         except GranitewellError as error:
             log.warning("configuration {} does not fit: {}", message.version, error)
-            self._wanted_whole = True
+            self._complete_tables_wanted = True
             return
-        self._wanted_whole = False
+        self._complete_tables_wanted = False
         if configuration is not None:
             self._plane.apply_configuration(configuration)
 
@@ -141,12 +142,12 @@
         if message.list_age_ms >= 0:
             listed_at = self._clock() - message.list_age_ms / 1000.0
             self.listed_at[shard] = max(self.listed_at.get(shard, listed_at), listed_at)
-        if update.version == known and not update.whole:
+        if update.version == known and not update.is_complete:
             return
         servers = self._servers.setdefault(shard, {})
         removed = list(update.removed)
         removed += [server.id for server in self._own_servers.pop(shard, ())]
-        if update.whole:
+        if update.is_complete:
             kept = {server.id for server in update.changed}
             removed += [key for key in servers if key not in kept]
         self._versions[shard] = update.version
@@ -199,8 +200,8 @@
 
 def _server(one: ListedInstance) -> Server:
     """A server as the platform lists it."""
-    models = {held.name: held for held in one.models}
-    return Server(one.id, one.service, one.address, one.zone, one.slots, one.state, one.leaves_in_ms, models)
+    models = {known.name: known for known in one.models}
+    return Server(one.id, one.service, one.address, one.zone, one.slots, one.state, one.remaining_ms, models)
 
 
 class OwnList:
@@ -235,5 +236,5 @@
         """Between two readings: all edges together stay well below the platform's rate."""
         return max(
             LIST_PAUSE_PART * self._old_s,
-            self._watch.most_edges / (RATE_SHARE * self._settings.cloud.rate_per_s),
+            self._watch.max_edges / (RATE_FRACTION * self._settings.cloud.rate_per_s),
         )
--- a/granitewell/nodes/shard_supervisor.py
+++ b/granitewell/nodes/shard_supervisor.py
@@ -15,7 +15,7 @@
 LEADER_LOOK_S = 0.1  # between two looks for a shard's owner, where none is known
 
 
-class ShardKeeper:
+class ShardSupervisor:
     """Owns or follows the shards.
 
     Attributes:
--- a/granitewell/nodes/shards.py
+++ b/granitewell/nodes/shards.py
@@ -20,7 +20,7 @@
 from granitewell.discovery.reader import ListUnavailableError, SharedReader
 from granitewell.domain.configuration import Configuration, Service
 from granitewell.domain.errors import NotLeaderError, ProposalLostError
-from granitewell.domain.servers import HeldModel, ModelDemand, Server
+from granitewell.domain.servers import LoadedModel, ModelDemand, Server
 from granitewell.domain.settings import Settings
 from granitewell.nodes.layout import SHARDS
 
@@ -80,7 +80,7 @@
         except (NotLeaderError, ProposalLostError):
             await asyncio.sleep(LEASE_LOOK_S)
             return
-        log.info("owner of shard {} under fence {}", self._shard, self.ownership.fence)
+        log.info("owner of shard {} under fence {}", self._shard, self.ownership.fencing_token)
         reading = asyncio.create_task(self._read_lists())
         try:
             while self.ownership.owns():
@@ -119,7 +119,7 @@
         first = self._listed_at is None
         self._listed_at = read_at
         if first:
-            self._table.begin(self.ownership.fence)
+            self._table.begin(self.ownership.fencing_token)
         self._update_controllers()
         self.publish()
 
@@ -132,7 +132,9 @@
             if shard_of(service.name, SHARDS) == self._shard:
                 self._update_controller(service, configuration, 1.0 / len(engines))
 
-    def _update_controller(self, service: Service, configuration: Configuration, load_share: float) -> None:
+    def _update_controller(
+        self, service: Service, configuration: Configuration, load_rate_fraction: float
+    ) -> None:
         controller = self._controllers.get(service.name)
         if controller is None:
             controller = PlacementController(
@@ -140,7 +142,7 @@
             )
             self._controllers[service.name] = controller
         if service.engine is not None:
-            controller.set_engine(service.engine, load_share)
+            controller.set_engine(service.engine, load_rate_fraction)
         controller.set_servers([_listed(one) for one in self._instances if one.service == service.name])
         if service.name not in self._tasks:
             self._tasks[service.name] = asyncio.create_task(controller.run())
@@ -158,11 +160,11 @@
 
     def _server(self, one: ListedInstance) -> Server:
         controller = self._controllers.get(one.service)
-        held: Mapping[str, HeldModel] = (
+        loaded: Mapping[str, LoadedModel] = (
             controller.ready_models(one.id) if controller is not None else {m.name: m for m in one.models}
         )
         return Server(
-            one.id, one.service, one.address, one.zone, one.slots, one.state, one.leaves_in_ms, dict(held)
+            one.id, one.service, one.address, one.zone, one.slots, one.state, one.remaining_ms, dict(loaded)
         )
 
 
@@ -173,6 +175,6 @@
         zone=one.zone,
         state=one.state,
         slots=one.slots,
-        leaves_in_ms=one.leaves_in_ms,
+        remaining_ms=one.remaining_ms,
         models=one.models,
     )
--- a/granitewell/nodes/table_follower.py
+++ b/granitewell/nodes/table_follower.py
@@ -57,7 +57,7 @@
         update = update_from_message(message)
         age_ms = message.list_age_ms  # type: ignore[attr-defined]
         listed_at = None if age_ms < 0 else time.monotonic() - age_ms / 1000.0
-        news = update.version != self._table.version
+        changed = update.version != self._table.version
         self._table.update(update, listed_at)
-        if news:
+        if changed:
             self._changed()
--- a/granitewell/rpc/internal.thrift
+++ b/granitewell/rpc/internal.thrift
@@ -1,19 +1,19 @@
 // What nodes of the system say to each other. Read at run time by thriftpy2; fields are only ever added.
 namespace py granitewell.rpc.internal
 
-struct HeldModel { 1: string name, 2: list<string> adapters }
+struct LoadedModel { 1: string name, 2: list<string> adapters }
 struct Server {
   1: string id, 2: string service_name, 3: string address, 4: string zone, 5: i32 slots,
-  6: i32 state, 7: i32 leaves_in_ms, 8: list<HeldModel> models
+  6: i32 state, 7: i32 remaining_ms, 8: list<LoadedModel> models
 }
 
 // Where a watcher stands in one shard's table of servers: epoch is the owner's term, sequence counts changes.
 struct TableVersion { 1: i32 shard, 2: i64 epoch, 3: i64 sequence }
 struct TableUpdate {
-  1: TableVersion version, 2: bool whole, 3: list<Server> changed, 4: list<string> removed,
+  1: TableVersion version, 2: bool is_complete, 3: list<Server> changed, 4: list<string> removed,
   5: i32 list_age_ms   // how long ago the platform's list was read for this table; -1 for never
 }
-struct ConfigurationUpdate { 1: i64 version, 2: bool whole, 3: list<binary> documents }
+struct ConfigurationUpdate { 1: i64 version, 2: bool is_complete, 3: list<binary> documents }
 
 struct WatchRequest {
   1: string node, 2: string zone, 3: bool edge, 4: i64 configuration_version,
@@ -22,7 +22,7 @@
 struct WatchReply {
   1: optional ConfigurationUpdate configuration, 2: list<TableUpdate> tables,
   3: list<string> control_nodes,   // `ip:port` of internal addresses; empty where members_digest is the same
-  4: i64 members_digest, 5: i32 edges, 6: i32 most_edges
+  4: i64 members_digest, 5: i32 edges, 6: i32 max_edges
 }
 
 struct Demand {
--- a/granitewell/rpc/messages.py
+++ b/granitewell/rpc/messages.py
@@ -8,13 +8,13 @@
 from granitewell.rpc.serialization import decode, encode, load_idl
 
 __all__ = [
-    "ConfigurationUpdate", "Demand", "DemandReport", "EdgeCount", "GroupMessage", "HeldModelMessage",
+    "ConfigurationUpdate", "Demand", "DemandReport", "EdgeCount", "GroupMessage", "LoadedModelMessage",
     "ServerMessage", "TableUpdate", "TableVersion", "WatchReply", "WatchRequest", "decode", "encode",
 ]  # fmt: skip
 
 _IDL = load_idl(Path(__file__).with_name("internal.thrift"))
 
-HeldModelMessage: Any = _IDL.HeldModel
+LoadedModelMessage: Any = _IDL.LoadedModel
 ServerMessage: Any = _IDL.Server
 TableVersion: Any = _IDL.TableVersion
 TableUpdate: Any = _IDL.TableUpdate
--- a/granitewell/rpc/translation.py
+++ b/granitewell/rpc/translation.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef, Server, ServerState
-from granitewell.rpc.messages import Demand, HeldModelMessage, ServerMessage
+from granitewell.domain.servers import LoadedModel, ModelDemand, ModelRef, Server, ServerState
+from granitewell.rpc.messages import Demand, LoadedModelMessage, ServerMessage
 
 
 def server_to_message(server: Server) -> Any:
@@ -17,17 +17,17 @@
         zone=server.zone,
         slots=server.slots,
         state=int(server.state),
-        leaves_in_ms=server.leaves_in_ms,
+        remaining_ms=server.remaining_ms,
         models=[
-            HeldModelMessage(name=held.name, adapters=sorted(held.adapters))
-            for held in server.models.values()
+            LoadedModelMessage(name=loaded.name, adapters=sorted(loaded.adapters))
+            for loaded in server.models.values()
         ],
     )
 
 
 def server_from_message(message: Any) -> Server:
     """The server of a message."""
-    held = [HeldModel(entry.name, frozenset(entry.adapters or ())) for entry in message.models or ()]
+    loaded = [LoadedModel(entry.name, frozenset(entry.adapters or ())) for entry in message.models or ()]
     return Server(
         id=message.id,
         service=message.service_name,
@@ -35,8 +35,8 @@
         zone=message.zone,
         slots=message.slots,
         state=ServerState(message.state),
-        leaves_in_ms=message.leaves_in_ms,
-        models={entry.name: entry for entry in held},
+        remaining_ms=message.remaining_ms,
+        models={entry.name: entry for entry in loaded},
     )
 
 
--- a/tests/controlplane/owner_judge.py
+++ b/tests/controlplane/owner_judge.py
@@ -74,7 +74,7 @@
 
     at: float
     machine: str
-    fence: int
+    fencing_token: int
 
 
 class Judge:
@@ -91,14 +91,16 @@
         self.turns = 0
         self.unloads = 0
 
-    def sent(self, process: OwnerProcess, order: Order, fence: int) -> None:
+    def sent(self, process: OwnerProcess, order: Order, fencing_token: int) -> None:
         """An order leaves."""
         machine = process.machine.name
         if not process.group.holds_lease():
-            raise ViolationError(f"{machine} orders under the fence {fence} without its lease")
-        if fence < self._sent.get(machine, 0):
-            raise ViolationError(f"{machine} orders under the fence {fence}, after {self._sent[machine]}")
-        self._sent[machine] = fence
+            raise ViolationError(f"{machine} orders under the fence {fencing_token} without its lease")
+        if fencing_token < self._sent.get(machine, 0):
+            raise ViolationError(
+                f"{machine} orders under the fence {fencing_token}, after {self._sent[machine]}"
+            )
+        self._sent[machine] = fencing_token
         if order.operation is Operation.UNLOAD and process.reported != set(EDGES):
             raise ViolationError(
                 f"{machine} unloads {order.ref} and has heard {sorted(process.reported)} only"
@@ -110,9 +112,11 @@
         at = self._world.now
         if instance is None or "if-revision" not in document:
             raise ViolationError(f"an order of {machine} without an instance or a revision: {document}")
-        fence = int(document["fence-token"])
-        if self._holders.setdefault(fence, machine) != machine:
-            raise ViolationError(f"{machine} and {self._holders[fence]} order under one fence {fence}")
+        fencing_token = int(document["fence-token"])
+        if self._holders.setdefault(fencing_token, machine) != machine:
+            raise ViolationError(
+                f"{machine} and {self._holders[fencing_token]} order under one fence {fencing_token}"
+            )
         self.orders += 1
         troubles = self._world.troubles
         if troubles.excused(machine, at):
@@ -120,16 +124,20 @@
         if self._world.fencing and not troubles.in_touch(machine, at):
             return
         before = self._arrivals.setdefault(server, [])
-        self._check_turn(server, before, Arrival(at, machine, fence))
-        before.append(Arrival(at, machine, fence))
+        self._check_turn(server, before, Arrival(at, machine, fencing_token))
+        before.append(Arrival(at, machine, fencing_token))
 
     def _check_turn(self, server: str, before: list[Arrival], now: Arrival) -> None:
         others = [arrival for arrival in before if arrival.machine != now.machine]
         self.turns += bool(others) and before[-1].machine != now.machine
         if others and now.at - others[-1].at < LEASE_S:
             raise ViolationError(f"{server} is ordered by {others[-1]}, then {now}")
-        if not self._world.fencing and before and now.fence < max(arrival.fence for arrival in before):
-            raise ViolationError(f"{server} gets the fence {now.fence} after a higher one")
+        if (
+            not self._world.fencing
+            and before
+            and now.fencing_token < max(arrival.fencing_token for arrival in before)
+        ):
+            raise ViolationError(f"{server} gets the fence {now.fencing_token} after a higher one")
 
     def took(self, server: EngineServer, order: Mapping[str, Any], ref: ModelRef) -> None:
         """A server begins an order."""
--- a/tests/controlplane/owner_servers.py
+++ b/tests/controlplane/owner_servers.py
@@ -10,7 +10,7 @@
 
 from granitewell.controlplane.placement.orders import Operation, Report
 from granitewell.domain.configuration import Engine, Model
-from granitewell.domain.servers import HeldModel, ModelRef
+from granitewell.domain.servers import LoadedModel, ModelRef
 
 if TYPE_CHECKING:
     from tests.controlplane.owner_world import OwnerWorld
@@ -46,7 +46,7 @@
         self.up = True
         self.id = f"i-{self.address}-{self._starts}"
         self.sequence = 0
-        self.fence = 0
+        self.fencing_token = 0
         self.order: ModelRef | None = None
         self.held: dict[str, set[str]] = {}
         self._reports: deque[tuple[float, Report]] = deque(maxlen=32)
@@ -68,9 +68,9 @@
             self.held[name] = set()
         self._note()
 
-    def models(self) -> tuple[HeldModel, ...]:
+    def models(self) -> tuple[LoadedModel, ...]:
         """What it holds."""
-        return tuple(HeldModel(name, frozenset(adapters)) for name, adapters in self.held.items())
+        return tuple(LoadedModel(name, frozenset(adapters)) for name, adapters in self.held.items())
 
     def _note(self) -> None:
         models = {model.name: model for model in self.models()}
@@ -89,12 +89,12 @@
         """An order has come; the status that it gets."""
         document = json.loads(body)
         self.world.judge.arrived(self.address, machine, document, instance)
-        fence = document["fence-token"]
+        fencing_token = document["fence-token"]
         if instance != self.id:
             return 421
-        if self.world.fencing and fence < self.fence:
+        if self.world.fencing and fencing_token < self.fencing_token:
             return 412
-        self.fence = max(self.fence, fence)
+        self.fencing_token = max(self.fencing_token, fencing_token)
         if self.order is not None or document.get("if-revision", self.sequence) != self.sequence:
             return 409
         return self._begin(document)
--- a/tests/controlplane/owner_wire.py
+++ b/tests/controlplane/owner_wire.py
@@ -95,7 +95,7 @@
             return OrderResult.NOT_SENT
         if not may_send():
             return OrderResult.NOT_SENT
-        self._world.judge.sent(self._process, order, ticket.fence)
+        self._world.judge.sent(self._process, order, ticket.fencing_token)
         body = orders.encode_order(order, ticket)
         await self._world.stand_still_before_send(self._process)
         machine = self._process.machine.name
--- a/tests/controlplane/owner_world.py
+++ b/tests/controlplane/owner_world.py
@@ -65,9 +65,9 @@
         replica = process.replica
         return replica.holds_lease(process.now) and process.applied_index >= replica.commit_index
 
-    def silent_s(self, address: str) -> float:
+    def seconds_since_contact(self, address: str) -> float:
         """Of a member."""
-        return self._process.replica.silent_s(address, self._process.now)
+        return self._process.replica.seconds_since_contact(address, self._process.now)
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
         """A claim."""
--- a/tests/controlplane/test_changes_on_bad_days.py
+++ b/tests/controlplane/test_changes_on_bad_days.py
@@ -234,7 +234,7 @@
         await asyncio.sleep(self.rng.uniform(0, 2))
         await asyncio.gather(*(node.start() for node in nodes if node.group is None))
 
-    async def hand_over(self) -> None:
+    async def transfer_leadership(self) -> None:
         """The leader gives up leadership."""
         for node in self.nodes.values():
             if node.group is not None and node.group.is_leader:
@@ -304,7 +304,7 @@
     return [[step() for _ in range(300)] for _ in range(2)]
 
 
-ALL = (Day.full_disks, Day.full_disks, Day.cut_off, Day.restart, Day.hand_over)
+ALL = (Day.full_disks, Day.full_disks, Day.cut_off, Day.restart, Day.transfer_leadership)
 
 
 def played(seed: int, troubles: Sequence[Callable[[Day], Awaitable[None]]]) -> None:
--- a/tests/controlplane/test_configuration_store.py
+++ b/tests/controlplane/test_configuration_store.py
@@ -46,7 +46,7 @@
 
 def follow(view: ConfigurationView, delta: ConfigurationDelta) -> None:
     """An edge takes what a control node says."""
-    view.apply(delta.version, delta.whole, delta.documents)
+    view.apply(delta.version, delta.is_complete, delta.documents)
 
 
 # changes
@@ -357,7 +357,7 @@
         change = patch_change(base, patch(version, {"routes": [route("r7", priority=base)]}))
         store.apply(0, change.encode())
     delta = store.changes_since(5)
-    assert not delta.whole and len(delta.documents) == 3
+    assert not delta.is_complete and len(delta.documents) == 3
     follow(view, delta)
     assert view.version == store.version and view.configuration == store.configuration
 
@@ -382,16 +382,16 @@
     for version in range(5, 15):
         filler = {"routes": [route("a", note="x" * 300)]}
         store.apply(0, patch_change(version, patch(version + 1, filler)).encode())
-    assert store.changes_since(5).whole
-    assert not store.changes_since(14).whole
+    assert store.changes_since(5).is_complete
+    assert not store.changes_since(14).is_complete
 
 
 def test_the_number_of_patches_kept_is_bounded() -> None:
     store = store_of(put_change(0, whole(5, route("a", note="x" * 100_000))))
     for version in range(5, 305):
         store.apply(0, patch_change(version, patch(version + 1)).encode())
-    assert store.changes_since(304 - store_module.MAX_STEPS).whole
-    assert not store.changes_since(305 - store_module.MAX_STEPS).whole
+    assert store.changes_since(304 - store_module.MAX_STEPS).is_complete
+    assert not store.changes_since(305 - store_module.MAX_STEPS).is_complete
 
 
 def test_a_whole_that_alters_little_is_told_as_a_patch() -> None:
@@ -402,7 +402,7 @@
     altered = [*routes[:7], route("r7", service="two"), *routes[9:], split_route("n", ("one", 1), ("two", 2))]
     store.apply(0, put_change(5, whole(6, *altered)).encode())
     delta = store.changes_since(5)
-    assert not delta.whole and sum(map(len, delta.documents)) < len(store.document()) / 5
+    assert not delta.is_complete and sum(map(len, delta.documents)) < len(store.document()) / 5
     follow(view, delta)
     assert view.configuration == store.configuration
 
@@ -412,7 +412,7 @@
     store = store_of(FIRST, put_change(5, altered))
     view = ConfigurationView()
     follow(view, store_of(FIRST).changes_since(0))
-    assert store.changes_since(5).whole
+    assert store.changes_since(5).is_complete
     follow(view, store.changes_since(5))
     assert view.configuration == store.configuration
 
@@ -421,10 +421,10 @@
     """A whole that can't be told as a patch, or a snapshot, leaves a gap in the patches."""
     store = store_of(FIRST, patch_change(5, patch(6)), put_change(6, whole(7, limits={})))
     store.apply(0, patch_change(7, patch(8)).encode())
-    assert [store.changes_since(version).whole for version in (5, 6, 7)] == [True, True, False]
+    assert [store.changes_since(version).is_complete for version in (5, 6, 7)] == [True, True, False]
     store.restore(store_of(put_change(0, whole(20))).snapshot())
     store.apply(0, patch_change(20, patch(21)).encode())
-    assert [store.changes_since(version).whole for version in (7, 20)] == [True, False]
+    assert [store.changes_since(version).is_complete for version in (7, 20)] == [True, False]
 
 
 def test_a_view_takes_rising_versions_only() -> None:
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -464,13 +464,13 @@
     monkeypatch.setattr(api_module, "MAX_WAITING", 3)
 
     async def story(rig: Rig) -> None:
-        open_now, most_open = 0, 0
+        open_now, max_open = 0, 0
         go_on = asyncio.Event()
 
         async def slow(data: bytes) -> object:
-            nonlocal open_now, most_open
+            nonlocal open_now, max_open
             open_now += 1
-            most_open = max(most_open, open_now)
+            max_open = max(max_open, open_now)
             await go_on.wait()
             open_now -= 1
             return rig.store.apply(0, data)
@@ -484,7 +484,7 @@
         assert [task.result().status for task in refused] == [503] * 3
         go_on.set()
         others = [(await task).status for task in changes if task not in refused]
-        assert sorted(others) == [200, 412, 412] and most_open == 1
+        assert sorted(others) == [200, 412, 412] and max_open == 1
         assert [(await rig.put(5, whole(9))).status for _ in range(5)] == [412] * 5
 
     played(story, FIRST)
--- a/tests/controlplane/test_order_wire.py
+++ b/tests/controlplane/test_order_wire.py
@@ -155,7 +155,7 @@
 
 FATES = [
     (Act(answer(202)), OrderResult.TAKEN),
-    (Act(answer(200)), OrderResult.HELD),
+    (Act(answer(200)), OrderResult.ALREADY_HOLDS),
     (Act(answer(409)), OrderResult.CONFLICT),
     (Act(answer(412)), OrderResult.FENCED),
     (Act(answer(421)), OrderResult.OTHER_SERVER),
