--- a/tests/controlplane/test_owner_defects.py
+++ b/tests/controlplane/test_owner_defects.py
@@ -27,8 +27,8 @@
     QUIET,
     TROUBLES,
     Trouble,
-    hand_over,
     play,
+    transfer_leadership,
 )
 from tests.coordination.faults import good_disk
 from tests.coordination.invariants import ViolationError
@@ -54,13 +54,13 @@
 
 def hanging_disk_is_silence(patch: pytest.MonkeyPatch) -> None:
     """A holder whose replica waits for its disk counts as gone, though its process is heard."""
-    patch.setattr(KnownProcesses, "is_silent", lambda self, address: True)
+    patch.setattr(KnownProcesses, "is_unresponsive", lambda self, address: True)
 
 
 def silence_too_short(patch: pytest.MonkeyPatch) -> None:
     """A holder that is merely busy with itself for a while counts as gone."""
-    patch.setattr(owner, "SILENT_S", 0.7)
-    patch.setattr(processes, "PROCESS_SILENT_S", 0.7)
+    patch.setattr(owner, "UNRESPONSIVE_AFTER_S", 0.7)
+    patch.setattr(processes, "PROCESS_UNRESPONSIVE_AFTER_S", 0.7)
 
 
 def excused_too_long(patch: pytest.MonkeyPatch) -> None:
@@ -82,7 +82,7 @@
 
 def fence_reused(patch: pytest.MonkeyPatch) -> None:
     """The fence does not rise with each owner."""
-    patch.setattr(ShardOwnership, "fence", property(lambda self: (self._claimed_term + 1) // 2))
+    patch.setattr(ShardOwnership, "fencing_token", property(lambda self: (self._claimed_term + 1) // 2))
 
 
 def lease_not_asked_again(patch: pytest.MonkeyPatch) -> None:
@@ -156,7 +156,7 @@
 
 def lease_lapses_in_a_wait(world: OwnerWorld) -> None:
     """Leadership moves; soon after, the new leader stands still for a little longer than its lease."""
-    hand_over(world)
+    transfer_leadership(world)
     world.after(1.0, partial(stall_leader, world, 0.51))
 
 
@@ -182,7 +182,7 @@
             machine = process.machine
             span = world.troubles.machine(machine.name, world.now)
             machine.disk.delay_s = 3.0
-            world.after(0.2, partial(hand_over, world))
+            world.after(0.2, partial(transfer_leadership, world))
             world.after(3.5, partial(good_disk, machine))
             world.after(3.5, partial(setattr, span, "until", world.now + 3.5))
 
@@ -214,7 +214,7 @@
         for machine in owners:
             world.troubles.excuse(machine.name, world.now)
 
-    world.after(0.7, partial(hand_over, world))
+    world.after(0.7, partial(transfer_leadership, world))
     world.after(5.5, heal)
 
 
@@ -229,7 +229,7 @@
         world.after(0.005, end)
 
     def end() -> None:
-        hand_over(world)
+        transfer_leadership(world)
         for link in links:
             link.slow_s = 0.0
 
--- a/tests/controlplane/test_owner_search.py
+++ b/tests/controlplane/test_owner_search.py
@@ -26,7 +26,7 @@
 CALM_S = 7.0
 PACE_S = 0.9  # between troubles
 RARE_S = 4.0  # where machines are to be in touch in between
-MAX_STALL_S = 1.0  # a process that stands still of itself, with no fault: shorter than SILENT_S
+MAX_STALL_S = 1.0  # a process that stands still of itself, with no fault: shorter than UNRESPONSIVE_AFTER_S
 
 Trouble = Callable[[OwnerWorld], None]
 
@@ -192,7 +192,7 @@
 # What nobody did
 
 
-def hand_over(world: OwnerWorld) -> None:
+def transfer_leadership(world: OwnerWorld) -> None:
     """Leadership moves although nothing has happened."""
     for process in world.processes():
         if process.replica.role is Role.LEADER:
@@ -215,9 +215,9 @@
 
 TROUBLES: Sequence[Trouble] = (
     kill, terminate, freeze, freeze_before_send, cut_core, cut_core, bad_links,
-    slow_disk, cut_server, slow_server, restart_server, hand_over, stall, stall,
+    slow_disk, cut_server, slow_server, restart_server, transfer_leadership, stall, stall,
 )  # fmt: skip
-QUIET: Sequence[Trouble] = (hand_over, stall, slow_disk, slow_server, cut_server, restart_server)
+QUIET: Sequence[Trouble] = (transfer_leadership, stall, slow_disk, slow_server, cut_server, restart_server)
 """What leaves the core stable: machines stay in touch, and every turn counts."""
 
 
--- a/tests/controlplane/test_ownership.py
+++ b/tests/controlplane/test_ownership.py
@@ -9,12 +9,16 @@
 
 from granitewell.controlplane.ownership.owner import (
     ORDER_LASTS_S,
-    SILENT_S,
+    UNRESPONSIVE_AFTER_S,
     Claimant,
     ShardOwnership,
     TurnRules,
 )
-from granitewell.controlplane.ownership.processes import ANNOUNCED_EVERY_S, PROCESS_SILENT_S, KnownProcesses
+from granitewell.controlplane.ownership.processes import (
+    ANNOUNCED_EVERY_S,
+    PROCESS_UNRESPONSIVE_AFTER_S,
+    KnownProcesses,
+)
 from granitewell.controlplane.ownership.record import MalformedClaimError, OwnerClaimed, OwnerRecord
 from granitewell.controlplane.placement.orders import ORDER_TIMEOUT_S
 from granitewell.domain.errors import NotLeaderError, ProposalLostError
@@ -28,13 +32,13 @@
 
     def __init__(self, record: OwnerRecord) -> None:
         self.record, self.term, self.lease = record, 1, True
-        self.silent: dict[str, float] = {}
+        self.is_unresponsive: dict[str, float] = {}
 
     def holds_lease(self) -> bool:
         return self.lease
 
-    def silent_s(self, address: str) -> float:
-        return self.silent.get(address, 0.0)
+    def seconds_since_contact(self, address: str) -> float:
+        return self.is_unresponsive.get(address, 0.0)
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
         if not self.lease:
@@ -66,7 +70,7 @@
     ownership, _, _ = owner(OwnerRecord())
     assert not ownership.may_order()
     asyncio.run(ownership.claim())
-    assert ownership.may_order() and ownership.fence == 1
+    assert ownership.may_order() and ownership.fencing_token == 1
 
 
 def test_behind_another_holder_orders_wait_for_its_lease() -> None:
@@ -79,7 +83,7 @@
     clock.now += 3.0
     assert not ownership.may_order()
     clock.now += ORDER_LASTS_S
-    assert ownership.may_order() and ownership.fence == 5
+    assert ownership.may_order() and ownership.fencing_token == 5
 
 
 def claimed_behind_another(fencing: bool, contact_s: float = 3.0) -> tuple[ShardOwnership, Group, Clock]:
@@ -93,35 +97,35 @@
 
 def test_behind_a_holder_that_has_fallen_silent_orders_do_not_wait() -> None:
     ownership, group, clock = claimed_behind_another(fencing=True)
-    clock.now += PROCESS_SILENT_S + 0.01
-    group.silent[OTHER_ADDRESS] = SILENT_S - 0.1
+    clock.now += PROCESS_UNRESPONSIVE_AFTER_S + 0.01
+    group.is_unresponsive[OTHER_ADDRESS] = UNRESPONSIVE_AFTER_S - 0.1
     assert not ownership.may_order()
-    group.silent[OTHER_ADDRESS] = SILENT_S
+    group.is_unresponsive[OTHER_ADDRESS] = UNRESPONSIVE_AFTER_S
     assert ownership.may_order()
-    group.silent[OTHER_ADDRESS] = 0.0  # back: in touch only after contact-ms, and no holder any more
+    group.is_unresponsive[OTHER_ADDRESS] = 0.0  # back: in touch only after contact-ms, and no holder any more
     assert ownership.may_order()
 
 
 def test_behind_a_holder_whose_disk_hangs_orders_wait() -> None:
     ownership, group, clock = claimed_behind_another(fencing=True)
-    group.silent[OTHER_ADDRESS] = 2.0  # its replica answers once its term is on the disk
+    group.is_unresponsive[OTHER_ADDRESS] = 2.0  # its replica answers once its term is on the disk
     clock.now += 2.0
     processes_of(ownership).announce(OTHER_ADDRESS, "process-2")
     assert not ownership.may_order()
-    clock.now += PROCESS_SILENT_S + 0.01
+    clock.now += PROCESS_UNRESPONSIVE_AFTER_S + 0.01
     assert ownership.may_order()
 
 
 def test_a_process_that_was_never_heard_is_silent_once_this_one_has_listened_for_long() -> None:
     clock = Clock()
     processes = KnownProcesses(clock)
-    assert not processes.is_silent(OTHER_ADDRESS) and processes.incarnation_at(OTHER_ADDRESS) is None
-    clock.now += PROCESS_SILENT_S + 0.01
-    assert processes.is_silent(OTHER_ADDRESS)
+    assert not processes.is_unresponsive(OTHER_ADDRESS) and processes.incarnation_at(OTHER_ADDRESS) is None
+    clock.now += PROCESS_UNRESPONSIVE_AFTER_S + 0.01
+    assert processes.is_unresponsive(OTHER_ADDRESS)
     processes.announce(OTHER_ADDRESS, "process-2")
-    assert not processes.is_silent(OTHER_ADDRESS)
+    assert not processes.is_unresponsive(OTHER_ADDRESS)
     assert processes.incarnation_at(OTHER_ADDRESS) == "process-2"
-    assert PROCESS_SILENT_S > ANNOUNCED_EVERY_S + 0.2
+    assert PROCESS_UNRESPONSIVE_AFTER_S > ANNOUNCED_EVERY_S + 0.2
 
 
 def test_behind_a_holder_that_has_restarted_orders_do_not_wait() -> None:
@@ -140,7 +144,7 @@
 
 def test_where_servers_check_no_fences_silence_shortens_nothing() -> None:
     ownership, group, clock = claimed_behind_another(fencing=False)
-    group.silent[OTHER_ADDRESS] = 100.0
+    group.is_unresponsive[OTHER_ADDRESS] = 100.0
     assert not ownership.may_order()
     clock.now += 3.0
     assert not ownership.may_order()  # an order that has left may still be on its way
@@ -154,13 +158,13 @@
 
 def test_behind_a_member_that_is_no_longer_one_orders_wait() -> None:
     ownership, group, _ = claimed_behind_another(fencing=True)
-    group.silent[OTHER_ADDRESS] = math.inf  # replaced, perhaps while it ran
+    group.is_unresponsive[OTHER_ADDRESS] = math.inf  # replaced, perhaps while it ran
     assert not ownership.may_order()
 
 
 def test_where_a_machine_is_in_touch_again_before_the_lease_ends_silence_shortens_nothing() -> None:
     ownership, group, clock = claimed_behind_another(fencing=True, contact_s=2.9)
-    group.silent[OTHER_ADDRESS] = 100.0
+    group.is_unresponsive[OTHER_ADDRESS] = 100.0
     processes_of(ownership).announce(OTHER_ADDRESS, "process-9")
     assert not ownership.may_order()
     clock.now += 3.0 + ORDER_LASTS_S
@@ -184,7 +188,7 @@
     asyncio.run(ownership.claim())
     group.term = 6
     asyncio.run(ownership.claim())
-    assert ownership.may_order() and ownership.fence == 6
+    assert ownership.may_order() and ownership.fencing_token == 6
 
 
 def test_behind_its_own_earlier_process_it_waits_only_where_servers_check_no_fences() -> None:
--- a/tests/controlplane/test_placement_controller.py
+++ b/tests/controlplane/test_placement_controller.py
@@ -22,7 +22,7 @@
     ReportFailure,
 )
 from granitewell.domain.configuration import Engine, Model
-from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef, ServerState
+from granitewell.domain.servers import LoadedModel, ModelDemand, ModelRef, ServerState
 
 MODELS = tuple(Model(f"m{i}", 60_000.0, 0.6, 4, 40.0) for i in range(6))
 ENGINE = Engine(64, MODELS, 200_000.0, 8, 5.0)
@@ -62,7 +62,7 @@
     holder = "node-1"
 
     def __init__(self) -> None:
-        self.fence = 7
+        self.fencing_token = 7
         self.allowed = True
 
     def may_order(self) -> bool:
@@ -73,7 +73,7 @@
     """One server that takes orders, after a connection that takes a while."""
 
     def __init__(self) -> None:
-        self.held: dict[str, HeldModel] = {}
+        self.held: dict[str, LoadedModel] = {}
         self.sequence = 0
         self.busy = False
         self.sent: list[tuple[Order, OrderTicket]] = []
@@ -99,7 +99,7 @@
 
     def _done(self, order: Order) -> None:
         self.busy = False
-        self.held[order.ref.model] = HeldModel(order.ref.model)
+        self.held[order.ref.model] = LoadedModel(order.ref.model)
 
 
 class _Bench:
@@ -133,7 +133,7 @@
         await asyncio.sleep(1.0)
         assert [order.ref.model for order, _ in bench.client.sent] == ["m3"]
         assert bench.client.sent[0][1] == TICKET
-        assert bench.controller.ready_models("i-1") == {"m3": HeldModel("m3")}
+        assert bench.controller.ready_models("i-1") == {"m3": LoadedModel("m3")}
         assert bench.changes == ["i-1"]
         await bench.stop()
 
@@ -166,7 +166,7 @@
         await asyncio.sleep(1.0)
         bench.miss("m3")
         await asyncio.sleep(0.1)
-        bench.ownership.fence = 8
+        bench.ownership.fencing_token = 8
         await asyncio.sleep(0.15)
         assert bench.client.sent == []
         await bench.stop()
@@ -186,13 +186,13 @@
         bench.controller.set_servers([ListedServer("i-1", "10.0.0.1:80", "z", ServerState.READY, 64)])
         await asyncio.sleep(3.0)
         assert bench.client.polls == polls
-        bench.ownership.fence = 9
+        bench.ownership.fencing_token = 9
         bench.task = asyncio.create_task(bench.controller.run())
         await asyncio.sleep(1.0)
         bench.miss("m4")
         await asyncio.sleep(2.0)
         assert bench.client.sent[-1][0].ref == ModelRef("m4")
-        assert bench.client.sent[-1][1].fence == 9
+        assert bench.client.sent[-1][1].fencing_token == 9
         await bench.stop()
 
     _play(scenario)
@@ -270,7 +270,7 @@
             server.status = status
             assert await client.send(address, ORDER, TICKET, _yes) is result
         report = await client.report("i-1", address)
-        assert report == Report(3, False, {"m1": HeldModel("m1")})
+        assert report == Report(3, False, {"m1": LoadedModel("m1")})
         assert set(server.headers) == {"i-1"}
 
     _serve(scenario)
--- a/tests/controlplane/test_placement_faults.py
+++ b/tests/controlplane/test_placement_faults.py
@@ -138,7 +138,7 @@
         fleet.run(4.0)
         leaving = next(server for server in fleet.servers.values() if "m2" in server.held)
         leaving.state = ServerState.DRAINING
-        leaving.leaves_in_ms = 4_000
+        leaving.remaining_ms = 4_000
         fleet.run(1.6)  # the list lags
         taken = leaving.sequence
         fleet.run(2.0)
@@ -188,8 +188,8 @@
     """Another node takes over, at once and with nothing but the list."""
     fleet.reconciler.stop(fleet.now)
     fleet.reconciler.take_changes()
-    fleet.fence += 1
-    fleet.reconciler = PlacementReconciler(Random(fleet.fence))
+    fleet.fencing_token += 1
+    fleet.reconciler = PlacementReconciler(Random(fleet.fencing_token))
     fleet.reconciler.set_engine(fleet.now, fleet.engine, 1.0)
     fleet.reconciler.set_servers(fleet.now, fleet.listed())
     fleet.reconciler.start(fleet.now)
@@ -198,13 +198,13 @@
 def test_a_server_that_has_seen_a_higher_fence_is_left_alone_until_ownership_changes() -> None:
     fleet = tiny_fleet(("m0", "m1"))
     (server,) = fleet.servers.values()
-    server.fence = 9
+    server.fencing_token = 9
     fleet.start()
     fleet.run(1.0)
     fleet.ask(ModelRef("m5"), deadline_s=20.0)
     fleet.run(4.0)
     assert fleet.judged.statuses == {OrderResult.FENCED: 1}
-    fleet.fence = 10
+    fleet.fencing_token = 10
     fleet.ask(ModelRef("m5"), deadline_s=20.0)
     fleet.run(3.0)
     assert "m5" in server.held
@@ -260,22 +260,22 @@
 
 
 def count_no_loads_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ServerRecord, "orderable", lambda self, now, fence: self.report is not None)
+    monkeypatch.setattr(ServerRecord, "orderable", lambda self, now, fencing_token: self.report is not None)
     monkeypatch.setattr(ServerRecord, "coming", lambda self: None)
 
 
 def believe_unloads_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    real = ServerRecord.held
+    real = ServerRecord.loaded
 
-    def held(self: ServerRecord) -> object:
+    def loaded(self: ServerRecord) -> object:
         seen = dict(real(self))
         going = self.going()
         if going is not None and not going.adapter:
             seen.pop(going.model, None)
         return seen
 
-    monkeypatch.setattr(ServerRecord, "held", held)
-    monkeypatch.setattr(ServerRecord, "orderable", lambda self, now, fence: self.report is not None)
+    monkeypatch.setattr(ServerRecord, "loaded", loaded)
+    monkeypatch.setattr(ServerRecord, "orderable", lambda self, now, fencing_token: self.report is not None)
 
 
 def no_bucket(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -289,8 +289,10 @@
 def no_lease_check(monkeypatch: pytest.MonkeyPatch) -> None:
     real = PlacementReconciler.due
 
-    def due(self: PlacementReconciler, now: float, holder: str, fence: int, _may: bool) -> list[object]:
-        return list(real(self, now, holder, fence, True))
+    def due(
+        self: PlacementReconciler, now: float, holder: str, fencing_token: int, _may: bool
+    ) -> list[object]:
+        return list(real(self, now, holder, fencing_token, True))
 
     monkeypatch.setattr(PlacementReconciler, "due", due)
 
--- a/tests/controlplane/test_placement_fleet.py
+++ b/tests/controlplane/test_placement_fleet.py
@@ -26,7 +26,7 @@
 from granitewell.controlplane.placement.reconciler import PlacementReconciler
 from granitewell.controlplane.placement.steps import Poll, Send
 from granitewell.domain.configuration import Engine, Model
-from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef, ServerState
+from granitewell.domain.servers import LoadedModel, ModelDemand, ModelRef, ServerState
 
 SERVICE = "llm"
 NETWORK_S = 0.002  # one way
@@ -66,12 +66,12 @@
         self.address = address
         self.zone = zone
         self.state = ServerState.READY
-        self.leaves_in_ms = -1
+        self.remaining_ms = -1
         self.up = True
         self.dark = False
         self.held: dict[str, set[str]] = {}
         self.sequence = 0
-        self.fence = 0
+        self.fencing_token = 0
         self.order: Order | None = None
         self.running: Counter[str] = Counter()
         self.on_disk: set[str] = set()
@@ -85,8 +85,8 @@
         self.snapshots.clear()  # it has held them since its start
         self.note(now)
 
-    def models(self) -> tuple[HeldModel, ...]:
-        return tuple(HeldModel(name, frozenset(adapters)) for name, adapters in self.held.items())
+    def models(self) -> tuple[LoadedModel, ...]:
+        return tuple(LoadedModel(name, frozenset(adapters)) for name, adapters in self.held.items())
 
     def note(self, now: float) -> None:
         models = {model.name: model for model in self.models()}
@@ -115,7 +115,7 @@
     unfenced: int = 0
     unloads: list[tuple[float, str, ModelRef]] = field(default_factory=list)
 
-    def most_loads(self, window_s: float) -> int:
+    def max_loads(self, window_s: float) -> int:
         most = 0
         for index, start in enumerate(self.store_loads):
             most = max(most, sum(1 for at in self.store_loads[index:] if at <= start + window_s))
@@ -146,14 +146,14 @@
         self.delay_orders = 0.0
         self.heed_revision = True
         self.may_order = True
-        self.fence = 7
+        self.fencing_token = 7
         self.judged = Judged()
         self.servers: dict[str, EngineServer] = {}
         self._names = 0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
         self._lists: deque[tuple[float, list[ListedServer]]] = deque(maxlen=64)
-        self._edge_table: dict[str, dict[str, HeldModel]] = {}
+        self._edge_table: dict[str, dict[str, LoadedModel]] = {}
         self._waiting: list[_Waiting] = []
         self._requests: Counter[ModelRef] = Counter()
         self._in_flight: Counter[ModelRef] = Counter()
@@ -199,7 +199,7 @@
         if self.now < self.reconciler.next_at():
             self._publish()
             return
-        for step in self.reconciler.due(self.now, "node-1", self.fence, self.may_order):
+        for step in self.reconciler.due(self.now, "node-1", self.fencing_token, self.may_order):
             if isinstance(step, Poll):
                 self._poll(step)
             else:
@@ -232,7 +232,7 @@
     def listed(self) -> list[ListedServer]:
         """The platform's list as it shows now."""
         entries = [
-            ListedServer(s.id, s.address, s.zone, s.state, 64, s.leaves_in_ms, s.models())
+            ListedServer(s.id, s.address, s.zone, s.state, 64, s.remaining_ms, s.models())
             for s in self.servers.values()
         ]
         self._lists.append((self.now, entries))
@@ -318,9 +318,9 @@
     def _take(self, server: EngineServer, order: Order, ticket: OrderTicket) -> OrderResult:
         if server.id != order.server_id:
             return OrderResult.OTHER_SERVER
-        if ticket.fence < server.fence:
+        if ticket.fencing_token < server.fencing_token:
             return OrderResult.FENCED
-        server.fence = ticket.fence
+        server.fencing_token = ticket.fencing_token
         if server.order is not None or (self.heed_revision and server.sequence != ticket.revision):
             return OrderResult.CONFLICT
         held = server.held.get(order.ref.model)
@@ -328,7 +328,7 @@
             return OrderResult.INVALID
         present = held is not None and (not order.ref.adapter or order.ref.adapter in held)
         if present is (order.operation is Operation.LOAD):
-            return OrderResult.HELD
+            return OrderResult.ALREADY_HOLDS
         server.sequence += 1
         server.order = order
         server.note(self.now)
@@ -498,7 +498,7 @@
         """The rules that placement must keep."""
         assert self.judged.over_limit == []
         window = 5.0
-        assert self.judged.most_loads(window) <= self.engine.loads_per_s * window * 1.1 + 3
+        assert self.judged.max_loads(window) <= self.engine.loads_per_s * window * 1.1 + 3
         assert self.judged.unfenced == 0
 
 
@@ -511,7 +511,7 @@
     return any(figures)
 
 
-def _has(ready: dict[str, HeldModel], ref: ModelRef) -> bool:
+def _has(ready: dict[str, LoadedModel], ref: ModelRef) -> bool:
     held = ready.get(ref.model)
     return held is not None and (not ref.adapter or ref.adapter in held.adapters)
 
--- a/tests/controlplane/test_placement_parts.py
+++ b/tests/controlplane/test_placement_parts.py
@@ -18,7 +18,7 @@
     Capacity,
     LoadBucket,
     LoadPace,
-    SizeBook,
+    ModelSizes,
     Usage,
     usage,
 )
@@ -44,7 +44,7 @@
 )
 from granitewell.controlplane.placement.planner import BUSY_RATE, KEEP_RATE
 from granitewell.domain.configuration import Engine, Model
-from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef, ServerState
+from granitewell.domain.servers import LoadedModel, ModelDemand, ModelRef, ServerState
 
 M = ModelRef("m")
 MODELS = (Model("m", 60_000.0, 0.6, 5, 40.0), Model("n", 30_000.0, 0.5))
@@ -98,20 +98,20 @@
     assert LoadBucket(0.0).next_at(5.0) == math.inf
 
 
-def _sizes() -> SizeBook:
-    sizes = SizeBook()
+def _sizes() -> ModelSizes:
+    sizes = ModelSizes()
     sizes.learn(ENGINE)
     return sizes
 
 
 def test_usage_counts_what_is_held_and_what_may_be_loading_once() -> None:
-    held = [HeldModel("m", frozenset({"a1"}))]
+    held = [LoadedModel("m", frozenset({"a1"}))]
     coming = [ModelRef("n"), ModelRef("m", "a1"), ModelRef("m", "a2")]
     assert usage(held, coming, _sizes()) == Usage(60_000.0 + 40.0 + 30_000.0 + 40.0, 2)
 
 
 def test_a_model_of_no_known_size_fills_the_server() -> None:
-    used = usage([HeldModel("unheard")], [], _sizes())
+    used = usage([LoadedModel("unheard")], [], _sizes())
     assert not Capacity(1e9, 8).admits(used)
 
 
@@ -240,7 +240,7 @@
 
 
 def test_a_report_as_on_the_page() -> None:
-    held = {"daka510000": HeldModel("daka510000", frozenset({"a3"}))}
+    held = {"daka510000": LoadedModel("daka510000", frozenset({"a3"}))}
     assert parse_report(REPORT) == Report(2, False, held, 12, 1)
 
 
@@ -283,7 +283,7 @@
 
 @pytest.mark.parametrize(
     ("status", "result"),
-    [(202, OrderResult.TAKEN), (200, OrderResult.HELD), (409, OrderResult.CONFLICT),
+    [(202, OrderResult.TAKEN), (200, OrderResult.ALREADY_HOLDS), (409, OrderResult.CONFLICT),
      (412, OrderResult.FENCED),
      (400, OrderResult.INVALID), (421, OrderResult.OTHER_SERVER), (500, OrderResult.UNKNOWN),
      (504, OrderResult.UNKNOWN), (429, OrderResult.INVALID)],
@@ -296,7 +296,7 @@
 
 LOAD = Order("i-1", Operation.LOAD, M)
 UNLOAD = Order("i-1", Operation.UNLOAD, M)
-HELD = {"m": HeldModel("m")}
+ALREADY_HOLDS = {"m": LoadedModel("m")}
 
 
 def _record(order: Order, stage: OrderStage) -> ServerRecord:
@@ -308,20 +308,20 @@
 @pytest.mark.parametrize(
     ("order", "stage", "asked_at", "report", "settled"),
     [
-        (LOAD, OrderStage.SENDING, 20.0, Report(5, False, HELD), False),
+        (LOAD, OrderStage.SENDING, 20.0, Report(5, False, ALREADY_HOLDS), False),
         (LOAD, OrderStage.TAKEN, 10.1, Report(4, False, {}), False),  # older than the order
         (LOAD, OrderStage.TAKEN, 10.3, Report(5, True, {}), False),
-        (LOAD, OrderStage.TAKEN, 10.8, Report(5, False, HELD), True),
+        (LOAD, OrderStage.TAKEN, 10.8, Report(5, False, ALREADY_HOLDS), True),
         (LOAD, OrderStage.TAKEN, 10.8, Report(5, False, {}), False),
         (LOAD, OrderStage.TAKEN, 10.8 + OVERDUE_S, Report(5, False, {}), True),
-        (UNLOAD, OrderStage.TAKEN, 10.1, Report(5, False, HELD), False),
+        (UNLOAD, OrderStage.TAKEN, 10.1, Report(5, False, ALREADY_HOLDS), False),
         (UNLOAD, OrderStage.TAKEN, 10.1, Report(5, False, {}), True),
         (LOAD, OrderStage.UNKNOWN, 10.1, Report(4, False, {}), False),
         (LOAD, OrderStage.UNKNOWN, 10.1 + REPORT_LAG_S, Report(4, False, {}), True),
         (LOAD, OrderStage.UNKNOWN, 10.1 + REPORT_LAG_S, Report(5, True, {}), False),
-        (LOAD, OrderStage.UNKNOWN, 10.3, Report(5, False, HELD), True),
+        (LOAD, OrderStage.UNKNOWN, 10.3, Report(5, False, ALREADY_HOLDS), True),
         (LOAD, OrderStage.SETTLING, 10.3, Report(4, False, {}), False),
-        (LOAD, OrderStage.SETTLING, 10.1 + REPORT_LAG_S, Report(4, False, HELD), True),
+        (LOAD, OrderStage.SETTLING, 10.1 + REPORT_LAG_S, Report(4, False, ALREADY_HOLDS), True),
     ],
 )
 def test_when_an_order_is_off_the_record(
@@ -346,8 +346,8 @@
 
 def test_what_is_being_unloaded_is_not_ready() -> None:
     record = _record(UNLOAD, OrderStage.TAKEN)
-    record.report = Report(4, False, {"m": HeldModel("m"), "n": HeldModel("n")})
+    record.report = Report(4, False, {"m": LoadedModel("m"), "n": LoadedModel("n")})
     assert set(record.ready()) == {"n"}
     record.pending = PendingOrder(Order("i-1", Operation.UNLOAD, ModelRef("m", "a1")), 4, 0.0, 0.1)
-    record.report = Report(4, False, {"m": HeldModel("m", frozenset({"a1", "a2"}))})
-    assert record.ready() == {"m": HeldModel("m", frozenset({"a2"}))}
+    record.report = Report(4, False, {"m": LoadedModel("m", frozenset({"a1", "a2"}))})
+    assert record.ready() == {"m": LoadedModel("m", frozenset({"a2"}))}
--- a/tests/controlplane/test_placement_planner.py
+++ b/tests/controlplane/test_placement_planner.py
@@ -9,17 +9,17 @@
 from hypothesis import strategies as st
 
 from granitewell.controlplane.placement.demand import DemandView, RefDemand
-from granitewell.controlplane.placement.limits import Capacity, SizeBook, usage
+from granitewell.controlplane.placement.limits import Capacity, ModelSizes, usage
 from granitewell.controlplane.placement.orders import Operation, Order
 from granitewell.controlplane.placement.planner import ServerView, StoreView, plan
 from granitewell.domain.configuration import Engine, Model
-from granitewell.domain.servers import HeldModel, ModelRef
+from granitewell.domain.servers import LoadedModel, ModelRef
 
 MODELS = tuple(
     Model(f"m{i}", (60_000.0, 34_000.0, 72_000.0)[i % 3], 0.6, 10 if i < 4 else 0, 40.0) for i in range(20)
 )
 ENGINE = Engine(64, MODELS, 200_000.0, 4, 5.0)
-SIZES = SizeBook()
+SIZES = ModelSizes()
 SIZES.learn(ENGINE)
 STORE = StoreView(2, 4)
 WAITING = RefDemand(0.05, 0.1, 0, 1, 99.9, 0)
@@ -27,7 +27,7 @@
 
 def server(
     number: int,
-    *held: HeldModel | str,
+    *held: LoadedModel | str,
     zone: str = "z",
     coming: ModelRef | None = None,
     going: ModelRef | None = None,
@@ -37,13 +37,13 @@
     purpose: ModelRef | None = None,
 ) -> ServerView:
     models = {
-        model.name: model for model in (HeldModel(one) if isinstance(one, str) else one for one in held)
+        model.name: model for model in (LoadedModel(one) if isinstance(one, str) else one for one in held)
     }
     used = usage(models.values(), () if coming is None else (coming,), SIZES)
     return ServerView(
         f"i-{number}", zone, 64, lasting, orderable and coming is None and going is None, models,
         ENGINE.weights_mb - used.mb, ENGINE.max_adapters - used.adapters, going, coming, purpose,
-        held_before=before | set(models),
+        loaded_before=before | set(models),
     )  # fmt: skip
 
 
@@ -109,7 +109,7 @@
 
 
 def test_an_unknown_model_is_unloaded_first() -> None:
-    stuck = ServerView("i-1", "z", 64, True, True, {"unheard": HeldModel("unheard")}, float("-inf"), 4)
+    stuck = ServerView("i-1", "z", 64, True, True, {"unheard": LoadedModel("unheard")}, float("-inf"), 4)
     (order,) = planned([stuck], {"m9": WAITING})
     assert (order.operation, order.ref) == (Operation.UNLOAD, ModelRef("unheard"))
 
@@ -175,10 +175,10 @@
     views = []
     for number in range(draw(st.integers(1, 6))):
         names = draw(st.lists(st.sampled_from(_NAMES), max_size=5, unique=True))
-        held: list[HeldModel] = []
+        held: list[LoadedModel] = []
         for name in names:
             adapters = frozenset(draw(st.lists(st.sampled_from(["a1", "a2", "a3"]), max_size=2)))
-            model = HeldModel(name, adapters if name in _NAMES[:4] else frozenset())
+            model = LoadedModel(name, adapters if name in _NAMES[:4] else frozenset())
             if Capacity(ENGINE.weights_mb, ENGINE.max_adapters).admits(usage([*held, model], (), SIZES)):
                 held.append(model)
         coming = draw(st.none() | st.sampled_from([ModelRef(name) for name in _NAMES]))
@@ -240,9 +240,9 @@
     if order.operation is Operation.LOAD:
         assert not target.has(order.ref)
         assert not order.ref.adapter or target.has(ModelRef(order.ref.model))
-        after = usage(target.held.values(), (order.ref,), SIZES)
+        after = usage(target.loaded.values(), (order.ref,), SIZES)
         assert Capacity(ENGINE.weights_mb, ENGINE.max_adapters).admits(after)
-        expected = not order.ref.adapter and order.ref.model not in target.held_before
+        expected = not order.ref.adapter and order.ref.model not in target.loaded_before
         assert order.from_store is expected
     else:
         assert target.has(order.ref)
@@ -256,7 +256,7 @@
         seen = models.get(name)
         if seen is None or not (seen.in_flight or seen.waiting):
             continue
-        left = [s for s in servers if s.lasting and name in s.held and (s.id, name) not in gone]
+        left = [s for s in servers if s.lasting and name in s.loaded and (s.id, name) not in gone]
         assert left
 
 
@@ -276,11 +276,11 @@
 def test_a_plan_for_many_servers_and_models_is_quick() -> None:
     models = tuple(Model(f"m{i}", 60_000.0, 0.6, 5, 40.0) for i in range(178))
     engine = Engine(64, models, 200_000.0, 8, 17.0)
-    sizes = SizeBook()
+    sizes = ModelSizes()
     sizes.learn(engine)
     views = []
     for n in range(30):
-        held = {name: HeldModel(name) for name in (f"m{(3 * n + k) % 178}" for k in range(3))}
+        held = {name: LoadedModel(name) for name in (f"m{(3 * n + k) % 178}" for k in range(3))}
         views.append(ServerView(f"i-{n}", f"z{n % 4}", 64, True, True, held, 20_000.0, 8))
     demand = {f"m{i}": RefDemand(3.0, 0.2, 1) for i in range(15)}
     demand.update({f"m{i}": RefDemand(0.05, i / 10) for i in range(15, 150)})
--- a/tests/controlplane/test_publication.py
+++ b/tests/controlplane/test_publication.py
@@ -18,13 +18,13 @@
     update_from_message,
 )
 from granitewell.controlplane.publication.table import ServerTable, Update, Version
-from granitewell.domain.servers import HeldModel, Server, ServerState
+from granitewell.domain.servers import LoadedModel, Server, ServerState
 from granitewell.rpc.messages import TableVersion, WatchReply, WatchRequest, decode, encode
 
 
 def server(name: str, *models: str) -> Server:
     return Server(
-        name, "svc", "10.0.0.1:80", "z", 4, ServerState.READY, -1, {m: HeldModel(m) for m in models}
+        name, "svc", "10.0.0.1:80", "z", 4, ServerState.READY, -1, {m: LoadedModel(m) for m in models}
     )
 
 
@@ -40,7 +40,7 @@
         self.servers: dict[str, Server] = {}
 
     def take(self, update: Update) -> None:
-        if update.whole:
+        if update.is_complete:
             self.servers = {}
         for key in update.removed:
             self.servers.pop(key, None)
@@ -48,7 +48,7 @@
         self.version = update.version
 
 
-def play(seed: int, most_removed: int = 2_000) -> None:
+def play(seed: int, max_removed: int = 2_000) -> None:
     """Owner, a copy, and watchers that ask either of them now and then; owners change."""
     rng = Random(seed)
     owner, copy, watchers = ServerTable(), ServerTable(), [Watcher() for _ in range(3)]
@@ -89,7 +89,7 @@
 
     def since(self: ServerTable, version: Version) -> Update:
         update = real(self, version)
-        return Update(update.version, update.whole, update.changed, ())
+        return Update(update.version, update.is_complete, update.changed, ())
 
     monkeypatch.setattr(ServerTable, "since", since)
     with pytest.raises(AssertionError):
@@ -125,7 +125,7 @@
 @dataclass
 class Delta:
     version: int
-    whole: bool = True
+    is_complete: bool = True
     documents: tuple[bytes, ...] = (b"{}",)
 
 
@@ -169,7 +169,7 @@
     assert reply.configuration.version == 7
     assert reply.control_nodes == ["10.0.0.1:7660"]
     update = update_from_message(reply.tables[0])
-    assert update.whole and [one.id for one in update.changed] == ["a"]
+    assert update.is_complete and [one.id for one in update.changed] == ["a"]
     assert reply.tables[0].list_age_ms == 250
     assert reply.edges == 1
 
@@ -191,7 +191,7 @@
 
     reply = asyncio.run(play_it())
     assert [one.id for one in update_from_message(reply.tables[0]).changed] == ["b"]
-    assert not reply.tables[0].whole
+    assert not reply.tables[0].is_complete
 
 
 def test_without_news_the_reply_after_the_hold_tells_the_age_of_the_list() -> None:
@@ -240,7 +240,7 @@
     edges = EdgeCounter()
     edges.asked("e1", 0.0)
     edges.asked("e2", 0.0)
-    edges.told("core-2", 3, 0.0)
+    edges.notified("core-2", 3, 0.0)
     assert edges.all(1.0) == 5
     edges.asked("e1", 5.0)
     assert edges.all(5.0) == 1
@@ -249,7 +249,7 @@
 
 def test_the_peak_of_edges_divides_shared_budgets() -> None:
     edges = EdgeCounter()
-    edges.told("core-2", 8, 0.0)
+    edges.notified("core-2", 8, 0.0)
     assert edges.most(0.0) == 8
     assert edges.all(10.0) == 1
     assert edges.most(10.0) == 8
--- a/tests/coordination/defects.py
+++ b/tests/coordination/defects.py
@@ -81,7 +81,7 @@
 
 def changes_overlap(patch: pytest.MonkeyPatch) -> None:
     """The next change of members does not wait until the one before is committed."""
-    patch.setattr(Leadership, "_may_change", lambda self: not self.given_up)
+    patch.setattr(Leadership, "_may_change", lambda self: not self.stepped_down)
 
 
 def lease_from_reply(patch: pytest.MonkeyPatch) -> None:
@@ -97,20 +97,20 @@
 
 def hand_over_keeps_lease(patch: pytest.MonkeyPatch) -> None:
     """The leader that hands over goes on leading until it hears of its successor."""
-    real = Leadership._finish_hand_over
+    real = Leadership._finish_transfer
 
     def finish(self: Leadership) -> None:
         real(self)
-        self.given_up = False
+        self.stepped_down = False
 
-    patch.setattr(Leadership, "_finish_hand_over", finish)
+    patch.setattr(Leadership, "_finish_transfer", finish)
 
 
 def lease_without_own_entry(patch: pytest.MonkeyPatch) -> None:
     """A new leader answers before an entry of its term is committed."""
 
     def holds_lease(self: Leadership, now: float) -> bool:
-        return not self.given_up and now < self.acknowledged_at(now) + self._core.settings.lease_s
+        return not self.stepped_down and now < self.acknowledged_at(now) + self._core.settings.lease_s
 
     patch.setattr(Leadership, "holds_lease", holds_lease)
 
--- a/tests/coordination/invariants.py
+++ b/tests/coordination/invariants.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from granitewell.coordination.consensus.encoding import unpack_end
+from granitewell.coordination.consensus.encoding import decode_end
 from granitewell.coordination.consensus.identity import FIRST_INDEX
 from granitewell.coordination.consensus.messages import Message, VoteReply
 from granitewell.coordination.consensus.replica import Replica
@@ -60,7 +60,7 @@
         """
         if entry.kind is EntryKind.CHANGE_VOTERS:
             self.change_began = entry
-        if entry.kind is EntryKind.END_CHANGE and unpack_end(entry.data):
+        if entry.kind is EntryKind.END_CHANGE and decode_end(entry.data):
             began = self.change_began
             holders = self.copies.get((began.index, began.term), set())
             for member in membership.voters:
--- a/tests/coordination/test_catch_up.py
+++ b/tests/coordination/test_catch_up.py
@@ -82,14 +82,14 @@
 
         self.cluster.send = counted  # type: ignore[method-assign]
 
-    async def catch_up_s(self, changes_s: float, most_s: float = MAX_CATCH_UP_S) -> float:
+    async def catch_up_s(self, changes_s: float, max_s: float = MAX_CATCH_UP_S) -> float:
         """How long it takes until it votes and has what the leader had a moment before."""
         loop = self.cluster.loop
         began_at = loop.time()
         await self.start_behind()
         changes = asyncio.ensure_future(self._change_on(changes_s))
         try:
-            await until(lambda: is_level(self.leader, self.behind), 1.1 * most_s)
+            await until(lambda: is_level(self.leader, self.behind), 1.1 * max_s)
         finally:
             changes.cancel()
         return loop.time() - began_at
--- a/tests/coordination/test_codec.py
+++ b/tests/coordination/test_codec.py
@@ -15,15 +15,15 @@
 from granitewell.coordination.consensus.encoding import (
     NewerMembershipFormatError,
     check_flat,
-    pack_change,
-    pack_end,
-    pack_entries,
-    pack_list,
-    pack_member,
-    pack_membership,
-    unpack_entries,
-    unpack_list,
-    unpack_membership,
+    decode_entries,
+    decode_list,
+    decode_membership,
+    encode_change,
+    encode_end,
+    encode_entries,
+    encode_list,
+    encode_member,
+    encode_membership,
 )
 from granitewell.coordination.consensus.messages import Message
 from granitewell.coordination.consensus.storage import (
@@ -61,10 +61,10 @@
     VoterChange, st.lists(MEMBERS, max_size=3).map(tuple), st.lists(MEMBERS, max_size=3).map(tuple)
 )
 DATA_OF = {
-    EntryKind.ADD_VOTER: MEMBERS.map(pack_member),
-    EntryKind.REMOVE_VOTER: MEMBERS.map(pack_member),
-    EntryKind.CHANGE_VOTERS: CHANGES.map(pack_change),
-    EntryKind.END_CHANGE: st.booleans().map(pack_end),
+    EntryKind.ADD_VOTER: MEMBERS.map(encode_member),
+    EntryKind.REMOVE_VOTER: MEMBERS.map(encode_member),
+    EntryKind.CHANGE_VOTERS: CHANGES.map(encode_change),
+    EntryKind.END_CHANGE: st.booleans().map(encode_end),
 }
 
 
@@ -101,7 +101,7 @@
     st.builds(messages.AppendReply, IDS, IDS, NUMBERS, st.booleans(), NUMBERS),
     chunks(),
     st.builds(messages.SnapshotReply, IDS, IDS, NUMBERS, NUMBERS, NUMBERS),
-    st.builds(messages.HandOver, IDS, IDS, NUMBERS),
+    st.builds(messages.TimeoutNow, IDS, IDS, NUMBERS),
     st.builds(messages.Join, IDS, st.just(""), NUMBERS, MEMBERS, st.booleans()),
     st.builds(messages.Removed, IDS, IDS, NUMBERS),
     st.builds(messages.Leave, IDS, IDS, NUMBERS),
@@ -209,7 +209,7 @@
 
 
 NEWER_ENTRIES = (
-    Entry(4, 5, EntryKind.CHANGE_VOTERS, b"\2" + pack_change(VoterChange((), ()))[1:]),
+    Entry(4, 5, EntryKind.CHANGE_VOTERS, b"\2" + encode_change(VoterChange((), ()))[1:]),
     Entry(4, 5, EntryKind.END_CHANGE, b"\2\1"),
 )
 
@@ -217,7 +217,7 @@
 @pytest.mark.parametrize("entry", NEWER_ENTRIES, ids=lambda entry: entry.kind.name)
 def test_a_change_of_members_of_a_newer_version_is_refused_and_named(entry: Entry) -> None:
     with pytest.raises(NewerMembershipFormatError, match="version 2, known: 1"):
-        unpack_entries(pack_entries((entry,)))
+        decode_entries(encode_entries((entry,)))
     with pytest.raises(UnreadableRecordsError, match="version 2, known: 1"):
         decode_records(encode_records([entry]))
 
@@ -225,33 +225,33 @@
 @pytest.mark.parametrize("data", [b"", b"\1", b"\1\2", b"\1\1\1"])
 def test_an_end_of_a_change_that_says_nothing_is_refused(data: bytes) -> None:
     with pytest.raises(MalformedFrameError):
-        unpack_entries(pack_entries((Entry(4, 5, EntryKind.END_CHANGE, data),)))
+        decode_entries(encode_entries((Entry(4, 5, EntryKind.END_CHANGE, data),)))
 
 
 def test_members_of_a_newer_version_are_refused_and_those_of_an_older_one_read() -> None:
     member = Member("me", "node", "1.2.3.4:5")
-    parts = unpack_list(pack_membership(Membership((member,), ("gone",), (member,))))
-    assert unpack_membership(pack_list(parts[:2])) == Membership((member,), ("gone",))
+    parts = decode_list(encode_membership(Membership((member,), ("gone",), (member,))))
+    assert decode_membership(encode_list(parts[:2])) == Membership((member,), ("gone",))
     with pytest.raises(NewerMembershipFormatError, match="4 parts"):
-        unpack_membership(pack_list([*parts, b""]))
+        decode_membership(encode_list([*parts, b""]))
 
 
 @given(st.lists(st.binary(max_size=20), max_size=5))
 @settings(deadline=None)
 def test_lists_come_back_as_they_were_and_cuts_are_bad(parts: list[bytes]) -> None:
-    data = pack_list(parts)
-    assert unpack_list(data) == parts
-    ends = {len(pack_list(parts[:count])) for count in range(len(parts) + 1)}
+    data = encode_list(parts)
+    assert decode_list(data) == parts
+    ends = {len(encode_list(parts[:count])) for count in range(len(parts) + 1)}
     for length in set(range(len(data))) - ends:
         with pytest.raises(MalformedFrameError):
-            unpack_list(data[:length])
+            decode_list(data[:length])
 
 
 def test_entries_that_are_cut_are_bad() -> None:
-    data = pack_entries((Entry(1, 1, EntryKind.DATA, b"abc"),))
+    data = encode_entries((Entry(1, 1, EntryKind.DATA, b"abc"),))
     for length in range(1, len(data)):
         with pytest.raises(MalformedFrameError):
-            unpack_entries(data[:length])
+            decode_entries(data[:length])
 
 
 def test_a_struct_of_plain_fields_is_flat() -> None:
--- a/tests/coordination/test_crash_points.py
+++ b/tests/coordination/test_crash_points.py
@@ -233,7 +233,7 @@
         if contents.length < len(data):
             self._files.truncate(handle, contents.length)
 
-    patch.setattr(LogFile, "_settle", settle)
+    patch.setattr(LogFile, "_sync_contents", settle)
 
 
 def tail_is_only_synced(patch: pytest.MonkeyPatch) -> None:
@@ -244,7 +244,7 @@
             self._files.truncate(handle, contents.length)
         self._files.sync(handle)
 
-    patch.setattr(LogFile, "_settle", settle)
+    patch.setattr(LogFile, "_sync_contents", settle)
 
 
 def rewrite_in_place(patch: pytest.MonkeyPatch) -> None:
--- a/tests/coordination/test_full_disk.py
+++ b/tests/coordination/test_full_disk.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from granitewell.coordination.consensus.pending_messages import MAX_HELD
+from granitewell.coordination.consensus.pending_messages import MAX_PENDING_MESSAGES
 from granitewell.coordination.consensus.progress import Progress
 from granitewell.coordination.consensus.settings import KIBIBYTE, ReplicaSettings
 from granitewell.coordination.consensus.types import Role
@@ -202,7 +202,7 @@
             log = group_of(follower)._log
             assert log is not None
             most = max(most, log.waiting_bytes)
-            assert held(follower) <= MAX_HELD * 20
+            assert held(follower) <= MAX_PENDING_MESSAGES * 20
         day.free()
         await until(lambda: is_settled(follower), HEAL_S)
 
@@ -213,7 +213,7 @@
 
 def held(node: Node) -> int:
     """Messages that wait for a node's disk."""
-    return sum(len(entry.messages) for entry in group_of(node)._held._held)
+    return sum(len(entry.messages) for entry in group_of(node)._pending._pending)
 
 
 def test_terms_do_not_rise_while_a_majority_can_keep_no_vote() -> None:
--- a/tests/coordination/test_group.py
+++ b/tests/coordination/test_group.py
@@ -11,7 +11,7 @@
 
 from granitewell.coordination.consensus.group import ReplicatedGroup
 from granitewell.coordination.consensus.messages import AppendReply
-from granitewell.coordination.consensus.pending_messages import MAX_HELD, HeldMessages
+from granitewell.coordination.consensus.pending_messages import MAX_PENDING_MESSAGES, PendingMessages
 from granitewell.coordination.consensus.ready import Outgoing, Ready
 from granitewell.coordination.consensus.settings import ReplicaSettings
 from granitewell.coordination.consensus.storage import UnknownRecordError
@@ -31,14 +31,14 @@
         group = group_of(leader)
         assert await group.propose(b"one") == 1
         assert await group.propose(b"two") == 2
-        assert len(group.members) == 3 and group.is_leader and group.contact_age_s() == 0
+        assert len(group.members) == 3 and group.is_leader and group.read_staleness_s() == 0
         await asyncio.sleep(0.2)
         for node in cluster.nodes.values():
             assert node.machine.words == [b"one", b"two"]
             assert group_of(node).applied_index == group.applied_index
             assert group_of(node).leader_address == leader.address
             assert group_of(node).term == group.term
-            assert group_of(node).contact_age_s() < 0.3
+            assert group_of(node).read_staleness_s() < 0.3
             assert 0 < node.changes < 20
 
     run(day())
@@ -300,7 +300,7 @@
         await asyncio.sleep(10)
         assert group_of(leader).holds_lease()
         settings = cluster.settings
-        assert ticks < 10 * (1 / settings.heartbeat_s + 2 * 2 / settings.election_least_s)
+        assert ticks < 10 * (1 / settings.heartbeat_s + 2 * 2 / settings.election_timeout_min_s)
 
     run(day())
 
@@ -313,7 +313,7 @@
         await asyncio.sleep(0)
         group = group_of(node)
         assert not group.holds_lease() and not group.is_leader and group.leader_address is None
-        assert group.term == 0 and group.members == () and group.contact_age_s() == float("inf")
+        assert group.term == 0 and group.members == () and group.read_staleness_s() == float("inf")
         with pytest.raises(NotLeaderError):
             await group.propose(b"one")
         await starting
@@ -432,11 +432,14 @@
 
 
 def test_replies_that_wait_for_a_full_disk_stay_bounded() -> None:
-    held = HeldMessages()
-    for number in range(10 * MAX_HELD):
-        held.hold(1, number, (Outgoing("peer", AppendReply("me", "peer", 2, True, number)),))
-    held.hold(2, 10 * MAX_HELD, ())
+    held = PendingMessages()
+    for number in range(10 * MAX_PENDING_MESSAGES):
+        held.add(1, number, (Outgoing("peer", AppendReply("me", "peer", 2, True, number)),))
+    held.add(2, 10 * MAX_PENDING_MESSAGES, ())
     released = held.release(1)
     indexes = [outgoing.message.index for outgoing in released.messages]  # type: ignore[attr-defined]
-    assert indexes == list(range(9 * MAX_HELD, 10 * MAX_HELD)) and released.batch == 10 * MAX_HELD - 1
-    assert held.release(2).batch == 10 * MAX_HELD
+    assert (
+        indexes == list(range(9 * MAX_PENDING_MESSAGES, 10 * MAX_PENDING_MESSAGES))
+        and released.batch == 10 * MAX_PENDING_MESSAGES - 1
+    )
+    assert held.release(2).batch == 10 * MAX_PENDING_MESSAGES
--- a/tests/coordination/test_joint_consensus.py
+++ b/tests/coordination/test_joint_consensus.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from granitewell.coordination.consensus.encoding import pack_change, pack_end, pack_member
+from granitewell.coordination.consensus.encoding import encode_change, encode_end, encode_member
 from granitewell.coordination.consensus.membership import after_entry, is_voter, stays_voter
 from granitewell.coordination.consensus.quorum import NEVER, Quorum, quorum_of
 from granitewell.coordination.consensus.types import Entry, EntryKind, Member, Membership, VoterChange
@@ -59,29 +59,29 @@
 def test_a_change_begins_with_both_sides_and_ends_with_either() -> None:
     before = Membership(ids("a", "b", "old"), ("gone",))
     change = VoterChange(ids("new"), ids("old"))
-    joint = changed(before, EntryKind.CHANGE_VOTERS, pack_change(change))
+    joint = changed(before, EntryKind.CHANGE_VOTERS, encode_change(change))
     assert joint == Membership(ids("a", "b", "new"), ("gone",), before.voters)
     assert {member.replica_id for member in joint.all_voters()} == {"a", "b", "old", "new"}
     assert is_voter(joint, "old") and not stays_voter(joint, "old")
-    taken_over = changed(joint, EntryKind.END_CHANGE, pack_end(True))
+    taken_over = changed(joint, EntryKind.END_CHANGE, encode_end(True))
     assert taken_over == Membership(ids("a", "b", "new"), ("gone", "old"))
-    assert changed(joint, EntryKind.END_CHANGE, pack_end(False)) == before
-    assert changed(before, EntryKind.END_CHANGE, pack_end(True)) == before
+    assert changed(joint, EntryKind.END_CHANGE, encode_end(False)) == before
+    assert changed(before, EntryKind.END_CHANGE, encode_end(True)) == before
 
 
 def test_entries_of_older_versions_still_change_members() -> None:
     before = Membership(ids("a", "b", "c"))
     (member,) = ids("d")
-    added = changed(before, EntryKind.ADD_VOTER, pack_member(member))
+    added = changed(before, EntryKind.ADD_VOTER, encode_member(member))
     assert added == Membership(ids("a", "b", "c", "d"))
-    removed = changed(added, EntryKind.REMOVE_VOTER, pack_member(ids("a")[0]))
+    removed = changed(added, EntryKind.REMOVE_VOTER, encode_member(ids("a")[0]))
     assert removed == Membership(ids("b", "c", "d"), ("a",))
 
 
 @pytest.mark.parametrize("replica_id", ["a", "old", "new"])
 def test_a_voter_that_moves_while_members_change_changes_no_quorum(replica_id: str) -> None:
     joint = Membership(ids("a", "b", "new"), (), ids("a", "b", "old"))
-    moved = changed(joint, EntryKind.ADD_VOTER, pack_member(Member(replica_id, replica_id, "elsewhere:1")))
+    moved = changed(joint, EntryKind.ADD_VOTER, encode_member(Member(replica_id, replica_id, "elsewhere:1")))
     assert quorum_of(moved) == quorum_of(joint)
     assert "elsewhere:1" in {member.address for member in moved.all_voters()}
 
--- a/tests/coordination/test_persistence.py
+++ b/tests/coordination/test_persistence.py
@@ -19,9 +19,9 @@
 def test_a_batch_counts_once_it_is_synced() -> None:
     persistence = Persistence(3, 1)
     batch = taken(persistence, 5, 2)
-    assert (persistence.stable_index, persistence.stable_term, persistence.settled) == (3, 1, False)
+    assert (persistence.stable_index, persistence.stable_term, persistence.is_idle) == (3, 1, False)
     persistence.persisted(batch)
-    assert (persistence.stable_index, persistence.stable_term, persistence.settled) == (5, 2, True)
+    assert (persistence.stable_index, persistence.stable_term, persistence.is_idle) == (5, 2, True)
 
 
 def test_entries_that_were_dropped_on_the_way_do_not_count() -> None:
--- a/tests/coordination/test_read_staleness.py
+++ b/tests/coordination/test_read_staleness.py
@@ -14,7 +14,7 @@
 import pytest
 
 from granitewell.coordination.consensus.messages import Heartbeat
-from granitewell.coordination.consensus.read_staleness import LeaderContact, _Proof
+from granitewell.coordination.consensus.read_staleness import ReadStaleness, _Proof
 from granitewell.coordination.consensus.replica import Replica
 from granitewell.coordination.consensus.types import Entry, Membership, Role
 from tests.coordination import faults, test_scenarios
@@ -65,7 +65,7 @@
             self._check_age(process)
 
     def _check_age(self, process: Process) -> None:
-        age_s = process.replica.contact_age(process.now) / process.machine.rate
+        age_s = process.replica.read_staleness(process.now) / process.machine.rate
         if age_s == float("inf"):
             return
         least = self.timed.committed_before(self.now - age_s - CLOCK_SLACK_S)
@@ -100,7 +100,7 @@
     group.run(1)
     process = process_of(group.others[0])
     assert process.applied_index == group.world.invariants.last_committed
-    assert process.replica.contact_age(process.now) < 0.5
+    assert process.replica.read_staleness(process.now) < 0.5
 
 
 def test_a_follower_that_hears_and_is_not_heard_is_out_of_touch() -> None:
@@ -109,7 +109,7 @@
     group.world.links[follower.address, deaf.address] = Link(cut=True)
     changes(group, 3)
     process = process_of(follower)
-    assert process.replica.contact_age(process.now) > 2
+    assert process.replica.read_staleness(process.now) > 2
 
 
 def test_a_member_that_restarts_is_in_touch_only_once_it_has_caught_up() -> None:
@@ -123,7 +123,7 @@
     group.heal()
     group.run(1)
     process = process_of(follower)
-    assert process.replica.contact_age(process.now) < 0.5
+    assert process.replica.read_staleness(process.now) < 0.5
 
 
 def test_heartbeats_that_waited_for_a_frozen_process_are_no_contact() -> None:
@@ -137,7 +137,7 @@
             group.cut(frozen, other)
     changes(group, 3)
     process.thaw()
-    assert process.replica.contact_age(process.now) > 3
+    assert process.replica.read_staleness(process.now) > 3
 
 
 def test_a_new_leader_that_can_commit_nothing_is_out_of_touch() -> None:
@@ -150,7 +150,7 @@
     group.heal()
     group.run(1.5)
     leading = next(machine for machine in group.others if process_of(machine).replica.role is Role.LEADER)
-    assert process_of(leading).replica.contact_age(process_of(leading).now) < 0.5
+    assert process_of(leading).replica.read_staleness(process_of(leading).now) < 0.5
 
 
 # --- Days by seed -----------------------------------------------------------------------------------------
@@ -177,19 +177,19 @@
 def counted_from_arrival(patch: pytest.MonkeyPatch) -> None:
     """A heartbeat counts from when it has come."""
 
-    def on_heartbeat(self: LeaderContact, message: Heartbeat, now: float) -> int:
+    def on_heartbeat(self: ReadStaleness, message: Heartbeat, now: float) -> int:
         if message.leased:
             self._proofs.append(_Proof(message.leader_commit_index, now))
         return 0
 
-    patch.setattr(LeaderContact, "on_heartbeat", on_heartbeat)
+    patch.setattr(ReadStaleness, "on_heartbeat", on_heartbeat)
 
 
 def lease_not_asked(patch: pytest.MonkeyPatch) -> None:
     """The heartbeat of a leader that has lost its lease counts."""
-    real = LeaderContact.on_heartbeat
+    real = ReadStaleness.on_heartbeat
     patch.setattr(
-        LeaderContact,
+        ReadStaleness,
         "on_heartbeat",
         lambda self, message, now: real(self, replace(message, leased=True), now),
     )
@@ -197,20 +197,20 @@
 
 def commit_index_not_asked(patch: pytest.MonkeyPatch) -> None:
     """Contact counts before what the leader has committed is here."""
-    real = LeaderContact.proven_at
-    patch.setattr(LeaderContact, "proven_at", lambda self, commit_index: real(self, 1 << 62))
+    real = ReadStaleness.proven_at
+    patch.setattr(ReadStaleness, "proven_at", lambda self, commit_index: real(self, 1 << 62))
 
 
 def leader_before_its_first_entry(patch: pytest.MonkeyPatch) -> None:
     """A leader counts as in touch before an entry of its term is committed."""
 
-    def contact_age(self: Replica, now: float) -> float:
+    def read_staleness(self: Replica, now: float) -> float:
         if self._roles.leadership is None:
             return real(self, now)
         return now - self._roles.leadership.acknowledged_at(now)
 
-    real = Replica.contact_age
-    patch.setattr(Replica, "contact_age", contact_age)
+    real = Replica.read_staleness
+    patch.setattr(Replica, "read_staleness", read_staleness)
 
 
 @pytest.mark.parametrize(
--- a/tests/coordination/test_scenarios.py
+++ b/tests/coordination/test_scenarios.py
@@ -128,7 +128,7 @@
     spare = group.add_spare()
     group.run(3.5)
     assert voters(group) == {machine.address for machine in group.world.machines} - {left.address}
-    assert process_of(spare).replica.contact_age(process_of(spare).now) < 0.5
+    assert process_of(spare).replica.read_staleness(process_of(spare).now) < 0.5
 
 
 def test_a_wiped_machine_that_knows_no_seed_is_found_by_its_address() -> None:
@@ -149,7 +149,7 @@
     assert spare.address not in voters(group)
     replica = process_of(spare).replica
     assert replica.commit_index == process_of(group.leader).replica.commit_index
-    assert replica.contact_age(process_of(spare).now) < 0.5
+    assert replica.read_staleness(process_of(spare).now) < 0.5
 
 
 def test_a_voter_that_was_replaced_while_cut_off_joins_under_a_fresh_id() -> None:
@@ -164,7 +164,7 @@
     group.run(4)
     process = process_of(cut_off)
     assert process.replica.replica_id != old_id
-    assert process.replica.contact_age(process.now) < 0.5
+    assert process.replica.read_staleness(process.now) < 0.5
 
 
 def test_a_replaced_voter_that_nobody_tells_stays_outside(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -398,7 +398,7 @@
     assert group.world.holder() is not None
     process.frozen = False
     assert not process.replica.holds_lease(process.now)
-    assert process.replica.contact_age(process.now) > 2
+    assert process.replica.read_staleness(process.now) > 2
     process.thaw()
     group.run(1)
     assert process.replica.role is Role.FOLLOWER
@@ -410,7 +410,7 @@
     group.run(1.2)
     process = process_of(group.leader)
     assert process.replica.role is not Role.LEADER
-    assert process.replica.contact_age(process.now) > 1
+    assert process.replica.read_staleness(process.now) > 1
 
 
 def test_a_replica_that_was_cut_off_disturbs_no_leader() -> None:
@@ -505,11 +505,11 @@
         group.run(0.05)
     spare = group.add_spare()
     core = process_of(spare).replica._core
-    core.settings, all_settings = replace(core.settings, snapshot_most_bytes=-1), core.settings
+    core.settings, all_settings = replace(core.settings, snapshot_max_bytes=-1), core.settings
     group.run(2)
     assert core.commit_index == 0 and core.leader_id is not None
-    assert process_of(spare).replica.contact_age(process_of(spare).now) > 1.5
+    assert process_of(spare).replica.read_staleness(process_of(spare).now) > 1.5
     core.settings = all_settings
     group.run(1)
     assert core.commit_index == process_of(group.leader).replica.commit_index
-    assert process_of(spare).replica.contact_age(process_of(spare).now) < 0.5
+    assert process_of(spare).replica.read_staleness(process_of(spare).now) < 0.5
--- a/tests/dataplane/node_world.py
+++ b/tests/dataplane/node_world.py
@@ -38,7 +38,7 @@
 
     Attributes:
         told_s: Its deadline, None: it tells none.
-        timeout_s and least_timeout_s: Of the route, the longest and shortest that were in force while it was
+        timeout_s and min_timeout_s: Of the route, the longest and shortest that were in force while it was
             under way.
     """
 
@@ -50,7 +50,7 @@
     answer: Message | None = None
     ended_at: float | None = None
     timeout_s: float = 0.0
-    least_timeout_s: float = 0.0
+    min_timeout_s: float = 0.0
 
     @property
     def due_at(self) -> float:
@@ -60,7 +60,7 @@
     @property
     def soonest_due_at(self) -> float:
         """When its time is over, whichever configuration counts."""
-        return self.sent_at + min(self.told_s or self.least_timeout_s, self.least_timeout_s)
+        return self.sent_at + min(self.told_s or self.min_timeout_s, self.min_timeout_s)
 
 
 @dataclass
@@ -160,7 +160,7 @@
             return
         self.sent.append(request)
         request.sent_at = loop.time()
-        request.timeout_s = request.least_timeout_s = self.timeout_s
+        request.timeout_s = request.min_timeout_s = self.timeout_s
         client.send(
             f"/{request.name}/x",
             body=b"b" * rng.choice((0, 10, 90_000)),
@@ -192,7 +192,7 @@
             for request in self.sent:
                 if request.ended_at is None:
                     request.timeout_s = max(request.timeout_s, timeout_s)
-                    request.least_timeout_s = min(request.least_timeout_s, timeout_s)
+                    request.min_timeout_s = min(request.min_timeout_s, timeout_s)
             self.timeout_s = timeout_s
             s.plane.apply_configuration(configuration(version, routes(timeout_s, version % 2 == 0)))
             s.plane.set_edges(version % 3 + 1, 4)
--- a/tests/dataplane/standin.py
+++ b/tests/dataplane/standin.py
@@ -13,7 +13,7 @@
 
 from granitewell.dataplane.edge import DataPlane
 from granitewell.domain.configuration import Configuration, Engine, Limits, Model, Route, RouteKind, Service
-from granitewell.domain.servers import HeldModel, Server, ServerState
+from granitewell.domain.servers import LoadedModel, Server, ServerState
 from granitewell.domain.settings import Bounds, Listen, Platform, Settings
 
 HOST = "shop.example"
@@ -221,13 +221,13 @@
     )  # fmt: skip
 
 
-def held(*names: str) -> Mapping[str, HeldModel]:
+def held(*names: str) -> Mapping[str, LoadedModel]:
     """`model` or `model/adapter`."""
     models: dict[str, set[str]] = {}
     for name in names:
         model, _, adapter = name.partition("/")
         models.setdefault(model, set()).update({adapter} if adapter else ())
-    return {name: HeldModel(name, frozenset(adapters)) for name, adapters in models.items()}
+    return {name: LoadedModel(name, frozenset(adapters)) for name, adapters in models.items()}
 
 
 @dataclass
--- a/tests/dataplane/test_dispatch.py
+++ b/tests/dataplane/test_dispatch.py
@@ -15,7 +15,7 @@
 from granitewell.dataplane.server_selection import COMFORTABLE_PART, Pool
 from granitewell.dataplane.servers import MAX_AVOIDANCE_S, REFUSED_FOR_S, ServerRecord
 from granitewell.domain.configuration import Configuration, Engine, Model, Service
-from granitewell.domain.servers import HeldModel, ModelRef, Server, ServerState
+from granitewell.domain.servers import LoadedModel, ModelRef, Server, ServerState
 from granitewell.domain.settings import Bounds
 
 M1 = ModelRef("m1")
@@ -28,7 +28,7 @@
     slots: int = 6,
     state: ServerState = ServerState.READY,
 ) -> Server:
-    held = {model: HeldModel(model, frozenset({"a1"})) for model in models}
+    held = {model: LoadedModel(model, frozenset({"a1"})) for model in models}
     return Server(name, service, f"10.0.0.1:{len(name)}", "a", slots, state, models=held)
 
 
--- a/tests/dataplane/test_node_world.py
+++ b/tests/dataplane/test_node_world.py
@@ -37,7 +37,7 @@
 
 
 def repeats_what_may_have_run(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Attempts, "may_repeat", lambda attempts: attempts.arrivals < attempts._most)
+    patch.setattr(Attempts, "may_repeat", lambda attempts: attempts.arrivals < attempts._max)
 
 
 def grants_are_not_given_back(patch: pytest.MonkeyPatch) -> None:
--- a/tests/dataplane/test_rules.py
+++ b/tests/dataplane/test_rules.py
@@ -261,7 +261,7 @@
     for budget in saved:
         for _ in range(100_000 if ratio > 0.01 else 0):
             budget.earn()
-            if budget._tokens >= budget._most:
+            if budget._tokens >= budget._max:
                 break
     assert sum(budget._tokens for budget in saved) <= max(slack / 2, min(edges, 0.9 * slack)) + 1e-6
 
--- a/tests/discovery/test_instances.py
+++ b/tests/discovery/test_instances.py
@@ -12,7 +12,7 @@
 
 from granitewell.discovery.instances import ListedInstance, MalformedListError, parse_page
 from granitewell.discovery.reader import InstanceReader, ListUnavailableError, SharedReader
-from granitewell.domain.servers import HeldModel, ServerState
+from granitewell.domain.servers import LoadedModel, ServerState
 
 ENTRY: dict[str, Any] = {
     "id": "i-1", "service": "svc", "address": "10.0.0.9:80", "zone": "z1", "version": "v1", "slots": 64,
@@ -24,15 +24,15 @@
 def test_an_entry_is_read_whole() -> None:
     page = parse_page({"instances": [ENTRY], "next-page-token": None})
     (one,) = page.instances
-    assert (one.id, one.slots, one.state, one.leaves_in_ms) == ("i-1", 64, ServerState.READY, -1)
-    assert one.models == (HeldModel("m1", frozenset({"a1"})),)
+    assert (one.id, one.slots, one.state, one.remaining_ms) == ("i-1", 64, ServerState.READY, -1)
+    assert one.models == (LoadedModel("m1", frozenset({"a1"})),)
     assert page.next_token is None
 
 
 def test_a_server_that_is_taken_away_says_how_long_it_stays() -> None:
     entry = ENTRY | {"state": "draining", "remaining-ms": 1600}
     (one,) = parse_page({"instances": [entry]}).instances
-    assert one.state is ServerState.DRAINING and one.leaves_in_ms == 1600
+    assert one.state is ServerState.DRAINING and one.remaining_ms == 1600
 
 
 @pytest.mark.parametrize(
--- a/tests/nodes/cut_off_invariants.py
+++ b/tests/nodes/cut_off_invariants.py
@@ -1,7 +1,7 @@
 """What must hold of all that leaves a control node, whatever is cut, frozen or killed.
 
-With lease = ReplicaSettings.lease_s, age = MAX_CONTACT_AGE_S, hold and slack those of the edge's watch, and
-clocks that drift by up to `drift`:
+With lease = ReplicaSettings.lease_s, age = MAX_READ_STALENESS_S, hold and slack those of the edge's watch,
+and clocks that drift by up to `drift`:
 
 - an answer to an operator is true at a moment between its request's sending and its leaving;
 - a node that is cut off from every majority answers neither 200 to a GET nor 4xx later than
@@ -20,7 +20,7 @@
 
 import orjson
 
-from granitewell.controlplane.publication.publisher import MAX_CONTACT_AGE_S
+from granitewell.controlplane.publication.publisher import MAX_READ_STALENESS_S
 from granitewell.coordination.consensus.settings import ReplicaSettings
 
 SLACK_S = 1e-6
@@ -124,13 +124,13 @@
         Args:
             version: The newer of what it brings and what the edge has.
         """
-        least = self.committed_before(self._world.now - MAX_CONTACT_AGE_S / rate - SLACK_S)
+        least = self.committed_before(self._world.now - MAX_READ_STALENESS_S / rate - SLACK_S)
         if version < least:
             raise ViolationError(f"{host} publishes {version}, {least} is older than a contact may be")
 
     def took(self, host: str, version: int, patience_s: float, rate: float) -> None:
         """An edge has taken a reply; version: what it has now."""
-        bound_s = patience_s / rate + MAX_CONTACT_AGE_S / (1 - MAX_DRIFT)
+        bound_s = patience_s / rate + MAX_READ_STALENESS_S / (1 - MAX_DRIFT)
         least = self.committed_before(self._world.now - bound_s - SLACK_S)
         if version < least:
             raise ViolationError(f"{host} takes {version}, {least} was committed {bound_s:.3f} s before")
--- a/tests/nodes/cut_off_world.py
+++ b/tests/nodes/cut_off_world.py
@@ -229,7 +229,12 @@
         )
         self.edges = EdgeCounter()
         self.publisher = Publisher(
-            self.store, self.tables(), lambda: world.seeds, self.group.contact_age_s, self.edges, self.clock
+            self.store,
+            self.tables(),
+            lambda: world.seeds,
+            self.group.read_staleness_s,
+            self.edges,
+            self.clock,
         )
         self.api = OperatorApi(
             self.store,
--- a/tests/nodes/test_clocks.py
+++ b/tests/nodes/test_clocks.py
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2] / "granitewell"
-PACKAGES = ("coordination", "controlplane", "dataplane", "discovery", "model", "nodes", "rpc")
+PACKAGES = ("coordination", "controlplane", "dataplane", "discovery", "domain", "nodes", "rpc")
 STEADY = {"monotonic", "monotonic_ns", "perf_counter", "perf_counter_ns", "process_time", "sleep"}
 
 
--- a/tests/nodes/test_control_watch.py
+++ b/tests/nodes/test_control_watch.py
@@ -13,7 +13,7 @@
 from granitewell.coordination.rendezvous import shard_of
 from granitewell.discovery.instances import ListedInstance
 from granitewell.domain.configuration import Configuration
-from granitewell.domain.servers import HeldModel, Server, ServerState
+from granitewell.domain.servers import LoadedModel, Server, ServerState
 from granitewell.domain.settings import Settings
 from granitewell.nodes.control_nodes import ControlNodes
 from granitewell.nodes.control_watch import ControlWatch, OwnList
@@ -67,22 +67,22 @@
 
 
 def server(key: str, shard: int = 0, state: ServerState = ServerState.READY) -> Server:
-    return Server(key, service_of_shard(shard), "10.0.1.1:80", "z", 4, state, -1, {"m": HeldModel("m")})
+    return Server(key, service_of_shard(shard), "10.0.1.1:80", "z", 4, state, -1, {"m": LoadedModel("m")})
 
 
 def listed(key: str, shard: int = 0, state: ServerState = ServerState.READY) -> ListedInstance:
-    return ListedInstance(key, service_of_shard(shard), "10.0.1.1:80", "z", 4, state, -1, (HeldModel("m"),))
+    return ListedInstance(key, service_of_shard(shard), "10.0.1.1:80", "z", 4, state, -1, (LoadedModel("m"),))
 
 
 def reply(*updates: Any, **more: Any) -> Any:
-    made = WatchReply(tables=list(updates), control_nodes=[], members_digest=0, edges=3, most_edges=8, **more)
+    made = WatchReply(tables=list(updates), control_nodes=[], members_digest=0, edges=3, max_edges=8, **more)
     return decode(WatchReply, encode(made))
 
 
 def table(shard: int, epoch: int, sequence: int, *servers: Server, **more: Any) -> Any:
     return TableUpdate(
         version=TableVersion(shard=shard, epoch=epoch, sequence=sequence),
-        whole=more.get("whole", False),
+        is_complete=more.get("is_complete", False),
         changed=[server_to_message(one) for one in servers],
         removed=more.get("removed", []),
         list_age_ms=more.get("age_ms", 0),
@@ -100,37 +100,37 @@
 
 
 def test_tables_are_taken_whole_and_by_changes(watch: ControlWatch, plane: FakePlane) -> None:
-    watch._take(reply(table(0, 1, 5, server("a"), server("b"), whole=True)))
+    watch._take(reply(table(0, 1, 5, server("a"), server("b"), is_complete=True)))
     watch._take(reply(table(0, 1, 6, server("c"), removed=["a"])))
     assert sorted(plane.servers) == ["b", "c"]
     assert plane.edges == (3, 8)
 
 
 def test_another_epoch_brings_the_whole_and_drops_the_rest(watch: ControlWatch, plane: FakePlane) -> None:
-    watch._take(reply(table(0, 1, 5, server("a"), server("b"), whole=True)))
-    watch._take(reply(table(0, 2, 1, server("b"), whole=True)))
+    watch._take(reply(table(0, 1, 5, server("a"), server("b"), is_complete=True)))
+    watch._take(reply(table(0, 2, 1, server("b"), is_complete=True)))
     assert sorted(plane.servers) == ["b"]
 
 
 def test_what_is_older_than_what_is_known_changes_nothing(watch: ControlWatch, plane: FakePlane) -> None:
-    watch._take(reply(table(0, 2, 5, server("a"), whole=True)))
-    watch._take(reply(table(0, 1, 9, server("z"), whole=True)))
+    watch._take(reply(table(0, 2, 5, server("a"), is_complete=True)))
+    watch._take(reply(table(0, 1, 9, server("z"), is_complete=True)))
     assert sorted(plane.servers) == ["a"]
 
 
 def test_before_the_first_table_the_platforms_list_is_used(watch: ControlWatch, plane: FakePlane) -> None:
     watch.take_own_list([listed("a"), listed("b", shard=1)])
     assert sorted(plane.servers) == ["a", "b"]
-    watch._take(reply(table(0, 1, 1, server("a2"), whole=True)))
+    watch._take(reply(table(0, 1, 1, server("a2"), is_complete=True)))
     assert sorted(plane.servers) == ["a2", "b"]
-    watch._take(reply(table(1, 1, 1, server("b", shard=1), whole=True)))
+    watch._take(reply(table(1, 1, 1, server("b", shard=1), is_complete=True)))
     assert sorted(plane.servers) == ["a2", "b"]
 
 
 def test_a_server_that_drains_or_is_gone_by_the_own_list_is_used_no_more(
     watch: ControlWatch, plane: FakePlane
 ) -> None:
-    watch._take(reply(table(0, 1, 5, server("a"), server("b"), server("c"), whole=True)))
+    watch._take(reply(table(0, 1, 5, server("a"), server("b"), server("c"), is_complete=True)))
     watch.take_own_list([listed("a", state=ServerState.DRAINING), listed("b")])
     assert plane.servers["a"].state is ServerState.DRAINING
     assert sorted(plane.servers) == ["a", "b"]
@@ -138,12 +138,14 @@
 
 
 def test_a_change_that_does_not_fit_asks_for_the_whole(watch: ControlWatch, plane: FakePlane) -> None:
-    broken = ConfigurationUpdate(version=9, whole=False, documents=[b"garbage"])
+    broken = ConfigurationUpdate(version=9, is_complete=False, documents=[b"garbage"])
     watch._take(reply(configuration=broken))
     assert plane.configurations == []
     assert watch._request().configuration_version == 0
-    whole = ConfigurationUpdate(version=9, whole=True, documents=[b'{"version":9,"routes":[],"services":[]}'])
-    watch._take(reply(configuration=whole))
+    is_complete = ConfigurationUpdate(
+        version=9, is_complete=True, documents=[b'{"version":9,"routes":[],"services":[]}']
+    )
+    watch._take(reply(configuration=is_complete))
     assert [one.version for one in plane.configurations] == [9]
 
 
@@ -182,7 +184,7 @@
     watch: ControlWatch, plane: FakePlane
 ) -> None:
     watch._take(reply())
-    watch._take(decode(WatchReply, encode(WatchReply(tables=[], edges=1, most_edges=1))))
+    watch._take(decode(WatchReply, encode(WatchReply(tables=[], edges=1, max_edges=1))))
     assert plane.edges == (1, 8)
 
 
@@ -197,7 +199,7 @@
 
 def test_all_edges_together_stay_below_the_platforms_rate(watch: ControlWatch, plane: FakePlane) -> None:
     own = OwnList(SETTINGS, watch, plane, Random(1))  # type: ignore[arg-type]
-    watch.most_edges = 300
+    watch.max_edges = 300
     assert 300 / own._pause_s() <= SETTINGS.cloud.rate_per_s / 2
 
 
@@ -221,9 +223,9 @@
             raise asyncio.CancelledError
         self.now += self.frozen_s.pop(0)
         document = b'{"version":%d,"routes":[],"services":[]}' % self.calls
-        whole = ConfigurationUpdate(version=self.calls, whole=True, documents=[document])
+        is_complete = ConfigurationUpdate(version=self.calls, is_complete=True, documents=[document])
         made = WatchReply(
-            configuration=whole, tables=[], control_nodes=[], members_digest=0, edges=1, most_edges=1
+            configuration=is_complete, tables=[], control_nodes=[], members_digest=0, edges=1, max_edges=1
         )
         return encode(made)
 
--- a/tests/nodes/test_serving_while_cut_off.py
+++ b/tests/nodes/test_serving_while_cut_off.py
@@ -71,7 +71,7 @@
 
     def init(self: Publisher, *given: Any) -> None:
         real(self, *given)
-        self._contact_age_s = lambda: 0.0
+        self._read_staleness_s = lambda: 0.0
 
     patch.setattr(Publisher, "__init__", init)
 
--- a/tests/recorded/samples.py
+++ b/tests/recorded/samples.py
@@ -35,7 +35,7 @@
     Snapshot,
     VoterChange,
 )
-from granitewell.domain.servers import HeldModel, ModelDemand, ModelRef, Server, ServerState
+from granitewell.domain.servers import LoadedModel, ModelDemand, ModelRef, Server, ServerState
 from granitewell.leases import record as lease_record
 from granitewell.protocols.peers import counts, frames, gossip, leases, rights
 from granitewell.rpc import messages as rpc
@@ -67,11 +67,11 @@
 ENTRIES = (
     Entry(7, 2, EntryKind.NO_OPERATION),
     Entry(8, 2, EntryKind.DATA, b"a change \x00\xff"),
-    Entry(9, 3, EntryKind.ADD_VOTER, encoding.pack_member(THREE)),
-    Entry(10, 3, EntryKind.REMOVE_VOTER, encoding.pack_member(TWO)),
-    Entry(11, 3, EntryKind.CHANGE_VOTERS, encoding.pack_change(CHANGE)),
-    Entry(12, 3, EntryKind.END_CHANGE, encoding.pack_end(True)),
-    Entry(13, 3, EntryKind.END_CHANGE, encoding.pack_end(False)),
+    Entry(9, 3, EntryKind.ADD_VOTER, encoding.encode_member(THREE)),
+    Entry(10, 3, EntryKind.REMOVE_VOTER, encoding.encode_member(TWO)),
+    Entry(11, 3, EntryKind.CHANGE_VOTERS, encoding.encode_change(CHANGE)),
+    Entry(12, 3, EntryKind.END_CHANGE, encoding.encode_end(True)),
+    Entry(13, 3, EntryKind.END_CHANGE, encoding.encode_end(False)),
 )
 RECORDS: tuple[Record, ...] = (
     Identity("0123456789abcdef"),
@@ -91,7 +91,7 @@
     "append-reply": messages.AppendReply(FROM, TO, 4, True, 13),
     "snapshot-chunk": messages.SnapshotChunk(FROM, TO, 4, 6, 2, STABLE, 10, 30, b"chunk"),
     "snapshot-reply": messages.SnapshotReply(FROM, TO, 4, 6, 15),
-    "hand-over": messages.HandOver(FROM, TO, 4),
+    "hand-over": messages.TimeoutNow(FROM, TO, 4),
     "join": messages.Join(FROM, "", 4, THREE, True),
     "removed": messages.Removed(FROM, TO, 4),
     "leave": messages.Leave(FROM, TO, 4),
@@ -181,20 +181,20 @@
 
 SERVER = Server(
     "i-77", "llm", "10.1.0.9:8080", "zone-b", 12, ServerState.DRAINING, 4500,
-    {"m1": HeldModel("m1", frozenset(("a1", "a2"))), "m2": HeldModel("m2")},
+    {"m1": LoadedModel("m1", frozenset(("a1", "a2"))), "m2": LoadedModel("m2")},
 )  # fmt: skip
 DEMAND = ModelDemand("llm", ModelRef("m1", "a2"), 9, 4, 3, 1)
 VERSION = rpc.TableVersion(shard=3, epoch=41, sequence=17)
 TABLE = rpc.TableUpdate(
     version=VERSION,
-    whole=True,
+    is_complete=True,
     changed=[translation.server_to_message(SERVER)],
     removed=["i-1", "i-2"],
     list_age_ms=350,
 )
-CONFIGURATION = rpc.ConfigurationUpdate(version=5, whole=False, documents=[PATCH.encode(), b"\x00\xff"])
+CONFIGURATION = rpc.ConfigurationUpdate(version=5, is_complete=False, documents=[PATCH.encode(), b"\x00\xff"])
 RPC_MESSAGES: dict[str, Any] = {
-    "held-model": rpc.HeldModelMessage(name="m1", adapters=["a1"]),
+    "held-model": rpc.LoadedModelMessage(name="m1", adapters=["a1"]),
     "server": translation.server_to_message(SERVER),
     "table-version": VERSION,
     "table-update": TABLE,
@@ -214,7 +214,7 @@
         control_nodes=["10.0.0.1:7001"],
         members_digest=12,
         edges=8,
-        most_edges=9,
+        max_edges=9,
     ),
     "demand": translation.demand_to_message(DEMAND),
     "demand-report": rpc.DemandReport(
@@ -319,9 +319,9 @@
 def _samples() -> dict[str, Sample]:
     found: dict[str, Sample] = {
         "raft-records": Sample(list(RECORDS), storage.encode_records, storage.decode_records),
-        "raft-member": Sample(ONE, encoding.pack_member, encoding.unpack_member),
-        "raft-membership": Sample(STABLE, encoding.pack_membership, encoding.unpack_membership),
-        "raft-membership-joint": Sample(JOINT, encoding.pack_membership, encoding.unpack_membership),
+        "raft-member": Sample(ONE, encoding.encode_member, encoding.decode_member),
+        "raft-membership": Sample(STABLE, encoding.encode_membership, encoding.decode_membership),
+        "raft-membership-joint": Sample(JOINT, encoding.encode_membership, encoding.decode_membership),
         "log-file": Sample((storage.encode_records(RECORDS), b"", b"batch"), log_file, log_payloads),
         "configuration-put": Sample(PUT, Change.encode, Change.decode),
         "configuration-patch": Sample(PATCH, Change.encode, Change.decode),
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -34,7 +34,7 @@
     "granitewell.lab.cluster": "lab cluster",
     "granitewell.lab.cluster.hunt": "lab",
     "granitewell.lab.system": "lab system",
-    "granitewell.state_machine": "machine",  # the terms between pure machines and their shells
+    "granitewell.state_machine": "state machine",  # the terms between pure machines and their shells
     "granitewell.files": "files",  # that others put there,
     "granitewell.handover": "files",  # and those of the private temporary folder
     "granitewell.durable_folder": "files",  # or of a lasting one
@@ -49,7 +49,7 @@
     "granitewell.core": "core",
     "granitewell.balancing": "balancing",
     # the whole system
-    "granitewell.domain": "model",
+    "granitewell.domain": "domain",
     "granitewell.rpc": "rpc",
     "granitewell.discovery": "discovery",  # the platform's list, as both planes read it
     "granitewell.coordination": "coordination",
@@ -62,37 +62,47 @@
 
 # room: the rooms that it may import, besides its own
 LAB = {"lab base", "lab model", "lab judge", "lab sim", "lab platform", "lab cluster"}
-SYSTEM = {"model", "rpc", "discovery", "coordination", "controlplane", "dataplane", "system logs"}
+SYSTEM = {"domain", "rpc", "discovery", "coordination", "controlplane", "dataplane", "system logs"}
 MAY = {
     "root": set(),
     "cli": {"lab", "operator", "subject", "config", *LAB},
-    "lab": {"files", "operator", "subject", "machine", "config", "protocols", "core", "balancing", *LAB},
-    "lab cluster": {"lab base", "subject", "machine", "protocols"},
-    "lab system": {"model"},  # starts the programs as processes, and imports none of their planes
+    "lab": {
+        "files",
+        "operator",
+        "subject",
+        "state machine",
+        "config",
+        "protocols",
+        "core",
+        "balancing",
+        *LAB,
+    },
+    "lab cluster": {"lab base", "subject", "state machine", "protocols"},
+    "lab system": {"domain"},  # starts the programs as processes, and imports none of their planes
     "lab sim": {"lab platform", "lab base", "lab model", "protocols", "core", "balancing"},
     "lab platform": {"lab base", "protocols", "config", "core", "balancing"},
     "lab model": {"lab base"},
     "lab judge": {"lab base"},
     "lab base": set(),
     "start": {"net", "files", "operator", "config", "core", "balancing"},
-    "net": {"logs", "files", "subject", "machine", "protocols", "config", "core", "balancing"},
+    "net": {"logs", "files", "subject", "state machine", "protocols", "config", "core", "balancing"},
     "protocols": {"config", "core", "balancing"},
     "operator": {"logs", "files", "protocols", "subject", "config", "core", "balancing"},
     "config": {"files", "balancing"},
-    "subject": {"machine", "protocols", "core", "balancing"},
-    "machine": set(),
+    "subject": {"state machine", "protocols", "core", "balancing"},
+    "state machine": set(),
     "core": {"balancing"},
     "logs": set(),
     "files": set(),
     "balancing": set(),
     "cli.system": {"nodes", "core", "balancing", *SYSTEM},
     "nodes": {"core", "balancing", *SYSTEM},
-    "controlplane": {"coordination", "discovery", "rpc", "model"},  # the planes never import each other
-    "dataplane": {"discovery", "model", "core", "balancing"},
-    "coordination": {"rpc", "model"},
-    "discovery": {"model"},
-    "rpc": {"model"},
-    "model": set(),
+    "controlplane": {"coordination", "discovery", "rpc", "domain"},  # the planes never import each other
+    "dataplane": {"discovery", "domain", "core", "balancing"},
+    "coordination": {"rpc", "domain"},
+    "discovery": {"domain"},
+    "rpc": {"domain"},
+    "domain": set(),
     "system logs": set(),
 }
 
@@ -113,14 +123,14 @@
     "coordination": {"thriftpy2", "logbook"},
     "discovery": {"aiohttp", "orjson"},
     "rpc": {"thriftpy2"},
-    "model": {"mashumaro"},
+    "domain": {"mashumaro"},
     "system logs": {"logbook"},
 }
 
 # rooms that are pure: no clock, no descriptor, no random number of their own
-PURE = {"core", "subject", "machine", "protocols", "lab base", "lab model", "lab judge", "lab platform",
+PURE = {"core", "subject", "state machine", "protocols", "lab base", "lab model", "lab judge", "lab platform",
         "lab sim", "lab cluster", "balancing",
-        "model", "rpc", "discovery", "coordination", "controlplane", "dataplane"}  # fmt: skip
+        "domain", "rpc", "discovery", "coordination", "controlplane", "dataplane"}  # fmt: skip
 SHELLS = {  # the modules of pure rooms that are none: they run the pure ones on clocks, sockets and files
     "granitewell.balancing.simulator_adapter",  # the simulator's adapter: reads and writes the pipe
     "granitewell.rpc.transport",
@@ -274,17 +284,17 @@
         ("granitewell.dataplane.x", "from granitewell.coordination import x", "imports coordination"),
         ("granitewell.dataplane.x", "from granitewell.rpc import messages", "dataplane imports rpc"),
         ("granitewell.dataplane.x", "from granitewell.net.loop import Node", "dataplane imports net"),
-        ("granitewell.domain.servers", "from granitewell.rpc import messages", "model imports rpc"),
-        ("granitewell.domain.servers", "import orjson", "model imports the package orjson"),
+        ("granitewell.domain.servers", "from granitewell.rpc import messages", "domain imports rpc"),
+        ("granitewell.domain.servers", "import orjson", "domain imports the package orjson"),
         ("granitewell.rpc.messages", "from granitewell.coordination import x", "rpc imports coordination"),
         ("granitewell.rpc.messages", "import asyncio", "pure, and imports asyncio"),
         ("granitewell.nodes.edge", "from granitewell.cli.system import edge", "nodes imports cli.system"),
         ("granitewell.cli.system.edge", "from granitewell.lab.day import Day", "cli.system imports lab base"),
         ("granitewell.cli.system.commands", "import click", "cli.system imports the package click"),
         ("granitewell.cli.main", "from granitewell.cli.system import edge", "cli imports cli.system"),
-        ("granitewell.net.loop", "from granitewell.domain import servers", "net imports model"),
+        ("granitewell.net.loop", "from granitewell.domain import servers", "net imports domain"),
         ("granitewell.core", "from granitewell.dataplane import x", "core imports dataplane"),
-        ("granitewell.logs", "from granitewell.domain import errors", "system logs imports model"),
+        ("granitewell.logs", "from granitewell.domain import errors", "system logs imports domain"),
         ("granitewell.__main__", "from granitewell import logs", "start imports system logs"),
     ],
 )  # fmt: skip
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -110,7 +110,7 @@
 
 def test_the_modules_of_the_command_line_import_each_other_in_one_direction() -> None:
     imports = imports_in("granitewell.cli.system")
-    assert imports["__main__"] == {"commands", "ends", "programs"}
+    assert imports["__main__"] == {"commands", "exit_handling", "programs"}
     assert len(tuple(TopologicalSorter(imports).static_order())) == len(imports)
 
 
--- a/tests/test_system_logs.py
+++ b/tests/test_system_logs.py
@@ -85,7 +85,7 @@
 def test_whatever_is_in_it_a_line_is_one_line_that_a_pipe_takes_whole(
     message: str, value: str, left_out: int
 ) -> None:
-    line = logs.Line("info", "granitewell.test", message, {"value": value}, left_out).encode()
+    line = logs.LogLine("info", "granitewell.test", message, {"value": value}, left_out).encode()
     assert line.endswith(b"\n") and line.count(b"\n") == 1 and b"\r" not in line
     assert len(line) <= 4096
     assert line.decode().isprintable() or line.decode()[:-1].isprintable()
@@ -93,7 +93,10 @@
 
 @pytest.mark.parametrize("text", ["x" * 10_000, "ü" * 10_000, "\U0001f600" * 10_000, '"' * 10_000])
 def test_a_long_line_is_cut(text: str) -> None:
-    for line in (logs.Line("info", "x", text, {}, 7), logs.Line("info", "x", "short", {"value": text}, 7)):
+    for line in (
+        logs.LogLine("info", "x", text, {}, 7),
+        logs.LogLine("info", "x", "short", {"value": text}, 7),
+    ):
         assert len(line.encode()) <= 4096 and line.encode().endswith(b" left_out=7\n")
 
 
@@ -189,7 +192,7 @@
         def __del__(self) -> None:
             raise ValueError("in a destructor")
 
-    hook = logs.unraisable_hook(logs.BoundedLines(sink.clock, sink.write))
+    hook = logs.unraisable_hook(logs.BoundedLog(sink.clock, sink.write))
     monkeypatch.setattr(sys, "unraisablehook", hook)  # pytest has put its own in place of the one of set_up
     Broken()
     (line,) = sink.lines
--- a/tools/behavior_digests.py
+++ b/tools/behavior_digests.py
@@ -230,7 +230,7 @@
     def send(original: Any, fleet: Any, step: Any) -> None:
         order, ticket = step.order, step.ticket
         target = (order.operation.value, order.server_id, order.ref.model, order.ref.adapter)
-        recorder.add(fleet.now, step.address, *target, ticket.fence, ticket.revision)
+        recorder.add(fleet.now, step.address, *target, ticket.fencing_token, ticket.revision)
         original(fleet, step)
 
     with patched(Fleet, "_poll", poll), patched(Fleet, "_send", send):
