--- a/granitewell/cli/cluster.py
+++ b/granitewell/cli/cluster.py
@@ -221,7 +221,8 @@
 @as_json
 def explain(name: str, places: list[Place], as_json: bool) -> None:
     """Show what a node believes of the member NAME: who said what of it, when, by which road, of which
-    life."""
+    life.
+    """
     data = call(places[0], _target("/cluster/explain", name))
     try:
         lines, sheet = fleet.explained(data)
--- a/granitewell/cli/lab_up.py
+++ b/granitewell/cli/lab_up.py
@@ -3,7 +3,8 @@
 It owns the options, the tables and the exit codes. It must never start a process, judge or draw by itself:
 that is `granitewell.lab.loopback` and `granitewell.lab.scenario`. Exit codes: 0 done, and in the demo all
 rules kept; 1 a rule was broken; 2 a scenario or option can't be used; 3 the machine does not give what is
-needed."""
+needed.
+"""
 
 from __future__ import annotations
 
--- a/granitewell/cluster/size_estimate.py
+++ b/granitewell/cluster/size_estimate.py
@@ -68,7 +68,8 @@
 @dataclass(frozen=True, slots=True)
 class Seen:
     """Where those of our role stand in the view, all that it names; whom it does not name stays where it
-    is."""
+    is.
+    """
 
     places: Mapping[str, Place]
 
--- a/granitewell/config.py
+++ b/granitewell/config.py
@@ -4,7 +4,8 @@
 It owns the mapping of the deployment's names (classes, tenants, zones, kinds) to the module's indices, next
 to granitewell.balancing.simulator_protocol.parse_settings, which reads the figures. It must never hold
 defaults for what the platform has to say, open a socket, or change a Config that it has given out. Whatever
-is wrong is a ConfigError that names the field."""
+is wrong is a ConfigError that names the field.
+"""
 
 from __future__ import annotations
 
--- a/granitewell/controlplane/configuration/__init__.py
+++ b/granitewell/controlplane/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: checks, the replicated store, the edges' view of it, and the operator API."""
+"""The operator's configuration: validation, replicated store, the edges' view, operator API."""
--- a/granitewell/controlplane/configuration/answers.py
+++ b/granitewell/controlplane/configuration/answers.py
@@ -1,4 +1,4 @@
-"""The answers of the operator API: JSON bodies, typed failures."""
+"""Responses of the operator API: JSON bodies and typed failures."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 
 from granitewell.controlplane.configuration.store import ChangeResult, Outcome
 
-RETRY_AFTER_S = 1  # an election, or a change that is under way, is over by then
+RETRY_AFTER_S = 1  # an election, or a change in progress, is over by then
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a request is refused.
+    """Why a request is rejected.
 
     Attributes:
-        field: Of the body, where one is to blame.
+        status: HTTP status code.
+        error: Text for the operator.
+        field: Path of the invalid field in the body, if there is one.
     """
 
     status: int
@@ -30,7 +32,7 @@
 
 
 def changed(result: ChangeResult) -> web.Response:
-    """The answer to a change that has an outcome."""
+    """Return the response to a change whose outcome is known."""
     if result.outcome in (Outcome.TAKEN, Outcome.REPEATED):
         return _taken(result)
     if result.outcome is Outcome.FORGOTTEN:
@@ -43,7 +45,10 @@
 
 
 def _taken(result: ChangeResult) -> web.Response:
-    """An acknowledgement names the change's own version, and the current one where a later one has come."""
+    """Return an acknowledgement.
+
+    It names the change's own version, and the current one if a later change has followed.
+    """
     content = {"version": result.version}
     if result.current_version != result.version:
         content["current-version"] = result.current_version
@@ -51,12 +56,12 @@
 
 
 def document(body: bytes) -> web.Response:
-    """The configuration."""
+    """Return the response that contains the configuration."""
     return web.Response(status=200, body=body, content_type="application/json")
 
 
 def failure(reason: Failure) -> web.Response:
-    """The answer to a request that is refused."""
+    """Return the response to a rejected request."""
     content: dict[str, Any] = {"error": reason.error}
     if reason.field is not None:
         content["field"] = reason.field
@@ -67,12 +72,12 @@
 
 
 def unavailable(error: str) -> web.Response:
-    """No answer can be given here now."""
+    """Return a 503 response: this node cannot answer now."""
     return failure(Failure(503, error))
 
 
 def redirect(location: str) -> web.Response:
-    """Another node answers this."""
+    """Return a 307 response that points to another node."""
     response = _json(307, {"error": "another node leads"})
     response.headers["Location"] = location
     return response
@@ -80,7 +85,7 @@
 
 @web.middleware
 async def typed_failures(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Turns the library's own failures (no such path, no such method) into JSON."""
+    """Convert aiohttp's own failures (unknown path, unknown method) to JSON."""
     try:
         return await handler(request)
     except web.HTTPMethodNotAllowed as error:
--- a/granitewell/controlplane/configuration/api.py
+++ b/granitewell/controlplane/configuration/api.py
@@ -1,13 +1,13 @@
-"""The operator's API: GET, PUT and PATCH of /config.
+"""The operator API: GET, PUT and PATCH of /config.
 
-Only the leader answers, and only while it holds its lease: the lease is looked at before the state is read,
-and again, in the same turn of the event loop, once the answer is made. A change that would be taken is
-proposed to the replica group and answered by what applying it gave. Everybody else points at the leader
-(307), or says 503 where none is known in time. A change without a clear outcome is a 503: sending it again is
-safe.
+Only the leader answers, and only while it holds its lease. The lease is checked before the state is read, and
+again, in the same turn of the event loop, once the response is made. A change that would be accepted is
+proposed to the replica group, and the response is the result of applying it. Other nodes redirect to the
+leader (307), or answer 503 if no leader is known in time. A change without a clear outcome gets a 503;
+sending it again is safe.
 
-A change is refused (4xx) without the lease only for what no node can read, whatever its state: no version in
-If-Match, a body that is too large or can't be decoded, a path or method that is not there.
+Without the lease, a change is rejected (4xx) only for what no node could accept, whatever its state: no
+version in If-Match, a body that is too large or cannot be decoded, an unknown path or method.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 from granitewell.domain.errors import NotLeaderError, ProposalLostError
 
 PATH = "/config"
-PROPOSAL_TIMEOUT_S = 3.0  # an acknowledgement later than this would find its operator gone
-LEADER_WAIT_S = 0.8  # an operator moves on after a second without an answer
+PROPOSAL_TIMEOUT_S = 3.0  # operators give up before a later acknowledgement
+LEADER_WAIT_S = 0.8  # operators give up after a second without an answer
 LEADER_POLL_S = 0.02  # short beside the above; an election takes some hundred milliseconds
-TURN_WAIT_S = 2.0  # a change that has waited longer for its turn is told to come again
+TURN_WAIT_S = 2.0  # a change that has waited longer for its turn gets a 503
 MAX_WAITING = 32  # changes that wait for their turn; operators have at most eight under way
 
 log = logbook.Logger("granitewell.configuration")
@@ -43,18 +43,18 @@
     """What the API needs of a replica group."""
 
     async def propose(self, data: bytes, timeout_s: float = ...) -> object:
-        """What applying gave; raises NotLeaderError, ProposalLostError."""
+        """Return the result of applying an entry; raises NotLeaderError and ProposalLostError."""
 
     def holds_lease(self) -> bool:
-        """Whether nobody else can have committed anything that is not applied here."""
+        """Return whether no one else can have committed anything that is not applied here."""
 
     @property
     def leader_address(self) -> str | None:
-        """The leader's internal address (`ip:port`), None while it is unknown."""
+        """Internal address of the leader (`ip:port`), None while it is unknown."""
 
 
 class Standing(Enum):
-    """What this node is to the group at a moment."""
+    """Role of this node in its group at one moment."""
 
     SERVING = "serving"
     FOLLOWING = "following"
@@ -63,10 +63,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
-    """Who answers.
+    """Which node answers.
 
     Attributes:
-        address: The control address of another node that leads, where it is known.
+        standing: Role of this node.
+        address: Control address of another node that leads, if known.
     """
 
     standing: Standing
@@ -74,11 +75,15 @@
 
 
 class OperatorApi:
-    """The handlers of one control node.
-
-    Attributes:
-        own_address: Its control address (`ip:port`).
-        control_address: Turns an internal address into the control address of the same machine.
+    """Request handlers of one control node.
+
+    Args:
+        store: The configuration.
+        group: Its replica group.
+        control_address: Returns the control address of the machine with an internal address.
+        clock: Steady clock, in seconds.
+        own_address: Control address of this node (`ip:port`).
+        sleep: Replaced in tests.
     """
 
     def __init__(
@@ -102,14 +107,14 @@
         self._waiting = 0
 
     def routes(self, app: web.Application) -> None:
-        """Adds the handlers, and typed answers for paths and methods that are not there."""
+        """Add the handlers, and typed responses for unknown paths and methods."""
         app.router.add_get(PATH, self.get)
         app.router.add_put(PATH, self.put)
         app.router.add_patch(PATH, self.patch)
         app.middlewares.append(answers.typed_failures)
 
     async def get(self, request: web.Request) -> web.Response:
-        """The newest configuration, whole."""
+        """Return the newest configuration."""
         leadership = await self._leadership()
         if leadership.standing is not Standing.SERVING:
             return self._elsewhere(leadership, request.path_qs)
@@ -117,11 +122,11 @@
         return answer if self._group.holds_lease() else answers.unavailable("the lease has ended")
 
     async def put(self, request: web.Request) -> web.Response:
-        """Takes a whole configuration."""
+        """Replace the configuration."""
         return await self._change(request, Operation.PUT)
 
     async def patch(self, request: web.Request) -> web.Response:
-        """Alters the current configuration."""
+        """Change parts of the configuration."""
         return await self._change(request, Operation.PATCH)
 
     async def _change(self, request: web.Request, operation: Operation) -> web.Response:
@@ -134,10 +139,11 @@
         return await self.answer(Change(operation, version, body), request.path_qs)
 
     async def answer(self, change: Change, path: str) -> web.Response:
-        """Takes a change that was read whole, or says why not.
+        """Propose a change whose body has been read; return the response.
 
         Args:
-            path: To ask for at another node.
+            change: The change.
+            path: Path to request at another node.
         """
         leadership = await self._leadership()
         if leadership.standing is not Standing.SERVING:
@@ -147,7 +153,7 @@
         return await self._in_turn(change, path)
 
     async def _in_turn(self, change: Change, path: str) -> web.Response:
-        """One change at a time, so that each is checked against the newest state."""
+        """Process one change at a time, so that each is checked against the newest state."""
         arrived = self._clock()
         self._waiting += 1
         try:
@@ -174,10 +180,10 @@
         except NotLeaderError:
             return self._elsewhere(self._leadership_now(), path)
         except (ProposalLostError, TimeoutError) as error:
-            log.warning("a change on version {} has no outcome: {}", change.base_version, error)
+            log.warning("change has no outcome", base_version=change.base_version, error=str(error))
             return answers.unavailable("no outcome; send it again")
         if not isinstance(result, ChangeResult):
-            log.error("applying a change gave {!r}", type(result))
+            log.error("change gave an unexpected result", type=type(result).__name__)
             return answers.unavailable("no outcome; send it again")
         return answers.changed(result)
 
@@ -187,7 +193,7 @@
         return answers.document(self._store.document())
 
     async def _leadership(self) -> Leadership:
-        """Who answers, waiting a little where that is not known."""
+        """Return which node answers; wait briefly while that is unknown."""
         deadline = self._clock() + LEADER_WAIT_S
         while True:
             leadership = self._leadership_now()
--- a/granitewell/controlplane/configuration/body.py
+++ b/granitewell/controlplane/configuration/body.py
@@ -1,7 +1,7 @@
-"""Reads the bodies of changes, bounded in size, in time and over all requests together.
+"""Reads the bodies of changes, with limits on size, time, and the memory of all requests together.
 
-What no node can take, whatever its state, is refused with a 4xx. What has not come whole is left without a
-clear answer (503): the same change may have been taken when it was sent before.
+What no node could accept, whatever its state, is rejected with a 4xx. A body that has not arrived completely
+gets no clear answer (503), because the same change may have been accepted when it was sent before.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from granitewell.controlplane.configuration.answers import Failure
 
 MAX_BODY = 16 * 1024 * 1024  # bytes; 10,000 routes take 4 MiB
-MAX_BODIES = 2 * MAX_BODY  # bytes held for all requests that are being read
-BODY_TIMEOUT_S = 10.0  # a client that has not sent all by then is given up
+MAX_BODIES = 2 * MAX_BODY  # bytes buffered for all requests that are being read
+BODY_TIMEOUT_S = 10.0  # a client that has not sent everything by then is disconnected
 
 TOO_LARGE = Failure(413, f"the body is above {MAX_BODY} bytes")
 TOO_SLOW = Failure(503, f"the body was not there after {BODY_TIMEOUT_S:g} s")
@@ -25,14 +25,18 @@
 
 
 class BodyReader:
-    """Reads whole bodies; sleep tells when the time is over."""
+    """Reads complete bodies.
+
+    Args:
+        sleep: Waits for the time limit; replaced in tests.
+    """
 
     def __init__(self, sleep: Callable[[float], Awaitable[None]]) -> None:
         self._sleep = sleep
         self._buffered_bytes = 0
 
     async def read(self, request: web.Request) -> bytes | Failure:
-        """The body, or why there is none."""
+        """Return the body, or why there is none."""
         if (request.content_length or 0) > MAX_BODY:
             return TOO_LARGE
         reading = asyncio.ensure_future(self._read_all(request))
--- a/granitewell/controlplane/configuration/change.py
+++ b/granitewell/controlplane/configuration/change.py
@@ -1,4 +1,4 @@
-"""A change as an operator asks for it, and its form in the replicated log."""
+"""A change as an operator requests it, and its encoding in the replicated log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Operation(Enum):
-    """How a change is made: a whole configuration, or an alteration of the current one."""
+    """Whether a change replaces the configuration or alters parts of it."""
 
     PUT = "put"
     PATCH = "patch"
@@ -27,10 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change; two are the same if all three fields are.
+    """One change. Two changes are the same if all three fields are equal.
 
     Attributes:
-        base_version: The version that it builds on (If-Match).
+        operation: Replace or alter.
+        base_version: Version that the change is based on (If-Match).
         body: The bytes as they were sent.
     """
 
@@ -39,12 +40,17 @@
     body: bytes
 
     def encode(self) -> bytes:
-        """The form in the log, and in what edges are sent."""
+        """Return the encoding used in the log and in updates to edges."""
         return HEAD.pack(FORMAT, _CODES[self.operation], self.base_version) + self.body
 
     @classmethod
     def decode(cls, data: bytes) -> Change:
-        """A change from its form in the log; raises UnreadableChangeError."""
+        """Decode a change.
+
+        Raises:
+            UnknownChangeError: A newer version has written it.
+            UnreadableChangeError: The bytes cannot be read.
+        """
         if len(data) < HEAD.size:
             raise UnreadableChangeError(f"{len(data)} bytes are too few")
         version, code, base_version = HEAD.unpack_from(data)
@@ -58,6 +64,9 @@
         return cls(operation, base_version, bytes(data[HEAD.size :]))
 
     def digest(self) -> bytes:
-        """Of operation and body. Together with the base version it tells this change from all others."""
+        """Return a digest of operation and body.
+
+        Together with the base version it distinguishes this change from all others.
+        """
         code = _CODES[self.operation]
         return hashlib.sha256(bytes((code,)) + self.body).digest()
--- a/granitewell/controlplane/configuration/checks.py
+++ b/granitewell/controlplane/configuration/checks.py
@@ -1,7 +1,7 @@
-"""Reads what an operator sends and checks it; InvalidConfigurationError names the field that is wrong.
+"""Parse and validate what an operator sends; InvalidConfigurationError names the invalid field.
 
-Checked here: all that can be seen in the body alone. What depends on the rest of the configuration (services
-that are known, hosts and prefixes) is checked by `state`.
+This module checks what the body alone shows. What depends on the rest of the configuration (known services,
+hosts and prefixes) is checked by `state`.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Item(Generic[Named]):
-    """A route or service: as the planes read it, as it was sent, and where in the body it stood."""
+    """A route or service: as the planes read it, as it was sent, and where it is in the body."""
 
     value: Named
     document: bytes
@@ -44,19 +44,19 @@
 
     @property
     def path(self) -> str:
-        """The field's path in the body, for messages."""
+        """Return the path of a field in the body, for messages."""
         return f"{self.group}[{self.index}]"
 
 
 @dataclass(frozen=True, slots=True)
 class CurrentItems(Generic[Named]):
-    """Items of the current configuration by name. One that is sent again unaltered isn't read again."""
+    """Items of the current configuration by name. One that is sent again unchanged is not parsed again."""
 
     values: Mapping[str, Named]
     documents: Mapping[str, bytes]
 
     def same(self, document: Mapping[str, Any], encoded: bytes) -> Named | None:
-        """The item that was read from the same JSON, if it is there."""
+        """Return the item that was parsed from the same JSON, if there is one."""
         name = document.get("name")
         if type(name) is str and self.documents.get(name) == encoded:
             return self.values[name]
@@ -68,7 +68,7 @@
     """The body of a PUT.
 
     Attributes:
-        other: Top-level fields that are not known here, as JSON.
+        other: Unknown top-level fields, as JSON.
     """
 
     version: int
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownItems:
-    """Named items of a kind that is not known here, to be added or replaced, and names to be removed."""
+    """Named items of an unknown kind, to be added or replaced, and names to be removed."""
 
     upsert: tuple[Mapping[str, Any], ...] = ()
     remove: frozenset[str] = frozenset()
@@ -91,9 +91,9 @@
     """The body of a PATCH.
 
     Attributes:
-        limits: Those to alter.
-        other: Top-level fields that are not known here, as JSON.
-        unknown_items: By the name of their kind.
+        limits: Limits to change.
+        other: Unknown top-level fields, as JSON.
+        unknown_items: Items of unknown kinds, by the name of the kind.
     """
 
     version: int
@@ -112,7 +112,7 @@
     current_routes: CurrentItems[Route],
     current_services: CurrentItems[Service],
 ) -> CompleteConfiguration:
-    """The body of a PUT; raises InvalidConfigurationError."""
+    """Parse the body of a PUT; raises InvalidConfigurationError."""
     document = _read_object(body)
     version = _read_version(document, current_version)
     routes = _read_items(Route, _required(document, "routes"), "routes", current_routes)
@@ -133,7 +133,7 @@
     current_routes: CurrentItems[Route],
     current_services: CurrentItems[Service],
 ) -> ConfigurationPatch:
-    """The body of a PATCH; raises InvalidConfigurationError."""
+    """Parse the body of a PATCH; raises InvalidConfigurationError."""
     document = _read_object(body)
     version = _read_version(document, current_version)
     for misplaced in ("routes", "services"):
@@ -155,7 +155,7 @@
 
 
 def read_limits(document: Mapping[str, Any] | None) -> Limits:
-    """Limits as the planes read them, defaults where there are none; raises InvalidConfigurationError."""
+    """Return limits with their defaults; raises InvalidConfigurationError."""
     if document is None:
         return Limits()
     try:
@@ -165,7 +165,7 @@
 
 
 def encode_value(value: Any, path: str) -> bytes:
-    """JSON of a value that was read from JSON; raises InvalidConfigurationError where it nests too deeply."""
+    """Return the JSON of a value; raises InvalidConfigurationError if it is nested too deeply."""
     try:
         encoded = orjson.dumps(value)
     except orjson.JSONEncodeError as error:
@@ -305,7 +305,7 @@
 
 
 def _wrong_field(error: BaseException, kind: type[StrictFields], path: str) -> InvalidConfigurationError:
-    """What mashumaro found, by the field's path on the wire."""
+    """Convert mashumaro's error to one that names the field's path on the wire."""
     if isinstance(error, MissingField):
         return InvalidConfigurationError(f"{path}.{_wire_name(kind, error.field_name)}", "missing")
     if not isinstance(error, InvalidFieldValue):
--- a/granitewell/controlplane/configuration/errors.py
+++ b/granitewell/controlplane/configuration/errors.py
@@ -1,4 +1,4 @@
-"""Failures of this package, beside InvalidConfigurationError of granitewell.domain.errors."""
+"""Errors of this package, in addition to InvalidConfigurationError of granitewell.domain.errors."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class UnreadableChangeError(GranitewellError):
-    """Bytes that are no change of a format that is known here."""
+    """Bytes are not a change in a known format."""
 
 
 class UnknownChangeError(UnreadableChangeError, UnknownFormatError):
-    """A change of a newer program, of a format or operation that is not known here."""
+    """A change has a format or an operation that only a newer version knows."""
 
 
 class UnreadableSnapshotError(GranitewellError):
-    """Bytes that are no snapshot of a format that is known here."""
+    """Bytes are not a snapshot in a known format."""
 
 
 class DeltaMismatchError(GranitewellError):
-    """A delta does not lead from the version that is held here to the one that it names."""
+    """A delta does not lead from the current version to the one that it names."""
--- a/granitewell/controlplane/configuration/history.py
+++ b/granitewell/controlplane/configuration/history.py
@@ -1,9 +1,9 @@
-"""The changes that were taken, remembered so that one that is sent again is known.
+"""History of accepted changes, so that a change that is sent again is recognized.
 
-What is taken forms one chain: each change is built on the version that the one before has led to. So the
-version that a change builds on says which of the changes taken it can be, if any, and the rest of its
-identity (operation and body) says whether it is that one. The oldest are forgotten beyond MAX_TAKEN; of a
-change on a version from before those that are remembered, it can't be told any more whether it was taken.
+Accepted changes form a chain: each is based on the version that the previous one produced. The base version
+of a change therefore tells which accepted change it can be, if any, and the rest of its identity (operation
+and body) tells whether it is that one. Beyond MAX_TAKEN the oldest changes are forgotten. For a change based
+on a version from before the remembered ones, it is no longer known whether it was accepted.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TakenChange:
-    """A change that was taken.
+    """An accepted change.
 
     Attributes:
-        digest: Of its operation and body.
-        version: What it has led to.
+        digest: Digest of its operation and body.
+        version: Version that it produced.
     """
 
     digest: bytes
@@ -39,7 +39,7 @@
 
 
 class ChangeHistory:
-    """The newest of the changes that were taken, by the version that each is built on."""
+    """The newest accepted changes, by the version that each is based on."""
 
     def __init__(self) -> None:
         self._taken: dict[int, TakenChange] = {}
@@ -47,24 +47,24 @@
 
     @property
     def version(self) -> int:
-        """What the last change has led to."""
+        """Version that the last change produced."""
         return self._taken[next(reversed(self._taken))].version if self._taken else self._forgotten_version
 
     def add(self, change: Change, version: int) -> None:
-        """A change was taken."""
+        """Record an accepted change."""
         self._append(TakenChange(change.digest(), version))
 
     def version_of(self, change: Change) -> int | None:
-        """The version that a change was taken as, None where it wasn't or isn't remembered."""
+        """Return the version that a change produced, or None if it was not accepted or is forgotten."""
         taken = self._taken.get(change.base_version)
         return taken.version if taken is not None and taken.digest == change.digest() else None
 
     def reaches(self, base_version: int) -> bool:
-        """Whether all changes that were taken on a version or on later ones are remembered."""
+        """Return whether all changes accepted on a version or on later ones are remembered."""
         return base_version >= self._forgotten_version
 
     def records(self) -> list[bytes]:
-        """All of it, for a snapshot."""
+        """Return the records of a snapshot."""
         taken = [RECORD.pack(change.digest, change.version) for change in self._taken.values()]
         if not self._forgotten_version:
             return taken
@@ -72,7 +72,7 @@
 
     @classmethod
     def read(cls, data: bytes) -> ChangeHistory:
-        """The history from the records of a snapshot; raises UnreadableSnapshotError."""
+        """Return the history in the records of a snapshot; raises UnreadableSnapshotError."""
         changes = [TakenChange(*fields) for fields in RECORD.iter_unpack(data)]
         history = cls()
         if changes and (changes[0].digest == UNKNOWN_DIGEST or len(changes) >= FULL_WITHOUT_MARK):
--- a/granitewell/controlplane/configuration/if_match.py
+++ b/granitewell/controlplane/configuration/if_match.py
@@ -1,4 +1,4 @@
-"""The version that a change builds on, from its If-Match header."""
+"""The base version of a change, from its If-Match header."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def base_version(headers: Sequence[str]) -> int | Failure:
-    """A version as a bare number, in quotes, or as a weak tag."""
+    """Parse a version: a bare number, a number in quotes, or a weak tag."""
     if not headers:
         return Failure(428, "If-Match is missing: it names the version that the change builds on")
     if len(headers) > 1:
--- a/granitewell/controlplane/configuration/state.py
+++ b/granitewell/controlplane/configuration/state.py
@@ -1,6 +1,6 @@
-"""One version of the configuration, with all that the next change is judged by.
+"""One version of the configuration, with everything by which the next change is validated.
 
-States are never altered: a change gives a new one that shares what it did not touch.
+States are immutable: a change produces a new state that shares what it did not touch.
 """
 
 from __future__ import annotations
@@ -31,7 +31,8 @@
     """What a request is matched by.
 
     Attributes:
-        host: In lower case.
+        host: Host name in lower case.
+        prefix: Path prefix.
     """
 
     host: str
@@ -40,10 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationState:
-    """A configuration, the JSON of its parts as the operator sent them, and the routes by what they match.
+    """A configuration, the JSON of its parts as the operator sent them, and an index of the routes.
 
-    route_documents, service_documents: by name, in order. limits_document: None where none were ever sent.
-    other: top-level fields that are not known here, as JSON.
+    Attributes:
+        configuration: The configuration as the planes read it.
+        route_documents: JSON of the routes by name, in order.
+        service_documents: JSON of the services by name, in order.
+        limits_document: JSON of the limits; None if none were ever sent.
+        other: Unknown top-level fields, as JSON.
+        matches: Names of the routes by what they match.
     """
 
     configuration: Configuration
@@ -55,25 +61,25 @@
 
     @property
     def version(self) -> int:
-        """The version, 0 where there is no configuration yet."""
+        """The version; 0 if there is no configuration yet."""
         return self.configuration.version
 
     def current_routes(self) -> CurrentItems[Route]:
-        """The routes, for reading those that are sent again."""
+        """Return the routes, for parsing those that are sent again."""
         return CurrentItems(self.configuration.routes, self.route_documents)
 
     def current_services(self) -> CurrentItems[Service]:
-        """The services, for reading those that are sent again."""
+        """Return the services, for parsing those that are sent again."""
         return CurrentItems(self.configuration.services, self.service_documents)
 
     def size(self) -> int:
-        """The bytes of all parts as JSON: nearly those of the whole document."""
+        """Return the size of all parts as JSON, in bytes; nearly that of the complete document."""
         parts = (self.route_documents, self.service_documents, self.other)
         size = sum(sum(map(len, part.values())) for part in parts)
         return size + len(self.limits_document or b"")
 
     def document(self) -> bytes:
-        """The whole configuration as JSON."""
+        """Return the complete configuration as JSON."""
         parts = [
             b'"version":%d' % self.version,
             b'"routes":[' + b",".join(self.route_documents.values()) + b"]",
@@ -87,11 +93,11 @@
 
 
 EMPTY = ConfigurationState(Configuration(version=0, routes={}, services={}, limits=Limits()))
-"""Before the first configuration."""
+"""State before the first configuration."""
 
 
 def changed(state: ConfigurationState, change: Change) -> ConfigurationState:
-    """The state after a change on top of this one; raises InvalidConfigurationError."""
+    """Return the state after a change; raises InvalidConfigurationError."""
     if change.operation is Operation.PUT:
         return complete_state(state, change.body)
     patch = read_patch(change.body, state.version, state.current_routes(), state.current_services())
@@ -99,15 +105,20 @@
 
 
 def complete_state(state: ConfigurationState, document: bytes) -> ConfigurationState:
-    """The state that a whole configuration stands for, on top of this one; raises
-    InvalidConfigurationError."""
-    return _whole(read_complete(document, state.version, state.current_routes(), state.current_services()))
+    """Return the state that a complete document gives.
+
+    Items that are sent as they are in force are not read again.
+
+    Raises:
+        InvalidConfigurationError: The document is not a valid configuration.
+    """
+    return _complete(read_complete(document, state.version, state.current_routes(), state.current_services()))
 
 
 def difference(before: ConfigurationState, after: ConfigurationState) -> bytes | None:
-    """The body of a PATCH that leads the planes from one state to another.
+    """Return the body of a PATCH that leads the planes from one state to another.
 
-    None where limits or unknown fields differ, which a patch can only add to.
+    None if limits or unknown fields differ, because a patch can only add to these.
     """
     if before.limits_document != after.limits_document or before.other != after.other:
         return None
@@ -124,7 +135,7 @@
     return b",".join(upserted), removed
 
 
-def _whole(is_complete: CompleteConfiguration) -> ConfigurationState:
+def _complete(is_complete: CompleteConfiguration) -> ConfigurationState:
     services = _values(is_complete.services)
     for item in is_complete.routes:
         _check_services(item, services)
@@ -146,7 +157,10 @@
 
 
 def _patched(state: ConfigurationState, patch: ConfigurationPatch) -> ConfigurationState:
-    """Removes first, then adds and replaces. What is not named in the patch is not looked at again."""
+    """Return the state after a patch: removals first, then additions and replacements.
+
+    Items that the patch does not name are not validated again.
+    """
     before = state.configuration
     services = _merged(before.services, patch.removed_services, _values(patch.services))
     routes = _merged(before.routes, patch.removed_routes, _values(patch.routes))
@@ -187,7 +201,7 @@
 
 
 def _check_services(item: Item[Route], services: Mapping[str, Service]) -> None:
-    """Every service that a route names is known."""
+    """Check that every service that a route names is known."""
     route = item.value
     if route.service is not None and route.service not in services:
         raise InvalidConfigurationError(f"{item.path}.service", f"no service is named {route.service!r}")
@@ -198,7 +212,7 @@
 
 
 def _check_removed_services(removed: set[str], routes: Mapping[str, Route]) -> None:
-    """No route that stays names a service that goes."""
+    """Check that no remaining route names a removed service."""
     if not removed:
         return
     for route in routes.values():
@@ -230,7 +244,10 @@
 
 
 def _patched_matches(state: ConfigurationState, patch: ConfigurationPatch) -> Mapping[MatchKey, str]:
-    """All that go are taken out before any is added, so that routes may exchange what they match."""
+    """Return the new index of routes.
+
+    All removed entries are deleted before any is added, so that routes may exchange what they match.
+    """
     if not patch.routes and not patch.removed_routes:
         return state.matches
     matches = dict(state.matches)
@@ -261,7 +278,7 @@
 
 
 def _patched_unknown(document: bytes | None, items: UnknownItems, kind: str) -> bytes:
-    """The list of a kind of items that is not known here, altered by name as the known kinds are."""
+    """Return the list of items of an unknown kind, altered by name like the known kinds."""
     before = [] if document is None else orjson.loads(document)
     if not isinstance(before, list):
         raise InvalidConfigurationError(f"upsert.{kind}", "not a list in the current configuration")
--- a/granitewell/controlplane/configuration/store.py
+++ b/granitewell/controlplane/configuration/store.py
@@ -1,11 +1,11 @@
-"""The configuration as a replicated state machine: compare-and-set by version, a history of what was taken.
-
-A change is identified by its operation, the version that it builds on, and the bytes of its body. Built on
-the current version, it is TAKEN or INVALID. Built on another, it is REPEATED where the history (a part of the
-snapshot) has that very change, also when later ones have followed; FORGOTTEN where the history does not reach
-back far enough to tell; else STALE. STALE, INVALID and REPEATED are final, as a version that was left never
-comes back; only a change on a version that nobody has reached yet, named by mistake, is STALE too early.
-Nothing here reads a clock or anything else that replicas differ in.
+"""The configuration as a replicated state machine: compare-and-set by version.
+
+A change is identified by its operation, its base version, and the bytes of its body. If it is based on the
+current version, it is TAKEN or INVALID. If it is based on another version, it is REPEATED if the history (a
+part of the snapshot) contains that very change, even if later ones have followed; FORGOTTEN if the history
+does not reach back far enough to tell; otherwise STALE. STALE, INVALID and REPEATED are final, because a
+version that was left never returns. Only a change based by mistake on a version that does not exist yet is
+STALE too early. Nothing here reads a clock or anything else in which replicas differ.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
     "!BIII"
 )  # format, checksum of the rest, length of the document, records of changes
 MAX_DOCUMENT = 24 * 1024 * 1024  # bytes; patch by patch it may grow, and must fit into a snapshot and a reply
-MAX_STEPS = 128  # patches kept for edges that lag; one further behind is sent the whole
+MAX_STEPS = 128  # patches kept for edges that lag; one further behind gets the complete configuration
 
 
 class Outcome(Enum):
-    """What became of a change."""
+    """Outcome of a change."""
 
     TAKEN = "taken"
     REPEATED = "repeated"
@@ -52,11 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """What became of a change.
+    """Outcome of a change.
 
     Attributes:
-        version: The one that it was TAKEN as, also where it is REPEATED; else the current one.
-        current_version: After it.
+        outcome: Kind of outcome.
+        version: The version that it produced if TAKEN or REPEATED, otherwise the current one.
+        current_version: Version after it.
         error: Why it is INVALID.
     """
 
@@ -68,7 +69,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationDelta:
-    """What leads to a version: one whole configuration (JSON), or encoded patches (Change) in order."""
+    """What leads to a version: one complete configuration (JSON), or encoded patches (Change) in order.
+
+    Attributes:
+        version: The version.
+        is_complete: Whether `documents` is one complete configuration.
+        documents: The configuration, or the patches.
+    """
 
     version: int
     is_complete: bool
@@ -77,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """A change that can be taken on top of the current state, and the state that it gives."""
+    """A valid change on the current state, and the state that it produces."""
 
     digest: bytes
     after: ConfigurationState
@@ -85,7 +92,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Step:
-    """What leads from one version to the next, as a patch; data: as edges are sent it."""
+    """A patch that leads from one version to the next.
+
+    Attributes:
+        data: The patch as edges receive it.
+    """
 
     base_version: int
     version: int
@@ -95,7 +106,7 @@
 class ConfigurationStore:
     """One replica of the configuration.
 
-    Attributes:
+    Args:
         on_taken: Called after each change of the version.
     """
 
@@ -110,30 +121,30 @@
 
     @property
     def configuration(self) -> Configuration | None:
-        """The current configuration, None before the first."""
+        """Current configuration, None before the first."""
         return self._state.configuration if self._state.version else None
 
     @property
     def version(self) -> int:
-        """The current version, 0 before the first."""
+        """Current version, 0 before the first."""
         return self._state.version
 
     def document(self) -> bytes:
-        """The current configuration whole, as JSON; an empty one before the first."""
+        """Return the current configuration as JSON; an empty one before the first."""
         if self._document is None:
             self._document = self._state.document()
         return self._document
 
     def check(self, change: Change) -> ChangeResult | None:
-        """What apply would say of a change now, None if it would be taken. Changes nothing."""
+        """Return the outcome that a change would have now, None if it would be accepted. Changes no state."""
         verdict = self._judge(change)
         if isinstance(verdict, ChangeResult):
             return verdict
         self._checked = verdict
         return None
 
-    def apply(self, index: int, data: bytes) -> ChangeResult:
-        """A committed entry of the log; raises UnreadableChangeError."""
+    def apply(self, _index: int, data: bytes) -> ChangeResult:
+        """Apply a committed entry of the log; raises UnreadableChangeError."""
         change = Change.decode(data)
         verdict = self._judge(change)
         if isinstance(verdict, ChangeResult):
@@ -142,7 +153,10 @@
         return self._result(Outcome.TAKEN)
 
     def changes_since(self, version: int) -> ConfigurationDelta:
-        """What leads from a version to the current one: patches where they are still kept, else the whole."""
+        """Return what leads from a version to the current one.
+
+        These are patches if they are still stored, otherwise the complete configuration.
+        """
         if version >= self.version:
             return ConfigurationDelta(self.version, False, ())
         steps = [step for step in self._steps if step.version > version]
@@ -151,15 +165,18 @@
         return ConfigurationDelta(self.version, True, (self.document(),))
 
     def snapshot(self) -> bytes:
-        """All that a replica needs to go on from here."""
+        """Return everything that a replica needs to continue from here."""
         document = self.document() if self.version else b""
         records = self._history.records()
         rest = document + b"".join(records)
         return SNAPSHOT_HEAD.pack(SNAPSHOT_FORMAT, zlib.crc32(rest), len(document), len(records)) + rest
 
     def restore(self, data: bytes) -> None:
-        """Goes on from a snapshot instead of what was held; raises UnreadableSnapshotError and then keeps
-        it."""
+        """Replace the state with a snapshot.
+
+        Raises:
+            UnreadableSnapshotError: The snapshot cannot be read; the state stays as it was.
+        """
         if len(data) < SNAPSHOT_HEAD.size:
             raise UnreadableSnapshotError(f"{len(data)} bytes are too few")
         version, checksum, length, count = SNAPSHOT_HEAD.unpack_from(data)
@@ -211,7 +228,7 @@
         self._set_state(after)
 
     def _drop_long_steps(self) -> None:
-        """Keeps no more than is of use: together no longer than the whole."""
+        """Drop patches that are of no use: together they are shorter than the complete configuration."""
         size = sum(len(step.data) for step in self._steps)
         while self._steps and size >= self._document_size:
             size -= len(self._steps.popleft().data)
@@ -227,7 +244,7 @@
 
 
 def _bounded(state: ConfigurationState) -> ConfigurationState:
-    """A state that is small enough to be kept; raises InvalidConfigurationError."""
+    """Return a state if it is small enough to be stored; raises InvalidConfigurationError."""
     if state.size() > MAX_DOCUMENT:
         raise InvalidConfigurationError(
             "body", f"the whole configuration would be above {MAX_DOCUMENT} bytes"
@@ -236,7 +253,7 @@
 
 
 def _as_patch(before: ConfigurationState, after: ConfigurationState) -> bytes | None:
-    """A whole configuration told as an encoded patch of the one before, None where that can't be."""
+    """Return a new configuration as an encoded patch of the previous one, or None if that is impossible."""
     body = difference(before, after)
     return None if body is None else Change(Operation.PATCH, before.version, body).encode()
 
--- a/granitewell/controlplane/configuration/view.py
+++ b/granitewell/controlplane/configuration/view.py
@@ -1,4 +1,4 @@
-"""The configuration as an edge holds it: made of what control nodes publish, with the store's own merge."""
+"""The configuration as an edge sees it: built from what control nodes publish, with the store's own merge."""
 
 from __future__ import annotations
 
@@ -12,25 +12,26 @@
 
 
 class ConfigurationView:
-    """The newest configuration that was seen here. Its version only rises."""
+    """The newest configuration that this edge has seen. Its version only rises."""
 
     def __init__(self) -> None:
         self._state = EMPTY
 
     @property
     def configuration(self) -> Configuration | None:
-        """The newest configuration, None before the first."""
+        """Newest configuration, None before the first."""
         return self._state.configuration if self._state.version else None
 
     @property
     def version(self) -> int:
-        """The newest version, 0 before the first."""
+        """Newest version, 0 before the first."""
         return self._state.version
 
     def apply(self, version: int, is_complete: bool, documents: Sequence[bytes]) -> Configuration | None:
-        """Goes on to a version by what changes_since gave; None where that is not newer than what is held.
+        """Apply an update; return the new configuration, or None if it is not newer.
 
-        Raises DeltaMismatchError, and then holds what it held: ask for the whole (as from version 0).
+        Raises: DeltaMismatchError: The update does not fit; the view stays as it was. Request the complete
+            configuration (as from version 0).
         """
         if version <= self.version:
             return None
@@ -53,7 +54,7 @@
 
 
 def _from_changes(state: ConfigurationState, documents: Sequence[bytes]) -> ConfigurationState:
-    """Changes on top of a state."""
+    """Return the state after changes on top of another."""
     for document in documents:
         try:
             state = _next(state, Change.decode(document))
@@ -64,7 +65,7 @@
 
 def _next(state: ConfigurationState, change: Change) -> ConfigurationState:
     if change.base_version < state.version:
-        return state  # there is one history: what was built on an older version than this is held already
+        return state  # there is one history: changes based on an older version are applied already
     if change.base_version > state.version:
         raise DeltaMismatchError(f"builds on version {change.base_version}, held is {state.version}")
     return changed(state, change)
--- a/granitewell/controlplane/ownership/__init__.py
+++ b/granitewell/controlplane/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Who owns a shard: leadership of its replica group, made known in its log before it is used."""
+"""Ownership of shards: leadership of a shard's replica group, committed to its log before it is used."""
--- a/granitewell/controlplane/ownership/owner.py
+++ b/granitewell/controlplane/ownership/owner.py
@@ -1,4 +1,4 @@
-"""Ownership of one shard by this node: gained with leadership, used only inside its lease."""
+"""Ownership of one shard by this node: gained with leadership, valid only within its lease."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
     @property
     def term(self) -> int:
-        """The group's term."""
+        """Term of the group."""
 
     def holds_lease(self) -> bool:
-        """Whether this node leads and a quorum grants it that now."""
+        """Return whether this node leads and holds the lease."""
 
     def seconds_since_contact(self, address: str) -> float:
-        """Seconds since the member at an internal address was heard; infinite where there is none."""
+        """Return the seconds since the member at an internal address was heard from; infinite if none."""
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
-        """Commit an entry; the result of its apply."""
+        """Commit an entry; return the result of applying it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,8 +39,9 @@
     """The process that claims shards.
 
     Attributes:
-        address: Internal, `ip:port`.
-        incarnation: A random id of it.
+        node_name: Name of the machine.
+        address: Internal address, `ip:port`.
+        incarnation: Random id of the process.
     """
 
     node_name: str
@@ -50,12 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnRules:
-    """When two machines may order one server.
+    """When two machines may send orders to the same server.
 
     Attributes:
-        lease_s: The least time between their orders.
-        contact_s: How long a machine must be free of faults to be in touch.
-        fencing: Whether servers refuse a lower token, so that only the turns of machines in touch count.
+        lease_s: Minimum time between their orders.
+        contact_s: How long a machine must be free of faults to count as in contact.
+        fencing: Whether servers refuse lower fencing tokens, so that only machines in contact matter.
     """
 
     lease_s: float
@@ -64,29 +65,29 @@
 
     @property
     def wait_s(self) -> float:
-        """From a claim to the first order, behind another machine whose last order left before the claim."""
+        """Time from a claim to the first order if another machine sent its last order before the claim."""
         return self.lease_s + ORDER_LASTS_S
 
     @property
     def faults_excuse(self) -> bool:
-        """Whether nothing need be waited for behind a holder that a fault took away.
+        """Whether no wait is needed after an owner that was lost to a fault.
 
-        The fault puts this machine out of touch as well, for at least as long as the wait.
+        The fault also counts against this machine's contact, for at least as long as the wait.
         """
         return self.fencing and self.contact_s >= self.lease_s
 
 
 class ShardOwnership:
-    """The right of this process to order a shard's servers. holder and fence go into each order.
+    """The right of this process to send orders to a shard's servers.
 
-    Two machines must not take turns within `lease-ms`, so a claim behind another machine is followed by a
-    wait. A holder whose replica and process this leader has not heard for a while is down, frozen or cut off,
-    and one that is heard under another incarnation has restarted; behind these nothing is waited for where
-    faults excuse it (`TurnRules`). One that is no longer a member proves nothing: it may have been replaced
-    while it ran.
+    `holder` and `fencing_token` are part of each order. Two machines must not alternate within `lease-ms`, so
+    a claim that follows another machine's is followed by a wait. An owner whose replica and process this
+    leader has not heard from for a while is down, frozen or partitioned, and one that is heard from under
+    another incarnation has restarted. After these there is no wait if faults excuse it (`TurnRules`). An
+    owner that is no longer a member proves nothing: it may have been replaced while it ran.
 
-    One object lasts as long as its process: a wait that has begun goes on where this process loses leadership
-    and claims again, and a claim of its own whose outcome it never learned hides the holder before it.
+    An object lives as long as its process. A wait continues if this process loses leadership and claims
+    again. A claim of its own whose outcome it never learned hides the owner before it.
     """
 
     def __init__(
@@ -110,21 +111,21 @@
 
     @property
     def fencing_token(self) -> int:
-        """The fencing token: the term in which this node claimed the shard."""
+        """Fencing token: the term in which this node claimed the shard."""
         return self._claimed_term
 
     def owns(self) -> bool:
-        """Whether this node owns the shard now."""
+        """Return whether this node owns the shard now."""
         return self._claimed_term == self._group.term and self._group.holds_lease()
 
     def may_order(self) -> bool:
-        """Whether an order may be sent in this turn."""
+        """Return whether an order may be sent in this turn of the event loop."""
         return self.owns() and (self._clock() >= self._order_from or self._predecessor_is_gone())
 
     async def claim(self) -> None:
-        """Write the claim to the log; raises NotLeaderError or ProposalLostError.
+        """Write the claim to the log; raises NotLeaderError and ProposalLostError.
 
-        The last order of whoever it follows left before this commits.
+        The previous owner has sent its last order before the claim is committed.
         """
         term = self._group.term
         claimant = self._claimant
@@ -138,7 +139,7 @@
             self._claimed_term = term
 
     def _follow(self, previous: OwnerClaimed) -> None:
-        """Begin the wait that is due behind a claim."""
+        """Begin the wait that must follow a claim."""
         if previous == self._last_claim:
             return
         self._predecessor = NOBODY if self._is_own(previous) else previous
@@ -149,7 +150,7 @@
         return claim.address == own.address and claim.incarnation == own.incarnation
 
     def _predecessor_is_gone(self) -> bool:
-        """Whether the process that ordered before is known to be out of touch."""
+        """Return whether the previous owner's process is known to be out of contact."""
         if not self._rules.faults_excuse or not self._predecessor.address:
             return False
         if not self._has_restarted() and not self._is_unresponsive():
@@ -165,7 +166,11 @@
         return heard is not None and bool(predecessor.incarnation) and heard != predecessor.incarnation
 
     def _is_unresponsive(self) -> bool:
-        """Silence in the group alone may be a disk that hangs: a replica answers once its term is synced."""
+        """Return whether the previous owner is unresponsive.
+
+        Its replica alone may be unresponsive because of a stalled disk: a replica replies only once its term
+        is synced.
+        """
         address = self._predecessor.address
         return UNRESPONSIVE_AFTER_S <= self._group.seconds_since_contact(
             address
--- a/granitewell/controlplane/ownership/processes.py
+++ b/granitewell/controlplane/ownership/processes.py
@@ -1,4 +1,4 @@
-"""The processes of other control nodes, as they make themselves known. Pure."""
+"""Processes of other control nodes, as they announce themselves. No I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class KnownProcesses:
-    """What was heard last from each internal address."""
+    """The last announcement from each internal address."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -24,16 +24,16 @@
         self._heard: dict[str, _Heard] = {}
 
     def announce(self, address: str, incarnation: str) -> None:
-        """A process has made itself known."""
+        """Record the announcement of a process."""
         self._heard[address] = _Heard(incarnation, self._clock())
 
     def incarnation_at(self, address: str) -> str | None:
-        """Of the process heard last; None where none was."""
+        """Return the incarnation announced last from an address, None if there was none."""
         heard = self._heard.get(address)
         return heard.incarnation if heard is not None else None
 
     def is_unresponsive(self, address: str) -> bool:
-        """Whether none has been heard for longer than one that runs would be silent."""
+        """Return whether an address has sent no announcement for longer than a running process would."""
         heard = self._heard.get(address)
         heard_at = heard.at if heard is not None else self._since
         return self._clock() - heard_at >= PROCESS_UNRESPONSIVE_AFTER_S
--- a/granitewell/controlplane/ownership/record.py
+++ b/granitewell/controlplane/ownership/record.py
@@ -1,8 +1,7 @@
-"""The replicated record of a shard's owners. Pure.
+"""The replicated record of a shard's owners. No I/O.
 
-The fencing token of an owner is the term of the group in which it was elected, so tokens rise. The holder
-is the node's name. The claim is in the log before the first order, so that every later owner knows whom it
-follows.
+The fencing token of an owner is the term in which it was elected, so tokens only rise. The holder is the
+node's name. A claim is in the log before the first order, so that every later owner knows its predecessor.
 """
 
 from __future__ import annotations
@@ -14,16 +13,18 @@
 
 
 class MalformedClaimError(GranitewellError):
-    """An entry of the log that is no claim."""
+    """An entry of the log is not a claim."""
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerClaimed:
-    """A node has become the owner of the shard in a term.
+    """A node has become the owner of the shard in a term. The names of the fields are stored.
 
     Attributes:
+        holder: Name of the node.
+        term: Term of its leadership.
         address: Its internal address (`ip:port`).
-        incarnation: Of its process, a random id.
+        incarnation: Random id of its process.
     """
 
     holder: str
@@ -32,12 +33,12 @@
     incarnation: str = ""
 
     def encode(self) -> bytes:
-        """For the log."""
+        """Return the encoding used in the log."""
         return json.dumps(asdict(self)).encode()
 
     @classmethod
     def decode(cls, data: bytes) -> OwnerClaimed:
-        """From the log; raises MalformedClaimError."""
+        """Decode a claim; raises MalformedClaimError."""
         try:
             document = json.loads(data)
             return cls(
@@ -54,20 +55,20 @@
 
 
 class OwnerRecord:
-    """The state machine of a shard's group: its owner, and the one before."""
+    """State machine of a shard's group: the current owner."""
 
     def __init__(self) -> None:
         self.owner = NOBODY
 
-    def apply(self, index: int, data: bytes) -> OwnerClaimed:
-        """A claim is committed; the owner that it follows."""
+    def apply(self, _index: int, data: bytes) -> OwnerClaimed:
+        """Apply a committed claim; return the owner before it."""
         previous, self.owner = self.owner, OwnerClaimed.decode(data)
         return previous
 
     def snapshot(self) -> bytes:
-        """The state, for `restore`."""
+        """Return the state, for `restore`."""
         return self.owner.encode()
 
     def restore(self, data: bytes) -> None:
-        """Take the state of a snapshot."""
+        """Load a snapshot."""
         self.owner = OwnerClaimed.decode(data)
--- a/granitewell/controlplane/placement/__init__.py
+++ b/granitewell/controlplane/placement/__init__.py
@@ -1,7 +1,8 @@
-"""Which engine server holds which models and adapters: observe, plan, order.
+"""Placement: which engine server loads which models and adapters. Observe, plan, order.
 
-observation: what is known of each server. demand: what is asked for. limits: memory, the weight store's rate.
-planner: servers and demand in, orders out. reconciler: the pure loop around them, with polling (when servers
-are asked), issuing (the last checks of an order), readiness (what requests may be sent for) and steps (what
-it gives out). orders: the wire. controller: the asyncio shell that the control process runs.
+observation: what is known of each server. demand: what is requested. limits: memory, and the rate of the
+weight store. planner: servers and demand in, orders out. reconciler: the loop around them without I/O, with
+polling (when servers are polled), issuing (the last checks of an order), readiness (the models for which
+requests may be sent) and steps (its output). orders: the wire format. controller: the asyncio part that the
+control process runs.
 """
--- a/granitewell/controlplane/placement/controller.py
+++ b/granitewell/controlplane/placement/controller.py
@@ -1,7 +1,8 @@
-"""The shell of placement: runs the reconciler on asyncio and does the calls that it asks for.
+"""Runs the reconciler on asyncio and makes the calls that it asks for.
 
-The contract with the reconciler: each step it gives out is begun at once and answered once. May_order is
-asked when steps are worked out, and again in the very turn in which an order's body leaves (orders.py).
+Contract with the reconciler: each step that it returns is begun at once and answered once. `may_order` is
+checked when steps are planned, and again in the very turn of the event loop in which an order's body is sent
+(orders.py).
 """
 
 from __future__ import annotations
@@ -37,10 +38,10 @@
 
     @property
     def fencing_token(self) -> int:
-        """The term of the leadership."""
+        """Term of the leadership."""
 
     def may_order(self) -> bool:
-        """Whether the lease holds at this moment."""
+        """Return whether the lease is held at this moment."""
 
 
 def _ignore(_server_id: str) -> None:
@@ -50,7 +51,7 @@
 class PlacementController:
     """Places the models of one service.
 
-    Run() is started when ownership is gained and cancelled when it is lost; the other methods may be called
+    `run()` is started when ownership is gained and cancelled when it is lost; the other methods may be called
     at any time.
     """
 
@@ -75,30 +76,31 @@
 
     @property
     def counters(self) -> PlacementCounters:
-        """What was done since the start."""
+        """Counters since the start."""
         return self._reconciler.counters
 
     def set_engine(self, engine: Engine, load_rate_fraction: float) -> None:
-        """A configuration came into force.
+        """Apply a new configuration.
 
         Args:
-            load_rate_fraction: This service's part of the store's rate.
+            engine: Properties of the servers.
+            load_rate_fraction: This service's fraction of the weight store's rate.
         """
         self._reconciler.set_engine(self._clock(), engine, load_rate_fraction)
         self._after_event()
 
     def set_servers(self, servers: Sequence[ListedServer]) -> None:
-        """The platform's list was read: all servers of this service."""
+        """Apply the platform's list: all servers of this service."""
         self._reconciler.set_servers(self._clock(), servers)
         self._after_event()
 
     def add_demand(self, demands: Sequence[ModelDemand], source: str = "") -> None:
-        """An edge, `source`, has reported what it was asked for."""
+        """Record the demand that an edge, `source`, has reported."""
         self._reconciler.add_demand(self._clock(), demands, source)
         self._after_event()
 
     def ready_models(self, server_id: str) -> Mapping[str, LoadedModel]:
-        """What requests may be sent for to a server now."""
+        """Return the models for which requests may be sent to a server now."""
         return self._reconciler.ready_models(server_id)
 
     async def run(self) -> None:
@@ -158,11 +160,19 @@
         result = await self._client.send(step.address, step.order, step.ticket, may_send)
         if result is OrderResult.FENCED:
             log.warning(
-                "{}: server {} has seen a fence above {}; no orders to it until ownership changes",
-                self._service, step.order.server_id, fencing_token,
-            )  # fmt: skip
-        log.debug("{}: {} {} on {}: {}", self._service, step.order.operation.value, step.order.ref,
-                  step.order.server_id, result.value)  # fmt: skip
+                "server has seen a higher fencing token; no orders until ownership changes",
+                service=self._service,
+                server=step.order.server_id,
+                fencing_token=fencing_token,
+            )
+        log.debug(
+            "order answered",
+            service=self._service,
+            operation=step.order.operation.value,
+            model=str(step.order.ref),
+            server=step.order.server_id,
+            result=result.value,
+        )
         self._reconciler.on_order(self._clock(), step.order, result)
         self._after_event()
 
--- a/granitewell/controlplane/placement/demand.py
+++ b/granitewell/controlplane/placement/demand.py
@@ -1,7 +1,7 @@
-"""How much each model and adapter is asked for: decayed rates, and who waits now. Pure.
+"""Demand for each model and adapter: decayed rates, and the requests that wait now. No I/O.
 
-The rate rises with the first report of a rising model and falls within seconds of silence, because demand
-moves to other models at once while a model that was merely asked for rarely keeps its small rate.
+A rate rises with the first report of a rising model and falls within seconds of inactivity, because demand
+moves to other models at once, while a model that is requested rarely keeps its small rate.
 """
 
 from __future__ import annotations
@@ -24,13 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RefDemand:
-    """Demand for one model (its adapters included) or one adapter.
+    """Demand for one model (including its adapters) or one adapter.
 
     Attributes:
-        rate: Requests a second.
-        idle_s: Since the last request.
-        waiting_since: Steady time since when requests have waited.
-        priority: Of the most urgent.
+        rate: Requests per second.
+        idle_s: Seconds since the last request.
+        waiting: Requests that wait.
+        waiting_since: Time since which requests have waited, on the steady clock.
+        in_flight: Requests in flight.
+        priority: Priority of the most urgent request.
     """
 
     rate: float = 0.0
@@ -49,7 +51,7 @@
     """All demand at one moment, `at`.
 
     Attributes:
-        misses_per_s: How often a model began to be waited for.
+        misses_per_s: How often requests began to wait for a model, per second.
     """
 
     models: Mapping[str, RefDemand] = field(default_factory=dict)
@@ -58,14 +60,14 @@
     at: float = 0.0
 
     def of(self, ref: ModelRef) -> RefDemand:
-        """Demand for a model with its adapters, or for one adapter."""
+        """Return the demand for a model with its adapters, or for one adapter."""
         if ref.adapter:
             return self.adapters.get(ref, NO_DEMAND)
         return self.models.get(ref.model, NO_DEMAND)
 
 
 class _Gauge:
-    """A figure that several reporters have, each its own part: the sum of what they said last."""
+    """A gauge with several reporters: the sum of the values they reported last."""
 
     __slots__ = ("_parts",)
 
@@ -86,7 +88,7 @@
 
 
 class _Arrivals:
-    """Two decayed counts of requests and the time of the last."""
+    """Two decayed counts of requests, and the time of the last."""
 
     __slots__ = ("_at", "_fast", "_slow", "last_at")
 
@@ -122,7 +124,7 @@
 
 
 class _Entry:
-    """What was reported of one model or adapter by name."""
+    """What was reported about one model or adapter."""
 
     __slots__ = ("arrivals", "in_flight", "priority", "waiting", "waiting_since")
 
@@ -135,7 +137,10 @@
 
 
 class DemandTable:
-    """Takes what edges report; gives the demand at a moment. Holds only models that were asked for lately."""
+    """Collects the reports of edges and returns the demand at a moment.
+
+    It stores only models that were requested recently.
+    """
 
     def __init__(self) -> None:
         self._entries: dict[ModelRef, _Entry] = {}
@@ -144,7 +149,10 @@
         self._misses_at = NEVER
 
     def add(self, now: float, demands: Iterable[ModelDemand], source: str = "") -> bool:
-        """Take the report of an edge, `source`. True when something began to be waited for."""
+        """Record the report of an edge, `source`.
+
+        Returns whether requests have begun to wait for something.
+        """
         urgent = False
         for demand in demands:
             urgent |= self._add_one(now, demand, source)
@@ -163,9 +171,9 @@
         entry.in_flight.set(now, source, demand.in_flight)
         waited = entry.waiting.read(now) > 0
         entry.waiting.set(now, source, demand.waiting)
-        return self._note_waiting(now, entry, demand, waited)
+        return self._record_waiting(now, entry, demand, waited)
 
-    def _note_waiting(self, now: float, entry: _Entry, demand: ModelDemand, waited: bool) -> bool:
+    def _record_waiting(self, now: float, entry: _Entry, demand: ModelDemand, waited: bool) -> bool:
         if demand.waiting <= 0:
             return False
         if waited:
@@ -184,7 +192,7 @@
         return self._misses * math.exp(-max(0.0, now - self._misses_at) / MISS_S)
 
     def view(self, now: float) -> DemandView:
-        """The demand at this moment."""
+        """Return the demand at this moment."""
         adapters: dict[ModelRef, RefDemand] = {}
         by_model: dict[str, list[RefDemand]] = {}
         with_adapters: set[str] = set()
--- a/granitewell/controlplane/placement/fleet.py
+++ b/granitewell/controlplane/placement/fleet.py
@@ -1,4 +1,4 @@
-"""Which models the servers have, how many copies demand wants, and who is loaded by what. Pure."""
+"""Models on the servers, desired replicas by demand, and the load of each server. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 BUSY_RATE = 0.4  # requests a second from which a model has two copies
 KEEP_RATE = 0.25  # from here a lost last copy is loaded again before it is asked for
-ACTIVE_ADAPTER_RATE = 0.04  # adapters asked for this often want a place of their own
+ACTIVE_ADAPTER_RATE = 0.04  # adapters requested this often are loaded ahead of need
 SLOTS_FRACTION = 0.2  # of a server's slots in use by one model, beyond which another copy is wanted
 EVEN_FRACTION = (
     1.25  # of all requests over all servers: a model asked for more often a copy wants another copy
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class _Copies:
-    """Lasting copies of a model: the servers that have or load it, and how many of them hold it."""
+    """Lasting replicas of a model: the servers that have or load it, and how many of them have loaded it."""
 
     servers: list[ServerView] = field(default_factory=list)
     ready: int = 0
@@ -39,7 +39,7 @@
 
 
 class FleetView:
-    """Servers and demand at the time of one plan. Only the copies change, as the plan gives out orders."""
+    """Servers and demand at the time of one plan. Only the replicas change, as the plan issues orders."""
 
     def __init__(
         self, servers: Sequence[ServerView], demand: DemandView, engine: Engine, sizes: ModelSizes
@@ -60,7 +60,7 @@
         self.wanted = {name: self._wanted_copies(name) for name in demand.models if name in self.models}
         self.load = {server.id: self._load_of(server) for server in servers}
 
-    # What there is
+    # Servers
 
     def _count_copies(self) -> dict[str, _Copies]:
         copies: dict[str, _Copies] = {}
@@ -76,34 +76,34 @@
         return copies
 
     def copies_of(self, model: str) -> _Copies:
-        """Lasting copies of a model."""
+        """Return the lasting replicas of a model."""
         return self._copies.get(model, _NO_COPIES)
 
     def adapter_copies(self, ref: ModelRef) -> int:
-        """Lasting servers that have or load an adapter and keep it."""
+        """Return the lasting servers that have or load an adapter and keep it."""
         return sum(1 for server in self.lasting if self._has_adapter(server, ref))
 
     def _has_adapter(self, server: ServerView, ref: ModelRef) -> bool:
         return (server.has(ref) and (server.id, ref) not in self._dropped) or server.coming == ref
 
     def is_adapter(self, ref: ModelRef) -> bool:
-        """Whether the configuration has the adapter."""
+        """Return whether the configuration has the adapter."""
         model = self.models.get(ref.model)
         if model is None or not ref.adapter.startswith("a") or not ref.adapter[1:].isdecimal():
             return False
         return 1 <= int(ref.adapter[1:]) <= model.adapters
 
     def is_missed(self, name: str) -> bool:
-        """Whether requests wait for a model that no lasting server has or loads."""
+        """Return whether requests wait for a model that no lasting server has or loads."""
         return self.demand.models[name].waiting > 0 and not self.copies_of(name).count
 
     def in_flight(self, name: str) -> bool:
-        """Whether requests for a model are being run."""
+        """Return whether requests for a model are in flight."""
         seen = self.demand.models.get(name)
         return seen is not None and seen.in_flight > 0
 
     def freed_mb(self, server: ServerView, ref: ModelRef) -> float:
-        """Memory that an unload frees; 0 where the size is not known."""
+        """Return the memory that an unload frees, in MB; 0 if the size is unknown."""
         if ref.adapter:
             return self._finite(self._sizes.adapter_mb(ref.model))
         loaded = server.loaded.get(ref.model)
@@ -114,10 +114,10 @@
         return mb if math.isfinite(mb) else 0.0
 
     def sizes_away(self) -> list[float]:
-        """Sizes of the models that no lasting server has had in this plan, in order."""
+        """Return the sizes of the models that no lasting server has, in order."""
         return sorted(model.weights_mb for name, model in self.models.items() if name not in self._copies)
 
-    # What is wanted
+    # Desired replicas
 
     def _count_active_adapters(self) -> dict[str, int]:
         active: dict[str, int] = {}
@@ -127,7 +127,10 @@
         return active
 
     def _well_served_rate(self) -> float:
-        """Requests a second that a copy should get at most: about an even share of all requests."""
+        """Return the rate that a replica should serve at most, in requests per second.
+
+        That is about an even fraction of all requests.
+        """
         asked = sum(seen.rate for seen in self.demand.models.values())
         return max(MIN_RATE_A_COPY, EVEN_FRACTION * asked / max(1, len(self.lasting)))
 
@@ -155,14 +158,14 @@
                 load += seen.rate / max(1, self.copies_of(name).count)
         return load
 
-    # What this plan changes
+    # Changes by this plan
 
     def comes(self, server: ServerView, name: str) -> None:
-        """A load of a model was ordered."""
+        """Record that the load of a model was ordered."""
         self._copies.setdefault(name, _Copies()).servers.append(server)
 
     def goes(self, server: ServerView, ref: ModelRef) -> None:
-        """An unload was ordered."""
+        """Record that an unload was ordered."""
         if ref.adapter:
             self._dropped.add((server.id, ref))
             return
--- a/granitewell/controlplane/placement/issuing.py
+++ b/granitewell/controlplane/placement/issuing.py
@@ -1,7 +1,8 @@
-"""The last checks before an order goes out, and what its end teaches. Pure.
+"""The last checks before an order is issued, and what its result teaches. No I/O.
 
-Whatever the planner says: one order at a time to a server, conditional on the sequence last reported; no load
-beyond the memory left with all that counted; no load from the store without a token of the bucket.
+Whatever the planner says: one order at a time per server, conditional on the sequence reported last; no load
+beyond the remaining memory with everything that counts; no load from the weight store without a token of the
+bucket.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class OrderIssuer:
-    """Gives out orders within a server's memory and the weight store's rate."""
+    """Issues orders within a server's memory and the weight store's rate."""
 
     def __init__(self, records: Mapping[str, ServerRecord], counters: PlacementCounters) -> None:
         self.sizes = ModelSizes()
@@ -45,16 +46,18 @@
         self._load_rate_fraction = 1.0
 
     def start(self, now: float) -> None:
-        """Ownership was gained: what an earlier owner has just loaded counts, so begin without a token."""
+        """Begin without a token, because the loads that an earlier owner has just ordered count."""
         self.pace = LoadPace()
         self.bucket = LoadBucket(now)
         self._set_rate(now)
 
     def set_engine(self, now: float, engine: Engine, load_rate_fraction: float) -> None:
-        """A configuration came into force.
+        """Apply a new configuration.
 
         Args:
-            load_rate_fraction: This service's part of the store's rate.
+            now: Current time, in seconds.
+            engine: Properties of the servers.
+            load_rate_fraction: This service's fraction of the weight store's rate.
         """
         self._engine = engine
         self._load_rate_fraction = load_rate_fraction
@@ -71,7 +74,7 @@
             self.pace.expect(loads_per_s, fmean(model.load_time_s for model in engine.models))
 
     def issue(self, now: float, order: Order, holder: str, fencing_token: int) -> Send | None:
-        """Put an order on the record and give it out, unless it would break a limit."""
+        """Record and issue an order, unless it would exceed a limit."""
         record = self._records.get(order.server_id)
         engine = self._engine
         if record is None or engine is None or not record.orderable(now, fencing_token):
@@ -91,14 +94,14 @@
         return Send(record.listed.address, order, OrderTicket(holder, fencing_token, report.sequence))
 
     def answered(self, order: Order, result: OrderResult) -> None:
-        """An order was answered, or got no answer."""
+        """Record that an order was answered or timed out."""
         results = self._counters.results
         results[result] = results.get(result, 0) + 1
         if order.from_store and result in _NEVER_BEGAN:
             self.bucket.give_back()
 
     def done(self, done: PendingOrder, asked_at: float, report: Report) -> None:
-        """A report that was asked for at asked_at shows how an order ended."""
+        """Record that a report requested at `asked_at` shows how an order ended."""
         if not done.order.loads_model or not done.order.from_store or not shows(report, done.order):
             return
         nominal = _load_time(self._engine, done.order.ref.model) if self._engine is not None else 0.0
--- a/granitewell/controlplane/placement/limits.py
+++ b/granitewell/controlplane/placement/limits.py
@@ -1,4 +1,4 @@
-"""What must never be exceeded: a server's memory and adapter places, the rate of the weight store. Pure."""
+"""Limits that must never be exceeded: servers' memory and adapters, the weight store's rate. No I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a server has committed. mb is infinite where a size is unknown."""
+    """Committed resources of a server. `mb` is infinite if a size is unknown."""
 
     mb: float
     adapters: int
@@ -29,48 +29,48 @@
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """What a server may hold."""
+    """Resources of a server."""
 
     mb: float
     adapters: int
 
     def admits(self, usage: Usage) -> bool:
-        """Whether that much may be held."""
+        """Return whether a usage is within the capacity."""
         return usage.mb <= self.mb - MEMORY_SLACK_MB and usage.adapters <= self.adapters
 
 
 class ModelSizes:
-    """Sizes of models, also of those that a newer configuration no longer lists."""
+    """Sizes of models, including those that a newer configuration no longer lists."""
 
     def __init__(self) -> None:
         self._known: dict[str, Model] = {}
 
     def learn(self, engine: Engine) -> None:
-        """Take the sizes of a configuration."""
+        """Record the sizes in a configuration."""
         self._known.update((model.name, model) for model in engine.models)
 
     def weights_mb(self, model: str) -> float:
-        """Size of a model alone; infinite where it was never known."""
+        """Return the size of a model alone, in MB; infinite if it was never known."""
         known = self._known.get(model)
         return known.weights_mb if known else math.inf
 
     def adapter_mb(self, model: str) -> float:
-        """Size of an adapter of a model; infinite where the model was never known."""
+        """Return the size of an adapter of a model, in MB; infinite if the model was never known."""
         known = self._known.get(model)
         return known.adapter_mb if known else math.inf
 
     def ref_mb(self, ref: ModelRef) -> float:
-        """Size of a model alone, or of one adapter."""
+        """Return the size of a model alone, or of one adapter, in MB."""
         return self.adapter_mb(ref.model) if ref.adapter else self.weights_mb(ref.model)
 
     def loaded_mb(self, loaded: LoadedModel) -> float:
-        """Size of a model with the adapters held of it."""
+        """Return the size of a model with its loaded adapters, in MB."""
         adapters = len(loaded.adapters) * self.adapter_mb(loaded.name) if loaded.adapters else 0.0
         return self.weights_mb(loaded.name) + adapters
 
 
 def usage(loaded: Iterable[LoadedModel], coming: Iterable[ModelRef], sizes: ModelSizes) -> Usage:
-    """What is held, together with loads that are under way or whose fate is unknown."""
+    """Return the usage of loaded models together with loads in progress or of unknown outcome."""
     mb = 0.0
     adapters = 0
     present: dict[str, LoadedModel] = {}
@@ -94,7 +94,7 @@
 class LoadBucket:
     """Token bucket of loads from the weight store.
 
-    Empty at the start: what an earlier owner has just ordered counts in the same window.
+    Empty at the start: the loads that an earlier owner has just ordered count in the same window.
     """
 
     def __init__(self, now: float) -> None:
@@ -103,7 +103,7 @@
         self._at = now
 
     def set_rate(self, now: float, loads_per_s: float) -> None:
-        """The rate permitted to this service from now on."""
+        """Set the rate that this service may use from now on, in loads per second."""
         self._fill(now)
         self._rate = loads_per_s * STORE_RATE_FRACTION
 
@@ -113,23 +113,23 @@
         self._at = now
 
     def available(self, now: float) -> int:
-        """Loads that may begin now."""
+        """Return how many loads may begin now."""
         self._fill(now)
         return int(self._tokens + 1e-9)
 
     def take(self, now: float) -> bool:
-        """Take the token of one load; False where there is none."""
+        """Take the token of one load; return False if there is none."""
         if self.available(now) < 1:
             return False
         self._tokens -= 1.0
         return True
 
     def give_back(self) -> None:
-        """The load of a token taken did certainly not begin."""
+        """Return the token of a load that certainly did not begin."""
         self._tokens = min(STORE_BURST, self._tokens + 1.0)
 
     def next_at(self, now: float) -> float:
-        """When a load may begin next."""
+        """Return when the next load may begin."""
         if self.available(now) >= 1:
             return now
         if self._rate <= 0:
@@ -138,9 +138,9 @@
 
 
 class LoadPace:
-    """How many loads at once run at full speed, which no page tells: learned from how long loads take.
+    """How many concurrent loads run at full speed, learned from how long loads take.
 
-    Before any was measured, it is taken for as many as the permitted rate keeps under way.
+    Before any was measured, it is the number that the permitted rate keeps in progress.
     """
 
     def __init__(self) -> None:
@@ -148,7 +148,7 @@
         self._min_overhead_s = math.inf
 
     def expect(self, loads_per_s: float, load_time_s: float) -> None:
-        """The store permits this rate of loads, of this many seconds each in the mean.
+        """Record the permitted rate of loads and their mean duration.
 
         Without effect once loads were measured.
         """
@@ -157,7 +157,7 @@
             self.at_once = max(AT_ONCE_LEAST, min(AT_ONCE_MOST, under_way))
 
     def learn(self, at_once: int, took_s: float, nominal_s: float) -> None:
-        """A load from the store took this long, beside at_once loads in all (itself included)."""
+        """Record how long a load took beside `at_once` concurrent loads (including itself)."""
         overhead = took_s - nominal_s
         self._min_overhead_s = min(self._min_overhead_s, max(overhead, -0.5 * nominal_s))
         slowness = (took_s - self._min_overhead_s) / max(nominal_s, 0.05)
--- a/granitewell/controlplane/placement/observation.py
+++ b/granitewell/controlplane/placement/observation.py
@@ -1,8 +1,8 @@
-"""What is known of each server, from the platform's list, its reports and the answers to orders. Pure.
+"""What is known of each server, from the platform's list, its reports and the answers to orders. No I/O.
 
-A report is some hundred ms old when it comes. An order therefore stays on the record until a report shows it:
-its sequence has moved, nothing is under way, and the result is there. An order of unknown fate stays until a
-report that was asked for well after it shows that it came or that it didn't.
+A report is some hundred ms old when it arrives. An order therefore stays recorded until a report shows it:
+the sequence has advanced, nothing is in progress, and the result is visible. An order of unknown outcome
+stays recorded until a report requested well after it shows that it was executed or that it was not.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 REPORT_LAG_S = 0.6  # a report is surely not older than this ("some hundred ms")
 OVERDUE_S = 3.0  # beyond its expected time, after which an order that left no trace is given up
-RESERVED_S = 1.5  # for which room stays reserved for what it was made for
+RESERVED_S = 1.5  # for which freed capacity stays reserved
 PURPOSE_LASTS_S = 0.5  # of an unload: one that takes longer waits for runs
 REPORT_LASTS_S = 2.5  # an older report is no basis for an order
 DARK_AFTER_S = 0.9  # without any answer, counted from the first failed call: two calls
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A server as the platform lists it.
+    """A server in the platform's list.
 
     Attributes:
-        remaining_ms: -1 for no end in sight.
-        models: As the list says, about a second old.
+        remaining_ms: Remaining lifetime in milliseconds, -1 for no end in sight.
+        models: Models according to the list, about a second old.
     """
 
     id: str
@@ -44,7 +44,7 @@
 
 
 class OrderStage(Enum):
-    """How far an order has come."""
+    """Progress of an order."""
 
     SENDING = "sending"
     TAKEN = "taken"  # answered 202
@@ -54,12 +54,12 @@
 
 @dataclass(slots=True)
 class PendingOrder:
-    """An order that no report has shown done.
+    """An order that no report has shown as done.
 
     Attributes:
-        revision: The sequence it was conditional on.
-        expected_s: Time it should take.
-        at_once: Loads under way when it began.
+        revision: Sequence that it was conditional on.
+        expected_s: Time that it should take, in seconds.
+        at_once: Loads in progress when it began.
     """
 
     order: Order
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawal:
-    """An unload that edges are being told of before it is ordered at `at`."""
+    """An unload that edges are being notified of before it is ordered at `at`."""
 
     order: Order
     at: float
@@ -81,14 +81,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Room that an unload made for a model or adapter, kept for it until then."""
+    """Capacity that an unload freed for a model or adapter, reserved for it until then."""
 
     ref: ModelRef
     until: float
 
 
 class ServerRecord:
-    """One server. Calls to it go one at a time (calling), orders too (pending)."""
+    """One server. There is one call at a time to it (`calling`), and one order (`pending`)."""
 
     def __init__(self, listed: ListedServer, now: float) -> None:
         self.listed = listed
@@ -109,12 +109,12 @@
         self._refusals = 0
 
     def relist(self, listed: ListedServer) -> None:
-        """Take the newest entry of the list."""
+        """Apply the newest entry of the list."""
         self.listed = listed
         self.loaded_before.update(model.name for model in listed.models)
 
     def forget_calls(self, now: float) -> None:
-        """Start from nothing: no report, no order; what the server has held stays known."""
+        """Drop the report and the order; the models that the server had loaded stay known."""
         self.report = None
         self.report_asked_at = -math.inf
         self.calling = False
@@ -128,13 +128,16 @@
     # Reports
 
     def take_report(self, asked_at: float, report: Report) -> PendingOrder | None:
-        """Take a report; gives the order that it shows done or never begun, now off the record."""
+        """Apply a report.
+
+        Returns the order that it shows as done or never begun, which is no longer recorded.
+        """
         self._answered()
         self.report = report
         self.report_asked_at = asked_at
         self.loaded_before.update(report.models)
         pending = self.pending
-        if pending is None or not _settled(pending, asked_at, report):
+        if pending is None or not _is_resolved(pending, asked_at, report):
             return None
         self.pending = None
         if pending.order.purpose is not None:
@@ -142,12 +145,12 @@
         return pending
 
     def reserved_for(self, now: float) -> ModelRef | None:
-        """What its free room is kept for."""
+        """Return what the free capacity is reserved for."""
         reservation = self.reservation
         return reservation.ref if reservation is not None and now < reservation.until else None
 
     def miss_report(self, asked_at: float, failure: ReportFailure) -> None:
-        """A report was asked for and did not come."""
+        """Record that a requested report did not arrive."""
         if failure is ReportFailure.OTHER_SERVER:
             self.misdirected = True
             return
@@ -163,31 +166,31 @@
 
     @property
     def failing(self) -> bool:
-        """Whether the last call for a report failed."""
+        """Whether the last request for a report failed."""
         return self._failures > 0
 
     def dark(self, now: float) -> bool:
-        """Whether the server has given no answer for so long that it counts as down."""
+        """Whether the server has been unresponsive for so long that it counts as down."""
         if self.misdirected or self._refusals >= REFUSALS_TO_BE_DARK:
             return True
         return now - self._failing_since >= DARK_AFTER_S
 
     def dark_at(self) -> float:
-        """When it will count as down if no answer comes; infinite once that was noticed."""
+        """Time at which it will count as down without an answer; infinite once that was noticed."""
         if self.dark_noticed:
             return math.inf
         return self._failing_since + DARK_AFTER_S
 
-    # What it holds
+    # Loaded models
 
     def loaded(self) -> Mapping[str, LoadedModel]:
-        """What the newest report shows, or the list where there is none yet."""
+        """Return what the newest report shows, or the list if there is none yet."""
         if self.report is not None:
             return self.report.models
         return {model.name: model for model in self.listed.models}
 
     def ready(self) -> Mapping[str, LoadedModel]:
-        """What requests may be sent for: held, and not about to be unloaded."""
+        """Return the models for which requests may be sent: loaded, and not about to be unloaded."""
         going = self.going()
         loaded = self.loaded()
         if going is None or going.model not in loaded:
@@ -201,19 +204,22 @@
         return ready
 
     def going(self) -> ModelRef | None:
-        """What is being unloaded or is about to be."""
+        """Return what is being unloaded or is about to be."""
         order = self._unload()
         return order.ref if order else None
 
     def coming(self) -> ModelRef | None:
-        """What may be loading: under way or of unknown fate."""
+        """Return what may be loading: in progress or of unknown outcome."""
         pending = self.pending
         if pending is None or pending.order.operation is not Operation.LOAD:
             return None
         return pending.order.ref
 
     def purpose(self, now: float) -> ModelRef | None:
-        """What the unload under way makes room for, unless it takes long: another place may be better."""
+        """Return what the current unload frees capacity for.
+
+        None if the unload takes long, because another server may be better.
+        """
         if self.pending is not None and now - self.pending.sent_at > PURPOSE_LASTS_S:
             return None
         order = self._unload()
@@ -227,7 +233,7 @@
         return None
 
     def usage(self, sizes: ModelSizes) -> Usage:
-        """What it holds, with all that may be loading."""
+        """Return the usage of the server, with everything that may be loading."""
         coming = self.coming()
         return usage(self.loaded().values(), () if coming is None else (coming,), sizes)
 
@@ -235,12 +241,12 @@
 
     @property
     def lasting(self) -> bool:
-        """Whether it is to stay."""
+        """Whether the server is to stay."""
         listed = self.listed
         return listed.state is ServerState.READY and listed.remaining_ms < 0 and not self.misdirected
 
     def orderable(self, now: float, fencing_token: int) -> bool:
-        """Whether an order may go to it now."""
+        """Return whether an order may be sent to it now."""
         report = self.report
         return (
             report is not None
@@ -256,8 +262,8 @@
         )
 
 
-def _settled(pending: PendingOrder, asked_at: float, report: Report) -> bool:
-    """Whether a report tells how an order ended."""
+def _is_resolved(pending: PendingOrder, asked_at: float, report: Report) -> bool:
+    """Return whether a report shows how an order ended."""
     if report.busy or pending.stage is OrderStage.SENDING:
         return False
     if pending.stage is OrderStage.TAKEN:
@@ -269,17 +275,17 @@
 
 
 def shows(report: Report, order: Order) -> bool:
-    """Whether the result of an order stands in a report."""
+    """Return whether the result of an order is visible in a report."""
     loaded = report.models.get(order.ref.model)
     present = loaded is not None and (not order.ref.adapter or order.ref.adapter in loaded.adapters)
     return present is (order.operation is Operation.LOAD)
 
 
 def too_many_dark(dark: int, all_servers: int) -> bool:
-    """Whether so many servers are silent at once that it is rather this node that is cut off."""
+    """Return whether so many servers are unresponsive at once that this node is probably partitioned."""
     return all_servers >= 3 and dark > all_servers * 0.6
 
 
 def by_id(servers: Sequence[ListedServer]) -> dict[str, ListedServer]:
-    """A list by the ids of its servers."""
+    """Return servers by id."""
     return {server.id: server for server in servers}
--- a/granitewell/controlplane/placement/orders.py
+++ b/granitewell/controlplane/placement/orders.py
@@ -1,4 +1,4 @@
-"""The wire of engine servers: GET /report and POST /order. Wire names stand here and nowhere else."""
+"""Wire format of engine servers: GET /report and POST /order. Names on the wire are here and nowhere else."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class MalformedReportError(GranitewellError):
-    """A server's report can't be read."""
+    """A server's report cannot be read."""
 
 
 class Operation(Enum):
-    """What an order asks a server for."""
+    """What an order asks a server to do."""
 
     LOAD = "load_model"
     UNLOAD = "unload_model"
@@ -37,8 +37,8 @@
     """One order to one server.
 
     Attributes:
-        purpose: For an unload, what the room is for.
-        from_store: A load that counts against the weight store's rate.
+        purpose: For an unload, what the capacity is for.
+        from_store: Whether the load counts against the weight store's rate.
     """
 
     server_id: str
@@ -49,13 +49,13 @@
 
     @property
     def loads_model(self) -> bool:
-        """Whether this loads a whole model, not an adapter."""
+        """Whether this loads a complete model, not an adapter."""
         return self.operation is Operation.LOAD and not self.ref.adapter
 
 
 @dataclass(frozen=True, slots=True)
 class OrderTicket:
-    """What makes an order conditional: the holder, its fence, the server's revision."""
+    """Conditions of an order: the holder, its fencing token, and the server's revision."""
 
     holder: str
     fencing_token: int
@@ -68,7 +68,7 @@
     TAKEN = "taken"  # 202: being done
     ALREADY_HOLDS = "held"  # 200: nothing to do
     CONFLICT = "conflict"  # 409: another order is under way, or the revision has moved
-    FENCED = "fenced"  # 412: the server has seen a higher fence
+    FENCED = "fenced"  # 412: the server has seen a higher fencing token
     INVALID = "invalid"  # 400 and every other refusal
     OTHER_SERVER = "other server"  # 421
     NOT_SENT = "not sent"  # the body never left: no connection, or the lease had ended
@@ -86,11 +86,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a server says of itself, some hundred ms old.
+    """A server's report about itself, some hundred ms old.
 
     Attributes:
-        sequence: Orders taken.
-        busy: One is under way.
+        sequence: Number of orders accepted.
+        busy: Whether an order is in progress.
+        models: Loaded models by name.
     """
 
     sequence: int
@@ -101,19 +102,19 @@
 
 
 class ServerClient(Protocol):
-    """How servers are reached; replaced in tests."""
+    """Calls to servers; replaced in tests."""
 
     async def report(self, server_id: str, address: str) -> Report | ReportFailure:
-        """The server's report."""
+        """Return the server's report."""
 
     async def send(
         self, address: str, order: Order, ticket: OrderTicket, may_send: Callable[[], bool]
     ) -> OrderResult:
-        """Send an order; may_send is asked in the turn in which its body leaves."""
+        """Send an order; `may_send` is called in the turn of the event loop in which its body is sent."""
 
 
 def parse_report(body: bytes) -> Report:
-    """A report from its bytes; raises MalformedReportError."""
+    """Parse a report; raises MalformedReportError."""
     try:
         document = json.loads(body)
         models = [LoadedModel.parse(entry) for entry in document["models"]]
@@ -129,7 +130,7 @@
 
 
 def encode_order(order: Order, ticket: OrderTicket) -> bytes:
-    """The body of an order."""
+    """Return the body of an order."""
     fields: dict[str, object] = {"operation": order.operation.value, "model": order.ref.model}
     if order.ref.adapter:
         fields["adapter"] = order.ref.adapter
@@ -149,16 +150,19 @@
 
 
 def order_result(status: int) -> OrderResult:
-    """What a status says of an order. A failure of the server itself leaves the order's fate open."""
+    """Return what a status tells about an order.
+
+    After a failure of the server itself the outcome is unknown.
+    """
     if status >= 500:
         return OrderResult.UNKNOWN
     return _RESULTS.get(status, OrderResult.INVALID)
 
 
 class _GuardedBody:
-    """An order's body that asks for permission at the moment when it is written.
+    """The body of an order that asks for permission at the moment when it is written.
 
-    After a connection had to be opened first, that is later than the call.
+    If a connection had to be opened first, that is later than the call.
     """
 
     def __init__(self, body: bytes, may_send: Callable[[], bool]) -> None:
@@ -167,7 +171,7 @@
         self.left = False
 
     async def parts(self) -> AsyncIterator[bytes]:
-        """The body, or an error where it may no longer leave."""
+        """Yield the body, or raise an error if it may no longer be sent."""
         if not self._may_send():
             raise OSError("the lease ended before the order left")
         self.left = True
@@ -175,7 +179,10 @@
 
 
 class HttpServerClient:
-    """Servers over HTTP. One call a server at a time is up to the caller, so one connection each suffices."""
+    """Calls to servers over HTTP.
+
+    The caller makes one call at a time per server, so one connection each suffices.
+    """
 
     def __init__(
         self,
@@ -188,7 +195,7 @@
         self._order_timeout = aiohttp.ClientTimeout(total=order_timeout_s)
 
     async def report(self, server_id: str, address: str) -> Report | ReportFailure:
-        """The server's report."""
+        """Return the server's report."""
         try:
             async with self._session.get(
                 f"http://{address}/report",
@@ -214,7 +221,7 @@
     async def send(
         self, address: str, order: Order, ticket: OrderTicket, may_send: Callable[[], bool]
     ) -> OrderResult:
-        """Send an order. Without a clear answer its fate is unknown if its body has left."""
+        """Send an order. Without a clear answer its outcome is unknown if its body was sent."""
         body = encode_order(order, ticket)
         guarded = _GuardedBody(body, may_send)
         headers = {
--- a/granitewell/controlplane/placement/placement_pass.py
+++ b/granitewell/controlplane/placement/placement_pass.py
@@ -1,4 +1,4 @@
-"""Where a model or an adapter is loaded, and what goes first. Gives out the orders of one plan. Pure."""
+"""Selection of the server for a model or an adapter, and of what is evicted first, for one plan. No I/O."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from granitewell.domain.configuration import Model
 from granitewell.domain.servers import ModelRef
 
-# Cost of a place, in seconds of waiting
+# Cost of a candidate, in seconds of waiting
 UNLOAD_S = 0.2  # until a report shows an unload
 RUNS_S = 1.5  # the same where runs must end first
 VALUE_S = 10.0  # seconds for one miss a second
-IDLE_AFTER_S = 0.3  # beyond the load time: a token of the store, a place among its loads
+IDLE_AFTER_S = 0.3  # beyond the load time: waiting for the store's rate and for other loads
 BUSY_LOAD_S = 0.1  # for each request a second that the server already has of busy models
 SAME_ZONE_S = 0.3
 ADAPTER_HOST_S = 0.15  # a load holds up orders for adapters on this server
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """A server for a load, what must go first, and what it costs."""
+    """A server for a load, what must be evicted first, and the cost."""
 
     server: ServerView
     victims: tuple[ModelRef, ...]
@@ -36,7 +36,7 @@
 
 
 class PlacementPass:
-    """Places what the planner asks for, at most one order a server."""
+    """Places what the planner asks for, with at most one order per server."""
 
     def __init__(
         self,
@@ -54,21 +54,26 @@
         self._tokens = store.tokens
         self._loading = sum(1 for s in servers if s.coming is not None and not s.coming.adapter)
         self.purposes = Counter(s.purpose for s in servers if s.purpose is not None)
-        self.taken: set[str] = set()  # servers ordered to load a model or to make room for one, in this plan
-        self._reserved: set[str] = set()  # servers with room for a load that the store holds up
+        self.taken: set[str] = (
+            set()
+        )  # servers ordered in this plan to load a model or to free capacity for one
+        self._reserved: set[str] = set()  # servers with capacity for a load that the store's rate delays
 
     def has_free_servers(self) -> bool:
-        """Whether any server may still be ordered."""
+        """Whether an order may still be sent to any server."""
         return bool(self.free)
 
     def under_way(self) -> int:
-        """Loads of models, and unloads that make room."""
+        """Loads of models, and unloads that free capacity for them."""
         return self._loading + self.purposes.total()
 
     # A model
 
     def place_model(self, name: str, max_value: float, max_loads: int) -> bool:
-        """Order the load of a model, or the unload that it needs first. False where neither can be now."""
+        """Order the load of a model, or the unload that it needs first.
+
+        Returns False if neither is possible now.
+        """
         ref = ModelRef(name)
         candidate = self._best_candidate(name, max_value, max_loads)
         if candidate is None:
@@ -111,7 +116,7 @@
             return best
         self._reserved.add(
             rate_limited.server.id
-        )  # it has room: nothing need be unloaded while the store is busy
+        )  # it has capacity: nothing need be unloaded while the store is busy
         return None
 
     def _kept_for_another(self, server: ServerView, name: str) -> bool:
@@ -147,7 +152,7 @@
         return _Candidate(server, victims, cost + self._standing_cost(server, model))
 
     def _candidate_beside_unknown(self, server: ServerView, model: Model) -> _Candidate | None:
-        """What has no size that is known counts as all memory until it is gone, so it goes first."""
+        """Return a candidate whose model of unknown size is evicted first, as it counts as all memory."""
         unknown = [loaded for loaded in server.loaded if math.isinf(self._sizes.weights_mb(loaded))]
         if not unknown:
             return None
@@ -166,7 +171,10 @@
     # An adapter
 
     def place_adapter(self, ref: ModelRef, max_value: float) -> bool:
-        """Order the load of an adapter, or the unload that it needs first. False where neither can be now."""
+        """Order the load of an adapter, or the unload that it needs first.
+
+        Returns False if neither is possible now.
+        """
         if ref in self.purposes:
             return True
         best: tuple[float, str, ModelRef | None] | None = None
@@ -192,7 +200,7 @@
     def _adapter_candidate_on(
         self, server: ServerView, ref: ModelRef, max_value: float
     ) -> tuple[float, ModelRef | None] | None:
-        """Cost of an adapter on a server, and the adapter that must go first."""
+        """Return the cost of an adapter on a server, and the adapter that must be evicted first."""
         size = self._sizes.adapter_mb(ref.model) + MEMORY_SLACK_MB
         if server.free_adapters >= 1 and server.free_mb >= size:
             return 1.0 / (1.0 + server.free_adapters), None
@@ -220,7 +228,7 @@
         purpose: ModelRef | None = None,
         from_store: bool = False,
     ) -> None:
-        """Give out an order."""
+        """Issue an order."""
         self.orders.append(Order(server.id, operation, ref, purpose, from_store))
         del self.free[server.id]
         if purpose is not None or not (ref.adapter or operation is Operation.UNLOAD):
--- a/granitewell/controlplane/placement/planner.py
+++ b/granitewell/controlplane/placement/planner.py
@@ -1,12 +1,14 @@
-"""Servers and demand in, orders out. Pure and level-triggered: each call plans from what is seen now.
-
-In this order, at most one order a server and call:
-1. adapters that requests wait for, on a server that holds their model: some ms, where a load takes seconds;
-2. models that requests wait for and no lasting server has, and those whose copies get too much;
-3. models and adapters with fewer copies than their demand wants;
-4. room made ahead of the next miss.
-Where a load needs room, the copies of the least value are unloaded first. The value of a copy is roughly the
-requests a second that would miss it; nothing is unloaded without need.
+"""Plans orders from servers and demand. Level-triggered, no I/O: each call plans from what is seen now.
+
+In this order, with at most one order per server and call:
+
+1. adapters that requests wait for, on a server that has their model: some ms, while a load takes seconds;
+2. models that requests wait for and no lasting server has, and those whose replicas are overloaded;
+3. models and adapters with fewer replicas than their demand needs;
+4. capacity freed ahead of the next miss.
+
+If a load needs capacity, the replicas of the lowest value are evicted first. The value of a replica is
+roughly the rate of requests that would miss it. Nothing is evicted without need.
 """
 
 from __future__ import annotations
@@ -33,18 +35,18 @@
 MAX_FOR_WAITING = 1.2  # value that may be given up for a request that waits
 MAX_FOR_JUST_WAITING = 0.3  # the same when it has only begun to wait
 MAX_FOR_SPARE = 0.25  # value that may be given up for a copy that nobody waits for
-MAX_EVICTIONS_FOR_CAPACITY = 0.12  # value that may be given up for room ahead of need
+MAX_EVICTIONS_FOR_CAPACITY = 0.12  # value that may be evicted to free capacity ahead of need
 
-# Who comes first
+# Urgency
 PRIORITY_WEIGHTS = (3.0, 2.0, 1.0, 0.7, 0.5)  # of one request, by its priority
 WAITED_S = 0.5  # added to the time waited: what has waited long passes what is merely urgent
 RELIEF_WEIGHT = 2.0  # of one request a second that another copy takes off each of those there are
 
-# How much at once
+# Limits
 MAX_SPARE_LOADS = 2  # loads that nobody waits for, at once
 MAX_TRIED = 12  # models that could not be placed, after which the rest of the queue is left for later
-EVICTION_INTERVAL_S = 0.9  # of misses that find free room: about an unload, its report and a load
-SPARE_SERVERS_FRACTION = 0.34  # of the servers, at most, with room made ahead
+EVICTION_INTERVAL_S = 0.9  # horizon of misses that find free capacity: about an unload, its report and a load
+SPARE_SERVERS_FRACTION = 0.34  # maximum fraction of servers on which capacity is freed ahead of need
 
 
 def plan(
@@ -54,7 +56,7 @@
     sizes: ModelSizes,
     store: StoreView,
 ) -> list[Order]:
-    """The orders to send now."""
+    """Return the orders to send now."""
     if not servers:
         return []
     planning = _Planning(servers, demand, engine, sizes, store)
@@ -86,13 +88,13 @@
 
     @property
     def orders(self) -> list[Order]:
-        """What was given out so far."""
+        """Orders issued so far."""
         return self._placing.orders
 
-    # 1. Adapters that are waited for
+    # 1. Adapters that requests wait for
 
     def load_waiting_adapters(self) -> None:
-        """Adapters that requests wait for, where their model is held."""
+        """Load adapters that requests wait for, on servers that have their model."""
         waiting = [
             (ref, seen)
             for ref, seen in self._demand.adapters.items()
@@ -103,11 +105,12 @@
         for ref, _ in waiting:
             self._placing.place_adapter(ref, MAX_FOR_WAITING)
 
-    # 2. Models that are waited for
+    # 2. Models that requests wait for
 
     def load_urgent_models(self) -> None:
-        """Models that requests wait for and no lasting server has or loads, and those whose copies get far
-        more requests than they serve well. One more copy of one model at a time, the most urgent first.
+        """Load models that requests wait for and no lasting server has, or whose replicas are overloaded.
+
+        One more replica of one model at a time, the most urgent first.
         """
         urgent = {name: urgency for name in self._fleet.wanted if (urgency := self._urgency_of(name)) > 0}
         failures = 0
@@ -125,7 +128,7 @@
         self._blocked_waiting = failures > 0 or not self._placing.free
 
     def _urgency_of(self, name: str) -> float:
-        """How much is lost until it has one more copy; 0 where that is not urgent."""
+        """Return how much is lost until a model has one more replica; 0 if that is not urgent."""
         seen = self._demand.models[name]
         if self._fleet.is_missed(name):
             return 0.0 if ModelRef(name) in self._placing.purposes else _urgency(seen, self._demand.at)
@@ -135,12 +138,12 @@
         return RELIEF_WEIGHT * self._relief(name)
 
     def _relief(self, name: str) -> float:
-        """Requests a second that one more copy would take off each of those there are."""
+        """Return the rate that one more replica would take off each existing one, in requests per second."""
         copies = self._copies_to_be(name)
         return self._demand.models[name].rate / (copies * (copies + 1))
 
     def _copies_to_be(self, name: str) -> int:
-        """Copies with those that room is being made for."""
+        """Return the number of replicas, including those for which capacity is being freed."""
         return max(1, self._fleet.copies_of(name).count + self._placing.purposes[ModelRef(name)])
 
     def _place_urgent(self, name: str) -> bool:
@@ -151,14 +154,14 @@
         return self._placing.place_model(name, max_value, self._at_once)
 
     def _most_for_waiting(self, seen: RefDemand) -> float:
-        """Value that may be given up: little at first, as a better server may be free soon."""
+        """Return the value that may be evicted: little at first, because a better server may be free soon."""
         waited = max(0.0, self._demand.at - seen.waiting_since)
         return min(MAX_FOR_WAITING, MAX_FOR_JUST_WAITING + round(waited, 1))
 
-    # 3. Copies that demand wants
+    # 3. Replicas that demand needs
 
     def load_spare_models(self) -> None:
-        """Models with fewer lasting copies than wanted, the worst off first."""
+        """Load models with fewer lasting replicas than desired, the worst first."""
         short = [
             (name, self._demand.models[name])
             for name, wanted in self._fleet.wanted.items()
@@ -173,7 +176,7 @@
                 self._placing.place_model(name, MAX_FOR_SPARE, max_loads)
 
     def load_spare_adapters(self) -> None:
-        """Adapters in use that have too few copies."""
+        """Load adapters in use that have too few replicas."""
         for ref, seen in self._demand.adapters.items():
             if seen.waiting or seen.rate < KEEP_RATE or not self._fleet.is_adapter(ref):
                 continue
@@ -182,10 +185,13 @@
             if self._fleet.adapter_copies(ref) < wanted:
                 self._placing.place_adapter(ref, MAX_FOR_SPARE)
 
-    # 4. Room
+    # 4. Capacity ahead of need
 
     def evict_for_capacity(self) -> None:
-        """Unload what is worth least on a few servers, so that the next miss needs no unload first."""
+        """Evict the models of the lowest value on a few servers.
+
+        The next miss then needs no unload first.
+        """
         if self._blocked_waiting or not self._demand.misses_per_s:
             return
         most = int(len(self._fleet.lasting) * SPARE_SERVERS_FRACTION)
@@ -200,12 +206,12 @@
                 return
 
     def _typical_mb(self) -> float:
-        """Size that fits most models that are on no server."""
+        """Return a size that fits most models that are on no server, in MB."""
         away = self._fleet.sizes_away()
         return away[int(len(away) * 0.9)] if away else math.inf
 
     def _has_spare_capacity(self, server: ServerView, size: float) -> bool:
-        """Whether it has or gets room that nothing is to take."""
+        """Return whether a server has or gets capacity that is not reserved."""
         spoken_for = server.purpose or server.reserved_for or server.id in self._placing.taken
         return not spoken_for and self._has_capacity(server, size)
 
@@ -239,7 +245,10 @@
 
 
 def _urgency(seen: RefDemand, now: float) -> float:
-    """Of what is waited for: by what waits and will soon, its priority, and for how long."""
+    """Return the urgency of waiting requests.
+
+    It depends on their number now and soon, their priority, and how long they have waited.
+    """
     weight = PRIORITY_WEIGHTS[min(max(seen.priority, 0), len(PRIORITY_WEIGHTS) - 1)]
     waited = max(0.0, now - seen.waiting_since)
     return weight * (seen.waiting + seen.rate) * (WAITED_S + waited)
--- a/granitewell/controlplane/placement/polling.py
+++ b/granitewell/controlplane/placement/polling.py
@@ -1,4 +1,4 @@
-"""When each server is asked for its report. Pure."""
+"""When each server is polled for its report. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 POLL_S = 1.0  # between reports of a server without an order: each costs as much as a health probe
 POLL_RETRY_S = 0.25  # after a refused connection
-POLL_AGAIN_S = 0.05  # after a silence, which has taken long enough
+POLL_AGAIN_S = 0.05  # after a poll that timed out, which has taken long enough
 POLL_DARK_S = 0.6  # while a server counts as down
 POLL_ORDER_S = 0.07  # while an order is about to be done
 POLL_LATE_S = 0.2  # when it takes far longer than expected
@@ -19,7 +19,7 @@
 
 
 def after_report(now: float, record: ServerRecord, rng: Random) -> float:
-    """When to ask again after a report."""
+    """Return when to poll again after a report."""
     pending = record.pending
     if pending is None:
         if record.report is not None and record.report.busy:
@@ -31,7 +31,7 @@
 
 
 def after_miss(now: float, record: ServerRecord, failure: ReportFailure, rng: Random) -> float:
-    """When to ask again after a report that did not come."""
+    """Return when to poll again after a report that did not arrive."""
     pause = POLL_AGAIN_S if failure is ReportFailure.NO_ANSWER else POLL_RETRY_S
     if record.dark(now):
         pause = POLL_DARK_S
@@ -39,17 +39,17 @@
 
 
 def after_acceptance(now: float, expected_s: float) -> float:
-    """When to look for the result of an order that a server has taken."""
+    """Return when to poll for the result of an order that a server has accepted."""
     return now + max(MIN_FIRST_LOOK_S, FIRST_POLL_FRACTION * expected_s)
 
 
 def first_poll(now: float, rng: Random) -> float:
-    """When to ask a server of which nothing is known."""
+    """Return when to poll a server of which nothing is known."""
     return now + rng.random() * FIRST_POLLS_S
 
 
 def poll_due(now: float, record: ServerRecord) -> bool:
-    """Whether to ask a server now."""
+    """Return whether to poll a server now."""
     return not record.calling and not record.misdirected and now >= record.next_poll_at
 
 
--- a/granitewell/controlplane/placement/readiness.py
+++ b/granitewell/controlplane/placement/readiness.py
@@ -1,4 +1,4 @@
-"""What requests may be sent for to each server, and which servers have changed in that. Pure."""
+"""Models for which requests may be sent to each server, and which servers have changed. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Readiness:
-    """Ready models by server. A server that counts as down has none, unless nearly all seem down."""
+    """Ready models by server. A server that counts as down has none, unless nearly all seem to be down."""
 
     def __init__(self, records: Mapping[str, ServerRecord]) -> None:
         self._records = records
@@ -17,11 +17,11 @@
         self._changed: set[str] = set()
 
     def ready_models(self, server_id: str) -> Mapping[str, LoadedModel]:
-        """What requests may be sent for to a server now."""
+        """Return the models for which requests may be sent to a server now."""
         return self._published.get(server_id, {})
 
     def take_changes(self) -> list[str]:
-        """Ids of servers whose ready models have changed since the last call."""
+        """Return the ids of servers whose ready models have changed since the last call."""
         changed = sorted(self._changed)
         self._changed.clear()
         return changed
@@ -33,7 +33,7 @@
         return certain if too_many_dark(len(dark), len(self._records)) else dark
 
     def publish_all(self, now: float) -> None:
-        """Take over what all records show."""
+        """Apply what all records show."""
         for gone in [known for known in self._published if known not in self._records]:
             del self._published[gone]
         dark = self.dark(now)
@@ -41,7 +41,7 @@
             self._set(server_id, {} if server_id in dark else record.ready())
 
     def publish(self, now: float, record: ServerRecord) -> None:
-        """Take over what one record shows, unless its server is no longer listed."""
+        """Apply what one record shows, unless its server is no longer listed."""
         server_id = record.listed.id
         if self._records.get(server_id) is not record:
             return
--- a/granitewell/controlplane/placement/reconciler.py
+++ b/granitewell/controlplane/placement/reconciler.py
@@ -1,11 +1,13 @@
-"""The placement loop without its input and output: events in, polls and orders out. Pure.
-
-Rules kept here, whatever the planner says:
-- one call at a time to a server;
-- no order where the caller says that this node may not order;
-- nothing is unloaded before every edge had time to report what it is asked for;
-- what requests are sent for is unloaded only once the edges had time to learn of it.
-What an order itself must meet is checked in issuing.py.
+"""The placement loop without I/O: events in, polls and orders out.
+
+Rules enforced here, whatever the planner says:
+
+- one call at a time per server;
+- no order while the caller says that this node may not send orders;
+- nothing is unloaded before every edge had time to report its demand;
+- a model for which requests are sent is unloaded only after the edges had time to be notified.
+
+The conditions of an order itself are checked in issuing.py.
 """
 
 from __future__ import annotations
@@ -69,7 +71,10 @@
     # Events
 
     def start(self, now: float) -> None:
-        """Ownership was gained: start from nothing but the list and what servers have held."""
+        """Begin after ownership was gained.
+
+        Only the list and the models that servers had loaded are known.
+        """
         self._running = True
         self._demand = DemandTable()
         self._issuer.start(now)
@@ -79,7 +84,7 @@
         self._unload_from = now + FIRST_DEMAND_S
 
     def stop(self, now: float) -> None:
-        """Ownership was lost."""
+        """End after ownership was lost."""
         self._running = False
         self._plan_at = math.inf
         self._forget(now)
@@ -91,17 +96,19 @@
         self._readiness.publish_all(now)
 
     def set_engine(self, now: float, engine: Engine, load_rate_fraction: float) -> None:
-        """A configuration came into force.
+        """Apply a new configuration.
 
         Args:
-            load_rate_fraction: This service's part of the store's rate.
+            now: Current time, in seconds.
+            engine: Properties of the servers.
+            load_rate_fraction: This service's fraction of the weight store's rate.
         """
         self._engine = engine
         self._issuer.set_engine(now, engine, load_rate_fraction)
         self._soon(now)
 
     def set_servers(self, now: float, servers: Sequence[ListedServer]) -> None:
-        """The platform's list was read."""
+        """Apply the platform's list."""
         listed = by_id(servers)
         for server_id in [known for known in self._records if known not in listed]:
             del self._records[server_id]
@@ -117,12 +124,12 @@
         self._readiness.publish_all(now)
 
     def add_demand(self, now: float, demands: Iterable[ModelDemand], source: str = "") -> None:
-        """An edge, `source`, has reported what it was asked for."""
+        """Record the demand that an edge, `source`, has reported."""
         if self._demand.add(now, demands, source):
             self._soon(now)
 
     def on_report(self, now: float, server_id: str, asked_at: float, answer: Report | ReportFailure) -> None:
-        """A poll has ended."""
+        """Handle the end of a poll."""
         record = self._records.get(server_id)
         if record is None:
             return
@@ -151,7 +158,7 @@
             self._soon(now)
 
     def on_order(self, now: float, order: Order, result: OrderResult) -> None:
-        """An order was answered, or got no answer."""
+        """Handle the answer to an order, or its timeout."""
         self._issuer.answered(order, result)
         record = self._records.get(order.server_id)
         if record is None or record.pending is None or record.pending.order is not order:
@@ -174,7 +181,7 @@
         self._readiness.publish(now, record)
 
     def _refused(self, now: float, record: ServerRecord, result: OrderResult) -> None:
-        """The order did not and will not begin."""
+        """Handle an order that did not and will not begin."""
         if result is OrderResult.FENCED:
             record.fenced_at = self._last_fencing_token
         elif result is OrderResult.OTHER_SERVER:
@@ -189,10 +196,10 @@
         record.next_poll_at = max(now, record.no_orders_until)
         self._soon(now)
 
-    # What to do
+    # Steps
 
     def next_at(self) -> float:
-        """When due() has something to do, unless an event comes first."""
+        """Return when due() has something to do, unless an event arrives first."""
         if not self._running:
             return math.inf
         times = [self._plan_at]
@@ -206,7 +213,7 @@
         return min(times)
 
     def due(self, now: float, holder: str, fencing_token: int, may_order: bool) -> list[Step]:
-        """The calls to begin now. Each must be answered by on_report or on_order."""
+        """Return the calls to begin now. Each must be answered by on_report or on_order."""
         if not self._running:
             return []
         self._last_fencing_token = fencing_token
@@ -223,7 +230,7 @@
         return steps
 
     def _notice_dark(self, now: float) -> None:
-        """Servers that became dark by mere time since the last look."""
+        """Publish servers that have become unresponsive by the passing of time alone."""
         turned = [record for record in self._records.values() if record.dark_at() <= now]
         for record in turned:
             record.dark_noticed = True
@@ -340,20 +347,20 @@
                 self._readiness.publish(now, record)
 
     def _wanted_again(self, now: float, record: ServerRecord, ref: ModelRef) -> bool:
-        """Whether requests have come to wait for what was to be unloaded as its last copy."""
+        """Return whether requests have begun to wait for a model whose last replica was to be unloaded."""
         if not self._demand.view(now).of(ref).waiting:
             return False
         others = (other for other in self._records.values() if other is not record and other.lasting)
         return not any(_ready_for(other, ref) for other in others)
 
-    # What is ready
+    # Readiness
 
     def ready_models(self, server_id: str) -> Mapping[str, LoadedModel]:
-        """What requests may be sent for to a server now."""
+        """Return the models for which requests may be sent to a server now."""
         return self._readiness.ready_models(server_id)
 
     def take_changes(self) -> list[str]:
-        """Ids of servers whose ready models have changed since the last call."""
+        """Return the ids of servers whose ready models have changed since the last call."""
         return self._readiness.take_changes()
 
 
--- a/granitewell/controlplane/placement/server_session.py
+++ b/granitewell/controlplane/placement/server_session.py
@@ -1,9 +1,10 @@
-"""Connections to servers, for reports and orders: what aiohttp's own would do wrong is mended here.
+"""Connections to servers, for reports and orders, with two corrections of aiohttp's behavior.
 
-- Bytes that come while nothing is asked belong to no call: the connection ends at once. The library would
-  keep an answer that comes late and hand it to the next call.
-- Closing resets. An order that got no answer is thus taken off the wire: what a cut or a slow link still
-  holds of it can't arrive seconds later, when another machine orders that server.
+- Bytes that arrive while no call is in progress belong to no call: the connection is closed at once. The
+  library would keep a late answer and return it to the next call.
+- Closing resets the connection. An order without an answer is thus removed from the network: what a partition
+  or a slow link still holds of it cannot arrive seconds later, when another machine sends orders to that
+  server.
 """
 
 from __future__ import annotations
@@ -22,26 +23,26 @@
 
 
 class ServerConnection(ResponseHandler):
-    """A connection that carries one call at a time and nothing between two."""
+    """A connection that carries one call at a time and nothing between two calls."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
         self._asked = False
 
     def set_response_params(self, *args: object, **options: object) -> None:
-        """A call begins; the library says so before it writes anything."""
+        """Begin a call; the library calls this before it writes anything."""
         super().set_response_params(*args, **options)  # type: ignore[arg-type]
         self._asked = True
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of an answer, or of none."""
+        """Handle bytes of an answer, or of none."""
         if data and not self._asked:
             self.abort()
             return
         super().data_received(data)
 
     def rest(self) -> None:
-        """The answer was read whole."""
+        """Record that the answer was read completely."""
         self._asked = False
 
 
@@ -53,14 +54,14 @@
         self._factory = functools.partial(ServerConnection, loop=self._loop)  # type: ignore[assignment]
 
     def _release(self, key: object, protocol: ResponseHandler, *, should_close: bool = False) -> None:
-        """A call has ended."""
+        """End a call."""
         if isinstance(protocol, ServerConnection):
             protocol.rest()
         super()._release(key, protocol, should_close=should_close)  # type: ignore[arg-type]
 
 
 def open_server_session() -> aiohttp.ClientSession:
-    """A session for calls to servers."""
+    """Open a session for calls to servers."""
     return aiohttp.ClientSession(connector=ServerConnector(), auto_decompress=False)
 
 
--- a/granitewell/controlplane/placement/steps.py
+++ b/granitewell/controlplane/placement/steps.py
@@ -1,4 +1,4 @@
-"""What the reconciler gives out for the shell to do, and counts of it."""
+"""Output of the reconciler, to be carried out by the controller, and its counters."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """Ask a server for its report."""
+    """Poll a server for its report."""
 
     server_id: str
     address: str
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class PlacementCounters:
-    """What was done since the start, for the status page."""
+    """Counters since the start, for the status page."""
 
     loads_from_store: int = 0
     loads_warm: int = 0
--- a/granitewell/controlplane/placement/values.py
+++ b/granitewell/controlplane/placement/values.py
@@ -1,4 +1,4 @@
-"""What a copy is worth, in misses a second if it went, and what to give up for room. Pure."""
+"""Value of a replica, in misses per second if it were evicted, and what to evict for capacity. No I/O."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 SECOND_VALUE = 0.5  # of a wanted second copy: a crash or a hot spot away from being the only one
 RECENT_VALUE = 0.5  # of the last copy of a model asked for just now, falling to 0 over RECENT_S
 RECENT_S = 2.0
-UNRESPONSIVE_AFTER_S = 3.0  # without a request, a model's extra copies are worth nothing
+UNRESPONSIVE_AFTER_S = 3.0  # without a request for this long, a model's extra replicas have no value
 
 
 class CopyValues:
-    """Values of the copies of one plan, worked out once each."""
+    """Values of the replicas of one plan, each computed once."""
 
     def __init__(self, fleet: FleetView) -> None:
         self._fleet = fleet
         self._values: dict[str, float] = {}
-        self._ranked: dict[str, list[tuple[float, str]]] = {}  # by server: what it holds, by value
+        self._ranked: dict[str, list[tuple[float, str]]] = {}  # by server: its models, by value
         self._reach: dict[tuple[str, float], float] = {}  # by server and value: memory that may be had
 
     def _value(self, server: ServerView, name: str) -> float:
-        """What the copy of a model on a server is worth; infinite where it must stay."""
+        """Return the value of a model's replica on a server; infinite if it must stay."""
         value = self._values.get(name)
         if value is None:
             value = self._model_value(name)
@@ -52,7 +52,7 @@
         return seen.rate + recent
 
     def adapter_value(self, ref: ModelRef) -> float:
-        """What the copies of an adapter are worth; infinite where it must stay."""
+        """Return the value of an adapter's replicas; infinite if it must stay."""
         seen = self._fleet.demand.of(ref)
         if self._fleet.adapter_copies(ref) > 1:
             return seen.rate / 2
@@ -61,7 +61,7 @@
         return seen.rate + RECENT_VALUE * max(0.0, 1.0 - seen.idle_s / RECENT_S)
 
     def ranking(self, server: ServerView) -> list[tuple[float, str]]:
-        """What a server holds, by value."""
+        """Return the models of a server by value."""
         ranking = self._ranked.get(server.id)
         if ranking is None:
             ranking = sorted((self._value(server, name), name) for name in server.loaded)
@@ -69,7 +69,7 @@
         return ranking
 
     def reach_mb(self, server: ServerView, max_value: float) -> float:
-        """Memory that a server has after giving up all copies of at most that value."""
+        """Return the memory that a server has after evicting all replicas of at most that value, in MB."""
         reach = self._reach.get((server.id, max_value))
         if reach is None:
             reach = server.free_mb
@@ -83,7 +83,10 @@
     def victims(
         self, server: ServerView, need_mb: float, max_value: float
     ) -> tuple[tuple[ModelRef, ...], float] | None:
-        """Models whose unload frees that much, at the least value; None where the value is too high."""
+        """Return the models to evict for that much memory at the lowest value.
+
+        None if the value is too high.
+        """
         chosen: list[tuple[float, str, float]] = []
         freed = 0.0
         for value, name in self.ranking(server):
@@ -104,7 +107,7 @@
         return tuple(ModelRef(name) for _, name, _ in chosen), total
 
     def forget(self, name: str) -> None:
-        """A copy of a model goes: the others are worth more."""
+        """Record that a replica of a model is evicted, which makes the others more valuable."""
         self._values.pop(name, None)
         self._ranked.clear()
         self._reach.clear()
--- a/granitewell/controlplane/placement/views.py
+++ b/granitewell/controlplane/placement/views.py
@@ -1,4 +1,4 @@
-"""What the planner is told of servers and of the weight store."""
+"""What the planner sees of servers and of the weight store."""
 
 from __future__ import annotations
 
@@ -13,10 +13,12 @@
     """A server as the planner sees it.
 
     Attributes:
-        free_mb and free_adapters: With all that may be loading counted.
-        going, coming: The unload and the load under way.
-        purpose: What the unload makes room for.
-        reserved_for: What its free room was made for.
+        free_mb: Free memory in MB, with everything that may be loading counted.
+        free_adapters: Free adapters, counted likewise.
+        going: The current unload.
+        coming: The current load.
+        purpose: What the unload frees capacity for.
+        reserved_for: What the free capacity is reserved for.
     """
 
     id: str
@@ -34,7 +36,7 @@
     loaded_before: frozenset[str] | set[str] = frozenset()
 
     def has(self, ref: ModelRef) -> bool:
-        """Whether it holds that and keeps it."""
+        """Return whether the server has a model or adapter and keeps it."""
         loaded = self.loaded.get(ref.model)
         if loaded is None or self.going == ref or self.going == ModelRef(ref.model):
             return False
@@ -47,7 +49,7 @@
 
     Attributes:
         tokens: Loads that may begin.
-        at_once: Loads at full speed.
+        at_once: Concurrent loads at full speed.
     """
 
     tokens: int
--- a/granitewell/controlplane/publication/__init__.py
+++ b/granitewell/controlplane/publication/__init__.py
@@ -1,1 +1,1 @@
-"""How the control plane brings its state to those that watch it: versioned tables and long-polls."""
+"""Publication of the control plane's state to watchers: versioned tables and long-polls."""
--- a/granitewell/controlplane/publication/publisher.py
+++ b/granitewell/controlplane/publication/publisher.py
@@ -1,7 +1,7 @@
-"""Answers long-polls: a watcher says what it has, and is answered once there is more, or after its time.
+"""Answers long-polls: a watcher states what it has, and gets a reply once there is more or its time is up.
 
 Every control node publishes: the configuration from its replica of the log, the tables of servers from its
-own shards or from the copies that it keeps of the others'.
+own shards or from its copies of the others'.
 """
 
 from __future__ import annotations
@@ -23,35 +23,35 @@
 from granitewell.rpc.translation import server_from_message, server_to_message
 
 MAX_HOLD_S = 2.0
-GATHER_S = 0.015  # changes that come so close together are told together
+GATHER_S = 0.015  # changes this close together are sent together
 EDGE_FORGOTTEN_S = 4.0  # an edge that has not asked for so long is not counted
 PEAK_FORGOTTEN_S = 120.0
 MAX_READ_STALENESS_S = 0.75  # what is published is no older; 0.3 s with all well, and two heartbeats may fail
 
 
 class StaleReplicaError(GranitewellError):
-    """This control node may be behind: the watcher should ask another."""
+    """This control node may be behind; the watcher should ask another."""
 
 
 class Deltas(Protocol):
-    """The configuration and what leads to it."""
+    """The configuration and the updates that lead to it."""
 
     @property
     def version(self) -> int:
-        """The version in force, 0 for none."""
+        """Version in force, 0 for none."""
 
     def changes_since(self, version: int) -> Any:
-        """version, whole, documents."""
+        """Return the update from a version: (version, is_complete, documents)."""
 
 
 def members_digest(nodes: Sequence[str]) -> int:
-    """A number that tells two lists of control nodes apart."""
+    """Return a number that distinguishes two lists of control nodes."""
     text = ",".join(sorted(nodes)).encode()
     return int.from_bytes(hashlib.sha256(text).digest()[:7], "big")
 
 
 class EdgeCounter:
-    """How many edges there are: those that ask here, and what other control nodes tell of theirs."""
+    """Counts edges: those that ask this node, and those that other control nodes report."""
 
     def __init__(self) -> None:
         self._asked_at: dict[str, float] = {}
@@ -60,25 +60,25 @@
         self._peak_at = 0.0
 
     def asked(self, edge: str, now: float) -> None:
-        """An edge has asked."""
+        """Record a request of an edge."""
         self._asked_at[edge] = now
 
     def notified(self, node: str, edges: int, now: float) -> None:
-        """Another control node says how many ask there."""
+        """Record the number of edges that another control node reports."""
         self._others[node] = (edges, now)
 
     def here(self, now: float) -> int:
-        """Edges that ask here."""
+        """Return the number of edges that ask this node."""
         self._asked_at = {e: at for e, at in self._asked_at.items() if now - at < EDGE_FORGOTTEN_S}
         return len(self._asked_at)
 
     def all(self, now: float) -> int:
-        """Edges that ask anywhere, at least one."""
+        """Return the number of edges that ask any node, at least one."""
         others = sum(edges for edges, at in self._others.values() if now - at < EDGE_FORGOTTEN_S)
         return max(self.here(now) + others, 1)
 
     def most(self, now: float) -> int:
-        """The most seen of late: what shared budgets are divided by."""
+        """Return the recent maximum, by which shared budgets are divided."""
         count = self.all(now)
         if count >= self._peak or now - self._peak_at > PEAK_FORGOTTEN_S:
             self._peak, self._peak_at = count, now
@@ -106,19 +106,19 @@
         self._changed = asyncio.Event()
 
     def changed(self) -> None:
-        """Something that is published has changed: answer those that wait."""
+        """Answer the waiting watchers, because something that is published has changed."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def watch(self, request: Any) -> Any:
-        """The reply to a long-poll; raises StaleReplicaError."""
+        """Return the reply to a long-poll; raises StaleReplicaError."""
         deadline = self._clock() + min(max(request.hold_ms, 0) / 1000.0, MAX_HOLD_S)
         while True:
             changed = self._changed
             if request.edge:
                 self._edges.asked(request.node, self._clock())
                 if self._read_staleness_s() > MAX_READ_STALENESS_S:
-                    raise StaleReplicaError("no word from a leader")
+                    raise StaleReplicaError("no leader is known")
             reply = self._reply(request)
             left = deadline - self._clock()
             if reply is not None or left <= 0:
@@ -131,7 +131,7 @@
             await asyncio.sleep(min(GATHER_S, left))
 
     def _reply(self, request: Any, empty: bool = False) -> Any | None:
-        """What the watcher lacks; None where that is nothing and `empty` is not wanted."""
+        """Return what the watcher lacks; None if that is nothing and `empty` is false."""
         configuration = self._configuration_update(request)
         updates = list(self._table_updates(request))
         nodes = list(self._control_nodes()) if request.edge else []
@@ -158,7 +158,7 @@
         )
 
     def _table_updates(self, request: Any) -> Sequence[tuple[Any, bool]]:
-        """An update of each shard that was asked for (all for an edge), and whether it says anything new."""
+        """Return the updates of the requested shards (all for an edge), and whether any contains a change."""
         had = {version.shard: Version(version.epoch, version.sequence) for version in request.tables or ()}
         shards = self._tables if request.edge else had
         updates = []
@@ -185,7 +185,7 @@
 
 
 def update_from_message(message: Any) -> Update:
-    """The typed update of a message."""
+    """Convert a message to a typed update."""
     return Update(
         Version(message.version.epoch, message.version.sequence),
         bool(message.is_complete),
--- a/granitewell/controlplane/publication/table.py
+++ b/granitewell/controlplane/publication/table.py
@@ -1,7 +1,8 @@
-"""The table of servers of one shard, versioned, with changes since any version. Pure.
+"""Versioned table of the servers of one shard, with the changes since any version. No I/O.
 
-The owner of the shard writes it under its term (the epoch); every other control node keeps a copy by updates.
-Both give the same answers for the same version, so that a watcher can move from one control node to another.
+The owner of the shard writes the table under its term (the epoch). Every other control node keeps a copy by
+applying updates. Both give the same answers for the same version, so that a watcher can move from one control
+node to another.
 """
 
 from __future__ import annotations
@@ -11,12 +12,17 @@
 
 from granitewell.domain.servers import Server
 
-MAX_REMOVED = 2_000  # removals remembered; a watcher from before them gets the whole table
+MAX_REMOVED = 2_000  # removals remembered; a watcher with an older version gets the complete table
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Version:
-    """epoch: the owner's term; sequence: counts changes in it. (0, 0) is a watcher that has nothing."""
+    """Version of a table.
+
+    Attributes:
+        epoch: Term of the owner.
+        sequence: Number of the change within the epoch. (0, 0) is the version of a watcher that has nothing.
+    """
 
     epoch: int = 0
     sequence: int = 0
@@ -24,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """What leads to `version`.
+    """Changes that lead to `version`.
 
     Attributes:
-        whole: Servers that are not in `changed` are gone.
+        is_complete: Whether servers that are not in `changed` are removed.
     """
 
     version: Version
@@ -41,7 +47,7 @@
 
     def __init__(self) -> None:
         self.version = Version()
-        self.listed_at: float | None = None  # when the platform's list behind this was read
+        self.listed_at: float | None = None  # when the platform's list was read for this table
         self._servers: dict[str, Server] = {}
         self._changed_at: dict[str, int] = {}
         self._removed_at: dict[str, int] = {}
@@ -53,10 +59,10 @@
         return self._servers
 
     def begin(self, epoch: int) -> None:
-        """The owner starts a new epoch with what it knows.
+        """Begin a new epoch with the known servers.
 
-        Where its lease has lapsed and come back within one term it goes on counting: a copy would not take a
-        version below its own.
+        If the owner's lease has lapsed and returned within one term, the epoch continues: a copy would not
+        accept a lower version than its own.
         """
         if epoch == self.version.epoch:
             return
@@ -66,12 +72,12 @@
         self._complete_from = 1
 
     def replace(self, servers: Iterable[Server], now: float) -> bool:
-        """The owner has made out all servers anew, from a list read at `now`. Whether anything changed."""
+        """Replace all servers, from a list read at `now`; return whether anything changed."""
         self.listed_at = now
         return self.assign(servers)
 
     def assign(self, servers: Iterable[Server]) -> bool:
-        """These are all servers now. Whether anything changed."""
+        """Replace all servers; return whether anything changed."""
         wanted = {server.id: server for server in servers}
         changed = [server for key, server in wanted.items() if self._servers.get(key) != server]
         removed = [key for key in self._servers if key not in wanted]
@@ -81,7 +87,7 @@
         return True
 
     def update(self, update: Update, listed_at: float | None) -> None:
-        """Follow the owner's table."""
+        """Apply an update of the owner's table."""
         if update.version < self.version:
             return
         if listed_at is not None:
@@ -111,7 +117,7 @@
             self._complete_from = self._removed_at.pop(next(iter(self._removed_at))) + 1
 
     def since(self, version: Version) -> Update:
-        """What a watcher that has `version` needs; nothing in it where it is up to date."""
+        """Return the changes since a version; empty if it is current."""
         same_epoch = version.epoch == self.version.epoch
         if not same_epoch or not self._complete_from <= version.sequence <= self.version.sequence:
             return Update(self.version, True, tuple(self._servers.values()), ())
--- a/granitewell/coordination/__init__.py
+++ b/granitewell/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""Coordination parts that others could embed: consensus, durable logs, leases, sharding.
+"""Building blocks of distributed coordination: consensus, durable logs, leases, sharding.
 
-Knows no route or model.
+This package knows no route and no model.
 """
--- a/granitewell/coordination/consensus/codec.py
+++ b/granitewell/coordination/consensus/codec.py
@@ -1,8 +1,8 @@
-"""Messages to bytes and back.
+"""Encode messages between replicas as frames, and decode frames.
 
-A frame is a version, the message's kind, a checksum of the rest, and a thrift struct of consensus.thrift.
-Fields that a newer sender added are skipped; a frame of another version, of an unknown kind, damaged or with
-a field missing or out of its range raises MalformedFrameError.
+A frame is a version, the number of the message's type, a checksum of the rest, and a thrift struct of
+consensus.thrift. Fields that a newer sender added are skipped. A frame of another version or of an unknown
+type, a damaged frame, and one with a missing or invalid field raise MalformedFrameError.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 VERSION = 1
 _HEAD = struct.Struct("!BBI")
 MAX_IDENTIFIER = 128
-"""Characters of a replica id."""
+"""Maximum length of a replica id, in characters."""
 
 
 @dataclass(frozen=True, slots=True)
 class _FieldCodec:
-    """How a field that thrift has no plain type for is packed."""
+    """Encoder and decoder of a field for which thrift has no plain type."""
 
     pack: Callable[[Any], bytes]
     unpack: Callable[[bytes], Any]
@@ -97,7 +97,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """The frame of a message."""
+    """Return the frame of a message."""
     kind = _BY_MESSAGE[type(message)]
     body = kind.struct()
     for field in kind.fields:
@@ -108,7 +108,11 @@
 
 
 def decode(frame: bytes) -> Message:
-    """The message of a frame; raises MalformedFrameError."""
+    """Return the message of a frame.
+
+    Raises:
+        MalformedFrameError: The frame is not a message that this version knows.
+    """
     if len(frame) < _HEAD.size:
         raise MalformedFrameError("no head")
     version, number, checksum = _HEAD.unpack_from(frame)
--- a/granitewell/coordination/consensus/core.py
+++ b/granitewell/coordination/consensus/core.py
@@ -1,4 +1,4 @@
-"""What all parts of a replica share: its log, its term and vote, its role, and what it has to say."""
+"""State that all parts of a replica share: log, term, vote, role, and outgoing messages."""
 
 from __future__ import annotations
 
@@ -14,11 +14,14 @@
 
 
 class Core:
-    """The state that the parts of one replica work on.
+    """Shared state of one replica.
 
     Attributes:
-        me: This replica; its id is the one on the disk.
-        removed: It knows that it is out of the group.
+        me: This replica. Its id is the one on its disk.
+        removed: Whether this replica knows that it was removed from the group.
+        restore: Snapshot that the state machine has yet to load, if any.
+        messages: Outgoing messages that make no claim about this replica's disk.
+        synced_messages: Outgoing messages that must wait for the disk.
     """
 
     def __init__(self, me: Member, state: StoredState, settings: ReplicaSettings, rng: Random) -> None:
@@ -39,59 +42,63 @@
 
     @property
     def id(self) -> str:
-        """This replica's id."""
+        """Replica id."""
         return self.me.replica_id
 
     @property
     def term(self) -> int:
-        """The newest term known here."""
+        """Highest term known to this replica."""
         return self.hard_state.term
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica has a vote, as far as its own log says."""
+        """Whether this replica has a vote, according to its own log."""
         return is_voter(self.log.membership, self.id)
 
     def is_removed(self, replica_id: str) -> bool:
-        """Whether it is committed that an id is out of the group."""
+        """Return whether the removal of a replica is committed."""
         return replica_id in self.log.membership_at(self.commit_index).removed
 
     def send(self, address: str, message: Message) -> None:
-        """A message that claims nothing of this replica's disk."""
+        """Send a message that makes no claim about this replica's disk."""
         self.messages.append(Outgoing(address, message))
 
     def send_synced(self, address: str, message: Message) -> None:
-        """A message that must wait until all that was written so far is on the disk."""
+        """Send a message once everything written so far is synced to disk."""
         self.synced_messages.append(Outgoing(address, message))
 
     def send_in_term(self, address: str, message: Message) -> None:
-        """A reply that claims no more than that this replica is in its term: waits where that is not
-        synced."""
+        """Send a reply that claims only that this replica is in its term.
+
+        The reply waits for the disk if the term is not synced yet.
+        """
         if self.persistence.stable_term >= self.term:
             self.send(address, message)
         else:
             self.send_synced(address, message)
 
     def set_hard_state(self, term: int, vote: str) -> None:
-        """Change term or vote, to be written."""
+        """Change the term or the vote, and record it for the disk."""
         assert term >= self.term
         self.hard_state = HardState(term, vote)
         self.persistence.records.append(self.hard_state)
 
     def append(self, entry: Entry) -> None:
-        """Add an entry, to be written."""
+        """Append an entry to the log, and record it for the disk."""
         self.log.append(entry)
         self.persistence.records.append(entry)
 
     def truncate(self, index: int) -> None:
-        """Drop uncommitted entries from an index on; what is written next at that index drops them on
-        disk."""
+        """Drop the uncommitted entries from an index on.
+
+        The next entry written at that index also drops them on disk.
+        """
         assert index > self.commit_index, (index, self.commit_index)
         self.log.truncate(index)
         self.persistence.truncated(index)
 
     def install(self, snapshot: Snapshot) -> None:
-        """Take a snapshot from the leader in place of the log up to it."""
+        """Replace the log up to a snapshot's index with the leader's snapshot."""
         if not self.log.install(snapshot):
             self.persistence.truncated(1)
         self.persistence.records.append(snapshot)
@@ -99,13 +106,13 @@
         self.restore = snapshot
 
     def commit(self, index: int) -> None:
-        """All entries up to an index are committed, of those that are here."""
+        """Mark the entries up to an index as committed, as far as this log has them."""
         self.commit_index = max(self.commit_index, min(index, self.log.last_index))
 
     def up_to_date(self, last_term: int, last_index: int) -> bool:
-        """Whether a candidate's log is at least as new as this one."""
+        """Return whether a candidate's log is at least as new as this one."""
         return (last_term, last_index) >= (self.log.last_term, self.log.last_index)
 
     def peers(self) -> list[Member]:
-        """The other voters, those on their way out too."""
+        """Return the other voters, including outgoing ones."""
         return [member for member in self.log.membership.all_voters() if member.replica_id != self.id]
--- a/granitewell/coordination/consensus/election.py
+++ b/granitewell/coordination/consensus/election.py
@@ -1,13 +1,14 @@
-"""Elections: who may stand, who may be voted for, and what a follower knows of its leader.
+"""Elections: when a replica campaigns and for whom it votes.
 
-Rules on top of Raft's:
+Rules beyond the Raft paper:
 
-- A pre-vote comes before each vote. It changes nothing, so a replica that was cut off disturbs nobody.
-- A replica that heard a leader within the least election timeout grants neither (stickiness). The leader's
-  lease rests on this. A replica that restarts forgets what it heard: for as long after its start it grants
-  nothing.
-- Only a vote that a leader handed over (it has given up its lease by then) goes past stickiness.
-- A replica whose disk is slow or refuses does not stand.
+- A pre-vote precedes each vote. It changes no state, so a replica that was partitioned disturbs no one.
+- A replica that heard from a leader within the minimum election timeout grants neither a pre-vote nor a vote
+  (stickiness). The leader's lease depends on this. A replica that restarts has forgotten what it heard, so it
+  grants nothing for the minimum election timeout after its start.
+- Only a vote requested because of a leadership transfer ignores stickiness. The previous leader has given up
+  its lease by then.
+- A replica whose disk is slow or refuses writes does not campaign.
 """
 
 from __future__ import annotations
@@ -19,10 +20,12 @@
 
 
 class Election:
-    """The part of a replica that stands and votes.
+    """The part of a replica that campaigns and votes.
 
-    Attributes:
-        fresh: Its log was made just now, so it never heard a leader.
+    Args:
+        core: Shared state of the replica.
+        now: Current time, in seconds.
+        fresh: Whether the log was created just now, so that this replica has never heard from a leader.
     """
 
     def __init__(self, core: Core, now: float, fresh: bool) -> None:
@@ -36,30 +39,32 @@
     # Timers
 
     def restart_timer(self, now: float) -> None:
-        """Wait for a whole election timeout from now on."""
+        """Restart the election timer with a random timeout."""
         settings = self._core.settings
         self.due_at = now + self._core.rng.uniform(
             settings.election_timeout_min_s, settings.election_timeout_max_s
         )
 
     def heard_leader(self, now: float) -> None:
-        """The leader of this term lives."""
+        """Record that the leader of this term is alive."""
         self.heard_at = now
         self.restart_timer(now)
 
     def tick(self, now: float) -> None:
-        """Stand for election where it is time."""
+        """Start a pre-vote if the election timer has expired."""
         if now < self.due_at or not self._core.is_voter:
             return
         settings = self._core.settings
         if now - self.due_at > settings.late_timer_s:
-            self.due_at = now + settings.pre_vote_retry_s  # frozen: first read what came meanwhile
+            self.due_at = (
+                now + settings.pre_vote_retry_s
+            )  # the process was frozen: first handle the messages that arrived meanwhile
             return
         self.due_at = now + settings.pre_vote_retry_s * self._core.rng.uniform(1.0, 2.0)
         if self._core.persistence.stalled_for(now) < settings.disk_slow_s:
             self._ask_pre_votes()
 
-    # Standing
+    # Campaigning
 
     def _ask_pre_votes(self) -> None:
         core = self._core
@@ -72,9 +77,9 @@
             core.send(peer.address, request)
 
     def campaign(self, now: float, leadership_transfer: bool = False) -> None:
-        """Ask for votes in a new term.
+        """Request votes in a new term.
 
-        Its own vote counts once it is on the disk, which is also when the requests leave.
+        The replica's own vote counts once it is synced to disk. The requests leave at the same time.
         """
         core = self._core
         core.set_hard_state(core.term + 1, core.id)
@@ -102,25 +107,25 @@
             self._votes.add(reply.sender)
 
     def own_vote_synced(self) -> None:
-        """Count the own vote, where it is on the disk."""
+        """Count this replica's own vote if it is synced to disk."""
         core = self._core
         if core.role is Role.CANDIDATE and core.persistence.stable_term >= core.term:
             self._votes.add(core.id)
 
     def has_quorum(self) -> bool:
-        """Whether a quorum of the voters granted what is asked for."""
+        """Return whether a quorum of voters has granted the request."""
         return quorum_of(self._core.log.membership).satisfied_by(self._votes)
 
     # Voting
 
     def sticky(self, now: float) -> bool:
-        """Whether this replica owes its leader to vote for nobody else."""
+        """Return whether this replica may not vote for anyone but its current leader."""
         if self._core.role is Role.LEADER:
             return True
         return now < max(self._no_vote_before, self.heard_at + self._core.settings.election_timeout_min_s)
 
     def on_pre_vote(self, address: str, request: PreVote, now: float) -> None:
-        """Say whether a vote would be granted."""
+        """Reply whether this replica would grant its vote."""
         core = self._core
         granted = (
             request.term > core.term
@@ -131,11 +136,11 @@
         core.send_in_term(address, PreVoteReply(core.id, request.sender, term, granted))
 
     def may_consider(self, request: Vote, now: float) -> bool:
-        """Whether a request for a vote may be looked at, and its term taken over."""
+        """Return whether a vote request may be considered, and its term adopted."""
         return request.leadership_transfer or not self.sticky(now)
 
     def on_vote(self, address: str, request: Vote, now: float) -> None:
-        """Vote, or not, in the term that this replica has taken over from the request."""
+        """Grant or refuse a vote in the current term."""
         core = self._core
         granted = (
             request.term == core.term
--- a/granitewell/coordination/consensus/encoding.py
+++ b/granitewell/coordination/consensus/encoding.py
@@ -1,7 +1,7 @@
-"""Binary forms of members, entries and memberships, the same on the wire and on the disk.
+"""Binary encodings of members, entries and memberships, used on the wire and on disk.
 
-Lists are written as counted, length-prefixed parts: thrift's own lists cost whatever their count claims,
-before one element is read.
+Lists are encoded as length-prefixed parts. Thrift's own lists allocate whatever their count claims before the
+first element is read.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 _KINDS = {int(kind): kind for kind in EntryKind}
 
 CHANGE_VERSION = 1
-"""Of the entries that begin and end a change of members."""
+"""Format version of the entries that begin and end a change of members."""
 
 _STOP = 0
 _BOOL = 2
@@ -38,22 +38,30 @@
 
 
 class NewerMembershipFormatError(MalformedFrameError):
-    """Members in a form that a newer version wrote. None of it may be skipped: it may change who counts."""
+    """A membership was written in a newer format.
+
+    No part of it may be skipped, because it may change who has a vote.
+    """
 
 
 class UnknownEntryKindError(MalformedFrameError):
-    """An entry is of a kind that only a newer program knows."""
+    """An entry has a kind that only a newer version knows."""
 
 
 def decode_struct(kind: Any, data: bytes) -> Any:
-    """A thrift struct of the IDL; raises MalformedFrameError."""
+    """Decode a thrift struct of the IDL.
+
+    Raises:
+        MalformedFrameError: The bytes are not such a struct.
+    """
     return decode(kind, data, check_flat)
 
 
 def check_flat(data: bytes) -> None:
-    """Raises MalformedFrameError unless the bytes are one struct of plain fields.
+    """Raise MalformedFrameError unless the bytes are exactly one struct of plain fields.
 
-    The library trusts lengths and nesting: eight bytes that claim a long list would take all memory.
+    The thrift library trusts lengths and nesting: eight bytes that claim a long list would exhaust the
+    memory.
     """
     at = 0
     end = len(data)
@@ -79,7 +87,7 @@
 
 
 def encode_list(parts: Iterable[bytes]) -> bytes:
-    """Several byte strings as one."""
+    """Join byte strings, each with its length in front."""
     encoded: list[bytes] = []
     for part in parts:
         encoded.append(_LENGTH.pack(len(part)))
@@ -88,7 +96,11 @@
 
 
 def decode_list(data: bytes) -> list[bytes]:
-    """The byte strings that were packed as one; raises MalformedFrameError."""
+    """Split byte strings that `encode_list` has joined.
+
+    Raises:
+        MalformedFrameError: A part is cut short.
+    """
     parts: list[bytes] = []
     at = 0
     while at < len(data):
@@ -109,12 +121,16 @@
 
 
 def encode_member(member: Member) -> bytes:
-    """A member's binary form."""
+    """Encode a member."""
     return encode_list((member.replica_id.encode(), member.node_name.encode(), member.address.encode()))
 
 
 def decode_member(data: bytes) -> Member:
-    """A member; raises MalformedFrameError."""
+    """Decode a member.
+
+    Raises:
+        MalformedFrameError: Parts are missing or are not UTF-8.
+    """
     parts = decode_list(data)
     if len(parts) < 3:
         raise MalformedFrameError(f"a member of {len(parts)} parts")
@@ -134,13 +150,18 @@
 
 
 def encode_change(change: VoterChange) -> bytes:
-    """The data of an entry that begins a change of members."""
+    """Encode the data of the entry that begins a change of members."""
     parts = encode_list((_encode_members(change.added), _encode_members(change.removed)))
     return bytes((CHANGE_VERSION,)) + parts
 
 
 def decode_change(data: bytes) -> VoterChange:
-    """What an entry begins; raises MalformedFrameError, NewerMembershipFormatError."""
+    """Decode the data of the entry that begins a change of members.
+
+    Raises:
+        NewerMembershipFormatError: A newer version has written it.
+        MalformedFrameError: The bytes cannot be read.
+    """
     parts = decode_list(_unversioned(data))
     if len(parts) != 2:
         raise MalformedFrameError(f"a change of members of {len(parts)} parts")
@@ -148,16 +169,21 @@
 
 
 def encode_end(taken_over: bool) -> bytes:
-    """The data of an entry that ends a change of members.
+    """Encode the data of the entry that ends a change of members.
 
     Args:
-        taken_over: For the new voters.
+        taken_over: Whether the new voters take over; otherwise the change is rolled back.
     """
     return bytes((CHANGE_VERSION, taken_over))
 
 
 def decode_end(data: bytes) -> bool:
-    """Whether a change ends for the new voters; raises MalformedFrameError, NewerMembershipFormatError."""
+    """Return whether a change ends with the new voters.
+
+    Raises:
+        NewerMembershipFormatError: A newer version has written it.
+        MalformedFrameError: The bytes cannot be read.
+    """
     rest = _unversioned(data)
     if rest not in (b"\0", b"\1"):
         raise MalformedFrameError("a change of members ends in no known way")
@@ -173,7 +199,7 @@
 
 
 def encode_membership(membership: Membership) -> bytes:
-    """A membership's binary form. The outgoing voters are there only while members change."""
+    """Encode a membership. Outgoing voters are written only while members change."""
     removed = encode_list(replica_id.encode() for replica_id in membership.removed)
     parts = [_encode_members(membership.voters), removed]
     if membership.is_joint:
@@ -182,7 +208,12 @@
 
 
 def decode_membership(data: bytes) -> Membership:
-    """A membership; raises MalformedFrameError, NewerMembershipFormatError."""
+    """Decode a membership.
+
+    Raises:
+        NewerMembershipFormatError: A newer version has written it.
+        MalformedFrameError: The bytes cannot be read.
+    """
     parts = decode_list(data)
     if len(parts) < 2:
         raise MalformedFrameError(f"a membership of {len(parts)} parts")
@@ -198,17 +229,22 @@
 
 
 def encode_entry(entry: Entry) -> bytes:
-    """An entry's binary form, which says its own length."""
+    """Encode an entry, with its length."""
     return _ENTRY.pack(entry.index, entry.term, entry.kind, len(entry.data)) + entry.data
 
 
 def encode_entries(entries: Iterable[Entry]) -> bytes:
-    """Entries one after the other."""
+    """Encode entries one after the other."""
     return b"".join(encode_entry(entry) for entry in entries)
 
 
 def decode_entries(data: bytes) -> tuple[Entry, ...]:
-    """Entries that were packed one after the other; raises MalformedFrameError."""
+    """Decode entries that were encoded one after the other.
+
+    Raises:
+        UnknownEntryKindError: An entry has a kind that only a newer version knows.
+        MalformedFrameError: The bytes cannot be read.
+    """
     entries: list[Entry] = []
     at = 0
     while at < len(data):
@@ -233,7 +269,7 @@
 
 
 def _check_change(entry: Entry) -> None:
-    """Raises MalformedFrameError where an entry that changes members can't be read."""
+    """Raise MalformedFrameError if an entry that changes members cannot be decoded."""
     if entry.kind is EntryKind.CHANGE_VOTERS:
         decode_change(entry.data)
     elif entry.kind is EntryKind.END_CHANGE:
--- a/granitewell/coordination/consensus/follower.py
+++ b/granitewell/coordination/consensus/follower.py
@@ -1,4 +1,4 @@
-"""What a follower does with the leader's entries and snapshots."""
+"""How a follower handles the leader's entries and snapshots."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class _Assembly:
-    """A snapshot that is being received."""
+    """A snapshot that is being received in chunks."""
 
     leader_term: int
     index: int
@@ -26,20 +26,23 @@
     data: bytearray = field(default_factory=bytearray)
 
     def matches(self, chunk: SnapshotChunk) -> bool:
-        """Whether a chunk is of this snapshot, from the same leader: another's may have other bytes."""
+        """Return whether a chunk belongs to this snapshot and was sent by the same leader.
+
+        Another leader's snapshot at the same index may consist of other bytes.
+        """
         mine = (self.leader_term, self.index, self.index_term, self.total)
         return mine == (chunk.term, chunk.index, chunk.index_term, chunk.total)
 
 
-class Following:
-    """The part of a replica that takes a leader's log over."""
+class Follower:
+    """The part of a replica that replicates the leader's log."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
         self._assembly: _Assembly | None = None
 
     def on_append(self, address: str, message: Append) -> None:
-        """Take entries that continue the log here, and say how far both agree."""
+        """Append entries that continue the local log, and reply how far both logs agree."""
         core = self._core
         if message.previous_index < core.commit_index:
             self._append_after_commit(address, message)
@@ -50,7 +53,10 @@
             self._take(address, message, message.entries)
 
     def _append_after_commit(self, address: str, message: Append) -> None:
-        """What is committed here is in each later leader's log too: only the rest is looked at."""
+        """Append the entries after the commit index.
+
+        Committed entries are in the log of every later leader, so they are skipped.
+        """
         rest = message.entries[self._core.commit_index - message.previous_index :]
         self._take(address, message, rest)
 
@@ -72,14 +78,14 @@
             core.append(entry)
 
     def _hint(self, previous_index: int) -> int:
-        """The last index that may agree with the leader's log."""
+        """Return the last index at which the log may agree with the leader's."""
         core = self._core
         if previous_index > core.log.last_index:
             return core.log.last_index
         return max(core.commit_index, core.log.first_of_term(previous_index) - 1)
 
     def on_snapshot_chunk(self, address: str, chunk: SnapshotChunk) -> None:
-        """Take a piece of a snapshot; install it with the last one."""
+        """Store a chunk of a snapshot; install the snapshot with its last chunk."""
         core = self._core
         if chunk.index <= core.commit_index:
             self._assembly = None
--- a/granitewell/coordination/consensus/group.py
+++ b/granitewell/coordination/consensus/group.py
@@ -1,9 +1,9 @@
-"""The shell of a replica: runs it on the event loop, with a durable log, a state machine and a way to send.
+"""Run a replica on the event loop, with a durable log, a state machine and a way to send messages.
 
-The contract (ready.py says why): what a batch has to persist is handed to the disk before anything of the
-batch is sent; what claims to be on the disk is sent only once the disk has synced the batch; committed
-entries are applied in order, once each. A replica that was removed, or whose log is damaged, starts anew
-under a fresh id, and only once that id is on the disk.
+Contract (ready.py gives the reasons): the records of a batch are handed to the disk before its messages are
+sent. Messages that claim something is on disk are sent only after the disk has synced the batch. Committed
+entries are applied in order, once each. A replica that was removed, or whose log is corrupt, starts again
+under a new id, and only after that id is on disk.
 """
 
 from __future__ import annotations
@@ -16,27 +16,30 @@
 from dataclasses import dataclass
 from pathlib import Path
 from random import Random
-from typing import Protocol
 
 import logbook
 
 from granitewell.coordination.consensus import codec
 from granitewell.coordination.consensus.identity import NodeIdentity, fresh_replica_id, joining_state
+from granitewell.coordination.consensus.log_compaction import LogFileSize, is_compaction_due
 from granitewell.coordination.consensus.pending_messages import PendingMessages
 from granitewell.coordination.consensus.proposals import Proposals
 from granitewell.coordination.consensus.ready import Outgoing, Ready
 from granitewell.coordination.consensus.recovery import Recovery, with_first_members
 from granitewell.coordination.consensus.replica import Replica
 from granitewell.coordination.consensus.settings import ReplicaSettings
+from granitewell.coordination.consensus.state_machine import (
+    AppliedState,
+    StateMachine,
+    StateMachineHaltedError,
+)
 from granitewell.coordination.consensus.storage import encode_records, state_records
 from granitewell.coordination.consensus.types import (
-    Entry,
-    EntryKind,
     Member,
     Role,
-    Snapshot,
     StoredState,
 )
+from granitewell.coordination.consensus.wake_timer import WAKE_GRID_S, WakeTimer
 from granitewell.coordination.disk_files import Files, OsFiles
 from granitewell.coordination.disk_thread import DiskThread, Executor
 from granitewell.coordination.durable_log import DurableLog, WriteFailed
@@ -45,45 +48,17 @@
     MalformedFrameError,
     NotLeaderError,
     ProposalLostError,
-    UnknownFormatError,
 )
 
 log = logbook.Logger("granitewell.consensus")
 
-WAKE_GRID_S = 0.05
-"""Timers of all groups fire on common multiples of this, so that one wake-up serves them all."""
-
-MIN_DELAY_S = 0.01
-"""Of a timer: event loops may fire a moment early, and must not be asked again at once."""
-
 SUCCESSOR_KNOWN_S = 0.5
-"""After a hand-over, how long to wait until the next leader is known."""
-
-
-CATCH_UP_PATIENCE = 4
-"""How many times longer the log may get while a peer catches up.
-
-Compacted at once, it would lose the entries that the peer needs after its snapshot, and the transfer would
-begin again.
-"""
-
-
-class StateMachine(Protocol):
-    """What a group replicates. Must be deterministic; starts empty."""
-
-    def apply(self, index: int, data: bytes) -> object:
-        """Take a committed entry; the result goes to who proposed it, on this node."""
-
-    def snapshot(self) -> bytes:
-        """All of the state."""
-
-    def restore(self, data: bytes) -> None:
-        """Replace the state."""
+"""How long to wait after a leadership transfer until the next leader is known, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class _View:
-    """What on_change is about."""
+    """Values whose change is reported by `on_change`."""
 
     role: Role
     term: int
@@ -98,10 +73,24 @@
 class ReplicatedGroup:
     """One replica group on this node.
 
-    See `granitewell.coordination.consensus.replica` for what it guarantees.
-
-    directory: this group's own. send: (peer's internal address, group name, payload), fire and forget.
-    on_change: leader, term, members or the applied index have changed. All calls are made on the event loop.
+    `granitewell.coordination.consensus.replica` describes what it guarantees. All callbacks run on the event
+    loop.
+
+    Args:
+        name: Name of the group, the same on all nodes.
+        directory: Folder of this group's log, used by no one else.
+        identity: Identity of this disk.
+        bootstrap: Whether the system starts for the first time.
+        seeds: Internal addresses to ask while no member is known.
+        target_voters: How many voters the group should have.
+        machine: The replicated state machine.
+        send: Sends a payload to a peer: (internal address, group name, payload). Delivery is not guaranteed.
+        rng: Source of random numbers.
+        clock: Steady clock, in seconds.
+        settings: Timeouts and limits.
+        on_change: Called after the leader, the term, the members or the applied index have changed.
+        executor: Runs disk work.
+        files: File operations.
     """
 
     def __init__(
@@ -127,7 +116,6 @@
         self._identity = with_first_members(identity, bootstrap, seeds)
         self._seeds = tuple(seeds)
         self._target_voters = target_voters
-        self._machine = machine
         self._send = send
         self._rng = rng
         self._clock = clock
@@ -137,16 +125,13 @@
         self._file = LogFile(files or OsFiles(), str(directory), name, lambda: rng.getrandbits(64))
         self._log: DurableLog | None = None
         self._replica: Replica | None = None
-        self._empty_machine = b""
-        self._applied_index = 0
         self._view = _NOTHING_YET
         self._write = 0
-        self._written_bytes = 0
-        self._rewritten_bytes = 0
+        self._file_size = LogFileSize()
         self._pending = PendingMessages()
         self._proposals = Proposals()
-        self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = math.inf
+        self._applied = AppliedState(machine, self._proposals)
+        self._timer = WakeTimer(clock, lambda: self._tick())
         self._pump_scheduled = False
         self._stopped = False
         self._changed = asyncio.Event()
@@ -159,32 +144,32 @@
 
     @property
     def term(self) -> int:
-        """The newest term known here."""
+        """Highest term known to this replica."""
         return self._replica.term if self._replica else 0
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads, as far as it knows; `holds_lease` says whether it surely does."""
+        """Whether this replica believes that it leads; `holds_lease` tells whether it certainly does."""
         return self._replica is not None and self._replica.role is Role.LEADER
 
     @property
     def leader_address(self) -> str | None:
-        """The leader's internal address, where one is known."""
+        """Internal address of the leader, if known."""
         return self._replica.leader_address if self._replica else None
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The voters in force here."""
+        """Voters in force."""
         return self._replica.members if self._replica else ()
 
     @property
     def applied_index(self) -> int:
-        """The last entry that the state machine has taken."""
-        return self._applied_index
+        """Index of the last entry that the state machine has applied."""
+        return self._applied.index
 
     @property
     def replica_id(self) -> str:
-        """This replica's id in this group, "" before it is loaded."""
+        """Id of this replica; "" before it is loaded."""
         return self._replica.replica_id if self._replica else ""
 
     @property
@@ -193,36 +178,38 @@
         return any(member.replica_id == self.replica_id for member in self.members)
 
     def holds_lease(self) -> bool:
-        """Whether this replica leads, no other can now, and its state machine has all that was ever
-        committed.
-        """
+        """Return whether this replica is the only possible leader and has applied every committed entry."""
         replica = self._replica
         return (
             replica is not None
             and replica.holds_lease(self._clock())
-            and self._applied_index >= replica.commit_index
+            and self._applied.index >= replica.commit_index
         )
 
     def read_staleness_s(self) -> float:
-        """The state here holds all that was committed this many seconds ago.
+        """Return an upper bound on the age of the local state, in seconds.
 
-        0 where this replica holds the lease.
+        The state contains every entry that was committed that many seconds ago. The bound is 0 while this
+        replica holds the lease.
         """
         return self._replica.read_staleness(self._clock()) if self._replica else math.inf
 
     def seconds_since_contact(self, address: str) -> float:
-        """Seconds since this leader heard a member at an internal address.
+        """Return the seconds since this leader heard from the member at an internal address.
 
-        Infinite where it leads nobody there.
+        Infinite if this replica does not lead or no member has that address.
         """
         return self._replica.seconds_since_contact(address, self._clock()) if self._replica else math.inf
 
-    # Life
+    # Lifecycle
 
     async def start(self) -> None:
-        """Load the log, or make it and sync it, and take part. Waits for the disk as long as it takes."""
+        """Load the log, or create and sync it, and join the group.
+
+        Waits for the disk as long as necessary.
+        """
         loop = asyncio.get_running_loop()
-        self._empty_machine = self._machine.snapshot()
+        self._applied.remember_empty()
         recovery = Recovery(self.name, self._identity, self._file, self._executor)
         loaded = await recovery.load()
         self._log = DurableLog(
@@ -233,7 +220,7 @@
             self._on_synced,
             self._on_failed,
         )
-        self._written_bytes = self._file.length
+        self._file_size.grow(self._file.length)
         if loaded is not None:
             self._begin(loaded, fresh=False)
             return
@@ -242,7 +229,7 @@
         await made.wait()
 
     def _make(self, state: StoredState, made: Callable[[], None]) -> None:
-        """Make a new log in place of what is there; take part once it is on the disk."""
+        """Create a new log in place of the existing one; join the group once it is on disk."""
         assert self._log is not None
         self._write += 1
 
@@ -253,7 +240,7 @@
         self._after_write[self._write] = begin
         payload = encode_records(state_records(state))
         self._log.rewrite(self._write, payload, optional=False)
-        self._written_bytes = self._rewritten_bytes = len(payload)
+        self._file_size.rewrite(len(payload))
 
     def _begin(self, state: StoredState, *, fresh: bool) -> None:
         identity = self._identity
@@ -270,17 +257,16 @@
         self._pump()
 
     async def stop(self) -> None:
-        """Take no part any more. Nothing that is under way is answered."""
+        """Leave the group's work at once. Pending proposals are not answered."""
         self._stopped = True
         self._replica = None
-        if self._timer is not None:
-            self._timer.cancel()
+        self._timer.cancel()
         if self._log is not None:
             self._log.close()
         self._proposals.lose(math.inf)
 
     async def transfer(self) -> None:
-        """Hand leadership over, where this replica has it; returns once another leads or none can."""
+        """Transfer leadership if this replica leads; return once another replica leads or none can."""
         replica = self._replica
         if replica is None or not replica.transfer(self._clock()):
             return
@@ -292,8 +278,10 @@
                     await self._changed.wait()
 
     async def leave(self) -> None:
-        """Before a stop: have this replica's place filled by a learner that is ready, or what it holds copied
-        by the others. Returns once that is so, once nobody can, or after `leave_s`.
+        """Prepare for a shutdown.
+
+        A learner takes this voter's place, or others copy what only this replica has. Returns once that is
+        done, once it is impossible, or after `leave_s`.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(self._settings.leave_s):
@@ -302,7 +290,7 @@
                     await asyncio.sleep(WAKE_GRID_S)
 
     def set_seeds(self, addresses: Sequence[str]) -> None:
-        """Internal addresses to ask, where no member is known."""
+        """Set the internal addresses to ask while no member is known."""
         self._seeds = tuple(addresses)
         if self._replica is not None:
             self._replica.seeds = self._seeds
@@ -310,22 +298,24 @@
     # Events
 
     def receive(self, sender_address: str, payload: bytes) -> None:
-        """A message of this group has come. Bytes that are none are dropped."""
+        """Handle a message of this group. Malformed messages are dropped."""
         replica = self._replica
         if replica is None:
             return
         try:
             message = codec.decode(payload)
         except MalformedFrameError as error:
-            log.debug("group {}: from {}: {}", self.name, sender_address, error)
+            log.debug("malformed message", group=self.name, sender=sender_address, error=str(error))
             return
         replica.receive(sender_address, message, self._clock())
         self._pump()
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
-        """Replicate an entry; the state machine's result for it on this node.
+        """Replicate an entry and return the state machine's result for it on this node.
 
-        Raises NotLeaderError (the entry is nowhere) and ProposalLostError (it may be committed or not).
+        Raises:
+            NotLeaderError: This replica does not lead; the entry was not appended.
+            ProposalLostError: The outcome is unknown; the entry may be committed or not.
         """
         replica = self._replica
         if replica is None:
@@ -339,8 +329,6 @@
             raise ProposalLostError(f"no outcome in {timeout_s} s") from error
 
     def _tick(self) -> None:
-        self._timer = None
-        self._timer_at = math.inf
         if self._replica is not None:
             self._replica.tick(self._clock())
             self._pump()
@@ -358,7 +346,7 @@
 
     def _on_failed(self, failure: WriteFailed) -> None:
         if not self._disk_failing:
-            log.warning("group {}: the disk refuses to write: {}", self.name, failure.reason)
+            log.warning("disk refuses to write", group=self.name, reason=failure.reason)
         self._disk_failing = True
         if self._replica is not None:
             self._replica.disk_failed(self._clock())
@@ -367,13 +355,16 @@
     # Work
 
     def _pump_soon(self) -> None:
-        """Join what is proposed in one turn of the loop."""
+        """Process the replica's output after this turn of the loop.
+
+        That batches the proposals of one turn.
+        """
         if not self._pump_scheduled:
             self._pump_scheduled = True
             asyncio.get_running_loop().call_soon(self._pump)
 
     def _pump(self) -> None:
-        """Do all that the replica has ready."""
+        """Process everything that the replica has ready."""
         self._pump_scheduled = False
         while (replica := self._replica) is not None:
             ready = replica.ready(self._clock())
@@ -388,18 +379,21 @@
         self._report_change()
 
     def _do(self, ready: Ready) -> None:
-        if ready.restore is not None and not self._restore(ready.restore):
-            return
-        self._persist(ready)
-        self._send_all(ready.messages)
-        self._apply(ready)
+        try:
+            if ready.restore is not None:
+                self._applied.restore(ready.restore)
+            self._persist(ready)
+            self._send_all(ready.messages)
+            self._applied.apply(ready.committed)
+        except StateMachineHaltedError as halted:
+            self._halt(halted)
 
     def _persist(self, ready: Ready) -> None:
         if ready.records:
             assert self._log is not None
             payload = encode_records(ready.records)
             self._write += 1
-            self._written_bytes += len(payload)
+            self._file_size.grow(len(payload))
             self._log.append(self._write, payload)
         if ready.records or ready.synced_messages:
             self._pending.add(self._write, ready.batch, ready.synced_messages)
@@ -408,101 +402,44 @@
         for outgoing in messages:
             self._send(outgoing.address, self.name, codec.encode(outgoing.message))
 
-    def _apply(self, ready: Ready) -> None:
-        for entry in ready.committed:
-            if not self._apply_entry(entry):
-                return
-            self._applied_index = entry.index
-
-    def _restore(self, snapshot: Snapshot) -> bool:
-        """Have the state machine take a snapshot, before the disk does.
-
-        Where it can't, this replica takes no part any more, and its disk stays as it is; says whether it
-        could.
-        """
-        try:
-            self._machine.restore(snapshot.data or self._empty_machine)
-        except Exception as error:  # whatever it is, entries must not be applied to an older state
-            self._halt(f"its snapshot {snapshot.index} is refused", error)
-            return False
-        self._applied_index = snapshot.index
-        self._proposals.lose(self._applied_index)
-        return True
-
-    def _halt(self, reason: str, error: Exception) -> None:
-        """Take no part any more, until the process is started anew."""
-        log.error("group {}: halted, {}: {}", self.name, reason, error)
-        self.halted_by = error
+    def _halt(self, halted: StateMachineHaltedError) -> None:
+        """Take no further part until the process is restarted; the disk stays as it is."""
+        log.error("replica halted", group=self.name, reason=halted.reason, error=str(halted.error))
+        self.halted_by = halted.error
         self._replica = None
         self._proposals.lose(math.inf)
 
-    def _apply_entry(self, entry: Entry) -> bool:
-        """Have the state machine take an entry.
-
-        Where it needs a newer program, the other replicas may have taken it, and this one takes no part any
-        more; says whether it does.
-        """
-        result: object = None
-        failure: Exception | None = None
-        if entry.kind is EntryKind.DATA:
-            try:
-                result = self._machine.apply(entry.index, entry.data)
-            except UnknownFormatError as error:
-                self._halt(f"its entry {entry.index} is not known", error)
-                return False
-            except Exception as error:  # the same on all replicas: it goes to who proposed the entry
-                failure = error
-        self._proposals.applied(entry, result, failure)
-        return True
-
     def _start_anew(self) -> None:
-        """This replica is out of the group: forget all and join under a fresh id."""
-        log.info("group {}: removed as {}; joining anew", self.name, self.replica_id)
+        """Forget all state after a removal, and join the group under a new id."""
+        log.info("replica was removed; joins under a new id", group=self.name, replica_id=self.replica_id)
         self._replica = None
         self._pending.clear()
         self._proposals.lose(math.inf)
-        self._machine.restore(self._empty_machine)
-        self._applied_index = 0
+        self._applied.reset()
         self._make(joining_state(fresh_replica_id()), _nothing)
 
     def _compact(self) -> None:
-        """Shorten the log and its file where they are long."""
+        """Compact the log and its file if they are long."""
         replica = self._replica
-        if replica is None or self._log is None or not self._is_long(replica):
+        if replica is None or self._log is None:
             return
-        replica.compact(self._applied_index, self._machine.snapshot())
+        now = self._clock()
+        if not is_compaction_due(replica, self._file_size, self._applied.index, self._settings, now):
+            return
+        replica.compact(self._applied.index, self._applied.snapshot())
         payload = encode_records(state_records(replica.stored_state()))
         self._log.rewrite(self._write, payload, optional=True)
-        self._written_bytes = self._rewritten_bytes = len(payload)
-
-    def _is_long(self, replica: Replica) -> bool:
-        settings = self._settings
-        max_bytes = settings.compact_bytes + 2 * replica.snapshot_bytes
-        if self._written_bytes > 2 * max(max_bytes, self._rewritten_bytes):
-            return True
-        if self._applied_index <= replica.snapshot_index:
-            return False
-        length = max(replica.log_entries / settings.compact_entries, replica.log_bytes / max_bytes)
-        return length > CATCH_UP_PATIENCE or (length > 1 and not replica.has_peer_behind(self._clock()))
+        self._file_size.rewrite(len(payload))
 
     def _schedule(self) -> None:
-        replica = self._replica
-        if replica is None or self._stopped:
-            return
-        at = math.ceil(replica.wake_at / WAKE_GRID_S) * WAKE_GRID_S
-        if at >= self._timer_at:
-            return
-        if self._timer is not None:
-            self._timer.cancel()
-        delay_s = max(MIN_DELAY_S, at - self._clock())
-        self._timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
-        self._timer_at = at
+        if self._replica is not None and not self._stopped:
+            self._timer.schedule(self._replica.wake_at)
 
     def _report_change(self) -> None:
         replica = self._replica
         if replica is None:
             return
-        view = _View(replica.role, replica.term, replica.leader_address, replica.members, self._applied_index)
+        view = _View(replica.role, replica.term, replica.leader_address, replica.members, self._applied.index)
         if view != self._view:
             self._view = view
             self._changed.set()
@@ -510,8 +447,8 @@
 
 
 def _nothing() -> None:
-    """Nobody wants to know."""
+    """Default `on_change`: report to no one."""
 
 
 def _ignore(value: object) -> None:
-    """A result that nobody wants."""
+    """Discard a result."""
