--- a/granitewell/coordination/consensus/handlers.py
+++ b/granitewell/coordination/consensus/handlers.py
@@ -1,4 +1,4 @@
-"""What a replica does with each kind of message."""
+"""Dispatch of messages to the parts of a replica."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from granitewell.coordination.consensus.core import Core
 from granitewell.coordination.consensus.election import Election
-from granitewell.coordination.consensus.follower import Following
-from granitewell.coordination.consensus.learner import Joining
+from granitewell.coordination.consensus.follower import Follower
+from granitewell.coordination.consensus.membership_requests import MembershipRequests
 from granitewell.coordination.consensus.messages import (
     Append,
     AppendReply,
@@ -35,26 +35,33 @@
 
 
 class MessageHandlers:
-    """Hands messages to the parts of one replica."""
+    """Passes each message to the part of the replica that handles it."""
 
     def __init__(
-        self, core: Core, roles: Roles, election: Election, joining: Joining, staleness: ReadStaleness
+        self,
+        core: Core,
+        roles: Roles,
+        election: Election,
+        joining: MembershipRequests,
+        staleness: ReadStaleness,
     ) -> None:
         self._core = core
         self._roles = roles
         self._election = election
-        self._joining = joining
+        self._membership_requests = joining
         self._staleness = staleness
-        self._following = Following(core)
+        self._follower = Follower(core)
 
     def handle(self, address: str, message: Message, now: float) -> None:
-        """A message has come.
+        """Handle a message.
 
         Args:
-            address: Where its sender is reached.
+            address: Address at which the sender can be reached.
+            message: The message.
+            now: Current time, in seconds.
         """
         if not self._is_for_me(message):
-            self._joining.neighbour = address
+            self._membership_requests.neighbour = address
             return
         core = self._core
         if isinstance(message, _REQUESTS) and core.is_removed(message.sender):
@@ -72,7 +79,7 @@
     def _on_pre_vote(self, address: str, message: PreVote, now: float) -> None:
         self._election.on_pre_vote(address, message, now)
 
-    def _on_pre_vote_reply(self, address: str, message: PreVoteReply, now: float) -> None:
+    def _on_pre_vote_reply(self, _address: str, message: PreVoteReply, now: float) -> None:
         if not message.granted:
             self._roles.see_term(message.term, now)
         self._election.on_pre_vote_reply(message)
@@ -83,13 +90,13 @@
         self._roles.see_term(message.term, now)
         self._election.on_vote(address, message, now)
 
-    def _on_vote_reply(self, address: str, message: VoteReply, now: float) -> None:
+    def _on_vote_reply(self, _address: str, message: VoteReply, now: float) -> None:
         self._roles.see_term(message.term, now)
         self._election.on_vote_reply(message)
 
     def _on_append(self, address: str, message: Append, now: float) -> None:
         if self._accept_leader(address, message, now):
-            self._following.on_append(address, message)
+            self._follower.on_append(address, message)
         else:
             core = self._core
             core.send_in_term(address, AppendReply(core.id, message.sender, core.term, False, 0))
@@ -105,24 +112,24 @@
 
     def _on_snapshot_chunk(self, address: str, message: SnapshotChunk, now: float) -> None:
         if self._accept_leader(address, message, now):
-            self._following.on_snapshot_chunk(address, message)
+            self._follower.on_snapshot_chunk(address, message)
 
     def _accept_leader(self, address: str, message: Message, now: float) -> bool:
-        """Follow the sender, unless its term is over."""
+        """Follow the sender unless its term is over; return whether the message is to be handled."""
         if not self._roles.follow(address, message, now):
             return False
-        self._joining.heard_leader(now)
+        self._membership_requests.heard_leader(now)
         return True
 
-    def _on_append_reply(self, address: str, message: AppendReply, now: float) -> None:
+    def _on_append_reply(self, _address: str, message: AppendReply, now: float) -> None:
         if self._is_of_my_term(message, now) and self._roles.leadership is not None:
             self._roles.leadership.on_append_reply(message, now)
 
-    def _on_heartbeat_reply(self, address: str, message: HeartbeatReply, now: float) -> None:
+    def _on_heartbeat_reply(self, _address: str, message: HeartbeatReply, now: float) -> None:
         if self._is_of_my_term(message, now) and self._roles.leadership is not None:
             self._roles.leadership.on_heartbeat_reply(message, now)
 
-    def _on_snapshot_reply(self, address: str, message: SnapshotReply, now: float) -> None:
+    def _on_snapshot_reply(self, _address: str, message: SnapshotReply, now: float) -> None:
         if self._is_of_my_term(message, now) and self._roles.leadership is not None:
             self._roles.leadership.on_snapshot_reply(message, now)
 
@@ -130,13 +137,13 @@
         self._roles.see_term(message.term, now)
         return message.term == self._core.term
 
-    def _on_timeout_now(self, address: str, message: TimeoutNow, now: float) -> None:
+    def _on_timeout_now(self, _address: str, message: TimeoutNow, now: float) -> None:
         core = self._core
         if message.term == core.term and core.role is not Role.LEADER and core.is_voter:
             self._roles.old_leader = None
             self._election.campaign(now, leadership_transfer=True)
 
-    def _on_join(self, address: str, message: Join, now: float) -> None:
+    def _on_join(self, _address: str, message: Join, now: float) -> None:
         core = self._core
         if self._roles.leadership is not None:
             self._roles.leadership.on_join(message.member, now)
@@ -148,10 +155,10 @@
             wait = self._roles.leadership.on_leave(message.sender, now)
             self._core.send(address, LeaveReply(self._core.id, message.sender, message.term, wait))
 
-    def _on_leave_reply(self, address: str, message: LeaveReply, now: float) -> None:
-        self._joining.on_leave_reply(message)
+    def _on_leave_reply(self, _address: str, message: LeaveReply, _now: float) -> None:
+        self._membership_requests.on_leave_reply(message)
 
-    def _on_removed(self, address: str, message: Removed, now: float) -> None:
+    def _on_removed(self, _address: str, _message: Removed, _now: float) -> None:
         self._core.removed = True
 
 
--- a/granitewell/coordination/consensus/identity.py
+++ b/granitewell/coordination/consensus/identity.py
@@ -1,9 +1,9 @@
-"""Who the replicas of a disk are.
+"""Identity of the replicas on a disk.
 
-A replica is a random id on its disk. Only where the whole system starts for the first time, a machine whose
-address is among the seeds starts as a voter of the first members; the ids of these are derived from their
-addresses, so that all agree on them without a word. The first members are kept on the disk: a start that is
-interrupted goes on with the same.
+A replica is a random id on its disk. Only when the whole system starts for the first time, a machine whose
+address is among the seeds starts as one of the first voters. The ids of the first voters are derived from
+their addresses, so that all of them agree without communicating. The first members are stored on disk, so
+that an interrupted start continues with the same ones.
 """
 
 from __future__ import annotations
@@ -32,23 +32,25 @@
 _ID_CHARACTERS = 16
 
 PATIENCE_S = 10.0
-"""How long a disk that refuses the first identity is tried again."""
+"""How long the first write of an identity is retried on a disk that refuses it, in seconds."""
 _RETRY_S = 0.1
 
 FIRST_INDEX = 1
-"""Of the snapshot that names the first members.
+"""Index of the snapshot that contains the first members.
 
-A replica that joins stands at 0: it lacks that snapshot, so it can't take the entries after it without having
-got it.
-"""
+A replica that joins starts at index 0. It lacks that snapshot, so it cannot append the entries after it
+without receiving it first. """
 
 
 @dataclass(frozen=True)
 class NodeIdentity:
-    """One per disk, shared by all groups.
+    """Identity of a disk, shared by all groups on it.
 
     Attributes:
-        first_members: Addresses of the first voters, empty where this disk is none of them.
+        node_name: Name of the machine.
+        address: Internal address, `ip:port`.
+        replica_id: Id of this disk's replicas.
+        first_members: Addresses of the first voters; empty if this disk is not one of them.
     """
 
     node_name: str
@@ -64,21 +66,22 @@
 
 
 def fresh_replica_id() -> str:
-    """An id that nobody has ever had."""
+    """Return a new random id."""
     return secrets.token_hex(_ID_CHARACTERS // 2)
 
 
 def first_replica_id(address: str) -> str:
-    """The id of a first member."""
+    """Return the id of a first voter, derived from its address."""
     return sha256(f"first member {address}".encode()).hexdigest()[:_ID_CHARACTERS]
 
 
 def load_identity(
     data_dir: Path, node_name: str, address: str, bootstrap: bool, seeds: Sequence[str]
 ) -> NodeIdentity:
-    """The identity on a disk, made and synced where there is none.
+    """Return the identity stored on a disk; create and sync it if there is none.
 
-    Raises OSError where the disk goes on refusing it.
+    Raises:
+        OSError: The disk keeps refusing the identity.
     """
     deadline = time.monotonic() + PATIENCE_S
     while True:
@@ -93,10 +96,10 @@
 
 
 def _make(data_dir: Path, address: str, bootstrap: bool, seeds: Sequence[str]) -> _Stored:
-    """The first identity of a disk.
+    """Create the first identity of a disk.
 
-    What a start that was interrupted has left whole under the new name is taken; an identity that is damaged
-    makes this disk another's, and no first member.
+    If an interrupted start has left a complete identity under the temporary name, that one is used. If the
+    stored identity is corrupt, the disk gets a new id and is not one of the first members.
     """
     empty = not (data_dir / IDENTITY_NAME).exists()
     stored = _read(data_dir / NEW_NAME) if empty else None
@@ -108,7 +111,7 @@
 
 
 def _read(path: Path) -> _Stored | None:
-    """What is stored, or None where there is nothing that can be used."""
+    """Return the stored identity, or None if there is none that can be used."""
     try:
         document = json.loads(path.read_bytes())
         body = document["identity"]
@@ -135,14 +138,14 @@
         os.fsync(handle)
     finally:
         os.close(handle)
-    os.rename(new_path, data_dir / IDENTITY_NAME)
+    new_path.rename(data_dir / IDENTITY_NAME)
     _sync_folder(data_dir)
     with suppress(OSError):
         _sync_folder(data_dir.parent)
 
 
 def _write_all(handle: int, data: bytes) -> None:
-    """A disk that gets full takes a part first."""
+    """Write all bytes; a disk that fills up may accept only some of them at first."""
     view = memoryview(data)
     while view:
         view = view[os.write(handle, view) :]
@@ -157,16 +160,16 @@
 
 
 def first_state(identity: NodeIdentity) -> StoredState:
-    """What a group's replica starts from on an empty disk."""
+    """Return the initial state of a group's replica on an empty disk."""
     voters = tuple(Member(first_replica_id(address), "", address) for address in identity.first_members)
     return StoredState(identity.replica_id, HardState(), first_snapshot(voters), ())
 
 
 def first_snapshot(voters: tuple[Member, ...]) -> Snapshot:
-    """The first members, and an empty state machine."""
+    """Return the snapshot that contains the first members and an empty state machine."""
     return Snapshot(FIRST_INDEX, 0, Membership(voters), b"")
 
 
 def joining_state(replica_id: str) -> StoredState:
-    """What a replica that is to be taken in starts from."""
+    """Return the initial state of a replica that joins an existing group."""
     return StoredState(replica_id, HardState(), Snapshot(), ())
--- a/granitewell/coordination/consensus/leadership.py
+++ b/granitewell/coordination/consensus/leadership.py
@@ -1,14 +1,13 @@
-"""What a leader does in its term.
-
-Heartbeats, the lease, replication, commits, changes of members, handing over.
-
-- The lease lasts from the send time of the newest heartbeat round that a quorum has acknowledged, and only
-  once an entry of the leader's own term is committed.
-- Its own entries count once they are on its own disk; a majority of others may commit them before.
-- Without word from a quorum for the least election timeout it steps down.
-- Leadership is handed over only by giving it up first: who is told to stand may be told late.
-- All majorities are counted by the quorum of the members in force (quorum.py); while members change, that is
-  a majority of the voters before and one of those after.
+"""What a leader does during its term: heartbeats, lease, replication, commits, changes of members, transfer.
+
+- The lease lasts from the send time of the newest heartbeat round that a quorum has acknowledged. It begins
+  only after an entry of the leader's own term is committed.
+- The leader's own copy of an entry counts once it is on the leader's disk. A majority of other replicas may
+  commit an entry before that.
+- A leader steps down when it has not heard from a quorum within the minimum election timeout.
+- A leader gives up leadership before it transfers it, because the TimeoutNow message may arrive late.
+- All majorities are counted by the quorum of the membership in force (quorum.py). While members change, that
+  is a majority of the old voters and a majority of the new ones.
 """
 
 from __future__ import annotations
@@ -34,13 +33,13 @@
 from granitewell.coordination.consensus.types import Entry, EntryKind, Member
 
 PROBE_BYTES = 64 * 1024
-"""Entries that are sent along before it is known where the peer's log agrees."""
+"""Maximum size of the entries sent before it is known where the peer's log agrees."""
 
 CATCHING_UP_ENTRIES = 100
-"""A peer that lacks more entries than this is behind, and not just some messages late."""
+"""A peer that lacks more entries than this is catching up, and not merely waiting for messages in flight."""
 
 TRANSFER_RETRY_S = 2.0
-"""After a hand-over that found nobody ready in time."""
+"""Pause after a leadership transfer that timed out, in seconds."""
 
 
 @dataclass(slots=True)
@@ -50,10 +49,12 @@
 
 
 class Leadership:
-    """A leader's state, for one term.
+    """State of a leader for one term.
 
     Attributes:
-        stepped_down: It must become a follower now.
+        stepped_down: Whether this replica must become a follower.
+        heartbeat_at: Time of the next heartbeat round, in seconds.
+        first_index: Index of the first entry of this term.
     """
 
     def __init__(
@@ -82,16 +83,19 @@
 
     @property
     def is_transferring_leadership(self) -> bool:
-        """Whether proposals are refused because another is to lead."""
+        """Whether proposals are refused because another replica is about to lead."""
         return self._transfer is not None
 
     @property
     def established(self) -> bool:
-        """Whether an entry of this term is committed: all that earlier leaders committed is known then."""
+        """Whether an entry of this term is committed.
+
+        Everything committed by earlier leaders is known from then on.
+        """
         return self._core.commit_index >= self.first_index
 
     def has_peer_behind(self, now: float) -> bool:
-        """Whether a peer that answers gets a snapshot, or lacks many entries."""
+        """Return whether a responsive peer is receiving a snapshot or lacks many entries."""
         least = self._core.commit_index - CATCHING_UP_ENTRIES
         return any(
             (peer.transfer is not None or peer.match_index < least)
@@ -100,23 +104,23 @@
         )
 
     def holds_lease(self, now: float) -> bool:
-        """Whether no other replica can be leader now."""
+        """Return whether no other replica can be the leader now."""
         if self.stepped_down or not self.established:
             return False
         return now < self.acknowledged_at(now) + self._core.settings.lease_s
 
     def acknowledged_at(self, now: float) -> float:
-        """Send time of the newest heartbeat round that a quorum has acknowledged."""
+        """Return the send time of the newest heartbeat round that a quorum has acknowledged."""
         return self._tracker.reached(now, lambda peer: peer.acknowledged_at)
 
     def seconds_since_contact(self, address: str, now: float) -> float:
-        """Seconds since anything was heard from a member at an address; infinite where none is there."""
+        """Return the seconds since the member at an address was heard from; infinite if there is none."""
         return self._tracker.seconds_since_contact(address, now)
 
     # Log
 
     def propose(self, data: bytes) -> Entry:
-        """Append an entry of the state machine's."""
+        """Append an entry of the state machine."""
         return self._append(EntryKind.DATA, data)
 
     def _append(self, kind: EntryKind, data: bytes) -> Entry:
@@ -128,13 +132,13 @@
         return entry
 
     def uncommitted_bytes(self) -> int:
-        """Of entries of this term that are not committed yet."""
+        """Return the size of this term's uncommitted entries, in bytes."""
         while self._uncommitted and self._uncommitted[0].index <= self._core.commit_index:
             self._uncommitted_bytes -= len(self._uncommitted.popleft().data)
         return self._uncommitted_bytes
 
     def advance_commit(self) -> None:
-        """Commit what a quorum has on disk, once that includes an entry of this term."""
+        """Commit the entries that a quorum has on disk, once they include an entry of this term."""
         core = self._core
         stable_index = core.persistence.stable_index
         index = int(max(0.0, self._tracker.reached(stable_index, lambda peer: peer.match_index)))
@@ -148,13 +152,15 @@
     # Timers
 
     def tick(self, now: float) -> None:
-        """A heartbeat round and all that is looked at once a round."""
+        """Send a heartbeat round and do the checks that are done once per round."""
         if now < self.heartbeat_at:
             return
         if self._lost_quorum(now):
             self.stepped_down = True
             return
-        self.heartbeat_at = now + self._core.settings.heartbeat_s  # not moved by rounds that announce commits
+        self.heartbeat_at = (
+            now + self._core.settings.heartbeat_s
+        )  # not delayed by rounds that announce commits
         self._tracker.forget_learners(now)
         self._send_heartbeats(now)
         self._resend(now)
@@ -171,10 +177,10 @@
         leased = self.holds_lease(now)
         number = self._rounds.begin(now)
         self._announce_commit = False
-        for id, peer in self._tracker.peers.items():
+        for peer_id, peer in self._tracker.peers.items():
             commit = min(peer.match_index, core.commit_index)
             heartbeat = Heartbeat(
-                core.id, id, core.term, number, commit, leased, peer.stamp, core.commit_index
+                core.id, peer_id, core.term, number, commit, leased, peer.stamp, core.commit_index
             )
             core.send(peer.member.address, heartbeat)
 
@@ -191,7 +197,7 @@
     # Replication
 
     def flush(self, now: float) -> None:
-        """Send what the peers lack; called once for all that was appended since."""
+        """Send the entries that peers lack; called once for all entries appended since the last call."""
         if self.stepped_down:
             return
         for peer in self._tracker.peers.values():
@@ -255,14 +261,14 @@
     # Replies
 
     def on_heartbeat_reply(self, reply: HeartbeatReply, now: float) -> None:
-        """A peer has heard a round."""
+        """Record that a peer has received a heartbeat round."""
         peer = self._tracker.heard(reply.sender, now)
         if peer is not None:
             peer.stamp = reply.stamp
             peer.acknowledged_at = max(peer.acknowledged_at, self._rounds.sent_at(reply.round))
 
     def on_append_reply(self, reply: AppendReply, now: float) -> None:
-        """A peer has entries on its disk, or says where it may agree."""
+        """Record the entries that a peer has on disk, or the index at which its log may agree."""
         peer = self._tracker.heard(reply.sender, now)
         if peer is None or reply.index > self._core.log.last_index:
             return
@@ -279,10 +285,10 @@
         self.change_members(now)
 
     def on_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
-        """A peer has a part of the snapshot; send the next.
+        """Send the next chunk of a snapshot after a peer has received one.
 
-        A second reply to the same part sends nothing, or each repeat would go on circling. A peer that has
-        lost its part gets the newest snapshot.
+        A duplicate reply sends nothing, because each duplicate would otherwise keep circulating. A peer that
+        has lost its chunks gets the newest snapshot from the start.
         """
         peer = self._tracker.heard(reply.sender, now)
         if peer is None or peer.transfer is None or reply.index != peer.transfer.snapshot.index:
@@ -298,7 +304,7 @@
     # Members
 
     def on_join(self, member: Member, now: float) -> None:
-        """A replica wants to be taken in; a voter that says this has a new address."""
+        """Accept a learner; a voter that sends this message has a new address."""
         membership = self._core.log.membership
         if is_voter(membership, member.replica_id):
             if member not in membership.all_voters() and self._may_change():
@@ -307,26 +313,32 @@
             self._tracker.add_learner(member, now)
 
     def on_leave(self, replica_id: str, now: float) -> bool:
-        """A voter is about to stop; says whether it should wait."""
+        """Record that a voter is about to stop; return whether it should wait."""
         self._reconfiguration.record_leaving(replica_id, now)
         self.change_members(now)
         return self._reconfiguration.should_wait(replica_id, now)
 
     def _may_change(self) -> bool:
-        """One change at a time, and none before an entry of this term is committed."""
+        """Return whether a change of members may begin.
+
+        There is one change at a time, and none before an entry of this term is committed.
+        """
         core = self._core
         is_change_committed = core.commit_index >= max(core.log.last_change_index, self.first_index)
         return is_change_committed and not self.is_transferring_leadership and not self.stepped_down
 
     def change_members(self, now: float) -> None:
-        """Begin the next change of members, or end the one under way, where that is due."""
+        """Begin the next change of members, or end the current one, if that is due."""
         if self._may_change():
             self._reconfiguration.step(now)
 
-    # Handing over
+    # Leadership transfer
 
     def transfer_leadership(self, now: float) -> bool:
-        """Let the best follower lead; False where none answers. Proposals are refused meanwhile."""
+        """Begin to transfer leadership to the best follower; return False if none responds.
+
+        Proposals are refused during the transfer.
+        """
         if self._transfer is not None:
             return True
         if self.stepped_down:
--- a/granitewell/coordination/consensus/log.py
+++ b/granitewell/coordination/consensus/log.py
@@ -1,4 +1,4 @@
-"""A replica's log in memory: a snapshot and the entries after it, with the membership at each index."""
+"""The log of a replica in memory: a snapshot, the entries after it, and the membership at each index."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from granitewell.coordination.consensus.types import MEMBERSHIP_KINDS, Entry, Membership, Snapshot
 
 ENTRY_OVERHEAD_BYTES = 64
-"""What an entry costs beside its data, in memory and on the wire."""
+"""Size of an entry beyond its data, in memory and on the wire, in bytes."""
 
 
 class ReplicatedLog:
-    """Entries are numbered without gaps from the snapshot's index on."""
+    """A snapshot and the entries after it, numbered without gaps."""
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[Entry] = ()) -> None:
         self.snapshot = snapshot
@@ -24,26 +24,26 @@
 
     @property
     def last_index(self) -> int:
-        """Of the last entry, or the snapshot's."""
+        """Index of the last entry, or of the snapshot if there are no entries."""
         return self.snapshot.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """Of the last entry, or the snapshot's."""
+        """Term of the last entry, or of the snapshot if there are no entries."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     @property
     def membership(self) -> Membership:
-        """The members in force: the last that were appended, committed or not."""
+        """Membership in force: the one appended last, committed or not."""
         return self._changes[-1][1] if self._changes else self.snapshot.membership
 
     @property
     def last_change_index(self) -> int:
-        """Where the members in force were appended."""
+        """Index at which the membership in force was appended."""
         return self._changes[-1][0] if self._changes else self.snapshot.index
 
     def membership_at(self, index: int) -> Membership:
-        """The members after the entry at an index."""
+        """Return the membership after the entry at an index."""
         found = self.snapshot.membership
         for changed_at, membership in self._changes:
             if changed_at > index:
@@ -52,7 +52,7 @@
         return found
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where it is not here (compacted or not yet there)."""
+        """Return the term of an entry, or None if it is compacted or not appended yet."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.snapshot.index - 1
@@ -61,16 +61,16 @@
         return None
 
     def entry(self, index: int) -> Entry:
-        """The entry at an index, which must be here."""
+        """Return the entry at an index, which must be present."""
         return self.entries[index - self.snapshot.index - 1]
 
     def between(self, first: int, last: int) -> tuple[Entry, ...]:
-        """Entries from first to last, both included."""
+        """Return the entries from `first` to `last`, both included."""
         base = self.snapshot.index + 1
         return tuple(self.entries[first - base : last - base + 1])
 
     def batch(self, first: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Entries from an index on that fit into so many bytes, but at least one where there is one."""
+        """Return the entries from an index on that fit into `max_bytes`, but at least one if there is one."""
         start = first - self.snapshot.index - 1
         size = 0
         stop = start
@@ -82,7 +82,7 @@
         return tuple(self.entries[start:stop])
 
     def append(self, entry: Entry) -> None:
-        """Add the next entry."""
+        """Append the next entry."""
         assert entry.index == self.last_index + 1, (entry.index, self.last_index)
         self.entries.append(entry)
         self.bytes += len(entry.data) + ENTRY_OVERHEAD_BYTES
@@ -90,7 +90,7 @@
             self._changes.append((entry.index, after_entry(self.membership, entry)))
 
     def truncate(self, index: int) -> None:
-        """Drop the entry at an index and all after it."""
+        """Drop the entry at an index and all entries after it."""
         position = index - self.snapshot.index - 1
         for entry in self.entries[position:]:
             self.bytes -= len(entry.data) + ENTRY_OVERHEAD_BYTES
@@ -99,7 +99,10 @@
             self._changes.pop()
 
     def install(self, snapshot: Snapshot) -> bool:
-        """Put a snapshot under the log. Entries after it are kept where they continue it; says whether."""
+        """Replace the start of the log with a snapshot.
+
+        Entries after the snapshot are kept if they continue it. Returns whether they do.
+        """
         continues = snapshot.index >= self.snapshot.index and self.term_at(snapshot.index) == snapshot.term
         kept = self.entries[snapshot.index - self.snapshot.index :] if continues else []
         self.snapshot = snapshot
@@ -111,7 +114,7 @@
         return continues
 
     def compact(self, index: int, data: bytes) -> Snapshot:
-        """Replace all entries up to a committed one by a snapshot of the state after it."""
+        """Replace the entries up to a committed index with a snapshot of the state after it."""
         term = self.term_at(index)
         assert term is not None, index
         snapshot = Snapshot(index, term, self.membership_at(index), data)
@@ -119,7 +122,7 @@
         return snapshot
 
     def first_of_term(self, index: int) -> int:
-        """The first entry here that has the term of the one at an index."""
+        """Return the first index in the log whose entry has the same term as the entry at `index`."""
         term = self.term_at(index)
         while index > self.snapshot.index + 1 and self.term_at(index - 1) == term:
             index -= 1
--- a/granitewell/coordination/consensus/membership.py
+++ b/granitewell/coordination/consensus/membership.py
@@ -1,9 +1,10 @@
-"""Members of a group: what an entry changes, and which change a leader should propose next.
+"""Members of a group: the effect of an entry on them, and the next change that a leader should propose.
 
-Members change by joint consensus. One entry takes voters in and out together: from its append on, the voters
-before it (the outgoing voters) and those after it both count, each by its own majority. A second entry ends
-that, for the new voters, or for the old ones where those that came in do not answer. A change is in force
-from the moment it is appended, and the next is proposed only after it is committed.
+Members change by joint consensus. One entry adds and removes voters together. From the moment it is appended,
+both the voters before it (the outgoing voters) and the voters after it count, each with a majority of its
+own. A second entry ends the change, in favor of the new voters, or of the old ones if the new voters do not
+respond. A change is in force as soon as it is appended, and the next one is proposed only after it is
+committed.
 """
 
 from __future__ import annotations
@@ -24,17 +25,16 @@
 from granitewell.coordination.consensus.types import Entry, EntryKind, Member, Membership, VoterChange
 
 MAX_REMOVED = 64
-"""Ids of removed replicas that are kept, so that one that comes back late is told so."""
+"""How many ids of removed replicas are kept, so that one that returns late can be notified."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """What the leader sees of a member.
+    """A member as the leader sees it.
 
-    Attributes:
-        seconds_since_contact: Since its last answer, 0 for the leader itself, or since the term began.
-        answering: It has answered lately.
-        caught_up: It has on its disk all that is committed, or while members change the entry that began it.
+    Attributes: member: The member. seconds_since_contact: Seconds since its last reply or since the term
+        began; 0 for the leader itself. answering: Whether it has replied recently. caught_up: Whether all
+        committed entries are on its disk; while members change, the entry that began the change.
     """
 
     member: Member
@@ -44,27 +44,27 @@
 
     @property
     def dependable(self) -> bool:
-        """Whether a change may rest on it: it answers, and its disk takes what it is sent."""
+        """Whether a change may rely on this member: it responds, and its disk keeps up."""
         return self.answering and self.caught_up
 
 
 @dataclass(frozen=True, slots=True)
 class ProposedChange:
-    """A change of members to propose: an entry's kind and data."""
+    """A change of members to propose: the kind and the data of an entry."""
 
     kind: EntryKind
     data: bytes
     takes_over: bool = False
-    """It ends a change for the new voters."""
+    """Whether the entry ends a change in favor of the new voters."""
 
 
 def is_voter(membership: Membership, replica_id: str) -> bool:
-    """Whether a replica has a vote, be it as an outgoing voter."""
+    """Return whether a replica has a vote, possibly as an outgoing voter."""
     return any(member.replica_id == replica_id for member in membership.all_voters())
 
 
 def stays_voter(membership: Membership, replica_id: str) -> bool:
-    """Whether a replica has a vote once the change that is under way has ended."""
+    """Return whether a replica has a vote after the current change has ended."""
     return any(member.replica_id == replica_id for member in membership.voters)
 
 
@@ -72,7 +72,7 @@
 
 
 def after_entry(membership: Membership, entry: Entry) -> Membership:
-    """The membership once an entry is appended."""
+    """Return the membership after an entry is appended."""
     if entry.kind is EntryKind.CHANGE_VOTERS:
         return _joint(membership, decode_change(entry.data))
     if entry.kind is EntryKind.END_CHANGE:
@@ -104,7 +104,7 @@
 
 
 def _with_voter(membership: Membership, added: Member) -> Membership:
-    """A voter's new address, or (in logs of older versions) a new voter."""
+    """Apply the new address of a voter or, in logs of older versions, add a voter."""
     others = tuple(member for member in membership.voters if member.replica_id != added.replica_id)
     outgoing = tuple(
         added if member.replica_id == added.replica_id else member for member in membership.outgoing_voters
@@ -120,7 +120,7 @@
 
 
 def move_voter(member: Member) -> ProposedChange:
-    """A voter is at another address. Changes no quorum."""
+    """Return the change for a voter with a new address. It changes no quorum."""
     return ProposedChange(EntryKind.ADD_VOTER, encode_member(member))
 
 
@@ -128,7 +128,7 @@
 
 
 def predecessor(membership: Membership, learner: Member) -> Member | None:
-    """The voter whose place a learner takes: the same machine under an older id."""
+    """Return the voter that a learner replaces: the same machine under an older id."""
     for voter in membership.voters:
         same_name = voter.node_name != "" and voter.node_name == learner.node_name
         if voter.replica_id != learner.replica_id and (same_name or voter.address == learner.address):
@@ -144,12 +144,17 @@
     leaving: Collection[str],
     settings: ReplicaSettings,
 ) -> ProposedChange | None:
-    """The change that a leader whose last one is committed and ended should begin.
+    """Return the change that a leader should begin, or None if none is needed or safe.
 
-    None where all is well or nothing is safe.
+    The previous change must be committed and ended.
 
     Args:
+        membership: Membership in force.
+        voters: All voters.
+        learners: All learners.
+        target_voters: How many voters the group should have.
         leaving: Ids of voters that are about to stop.
+        settings: Timeouts.
     """
     ready = [view for view in learners if view.dependable]
     for change in _wanted_changes(membership, voters, ready, target_voters, leaving, settings):
@@ -182,10 +187,10 @@
 
 
 def may_begin(membership: Membership, change: VoterChange, voters: Sequence[MemberView]) -> bool:
-    """Whether a quorum of both sides is dependable.
+    """Return whether a quorum on both sides of a change is dependable.
 
-    Who comes in for another is not counted: a change must not rest on it, so that its loss leaves the group
-    no worse than before.
+    A voter that replaces another is not counted: the change must not rely on it, so that its loss leaves the
+    group no worse off than before.
     """
     dependable = _dependable(voters)
     if not change.removed:
@@ -200,10 +205,10 @@
 def next_end(
     membership: Membership, voters: Sequence[MemberView], under_way_s: float, settings: ReplicaSettings
 ) -> ProposedChange | None:
-    """How to end the change that is under way.
+    """Return how to end the current change, or None while neither way is safe.
 
-    For the new voters once all that came in hold the entry that brought them in; for the old ones where that
-    does not come about. None while neither is safe.
+    The change ends with the new voters once all of them hold the entry that added them. It is rolled back if
+    that does not happen.
     """
     taken_over = _has_arrived(membership, voters)
     if not taken_over and not _is_stuck(membership, voters, under_way_s, settings):
@@ -229,8 +234,10 @@
 def _is_stuck(
     membership: Membership, voters: Sequence[MemberView], under_way_s: float, settings: ReplicaSettings
 ) -> bool:
-    """Whether to go back: one that came in is silent, or slow while all that would go still answer, or so
-    slow that another should have its turn.
+    """Return whether to roll back a change.
+
+    That is so if a new voter is unresponsive, or slow while all outgoing voters still respond, or so slow
+    that another replica should have its turn.
     """
     if under_way_s < settings.unreachable_s:
         return False
--- a/granitewell/coordination/consensus/learner.py
+++ b/granitewell/coordination/consensus/membership_requests.py
@@ -1,8 +1,4 @@
-"""What a replica asks of the group for itself.
-
-To be taken in where it has no vote, and before it stops, to have its place filled and its copies made
-elsewhere.
-"""
+"""Requests that a replica makes for itself: to join its group, and to be replaced before it stops."""
 
 from __future__ import annotations
 
@@ -12,13 +8,13 @@
 from granitewell.coordination.consensus.messages import Join, Leave, LeaveReply
 
 
-class Joining:
-    """The part of a replica that comes and goes.
+class MembershipRequests:
+    """The part of a replica that joins and leaves a group.
 
     Attributes:
-        seeds: Addresses to ask where no member is known.
-        due_at: When it asks next.
-        neighbour: An address that looks for who was at this one before.
+        seeds: Addresses to ask while no member is known.
+        due_at: Time of the next request, in seconds.
+        neighbour: Address of a replica that has looked for an earlier replica at this address.
     """
 
     def __init__(self, core: Core, seeds: Iterable[str], now: float) -> None:
@@ -31,11 +27,11 @@
         self.neighbour: str | None = None
 
     def heard_leader(self, now: float) -> None:
-        """The leader knows this replica."""
+        """Record that the leader knows this replica."""
         self.due_at = now + self._core.settings.join_s
 
     def tick(self, now: float, leader_heard_at: float) -> None:
-        """Ask to be taken in, where no leader is heard."""
+        """Ask to join the group if no leader has been heard from."""
         core = self._core
         if now < self.due_at:
             return
@@ -56,7 +52,7 @@
         return list(addresses)
 
     def leave(self, now: float) -> bool:
-        """Ask the leader whether this replica may stop; whether to wait and ask again."""
+        """Ask the leader whether this replica may stop; return whether to wait and ask again."""
         core = self._core
         if self._may_go or not core.is_voter:
             return False
@@ -66,6 +62,6 @@
         return True
 
     def on_leave_reply(self, reply: LeaveReply) -> None:
-        """The leader says whether there is anything to wait for."""
+        """Record whether there is anything to wait for."""
         if not reply.wait:
             self._may_go = True
--- a/granitewell/coordination/consensus/messages.py
+++ b/granitewell/coordination/consensus/messages.py
@@ -1,6 +1,6 @@
 """Messages between the replicas of a group.
 
-Sender and receiver are replica ids; receiver is "" in a Join, whose sender may know addresses only.
+`sender` and `receiver` are replica ids. `receiver` is "" in a Join, whose sender may know addresses only.
 """
 
 from __future__ import annotations
@@ -12,10 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """What all messages carry.
+    """Fields that all messages have.
 
     Attributes:
-        term: The sender's, but for a pre-vote the one it would stand in.
+        sender: Replica id of the sender.
+        receiver: Replica id of the receiver.
+        term: Term of the sender; in a PreVote, the term in which it would campaign.
     """
 
     sender: str
@@ -25,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreVote(Message):
-    """Would you vote for me? Changes nothing at who is asked."""
+    """Asks whether the receiver would vote for the sender; changes no state."""
 
     last_index: int
     last_term: int
@@ -33,17 +35,21 @@
 
 @dataclass(frozen=True, slots=True)
 class PreVoteReply(Message):
-    """term: the one asked for where granted, else that of who replies."""
+    """Reply to a PreVote.
+
+    Attributes:
+        term: The requested term if granted, otherwise the term of the replying replica.
+    """
 
     granted: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Vote(Message):
-    """A candidate asks for a vote.
+    """A candidate's request for a vote.
 
-    Attributes:
-        leadership_transfer: The leader before gave up its lease and asked it to stand.
+    Attributes: leadership_transfer: Whether the previous leader has given up its lease and told the sender to
+        campaign.
     """
 
     last_index: int
@@ -53,21 +59,21 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteReply(Message):
-    """A vote, or none."""
+    """Reply to a Vote."""
 
     granted: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat(Message):
-    """The leader lives.
+    """Shows that the leader is alive.
 
     Attributes:
-        round: Counted by the leader, who knows when it sent it.
-        commit_index: As far as the receiver's log is known to agree.
-        leased: The leader held its lease.
-        acknowledged_stamp: Of the receiver's last reply, 0 for none.
-        leader_commit_index: All that the leader knows to be committed.
+        round: Number of the heartbeat round, counted by the leader.
+        commit_index: Commit index up to which the receiver's log is known to agree.
+        leased: Whether the leader held its lease.
+        acknowledged_stamp: Stamp of the receiver's last reply, 0 for none.
+        leader_commit_index: Commit index of the leader.
     """
 
     round: int
@@ -79,10 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply(Message):
-    """A heartbeat was heard; its sender grants nobody a vote for the least election timeout from now.
+    """Reply to a Heartbeat; the sender votes for no one during the minimum election timeout that begins now.
 
     Attributes:
-        stamp: Comes back with a later heartbeat.
+        stamp: Returned to the sender by a later heartbeat.
     """
 
     round: int
@@ -91,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Append(Message):
-    """Entries after a previous one."""
+    """Entries that follow a previous entry (AppendEntries)."""
 
     previous_index: int
     previous_term: int
@@ -101,7 +107,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendReply(Message):
-    """index: the last entry on the disk that equals the leader's; where not accepted, the last that may."""
+    """Reply to an Append.
+
+    Attributes:
+        index: The last entry on disk that equals the leader's; if not accepted, the last one that may.
+    """
 
     accepted: bool
     index: int
@@ -109,11 +119,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk(Message):
-    """A piece of a snapshot.
+    """A chunk of a snapshot (InstallSnapshot).
 
     Attributes:
-        index, index_term, membership: The snapshot's.
-        total: Its length.
+        index: Index of the snapshot.
+        index_term: Term of the entry at that index.
+        membership: Membership at that index.
+        offset: Position of the chunk in the snapshot, in bytes.
+        total: Size of the snapshot, in bytes.
     """
 
     index: int
@@ -126,7 +139,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotReply(Message):
-    """received: how many bytes of the snapshot at index are here."""
+    """Reply to a SnapshotChunk.
+
+    Attributes:
+        received: How many bytes of the snapshot at `index` have been received.
+    """
 
     index: int
     received: int
@@ -134,15 +151,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeoutNow(Message):
-    """The leader has given up: stand for election at once."""
+    """Tells the receiver to campaign at once; the sender has stepped down."""
 
 
 @dataclass(frozen=True, slots=True)
 class Join(Message):
-    """A replica that is no voter asks to be taken in.
+    """A replica that is no voter asks to join the group.
 
     Attributes:
-        forwarded: Passed on by a follower.
+        forwarded: Whether a follower has forwarded the message.
     """
 
     member: Member
@@ -151,16 +168,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Removed(Message):
-    """The receiver's id was removed from the group, and that is committed."""
+    """Notifies the receiver that its removal from the group is committed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leave(Message):
-    """A voter is about to stop: a learner that is ready should take its place, and others have its copies."""
+    """A voter is about to stop: a learner should replace it, or others should copy what only it has."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveReply(Message):
-    """wait: that is under way. Where not, there is nothing to wait for."""
+    """Reply to a Leave.
+
+    Attributes:
+        wait: Whether the sender should wait because it is being replaced.
+    """
 
     wait: bool
--- a/granitewell/coordination/consensus/pending_messages.py
+++ b/granitewell/coordination/consensus/pending_messages.py
@@ -1,4 +1,4 @@
-"""Messages that claim something of this replica's disk, until the disk has synced it."""
+"""Messages that claim something about this replica's disk, held back until the disk has synced it."""
 
 from __future__ import annotations
 
@@ -8,11 +8,10 @@
 from granitewell.coordination.consensus.ready import Outgoing
 
 MAX_PENDING_MESSAGES = 256
-"""Messages that wait for one write.
+"""Maximum number of messages that wait for one write.
 
-Beyond it the oldest go, as the network might lose them: while a disk refuses, a peer's heartbeats would have
-replies pile up.
-"""
+Beyond it the oldest are dropped, as the network might lose them: while a disk refuses writes, replies to a
+peer's heartbeats would pile up. """
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,10 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """What a synced write sets free.
+    """Messages that a synced write releases.
 
     Attributes:
-        batch: The newest of the replica's batches that it covers, or 0.
+        batch: The newest of the replica's batches that the write covers, or 0.
+        messages: The messages to send.
     """
 
     batch: int
@@ -35,19 +35,19 @@
 
 
 class PendingMessages:
-    """In the order of the writes that they wait for."""
+    """Pending messages, in the order of the writes that they wait for."""
 
     def __init__(self) -> None:
         self._pending: deque[_Pending] = deque()
 
     def add(self, write: int, batch: int, messages: tuple[Outgoing, ...]) -> None:
-        """Keep messages of a batch until a write is synced."""
+        """Hold back the messages of a batch until a write is synced."""
         if self._pending and self._pending[-1].write == write:
             messages = (self._pending.pop().messages + messages)[-MAX_PENDING_MESSAGES:]
         self._pending.append(_Pending(write, batch, messages))
 
     def release(self, write: int) -> Released:
-        """All writes up to one are synced."""
+        """Return the messages whose writes are synced, up to and including `write`."""
         batch = 0
         released: list[Outgoing] = []
         while self._pending and self._pending[0].write <= write:
@@ -57,5 +57,5 @@
         return Released(batch, tuple(released))
 
     def clear(self) -> None:
-        """Forget them: their sender is no replica any more."""
+        """Drop all messages, because their sender is no longer a replica of the group."""
         self._pending.clear()
--- a/granitewell/coordination/consensus/persistence.py
+++ b/granitewell/coordination/consensus/persistence.py
@@ -1,4 +1,4 @@
-"""Which of a replica's records are on the disk, while batches of them are on their way there."""
+"""Tracks which records of a replica are on disk while batches of them are being written."""
 
 from __future__ import annotations
 
@@ -17,11 +17,13 @@
 
 
 class Persistence:
-    """Batches are numbered and synced in order.
+    """Batches of records, numbered and synced in order.
 
     Attributes:
-        stable_index: The last entry that is on the disk.
-        stable_term: The newest term that is.
+        stable_index: Index of the last entry that is on disk.
+        stable_term: Highest term that is on disk.
+        newest_batch: Number of the newest batch.
+        records: Records of the batch that is being collected.
     """
 
     def __init__(self, stable_index: int, stable_term: int, first_batch: int = 0) -> None:
@@ -34,11 +36,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether all that was written is on the disk."""
+        """Whether everything written is on disk."""
         return not self._in_flight and not self.records
 
     def take(self, last_index: int, term: int, now: float) -> tuple[Record, ...]:
-        """The records to write next, as a new batch."""
+        """Return the records to write next, as a new batch."""
         if not self.records:
             return ()
         self.newest_batch += 1
@@ -48,7 +50,7 @@
         return records
 
     def persisted(self, batch: int) -> None:
-        """All batches up to one are on the disk."""
+        """Record that all batches up to one are on disk."""
         self._failed_at = None
         while self._in_flight and self._in_flight[0].number <= batch:
             done = self._in_flight.popleft()
@@ -56,23 +58,23 @@
             self.stable_term = max(self.stable_term, done.term)
 
     def truncated(self, index: int) -> None:
-        """Entries from an index on are dropped: what is on the disk of them no longer counts."""
+        """Record that the entries from an index on are dropped, on disk too."""
         self.stable_index = min(self.stable_index, index - 1)
         for batch in self._in_flight:
             batch.last_index = min(batch.last_index, index - 1)
 
     def failed(self, now: float) -> None:
-        """The disk has refused a batch; it will be tried again."""
+        """Record that the disk has refused a batch, which will be retried."""
         if self._failed_at is None:
             self._failed_at = now
 
     def stalled_for(self, now: float) -> float:
-        """How long the oldest batch has waited, or the disk has refused it."""
+        """Return how long the oldest batch has been waiting or the disk has been refusing it, in seconds."""
         waited = now - self._in_flight[0].started_at if self._in_flight else 0.0
         refused = now - self._failed_at if self._failed_at is not None else 0.0
         return max(waited, refused)
 
     @property
     def failing(self) -> bool:
-        """Whether the last attempt to write was refused."""
+        """Whether the last write was refused."""
         return self._failed_at is not None
--- a/granitewell/coordination/consensus/progress.py
+++ b/granitewell/coordination/consensus/progress.py
@@ -1,4 +1,4 @@
-"""How far each peer is, as the leader knows it, and when each heartbeat round was sent."""
+"""Replication progress of each peer, and the send time of each heartbeat round."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from granitewell.coordination.consensus.types import Member, Snapshot
 
 ROUNDS_KEPT = 64
-"""Heartbeat rounds whose send times are kept; later replies say nothing about the lease."""
+"""How many heartbeat rounds are remembered; a reply to an older one says nothing about the lease."""
 
 
 @dataclass(slots=True)
 class SnapshotTransfer:
-    """A snapshot on its way to a peer, one chunk at a time."""
+    """A snapshot that is being sent to a peer, one chunk at a time."""
 
     snapshot: Snapshot
     offset: int = 0
@@ -23,17 +23,17 @@
 
 @dataclass(slots=True)
 class Progress:
-    """One peer.
+    """Replication progress of one peer.
 
     Attributes:
-        match_index: The last entry known to be on its disk.
-        next_index: The next to send.
-        probing: One message at a time until its log and ours are known to agree.
-        acknowledged_at: Send time of the newest heartbeat that it replied to.
-        stamp: Of its last such reply.
-        answered: Anything, in this term.
-        advanced_at: When match_index last rose.
-        nearly_level_at: Since when a learner has been no more than a few entries late.
+        match_index: Last entry known to be on the peer's disk.
+        next_index: Next entry to send.
+        probing: Whether one message is sent at a time, until it is known where both logs agree.
+        acknowledged_at: Send time of the newest heartbeat that the peer has replied to.
+        stamp: Stamp of its last heartbeat reply.
+        answered: Whether it has sent anything in this term.
+        advanced_at: Time at which match_index last rose.
+        nearly_level_at: Time since which a learner has lacked only a few entries.
     """
 
     member: Member
@@ -53,7 +53,7 @@
     answered: bool = False
 
     def sent(self, last_index: int, size: int, now: float) -> None:
-        """Entries up to an index are on their way."""
+        """Record that entries up to an index were sent."""
         if self.in_flight_bytes == 0:
             self.moved_at = now
         self.in_flight_bytes += size
@@ -64,7 +64,7 @@
             self.next_index = last_index + 1
 
     def accepted(self, index: int, now: float) -> None:
-        """All entries up to an index are on the peer's disk."""
+        """Record that all entries up to an index are on the peer's disk."""
         if index > self.match_index:
             self.match_index = index
             self.moved_at = self.advanced_at = now
@@ -75,7 +75,7 @@
             self.in_flight_bytes = 0
 
     def heard(self, now: float, settings: ReplicaSettings) -> None:
-        """The peer answers; what went to it while it was silent is sent again."""
+        """Record that the peer responds; entries sent while it was unresponsive are sent again."""
         if self.is_unresponsive(now, settings):
             self.restart(self.match_index + 1)
             self.moved_at = NEVER
@@ -83,22 +83,26 @@
         self.answered = True
 
     def is_unresponsive(self, now: float, settings: ReplicaSettings) -> bool:
-        """Whether the peer gets heartbeats only, since it does not answer."""
+        """Return whether the peer gets only heartbeats, because it does not respond."""
         return now - self.heard_at > settings.reachable_s
 
     def rejected(self, hint: int) -> None:
-        """The peer's log does not have what was sent after; hint: the last entry that may agree."""
+        """Record that the peer's log does not continue what was sent.
+
+        Args:
+            hint: The last index at which both logs may agree.
+        """
         self.restart(min(self.next_index - 1, hint + 1))
 
     def restart(self, next_index: int) -> None:
-        """Go on at an index, one message at a time."""
+        """Continue at an index, one message at a time."""
         self.next_index = max(next_index, self.match_index + 1)
         self.probing = True
         self.waiting = False
         self.in_flight_bytes = 0
 
     def overdue(self, now: float, settings: ReplicaSettings) -> bool:
-        """Whether what is under way should have been acknowledged by now."""
+        """Return whether the entries in flight should have been acknowledged by now."""
         under_way = self.waiting or self.transfer is not None or self.next_index > self.match_index + 1
         patience = settings.retransmit_s + self.in_flight_bytes / settings.slowest_link_bytes_s
         return under_way and now - self.moved_at > patience
@@ -106,19 +110,19 @@
 
 @dataclass(slots=True)
 class HeartbeatRounds:
-    """When each of the last heartbeat rounds of a term was sent."""
+    """Send times of the last heartbeat rounds of a term."""
 
     number: int = 0
     _sent_at: deque[float] = field(default_factory=lambda: deque(maxlen=ROUNDS_KEPT))
 
     def begin(self, now: float) -> int:
-        """A new round is sent; its number."""
+        """Begin a new round; return its number."""
         self.number += 1
         self._sent_at.append(now)
         return self.number
 
     def sent_at(self, number: int) -> float:
-        """When a round was sent; NEVER where that is not known."""
+        """Return when a round was sent, NEVER if unknown."""
         age = self.number - number
         if 0 <= age < len(self._sent_at):
             return self._sent_at[-1 - age]
--- a/granitewell/coordination/consensus/proposals.py
+++ b/granitewell/coordination/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of this node that wait for their outcome."""
+"""Proposals of this node whose outcome is pending."""
 
 from __future__ import annotations
 
@@ -17,13 +17,16 @@
 
 
 class Proposals:
-    """By log index; each is told the state machine's result, or raises ProposalLostError."""
+    """Pending proposals by log index.
+
+    Each gets the state machine's result, or raises ProposalLostError.
+    """
 
     def __init__(self) -> None:
         self._waiters: dict[int, _Waiter] = {}
 
     def wait(self, position: Position) -> asyncio.Future[object]:
-        """The outcome of a proposal; whatever waited at its index is lost."""
+        """Return a future for the outcome of a proposal; an older one at the same index is lost."""
         older = self._waiters.get(position.index)
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         self._waiters[position.index] = _Waiter(position.term, future)
@@ -32,7 +35,7 @@
         return future
 
     def applied(self, entry: Entry, result: object, failure: Exception | None) -> None:
-        """The state machine has taken a committed entry, or refused it."""
+        """Resolve the proposal of a committed entry with the state machine's result or failure."""
         waiter = self._waiters.pop(entry.index, None)
         if waiter is None:
             return
@@ -44,7 +47,7 @@
             waiter.future.set_result(result)
 
     def lose(self, up_to: float) -> None:
-        """What waits for entries up to an index will not be known here."""
+        """Fail all proposals up to an index, because their outcome will not be known on this node."""
         for index in [index for index in self._waiters if index <= up_to]:
             _fail(self._waiters.pop(index), ProposalLostError("its outcome is not known here"))
 
--- a/granitewell/coordination/consensus/quorum.py
+++ b/granitewell/coordination/consensus/quorum.py
@@ -1,8 +1,7 @@
-"""Whose agreement counts: a majority of the voters, and while members change a majority of the outgoing
-voters too.
+"""Quorums: a majority of the voters and, while members change, also a majority of the outgoing voters.
 
-The one place that counts majorities: commits, votes, pre-votes, heartbeat rounds, the lease and the guards of
-changes all ask a `Quorum`.
+This is the only module that counts majorities. Commits, votes, pre-votes, heartbeat rounds, the lease and the
+checks before a change of members all use `Quorum`.
 """
 
 from __future__ import annotations
@@ -14,22 +13,25 @@
 from granitewell.coordination.consensus.types import Membership
 
 NEVER = float("-inf")
-"""A time before all times."""
+"""A time before all others."""
 
 
 def majority(voters: int) -> int:
-    """How many of so many voters are a majority."""
+    """Return how many of `count` voters are a majority."""
     return voters // 2 + 1
 
 
 @dataclass(frozen=True, slots=True)
 class Quorum:
-    """Groups of replica ids; a quorum has a majority of each. Without any group nothing is ever agreed."""
+    """Groups of replica ids; a quorum is a majority of each group.
+
+    Without any group there is never a quorum.
+    """
 
     groups: tuple[frozenset[str], ...]
 
     def satisfied_by(self, replica_ids: Collection[str]) -> bool:
-        """Whether these replicas are a quorum."""
+        """Return whether these replicas are a quorum."""
         if not self.groups:
             return False
         return all(
@@ -38,7 +40,10 @@
         )
 
     def reached(self, values: Mapping[str, float]) -> float:
-        """The greatest value that a quorum has reached; NEVER stands for a replica without one."""
+        """Return the greatest value that a quorum has reached.
+
+        NEVER is the value of a replica without one.
+        """
         return min([_reached_by_majority(group, values) for group in self.groups], default=NEVER)
 
 
@@ -49,6 +54,6 @@
 
 @lru_cache(maxsize=64)
 def quorum_of(membership: Membership) -> Quorum:
-    """The quorum under a membership."""
+    """Return the quorum of a membership."""
     groups = (membership.voters, membership.outgoing_voters)
     return Quorum(tuple(frozenset(member.replica_id for member in group) for group in groups if group))
--- a/granitewell/coordination/consensus/read_staleness.py
+++ b/granitewell/coordination/consensus/read_staleness.py
@@ -1,9 +1,10 @@
-"""How old a follower's state may be, as a bound that holds whatever happens to messages on their way.
+"""An upper bound on the age of a follower's state that holds whatever happens to messages in transit.
 
-When a heartbeat arrives says nothing: it may have waited for seconds, at a process that was frozen or on a
-link that held bytes up. But one that brings the stamp of a reply of this process back was sent after that
-reply. The leader held its lease then, so all that was committed by then stands in the log up to the commit
-index that it names. Once this replica has committed that far, its state is no older than its reply.
+The arrival time of a heartbeat proves nothing: the message may have waited for seconds at a frozen process or
+on a stalled link. But a heartbeat that returns the stamp of a reply of this process was sent after that
+reply. The leader held its lease at that time, so everything committed by then is in the log up to the commit
+index that the heartbeat names. Once this replica has committed that far, its state is no older than its
+reply.
 """
 
 from __future__ import annotations
@@ -15,22 +16,26 @@
 from granitewell.coordination.consensus.quorum import NEVER
 
 REPLIES_KEPT = 64
-"""Replies whose times are kept: some ten seconds of heartbeats."""
+"""How many replies are remembered: about ten seconds of heartbeats."""
 
 STAMPS_PER_S = 1_000_000
-"""Stamps are times of this process's clock, so that none is another's that ran under the same replica id."""
+"""Resolution of stamps. They are taken from this process's clock, so that another process that ran under the
+same replica id never used the same ones. """
 
 
 @dataclass(frozen=True, slots=True)
 class _Proof:
-    """Who has committed up to the index has all that was committed at a time."""
+    """A replica that has committed up to `index` has everything that was committed at time `at`."""
 
     index: int
     at: float
 
 
 class ReadStaleness:
-    """What the heartbeats of leaders prove of this replica's state. Times are those of its own clock."""
+    """What the leaders' heartbeats prove about this replica's state.
+
+    Times are those of this process's own clock, in seconds.
+    """
 
     def __init__(self) -> None:
         self._stamp = 0
@@ -39,7 +44,7 @@
         self._proven_at = NEVER
 
     def on_heartbeat(self, message: Heartbeat, now: float) -> int:
-        """A heartbeat of the current term has come; the stamp of the reply to it."""
+        """Handle a heartbeat of the current term; return the stamp of the reply to it."""
         replied_at = self._replied_at.get(message.acknowledged_stamp)
         if message.leased and replied_at is not None:
             self._proofs.append(_Proof(message.leader_commit_index, replied_at))
@@ -50,8 +55,10 @@
         return self._stamp
 
     def proven_at(self, commit_index: int) -> float:
-        """The latest time of which it is proven that a replica that has committed so far has all that was
-        committed by then.
+        """Return the latest time for which it is proven that the state contains everything committed by then.
+
+        Args:
+            commit_index: Commit index of this replica.
         """
         while self._proofs and self._proofs[0].index <= commit_index:
             self._proven_at = max(self._proven_at, self._proofs.popleft().at)
--- a/granitewell/coordination/consensus/ready.py
+++ b/granitewell/coordination/consensus/ready.py
@@ -1,13 +1,13 @@
-"""What a replica wants done: one batch of work for its shell, and the contract of doing it.
+"""Output of a replica: one batch of work for the process part, and the contract for doing it.
 
-The order is the shell's duty, and all safety rests on it:
+All safety depends on the order in which the work is done:
 
-1. `restore`, then `committed`, go to the state machine in order. They never wait for the local disk.
-2. `records` are handed to the disk, after those of all earlier batches.
-3. `messages` may leave at once.
-4. `synced_messages` leave only once the disk has this batch, and with it all earlier ones, synced; then the
-   shell calls `Replica.persisted(batch)`. A batch that fails is tried again; nothing is said of it meanwhile,
-   but `Replica.disk_failed()`.
+1. `restore`, then `committed`, are passed to the state machine in order. They never wait for the local disk.
+2. `records` are handed to the disk after those of all earlier batches.
+3. `messages` may be sent at once.
+4. `synced_messages` are sent only after the disk has synced this batch and all earlier ones. Then
+   `Replica.persisted(batch)` is called. A batch that fails is retried; until it succeeds nothing is reported
+   about it except `Replica.disk_failed()`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message and the address that it goes to."""
+    """A message and its destination address."""
 
     address: str
     message: Message
@@ -31,7 +31,12 @@
     """One batch of work.
 
     Attributes:
-        batch: What synced_messages wait for; records may be empty.
+        batch: Number of the batch that synced_messages wait for; `records` may be empty.
+        records: Records to write.
+        messages: Messages to send at once.
+        synced_messages: Messages to send after the batch is synced.
+        restore: Snapshot to load into the state machine, if any.
+        committed: Entries to apply.
     """
 
     batch: int
--- a/granitewell/coordination/consensus/reconfiguration.py
+++ b/granitewell/coordination/consensus/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Changes of members as a leader carries them out, one step after the other."""
+"""Changes of members, carried out by a leader step by step."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     """A voter that is about to stop.
 
     Attributes:
-        until: When that lapses.
-        index: What was committed when it first said so.
+        until: Time at which the request expires, in seconds.
+        index: Commit index when the voter first sent the request.
     """
 
     until: float
@@ -36,8 +36,8 @@
     """The part of a leader that changes members, for one term.
 
     Attributes:
-        append: An entry to the leader's log.
-        transfer_leadership: Leadership to a voter that stays, says whether that is under way.
+        append: Appends an entry to the leader's log.
+        transfer_leadership: Transfers leadership to a voter that stays; returns whether that has begun.
     """
 
     def __init__(
@@ -61,17 +61,17 @@
     # Voters that are about to stop
 
     def record_leaving(self, replica_id: str, now: float) -> None:
-        """A voter is about to stop: a spare may take its place."""
+        """Record that a voter is about to stop, so that a spare replica may replace it."""
         core = self._core
         asked = self._leaving.get(replica_id)
         index = asked.index if asked is not None and now < asked.until else core.commit_index
         self._leaving[replica_id] = _Leaving(now + core.settings.leave_s, index)
 
     def should_wait(self, replica_id: str, now: float) -> bool:
-        """Whether a voter that is about to stop has something to wait for.
+        """Return whether a voter that is about to stop should wait.
 
-        Its place is being filled, or it holds one of too few copies while others that answer are still
-        behind.
+        It should if it is being replaced, or if it holds one of too few copies of an entry while responsive
+        voters are still behind.
         """
         if not stays_voter(self._core.log.membership, replica_id):
             return True
@@ -80,14 +80,14 @@
     # Changes
 
     def step(self, now: float) -> None:
-        """Begin the next change, or end the one under way, where that is due. The last one is committed."""
+        """Begin the next change or end the current one, if that is due. The last change must be committed."""
         if self._core.log.membership.is_joint:
             self._end(now)
         elif self._tracker.has_learners:
             self._begin(now)
 
     def move(self, member: Member, now: float) -> None:
-        """A voter is at another address."""
+        """Record the new address of a voter."""
         self._change(move_voter(member), now)
 
     def _begin(self, now: float) -> None:
@@ -104,7 +104,11 @@
             self._change(change, now)
 
     def _end(self, now: float) -> None:
-        """A leader that goes itself leaves the end to one that stays: the lease moves with the leadership."""
+        """End the current change.
+
+        A leader that is itself removed leaves this to a voter that stays, because the lease moves with the
+        leadership.
+        """
         core = self._core
         membership = core.log.membership
         under_way_s = now - self._changed_at
@@ -126,7 +130,10 @@
         self._tracker.follow_membership(now)
 
     def notify_removed(self) -> None:
-        """Once it is committed that voters are out, tell them; who misses it is told when it next asks."""
+        """Notify voters whose removal is committed.
+
+        One that misses the message is notified when it next asks.
+        """
         core = self._core
         if not self._removals or core.commit_index < core.log.last_change_index:
             return
--- a/granitewell/coordination/consensus/recovery.py
+++ b/granitewell/coordination/consensus/recovery.py
@@ -1,4 +1,4 @@
-"""What a replica starts from: its log on the disk, or a new state where there is none that can be used."""
+"""Initial state of a replica: its log on disk, or a new state if there is no usable log."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 log = logbook.Logger("granitewell.consensus")
 
 MAX_PAUSE_S = 1.0
-"""Between two attempts to load a log; each reads all of it."""
+"""Maximum pause between two attempts to load a log, in seconds. Each attempt reads the complete log."""
 
 
 class Recovery:
-    """One start of a group's replica."""
+    """Recovery of a group's replica at one start of the process."""
 
     def __init__(self, group: str, identity: NodeIdentity, file: LogFile, executor: Executor) -> None:
         self._group = group
@@ -43,10 +43,12 @@
         self._executor = executor
 
     async def load(self) -> StoredState | None:
-        """What is on the disk; None where a new log is to be made.
+        """Return the state on disk, or None if a new log must be created.
 
-        Waits for a disk that can't be read. A log of a newer program or of another group raises
-        DurableLogError and is left as it is.
+        Waits while the disk cannot be read.
+
+        Raises:
+            DurableLogError: The log belongs to a newer version or to another group; it is left unchanged.
         """
         pause_s = RETRY_S
         while True:
@@ -56,12 +58,12 @@
                 return await loaded
             except OSError as error:
                 if pause_s == RETRY_S:
-                    log.warning("group {}: the disk can't be read: {}", self._group, error)
+                    log.warning("disk cannot be read", group=self._group, error=str(error))
                 await asyncio.sleep(pause_s)
                 pause_s = min(2 * pause_s, MAX_PAUSE_S)
 
     def new_state(self) -> StoredState:
-        """The state of a log that is to be made."""
+        """Return the state of a new log."""
         if self._identity.first_members:
             return first_state(self._identity)
         return joining_state(self._identity.replica_id)
@@ -70,7 +72,7 @@
         loop = future.get_loop()
         try:
             state = self._read_log()
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  the event loop must learn of any error
             loop.call_soon_threadsafe(_set_exception, future, error)
         else:
             loop.call_soon_threadsafe(_set_result, future, state)
@@ -84,14 +86,14 @@
         except UnknownRecordError:
             raise
         except (CorruptLogError, UnreadableRecordsError) as error:
-            log.error("group {}: {}; this replica starts anew under another id", self._group, error)
-            self._file.keep_corrupt()  # refused: tried again, since the damaged log is about to be replaced
+            log.error("log is corrupt; replica starts under a new id", group=self._group, error=str(error))
+            self._file.keep_corrupt()  # if refused, retried, because the corrupt log is about to be replaced
             self._identity = replace(self._identity, replica_id=fresh_replica_id(), first_members=())
             return None
 
 
 def with_first_members(identity: NodeIdentity, bootstrap: bool, seeds: Sequence[str]) -> NodeIdentity:
-    """An identity that was made by hand for a bootstrap gets the seeds as its first members."""
+    """Return the identity with the seeds as first members, if it was created by hand for a bootstrap."""
     is_first = identity.replica_id == first_replica_id(identity.address)
     if bootstrap and is_first and not identity.first_members:
         return replace(identity, first_members=tuple(seeds))
--- a/granitewell/coordination/consensus/replica.py
+++ b/granitewell/coordination/consensus/replica.py
@@ -1,11 +1,11 @@
-"""A replica of a group, pure: messages, timers and disk events in, `Ready` batches out.
+"""A replica of a Raft group, without I/O: messages, timers and disk events in, `Ready` batches out.
 
-Time is a parameter of every event, random numbers come from the source that is passed in; nothing here waits,
-reads a clock or touches a file. The shell (group.py) does what `Ready` says, in the order that ready.py
-demands.
+Time is a parameter of every event, and random numbers come from a source that is passed in. Nothing here
+waits, reads a clock or touches a file. The process part (group.py) does what `Ready` says, in the order that
+ready.py requires.
 
-A replica is a random id on a disk. One that lost its disk, or was removed, is another replica: it joins under
-a new id and never votes under its old one.
+A replica is a random id on a disk. One that lost its disk or was removed is another replica: it joins under a
+new id and never votes under the old one.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from granitewell.coordination.consensus.election import Election
 from granitewell.coordination.consensus.handlers import MessageHandlers
 from granitewell.coordination.consensus.leadership import Leadership
-from granitewell.coordination.consensus.learner import Joining
+from granitewell.coordination.consensus.membership_requests import MembershipRequests
 from granitewell.coordination.consensus.messages import Message
 from granitewell.coordination.consensus.read_staleness import ReadStaleness
 from granitewell.coordination.consensus.ready import Ready
@@ -32,19 +32,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Where a proposal stands in the log: it is committed if this term's entry is committed at this index."""
+    """Position of a proposal in the log.
+
+    The proposal is committed if the entry of this term at this index is committed.
+    """
 
     index: int
     term: int
 
 
 class Replica:
-    """One replica.
-
-    Attributes:
-        me: Its id, as on its disk, and where it is.
-        fresh: The disk was made just now, so it has never heard a leader under this id.
-        seeds: Addresses to ask where no member is known.
+    """One replica of a group.
+
+    Args:
+        me: Id of this replica, as on its disk, and its address.
+        state: State on disk.
+        settings: Timeouts and limits.
+        target_voters: How many voters the group should have.
+        seeds: Addresses to ask while no member is known.
+        rng: Source of random numbers.
+        now: Current time, in seconds.
+        fresh: Whether the disk was created just now, so that this id has never heard from a leader.
     """
 
     def __init__(
@@ -63,91 +71,91 @@
         self._election = Election(self._core, now, fresh)
         self._staleness = ReadStaleness()
         self._delivered_index = state.snapshot.index
-        self._joining = Joining(self._core, seeds, now)
+        self._membership_requests = MembershipRequests(self._core, seeds, now)
         self._roles = Roles(self._core, self._election, target_voters)
         self._handlers = MessageHandlers(
-            self._core, self._roles, self._election, self._joining, self._staleness
+            self._core, self._roles, self._election, self._membership_requests, self._staleness
         )
         if state.snapshot.index > 0:
             self._core.restore = state.snapshot
 
     @property
     def _leadership(self) -> Leadership | None:
-        """What this replica does as a leader; None while it is none."""
+        """Leader state of this replica; None while it does not lead."""
         return self._roles.leadership
 
     # Views
 
     @property
     def removed(self) -> bool:
-        """Whether it is out of the group for good: it says nothing more."""
+        """Whether this replica was removed from the group. It sends nothing any more."""
         return self._core.removed
 
     @property
     def replica_id(self) -> str:
-        """The id on the disk."""
+        """Id on the disk."""
         return self._core.id
 
     @property
     def role(self) -> Role:
-        """What this replica is now."""
+        """Current role."""
         return self._core.role
 
     @property
     def term(self) -> int:
-        """The newest term known here."""
+        """Highest term known to this replica."""
         return self._core.term
 
     @property
     def leader_address(self) -> str | None:
-        """Where the leader of this term is, as far as known."""
+        """Address of the leader of this term, if known."""
         return self._core.leader_address
 
     @property
     def commit_index(self) -> int:
-        """The last entry known to be committed."""
+        """Index of the last entry known to be committed."""
         return self._core.commit_index
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The voters in force here, those on their way out too."""
+        """Voters in force, including outgoing ones."""
         return self._core.log.membership.all_voters()
 
     @property
     def log_bytes(self) -> int:
-        """Of the entries since the last snapshot."""
+        """Size of the entries since the last snapshot, in bytes."""
         return self._core.log.bytes
 
     @property
     def log_entries(self) -> int:
-        """Entries since the last snapshot."""
+        """Number of entries since the last snapshot."""
         return len(self._core.log.entries)
 
     @property
     def snapshot_index(self) -> int:
-        """The last entry that the last snapshot stands for."""
+        """Index of the last snapshot."""
         return self._core.log.snapshot.index
 
     @property
     def snapshot_bytes(self) -> int:
-        """Of the last snapshot."""
+        """Size of the last snapshot, in bytes."""
         return len(self._core.log.snapshot.data)
 
     def has_peer_behind(self, now: float) -> bool:
-        """Whether this replica leads a peer that answers and has yet to catch up."""
+        """Return whether this replica leads and a responsive peer has yet to catch up."""
         return self._leadership is not None and self._leadership.has_peer_behind(now)
 
     def stored_state(self) -> StoredState:
-        """All that the disk should hold once everything handed out is written."""
+        """Return the state that the disk holds once all batches are written."""
         core = self._core
         return StoredState(core.id, core.hard_state, core.log.snapshot, tuple(core.log.entries))
 
     def holds_lease(self, now: float) -> bool:
-        """Whether this replica leads, and no other can now."""
+        """Return whether this replica leads and no other replica can lead now."""
         return self._leadership is not None and self._leadership.holds_lease(now)
 
     def read_staleness(self, now: float) -> float:
-        """The state here holds all that was committed this many seconds ago; 0 for who holds the lease."""
+        """Return an upper bound on the age of the local state, in seconds; 0 for the holder of the lease."""
         leadership = self._leadership
         if leadership is None or not leadership.established:
             return now - self._staleness.proven_at(self._core.commit_index)
@@ -156,28 +164,28 @@
         return now - leadership.acknowledged_at(now)
 
     def seconds_since_contact(self, address: str, now: float) -> float:
-        """Seconds since this leader heard a member at an address; infinite where it leads nobody there."""
+        """Return the seconds since this leader heard from the member at an address; infinite if none."""
         return math.inf if self._leadership is None else self._leadership.seconds_since_contact(address, now)
 
     @property
     def wake_at(self) -> float:
-        """When `tick` must be called at the latest."""
+        """Time by which `tick` must be called, in seconds."""
         if self.removed:
             return float("inf")
         if self._leadership is not None:
             return self._leadership.heartbeat_at
         if self._core.is_voter:
-            return min(self._election.due_at, self._joining.due_at)
-        return self._joining.due_at
+            return min(self._election.due_at, self._membership_requests.due_at)
+        return self._membership_requests.due_at
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """Addresses to ask, where no member is known."""
-        return self._joining.seeds
+        """Addresses to ask while no member is known."""
+        return self._membership_requests.seeds
 
     @seeds.setter
     def seeds(self, addresses: Iterable[str]) -> None:
-        self._joining.seeds = tuple(addresses)
+        self._membership_requests.seeds = tuple(addresses)
 
     # Events
 
@@ -189,11 +197,16 @@
             self._leadership.tick(now)
         else:
             self._election.tick(now)
-            self._joining.tick(now, self._election.heard_at)
+            self._membership_requests.tick(now, self._election.heard_at)
         self._roles.update_role(now)
 
-    def propose(self, data: bytes, now: float) -> Position:
-        """Append an entry; raises NotLeaderError, or ProposalLostError where too much waits already."""
+    def propose(self, data: bytes, _now: float) -> Position:
+        """Append an entry.
+
+        Raises:
+            NotLeaderError: This replica does not lead.
+            ProposalLostError: Too many uncommitted bytes are pending.
+        """
         leadership = self._leadership
         if leadership is None or leadership.is_transferring_leadership or leadership.stepped_down:
             raise NotLeaderError(self._core.leader_address if leadership is None else None)
@@ -206,7 +219,7 @@
         return Position(entry.index, entry.term)
 
     def persisted(self, batch: int, now: float) -> None:
-        """The disk has synced all batches up to one."""
+        """Record that the disk has synced all batches up to one."""
         self._core.persistence.persisted(batch)
         self._election.own_vote_synced()
         if self._leadership is not None:
@@ -214,15 +227,18 @@
         self._roles.update_role(now)
 
     def disk_failed(self, now: float) -> None:
-        """The disk has refused a batch; the shell tries it again."""
+        """Record that the disk has refused a batch, which will be retried."""
         self._core.persistence.failed(now)
 
     def compact(self, index: int, data: bytes) -> None:
-        """The state machine's state after a committed entry replaces the log up to it."""
+        """Replace the log up to a committed index with the state machine's state after it."""
         self._core.log.compact(index, data)
 
     def transfer(self, now: float) -> bool:
-        """Hand leadership over; False where this replica does not lead or no follower answers."""
+        """Begin to transfer leadership.
+
+        Returns False if this replica does not lead or no follower responds.
+        """
         if self._leadership is None:
             return False
         started = self._leadership.transfer_leadership(now)
@@ -230,22 +246,23 @@
         return started
 
     def leave(self, now: float) -> bool:
-        """This replica is about to stop.
+        """Prepare to stop: ask to be replaced by a learner, or to have entries copied.
 
-        Have its place filled by a learner that is ready, or its copies made elsewhere. Whether to wait for
-        that, and call again.
+        Returns whether to wait and call again.
         """
         if self.removed or self._leadership is None:
-            return not self.removed and self._joining.leave(now)
+            return not self.removed and self._membership_requests.leave(now)
         wait = self._leadership.on_leave(self._core.id, now)
         self._roles.update_role(now)
         return wait
 
     def receive(self, address: str, message: Message, now: float) -> None:
-        """A message has come.
+        """Handle a message.
 
         Args:
-            address: Where its sender is reached.
+            address: Address at which the sender can be reached.
+            message: The message.
+            now: Current time, in seconds.
         """
         if self.removed:
             return
--- a/granitewell/coordination/consensus/roles.py
+++ b/granitewell/coordination/consensus/roles.py
@@ -10,11 +10,10 @@
 
 
 class Roles:
-    """The role of one replica.
+    """Role changes of one replica.
 
-    Attributes:
-        leadership: What it does as a leader, None while it is none.
-        old_leader: Whom it followed last, unless that one has handed over.
+    Attributes: leadership: Leader state; None while this replica does not lead. old_leader: Id of the last
+        leader that this replica followed, unless that one has transferred its leadership.
     """
 
     def __init__(self, core: Core, election: Election, target_voters: int) -> None:
@@ -25,7 +24,7 @@
         self.old_leader: str | None = None
 
     def follow(self, address: str, message: Message, now: float) -> bool:
-        """Follow who sent a leader's message, unless its term is over; says whether."""
+        """Follow the sender of a leader's message unless its term is over; return whether it is followed."""
         core = self._core
         if message.term < core.term or (message.term == core.term and core.role is Role.LEADER):
             return False
@@ -37,12 +36,12 @@
         return True
 
     def see_term(self, term: int, now: float) -> None:
-        """A newer term is a follower's."""
+        """Become a follower if a message carries a higher term."""
         if term > self._core.term:
             self.become_follower(term, now)
 
     def become_follower(self, term: int, now: float) -> None:
-        """Follow whoever leads a term."""
+        """Become a follower in a term."""
         core = self._core
         if term > core.term:
             core.set_hard_state(term, "")
@@ -53,7 +52,7 @@
         self.leadership = None
 
     def update_role(self, now: float) -> None:
-        """Change role where that is due."""
+        """Change the role if that is due."""
         core = self._core
         if self.leadership is not None and self.leadership.stepped_down:
             self.become_follower(core.term, now)
--- a/granitewell/coordination/consensus/settings.py
+++ b/granitewell/coordination/consensus/settings.py
@@ -10,109 +10,111 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """What a replica is tuned by.
+    """Timeouts and limits of a replica. Times are in seconds, sizes in bytes.
 
-    The lease is shorter than the least election timeout by a margin that covers clocks that drift apart; see
-    `ClockMarginError`.
+    The lease is shorter than the minimum election timeout by a margin for clocks that run at different rates;
+    see `ClockMarginError`.
     """
 
     heartbeat_s: float = 0.12
-    """Least time between heartbeats.
+    """Minimum time between heartbeats.
 
-    Wake-ups are on a grid of 50 ms (`WAKE_GRID_S`), so one goes out every 0.15 s: three are missed before a
-    lease of 0.5 s ends.
-    """
+    Wake-ups are on a grid of 50 ms (`WAKE_GRID_S`), so a heartbeat is sent every 0.15 s: a lease of 0.5 s
+    ends only after three are lost. """
 
     election_timeout_min_s: float = 0.65
-    """A follower that heard its leader within this time grants no vote."""
+    """Minimum election timeout. A follower that heard from its leader within this time grants no vote."""
 
     election_timeout_max_s: float = 1.2
-    """Election timeouts are drawn between the least and this."""
+    """Maximum election timeout."""
 
     lease_s: float = 0.5
-    """How long a heartbeat round that a quorum acknowledged carries the lease, from the round's send time."""
+    """Duration of the lease, from the send time of a heartbeat round that a quorum has acknowledged."""
 
     pre_vote_retry_s: float = 0.25
-    """A pre-vote changes nothing, so it may be asked for often: least time between two rounds of it."""
+    """Minimum time between two rounds of pre-votes, which may be frequent because they change no state."""
 
     candidate_s: float = 0.6
-    """How long a candidate waits for votes before it asks for pre-votes again; votes wait for disks."""
+    """How long a candidate waits for votes, which wait for disks, before it falls back to pre-votes."""
 
     join_s: float = 0.3
-    """Between two requests of a replica that is no voter to be taken in."""
+    """Time between two requests of a non-voter to join the group."""
 
     reachable_s: float = 1.0
-    """A member that answered within this time counts as reachable."""
+    """A member that responded within this time counts as reachable."""
 
     answering_s: float = 0.4
-    """A voter counts towards the quorums that a change of members needs only if it answered within this time.
+    """A voter counts towards the quorums required for a change of members only if it responded within this
+    time.
 
-    A change that is appended while its quorum is gone for good can never be taken back.
+    A change that is appended while its quorum is permanently lost can never be rolled back.
     """
 
     unreachable_s: float = 2.0
-    """A voter that was silent for this long may be replaced by a learner of another machine.
+    """A voter that was unresponsive for this long may be replaced by a learner on another machine.
 
-    A change of members that has not come through for this long may be taken back.
+    A change of members that has not completed within this time may be rolled back.
     """
 
     change_max_s: float = 5.0
-    """A change of members that has not come through for this long is taken back, also where the voter that it
-    replaces is lost: another learner may be ready."""
+    """A change of members that has not completed within this time is rolled back.
+
+    That holds even if the voter being replaced is lost, because another learner may be ready.
+    """
 
     leave_s: float = 1.0
-    """How long a replica that is about to stop waits until its place is filled."""
+    """How long a replica that is about to stop waits until it is replaced."""
 
     leave_again_s: float = 0.15
-    """Between two requests of a replica that is about to stop to have its place filled."""
+    """Time between two requests of a replica that is about to stop."""
 
     learner_expiry_s: float = 3.0
-    """A learner that was silent for this long is forgotten."""
+    """A learner that was unresponsive for this long is dropped."""
 
     retransmit_s: float = 0.5
-    """Entries that were not acknowledged for this long are sent again."""
+    """Entries that were not acknowledged within this time are sent again."""
 
     slowest_link_bytes_s: float = 4.0 * MEBIBYTE
-    """Added to `retransmit_s`: the time that what is under way takes on a slow link."""
+    """Bandwidth of the slowest link; the transfer time of what is in flight is added to `retransmit_s`."""
 
     disk_stall_s: float = 1.0
-    """A leader whose own disk takes longer than this hands leadership over."""
+    """A leader whose own disk takes longer than this transfers its leadership."""
 
     disk_slow_s: float = 0.4
-    """A replica whose disk takes longer than this does not stand for election."""
+    """A replica whose disk takes longer than this does not campaign."""
 
     transfer_s: float = 1.0
-    """How long a leader that hands over waits for its successor to hold all entries."""
+    """How long a leader waits during a transfer until its successor has all entries."""
 
     late_timer_s: float = 0.3
     """A timer that fires later than this shows that the process was frozen."""
 
     append_bytes: int = MEBIBYTE
-    """Entries in one message, but one entry always fits."""
+    """Maximum size of the entries in one message; a single entry always fits."""
 
     in_flight_bytes: int = 4 * MEBIBYTE
-    """Entries under way to one peer."""
+    """Maximum size of the entries in flight to one peer."""
 
     snapshot_chunk_bytes: int = 128 * KIBIBYTE
-    """Of a snapshot in one message. Heartbeats wait behind it: 0.2 s on a link of 5 Mbit/s."""
+    """Size of a snapshot chunk. Heartbeats wait behind it: 0.2 s on a link of 5 Mbit/s."""
 
     snapshot_max_bytes: int = 64 * MEBIBYTE
-    """A snapshot larger than this is refused by who receives it."""
+    """The receiver refuses a larger snapshot."""
 
     entry_max_bytes: int = 24 * MEBIBYTE
-    """The largest entry that can be proposed."""
+    """Maximum size of a proposed entry."""
 
     uncommitted_max_bytes: int = 48 * MEBIBYTE
-    """Proposals beyond this wait for nobody: they are refused."""
+    """Maximum size of the uncommitted proposals; further ones are refused."""
 
     compact_bytes: int = 4 * MEBIBYTE
-    """The log is compacted when its entries exceed this and twice the size of the snapshot before."""
+    """The log is compacted when its entries exceed this and twice the size of the previous snapshot."""
 
     compact_entries: int = 2_000
     """The log is compacted when it has more entries than this."""
 
     max_learners: int = 16
-    """Learners that a leader serves."""
+    """Maximum number of learners that a leader replicates to."""
 
     def __post_init__(self) -> None:
         if self.lease_s > self.election_timeout_min_s * 0.9:
@@ -120,7 +122,7 @@
 
 
 class ClockMarginError(ValueError):
-    """The lease is not shorter than the least election timeout by a tenth."""
+    """The lease is not shorter than the minimum election timeout by at least a tenth."""
 
     def __init__(self, lease_s: float, election_timeout_min_s: float) -> None:
         super().__init__(f"a lease of {lease_s} s under an election timeout of {election_timeout_min_s} s")
--- a/granitewell/coordination/consensus/storage.py
+++ b/granitewell/coordination/consensus/storage.py
@@ -1,7 +1,7 @@
-"""A replica's records as bytes of its durable log, and its state from them.
+"""Records of a replica as bytes of its durable log, and the state that they add up to.
 
-Read in order, records add up: an entry drops all entries from its index on, a snapshot those up to its own,
-the newest hard state holds. The first record of a log says whose it is.
+Records are replayed in order. An entry replaces all entries from its index on, a snapshot replaces those up
+to its index, and the newest hard state is valid. The first record names the replica that owns the log.
 """
 
 from __future__ import annotations
@@ -41,15 +41,15 @@
 
 
 class UnreadableRecordsError(DurableLogError):
-    """A log's frames check, but what they hold does not add up to a replica's state."""
+    """The frames of a log are valid, but their records do not add up to a replica's state."""
 
 
 class UnknownRecordError(UnreadableRecordsError):
-    """A log holds a kind or form of record that only a newer program knows: it is not damaged."""
+    """A log contains a record that only a newer version knows. It is not corrupt."""
 
 
 def encode_records(records: Iterable[Record]) -> bytes:
-    """Records one after the other."""
+    """Encode records one after the other."""
     parts: list[bytes] = []
     for record in records:
         kind, payload = _encode(record)
@@ -70,7 +70,12 @@
 
 
 def decode_records(payload: bytes) -> list[Record]:
-    """The records of a batch; raises UnreadableRecordsError and UnknownRecordError."""
+    """Decode the records of a batch.
+
+    Raises:
+        UnknownRecordError: A record was written by a newer version.
+        UnreadableRecordsError: The records cannot be read.
+    """
     records: list[Record] = []
     at = 0
     try:
@@ -105,12 +110,16 @@
 
 
 def state_records(state: StoredState) -> list[Record]:
-    """The records that a rewritten log starts with."""
+    """Return the records with which a rewritten log starts."""
     return [Identity(state.replica_id), state.hard_state, state.snapshot, *state.entries]
 
 
 def replay(records: Iterable[Record]) -> StoredState:
-    """The state that records add up to; raises UnreadableRecordsError."""
+    """Return the state that records add up to.
+
+    Raises:
+        UnreadableRecordsError: The records do not add up to a state.
+    """
     replica_id: str | None = None
     hard_state = HardState()
     log = ReplicatedLog(Snapshot())
--- a/granitewell/coordination/consensus/tracker.py
+++ b/granitewell/coordination/consensus/tracker.py
@@ -1,5 +1,6 @@
-"""The peers of a leader: the voters in force and the learners, how far each is, and what a quorum of them has
-reached.
+"""Peers of a leader: the voters in force and the learners.
+
+Tracks the progress of each peer and what a quorum of them has reached.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 LEARNER_LATE_ENTRIES = 16
 LEARNER_LATE_S = 1.0
-"""A learner that has lacked no more than these entries for so long may become a voter."""
+"""How long a learner must have lacked no more than a few entries before it may become a voter, in seconds."""
 
 
 class ProgressTracker:
-    """Progress of each peer, for one term.
+    """Progress of all peers, for one term.
 
     Attributes:
-        peers: By replica id.
+        peers: Progress by replica peer_id.
     """
 
     def __init__(self, core: Core, now: float) -> None:
@@ -30,57 +31,66 @@
         self.follow_membership(now)
 
     def follow_membership(self, now: float) -> None:
-        """Have progress of each voter in force and of the learners.
+        """Track each voter in force and each learner.
 
-        A voter that was taken back is a learner again; one that was removed is nobody.
+        A voter whose addition was rolled back becomes a learner again; one that was removed is no longer
+        tracked.
         """
         membership = self._core.log.membership
         voters = {voter.replica_id: voter for voter in self._core.peers()}
-        for id in [id for id in self.peers if id in membership.removed]:
-            del self.peers[id]
-        for id, peer in self.peers.items():
-            peer.learner = id not in voters
-        for id, voter in voters.items():
-            if id in self.peers:
-                self.peers[id].member = voter
+        for peer_id in [peer_id for peer_id in self.peers if peer_id in membership.removed]:
+            del self.peers[peer_id]
+        for peer_id, peer in self.peers.items():
+            peer.learner = peer_id not in voters
+        for peer_id, voter in voters.items():
+            if peer_id in self.peers:
+                self.peers[peer_id].member = voter
             else:
-                self.peers[id] = Progress(voter, self._core.log.last_index + 1, now)
+                self.peers[peer_id] = Progress(voter, self._core.log.last_index + 1, now)
 
     def reached(self, own: float, of_peer: Callable[[Progress], float]) -> float:
-        """The greatest value that a quorum has reached.
+        """Return the greatest value that a quorum has reached.
 
         Args:
-            own: This leader's.
+            own: This leader's value.
+            of_peer: Returns the value of a peer.
         """
-        values = {id: of_peer(peer) for id, peer in self.peers.items()}
+        values = {peer_id: of_peer(peer) for peer_id, peer in self.peers.items()}
         values[self._core.id] = own
         return quorum_of(self._core.log.membership).reached(values)
 
     def heard(self, replica_id: str, now: float) -> Progress | None:
-        """A peer has answered; None where it is no peer any more."""
+        """Record that a peer has replied.
+
+        Returns its progress, or None if it is no longer a peer.
+        """
         peer = self.peers.get(replica_id)
         if peer is not None:
             peer.heard(now, self._core.settings)
         return peer
 
     def seconds_since_contact(self, address: str, now: float) -> float:
-        """Seconds since anything was heard from a member at an address; infinite where none is there."""
+        """Return the seconds since the member at an address was heard from; infinite if none."""
         heard = [peer.heard_at for peer in self.peers.values() if peer.member.address == address]
         return now - max(heard, default=NEVER)
 
     def lacks_copies(self, index: int, leaving_id: str, now: float) -> bool:
-        """Whether an entry is on the disks of no quorum without one voter, but will be.
+        """Return whether an entry is on the disks of no quorum without one voter, but will be.
 
-        Voters that lack it answer.
+        The voters that lack the entry respond.
         """
-        matches = {id: peer.match_index for id, peer in self.peers.items() if id != leaving_id}
+        matches = {peer_id: peer.match_index for peer_id, peer in self.peers.items() if peer_id != leaving_id}
         if leaving_id != self._core.id:
             matches[self._core.id] = self._core.persistence.stable_index
         membership = self._core.log.membership
-        if quorum_of(membership).satisfied_by([id for id, match in matches.items() if match >= index]):
+        if quorum_of(membership).satisfied_by(
+            [peer_id for peer_id, match in matches.items() if match >= index]
+        ):
             return False
-        behind = [id for id, match in matches.items() if match < index and is_voter(membership, id)]
-        return any(self._answers(id, now) for id in behind)
+        behind = [
+            peer_id for peer_id, match in matches.items() if match < index and is_voter(membership, peer_id)
+        ]
+        return any(self._answers(peer_id, now) for peer_id in behind)
 
     def _answers(self, replica_id: str, now: float) -> bool:
         peer = self.peers.get(replica_id)
@@ -90,11 +100,11 @@
 
     @property
     def has_learners(self) -> bool:
-        """Whether anybody waits to be a voter."""
+        """Whether any learner waits to become a voter."""
         return any(peer.learner for peer in self.peers.values())
 
     def add_learner(self, member: Member, now: float) -> None:
-        """Serve a replica that wants to be taken in, unless there are too many."""
+        """Replicate to a replica that wants to join, unless there are too many learners."""
         peer = self.peers.get(member.replica_id)
         if peer is not None:
             peer.member = member
@@ -105,26 +115,26 @@
             self.peers[member.replica_id] = Progress(member, next_index, now, learner=True)
 
     def forget_learners(self, now: float) -> None:
-        """Learners that no longer answer are nobody."""
+        """Drop learners that no longer respond."""
         expiry = self._core.settings.learner_expiry_s
         is_unresponsive = [
-            id for id, peer in self.peers.items() if peer.learner and now - peer.heard_at > expiry
+            peer_id for peer_id, peer in self.peers.items() if peer.learner and now - peer.heard_at > expiry
         ]
-        for id in is_unresponsive:
-            del self.peers[id]
+        for peer_id in is_unresponsive:
+            del self.peers[peer_id]
 
     # Views for changes of members
 
     def voter_views(self, now: float) -> list[MemberView]:
-        """All voters, the leader among them."""
+        """Return all voters, including the leader."""
         return [self._voter_view(voter, now) for voter in self._core.log.membership.all_voters()]
 
     def learner_views(self, now: float) -> list[MemberView]:
-        """All learners.
+        """Return all learners.
 
-        One that has been a few entries late for a while, and goes on taking them, counts as caught up: while
-        changes go on faster than its replies come it is never level, and its vote's entry comes after all of
-        them.
+        A learner that has lacked only a few entries for a while, and keeps accepting them, counts as caught
+        up. While changes arrive faster than its replies it never catches up completely, and the entry that
+        makes it a voter comes after all of them.
         """
         return [self._learner_view(peer, now) for peer in self.peers.values() if peer.learner]
 
@@ -152,18 +162,18 @@
         answering = self._answers(peer.member.replica_id, now)
         return MemberView(peer.member, now - peer.heard_at, answering, caught_up)
 
-    # Handing over
+    # Leadership transfer
 
     def best_successor(self, now: float) -> Progress | None:
-        """The voter that is furthest of those that answer and stay.
+        """Return the most advanced responsive voter that stays a voter.
 
-        None where none has all that is committed.
+        None if none has all committed entries.
         """
         core = self._core
         candidates = [
             peer
-            for id, peer in self.peers.items()
-            if stays_voter(core.log.membership, id) and now - peer.heard_at <= core.settings.reachable_s
+            for peer_id, peer in self.peers.items()
+            if stays_voter(core.log.membership, peer_id) and now - peer.heard_at <= core.settings.reachable_s
         ]
         best = max(candidates, key=lambda peer: peer.match_index, default=None)
         if best is None or best.match_index < core.commit_index:
--- a/granitewell/coordination/consensus/types.py
+++ b/granitewell/coordination/consensus/types.py
@@ -1,7 +1,4 @@
-"""The nouns of consensus: members, entries, hard state, snapshots.
-
-Plain values without behaviour of their own.
-"""
+"""Value types of consensus: members, entries, hard state, snapshots."""
 
 from __future__ import annotations
 
@@ -10,7 +7,7 @@
 
 
 class Role(IntEnum):
-    """What a replica is at the moment. A learner is a follower that is no voter of its own membership."""
+    """Role of a replica. A learner is a follower that is not a voter."""
 
     FOLLOWER = 0
     PRE_CANDIDATE = 1
@@ -19,15 +16,15 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry of the log carries. Values are on disks and on the wire: never changed."""
+    """Kind of a log entry. The values are stored and sent, and never change."""
 
     NO_OPERATION = 0
     DATA = 1
     ADD_VOTER = 2
-    """A voter's new address; a new voter in logs that older versions wrote."""
+    """New address of a voter; in logs of older versions, a new voter."""
 
     REMOVE_VOTER = 3
-    """Only in logs that older versions wrote."""
+    """Found only in logs of older versions."""
 
     CHANGE_VOTERS = 4
     END_CHANGE = 5
@@ -36,16 +33,17 @@
 MEMBERSHIP_KINDS = frozenset(
     (EntryKind.ADD_VOTER, EntryKind.REMOVE_VOTER, EntryKind.CHANGE_VOTERS, EntryKind.END_CHANGE)
 )
-"""Entries that change the members."""
+"""Kinds of entries that change the members."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A replica and where it is.
+    """A replica and its address.
 
     Attributes:
-        address: `ip:port` of internal messages.
-        node_name: "" where not known.
+        replica_id: Id of the replica.
+        node_name: Name of its machine; "" if unknown.
+        address: Internal address, `ip:port`.
     """
 
     replica_id: str
@@ -65,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """What must be on the disk before a vote or a reply that names the term leaves."""
+    """State that must be on disk before a vote, or a reply that names the term, is sent."""
 
     term: int = 0
     vote: str = ""
@@ -73,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterChange:
-    """Voters that come in and voters that go, together."""
+    """Voters that are added and removed together."""
 
     added: tuple[Member, ...]
     removed: tuple[Member, ...]
@@ -81,11 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """The voters after some entry, and the ids of the replicas removed last.
+    """Voters after some entry, and the ids of the replicas removed last.
 
-    Attributes:
-        outgoing_voters: While members change, all voters from before the change, each of which still counts;
-            else empty.
+    Attributes: voters: The voters. removed: Ids of the replicas removed last. outgoing_voters: While members
+        change, all voters from before the change, each of which still counts; else empty.
     """
 
     voters: tuple[Member, ...] = ()
@@ -94,11 +91,11 @@
 
     @property
     def is_joint(self) -> bool:
-        """Whether a change is under way, so that majorities of both sides count."""
+        """Whether a change is in progress, so that majorities of both sides count."""
         return bool(self.outgoing_voters)
 
     def all_voters(self) -> tuple[Member, ...]:
-        """All that have a vote, each once."""
+        """Return all replicas that have a vote, each once."""
         if not self.outgoing_voters:
             return self.voters
         by_id = {member.replica_id: member for member in (*self.outgoing_voters, *self.voters)}
@@ -107,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state machine and the membership after the entry at `index`."""
+    """State machine and membership after the entry at `index`."""
 
     index: int = 0
     term: int = 0
@@ -117,18 +114,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Whose log a file is. Always its first record."""
+    """The replica that owns a log file. Always the first record."""
 
     replica_id: str
 
 
 Record = Identity | HardState | Entry | Snapshot
-"""What a replica has written to its disk, in order."""
+"""A record that a replica writes to its disk."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What a replica starts from: the sum of the records on its disk."""
+    """State that the records on a disk add up to; a replica starts from it."""
 
     replica_id: str
     hard_state: HardState
--- a/granitewell/coordination/disk_thread.py
+++ b/granitewell/coordination/disk_thread.py
@@ -1,4 +1,4 @@
-"""The background thread that runs everything that touches files: no disk holds up the event loop."""
+"""The background thread for all file access, so that a slow disk never blocks the event loop."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DiskThread:
-    """One background thread that runs disk work in order, for all logs of a process."""
+    """A background thread that runs disk work in order, for all logs of a process."""
 
     _shared: DiskThread | None = None
 
@@ -24,13 +24,13 @@
 
     @classmethod
     def shared(cls) -> DiskThread:
-        """The thread of this process."""
+        """Return the thread of this process."""
         if cls._shared is None:
             cls._shared = cls()
         return cls._shared
 
     def submit(self, work: Callable[[], None]) -> None:
-        """Run something on the thread, after all that was submitted before."""
+        """Run a function on the thread, after everything submitted before."""
         with self._wake:
             self._work.append(work)
             if self._thread is None:
@@ -46,12 +46,12 @@
                 work = self._work.popleft()
             try:
                 work()
-            except Exception:  # the thread is everybody's: other logs go on
+            except Exception:  # the thread is shared: other logs continue
                 log.exception("disk work failed")
 
 
 class Executor(Protocol):
-    """Where disk work runs: a DiskThread, or in tests whatever stands for it."""
+    """Runs disk work: a DiskThread, or a stand-in in tests."""
 
     def submit(self, work: Callable[[], None]) -> None:
-        """Run something, after all that was submitted before."""
+        """Run a function, after everything submitted before."""
--- a/granitewell/coordination/durable_log.py
+++ b/granitewell/coordination/durable_log.py
@@ -1,7 +1,7 @@
-"""An append-only log of batches as the event loop sees it: written and synced in order on the disk thread.
+"""An append-only log of batches, as the event loop uses it: written and synced in order on the disk thread.
 
-A write that fails is reported and tried again; what `on_synced` reports has been on the disk. The file and
-its format: log_file.py, log_format.py.
+A write that fails is reported and retried. A batch reported by `on_synced` is on disk. The file and its
+format are in log_file.py and log_format.py.
 """
 
 from __future__ import annotations
@@ -14,17 +14,18 @@
 from granitewell.coordination.log_file import LogFile
 
 RETRY_S = 0.1
-"""Between two attempts to write what the disk has refused."""
+"""Pause before a write that the disk has refused is retried, in seconds."""
 REWRITE_RETRY_S = 0.5
-"""The same for a whole file."""
+"""The same for a rewrite of the complete file."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteFailed:
-    """The disk has refused a write or a sync; it is tried again.
+    """Report of a write or sync that the disk has refused; it will be retried.
 
     Attributes:
-        number: Of the operating system's error.
+        number: Error number of the operating system.
+        reason: Its text.
     """
 
     number: int
@@ -40,12 +41,18 @@
 
 
 class DurableLog:
-    """A log as the event loop sees it.
-
-    Batches go in, `on_synced(batch)` and `on_failed(WriteFailed)` come out.
-
-    to_loop brings a call into the event loop from the disk thread; later runs one after a pause. Batches that
-    wait while one is being written are joined into one write.
+    """A log as the event loop uses it.
+
+    Batches go in; `on_synced(batch)` and `on_failed(WriteFailed)` come out. Batches that wait while another
+    one is being written are joined into one write.
+
+    Args:
+        file: The open log file.
+        executor: Runs disk work.
+        to_loop: Schedules a call on the event loop from the disk thread.
+        later: Schedules a call on the event loop after a delay.
+        on_synced: Called when a batch is on disk.
+        on_failed: Called when the disk has refused a write.
     """
 
     def __init__(
@@ -69,12 +76,12 @@
 
     @property
     def idle(self) -> bool:
-        """Whether all is written."""
+        """Whether everything is written."""
         return not self._busy and not self._waiting
 
     @property
     def waiting_bytes(self) -> int:
-        """Of what waits for its turn; what is being written does not count."""
+        """Size of the batches in the queue, in bytes; the one being written does not count."""
         return sum(len(job.payload) for job in self._waiting)
 
     def append(self, batch: int, payload: bytes) -> None:
@@ -83,12 +90,11 @@
         self._next()
 
     def rewrite(self, batch: int, payload: bytes, *, optional: bool) -> None:
-        """Replace the file, after all batches before, by one payload that stands for all of them.
+        """Replace the file, after earlier batches are written, with a payload that stands for all of them.
 
-        Args:
-            optional: It only makes the file shorter, so it is dropped where the disk refuses it. It takes the
-                place of batches that wait and are no shorter than it, so what waits for a disk that refuses
-                stays bounded.
+        Args: batch: Number of the batch. payload: The new contents. optional: Whether the rewrite only makes
+            the file shorter, so that it is dropped if the disk refuses it. It replaces batches in the queue
+            that are not shorter than it, so that the queue of a disk that refuses writes stays bounded.
         """
         if self.waiting_bytes >= len(payload):
             optional = optional and not self._waiting
@@ -97,7 +103,7 @@
         self._next()
 
     def close(self) -> None:
-        """Write nothing more; what is being written may still reach the disk."""
+        """Write nothing more; the batch being written may still reach the disk."""
         self._closed = True
         self._waiting.clear()
         self._executor.submit(self._file.close)
@@ -121,7 +127,7 @@
         return _Job(job.batch, b"".join(parts), replaces_file=False)
 
     def _run(self, job: _Job) -> None:
-        """On the disk thread."""
+        """Write a job; runs on the disk thread."""
         try:
             if job.replaces_file:
                 self._file.rewrite(job.payload)
@@ -129,7 +135,7 @@
                 self._file.append(job.payload)
         except OSError as error:
             if job.optional and not self._file.must_rewrite:
-                self._to_loop(lambda: self._done(job))  # the old file holds all of it
+                self._to_loop(lambda: self._done(job))  # the old file contains all of it
                 return
             failure = WriteFailed(error.errno or 0, error.strerror or repr(error))
             self._to_loop(lambda: self._failed(job, failure))
--- a/granitewell/coordination/log_file.py
+++ b/granitewell/coordination/log_file.py
@@ -1,8 +1,8 @@
-"""One open log file: batches are appended and synced, or the file is replaced as a whole.
+"""One open log file: batches are appended and synced, or the complete file is replaced.
 
-A file is replaced by `rewrite`: new file, sync, rename, sync of the folder. Until the folder is synced
-nothing is appended. A write or sync that fails is reported, and all that it was for is written again: after a
-failed sync the operating system may count as clean what never reached the disk.
+`rewrite` replaces a file in these steps: new file, sync, rename, sync of the folder. Nothing is appended
+until the folder is synced. A write or sync that fails is reported, and all its data is written again: after a
+failed sync the operating system may consider pages clean that never reached the disk.
 """
 
 from __future__ import annotations
@@ -28,12 +28,15 @@
 
 
 class LogFile:
-    """One open log, used by the disk thread alone.
+    """One open log, used by the disk thread only.
 
-    Each call does one step of work or raises OSError; a failed call may be made again.
+    Each call does one step of work or raises OSError; a failed call may be repeated.
 
-    Attributes:
-        owner: Whose log it is, kept in its head: another's is refused.
+    Args:
+        files: File operations.
+        folder: Folder of the log.
+        owner: Name of the log's owner, stored in its header; another owner's log is refused.
+        salts: Source of random salts.
     """
 
     def __init__(self, files: Files, folder: str, owner: str, salts: Callable[[], int]) -> None:
@@ -51,22 +54,27 @@
 
     @property
     def length(self) -> int:
-        """Bytes that are synced."""
+        """Number of bytes that are synced."""
         return self._length
 
     @property
     def must_rewrite(self) -> bool:
-        """Whether a rewrite has failed after its rename began, so that it is not known which file a loss of
-        power leaves: nothing may be appended before a whole `rewrite`.
+        """Whether a rewrite has failed after its rename began.
+
+        It is then unknown which file a power loss would leave, so nothing may be appended before a complete
+        `rewrite`.
         """
         return self._must_rewrite
 
     # Opening
 
     def load(self) -> tuple[bytes, ...] | None:
-        """Open the log and cut off what was never synced; its batches, or None where there is no log.
+        """Open the log and cut off what was never synced; return its batches, or None if there is no log.
 
-        Raises CorruptLogError, UnknownLogVersionError and ForeignLogError too, and has changed nothing then.
+        Raises:
+            CorruptLogError: The log is damaged; it was not changed.
+            UnknownLogVersionError: A newer version has written it; it was not changed.
+            ForeignLogError: It belongs to another owner; it was not changed.
         """
         self._files.make_folder(self._folder)
         data = self._files.read(self._path)
@@ -87,10 +95,10 @@
         return contents.payloads
 
     def _sync_contents(self, handle: int, data: bytes, contents: Contents) -> None:
-        """Bring what was read to the disk.
+        """Sync what was read to disk.
 
         A killed process may have left a last batch that was not synced, or whose sync had failed, so it is
-        written once more. A full disk may refuse that; then its sync has to do, unless a sync has failed
+        written again. A full disk may refuse that; then syncing it must suffice, unless a sync has failed
         before.
         """
         if contents.length < len(data):
@@ -103,8 +111,10 @@
         self._files.sync(handle)
 
     def _complete_new_file(self) -> bytes | None:
-        """A loss of power may take the old name and not yet give the new one: then the new file is the
-        log."""
+        """Return the contents of a complete new file and rename it to the log; None if there is none.
+
+        A power loss may have removed the old name without adding the new one. The new file is the log then.
+        """
         data = self._files.read(self._new_path)
         if data is None:
             return None
@@ -119,7 +129,7 @@
         return data
 
     def _sync_again(self, data: bytes) -> None:
-        """Bring the new file to the disk before it gets its name: its process may have died before that."""
+        """Sync the new file before it is renamed, because its process may have died before doing so."""
         handle = self._files.open(self._new_path, create=False)
         try:
             self._files.write(handle, 0, data)
@@ -134,7 +144,7 @@
     # Writing
 
     def append(self, payload: bytes) -> None:
-        """Write a batch and sync it."""
+        """Write and sync a batch."""
         assert self._handle is not None and not self._must_rewrite
         data = frame(self._salt, self._length, payload)
         try:
@@ -147,7 +157,7 @@
         self._length += len(data)
 
     def rewrite(self, payload: bytes) -> None:
-        """Replace the whole file by one with this batch alone."""
+        """Replace the complete file with one that contains only this batch."""
         salt = salt_of(self._owner, self._salts())
         data = head(salt) + frame(salt, HEAD_BYTES, payload)
         handle = self._files.open(self._new_path, create=True)
@@ -169,9 +179,9 @@
         self._files.sync_folder(self._folder)
 
     def keep_corrupt(self) -> None:
-        """Copy a damaged log aside, for whoever wants to look at it.
+        """Copy a corrupt log to another file for later inspection.
 
-        The damaged one stays until it is replaced.
+        The corrupt log stays in place until it is replaced.
         """
         data = self._files.read(self._path)
         if data is None:
@@ -184,7 +194,7 @@
             self._files.close(handle)
 
     def close(self) -> None:
-        """Give the file back."""
+        """Close the file."""
         if self._handle is not None:
             with suppress(OSError):
                 self._files.close(self._handle)
--- a/granitewell/coordination/log_format.py
+++ b/granitewell/coordination/log_format.py
@@ -1,14 +1,16 @@
-"""The bytes of a durable log: a head and checksummed frames, and what they mean when they are read.
+"""Format of a durable log: a header and checksummed frames, and their interpretation when read.
 
-The file is a head (magic, version, salt) and frames. A frame is one batch: a mark, its length, a checksum
-that also covers the salt and the frame's place in the file, and the payload. A frame is written only once all
-frames before it are synced, so after a loss of power at most the last frame is missing or torn. At reading:
+The file consists of a header (magic, version, salt) and frames. A frame is one batch: a magic number, its
+length, a checksum that also covers the salt and the frame's offset in the file, and the payload. A frame is
+written only after all frames before it are synced, so that a power loss leaves at most the last frame missing
+or torn. When read:
 
-- a frame that does not check and has no good frame after it was never acknowledged: the file is cut there;
-- a frame that does not check and has a good frame after it is damage: `CorruptLogError`;
-- a file of another version is refused and left alone: `UnknownLogVersionError`;
-- so is a file that belongs to another owner: `ForeignLogError`. The upper half of the salt tells whose a file
-  is; in version 1 all of it was random."""
+- a frame that is invalid and has no valid frame after it was never acknowledged: the file is truncated there;
+- a frame that is invalid and has a valid frame after it is corruption: `CorruptLogError`;
+- a file of another version is refused and left unchanged: `UnknownLogVersionError`;
+- so is a file that belongs to another owner: `ForeignLogError`. The upper half of the salt identifies the
+  owner; in version 1 the complete salt was random.
+"""
 
 from __future__ import annotations
 
@@ -21,9 +23,9 @@
 MAGIC = b"GWDL"
 VERSION = 2
 OWNERLESS_VERSION = 1
-"""Like the present one, but its salt does not tell whose log it is."""
+"""Like the present version, but its salt does not identify the owner."""
 _HEAD = struct.Struct("!4sHQI")  # magic, version, salt, checksum of what stands before
-_FRAME = struct.Struct("!4sIQI")  # mark, payload length, place in the file, checksum
+_FRAME = struct.Struct("!4sIQI")  # magic, payload length, offset in the file, checksum
 _MARK = b"\xf7GWf"
 HEAD_BYTES = _HEAD.size
 _RANDOM_BITS = 32
@@ -31,11 +33,11 @@
 
 
 class DurableLogError(GranitewellError):
-    """A log on the disk can't be used."""
+    """A log on disk cannot be used."""
 
 
 class CorruptLogError(DurableLogError):
-    """A log is damaged before its end: something that was synced is no longer what was written."""
+    """A log is damaged before its end: something that was synced has changed."""
 
     def __init__(self, path: str, offset: int) -> None:
         super().__init__(f"{path} is damaged at byte {offset}")
@@ -44,7 +46,7 @@
 
 
 class UnknownLogVersionError(DurableLogError):
-    """A log was written by a newer program."""
+    """A log was written by a newer version."""
 
     def __init__(self, path: str, version: int) -> None:
         super().__init__(f"{path} has version {version}, known: {OWNERLESS_VERSION} to {VERSION}")
@@ -52,7 +54,7 @@
 
 
 class ForeignLogError(DurableLogError):
-    """A log is whole, but another's."""
+    """A log is intact but belongs to another owner."""
 
     def __init__(self, path: str) -> None:
         super().__init__(f"{path} is the log of another owner")
@@ -60,23 +62,23 @@
 
 
 def fingerprint(owner: str) -> int:
-    """What a file's head says of its owner: 32 bits."""
+    """Return the 32 bits that identify an owner in a file's header."""
     return crc32(owner.encode())
 
 
 def salt_of(owner: int, random_bits: int) -> int:
-    """The salt of an owner's file."""
+    """Return the salt of an owner's file."""
     return owner << _RANDOM_BITS | random_bits & _RANDOM_MASK
 
 
 def head(salt: int) -> bytes:
-    """The head of a file."""
+    """Return the header of a file."""
     bare = _HEAD.pack(MAGIC, VERSION, salt, 0)[:-4]
     return bare + struct.pack("!I", crc32(bare))
 
 
 def frame(salt: int, offset: int, payload: bytes) -> bytes:
-    """A batch as it stands at a place in a file."""
+    """Return a batch as a frame at an offset of a file."""
     bare = _FRAME.pack(_MARK, len(payload), offset, 0)[:-4]
     return bare + struct.pack("!I", _checksum(salt, bare, payload)) + payload
 
@@ -87,11 +89,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Contents:
-    """What a file holds.
+    """Contents of a file.
 
     Attributes:
-        length: Of what is good; the rest is to be cut off.
-        last_offset: Of the last good batch.
+        salt: Salt in the header.
+        payloads: The batches.
+        length: Length of the valid part, in bytes; the rest is to be truncated.
+        last_offset: Offset of the last valid batch.
     """
 
     salt: int
@@ -101,7 +105,13 @@
 
 
 def parse(path: str, data: bytes, owner: int) -> Contents:
-    """The batches of an owner's file; raises CorruptLogError, UnknownLogVersionError or ForeignLogError."""
+    """Return the batches of an owner's file.
+
+    Raises:
+        CorruptLogError: The file is damaged.
+        UnknownLogVersionError: A newer version has written it.
+        ForeignLogError: It belongs to another owner.
+    """
     salt = _parse_head(path, data, owner)
     payloads: list[bytes] = []
     offset = last_offset = _HEAD.size
--- a/granitewell/coordination/rendezvous.py
+++ b/granitewell/coordination/rendezvous.py
@@ -1,5 +1,6 @@
-"""Rendezvous hashing: every node works out the same order without a word, and one that comes or goes moves
-only its own keys.
+"""Rendezvous hashing: all nodes compute the same order without communicating.
+
+A node that is added or removed moves only its own keys.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 def rank(key: str, nodes: Iterable[str]) -> list[str]:
-    """The nodes in the order in which they are to have a key, the best first.
+    """Return the nodes in order of preference for a key, the best first.
 
     >>> rank("a-key", ["n1", "n2", "n3"]) == rank("a-key", ["n3", "n1", "n2"])
     True
@@ -22,7 +23,7 @@
 
 
 def shard_of(name: str, shards: int) -> int:
-    """The shard that a name belongs to, the same on every node and in every version.
+    """Return the shard of a name, the same on every node and in every version.
 
     >>> shard_of("some-service", 1)
     0
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -4,7 +4,8 @@
 guards the platform's rules a second time, whatever the module asks for. It must never do I/O, read a clock,
 know a byte of any protocol (messages and answers pass through as opaque objects), or decide where a request
 goes: that is granitewell.balancing's. Time is whole microseconds, given by the caller; the module's float
-milliseconds exist only at its door (_ask and _act)."""
+milliseconds exist only at its door (_ask and _act).
+"""
 
 from __future__ import annotations
 
--- a/granitewell/dataplane/edge.py
+++ b/granitewell/dataplane/edge.py
@@ -98,7 +98,7 @@
         self._configured.set()
         self._dispatcher.apply_configuration(configuration)
         self._front.set_limits(configuration.limits)
-        _log.info("configuration {} in force: {} routes", configuration.version, len(configuration.routes))
+        _log.info("configuration in force", version=configuration.version, routes=len(configuration.routes))
 
     def apply_servers(self, changed: Sequence[Server], removed: Sequence[str]) -> None:
         """News of the table of servers."""
@@ -153,7 +153,7 @@
         await asyncio.sleep(max(min(began + LISTENS_ON_S, end) - self._clock(), 0.0))
         self._front.stop_listening()
         if not await self._idle_by(end - EXPIRE_MARGIN_S):
-            _log.warning("{} requests are cut short at the end of the grace period", len(self._exchanges))
+            _log.warning("requests cut off at the end of the grace period", requests=len(self._exchanges))
             for exchange in list(self._exchanges):
                 exchange.expire()
             await self._idle_by(end)
--- a/granitewell/dataplane/http_server.py
+++ b/granitewell/dataplane/http_server.py
@@ -86,8 +86,7 @@
         if now - self._logged_at < DEFECT_GAP_S:
             self._unlogged += 1
             return
-        text = "a request failed by a defect ({} more since the last line)"
-        _log.error(text, self._unlogged, exc_info=error)
+        _log.error("request failed by a defect", not_logged=self._unlogged, exc_info=error)
         self._logged_at, self._unlogged = now, 0
 
 
--- a/granitewell/dataplane/server_selection.py
+++ b/granitewell/dataplane/server_selection.py
@@ -6,7 +6,8 @@
 requests of this node is busy and passed over, and past a prefix of busy servers the rest of the order is
 used. Departures from this, each for a rule or a deployment: of two random picks the less loaded one is taken,
 servers where requests wait or that look ill are passed over while others have room, and a server that may
-have kept the leading parts of the prompt is preferred."""
+have kept the leading parts of the prompt is preferred.
+"""
 
 from __future__ import annotations
 
--- a/granitewell/dataplane/upstream.py
+++ b/granitewell/dataplane/upstream.py
@@ -199,7 +199,8 @@
 
     def write(self, request: bytes, *, method: str, repeatable: bool) -> None:
         """Write a whole request; raises RequestNotWrittenError, after which nothing of it can have
-        arrived."""
+        arrived.
+        """
         if not self.usable or self.transport is None:
             raise RequestNotWrittenError("the connection had ended")
         self._idle = False
--- a/granitewell/discovery/__init__.py
+++ b/granitewell/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's list of servers: what it says, and how it is read."""
+"""The platform's list of servers: its entries and how it is read."""
--- a/granitewell/discovery/instances.py
+++ b/granitewell/discovery/instances.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's list of servers, checked. Pure."""
+"""Entries of the platform's list of servers, validated. No I/O."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class MalformedListError(GranitewellError):
-    """The platform's answer is no list of servers."""
+    """The platform's answer is not a list of servers."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """One server as the platform lists it.
+    """One server in the platform's list.
 
     Attributes:
-        remaining_ms: Time left, -1 for no end in sight.
+        remaining_ms: Remaining lifetime in milliseconds, -1 for no end in sight.
     """
 
     id: str
@@ -40,7 +40,7 @@
     """One page of the list.
 
     Attributes:
-        next_token: Of the page behind it, None on the last.
+        next_token: Token of the next page, None on the last.
     """
 
     instances: tuple[ListedInstance, ...]
@@ -69,7 +69,7 @@
 
 
 def parse_page(document: object) -> Page:
-    """A page from its JSON; raises MalformedListError."""
+    """Parse a page; raises MalformedListError."""
     if not isinstance(document, Mapping) or not isinstance(document.get("instances"), list):
         raise MalformedListError("no list of instances")
     token = document.get("next-page-token")
--- a/granitewell/discovery/reader.py
+++ b/granitewell/discovery/reader.py
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DatedList:
-    """The platform's list.
+    """The platform's list, with the time of its request.
 
     Attributes:
-        asked_at: On the steady clock.
+        asked_at: Time on the steady clock, in seconds.
     """
 
     instances: list[ListedInstance]
@@ -30,11 +30,11 @@
 
 
 class ListUnavailableError(GranitewellError):
-    """The platform gave no list: it is down, slow or over its rate."""
+    """The platform returned no list: it is down, slow, or its rate limit is exceeded."""
 
 
 class SharedReader:
-    """One list for all that read it on a node: a list that was read less than `fresh_s` ago serves again."""
+    """One list for all readers on a node: a list that was read less than `fresh_s` ago is reused."""
 
     def __init__(self, reader: InstanceReader, fresh_s: float, clock: Callable[[], float]) -> None:
         self._reader = reader
@@ -44,7 +44,7 @@
         self._newest: DatedList | None = None
 
     async def read(self) -> DatedList:
-        """The list and when it was asked for; raises ListUnavailableError or MalformedListError."""
+        """Return the list and the time of its request; raises ListUnavailableError and MalformedListError."""
         async with self._lock:
             now = self._clock()
             if self._newest is None or now - self._newest.asked_at >= self._fresh_s:
@@ -53,14 +53,14 @@
 
 
 class InstanceReader:
-    """Asks the platform at `address` (`ip:port`)."""
+    """Requests the list from the platform at `address` (`ip:port`)."""
 
     def __init__(self, address: str, session: aiohttp.ClientSession) -> None:
         self._url = f"http://{address}/instances"
         self._session = session
 
     async def read(self) -> list[ListedInstance]:
-        """The whole list; raises ListUnavailableError or MalformedListError."""
+        """Return the complete list; raises ListUnavailableError and MalformedListError."""
         instances: list[ListedInstance] = []
         token: str | None = None
         for _ in range(MAX_PAGES):
--- a/granitewell/domain/__init__.py
+++ b/granitewell/domain/__init__.py
@@ -1,1 +1,1 @@
-"""Terms that both planes share: settings, configuration, servers. No behaviour beyond their checks."""
+"""Types that both planes share: settings, configuration, servers. They have no behavior beyond validation."""
--- a/granitewell/domain/configuration.py
+++ b/granitewell/domain/configuration.py
@@ -1,6 +1,6 @@
-"""The operator's configuration, typed. Field names on the wire are aliases here and nowhere else.
+"""The operator's configuration, typed. Names of fields on the wire are aliases here and nowhere else.
 
-The store keeps what the operator sent (plain JSON, unknown fields included); these types are what the planes
+The store keeps what the operator sent (plain JSON, including unknown fields); these types are what the planes
 read from it. Each field is read strictly: a number in quotes, or true for a 1, is not of its type.
 """
 
@@ -18,11 +18,11 @@
 
 
 class WrongTypeError(GranitewellError):
-    """A value is not of its field's type."""
+    """A value does not have the type of its field."""
 
 
 class WrongItemError(GranitewellError):
-    """An item of a list can't be read; the cause says why."""
+    """An item of a list is invalid; the cause says why."""
 
     def __init__(self, index: int) -> None:
         super().__init__(f"item {index}")
@@ -58,7 +58,10 @@
 
 
 def _list_of(kind: type[DataClassDictMixin]) -> Callable[[Any], tuple[Any, ...]]:
-    """Reads a list of objects; null is an empty list. Raises WrongItemError, which names the index."""
+    """Return a function that reads a list of objects; null is an empty list.
+
+    The function raises WrongItemError with the index of an invalid item.
+    """
 
     def read(value: Any) -> tuple[Any, ...]:
         if value is None:
@@ -83,12 +86,12 @@
 
 
 class StrictFields(DataClassDictMixin):
-    """A dataclass that is read from JSON without turning one type into another."""
+    """Base of dataclasses that are read from JSON without converting between types."""
 
     class Config(BaseConfig):
-        """What mashumaro reads each plain type with."""
+        """Functions with which mashumaro reads each plain type."""
 
-        serialization_strategy = {
+        serialization_strategy = {  # noqa: RUF012  mashumaro declares it so
             str: {"deserialize": _text},
             bool: {"deserialize": _truth},
             int: {"deserialize": _integer},
@@ -97,7 +100,7 @@
 
 
 class RouteKind(Enum):
-    """What may be done with a request of a route."""
+    """How a request of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -106,7 +109,7 @@
 
 @dataclass(frozen=True)
 class WeightedService(StrictFields):
-    """One of several services of a route and its share."""
+    """One of several services of a route, and its weight."""
 
     service: str
     weight: float
@@ -114,7 +117,23 @@
 
 @dataclass(frozen=True)
 class Route(StrictFields):
-    """One route. Times in milliseconds; prefix begins and ends with a slash."""
+    """One route.
+
+    Attributes:
+        name: Name of the route.
+        host: Host name that requests must have.
+        prefix: Path prefix; begins and ends with a slash.
+        kind: How its requests may be retried.
+        timeout_ms: Time limit of a request, in milliseconds.
+        target_ms: Latency target, in milliseconds; 0 for none.
+        priority: 0 to 9, the most urgent first.
+        service: The service, if there is only one.
+        weighted_services: Several services, with weights.
+        max_attempts: How often a request may be sent to servers.
+        sticky: Whether requests of a client prefer the same server.
+        resumable: Whether a stream may be resumed at another server.
+        gap_target_ms: Target for the time between two events of a stream, in milliseconds.
+    """
 
     name: str
     host: str
@@ -135,14 +154,14 @@
 
     @property
     def services(self) -> tuple[WeightedService, ...]:
-        """All services that this route may reach, weighted."""
+        """All services of this route, with weights."""
         if self.weighted_services:
             return self.weighted_services
         return (WeightedService(self.service or "", 1.0),)
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request is idempotent, so that it may run more than once."""
         return self.kind is RouteKind.IDEMPOTENT or (self.kind is RouteKind.STREAMING and self.resumable)
 
 
@@ -151,8 +170,11 @@
     """A model of an engine.
 
     Attributes:
-        weights_mb: Its weights.
-        adapters: How many it has, named a1, a2 and so on.
+        name: Name of the model.
+        weights_mb: Size of its weights, in MB.
+        load_time_s: Usual load time, in seconds.
+        adapters: Number of its adapters, named a1, a2 and so on.
+        adapter_mb: Size of an adapter, in MB.
     """
 
     name: str
@@ -164,11 +186,16 @@
 
 @dataclass(frozen=True)
 class Engine(StrictFields):
-    """What the servers of a service that runs models have.
+    """Properties of the servers of a service that runs models.
 
     Attributes:
-        weights_mb: A server's memory for weights and adapters together.
-        loads_per_s: From the weight store, over all servers.
+        slots: Concurrent requests per server.
+        models: The models.
+        weights_mb: Memory of a server for weights and adapters together, in MB.
+        max_adapters: Adapters that a server can load.
+        loads_per_s: Rate limit of the weight store, over all servers.
+        kv_capacity: Capacity of the KV cache, in tokens.
+        stride: Tokens per decode step.
     """
 
     slots: int = 1
@@ -182,10 +209,10 @@
 
 @dataclass(frozen=True)
 class Service(StrictFields):
-    """A service that requests are sent to.
+    """A service that requests are forwarded to.
 
     Attributes:
-        engine: None where it runs no models.
+        engine: Properties of its servers; None if it runs no models.
     """
 
     name: str
@@ -198,7 +225,7 @@
 
 @dataclass(frozen=True)
 class Limits(StrictFields):
-    """Bounds on what a client may send, and how long it may take or stay idle."""
+    """Limits on what a client may send, and how long it may take or stay idle."""
 
     max_header_bytes: int = field(default=16_384, metadata=field_options(alias="max-header-bytes"))
     max_body_bytes: int = field(default=4_194_304, metadata=field_options(alias="max-body-bytes"))
--- a/granitewell/domain/errors.py
+++ b/granitewell/domain/errors.py
@@ -1,17 +1,18 @@
-"""The exception tree of the system: every failure that crosses a module's border has a type here or below."""
+"""Errors of the system: every failure that crosses a module boundary has a type here or in its package."""
 
 from __future__ import annotations
 
 
 class GranitewellError(Exception):
-    """The root of all errors that this system raises on purpose."""
+    """Base of all errors that this system raises on purpose."""
 
 
 class InvalidFieldError(GranitewellError):
-    """Input from outside that can't be taken.
+    """Invalid input from outside.
 
     Attributes:
-        field: A path such as `routes[3].timeout-ms`.
+        field: Path of the field, such as `routes[3].timeout-ms`.
+        reason: What is wrong with it.
     """
 
     def __init__(self, field: str, reason: str) -> None:
@@ -21,15 +22,19 @@
 
 
 class InvalidSettingsError(InvalidFieldError):
-    """The settings file of this process can't be used."""
+    """The settings file of this process is invalid."""
 
 
 class InvalidConfigurationError(InvalidFieldError):
-    """An operator's configuration can't be taken."""
+    """An operator's configuration is invalid."""
 
 
 class NotLeaderError(GranitewellError):
-    """Another replica leads this group; leader_address is its control address where it is known."""
+    """Another replica leads this group.
+
+    Attributes:
+        leader_address: Address of the leader, if known.
+    """
 
     def __init__(self, leader_address: str | None = None) -> None:
         super().__init__(f"not the leader; leader: {leader_address or 'unknown'}")
@@ -37,11 +42,11 @@
 
 
 class ProposalLostError(GranitewellError):
-    """A proposal got no outcome: it may be committed or not."""
+    """A proposal has no known outcome: it may be committed or not."""
 
 
 class UnknownFormatError(GranitewellError):
-    """Bytes of a format that this program does not know, and a newer one may."""
+    """Bytes have a format that only a newer version knows."""
 
 
 class RpcError(GranitewellError):
@@ -49,12 +54,12 @@
 
 
 class RpcTimeoutError(RpcError):
-    """No reply in time."""
+    """There was no reply in time."""
 
 
 class PeerUnreachableError(RpcError):
-    """No connection to the node."""
+    """There is no connection to the node."""
 
 
 class MalformedFrameError(RpcError):
-    """A peer sent bytes that are no frame of a version that is known here."""
+    """A peer sent bytes that are not a frame of a known version."""
--- a/granitewell/domain/servers.py
+++ b/granitewell/domain/servers.py
@@ -1,4 +1,4 @@
-"""Servers as both planes know them."""
+"""Servers, as both planes know them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ServerState(IntEnum):
-    """What the platform's list says of a server."""
+    """State of a server in the platform's list."""
 
     READY = 1
     DRAINING = 2
@@ -16,10 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedModel:
-    """A model that a server holds, loaded and ready.
+    """A model that a server has loaded.
 
     Attributes:
-        adapters: Of it, loaded too.
+        name: Name of the model.
+        adapters: Its adapters that are loaded too.
     """
 
     name: str
@@ -27,7 +28,7 @@
 
     @classmethod
     def parse(cls, entry: Mapping[str, object]) -> LoadedModel:
-        """From an entry of a report or of the platform's list; raises KeyError or TypeError."""
+        """Parse an entry of a report or of the platform's list; raises KeyError and TypeError."""
         name = entry["name"]
         adapters = entry.get("adapters") or ()
         if not isinstance(name, str) or not isinstance(adapters, list | tuple):
@@ -40,10 +41,14 @@
     """One server.
 
     Attributes:
+        id: Id of the instance.
+        service: Name of its service.
         address: `host:port`.
-        slots: Requests at once.
-        remaining_ms: Time left when this was listed, -1 for no end in sight.
-        models: By name, what requests may be sent for.
+        zone: Zone of its machine.
+        slots: Concurrent requests.
+        state: State in the platform's list.
+        remaining_ms: Remaining lifetime when it was listed, in milliseconds; -1 for no end in sight.
+        models: Models by name for which requests may be sent.
     """
 
     id: str
@@ -58,27 +63,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelRef:
-    """A model, or an adapter of it ("" for the model alone)."""
+    """A model, or one of its adapters ("" for the model alone)."""
 
     model: str
     adapter: str = ""
 
     @classmethod
     def parse(cls, header: str) -> ModelRef:
-        """From the request header: `model` or `model/adapter`."""
+        """Parse the request header: `model` or `model/adapter`."""
         model, _, adapter = header.partition("/")
         return cls(model, adapter)
 
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """What one edge saw of a model since its last report.
+    """Demand that one edge has seen for a model since its last report.
 
     Attributes:
-        requests: Arrived.
-        waiting: Held now because no server has it.
-        in_flight: Being run now.
-        priority: Of the most urgent waiting request, 0 first.
+        service: Name of the service.
+        ref: The model.
+        requests: Number of requests that arrived.
+        waiting: Number of requests in the queue because no server has the model.
+        in_flight: Number of requests in flight.
+        priority: Priority of the most urgent waiting request, 0 first.
     """
 
     service: str
--- a/granitewell/domain/settings.py
+++ b/granitewell/domain/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process of the system, checked. Unknown fields are ignored."""
+"""The settings file of a process of the system, validated. Unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 PATH_VARIABLE = "GRANITEWELL_NODE_FILE"
 DEFAULT_PATH = "/etc/granitewell/boot.json"
-LISTS = ("seeds", "internal-ports", "contracts")  # a text would be taken for a list of its letters
+LISTS = ("seeds", "internal-ports", "contracts")  # a string would be read as a list of its characters
 
 
 class SettingsFields(DataClassDictMixin):
     """A part of the settings file."""
 
     class Config(BaseConfig):
-        """Has mashumaro make only the code that is used, when it is used: a third of the import's time."""
+        """Makes mashumaro generate code only when it is used, which saves a third of the import time."""
 
         lazy_compilation = True
 
 
 @dataclass(frozen=True)
 class Listen(SettingsFields):
-    """Addresses (`ip:port`) for what the role serves; None for what it doesn't."""
+    """Addresses (`ip:port`) that the role serves; None for those that it does not."""
 
     front: str | None = None
     ready: str | None = None
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class ProcessLimits(SettingsFields):
-    """What this process may use."""
+    """Resources that this process may use."""
 
     cpu_share: float = field(default=1.0, metadata=field_options(alias="cpu-share"))
     cores: float = 1
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class FaultTolerance(SettingsFields):
-    """What may be lost at once."""
+    """What may be lost at the same time."""
 
     machines: int = 1
     zones: int = 0
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Bounds(SettingsFields):
-    """The figures of the rules that the programs use; the file has more."""
+    """Limits of the operators' rules that the programs use; the file contains more."""
 
     seed_lag_s: float = field(default=3, metadata=field_options(alias="seed-lag-s"))
     reuse_after_s: float = field(default=2, metadata=field_options(alias="reuse-after-s"))
@@ -86,7 +86,9 @@
     """Where the platform's list of servers is.
 
     Attributes:
-        rate_per_s: Calls a second from all nodes together.
+        address: `ip:port`.
+        rate_per_s: Rate limit for calls of all nodes together, per second.
+        lag_ms: How far the list may be behind, in milliseconds.
     """
 
     address: str
@@ -96,7 +98,7 @@
 
 @dataclass(frozen=True)
 class Settings(SettingsFields):
-    """All that a process is told at its start, and again whenever the file changes."""
+    """Everything that a process is configured with at its start, and again whenever the file changes."""
 
     node_name: str = field(metadata=field_options(alias="node-name"))
     ip: str
@@ -121,17 +123,17 @@
 
     @property
     def control_rpc_port(self) -> int:
-        """The internal port of the control role, the same on every machine."""
+        """Internal port of the control role, the same on every machine."""
         return self.internal_ports[0]
 
 
 def settings_path() -> Path:
-    """Where the settings of this process are."""
+    """Return the path of this process's settings file."""
     return Path(os.environ.get(PATH_VARIABLE, DEFAULT_PATH))
 
 
 def read_settings(path: Path) -> Settings:
-    """The checked settings; raises InvalidSettingsError, which names the field."""
+    """Read and validate a settings file; raises InvalidSettingsError with the field."""
     try:
         text = path.read_bytes()
     except OSError as error:
@@ -140,7 +142,7 @@
 
 
 def parse_settings(text: bytes) -> Settings:
-    """Settings from JSON; raises InvalidSettingsError, which names the field."""
+    """Parse and validate settings; raises InvalidSettingsError with the field."""
     try:
         document = json.loads(text)
     except (ValueError, RecursionError) as error:
@@ -159,7 +161,7 @@
 
 
 def _wrong_field(error: MissingField | InvalidFieldValue) -> InvalidSettingsError:
-    """The innermost field that is wrong, by its path in the file, such as `bounds.lease-ms`."""
+    """Return the error for the innermost invalid field, with its path such as `bounds.lease-ms`."""
     path = _wire_name(error)
     while isinstance(error, InvalidFieldValue):
         cause = error.__cause__ or error.__context__
--- a/granitewell/lab/cluster/leases_search.py
+++ b/granitewell/lab/cluster/leases_search.py
@@ -34,7 +34,8 @@
 
 class Bounds(NamedTuple):
     """How much may happen: steps of time, deaths (the disk stays), disks lost, twins, and processes
-    standing."""
+    standing.
+    """
 
     times: int = 0
     deaths: int = 0
@@ -64,7 +65,8 @@
 
 class Step(NamedTuple):
     """What happens: to which process (its number, and its place in the world), with which message or
-    helper."""
+    helper.
+    """
 
     what: str
     number: int = -1
@@ -121,7 +123,8 @@
 
     def _follow(self, world: World, place: int, came: Came, step: Step) -> Iterator[tuple[Step, World]]:
         """The world after it; and, if something was to be written, the one in which the process died
-        before."""
+        before.
+        """
         tables, processes = self.tables, _put(world.processes, place, came.process)
         led, said = world.led, tables.add(world.said, came.said)
         if came.led:
--- a/granitewell/lab/cluster/leases_tables.py
+++ b/granitewell/lab/cluster/leases_tables.py
@@ -279,7 +279,8 @@
 
     def alive(self, processes: tuple[int, ...], said: int) -> int:
         """Without the grants that nobody waits for: to a process that is gone, or is in another term by
-        now."""
+        now.
+        """
         if not said & self._grants:
             return said
         waited = ~self._grants
--- a/granitewell/lab/cluster/world.py
+++ b/granitewell/lab/cluster/world.py
@@ -248,7 +248,8 @@
 
     def _agenda(self, node: Node, index: int) -> None:
         """Put the machine's next waking on the agenda, unless an earlier one is on it: that one looks
-        again."""
+        again.
+        """
         wake = node.machines[index].wake_us
         if wake < 0:
             return
--- a/granitewell/lab/faults.py
+++ b/granitewell/lab/faults.py
@@ -26,7 +26,8 @@
 that is not there does nothing. A condition belongs to the machine: a process that starts while it lasts has
 it too. Endpoints that come later need no fault: they stand in `Day.endpoints` with `started_us` > 0, and
 where `takes_over` names another, they have its address, where nobody listens any more by then. Changes of the
-load are in `Day.load`."""
+load are in `Day.load`.
+"""
 
 from __future__ import annotations
 
--- a/granitewell/lab/load/preflight.py
+++ b/granitewell/lab/load/preflight.py
@@ -1,7 +1,8 @@
 """What this machine and the targets give, asked before anything starts.
 
 It owns the checks that end a run ahead of its first request. It must never send one. `PreflightError` becomes
-exit code 3."""
+exit code 3.
+"""
 
 from __future__ import annotations
 
--- a/granitewell/lab/platform.py
+++ b/granitewell/lab/platform.py
@@ -2,7 +2,8 @@
 
 It owns the platform's names for the day's figures. It must never tell a node what the platform does not: true
 speeds, queues, delays and faults stay out. `granitewell.config.load` and
-`granitewell.balancing.simulator_protocol.parse_settings` read what is made here."""
+`granitewell.balancing.simulator_protocol.parse_settings` read what is made here.
+"""
 
 from __future__ import annotations
 
--- a/granitewell/lab/scenarios/trace.py
+++ b/granitewell/lab/scenarios/trace.py
@@ -24,7 +24,8 @@
 
 def read_trace(path: Path, table: ScenarioTable) -> tuple[Row, ...]:
     """All rows of the file; TraceFileError at the first line that is wrong, or where there is no such
-    file."""
+    file.
+    """
     names: list[Mapping[str, int]] = [
         {c.name: k for k, c in enumerate(table.classes)},
         {t.name: k for k, t in enumerate(table.tenants)},
--- a/granitewell/leases/state_machine.py
+++ b/granitewell/leases/state_machine.py
@@ -54,7 +54,8 @@
 
     Attributes: disk: What the shell has found, by key; an empty one is a new disk. Raises
         MalformedRecordError where the record can't be read; a shell then stops, and an operator decides
-        whether to go on with a new disk."""
+        whether to go on with a new disk.
+    """
 
     __slots__ = ("grants", "seat", "standing", "swearing", "twins")
 
--- a/granitewell/logs.py
+++ b/granitewell/logs.py
@@ -7,9 +7,10 @@
     log.info("leader elected", group="shard-0", term=3)
     -> info granitewell.control leader elected group=shard-0 term=3
 
-Lines of one logger and template are bounded by a token bucket, and so are all lines together; what is left
-out is counted and told. A line is never waited for: while nobody reads standard error, it is left out too. No
-line holds the time: whoever collects the lines stamps them, and a machine's time of day may be wrong.
+The lines of one logger and template are limited by a token bucket, and so are all lines together. Suppressed
+lines are counted, and the count is logged. Logging never blocks: while no one reads standard error, lines are
+suppressed too. No line contains the time: the collector of the lines adds it, and a machine's time of day may
+be wrong.
 """
 
 from __future__ import annotations
@@ -24,6 +25,7 @@
 from collections import OrderedDict
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, replace
+from pathlib import Path
 from types import TracebackType
 from typing import Any
 
@@ -34,18 +36,18 @@
 TOTAL_BURST = 40.0  # lines of all templates at once: a template that is no constant is bounded by this
 TOTAL_RATE_PER_S = 10.0
 MAX_TEMPLATES = 256  # buckets that are kept; the one used longest ago gives way
-TELL_EVERY_S = 10.0  # how often lines that were left out are told of, where there is something to tell
-MAX_LINE = 900  # characters: with its end a line stays below what a pipe takes whole (PIPE_BUF, 4,096 bytes)
+TELL_EVERY_S = 10.0  # how often suppressed lines are reported, if there are any
+MAX_LINE = 900  # characters: a line stays below what a pipe writes atomically (PIPE_BUF, 4,096 bytes)
 MAX_FRAMES = 4  # of a traceback, the innermost
 STANDARD_ERROR = 2
 
 Clock = Callable[[], float]  # seconds on a steady clock
-Write = Callable[[bytes], bool]  # takes a line; False where it could not be written
+Write = Callable[[bytes], bool]  # writes a line; returns False if it could not
 ExceptionInfo = tuple[type[BaseException] | None, BaseException | None, TracebackType | None]
 
 
 class TokenBucket:
-    """So many lines at once, and so many a second in the long run."""
+    """Limits a rate: a burst at once, and a number per second in the long run."""
 
     __slots__ = ("_at", "_burst", "_rate", "_tokens", "left_out")
 
@@ -57,7 +59,7 @@
         self.left_out = 0  # lines since the last that was written
 
     def take(self, now: float) -> bool:
-        """Whether a line may be written now."""
+        """Return whether a line may be written now."""
         self._tokens = min(self._burst, self._tokens + max(0.0, now - self._at) * self._rate)
         self._at = now
         if self._tokens < 1.0:
@@ -67,7 +69,7 @@
 
 
 class RateBound:
-    """Which lines are written: by logger and template, and over all."""
+    """Decides which lines are written, by logger and template, and over all."""
 
     def __init__(self, now: float) -> None:
         self._total = TokenBucket(TOTAL_BURST, TOTAL_RATE_PER_S, now)
@@ -76,7 +78,7 @@
         self._reported_at = now
 
     def admits(self, logger: str, template: str, now: float) -> bool:
-        """Whether this line may be written; counted as left out where not."""
+        """Return whether this line may be written; count it as suppressed otherwise."""
         bucket = self._bucket((logger, template), now)
         if bucket.take(now) and self._total.take(now):
             return True
@@ -84,19 +86,19 @@
         return False
 
     def leave_out(self, logger: str, template: str, now: float, lines: int = 1) -> None:
-        """Lines were not written."""
+        """Count lines that were not written."""
         self._bucket((logger, template), now).left_out += lines
         self._suppressed += lines
 
     def take_left_out(self, logger: str, template: str, now: float) -> int:
-        """Lines of this template that were left out since the last one written; told by the caller now."""
+        """Return how many lines of this template were suppressed since the last one written."""
         bucket = self._bucket((logger, template), now)
         count, bucket.left_out = bucket.left_out, 0
         self._suppressed = max(0, self._suppressed - count)
         return count
 
     def take_suppressed(self, now: float) -> int:
-        """All lines left out that no line has told of, now and then; else 0."""
+        """Return how many suppressed lines no line has reported, from time to time; otherwise 0."""
         if not self._suppressed or now - self._reported_at < TELL_EVERY_S:
             return 0
         count, self._suppressed, self._reported_at = self._suppressed, 0, now
@@ -117,10 +119,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """What a line says, before it is text.
+    """Contents of a line before it is formatted.
 
     Attributes:
-        values: Those that the message does not show already.
+        values: Values that the message does not show already.
     """
 
     level: str
@@ -130,10 +132,10 @@
     left_out: int = 0
 
     def encode(self) -> bytes:
-        """The line with its end, bounded; whatever is in it, it stays one line."""
-        words = [self.level, self.logger, self.message.strip()]
-        words += [f"{key}={_value(value)}" for key, value in self.values.items()]
-        text = _one_line(" ".join(words))[:MAX_LINE]
+        """Return the line with its end, bounded; whatever it contains, it stays one line."""
+        parts = [self.level, self.logger, self.message.strip()]
+        parts += [f"{key}={_value(value)}" for key, value in self.values.items()]
+        text = _one_line(" ".join(parts))[:MAX_LINE]
         if self.left_out:
             text += f" left_out={self.left_out}"
         return text.encode(errors="replace") + b"\n"
@@ -146,7 +148,7 @@
 
 
 def _value(value: object) -> str:
-    """The text of a value; in quotes where a reader could not tell its end."""
+    """Return the text of a value, in quotes if its end would otherwise be ambiguous."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
@@ -156,7 +158,7 @@
 
 
 def _traceback(error: ExceptionInfo) -> Iterator[tuple[str, str]]:
-    """The error and where it was raised, as values of a line."""
+    """Yield the error and where it was raised, as values of a line."""
     kind, raised, trace = error
     if kind is None:
         return
@@ -164,13 +166,13 @@
     frames = []
     while trace is not None:
         code = trace.tb_frame.f_code
-        frames.append(f"{os.path.basename(code.co_filename)}:{trace.tb_lineno}:{code.co_name}")
+        frames.append(f"{Path(code.co_filename).name}:{trace.tb_lineno}:{code.co_name}")
         trace = trace.tb_next
     yield "at", "<".join(reversed(frames[-MAX_FRAMES:]))
 
 
 class BoundedLog:
-    """Writes lines as far as the rate bound admits them."""
+    """Writes lines as far as the rate limit admits them."""
 
     def __init__(self, clock: Clock, write: Write) -> None:
         self._clock = clock
@@ -178,7 +180,10 @@
         self._bound = RateBound(clock())
 
     def admits(self, logger: str, template: str) -> bool:
-        """Whether a line may be made and written; asked first, so that what is left out costs little."""
+        """Return whether a line may be written.
+
+        This is asked before the line is formatted, so that suppressed lines are cheap.
+        """
         return self._bound.admits(logger, template, self._clock())
 
     def write(self, line: LogLine, template: str) -> None:
@@ -197,15 +202,15 @@
             self._write(line.encode())
 
 
-class LogLineHandler(logbook.Handler):  # type: ignore[misc]  # logbook ships no types
-    """Logbook's records as bounded lines."""
+class LogLineHandler(logbook.Handler):  # type: ignore[misc]  # logbook has no type information
+    """Writes logbook's records as bounded lines."""
 
     def __init__(self, lines: BoundedLog, level: int = logbook.INFO) -> None:
         super().__init__(level=level)
         self._lines = lines
 
     def emit(self, record: Any) -> None:
-        """Logbook calls this for each record of the level or above."""
+        """Handle a record of the level or above; called by logbook."""
         logger, template = record.channel or "-", str(record.msg)
         if not self._lines.admits(logger, template):
             return
@@ -219,19 +224,19 @@
 def _message(record: Any, template: str) -> str:
     try:
         return str(record.message)
-    except Exception:  # its arguments don't fit its template
+    except Exception:  # noqa: BLE001  its arguments do not fit its template
         return template
 
 
 class StandardLoggingHandler(logging.Handler):
-    """Records of libraries that use Python's own logging (asyncio, aiohttp), as the same lines."""
+    """Writes records of libraries that use Python's logging (asyncio, aiohttp) as the same lines."""
 
     def __init__(self, lines: BoundedLog) -> None:
         super().__init__(logging.WARNING)
         self._lines = lines
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Python's logging calls this for each record."""
+        """Handle a record; called by Python's logging."""
         template = str(record.msg)
         if not self._lines.admits(record.name, template):
             return
@@ -244,7 +249,7 @@
 
 
 class DescriptorWriter:
-    """Writes lines to a descriptor without ever waiting for its reader."""
+    """Writes lines to a file descriptor without ever waiting for its reader."""
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
         self._descriptor = descriptor
@@ -252,10 +257,10 @@
         self._poll.register(descriptor, select.POLLOUT)
 
     def __call__(self, line: bytes) -> bool:
-        """Whether the line was taken."""
+        """Return whether the line was accepted."""
         if not self._poll.poll(0):
             return False
-        with contextlib.suppress(OSError):  # a log that has gone is no reason to stop serving
+        with contextlib.suppress(OSError):  # a closed log is no reason to stop serving
             os.write(self._descriptor, line)
             return True
         return False
@@ -264,9 +269,9 @@
 def set_up(
     level: int = logbook.INFO, clock: Clock = time.monotonic, write: Write | None = None
 ) -> LogLineHandler:
-    """Send all records of this process, those of Python's own logging and its warnings too, to bounded lines.
+    """Send all records of this process, and Python's own logs and warnings, to bounded lines.
 
-    `clock` is steady. The handler, which a test takes away again with `pop_application`.
+    `clock` is steady. Returns the handler, which a test removes with `pop_application`.
     """
     lines = BoundedLog(clock, write or DescriptorWriter())
     handler = LogLineHandler(lines, level)
@@ -280,7 +285,7 @@
 
 
 def unraisable_hook(lines: BoundedLog) -> Callable[[sys.UnraisableHookArgs], None]:
-    """What Python would write to standard error by itself, and wait for its reader."""
+    """Log what Python would write to standard error itself, where it would wait for the reader."""
 
     def say(what: sys.UnraisableHookArgs) -> None:
         if not lines.admits("python", "unraisable"):
--- a/granitewell/membership/anti_entropy.py
+++ b/granitewell/membership/anti_entropy.py
@@ -93,7 +93,8 @@
 
     def stirred(self) -> None:
         """Somebody is lost to us: it may be we who are, so compare soon, and again after ever longer
-        pauses."""
+        pauses.
+        """
         if self._pause_us > SOON_US:
             self._pause_us = SOON_US
             self.within(SOON_US)
--- a/granitewell/membership/refutation.py
+++ b/granitewell/membership/refutation.py
@@ -122,7 +122,8 @@
     # --- Hearing ----------------------------------------------------------------------------------------
     def look(self) -> None:
         """What is known of our name has changed: refute it, take the name back, or find that it is
-        another's."""
+        another's.
+        """
         record = self.record
         if record is None or record.standing == self.standing and record.about in (None, self._about):
             return
--- a/granitewell/membership/state_machine.py
+++ b/granitewell/membership/state_machine.py
@@ -328,6 +328,7 @@
 
     def _again(self, opened: Opened, before: Member | None) -> None:
         """Somebody we took for dead talks to us: we were cut off from each other, and have much to
-        compare."""
+        compare.
+        """
         if before is not None and before.state is State.DEAD and self.alive(opened.sender):
             self._sync.soon(opened.address)
--- a/granitewell/membership/suspicion.py
+++ b/granitewell/membership/suspicion.py
@@ -86,7 +86,8 @@
         self, name: str, standing: Standing, by: str, members: int, now_us: int, sure: bool = False
     ) -> bool:
         """Somebody suspects it, or says that it is dead (sure): whether that is news that shortens its
-        time."""
+        time.
+        """
         figures, doubt = self._figures, self._doubts.get(name)
         if doubt is None or doubt.standing != standing:
             doubt = self._doubts[name] = Doubt(standing, now_us, 0, [by], figures.calls, sure)
--- a/granitewell/net/clock.py
+++ b/granitewell/net/clock.py
@@ -22,7 +22,8 @@
     @property
     def unix_offset_us(self) -> int:
         """Unix time less ours, as of now: over months the wall clock is set right, and then moves in
-        steps."""
+        steps.
+        """
         return time.time_ns() // 1000 - self.fresh()
 
     def ours(self, unix_us: int) -> int:
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -599,7 +599,8 @@
 
 def _folder(name: str) -> str:
     """Where there is no lasting one: outlives a process in an upgrade, if the platform gives such a
-    folder."""
+    folder.
+    """
     temporary = os.environ.get("TMPDIR", "")
     return os.path.join(temporary, f"granitewell-member-{name}") if temporary else ""
 
--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -654,7 +654,8 @@
 
 def _place(places: dict[str, int], name: str) -> int:
     """The index of a name; those beyond all bounds share one, as memory must not grow with names ever
-    heard."""
+    heard.
+    """
     if name not in places and len(places) >= MAX_PLACES:
         return MAX_PLACES
     return places.setdefault(name, len(places))
--- a/granitewell/nodes/__init__.py
+++ b/granitewell/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""The processes of the system, assembled from the planes' libraries: one module a role."""
+"""Processes of the system, assembled from the libraries of the planes; one module per role."""
--- a/granitewell/nodes/control.py
+++ b/granitewell/nodes/control.py
@@ -1,4 +1,4 @@
-"""The control role: replica groups, operator API, registry, placement and publication, joined."""
+"""The control role: replica groups, operator API, shard ownership, placement and publication."""
 
 from __future__ import annotations
 
@@ -90,16 +90,16 @@
         }
 
     def _internal(self, control_addresses: Sequence[str]) -> list[str]:
-        """The internal addresses of machines whose control addresses are given."""
+        """Return the internal addresses of machines with the given control addresses."""
         port = self.settings.control_rpc_port
         return [f"{address.rpartition(':')[0]}:{port}" for address in control_addresses]
 
     def control_address(self, internal: str) -> str:
-        """The control address of the machine with this internal address."""
+        """Return the control address of the machine with an internal address."""
         return f"{internal.rpartition(':')[0]}:{self._control_port}"
 
     def control_nodes(self) -> list[str]:
-        """Internal addresses of all members of the configuration's group."""
+        """Return the internal addresses of all members of the configuration's group."""
         return sorted({member.address for member in self.configuration_group.members})
 
     def _send_to_group(self, address: str, group: str, payload: bytes) -> None:
@@ -112,14 +112,15 @@
             self.publisher.changed()
 
     def take_settings(self, settings: Settings) -> None:
-        """The settings file has changed: other seeds may be named."""
+        """Apply changed settings: other seeds may be named."""
         self.settings = settings
         for group in self.groups.values():
             group.set_seeds(self._internal(settings.seeds))
 
-    # --- Life ---------------------------------------------------------------------------------------------
+    # --- Lifecycle
+    # ---------------------------------------------------------------------------------------------
     async def start(self) -> None:
-        """Listen and take part."""
+        """Listen and join the replica groups."""
         await self._server.start(self.settings.ip, self.settings.control_rpc_port)
         for group in self.groups.values():
             await group.start()
@@ -145,7 +146,7 @@
         )
 
     async def stop(self) -> None:
-        """Leave the places of this node to spares that are ready, hand leadership over and end."""
+        """Shut down: let ready learners replace this node's voters, transfer leadership, and end."""
         await asyncio.gather(*(group.leave() for group in self.groups.values()))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(STOP_S):
@@ -171,5 +172,5 @@
 
 
 def main() -> int:
-    """The process of the control role."""
+    """Run the process of the control role; return its exit code."""
     return run_process(_serve)
--- a/granitewell/nodes/control_messages.py
+++ b/granitewell/nodes/control_messages.py
@@ -1,4 +1,4 @@
-"""The messages that a control node takes from other nodes, and what it tells them."""
+"""Messages that a control node accepts from other nodes, and those that it sends to them."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     """Handlers by method.
 
     Attributes:
-        processes: Of other control nodes, as they make themselves known.
+        processes: Processes of other control nodes, as they announce themselves.
     """
 
     def __init__(
@@ -58,25 +58,25 @@
             Method.EDGES: self._edge_count,
         }
 
-    async def _group_message(self, payload: bytes, peer: str) -> bytes:
+    async def _group_message(self, payload: bytes, _peer: str) -> bytes:
         message = decode(GroupMessage, payload)
         group = self._groups.get(message.group)
         if group is not None:
             group.receive(message.sender_address, message.payload)
         return b""
 
-    async def _watch(self, payload: bytes, peer: str) -> bytes:
+    async def _watch(self, payload: bytes, _peer: str) -> bytes:
         request = decode(WatchRequest, payload)
         return encode(await self._publisher.watch(request))
 
-    async def _edge_count(self, payload: bytes, peer: str) -> bytes:
+    async def _edge_count(self, payload: bytes, _peer: str) -> bytes:
         count = decode(EdgeCount, payload)
         self._edges.notified(count.node, count.edges, time.monotonic())
         if count.address:
             self.processes.announce(count.address, count.incarnation or "")
         return b""
 
-    async def _demand(self, payload: bytes, peer: str) -> bytes:
+    async def _demand(self, payload: bytes, _peer: str) -> bytes:
         report = decode(DemandReport, payload)
         by_shard: dict[int, list[Any]] = {}
         for demand in report.demands or ():
@@ -96,7 +96,7 @@
             self._peers[leader].send(Method.DEMAND, encode(onward))
 
     async def tell_edge_count(self, control_nodes: Callable[[], Sequence[str]]) -> None:
-        """Tell the other control nodes how many edges ask here, until cancelled."""
+        """Report to the other control nodes how many edges ask this one, until cancelled."""
         pause = EDGE_COUNT_FIRST_S
         while True:
             await asyncio.sleep(pause)
--- a/granitewell/nodes/control_nodes.py
+++ b/granitewell/nodes/control_nodes.py
@@ -1,4 +1,4 @@
-"""Which control node an edge asks."""
+"""Selection of the control node that an edge asks."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 class ControlNodes:
-    """Which control node this edge asks.
+    """The control node that this edge asks.
 
-    Those of its own zone can't be told apart, so by rendezvous, and the next one after a failure.
+    The edge does not know which control nodes are in its own zone, so it selects by rendezvous hashing, and
+    takes the next one after a failure.
     """
 
     def __init__(self, name: str) -> None:
@@ -22,12 +23,12 @@
         self._at = 0
 
     def set_seeds(self, addresses: Sequence[str]) -> None:
-        """From the settings."""
+        """Set the control nodes named by the settings."""
         self._seeds = list(addresses)
         self._arrange()
 
     def set_known(self, addresses: Sequence[str]) -> None:
-        """As the control plane tells."""
+        """Set the control nodes named by the control plane."""
         self._known = list(addresses)
         self._arrange()
 
@@ -40,14 +41,14 @@
 
     @property
     def digest(self) -> int:
-        """Of the nodes that the control plane has told of."""
+        """Digest of the control nodes named by the control plane."""
         return members_digest(self._known)
 
     @property
     def current(self) -> str | None:
-        """The one to ask."""
+        """Return the control node to ask."""
         return self._order[self._at % len(self._order)] if self._order else None
 
     def failed(self) -> None:
-        """The current one did not answer."""
+        """Record that the current control node did not reply."""
         self._at += 1
--- a/granitewell/nodes/control_watch.py
+++ b/granitewell/nodes/control_watch.py
@@ -1,10 +1,11 @@
-"""What an edge learns: from the control plane by long-polls, from the platform's list where that is old.
+"""What an edge learns: from the control plane by long-polls, and from the platform's list while that is old.
 
-A control node publishes nothing that is older than MAX_READ_STALENESS_S (publisher.py). On the way a reply
-may wait for any time: at a process that was frozen after it had made it, on a slow link, at this edge. So a
-reply counts only if it is here `hold + REPLY_SLACK_S` after its request was sent, by this edge's own clock.
-What an edge takes lacks nothing that was committed `hold + REPLY_SLACK_S + MAX_READ_STALENESS_S` before, also
-right after its start. Once it has a configuration, its version never falls."""
+A control node publishes nothing older than MAX_READ_STALENESS_S (publisher.py). A reply may be delayed for
+any time: at a process that was frozen after making it, on a slow link, at this edge. A reply therefore counts
+only if it arrives within `hold + REPLY_SLACK_S` of its request, by this edge's own clock. What an edge
+accepts contains everything that was committed `hold + REPLY_SLACK_S + MAX_READ_STALENESS_S` earlier, even
+right after its start. Once it has a configuration, its version never falls.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +35,7 @@
 from granitewell.rpc.transport import Method, RpcPeers
 
 MAX_HOLD_S = 1.0
-HOLD_PART = 0.4  # of config-apply-ms: a control node that falls silent and the next one fit in
+HOLD_PART = 0.4  # fraction of config-apply-ms: time for an unresponsive control node and the next one
 REPLY_SLACK_S = 0.4  # beyond the hold, after which a control node is given up
 RETRY_S = 0.1
 MAX_LIST_OLD_S = 1.5  # a list older than that is read from the platform itself
@@ -47,7 +48,7 @@
 
 
 class ControlWatch:
-    """Long-polls for everything an edge needs."""
+    """Long-polls for everything that an edge needs."""
 
     def __init__(
         self, settings: Settings, plane: DataPlane, clock: Callable[[], float] = time.monotonic
@@ -68,12 +69,12 @@
         self.take_settings(settings)
 
     def take_settings(self, settings: Settings) -> None:
-        """Other seeds."""
+        """Apply changed settings: other seeds."""
         port = settings.control_rpc_port
         self.nodes.set_seeds([f"{seed.rpartition(':')[0]}:{port}" for seed in settings.seeds])
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Poll until cancelled."""
         while True:
             node = self.nodes.current
             if node is None:
@@ -82,12 +83,12 @@
             try:
                 self._take(await self._ask(node))
             except RpcError as error:
-                log.debug("control node {}: {}", node, error)
+                log.debug("control node does not answer", node=node, error=str(error))
                 self.nodes.failed()
                 await asyncio.sleep(RETRY_S)
 
     async def _ask(self, node: str) -> Any:
-        """A reply that is young enough; raises RpcError."""
+        """Return a reply that is recent enough; raises RpcError."""
         patience_s = self._hold_s + REPLY_SLACK_S
         sent_at = self._clock()
         reply = await self.peers[node].call(Method.WATCH, encode(self._request()), patience_s)
@@ -126,7 +127,7 @@
                 message.version, bool(message.is_complete), message.documents or ()
             )
         except GranitewellError as error:
-            log.warning("configuration {} does not fit: {}", message.version, error)
+            log.warning("configuration update does not fit", version=message.version, error=str(error))
             self._complete_tables_wanted = True
             return
         self._complete_tables_wanted = False
@@ -158,9 +159,10 @@
         self._plane.apply_servers(update.changed, [key for key in removed if key not in current])
 
     def take_own_list(self, instances: Sequence[ListedInstance]) -> None:
-        """This edge has read the platform's list itself: servers that drain or are gone are used no more.
+        """Apply the platform's list as read by this edge.
 
-        What the control plane tells next counts again.
+        Servers that drain or are removed are no longer used. The next update from the control plane takes
+        precedence again.
         """
         listed = {one.id: one for one in instances}
         now = self._clock()
@@ -182,7 +184,7 @@
                 self._plane.apply_servers(draining, gone)
 
     def _use_listed(self, instances: Sequence[ListedInstance]) -> None:
-        """Servers of shards whose table has never come: better than none."""
+        """Use the servers of shards whose table has never arrived, which is better than none."""
         self._own_servers = {}
         for one in instances:
             shard = shard_of(one.service, SHARDS)
@@ -192,22 +194,22 @@
             self._plane.apply_servers(servers, [])
 
     def list_age_s(self) -> float:
-        """Of the oldest table; infinite before the first."""
+        """Return the age of the oldest table, in seconds; infinite before the first."""
         if not self.listed_at:
             return float("inf")
         return self._clock() - min(self.listed_at.values())
 
 
 def _server(one: ListedInstance) -> Server:
-    """A server as the platform lists it."""
+    """Convert a server as the platform lists it."""
     models = {known.name: known for known in one.models}
     return Server(one.id, one.service, one.address, one.zone, one.slots, one.state, one.remaining_ms, models)
 
 
 class OwnList:
-    """Reads the platform's list itself while the control plane's is old, for what must not wait.
+    """Reads the platform's list while the control plane's copy is old.
 
-    Servers that drain or are gone.
+    It is used only for servers that drain or are removed, which must not wait.
     """
 
     def __init__(self, settings: Settings, watch: ControlWatch, plane: DataPlane, rng: Random) -> None:
@@ -218,7 +220,7 @@
         self._old_s = min(MAX_LIST_OLD_S, LIST_OLD_PART * settings.bounds.drain_ms / 1000.0)
 
     async def run(self, session: aiohttp.ClientSession) -> None:
-        """Until cancelled."""
+        """Read the list when needed, until cancelled."""
         reader = InstanceReader(self._settings.cloud.address, session)
         while True:
             await asyncio.sleep(LIST_LOOK_PART * self._old_s * (0.5 + self._rng.random()))
@@ -227,13 +229,13 @@
             try:
                 instances = await reader.read()
             except (ListUnavailableError, MalformedListError) as error:
-                log.debug("own list: {}", error)
+                log.debug("own list of servers unavailable", error=str(error))
                 continue
             self._watch.take_own_list(instances)
             await asyncio.sleep(self._pause_s() * (0.85 + 0.3 * self._rng.random()))
 
     def _pause_s(self) -> float:
-        """Between two readings: all edges together stay well below the platform's rate."""
+        """Return the time between two reads; all edges together stay well below the platform's rate limit."""
         return max(
             LIST_PAUSE_PART * self._old_s,
             self._watch.max_edges / (RATE_FRACTION * self._settings.cloud.rate_per_s),
--- a/granitewell/nodes/edge.py
+++ b/granitewell/nodes/edge.py
@@ -1,4 +1,4 @@
-"""The edge role: the data plane, fed by long-polls to the control plane."""
+"""The edge role: the data plane, updated by long-polls to the control plane."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 class DemandReporter:
-    """Tells the control plane what is asked for: at once where a request waits, else now and then."""
+    """Reports demand to the control plane: at once if a request waits, otherwise periodically."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._urgent = asyncio.Event()
 
     def urgent(self) -> None:
-        """A request waits for a model."""
+        """Report soon, because a request waits for a model."""
         self._urgent.set()
 
     async def run(self, plane: DataPlane, watch: ControlWatch) -> None:
-        """Until cancelled."""
+        """Send reports until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(DEMAND_EVERY_S):
@@ -76,5 +76,5 @@
 
 
 def main() -> int:
-    """The process of the edge role."""
+    """Run the process of the edge role; return its exit code."""
     return run_process(_serve)
--- a/granitewell/nodes/layout.py
+++ b/granitewell/nodes/layout.py
@@ -1,12 +1,13 @@
-"""What all nodes must agree on."""
+"""Constants on which all nodes must agree."""
 
 SHARDS = 2
-"""Shards of the services, by hash of the service's name. A change needs all nodes stopped."""
+"""Number of shards; a service belongs to one by the hash of its name. Changing it requires stopping all
+nodes. """
 
 CONFIGURATION_GROUP = "configuration"
-"""The replica group of the configuration."""
+"""Name of the replica group of the configuration."""
 
 
 def shard_group(shard: int) -> str:
-    """The name of a shard's replica group."""
+    """Return the name of a shard's replica group."""
     return f"shard-{shard}"
--- a/granitewell/nodes/operator_server.py
+++ b/granitewell/nodes/operator_server.py
@@ -10,7 +10,7 @@
 
 
 class OperatorServer:
-    """Listens at a control address (`ip:port`) for operators."""
+    """Listens at a control address (`ip:port`)."""
 
     def __init__(self, api: OperatorApi, address: str) -> None:
         self._api = api
@@ -28,6 +28,6 @@
         self._runner = runner
 
     async def stop(self) -> None:
-        """Answer what has been taken, and listen no more."""
+        """Answer accepted requests, and stop listening."""
         if self._runner is not None:
             await self._runner.cleanup()
--- a/granitewell/nodes/process.py
+++ b/granitewell/nodes/process.py
@@ -1,4 +1,4 @@
-"""What both roles do as processes: the loop, signals, settings that change."""
+"""What both roles share as processes: event loop, signals, changing settings."""
 
 from __future__ import annotations
 
@@ -16,12 +16,16 @@
 from granitewell.domain.settings import Settings, read_settings, settings_path
 
 SETTINGS_LOOK_S = 1.0
-COLLECTOR_THRESHOLDS = (20_000, 20, 50)  # rare: little here is cyclic, and pauses are charged to requests
+COLLECTOR_THRESHOLDS = (
+    20_000,
+    20,
+    50,
+)  # infrequent collections: little here is cyclic, and pauses delay requests
 BAD_SETTINGS = 2  # exit code, as docs/operate/exit-codes.md has it
 
 
 class SettingsFile:
-    """The settings file, read again when it changes."""
+    """The settings file, which is read again when it changes."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -41,7 +45,7 @@
         return (stat.st_mtime_ns, stat.st_size, stat.st_ino)
 
     def reread(self, force: bool = False) -> Settings | None:
-        """The new settings where the file has changed and can be taken; None otherwise."""
+        """Return the new settings if the file has changed and is valid, otherwise None."""
         if not force and self._look() == self._stamp:
             return None
         try:
@@ -55,14 +59,14 @@
 
 
 class Signals:
-    """SIGTERM and SIGINT end the process; SIGHUP has the settings read again at once."""
+    """SIGTERM and SIGINT end the process; SIGHUP reads the settings again at once."""
 
     def __init__(self) -> None:
         self.stop = asyncio.Event()
         self.reread = asyncio.Event()
 
     def install(self) -> None:
-        """Take the signals over on the running loop."""
+        """Install the handlers on the running loop."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stop.set)
         loop.add_signal_handler(signal.SIGINT, self.stop.set)
@@ -70,7 +74,7 @@
 
 
 async def follow_settings(file: SettingsFile, signals: Signals, take: Callable[[Settings], None]) -> None:
-    """Hand on new settings, until cancelled."""
+    """Pass on new settings until cancelled."""
     while True:
         try:
             async with asyncio.timeout(SETTINGS_LOOK_S):
@@ -85,7 +89,7 @@
 
 
 def run_process(serve: Callable[[SettingsFile, Signals], Awaitable[None]]) -> int:
-    """Run a role until it ends; the exit code."""
+    """Run a role until it ends; return the exit code."""
     try:
         file = SettingsFile(settings_path())
     except InvalidSettingsError as error:
--- a/granitewell/nodes/shard_supervisor.py
+++ b/granitewell/nodes/shard_supervisor.py
@@ -1,4 +1,7 @@
-"""Each shard in a control process: owned while this node leads its group, followed otherwise."""
+"""Supervision of the shards in a control process.
+
+Each shard is owned while this node leads its group, otherwise followed.
+"""
 
 from __future__ import annotations
 
@@ -16,10 +19,10 @@
 
 
 class ShardSupervisor:
-    """Owns or follows the shards.
+    """Owns or follows each shard.
 
     Attributes:
-        owned: Those that this node owns now.
+        owned: Shards that this node owns now.
     """
 
     def __init__(
@@ -37,7 +40,7 @@
         self._owned = owned
 
     async def keep(self, shard: int) -> None:
-        """Own the shard while this node leads its group; follow its owner's table otherwise."""
+        """Own a shard while this node leads its group; otherwise follow its owner's table."""
         group, table, services = self._groups[shard], self._tables[shard], self._services
         follower = TableFollower(shard, table, self._peers, services.settings(), services.changed)
         ownership = self._ownership(group)
@@ -53,14 +56,18 @@
             await self._until_leading(group, follower.poll(leader))
 
     def _ownership(self, group: ReplicatedGroup) -> ShardOwnership:
-        """One for the life of this process: a wait behind another owner goes on if leadership comes back."""
+        """Return the ownership object of a shard.
+
+        There is one for the lifetime of the process, so that a wait after another owner continues if
+        leadership returns.
+        """
         services = self._services
         bounds = services.settings().bounds
         rules = TurnRules(bounds.lease_ms / 1000.0, bounds.contact_ms / 1000.0, bounds.fencing)
         return ShardOwnership(group, services.claimant, services.processes, rules)
 
     async def _own(self, shard: int, ownership: ShardOwnership) -> None:
-        """Until the lease is lost."""
+        """Own a shard until the lease is lost."""
         owned = OwnedShard(shard, ownership, self._tables[shard], self._services)
         self._owned[shard] = owned
         try:
@@ -69,7 +76,10 @@
             self._owned.pop(shard, None)
 
     async def _until_leading(self, group: ReplicatedGroup, poll: Coroutine[None, None, None]) -> None:
-        """A poll, given up once this node leads: its owner may be cut off and never answer."""
+        """Poll the owner, but cancel the poll once this node leads.
+
+        The owner may be partitioned and never reply.
+        """
         task = asyncio.create_task(poll)
         try:
             while not task.done() and not group.holds_lease():
