--- a/granitewell/nodes/shards.py
+++ b/granitewell/nodes/shards.py
@@ -33,19 +33,19 @@
 
 
 def list_every_s(settings: Settings) -> float:
-    """Seconds between two readings of the platform's list."""
+    """Return the time between two reads of the platform's list, in seconds."""
     return min(MAX_LIST_EVERY_S, LIST_EVERY_PART * settings.bounds.drain_ms / 1000.0)
 
 
 @dataclass(frozen=True)
 class ShardServices:
-    """What a node gives to each shard that it owns.
+    """What a node provides to each shard that it owns.
 
     Attributes:
-        settings: Those in force now.
-        processes: Of the other control nodes.
-        session: For calls to servers.
-        changed: A table has news.
+        settings: Settings in force.
+        processes: Processes of the other control nodes.
+        session: HTTP session for calls to servers.
+        changed: Called when a table has changed.
     """
 
     settings: Callable[[], Settings]
@@ -58,7 +58,7 @@
 
 
 class OwnedShard:
-    """What the owner of a shard does: reads the platform's list, places models, writes the table."""
+    """Work of a shard's owner: reads the platform's list, places models, writes the table."""
 
     def __init__(
         self, shard: int, ownership: ShardOwnership, table: ServerTable, services: ShardServices
@@ -74,25 +74,25 @@
         self._list_every_s = list_every_s(services.settings())
 
     async def run(self) -> None:
-        """Until the lease is lost."""
+        """Work until the lease is lost."""
         try:
             await self.ownership.claim()
         except (NotLeaderError, ProposalLostError):
             await asyncio.sleep(LEASE_LOOK_S)
             return
-        log.info("owner of shard {} under fence {}", self._shard, self.ownership.fencing_token)
+        log.info("shard ownership gained", shard=self._shard, fencing_token=self.ownership.fencing_token)
         reading = asyncio.create_task(self._read_lists())
         try:
-            while self.ownership.owns():
+            while self.ownership.owns():  # noqa: ASYNC110  a lease lapses without an event
                 await asyncio.sleep(LEASE_LOOK_S)
         finally:
-            log.info("no longer owner of shard {}", self._shard)
+            log.info("shard ownership lost", shard=self._shard)
             reading.cancel()
             for task in self._tasks.values():
                 task.cancel()
 
     def add_demand(self, demands: Sequence[ModelDemand], source: str) -> None:
-        """An edge's demand for models of this shard's services."""
+        """Record an edge's demand for models of this shard's services."""
         by_service: dict[str, list[ModelDemand]] = {}
         for demand in demands:
             by_service.setdefault(demand.service, []).append(demand)
@@ -108,7 +108,7 @@
             try:
                 listed = await self._services.instances.read()
             except (ListUnavailableError, MalformedListError) as error:
-                log.warning("no list of servers: {}", error)
+                log.warning("list of servers unavailable", error=str(error))
             else:
                 self._take_list(listed.instances, listed.asked_at)
             await asyncio.sleep(max(self._list_every_s - (time.monotonic() - started), 0.05))
@@ -133,7 +133,7 @@
                 self._update_controller(service, configuration, 1.0 / len(engines))
 
     def _update_controller(
-        self, service: Service, configuration: Configuration, load_rate_fraction: float
+        self, service: Service, _configuration: Configuration, load_rate_fraction: float
     ) -> None:
         controller = self._controllers.get(service.name)
         if controller is None:
@@ -147,7 +147,7 @@
         if service.name not in self._tasks:
             self._tasks[service.name] = asyncio.create_task(controller.run())
 
-    def _model_changed(self, server_id: str) -> None:
+    def _model_changed(self, _server_id: str) -> None:
         self.publish()
 
     def publish(self) -> None:
--- a/granitewell/nodes/table_follower.py
+++ b/granitewell/nodes/table_follower.py
@@ -1,4 +1,4 @@
-"""How a control node that does not own a shard keeps a copy of its table."""
+"""Copy of a shard's table on a control node that does not own the shard."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         self._changed = changed
 
     async def poll(self, owner: str) -> None:
-        """One long-poll at the owner."""
+        """Make one long-poll to the owner."""
         version = self._table.version
         request = WatchRequest(
             node=self._settings.node_name,
--- a/granitewell/operator/cluster.py
+++ b/granitewell/operator/cluster.py
@@ -94,7 +94,8 @@
 
     def settings(self) -> ClusterSettings:
         """The same for the node, which knows nothing of this file, with the keys as they are on the disk
-        now."""
+        now.
+        """
         keys, why = None, ""
         if self.name:
             try:
--- a/granitewell/protocols/peers/frames.py
+++ b/granitewell/protocols/peers/frames.py
@@ -185,7 +185,8 @@
 
 def refusal(keys: Keys, sender: str, versions: Sequence[int] = VERSIONS) -> bytes:
     """The answer to a version that is not known: a frame of the first version that names ours, a byte
-    each."""
+    each.
+    """
     return seal(Kind.REFUSAL, bytes(versions), keys, sender, version=1)
 
 
--- a/granitewell/protocols/peers/leases.py
+++ b/granitewell/protocols/peers/leases.py
@@ -97,7 +97,8 @@
 
 class Oath(Body, frozen=True, tag="oath"):
     """I have a new disk, of this life: count nothing that an earlier one has said, and tell me what you
-    know."""
+    know.
+    """
 
     life: Number
 
--- a/granitewell/rpc/__init__.py
+++ b/granitewell/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""The internal protocol: thrift messages, frames, connections between nodes. Decides nothing."""
+"""Internal protocol: thrift messages, frames, and connections between nodes. Makes no decisions."""
--- a/granitewell/rpc/messages.py
+++ b/granitewell/rpc/messages.py
@@ -1,4 +1,4 @@
-"""The messages between nodes, loaded from internal.thrift, and their binary form."""
+"""Messages between nodes, loaded from internal.thrift, with their encoding."""
 
 from __future__ import annotations
 
--- a/granitewell/rpc/serialization.py
+++ b/granitewell/rpc/serialization.py
@@ -1,4 +1,4 @@
-"""Thrift structs and their binary form: one way in and out for all that nodes say to each other. Pure."""
+"""Thrift structs and their binary encoding, used for all messages between nodes. No I/O."""
 
 from __future__ import annotations
 
@@ -17,23 +17,26 @@
 
 
 def load_idl(path: Path) -> Any:
-    """The types of an IDL file."""
+    """Load the types of an IDL file."""
     return thriftpy2.load(str(path), f"granitewell_{path.stem}_thrift")
 
 
 def encode(message: Any) -> bytes:
-    """The binary form of a message."""
+    """Encode a message."""
     return bytes(serialize(message, _PROTOCOL))
 
 
 def decode(kind: Any, data: bytes, check: Callable[[bytes], None] = check_struct) -> Any:
-    """A message of a kind from its binary form; raises MalformedFrameError.
+    """Decode a message of a given type.
 
-    Args:
-        check: Raises it for bytes that the library must not see, as it believes their counts.
+    Args: kind: Type of the message. data: Encoded message. check: Raises MalformedFrameError for bytes that
+        the thrift library must not see, because it trusts their counts.
+
+    Raises:
+        MalformedFrameError: The bytes are not such a message.
     """
     check(data)
     try:
         return deserialize(kind(), data, _PROTOCOL)
-    except Exception as error:  # the library raises whatever the bytes lead it to
+    except Exception as error:  # the library raises whatever the bytes cause
         raise MalformedFrameError(f"not a {kind.__name__}: {error!r}") from error
--- a/granitewell/rpc/structure.py
+++ b/granitewell/rpc/structure.py
@@ -1,7 +1,7 @@
-"""Whether bytes are a thrift struct in binary form, looked at before the library reads them. Pure.
+"""Validation of thrift structs in binary form before the library decodes them. No I/O.
 
-The library believes counts and lengths: a list that says it is long takes all memory before the bytes run
-out. Here every count is held against the bytes that are left, and nesting against a bound.
+The library trusts counts and lengths: a list that claims to be long exhausts the memory before the bytes run
+out. Here every count is checked against the remaining bytes, and nesting against a limit.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class FieldType(IntEnum):
-    """Types of the binary protocol."""
+    """Field types of the binary protocol."""
 
     STOP = 0
     BOOL = 2
@@ -48,7 +48,7 @@
 
 
 def check_struct(data: bytes) -> None:
-    """Raises MalformedFrameError unless the bytes begin with a whole struct."""
+    """Raise MalformedFrameError unless the bytes begin with a complete struct."""
     try:
         _after_struct(data, 0, 0)
     except (IndexError, struct.error) as error:
@@ -56,7 +56,7 @@
 
 
 def _after_struct(data: bytes, at: int, depth: int) -> int:
-    """The place behind a struct."""
+    """Return the offset after a struct."""
     if depth > MAX_DEPTH:
         raise MalformedFrameError("structs are nested too deeply")
     while True:
@@ -67,7 +67,7 @@
 
 
 def _after_value(data: bytes, at: int, kind: int, depth: int) -> int:
-    """The place behind a value of a type."""
+    """Return the offset after a value of a type."""
     size = _SIZES.get(kind)  # type: ignore[call-overload]
     if size is not None:
         return _within(data, at + int(size))
@@ -83,7 +83,7 @@
 
 
 def _after_items(data: bytes, at: int, count: int, kinds: tuple[int, ...], depth: int) -> int:
-    """The place behind the items of a list, a set or a map."""
+    """Return the offset after the items of a list, a set or a map."""
     if depth > MAX_DEPTH:
         raise MalformedFrameError("lists are nested too deeply")
     least = sum(_SIZES.get(kind) or _LEAST.get(kind, 1) for kind in kinds)  # type: ignore[call-overload]
--- a/granitewell/rpc/translation.py
+++ b/granitewell/rpc/translation.py
@@ -1,4 +1,4 @@
-"""Between the typed servers of the model and their messages."""
+"""Conversion between the typed servers of the domain and their messages."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def server_to_message(server: Server) -> Any:
-    """The message of a server."""
+    """Convert a server to its message."""
     return ServerMessage(
         id=server.id,
         service_name=server.service,
@@ -26,7 +26,7 @@
 
 
 def server_from_message(message: Any) -> Server:
-    """The server of a message."""
+    """Convert a message to a server."""
     loaded = [LoadedModel(entry.name, frozenset(entry.adapters or ())) for entry in message.models or ()]
     return Server(
         id=message.id,
@@ -41,7 +41,7 @@
 
 
 def demand_to_message(demand: ModelDemand) -> Any:
-    """The message of a demand."""
+    """Convert a demand to its message."""
     return Demand(
         service_name=demand.service,
         model=demand.ref.model,
@@ -54,7 +54,7 @@
 
 
 def demand_from_message(message: Any) -> ModelDemand:
-    """The demand of a message."""
+    """Convert a message to a demand."""
     return ModelDemand(
         service=message.service_name,
         ref=ModelRef(message.model, message.adapter or ""),
--- a/granitewell/rpc/transport.py
+++ b/granitewell/rpc/transport.py
@@ -1,12 +1,12 @@
-"""Frames between nodes over TCP: calls with a reply, and messages without one.
+"""Frames between nodes over TCP: calls with a reply, and one-way messages.
 
-A reply belongs to the call with its id and method on its own connection, and to no other: ids are not used
-again by a client, and a call ends with its connection. A frame that can be no reply ends the connection.
+A reply belongs to the call with its id and method on the same connection. A client does not reuse ids, and a
+call ends with its connection. A frame that cannot be a reply ends the connection.
 
-A frame is a head of 14 bytes (magic, version, kind, method, call id, length) and a payload. Unknown versions
-and lengths over the bound end the connection. One connection a pair of nodes and direction; it is dialed when
-it is wanted, and a peer that says nothing is given up by TCP_USER_TIMEOUT. Queues are bounded: a message for
-a peer that does not read is dropped.
+A frame is a header of 14 bytes (magic, version, kind, method, call id, length) and a payload. Unknown
+versions and lengths beyond the limit end the connection. There is one connection per pair of nodes and
+direction, opened when needed. A peer that does not respond is given up by TCP_USER_TIMEOUT. Queues are
+bounded: a message for a peer that does not read is dropped.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class Kind(IntEnum):
-    """What a frame is."""
+    """Kind of a frame."""
 
     CALL = 1
     REPLY = 2
@@ -41,7 +41,7 @@
 
 
 class Method(IntEnum):
-    """What a call or message is for."""
+    """Purpose of a call or message."""
 
     WATCH = 1
     DEMAND = 2
@@ -50,7 +50,8 @@
 
 
 Handler = Callable[[bytes, str], Awaitable[bytes]]
-"""Takes a payload and the peer's ip; gives the reply's payload (ignored for a one-way message)."""
+"""Takes a payload and the peer's ip address; returns the payload of the reply (ignored for a one-way
+message). """
 
 
 def _tune(transport: asyncio.BaseTransport) -> None:
@@ -67,14 +68,14 @@
 
 
 class _FrameProtocol(asyncio.Protocol):
-    """Cuts a connection's bytes into frames."""
+    """Splits the bytes of a connection into frames."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self._buffer = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are not a subclass
         _tune(transport)
 
     def data_received(self, data: bytes) -> None:
@@ -98,7 +99,7 @@
             self.frame(kind, method, call, payload)
 
     def frame(self, kind: int, method: int, call: int, payload: bytes) -> None:
-        """One whole frame has come."""
+        """Handle one complete frame."""
         raise NotImplementedError
 
     def write(self, kind: Kind, method: int, call: int, payload: bytes) -> None:
@@ -107,11 +108,11 @@
             self.transport.write(HEAD.pack(MAGIC, VERSION, kind, method, call, len(payload)) + payload)
 
     def buffered(self) -> int:
-        """Bytes that wait for the peer."""
+        """Return the number of bytes that wait for the peer."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
     def close(self) -> None:
-        """Drop the connection at once."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -128,7 +129,7 @@
         self._peer = (transport.get_extra_info("peername") or ("",))[0]
         self._server.connections.add(self)
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, _error: Exception | None) -> None:
         self._server.connections.discard(self)
         for task in self._tasks:
             task.cancel()
@@ -146,7 +147,7 @@
             if handler is None:
                 raise MalformedFrameError(f"no method {method}")
             reply = await handler(payload, self._peer)
-        except Exception as error:  # a bad call ends here; the connection and the process go on
+        except Exception as error:  # noqa: BLE001  a bad call ends here; the connection goes on
             if kind == Kind.CALL:
                 self.write(Kind.FAILURE, method, call, f"{type(error).__name__}: {error}".encode()[:500])
             return
@@ -157,8 +158,8 @@
 class RpcServer:
     """Listens for the frames of other nodes.
 
-    Attributes:
-        handlers: By method.
+    Args:
+        handlers: Handlers by method.
     """
 
     def __init__(self, handlers: dict[int, Handler]) -> None:
@@ -172,7 +173,7 @@
         self._server = await loop.create_server(lambda: _ServerProtocol(self), host, port, backlog=512)
 
     async def stop(self) -> None:
-        """Listen no more and drop all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -181,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Waiting:
-    """A call whose reply is to come."""
+    """A call whose reply is pending."""
 
     method: int
     future: asyncio.Future[bytes]
@@ -194,7 +195,7 @@
         self.closed = False
 
     def expect(self, call: int, method: int) -> asyncio.Future[bytes]:
-        """The reply to come; raises PeerUnreachableError where none can."""
+        """Return a future for a reply; raises PeerUnreachableError if none can arrive."""
         if self.closed:
             raise PeerUnreachableError("connection lost")
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
@@ -202,7 +203,7 @@
         return future
 
     def forget(self, call: int) -> None:
-        """Nobody waits for a reply any more; one that comes late is dropped."""
+        """Drop the reply to a call if it arrives late."""
         self._waiting.pop(call, None)
 
     def frame(self, kind: int, method: int, call: int, payload: bytes) -> None:
@@ -221,7 +222,7 @@
         else:
             waiting.future.set_exception(RpcError(payload.decode(errors="replace")))
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, _error: Exception | None) -> None:
         self.closed = True
         for waiting in self._waiting.values():
             if not waiting.future.done():
@@ -230,9 +231,9 @@
 
 
 class RpcClient:
-    """Calls to one node; connects when it must.
+    """Makes calls to one node; connects when needed.
 
-    Attributes:
+    Args:
         address: `ip:port`.
     """
 
@@ -266,8 +267,13 @@
         return await asyncio.shield(self._connecting)
 
     async def call(self, method: Method, payload: bytes, timeout_s: float) -> bytes:
-        """A call and its reply; raises RpcTimeoutError, PeerUnreachableError, or RpcError with what the peer
-        said."""
+        """Make a call and return its reply.
+
+        Raises:
+            RpcTimeoutError: There was no reply in time.
+            PeerUnreachableError: There is no connection.
+            RpcError: The peer reported an error.
+        """
         call = self._next_call = (self._next_call + 1) & 0xFFFFFFFF
         protocol: _ClientProtocol | None = None
         try:
@@ -283,7 +289,7 @@
                 protocol.forget(call)
 
     def send(self, method: Method, payload: bytes) -> None:
-        """A message without a reply; lost where there is no connection or the peer does not read."""
+        """Send a one-way message; it is lost if there is no connection or the peer does not read."""
         if self._protocol is None or self._protocol.closed:
             if self._connecting is None or self._connecting.done():
                 self._connecting = asyncio.get_running_loop().create_task(self._dial())
@@ -299,30 +305,30 @@
             task.result().write(Kind.ONE_WAY, method, 0, payload)
 
     def close(self) -> None:
-        """Drop the connection, for good."""
+        """Close the connection for good."""
         self._dropped = True
         if self._protocol is not None:
             self._protocol.close()
 
 
 class RpcPeers:
-    """The clients of this node, one an address."""
+    """The clients of this node, one per address."""
 
     def __init__(self) -> None:
         self._clients: dict[str, RpcClient] = {}
 
     def __getitem__(self, address: str) -> RpcClient:
-        """The client for an address, made when it is first wanted."""
+        """Return the client for an address; create it when it is first used."""
         client = self._clients.get(address)
         if client is None:
             client = self._clients[address] = RpcClient(address)
         return client
 
     def keep(self, addresses: set[str]) -> None:
-        """Drop the clients of all other addresses."""
+        """Close the clients of all other addresses."""
         for address in set(self._clients) - addresses:
             self._clients.pop(address).close()
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self.keep(set())
--- a/tests/cluster/test_virtual.py
+++ b/tests/cluster/test_virtual.py
@@ -29,7 +29,8 @@
 
 class Echo:
     """Keeps all it is given with the time of its clock, and answers a script: what it does when it is
-    woken."""
+    woken.
+    """
 
     def __init__(self, boot: Boot, script: Script = ()) -> None:
         self.boot, self.seen = boot, list[tuple[int, object]]()
--- a/tests/controlplane/test_placement_faults.py
+++ b/tests/controlplane/test_placement_faults.py
@@ -256,7 +256,7 @@
     def settled(pending: PendingOrder, asked_at: float, report: Report) -> bool:
         return pending.stage is not OrderStage.SENDING
 
-    monkeypatch.setattr(observation, "_settled", settled)
+    monkeypatch.setattr(observation, "_is_resolved", settled)
 
 
 def count_no_loads_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/coordination/faults.py
+++ b/tests/coordination/faults.py
@@ -1,5 +1,6 @@
 """Days of a simulated group: what goes wrong, drawn from the seed, then a calm end in which all must be
-well."""
+well.
+"""
 
 from __future__ import annotations
 
--- a/tests/coordination/test_catch_up.py
+++ b/tests/coordination/test_catch_up.py
@@ -11,7 +11,7 @@
 import pytest
 
 from granitewell.coordination.consensus import codec
-from granitewell.coordination.consensus.follower import Following
+from granitewell.coordination.consensus.follower import Follower
 from granitewell.coordination.consensus.leadership import Leadership
 from granitewell.coordination.consensus.messages import Append, Message, SnapshotChunk, SnapshotReply
 from granitewell.coordination.consensus.progress import SnapshotTransfer
@@ -304,8 +304,8 @@
         def send_in_term(self, address: str, message: object) -> None:
             """Nobody listens."""
 
-    monkeypatch.setattr(Following, "_install", lambda self, address, chunk, data: taken.append(data))
-    following = Following(Core())  # type: ignore[arg-type]
+    monkeypatch.setattr(Follower, "_install", lambda self, address, chunk, data: taken.append(data))
+    following = Follower(Core())  # type: ignore[arg-type]
 
     def chunk(term: int, offset: int, data: bytes) -> SnapshotChunk:
         return SnapshotChunk("leader", "me", term, 9, 2, Membership(), offset, 4, data)
--- a/tests/coordination/test_hundreds_of_changes.py
+++ b/tests/coordination/test_hundreds_of_changes.py
@@ -16,6 +16,7 @@
 from granitewell.coordination.consensus.core import Core
 from granitewell.coordination.consensus.group import ReplicatedGroup
 from granitewell.coordination.consensus.ready import Ready
+from granitewell.coordination.consensus.state_machine import AppliedState
 from granitewell.coordination.consensus.types import Snapshot
 from granitewell.coordination.durable_log import DurableLog
 from granitewell.coordination.log_file import LogFile
@@ -119,11 +120,10 @@
 def snapshot_counts_before_it_is_restored(patch: pytest.MonkeyPatch) -> None:
     """A replica goes on from a snapshot that its state machine has not taken."""
 
-    def restore(self: ReplicatedGroup, snapshot: Snapshot) -> bool:
-        self._applied_index = snapshot.index
-        return True
+    def restore(self: AppliedState, snapshot: Snapshot) -> None:
+        self.index = snapshot.index
 
-    patch.setattr(ReplicatedGroup, "_restore", restore)
+    patch.setattr(AppliedState, "restore", restore)
 
 
 @pytest.mark.parametrize(
--- a/tests/coordination/test_scenarios.py
+++ b/tests/coordination/test_scenarios.py
@@ -429,7 +429,8 @@
 
 def own_entry_unsynced(group: Group) -> None:
     """The leader's disk hangs, one follower is cut off; the other holds an entry alone, and loses its
-    disk."""
+    disk.
+    """
     cut_off, holds = group.others
     group.isolate(cut_off)
     group.leader.disk.delay_s = 10
--- a/tests/lab/test_simulation_digest.py
+++ b/tests/lab/test_simulation_digest.py
@@ -5,7 +5,8 @@
 it last changed on purpose: changes of the module leave it alone, those of the model, the shells or the core
 move it. After such a change run the command above, look at what the change was meant to do, and store the new
 digest in the same commit, with the reason in its message. A change that was meant to change no behaviour must
-leave it as it is."""
+leave it as it is.
+"""
 
 from __future__ import annotations
 
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -324,7 +324,8 @@
     # --- What may come next -----------------------------------------------------------------------------
     def possible(self, kinds: tuple[str, ...], order: Order) -> Iterator[Event]:
         """What can happen now, of these kinds: each once, or once for each call or request that it is
-        about."""
+        about.
+        """
         had = {what for what, _ in order}
         calls = [x for each in self.out.values() for x in each.values()]
         for kind in kinds:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -323,7 +323,8 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_the_call_of_a_body_that_will_never_be_whole_ends_with_its_client(may_cancel: bool) -> None:
     """Where calls may not be called off it stayed for good: it has no time of its own before its last
-    byte."""
+    byte.
+    """
     script = Script(Request=send, Abandoned=lambda e: [t.Cancel(e.id, 0)] if may_cancel else [])
     node = core(script)
     (call,) = calls(node.handle(1, c.Arrived(7, SAFE, 0, 0, 900_000, "message", flows=True)))
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -136,6 +136,7 @@
     "granitewell.rpc.transport",
     "granitewell.discovery.reader",
     "granitewell.coordination.consensus.group",
+    "granitewell.coordination.consensus.wake_timer",
     "granitewell.coordination.consensus.proposals",
     "granitewell.coordination.consensus.recovery",
     "granitewell.coordination.consensus.identity",  # random ids, kept on the disk
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -391,8 +391,8 @@
 
 @pytest.mark.parametrize(("what", "raw"), [
     ("http1.answer_bytes", SMALL % (1, 2, b"hi")),  # its answer can't be made,
-    ("inbounds.Inbounds._write", SMALL % (1, 2, b"hi")),  # nor be written,
-    ("inbounds.Inbounds.answered", b"GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"),  # nor end
+    ("downstream.Inbounds._write", SMALL % (1, 2, b"hi")),  # nor be written,
+    ("downstream.Inbounds.answered", b"GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"),  # nor end
     ("loop._Call", PATIENT),  # its call can't begin
     ("http1.Flow.take", LONG % 1 + bytes(70_000)),  # its body can't be read
 ], ids=["answer", "write", "end", "call", "body"])  # fmt: skip
@@ -468,7 +468,7 @@
     played(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("what", ["loop.Node._look", "inbounds.too_slow"])
+@pytest.mark.parametrize("what", ["loop.Node._look", "downstream.too_slow"])
 def test_a_sweep_that_breaks_over_one_looks_at_the_others(
     tmp_path: Path, monkeypatch: Patch, what: str
 ) -> None:
