--- a/granitewell/dataplane/affinity.py
+++ b/granitewell/dataplane/affinity.py
@@ -14,7 +14,7 @@
 """A pool's name, then the ids of the leading parts in order: a part is kept only behind those before it."""
 
 
-class PromptMemory:
+class PrefixAffinity:
     """Least recently used first out."""
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         while len(self._servers) > MAX_PREFIXES:
             self._servers.popitem(last=False)
 
-    def kept_tokens(self, pool: str, parts: Sequence[PromptPart]) -> dict[str, int]:
+    def cached_tokens(self, pool: str, parts: Sequence[PromptPart]) -> dict[str, int]:
         """By server id: tokens of the leading parts that it may have kept. Others are missing."""
         kept: dict[str, int] = {}
         for prefix, tokens in _prefixes(pool, parts):
--- a/granitewell/dataplane/dispatch.py
+++ b/granitewell/dataplane/dispatch.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from granitewell.dataplane.affinity import PromptMemory
+from granitewell.dataplane.affinity import PrefixAffinity
 from granitewell.dataplane.demand import Demand
 from granitewell.dataplane.headers import PromptPart
-from granitewell.dataplane.request_queue import Place, WaitingLine
+from granitewell.dataplane.request_queue import QueuePosition, RequestQueue
 from granitewell.dataplane.retry_budget import RetryBudget
 from granitewell.dataplane.server_selection import Pool
 from granitewell.dataplane.servers import ServerRecord
@@ -24,13 +24,15 @@
 
 MAX_POOLS = 1_024  # kept at a node; beyond it those without requests go, the longest unused first
 PLAIN_SETUP_S = 2.0  # time that one more server of a service without models takes to be there
-LATEST_AIMS = 1.5  # aims in which an engine must be able to begin an answer: past it more requests there only
+MAX_DELAY_TARGETS = (
+    1.5  # aims in which an engine must be able to begin an answer: past it more requests there only
+)
 # make all answers late, and the servers' own queues are too long to say so
 CONNECTIONS_PART = 0.9  # of a server's connections that all nodes together may use at once
 
 
 @dataclass(slots=True)
-class Want:
+class DispatchRequest:
     """What a request asks for.
 
     Attributes:
@@ -58,7 +60,7 @@
     def __init__(self, budget: RetryBudget) -> None:
         self.records: dict[str, ServerRecord] = {}
         self.generation = 0  # of the records: pools that are older are filled anew
-        self.line: WaitingLine[Want] = WaitingLine()
+        self.queue: RequestQueue[DispatchRequest] = RequestQueue()
         self.budget = budget
 
 
@@ -79,7 +81,7 @@
         self._pools: dict[tuple[str, ModelRef | None], _PoolEntry] = {}
         self._configured: dict[str, Service] = {}
         self._edges, self._max_edges = 1, 1
-        self._memory = PromptMemory()
+        self._memory = PrefixAffinity()
         self._demand = Demand()
 
     # --- What others tell -------------------------------------------------------------------------------
@@ -95,7 +97,7 @@
         """How many nodes share the traffic, and how many may share the budget."""
         self._edges, self._max_edges = max(alive, 1), max(most, alive, 1)
         for state in self._services.values():
-            state.budget.share_among(self._bounds.retry_budget_slack, self._max_edges)
+            state.budget.divide_among(self._bounds.retry_budget_slack, self._max_edges)
 
     def apply_servers(
         self,
@@ -198,106 +200,124 @@
             del self._pools[key]
 
     # --- Requests ---------------------------------------------------------------------------------------
-    def arrived(self, want: Want, now: float) -> None:
+    def arrived(self, dispatch_request: DispatchRequest, now: float) -> None:
         """A request has come."""
-        self.pool(want.service, want.ref, now).arrived(now, self._edges)
-        if want.ref is not None:
-            self._demand.arrived(want.service, want.ref)
+        self.pool(dispatch_request.service, dispatch_request.ref, now).arrived(now, self._edges)
+        if dispatch_request.ref is not None:
+            self._demand.arrived(dispatch_request.service, dispatch_request.ref)
 
-    def choose(self, want: Want, now: float) -> ServerRecord | None:
+    def choose(self, dispatch_request: DispatchRequest, now: float) -> ServerRecord | None:
         """A server for it now, unless others wait for the same; None: it has to wait."""
-        pool = self.pool(want.service, want.ref, now)
-        for place in self._state(want.service).line:
-            first = place.request
-            if place.priority <= want.priority and first.ref == want.ref:
+        pool = self.pool(dispatch_request.service, dispatch_request.ref, now)
+        for position in self._state(dispatch_request.service).queue:
+            first = position.request
+            if position.priority <= dispatch_request.priority and first.ref == dispatch_request.ref:
                 return None
-        return self._choose(pool, want, now)
+        return self._choose(pool, dispatch_request, now)
 
-    def _choose(self, pool: Pool, want: Want, now: float) -> ServerRecord | None:
+    def _choose(self, pool: Pool, dispatch_request: DispatchRequest, now: float) -> ServerRecord | None:
         if not pool.servers:
             return None
-        kept = self._memory.kept_tokens(pool.key, want.parts) if want.parts else None
-        room = self._room(want, pool, now)
-        record = pool.pick(now, self._edges, want.passed_over, want.excluded, kept, room, want.careful)
+        kept = (
+            self._memory.cached_tokens(pool.key, dispatch_request.parts) if dispatch_request.parts else None
+        )
+        capacity = self._capacity_check(dispatch_request, pool, now)
+        record = pool.pick(
+            now,
+            self._edges,
+            dispatch_request.passed_over,
+            dispatch_request.excluded,
+            kept,
+            capacity,
+            dispatch_request.careful,
+        )
         if record is None:
             return None
         pool.sent(record, now)
-        if want.parts:
-            self._memory.sent(pool.key, want.parts, record.id)
-        if want.ref is not None:
-            self._demand.sent(want.service, want.ref)
+        if dispatch_request.parts:
+            self._memory.sent(pool.key, dispatch_request.parts, record.id)
+        if dispatch_request.ref is not None:
+            self._demand.sent(dispatch_request.service, dispatch_request.ref)
         return record
 
-    def _room(self, want: Want, pool: Pool, now: float) -> Callable[[ServerRecord], bool]:
+    def _capacity_check(
+        self, dispatch_request: DispatchRequest, pool: Pool, now: float
+    ) -> Callable[[ServerRecord], bool]:
         """What a server must have room for besides a slot: a connection, and an answer not far too late."""
-        configured = self._configured.get(want.service)
+        configured = self._configured.get(dispatch_request.service)
         most = configured.max_connections * CONNECTIONS_PART / self._edges if configured else math.inf
-        latest = want.aim_s * LATEST_AIMS if pool.runs_models else math.inf
+        latest = dispatch_request.aim_s * MAX_DELAY_TARGETS if pool.runs_models else math.inf
         return lambda record: (
             record.in_flight < max(most, 1.0)
             and (record.in_flight == 0 or record.first_byte_in(now) <= latest)
         )
 
-    def ended(self, want: Want, record: ServerRecord, now: float) -> None:
+    def ended(self, dispatch_request: DispatchRequest, record: ServerRecord, now: float) -> None:
         """A request that was given this server is there no longer."""
-        self.pool(want.service, want.ref, now).ended(record)
-        if want.ref is not None:
-            self._demand.ended(want.service, want.ref)
-        self.wake(want.service, now)
+        self.pool(dispatch_request.service, dispatch_request.ref, now).ended(record)
+        if dispatch_request.ref is not None:
+            self._demand.ended(dispatch_request.service, dispatch_request.ref)
+        self.wake(dispatch_request.service, now)
 
-    def give_back(self, want: Want, record: ServerRecord, now: float) -> None:
+    def give_back(self, dispatch_request: DispatchRequest, record: ServerRecord, now: float) -> None:
         """A request that was given this server is not sent there."""
         record.withdrawn()
-        self.ended(want, record, now)
+        self.ended(dispatch_request, record, now)
 
     # --- The line ---------------------------------------------------------------------------------------
-    def wait(self, want: Want, now: float) -> Place[Want]:
+    def wait(self, dispatch_request: DispatchRequest, now: float) -> QueuePosition[DispatchRequest]:
         """Its place in the line; raises QueueFullError."""
-        place = self._state(want.service).line.join(want.priority, want)
-        want.missing = want.ref is not None and self.pool(want.service, want.ref, now).empty(now)
-        if want.ref is not None and want.missing:
-            self._demand.waits(want.service, want.ref, want.priority)
-        return place
-
-    def leave(self, place: Place[Want]) -> None:
+        position = self._state(dispatch_request.service).queue.join(
+            dispatch_request.priority, dispatch_request
+        )
+        dispatch_request.missing = dispatch_request.ref is not None and self.pool(
+            dispatch_request.service, dispatch_request.ref, now
+        ).empty(now)
+        if dispatch_request.ref is not None and dispatch_request.missing:
+            self._demand.waits(dispatch_request.service, dispatch_request.ref, dispatch_request.priority)
+        return position
+
+    def leave(self, position: QueuePosition[DispatchRequest]) -> None:
         """It waits no longer."""
-        want = place.request
-        self._state(want.service).line.leave(place)
-        if want.missing and want.ref is not None:
-            want.missing = False
-            self._demand.waits_no_more(want.service, want.ref, want.priority)
+        dispatch_request = position.request
+        self._state(dispatch_request.service).queue.leave(position)
+        if dispatch_request.missing and dispatch_request.ref is not None:
+            dispatch_request.missing = False
+            self._demand.waits_no_more(
+                dispatch_request.service, dispatch_request.ref, dispatch_request.priority
+            )
 
     def wake(self, service: str, now: float) -> None:
         """Give servers to those that wait, as far as there are any."""
-        line = self._state(service).line
-        if not line:
+        queue = self._state(service).queue
+        if not queue:
             return
         without: set[ModelRef | None] = set()
-        for place in line:
-            want = place.request
-            if want.ref in without:
+        for position in queue:
+            dispatch_request = position.request
+            if dispatch_request.ref in without:
                 continue
-            record = self._choose(self.pool(service, want.ref, now), want, now)
+            record = self._choose(self.pool(service, dispatch_request.ref, now), dispatch_request, now)
             if record is None:
-                without.add(want.ref)
+                without.add(dispatch_request.ref)
                 continue
-            self.leave(place)
-            want.granted(record)
+            self.leave(position)
+            dispatch_request.granted(record)
 
     def wake_all(self, now: float) -> bool:
         """The same for all services; whether anybody still waits."""
         for service in self._services:
             self.wake(service, now)
-        return any(state.line for state in self._services.values())
+        return any(state.queue for state in self._services.values())
 
     # --- Budget and demand ------------------------------------------------------------------------------
     def budget(self, service: str) -> RetryBudget:
         """This node's part of the retry budget of a service."""
         return self._state(service).budget
 
-    def overran(self, want: Want, now: float) -> None:
+    def overran(self, dispatch_request: DispatchRequest, now: float) -> None:
         """A request took longer than its aim."""
-        self.pool(want.service, want.ref, now).overran(now, self._edges)
+        self.pool(dispatch_request.service, dispatch_request.ref, now).overran(now, self._edges)
 
     def urgent(self, now: float) -> bool:
         """Whether the placement should be told now that requests wait for a model."""
--- a/granitewell/dataplane/edge.py
+++ b/granitewell/dataplane/edge.py
@@ -27,7 +27,7 @@
     parse_prompt_parts,
 )
 from granitewell.dataplane.http_server import (
-    Front,
+    HttpServer,
     RejectedRequestError,
     StreamedAnswer,
     check_head,
@@ -38,7 +38,13 @@
     read_body,
 )
 from granitewell.dataplane.readiness import ReadinessServer
-from granitewell.dataplane.request_forwarder import ClientRequest, Exchange, OwnAnswer, StreamEnd, WholeAnswer
+from granitewell.dataplane.request_forwarder import (
+    ClientRequest,
+    OwnAnswer,
+    RequestForwarder,
+    StreamEnd,
+    WholeAnswer,
+)
 from granitewell.dataplane.routes import RouteTable, choose_service, host_name, path_of
 from granitewell.dataplane.upstream_pool import UpstreamPool
 from granitewell.domain.configuration import Configuration, Limits, Route
@@ -50,7 +56,7 @@
 NO_CONFIGURATION_RETRY_S = 0.5
 CONFIGURATION_HOLD_S = 1.5  # an election and a long-poll
 CONFIGURATION_HOLD_PART = 0.4  # of a request's time, so that a retry elsewhere has some left
-MAX_HELD_FOR_CONFIGURATION = 256  # requests, with their bodies
+MAX_WAITING_FOR_CONFIGURATION = 256  # requests, with their bodies
 BEYOND_LIMITS = frozenset({413, 431})  # statuses that only the limits in force can justify
 LISTENS_ON_S = 2.5  # after SIGTERM: the platform asks each second and needs two misses
 END_MARGIN_S = 0.6  # before SIGKILL
@@ -78,14 +84,14 @@
         self._routes: RouteTable | None = None
         self._dispatcher = Dispatcher(settings.bounds, rng)
         self._upstreams = UpstreamPool(clock)
-        self._front = Front(self._answer, Limits())
+        self._http_server = HttpServer(self._answer, Limits())
         self._readiness = ReadinessServer(lambda: self.ready)
         self._configured = asyncio.Event()
-        self._held_for_configuration = 0
+        self._waiting_for_configuration = 0
         self._servers_known = False
         self._draining_since: float | None = None
         self._waker: asyncio.TimerHandle | None = None
-        self._exchanges: set[Exchange] = set()
+        self._forwarders: set[RequestForwarder] = set()
 
     # --- What the control plane tells -------------------------------------------------------------------
     def apply_configuration(self, configuration: Configuration) -> None:
@@ -97,7 +103,7 @@
         self._routes = RouteTable(configuration)
         self._configured.set()
         self._dispatcher.apply_configuration(configuration)
-        self._front.set_limits(configuration.limits)
+        self._http_server.set_limits(configuration.limits)
         _log.info("configuration in force", version=configuration.version, routes=len(configuration.routes))
 
     def apply_servers(self, changed: Sequence[Server], removed: Sequence[str]) -> None:
@@ -122,9 +128,9 @@
         return self._configuration is not None and self._servers_known and not draining
 
     @property
-    def front_port(self) -> int:
+    def client_port(self) -> int:
         """Where clients are taken."""
-        return self._front.port
+        return self._http_server.port
 
     @property
     def ready_port(self) -> int:
@@ -137,7 +143,7 @@
         if listen.ready is not None:
             await self._readiness.start(listen.ready)
         if listen.front is not None:
-            await self._front.start(listen.front)
+            await self._http_server.start(listen.front)
 
     def begin_drain(self) -> None:
         """SIGTERM: not ready from now on, but clients are still taken."""
@@ -151,13 +157,13 @@
         began = self._draining_since or 0.0
         end = began + grace_s - END_MARGIN_S
         await asyncio.sleep(max(min(began + LISTENS_ON_S, end) - self._clock(), 0.0))
-        self._front.stop_listening()
+        self._http_server.stop_listening()
         if not await self._idle_by(end - EXPIRE_MARGIN_S):
-            _log.warning("requests cut off at the end of the grace period", requests=len(self._exchanges))
-            for exchange in list(self._exchanges):
-                exchange.expire()
+            _log.warning("requests cut off at the end of the grace period", requests=len(self._forwarders))
+            for forwarder in list(self._forwarders):
+                forwarder.expire()
             await self._idle_by(end)
-        self._front.abort()
+        self._http_server.abort()
         self._upstreams.close()
         self._readiness.close()
         if self._waker is not None:
@@ -167,7 +173,7 @@
         """Whether all requests have their answers by then."""
         try:
             async with asyncio.timeout(max(when - self._clock(), 0.0)):
-                await self._front.wait_idle()
+                await self._http_server.wait_idle()
         except TimeoutError:
             return False
         return True
@@ -249,16 +255,16 @@
         hold_s = CONFIGURATION_HOLD_S
         if told_ms is not None:
             hold_s = min(hold_s, CONFIGURATION_HOLD_PART * told_ms / 1000.0)
-        if self._held_for_configuration >= MAX_HELD_FOR_CONFIGURATION:
+        if self._waiting_for_configuration >= MAX_WAITING_FOR_CONFIGURATION:
             return
-        self._held_for_configuration += 1
+        self._waiting_for_configuration += 1
         try:
             async with asyncio.timeout(hold_s):
                 await self._configured.wait()
         except TimeoutError:
             pass
         finally:
-            self._held_for_configuration -= 1
+            self._waiting_for_configuration -= 1
 
     def _client_request(
         self, request: BaseRequest, route: Route, body: bytes | None, arrived_at: float
@@ -283,7 +289,7 @@
     ) -> web.StreamResponse:
         service = choose_service(route, self._rng)
         stream = StreamedAnswer(request, lambda: self._ends_connection(request))
-        exchange = Exchange(
+        forwarder = RequestForwarder(
             self._dispatcher,
             self._upstreams,
             self._clock,
@@ -294,17 +300,17 @@
             self._model(request, service),
             stream,
         )
-        self._exchanges.add(exchange)
+        self._forwarders.add(forwarder)
         try:
-            answer = await exchange.run()
+            answer = await forwarder.run()
         finally:
-            self._exchanges.discard(exchange)
+            self._forwarders.discard(forwarder)
         match answer:
             case WholeAnswer():
                 return passed_response(answer)
             case OwnAnswer():
                 return own_response(answer)
-            case StreamEnd(whole=True):
+            case StreamEnd(is_complete=True):
                 assert stream.response is not None
                 return stream.response
             case StreamEnd():
--- a/granitewell/dataplane/failure_suspicion.py
+++ b/granitewell/dataplane/failure_suspicion.py
@@ -2,9 +2,9 @@
 
 Half of the requests that a server with a fault takes may be answered well, so a failure there tells little
 about the next request. A request that may be repeated goes there all the same once the server is no longer
-avoided, and so finds out. One whose failure would be final goes where the last that was seen is a success
-and no request waits too long for its answer, as long as there is such a server. Doubt also ends with time:
-a service may have no requests that find out.
+avoided, and so finds out. One whose failure would be final goes where the last that was seen is a success and
+no request waits too long for its answer, as long as there is such a server. FailureSuspicion also ends with
+time: a service may have no requests that find out.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 DOUBT_LASTS_S = 8.0  # without further failures
 
 
-class Doubt:
+class FailureSuspicion:
     """Of one server, by the ends of this node's requests there."""
 
     __slots__ = ("_failed_at", "_missing_proofs", "_unanswered")
--- a/granitewell/dataplane/framing.py
+++ b/granitewell/dataplane/framing.py
@@ -40,7 +40,7 @@
     """Follows a body."""
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all of it has come."""
 
     def take(self, data: bytes) -> int:
@@ -56,7 +56,7 @@
         self._left = length
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """See BodyFraming."""
         return self._left == 0
 
@@ -70,18 +70,18 @@
 class ChunkedFraming:
     """A body in chunks."""
 
-    __slots__ = ("_in_trailer", "_left", "_line", "whole")
+    __slots__ = ("_in_trailer", "_left", "_line", "is_complete")
 
     def __init__(self) -> None:
         self._left = 0  # bytes of the chunk to come, with its line end
         self._line = b""  # the beginning of a line
         self._in_trailer = False
-        self.whole = False
+        self.is_complete = False
 
     def take(self, data: bytes) -> int:
         """See BodyFraming."""
         at, size = 0, len(data)
-        while at < size and not self.whole:
+        while at < size and not self.is_complete:
             if self._left:
                 step = min(self._left, size - at)
                 self._left -= step
@@ -104,7 +104,7 @@
         """A line without its end. What is no number here is none to the parser either, which is stricter."""
         self._line = b""
         if self._in_trailer:
-            self.whole = line in (b"", b"\r")
+            self.is_complete = line in (b"", b"\r")
             return
         try:
             length = int(line.partition(b";")[0] if b";" in line else line, 16)
@@ -122,7 +122,7 @@
     __slots__ = ()
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """See BodyFraming."""
         return False
 
--- a/granitewell/dataplane/http_server.py
+++ b/granitewell/dataplane/http_server.py
@@ -207,7 +207,7 @@
         )
 
 
-class Front:
+class HttpServer:
     """Listens for clients and counts the requests that are being answered."""
 
     def __init__(self, handler: Handler, limits: Limits) -> None:
--- a/granitewell/dataplane/request.py
+++ b/granitewell/dataplane/request.py
@@ -13,7 +13,7 @@
 
 from granitewell.domain.configuration import Route
 
-MAX_TRIES = 6  # of a request, those that reached no server included: each costs a connection's time
+MAX_ATTEMPTS = 6  # of a request, those that reached no server included: each costs a connection's time
 
 
 class AttemptEnd(Enum):
@@ -46,19 +46,19 @@
 class Attempts:
     """The attempts of one request so far."""
 
-    __slots__ = ("_max", "_out", "_repeatable", "arrivals", "may_have_run", "tries")
+    __slots__ = ("_max", "_out", "_repeatable", "arrivals", "may_have_run", "attempts")
 
     def __init__(self, route: Route) -> None:
         self._repeatable = route.repeatable
         self._max = max(route.max_attempts, 1)
         self._out = False  # one is under way, its end not known
-        self.tries = 0
+        self.attempts = 0
         self.arrivals = 0  # of them, those that reached a server
         self.may_have_run = False
 
     def begin(self) -> None:
         """One more begins: a server has been chosen."""
-        self.tries += 1
+        self.attempts += 1
 
     def written(self) -> None:
         """From now on it may run."""
@@ -73,7 +73,7 @@
 
     def may_repeat(self) -> bool:
         """Whether the rules allow one more attempt, budget and time aside."""
-        if self._out or self.arrivals >= self._max or self.tries >= MAX_TRIES:
+        if self._out or self.arrivals >= self._max or self.attempts >= MAX_ATTEMPTS:
             return False
         return self._repeatable or not self.may_have_run
 
@@ -102,11 +102,11 @@
     return status == 421 or (marked and status in PROMISES)
 
 
-def passes_unchanged(status: int, sealed: bool, marked: bool) -> bool:
+def passes_unchanged(status: int, is_signed: bool, marked: bool) -> bool:
     """Whether a whole answer may go to the client.
 
     A success only with its seal, and no promise that the server hasn't given.
     """
     if 200 <= status < 300:
-        return sealed
+        return is_signed
     return marked or status not in PROMISES
--- a/granitewell/dataplane/request_forwarder.py
+++ b/granitewell/dataplane/request_forwarder.py
@@ -15,7 +15,7 @@
 from aiohttp.streams import StreamReader
 
 from granitewell.balancing.prefix_sizing import DELTA
-from granitewell.dataplane.dispatch import Dispatcher, Want
+from granitewell.dataplane.dispatch import Dispatcher, DispatchRequest
 from granitewell.dataplane.events import Event, EventCutter, EventTooLongError, number_of
 from granitewell.dataplane.headers import (
     DEADLINE_MS,
@@ -23,8 +23,8 @@
     LAST_EVENT_ID,
     NOT_EXECUTED,
     PRIORITY,
-    SEAL,
     SERVER_LOAD,
+    SIGNATURE,
     PromptPart,
     end_to_end,
     parse_server_load,
@@ -44,7 +44,9 @@
 MISSING_PART = 0.45  # of its time that a request waits for a model: refused after half of it, it costs more
 FULL_PART = 0.22  # of its aim that a request waits for a slot: refused within a quarter it may be in time yet
 MIN_WAIT_S = 0.01
-RETRY_AFTER_AIM = 0.25  # of the aim after which a client that was refused for want of slots may come again
+RETRY_AFTER_TARGETS = (
+    0.25  # of the aim after which a client that was refused for want of slots may come again
+)
 RETRY_AFTER_MISSING_S = 0.3  # the same for want of a model: a load is about to be done
 MAX_RETRY_AFTER_S = 2.0
 REFUSAL_BODY_S = 0.05  # in which the body of a refusal comes, or its connection is not worth keeping
@@ -96,7 +98,7 @@
 class StreamEnd:
     """The answer has been passed on piece by piece; whole: up to its proper end."""
 
-    whole: bool
+    is_complete: bool
 
 
 Answer = WholeAnswer | OwnAnswer | StreamEnd
@@ -123,7 +125,7 @@
     """No server may have the request in time."""
 
 
-class Exchange:
+class RequestForwarder:
     """The course of one request on its route."""
 
     def __init__(
@@ -146,7 +148,9 @@
         self.failure: WholeAnswer | None = None  # the last failure of a server that may be passed on
         self.resume_at: str | None = None  # id of the last event passed on, None where it has none
         self._timeout: asyncio.Timeout | None = None
-        self.want = Want(service, ref, route.priority, self.aim_s, request.parts, self._granted)
+        self.dispatch_request = DispatchRequest(
+            service, ref, route.priority, self.aim_s, request.parts, self._granted
+        )
         self._grant: asyncio.Future[ServerRecord] | None = None
         self._waited_for_model = False
 
@@ -163,13 +167,13 @@
     # --- The course -------------------------------------------------------------------------------------
     async def run(self) -> Answer:
         """Until its final answer, or the end of its time."""
-        self.dispatcher.arrived(self.want, self.clock())
+        self.dispatcher.arrived(self.dispatch_request, self.clock())
         try:
             async with asyncio.timeout(max(self.left_s, 0.0)) as self._timeout:
                 return await self._attempt_until_answered()
         except TimeoutError:
             if self.stream.began:
-                return StreamEnd(whole=False)
+                return StreamEnd(is_complete=False)
             return OwnAnswer(self.attempts.overdue_status, "no answer in time")
 
     def expire(self) -> None:
@@ -178,7 +182,7 @@
             self._timeout.reschedule(asyncio.get_running_loop().time())
 
     async def _attempt_until_answered(self) -> Answer:
-        self.dispatcher.budget(self.want.service).earn()
+        self.dispatcher.budget(self.dispatch_request.service).earn()
         while True:
             try:
                 record = await self._server()
@@ -199,14 +203,14 @@
         """Whether the budget bears the next attempt; those that reached no server cost nothing."""
         if self.attempts.arrivals <= self._paid:
             return True
-        if not self.dispatcher.budget(self.want.service).spend():
+        if not self.dispatcher.budget(self.dispatch_request.service).spend():
             return False
         self._paid += 1
         return True
 
     def _given_up(self, why: str) -> Answer:
         if self.stream.began:
-            return StreamEnd(whole=False)
+            return StreamEnd(is_complete=False)
         if self.failure is not None:
             return self.failure
         status = self.attempts.failure_status
@@ -214,8 +218,8 @@
 
     @property
     def _retry_after_s(self) -> float:
-        missing = self.want.ref is not None and self._waited_for_model
-        wait = RETRY_AFTER_MISSING_S if missing else self.aim_s * RETRY_AFTER_AIM
+        missing = self.dispatch_request.ref is not None and self._waited_for_model
+        wait = RETRY_AFTER_MISSING_S if missing else self.aim_s * RETRY_AFTER_TARGETS
         return min(wait, MAX_RETRY_AFTER_S)
 
     # --- A server ---------------------------------------------------------------------------------------
@@ -224,24 +228,24 @@
         if grant is not None and not grant.done():
             grant.set_result(record)
         else:
-            self.dispatcher.give_back(self.want, record, self.clock())
+            self.dispatcher.give_back(self.dispatch_request, record, self.clock())
 
     async def _server(self) -> ServerRecord:
         """A server that may have the request; it counts as being there. Raises NoServer."""
         now = self.clock()
-        self.want.careful = self.attempts.last
-        record = self.dispatcher.choose(self.want, now)
+        self.dispatch_request.careful = self.attempts.last
+        record = self.dispatcher.choose(self.dispatch_request, now)
         if record is not None:
             return record
-        if not self.dispatcher.knows(self.want.service, self.want.ref):
+        if not self.dispatcher.knows(self.dispatch_request.service, self.dispatch_request.ref):
             raise NoServerError("no such model")
-        if self.want.excluded:
+        if self.dispatch_request.excluded:
             raise NoServerError("no other server")
         try:
-            place = self.dispatcher.wait(self.want, now)
+            position = self.dispatcher.wait(self.dispatch_request, now)
         except QueueFullError as error:
             raise NoServerError("too many requests wait") from error
-        self._waited_for_model = self.want.missing
+        self._waited_for_model = self.dispatch_request.missing
         grant = self._grant = asyncio.get_running_loop().create_future()
         self._waits()
         taken = False
@@ -254,14 +258,14 @@
             raise NoServerError("no server has room") from error
         finally:
             self._grant = None
-            self.dispatcher.leave(place)
+            self.dispatcher.leave(position)
             if not taken and grant.done() and not grant.cancelled():
-                self.dispatcher.give_back(self.want, grant.result(), self.clock())
+                self.dispatcher.give_back(self.dispatch_request, grant.result(), self.clock())
 
     def _max_wait_s(self) -> float:
         """How long a wait may be worth it."""
         left = self.left_s
-        if self.want.missing or self.attempts.arrivals:
+        if self.dispatch_request.missing or self.attempts.arrivals:
             return max(left * MISSING_PART, MIN_WAIT_S)
         spent = self.clock() - self.request.arrived_at
         return min(max(self.aim_s * FULL_PART - spent, MIN_WAIT_S), max(left * MISSING_PART, MIN_WAIT_S))
@@ -271,7 +275,7 @@
         """The final answer; None where the attempt gave none."""
         attempt = _Attempt(self, record)
         self.attempts.begin()
-        self.want.passed_over.add(record.id)
+        self.dispatch_request.passed_over.add(record.id)
         try:
             return await attempt.run()
         finally:
@@ -281,14 +285,14 @@
 class _Attempt:
     """One request on one connection."""
 
-    def __init__(self, exchange: Exchange, record: ServerRecord) -> None:
-        self._x, self._record = exchange, record
-        self._began_at = exchange.clock()
+    def __init__(self, forwarder: RequestForwarder, record: ServerRecord) -> None:
+        self._x, self._record = forwarder, record
+        self._began_at = forwarder.clock()
         self._first_at = math.inf  # when the answer began
         self._waiting = max(record.waiting(self._began_at) - 1.0, 0.0)  # there before it
         self._connection: UpstreamConnection | None = None
-        self._whole: RawResponseMessage | None = None
-        self._resumes_after = number_of(exchange.resume_at)  # events up to here have been passed on
+        self._complete_answer: RawResponseMessage | None = None
+        self._resumes_after = number_of(forwarder.resume_at)  # events up to here have been passed on
 
     async def run(self) -> Answer | None:
         """The final answer; None where this attempt gave none: its end is noted."""
@@ -312,12 +316,12 @@
         """It is over, whichever way."""
         x, record, now = self._x, self._record, self._x.clock()
         if self._connection is not None:
-            x.upstreams.release(self._connection, self._whole)
-        pool = x.dispatcher.pool(x.want.service, x.want.ref, now)
+            x.upstreams.release(self._connection, self._complete_answer)
+        pool = x.dispatcher.pool(x.dispatch_request.service, x.dispatch_request.ref, now)
         if self._first_at == math.inf:
             record.given_up(now, pool.patience)
-            record.doubt.given_up(self, now, pool.patience)
-        x.dispatcher.ended(x.want, record, now)
+            record.suspicion.given_up(self, now, pool.patience)
+        x.dispatcher.ended(x.dispatch_request, record, now)
 
     async def _send(self) -> None:
         """Raises RequestNotWrittenError.
@@ -339,7 +343,7 @@
                 self._connection = None
             else:
                 x.attempts.written()
-                self._record.doubt.written(self, x.clock())
+                self._record.suspicion.written(self, x.clock())
                 return
 
     def _request_bytes(self) -> bytes:
@@ -370,20 +374,20 @@
         if proves_not_executed(status, marked):
             await self._turned_away(message, body)
             return None
-        if status == 200 and SEAL in message.headers and self._streams(message):
+        if status == 200 and SIGNATURE in message.headers and self._streams(message):
             return await self._pass_stream(message, body)
         data = await connection.read_body(body)
-        self._whole = message
-        return self._take_whole(message, data, marked)
+        self._complete_answer = message
+        return self._take_complete(message, data, marked)
 
     def _answer_began(self, message: RawResponseMessage) -> None:
         now = self._first_at = self._x.clock()
         self._record.answered(now)
-        self._record.doubt.answered(self)
+        self._record.suspicion.answered(self)
         self._record.first_byte_came(now - self._began_at, self._waiting)
         load = parse_server_load(message.headers.get(SERVER_LOAD))
         if load is not None:
-            self._record.load_told(load, now)
+            self._record.load_reported(load, now)
 
     def _streams(self, message: RawResponseMessage) -> bool:
         kind = message.headers.get("Content-Type", "").partition(";")[0].strip().lower()
@@ -392,9 +396,9 @@
     async def _turned_away(self, message: RawResponseMessage, body: StreamReader) -> None:
         """The server has not run it and will not."""
         x, now = self._x, self._x.clock()
-        pool = x.dispatcher.pool(x.want.service, x.want.ref, now)
+        pool = x.dispatcher.pool(x.dispatch_request.service, x.dispatch_request.ref, now)
         self._ended(AttemptEnd.NOT_EXECUTED)
-        pool.traffic.turned_away((now - self._began_at) * 1000.0)
+        pool.traffic.rejected_by_server((now - self._began_at) * 1000.0)
         if message.code == 421:
             pool.moved(self._record, now, MOVED_FOR_S)
         else:
@@ -403,20 +407,20 @@
             assert self._connection is not None
             async with asyncio.timeout(REFUSAL_BODY_S):
                 await self._connection.read_body(body)
-            self._whole = message
+            self._complete_answer = message
         except (BrokenResponseError, TimeoutError):
-            self._whole = None  # its word stands; the connection goes
+            self._complete_answer = None  # its word stands; the connection goes
 
-    def _take_whole(self, message: RawResponseMessage, data: bytes, marked: bool) -> WholeAnswer | None:
+    def _take_complete(self, message: RawResponseMessage, data: bytes, marked: bool) -> WholeAnswer | None:
         x, status = self._x, message.code
-        sealed = SEAL in message.headers
-        passes = passes_unchanged(status, sealed, marked)
+        is_signed = SIGNATURE in message.headers
+        passes = passes_unchanged(status, is_signed, marked)
         answer = WholeAnswer(status, message.reason, end_to_end(message.raw_headers), data)
         if status >= 500 or not passes:
             self._ended(AttemptEnd.FAILED)
             self._record.erred(x.clock())
             x.failure = answer if passes else x.failure
-            x.want.excluded.add(self._record.id)
+            x.dispatch_request.excluded.add(self._record.id)
             return None
         if x.stream.began:
             self._ended(AttemptEnd.FAILED)
@@ -428,11 +432,11 @@
         """A whole answer: the sizing learns from it."""
         x, now = self._x, self._x.clock()
         self._record.worked(self._began_at)
-        pool = x.dispatcher.pool(x.want.service, x.want.ref, now)
+        pool = x.dispatcher.pool(x.dispatch_request.service, x.dispatch_request.ref, now)
         first_ms, hold_ms = (self._first_at - self._began_at) * 1000.0, (now - self._began_at) * 1000.0
         pool.traffic.answered(first_ms, hold_ms, x.route.target_ms)
         if self._first_at - x.request.arrived_at > x.aim_s:
-            x.dispatcher.overran(x.want, now)
+            x.dispatcher.overran(x.dispatch_request, now)
 
     # --- Streams ----------------------------------------------------------------------------------------
     async def _pass_stream(self, message: RawResponseMessage, body: StreamReader) -> StreamEnd | None:
@@ -450,10 +454,10 @@
         if cutter.rest and connection.ends_with_connection:
             raise BrokenResponseError("a stream that ends within an event")
         await self._pass_bytes(message, cutter.rest)
-        self._whole = message
+        self._complete_answer = message
         await x.stream.end()
         self._answered()
-        return StreamEnd(whole=True)
+        return StreamEnd(is_complete=True)
 
     async def _pass_events(self, message: RawResponseMessage, events: list[Event]) -> None:
         passed: list[bytes] = []
--- a/granitewell/dataplane/request_queue.py
+++ b/granitewell/dataplane/request_queue.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, order=True)
-class Place(Generic[T]):
+class QueuePosition(Generic[T]):
     """A request's place in the line: priority (0 first), then the order of coming."""
 
     priority: int
@@ -25,39 +25,39 @@
     """No more requests may wait."""
 
 
-class WaitingLine(Generic[T]):
+class RequestQueue(Generic[T]):
     """In order of priority, then of coming."""
 
     def __init__(self, most: int = MAX_WAITING) -> None:
-        self._places: list[Place[T]] = []
+        self._positions: list[QueuePosition[T]] = []
         self._number = 0
         self._max = most
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._positions)
 
-    def __iter__(self) -> Iterator[Place[T]]:
-        return iter(list(self._places))
+    def __iter__(self) -> Iterator[QueuePosition[T]]:
+        return iter(list(self._positions))
 
-    def join(self, priority: int, request: T) -> Place[T]:
+    def join(self, priority: int, request: T) -> QueuePosition[T]:
         """Its place; raises QueueFullError."""
-        if len(self._places) >= self._max:
+        if len(self._positions) >= self._max:
             raise QueueFullError()
         self._number += 1
-        place = Place(priority, self._number, request)
-        insort(self._places, place)
-        return place
+        position = QueuePosition(priority, self._number, request)
+        insort(self._positions, position)
+        return position
 
-    def least_urgent(self) -> Place[T] | None:
+    def least_urgent(self) -> QueuePosition[T] | None:
         """The last of the line."""
-        return self._places[-1] if self._places else None
+        return self._positions[-1] if self._positions else None
 
-    def leave(self, place: Place[T]) -> None:
+    def leave(self, position: QueuePosition[T]) -> None:
         """Sent, or given up; leaving twice does no harm."""
-        if place in self._places:
-            self._places.remove(place)
+        if position in self._positions:
+            self._positions.remove(position)
 
     @property
     def full(self) -> bool:
         """Whether nobody more may join."""
-        return len(self._places) >= self._max
+        return len(self._positions) >= self._max
--- a/granitewell/dataplane/retry_budget.py
+++ b/granitewell/dataplane/retry_budget.py
@@ -21,11 +21,11 @@
     def __init__(self, ratio: float, slack: float, max_edges: int) -> None:
         self._ratio = RATIO_PART * ratio
         self._tokens = 0.0  # nothing at the start: a node that restarts often must not gain by it
-        self._max = _most_saved(slack, max_edges)
+        self._max = _max_saved(slack, max_edges)
 
-    def share_among(self, slack: float, max_edges: int) -> None:
+    def divide_among(self, slack: float, max_edges: int) -> None:
         """Another number of nodes: what has been saved beyond the new part is gone."""
-        self._max = _most_saved(slack, max_edges)
+        self._max = _max_saved(slack, max_edges)
         self._tokens = min(self._tokens, self._max)
 
     def earn(self) -> None:
@@ -40,7 +40,7 @@
         return True
 
 
-def _most_saved(slack: float, max_edges: int) -> float:
+def _max_saved(slack: float, max_edges: int) -> float:
     """Where the slack has not one repeat for each node, a node saves less than one and makes none.
 
     The sum of what all save must stay below it.
--- a/granitewell/dataplane/server_selection.py
+++ b/granitewell/dataplane/server_selection.py
@@ -87,12 +87,12 @@
         self.first_ms += (first_ms - self.first_ms) * part
         if self.answers >= EWMA_N:
             self._best_ms = max(min(self._best_ms * 1.0005, self.first_ms), 0.01)
-        aim = aim_ms or 5.0 * self.first_ms
-        self.samples.append((first_ms, max(aim, 1.0)))
+        target = aim_ms or 5.0 * self.first_ms
+        self.samples.append((first_ms, max(target, 1.0)))
         self._judged += 1.0
-        self._late += first_ms > aim
+        self._late += first_ms > target
 
-    def turned_away(self, after_ms: float) -> None:
+    def rejected_by_server(self, after_ms: float) -> None:
         """A server has refused, or no connection came up."""
         self.refusal_ms += (after_ms - self.refusal_ms) * 0.05
 
@@ -102,7 +102,7 @@
         return forecast(self._counts, self._setup_ms)
 
     @property
-    def late_share(self) -> float:
+    def late_fraction(self) -> float:
         """Of recent answers."""
         return self._late / max(self._judged, 3.0)
 
@@ -174,7 +174,7 @@
             return
         rate = BURST * edges * traffic.rate
         need = slots_needed(rate, traffic.hold_ms, traffic.refusal_ms, traffic.samples, hosts, self._rng)
-        self._prefix.resize(now * 1000.0, need, hosts, traffic.slow, traffic.late_share, self._reach)
+        self._prefix.resize(now * 1000.0, need, hosts, traffic.slow, traffic.late_fraction, self._reach)
 
     def _reach(self, servers: float) -> int:
         return min(max(math.ceil(servers - 1e-9), 1), len(self.servers))
@@ -192,8 +192,8 @@
         edges: int,
         passed_over: Collection[str] = (),
         excluded: Collection[str] = (),
-        kept_tokens: Mapping[str, int] | None = None,
-        has_room: Callable[[ServerRecord], bool] = lambda _: True,
+        cached_tokens: Mapping[str, int] | None = None,
+        has_capacity: Callable[[ServerRecord], bool] = lambda _: True,
         careful: bool = False,
     ) -> ServerRecord | None:
         """The server for a request; None if none may have it now.
@@ -201,7 +201,7 @@
         Args:
             passed_over: Servers that have had it, used again only where there are no others.
             excluded: Never used.
-            has_room: What else must hold.
+            has_capacity: What else must hold.
             careful: It has no second attempt, so servers in doubt are used only where there are no others.
         """
         patience = self.patience
@@ -211,13 +211,13 @@
                 return False
             if self._busy(record, edges) or not record.sound(now, patience, careful):
                 return False
-            return has_room(record) and not record.full(now)
+            return has_capacity(record) and not record.full(now)
 
         drawn = self._draw(now, fits)
-        if kept_tokens:
-            drawn = self._with_kept(drawn, now, kept_tokens, fits)
+        if cached_tokens:
+            drawn = self._with_kept(drawn, now, cached_tokens, fits)
         if drawn is None:
-            drawn = self._scan(now, edges, passed_over, excluded, has_room, careful)
+            drawn = self._scan(now, edges, passed_over, excluded, has_capacity, careful)
         return drawn
 
     def _draw(self, now: float, fits: Callable[[ServerRecord], bool]) -> ServerRecord | None:
@@ -240,15 +240,15 @@
         self,
         drawn: ServerRecord | None,
         now: float,
-        kept_tokens: Mapping[str, int],
+        cached_tokens: Mapping[str, int],
         fits: Callable[[ServerRecord], bool],
     ) -> ServerRecord | None:
         """A server that may have kept leading parts of the prompt, unless its load is clearly higher."""
         best, best_cost = drawn, math.inf
         if drawn is not None:
-            best_cost = drawn.cost(now) - kept_tokens.get(drawn.id, 0) / KEPT_TOKENS_A_REQUEST
+            best_cost = drawn.cost(now) - cached_tokens.get(drawn.id, 0) / KEPT_TOKENS_A_REQUEST
         for record in self.servers:
-            tokens = kept_tokens.get(record.id)
+            tokens = cached_tokens.get(record.id)
             if tokens is None or record is drawn or not fits(record):
                 continue
             cost = record.cost(now) - tokens / KEPT_TOKENS_A_REQUEST
@@ -262,7 +262,7 @@
         edges: int,
         passed_over: Collection[str],
         excluded: Collection[str],
-        has_room: Callable[[ServerRecord], bool],
+        has_capacity: Callable[[ServerRecord], bool],
         careful: bool,
     ) -> ServerRecord | None:
         """The same over the whole order.
@@ -270,12 +270,12 @@
         Past the prefix, then busy servers, then those that look ill or have had the request.
         """
         usable = self._usable(now, passed_over, excluded)
-        open_ones = [record for record in usable if not record.full(now) and has_room(record)]
+        open_ones = [record for record in usable if not record.full(now) and has_capacity(record)]
         if not open_ones:
             return None
         if careful:
             patience = self.patience
-            open_ones = [r for r in open_ones if not r.doubt.holds(now, patience)] or open_ones
+            open_ones = [r for r in open_ones if not r.suspicion.holds(now, patience)] or open_ones
         idle = [record for record in open_ones if not self._busy(record, edges)]
         return min(idle or open_ones, key=lambda record: record.cost(now))
 
--- a/granitewell/dataplane/servers.py
+++ b/granitewell/dataplane/servers.py
@@ -8,7 +8,7 @@
 
 import math
 
-from granitewell.dataplane.failure_suspicion import Doubt
+from granitewell.dataplane.failure_suspicion import FailureSuspicion
 from granitewell.dataplane.headers import ServerLoad
 from granitewell.domain.servers import Server
 
@@ -28,7 +28,7 @@
 
     __slots__ = (
         "_errors", "_failed_at", "_load", "_load_at", "_others_running", "_others_waiting", "_read_s",
-        "_refused_until", "_silent_since", "avoided_until", "doubt", "failures", "in_flight", "server",
+        "_refused_until", "_unresponsive_since", "avoided_until", "suspicion", "failures", "in_flight", "server",
         "unanswered",
     )  # fmt: skip
 
@@ -38,11 +38,11 @@
         self.unanswered = 0  # of those, the ones without a first byte of their answer
         self.failures = 0  # in a row
         self._errors = 0  # the same for failures that it answered with
-        self.doubt = Doubt()  # for requests without a second attempt
+        self.suspicion = FailureSuspicion()  # for requests without a second attempt
         self.avoided_until = -math.inf
         self._failed_at = -math.inf
         self._refused_until = -math.inf
-        self._silent_since = math.inf
+        self._unresponsive_since = math.inf
         self._read_s = 0.0  # mean time to a first byte for each request in line there, 0: not known
         self._load: ServerLoad | None = None
         self._load_at = -math.inf
@@ -58,14 +58,14 @@
     def sent(self, now: float) -> None:
         """A request is on its way there."""
         if not self.unanswered:
-            self._silent_since = now
+            self._unresponsive_since = now
         self.in_flight += 1
         self.unanswered += 1
 
     def answered(self, now: float) -> None:
         """An answer has begun."""
         self.unanswered -= 1
-        self._silent_since = now if self.unanswered else math.inf
+        self._unresponsive_since = now if self.unanswered else math.inf
 
     def first_byte_came(self, after_s: float, waiting: float) -> None:
         """An answer began so long after it was sent there, when so many were held to wait."""
@@ -82,7 +82,7 @@
         """A request was not sent after all, or nobody waits for its answer."""
         self.unanswered -= 1
         if not self.unanswered:
-            self._silent_since = math.inf
+            self._unresponsive_since = math.inf
 
     def ended(self) -> None:
         """A request is there no longer."""
@@ -91,7 +91,7 @@
     def erred(self, now: float) -> None:
         """It answered with a failure of its own: a few of them in a row speak against it."""
         self._errors += 1
-        self.doubt.erred(now)
+        self.suspicion.erred(now)
         if self._errors >= ERRORS_IN_A_ROW:
             self._errors = 0
             self.failed(now)
@@ -99,14 +99,14 @@
     def worked(self, began_at: float) -> None:
         """A whole answer speaks for the server, unless the request went there before its last failure."""
         self._errors = 0
-        self.doubt.succeeded(began_at)
+        self.suspicion.succeeded(began_at)
         if began_at >= self._failed_at:
             self.failures = 0
             self.avoided_until = -math.inf
 
     def failed(self, now: float) -> None:
         """It could not be reached, broke off, or sent what is no answer."""
-        self.doubt.broke(now)
+        self.suspicion.broke(now)
         if now < self.avoided_until:
             return  # requests that were there together failed together: this counts once
         self._failed_at = now
@@ -118,7 +118,7 @@
         """It turned a request away unseen."""
         self._refused_until = now + REFUSED_FOR_S
 
-    def load_told(self, load: ServerLoad, now: float) -> None:
+    def load_reported(self, load: ServerLoad, now: float) -> None:
         """It has said how loaded it is."""
         self._load, self._load_at = load, now
         self._others_running = max(load.running - (self.in_flight - self.unanswered), 0)
@@ -155,7 +155,7 @@
 
     def suspect(self, now: float, patience: float) -> bool:
         """Whether it owes answers and has begun none for so long."""
-        return now - self._silent_since > patience
+        return now - self._unresponsive_since > patience
 
     def sound(self, now: float, patience: float, careful: bool = False) -> bool:
         """Whether nothing speaks against it.
@@ -165,4 +165,4 @@
         """
         if now < self.avoided_until or self.suspect(now, patience):
             return False
-        return not (careful and self.doubt.holds(now, patience))
+        return not (careful and self.suspicion.holds(now, patience))
--- a/granitewell/dataplane/upstream.py
+++ b/granitewell/dataplane/upstream.py
@@ -305,7 +305,7 @@
             self.idle_for = SILENT_KEEP_ALIVE_S
         else:
             self.idle_for = max(told - KEEP_ALIVE_MARGIN_S, told * KEEP_ALIVE_PART)
-        if self._surplus or not self._body.whole or not self.all_written:
+        if self._surplus or not self._body.is_complete or not self.all_written:
             self.force_close()
 
 
--- a/tests/dataplane/node_world.py
+++ b/tests/dataplane/node_world.py
@@ -296,8 +296,8 @@
 
 
 def _check_passed_answer(world: World, request: Sent, answer: Message, arrivals: list[Arrival]) -> None:
-    sealed = answer.header("Granitewell-Response-Seal") is not None
-    if answer.header("Granitewell-Request-Id") != request.id or not sealed:
+    is_signed = answer.header("Granitewell-Response-Seal") is not None
+    if answer.header("Granitewell-Request-Id") != request.id or not is_signed:
         raise ViolationError(f"{request} gets an answer to another one: {answer}")
     events = [b"id: %d\ndata: %s\n\n" % (k, request.id.encode()) for k in range(1, EVENTS + 1)]
     streams = answer.status == 200 and request.name in ("stream", "resume")
@@ -322,7 +322,7 @@
     """No place in a line, no request counted at a server, none under way."""
     for state in s.plane._dispatcher._services.values():
         counts = [(record.in_flight, record.unanswered) for record in state.records.values()]
-        if state.line or any(count != (0, 0) for count in counts):
-            raise ViolationError(f"{len(state.line)} in line, {counts} at servers")
-    if s.plane._exchanges or s.plane._front._busy or s.plane._upstreams._busy:
+        if state.queue or any(count != (0, 0) for count in counts):
+            raise ViolationError(f"{len(state.queue)} in line, {counts} at servers")
+    if s.plane._forwarders or s.plane._http_server._busy or s.plane._upstreams._busy:
         raise ViolationError("requests or connections are left")
--- a/tests/dataplane/standin.py
+++ b/tests/dataplane/standin.py
@@ -255,7 +255,7 @@
             self.plane._dispatcher.budget(service).earn()
 
     async def connect(self) -> Client:
-        return Client(*await asyncio.open_connection("127.0.0.1", self.plane.front_port))
+        return Client(*await asyncio.open_connection("127.0.0.1", self.plane.client_port))
 
     async def call(self, target: str, method: str = "POST", body: bytes = b"", **headers: str) -> Message:
         """One request on a connection of its own."""
@@ -308,8 +308,8 @@
     try:
         yield made
     finally:
-        plane._front.stop_listening()
-        plane._front.abort()
+        plane._http_server.stop_listening()
+        plane._http_server.abort()
         plane._upstreams.close()
         plane._readiness.close()
         for stand_in in stand_ins:
--- a/tests/dataplane/test_dispatch.py
+++ b/tests/dataplane/test_dispatch.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitewell.dataplane.dispatch import MAX_POOLS, Dispatcher, Want
+from granitewell.dataplane.dispatch import MAX_POOLS, Dispatcher, DispatchRequest
 from granitewell.dataplane.headers import PromptPart, ServerLoad
 from granitewell.dataplane.request_queue import QueueFullError
 from granitewell.dataplane.server_selection import COMFORTABLE_PART, Pool
@@ -98,7 +98,7 @@
 
 def test_a_server_s_own_word_on_its_load_counts_for_a_while() -> None:
     made = pool(2)
-    made.servers[0].load_told(ServerLoad(6, 3, 6), 0.0)
+    made.servers[0].load_reported(ServerLoad(6, 3, 6), 0.0)
     assert set(picks(made, 50)) == {"s01"}
     assert set(picks(made, 50, now=20.0)) == {"s00", "s01"}
 
@@ -172,10 +172,10 @@
 def test_kept_parts_draw_a_request_unless_the_server_is_clearly_fuller() -> None:
     made = pool(6, 60, engine=True)
     home = made.servers[4]
-    assert {made.pick(0.0, 1, kept_tokens={"s04": 1200}) for _ in range(30)} == {home}
+    assert {made.pick(0.0, 1, cached_tokens={"s04": 1200}) for _ in range(30)} == {home}
     for _ in range(3):
         made.sent(home, 0.0)
-    assert home not in {made.pick(0.0, 1, kept_tokens={"s04": 1200}) for _ in range(30)}
+    assert home not in {made.pick(0.0, 1, cached_tokens={"s04": 1200}) for _ in range(30)}
 
 
 def test_the_prefix_grows_and_shrinks_with_the_traffic() -> None:
@@ -235,7 +235,7 @@
     return made
 
 
-class Waiter(Want):
+class Waiter(DispatchRequest):
     """A request that notes what it is granted."""
 
     def __init__(self, priority: int, service: str = "engine", ref: ModelRef | None = M1) -> None:
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -260,7 +260,7 @@
         async with scene(well) as s:
             plane: DataPlane = s.plane
             await plane.finish(GRACE_S)
-            for port in (plane.front_port, plane.ready_port):
+            for port in (plane.client_port, plane.ready_port):
                 with pytest.raises(ConnectionError):
                     await asyncio.open_connection("127.0.0.1", port)
 
--- a/tests/dataplane/test_edge.py
+++ b/tests/dataplane/test_edge.py
@@ -299,11 +299,11 @@
         async with scene(well) as s:
             without_configuration(s)
             call = asyncio.create_task(s.call("/once/x"))
-            while not s.plane._held_for_configuration:
+            while not s.plane._waiting_for_configuration:
                 await asyncio.sleep(0)
             s.plane.apply_configuration(configuration(2))
             assert (await call).status == 200
-            assert s.plane._held_for_configuration == 0
+            assert s.plane._waiting_for_configuration == 0
 
     play(run())
 
@@ -314,7 +314,7 @@
             without_configuration(s)
             answer = await s.call("/once/x", Granitewell_Deadline_Ms="25")
             assert answer.status == 503 and answer.header("Retry-After")
-            monkeypatch.setattr("granitewell.dataplane.edge.MAX_HELD_FOR_CONFIGURATION", 0)
+            monkeypatch.setattr("granitewell.dataplane.edge.MAX_WAITING_FOR_CONFIGURATION", 0)
             monkeypatch.setattr("granitewell.dataplane.edge.CONFIGURATION_HOLD_S", 1e9)
             assert (await s.call("/once/x", Granitewell_Deadline_Ms="100000000")).status == 503
 
@@ -1051,7 +1051,7 @@
             call = asyncio.create_task(s.call("/model/x", Granitewell_Model="m1"))
             while not s.demands:
                 await asyncio.sleep(0)
-            (exchange,) = s.plane._exchanges
+            (exchange,) = s.plane._forwarders
             exchange.expire()
             s.tell("engine", ["m1"])
             assert (await call).status in (200, 503)
@@ -1070,7 +1070,7 @@
             assert answer.status == 503 and answer.header("Retry-After")
             assert 0.4 < loop.time() - began < 0.9
             assert s.stand_ins[0].seen == []
-            assert s.plane._dispatcher._services["engine"].line._places == []
+            assert s.plane._dispatcher._services["engine"].queue._positions == []
 
     play(run())
 
--- a/tests/dataplane/test_failure_suspicion.py
+++ b/tests/dataplane/test_failure_suspicion.py
@@ -7,7 +7,12 @@
 
 import pytest
 
-from granitewell.dataplane.failure_suspicion import DOUBT_LASTS_S, MAX_PROOFS, PROOFS_AFTER_BREAK, Doubt
+from granitewell.dataplane.failure_suspicion import (
+    DOUBT_LASTS_S,
+    MAX_PROOFS,
+    PROOFS_AFTER_BREAK,
+    FailureSuspicion,
+)
 from granitewell.dataplane.server_selection import Pool
 from granitewell.dataplane.servers import FIRST_AVOIDANCE_S, ServerRecord
 from granitewell.domain.servers import Server, ServerState
@@ -17,7 +22,7 @@
 
 # --- The evidence -----------------------------------------------------------------------------------------
 def test_nothing_is_doubted_before_a_failure() -> None:
-    doubt = Doubt()
+    doubt = FailureSuspicion()
     doubt.written("a", 0.0)
     doubt.answered("a")
     doubt.succeeded(0.0)
@@ -25,7 +30,7 @@
 
 
 def test_a_break_is_doubted_until_whole_answers_in_a_row() -> None:
-    doubt = Doubt()
+    doubt = FailureSuspicion()
     doubt.broke(1.0)
     for _ in range(PROOFS_AFTER_BREAK):
         assert doubt.holds(2.0, PATIENCE_S)
@@ -34,7 +39,7 @@
 
 
 def test_answers_to_requests_from_before_the_failure_prove_nothing() -> None:
-    doubt = Doubt()
+    doubt = FailureSuspicion()
     doubt.erred(1.0)
     doubt.succeeded(0.9)
     assert doubt.holds(1.1, PATIENCE_S)
@@ -43,7 +48,7 @@
 
 
 def test_doubt_is_bounded_in_proofs_and_in_time() -> None:
-    doubt = Doubt()
+    doubt = FailureSuspicion()
     for _ in range(50):
         doubt.broke(1.0)
     for _ in range(MAX_PROOFS):
@@ -55,7 +60,7 @@
 
 
 def test_one_silent_request_counts_whatever_is_answered_since() -> None:
-    doubt = Doubt()
+    doubt = FailureSuspicion()
     doubt.written("mute", 0.0)
     for k in range(10):
         doubt.written(k, k * 0.1)
@@ -67,7 +72,7 @@
 
 
 def test_silence_is_remembered_once_its_request_is_given_up() -> None:
-    doubt = Doubt()
+    doubt = FailureSuspicion()
     doubt.written("left soon", 0.0)
     doubt.given_up("left soon", 0.1, PATIENCE_S)
     assert not doubt.holds(0.1, PATIENCE_S)
--- a/tests/dataplane/test_framing.py
+++ b/tests/dataplane/test_framing.py
@@ -34,7 +34,7 @@
         count = framing.take(part)
         total += count
         if count < len(part):
-            assert framing.whole
+            assert framing.is_complete
             break
     return total
 
@@ -66,21 +66,21 @@
 def test_chunks_end_behind_the_last_one_and_its_trailer(cuts: list[int], stray: bytes) -> None:
     framing = ChunkedFraming()
     assert taken(framing, pieces(CHUNKED + stray, cuts)) == len(CHUNKED)
-    assert framing.whole
+    assert framing.is_complete
 
 
 @given(st.integers(0, len(CHUNKED) - 1), CUTS)
 def test_chunks_that_are_cut_are_not_whole(length: int, cuts: list[int]) -> None:
     framing = ChunkedFraming()
     assert taken(framing, pieces(CHUNKED[:length], cuts)) == length
-    assert not framing.whole
+    assert not framing.is_complete
 
 
 @given(st.integers(0, 30), st.binary(max_size=40), CUTS)
 def test_a_body_of_known_length(length: int, data: bytes, cuts: list[int]) -> None:
     framing = LengthFraming(length)
     assert taken(framing, pieces(data, cuts)) == min(length, len(data))
-    assert framing.whole == (len(data) >= length)
+    assert framing.is_complete == (len(data) >= length)
 
 
 @pytest.mark.parametrize("data", [b"\r\n", b"x\r\n", b"-1\r\n", b";x\r\n", b"1 1\r\n"])
@@ -98,4 +98,4 @@
 
 def test_without_length_every_byte_belongs_to_the_body() -> None:
     framing = CloseFraming()
-    assert framing.take(b"abc") == 3 and not framing.whole
+    assert framing.take(b"abc") == 3 and not framing.is_complete
--- a/tests/dataplane/test_leaving_clients.py
+++ b/tests/dataplane/test_leaving_clients.py
@@ -36,10 +36,10 @@
 def assert_nothing_is_left(s: Scene) -> None:
     """No place in a line, no request counted at a server."""
     for state in s.plane._dispatcher._services.values():
-        assert not state.line
+        assert not state.queue
         for record in state.records.values():
             assert record.in_flight == record.unanswered == 0
-    assert not s.plane._exchanges and s.plane._front._busy == 0
+    assert not s.plane._forwarders and s.plane._http_server._busy == 0
 
 
 async def leave(client: Client, how: str) -> None:
@@ -142,10 +142,10 @@
             client = await s.connect()
             client.send("/once/x", Granitewell_Request_Id="1")
             await asyncio.sleep(0.1)
-            assert s.plane._held_for_configuration == 1
+            assert s.plane._waiting_for_configuration == 1
             client.close()
             await asyncio.sleep(0.1)
-            assert s.plane._held_for_configuration == 0
+            assert s.plane._waiting_for_configuration == 0
             s.plane.apply_configuration(configuration(2))
             await asyncio.sleep(1.0)
             assert s.stand_ins[0].seen == []
@@ -208,13 +208,13 @@
         async with scene(lambda seen: seen.answer(Keep_Alive="timeout=9")) as s:
             loop = asyncio.get_running_loop()
             assert (await s.call("/once/x")).status == 200
-            await _until(lambda: not s.plane._front._connections(), loop)
-            with socket.create_connection(("127.0.0.1", s.plane.front_port)) as client:
-                while not s.plane._front._connections():
+            await _until(lambda: not s.plane._http_server._connections(), loop)
+            with socket.create_connection(("127.0.0.1", s.plane.client_port)) as client:
+                while not s.plane._http_server._connections():
                     await asyncio.sleep(0)
                 head = b"POST /once/x HTTP/1.1\r\nHost: shop.example\r\nGranitewell-Request-Id: 1\r\n"
                 client.sendall(head + b"Content-Length: 0\r\n\r\n")
-            await _until(lambda: not s.plane._front._connections(), loop)
+            await _until(lambda: not s.plane._http_server._connections(), loop)
             assert (await s.call("/once/x")).status == 200
             assert len(s.stand_ins[0].seen) == 2
 
--- a/tests/dataplane/test_node_world.py
+++ b/tests/dataplane/test_node_world.py
@@ -11,7 +11,7 @@
 
 from granitewell.dataplane.dispatch import Dispatcher
 from granitewell.dataplane.request import Attempts
-from granitewell.dataplane.request_forwarder import Exchange
+from granitewell.dataplane.request_forwarder import RequestForwarder
 from tests.dataplane import test_planted_defects as defects
 from tests.dataplane.node_world import ViolationError, play
 from tests.dataplane.simulated_network import play_simulated
@@ -41,12 +41,12 @@
 
 
 def grants_are_not_given_back(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Dispatcher, "ended", lambda dispatcher, want, record, now: None)
+    patch.setattr(Dispatcher, "ended", lambda dispatcher, dispatch_request, record, now: None)
 
 
 def grace_is_not_kept(patch: pytest.MonkeyPatch) -> None:
     patch.setattr("granitewell.dataplane.edge.END_MARGIN_S", -1.0)
-    patch.setattr(Exchange, "expire", lambda exchange: None)
+    patch.setattr(RequestForwarder, "expire", lambda exchange: None)
 
 
 DEFECTS: tuple[Callable[[pytest.MonkeyPatch], None], ...] = (
--- a/tests/dataplane/test_planted_defects.py
+++ b/tests/dataplane/test_planted_defects.py
@@ -11,10 +11,10 @@
 
 from granitewell.dataplane.dispatch import Dispatcher
 from granitewell.dataplane.edge import DataPlane
-from granitewell.dataplane.failure_suspicion import Doubt
-from granitewell.dataplane.http_server import ClientConnection, Front, FrontServer
+from granitewell.dataplane.failure_suspicion import FailureSuspicion
+from granitewell.dataplane.http_server import ClientConnection, FrontServer, HttpServer
 from granitewell.dataplane.request import Attempts
-from granitewell.dataplane.request_forwarder import Exchange
+from granitewell.dataplane.request_forwarder import RequestForwarder
 from granitewell.dataplane.routes import RouteTable
 from granitewell.dataplane.servers import ServerRecord
 from granitewell.domain.configuration import Configuration
@@ -43,7 +43,7 @@
 
 
 def deadline_handed_on_unchanged(patch: Patch) -> None:
-    patch.setattr(Exchange, "left_s", property(lambda x: x.request.deadline - x.request.arrived_at))
+    patch.setattr(RequestForwarder, "left_s", property(lambda x: x.request.deadline - x.request.arrived_at))
 
 
 def deadline_of_the_route_only(patch: Patch) -> None:
@@ -88,7 +88,7 @@
 
 
 def last_answers_cut(patch: Patch) -> None:
-    patch.setattr(Front, "_unsent", lambda front: False)
+    patch.setattr(HttpServer, "_unsent", lambda front: False)
 
 
 def listener_closed_at_once(patch: Patch) -> None:
@@ -119,8 +119,8 @@
 
 
 def old_answers_prove(patch: Patch) -> None:
-    succeeded = Doubt.succeeded
-    patch.setattr(Doubt, "succeeded", lambda it, _: succeeded(it, it._failed_at))
+    succeeded = FailureSuspicion.succeeded
+    patch.setattr(FailureSuspicion, "succeeded", lambda it, _: succeeded(it, it._failed_at))
 
 
 def careful_requests_are_not(patch: Patch) -> None:
--- a/tests/dataplane/test_rules.py
+++ b/tests/dataplane/test_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitewell.dataplane.affinity import MAX_PREFIXES, MAX_SERVERS, PromptMemory
+from granitewell.dataplane.affinity import MAX_PREFIXES, MAX_SERVERS, PrefixAffinity
 from granitewell.dataplane.demand import REPORT_GAP_S, Demand
 from granitewell.dataplane.events import MAX_EVENT_BYTES, EventCutter, EventTooLongError, number_of
 from granitewell.dataplane.headers import (
@@ -27,14 +27,14 @@
 )
 from granitewell.dataplane.request import (
     CONSEQUENCES,
-    MAX_TRIES,
+    MAX_ATTEMPTS,
     PROMISES,
     AttemptEnd,
     Attempts,
     passes_unchanged,
     proves_not_executed,
 )
-from granitewell.dataplane.request_queue import QueueFullError, WaitingLine
+from granitewell.dataplane.request_queue import QueueFullError, RequestQueue
 from granitewell.dataplane.retry_budget import RetryBudget
 from granitewell.dataplane.routes import RouteTable, choose_service, host_name, path_of
 from granitewell.domain.configuration import Configuration, Route, RouteKind, WeightedService
@@ -206,7 +206,7 @@
     attempts = Attempts(route)
     runs = arrivals = 0
     for end in ends:
-        if attempts.tries and not attempts.may_repeat():
+        if attempts.attempts and not attempts.may_repeat():
             break
         attempts.begin()
         if end is not AttemptEnd.NOT_CONNECTED:
@@ -218,7 +218,7 @@
         runs += end in (AttemptEnd.FAILED, AttemptEnd.BROKEN)
     assert runs <= 1 or route.repeatable
     assert arrivals <= most
-    assert attempts.tries <= MAX_TRIES
+    assert attempts.attempts <= MAX_ATTEMPTS
     promised = attempts.failure_status in PROMISES or attempts.overdue_status in PROMISES
     assert promised == (runs == 0)
 
@@ -230,9 +230,11 @@
 
 
 @given(st.integers(100, 599), st.booleans(), st.booleans())
-def test_what_passes_is_a_sealed_success_or_no_false_promise(status: int, sealed: bool, marked: bool) -> None:
-    if passes_unchanged(status, sealed, marked):
-        assert sealed or not 200 <= status < 300
+def test_what_passes_is_a_sealed_success_or_no_false_promise(
+    status: int, is_signed: bool, marked: bool
+) -> None:
+    if passes_unchanged(status, is_signed, marked):
+        assert is_signed or not 200 <= status < 300
         assert marked or status not in (408, 421, 429, 503)
     if proves_not_executed(status, marked):
         assert status == 421 or marked
@@ -271,7 +273,7 @@
     assert not budget.spend()
     for _ in range(1000):
         budget.earn()
-    budget.share_among(56, 14)
+    budget.divide_among(56, 14)
     assert [budget.spend() for _ in range(3)] == [True, True, False]
 
 
@@ -286,7 +288,7 @@
 # --- Waiting line and demand ----------------------------------------------------------------------------
 @given(st.lists(st.integers(0, 9), max_size=30))
 def test_the_most_urgent_first_then_in_order(priorities: list[int]) -> None:
-    line: WaitingLine[int] = WaitingLine(most=20)
+    line: RequestQueue[int] = RequestQueue(most=20)
     for number, priority in enumerate(priorities[:20]):
         line.join(priority, number)
     got = [(place.priority, place.request) for place in line]
@@ -321,26 +323,26 @@
 
 # --- Affinity -------------------------------------------------------------------------------------------
 def test_leading_parts_are_remembered_by_pool_and_order() -> None:
-    memory = PromptMemory()
+    memory = PrefixAffinity()
     one, two, three = PromptPart("1", 100), PromptPart("2", 10), PromptPart("3", 1)
     memory.sent("p", [one, two], "s1")
     memory.sent("p", [one, three], "s2")
-    assert memory.kept_tokens("p", [one, two, three]) == {"s1": 110, "s2": 100}
-    assert memory.kept_tokens("p", [two]) == memory.kept_tokens("other", [one]) == {}
+    assert memory.cached_tokens("p", [one, two, three]) == {"s1": 110, "s2": 100}
+    assert memory.cached_tokens("p", [two]) == memory.cached_tokens("other", [one]) == {}
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 9)), max_size=50))
 def test_few_servers_are_remembered(sends: list[tuple[int, int]]) -> None:
-    memory = PromptMemory()
+    memory = PrefixAffinity()
     for part, server in sends:
         memory.sent("p", [PromptPart(str(part), 1)], str(server))
     for part, _ in sends:
-        assert len(memory.kept_tokens("p", [PromptPart(str(part), 1)])) <= MAX_SERVERS
+        assert len(memory.cached_tokens("p", [PromptPart(str(part), 1)])) <= MAX_SERVERS
 
 
 def test_what_is_remembered_is_bounded() -> None:
-    memory = PromptMemory()
+    memory = PrefixAffinity()
     for k in range(MAX_PREFIXES + 10):
         memory.sent("p", [PromptPart(str(k), 1)], "s")
     assert len(memory._servers) == MAX_PREFIXES
-    assert not memory.kept_tokens("p", [PromptPart("0", 1)])
+    assert not memory.cached_tokens("p", [PromptPart("0", 1)])
--- a/tests/dataplane/wire_defects.py
+++ b/tests/dataplane/wire_defects.py
@@ -101,14 +101,14 @@
 def bare_promise_passes(patch: pytest.MonkeyPatch) -> None:
     """A server's 503 without its word goes to the client."""
     patch.setattr(
-        request_forwarder, "passes_unchanged", lambda status, sealed, marked: sealed or status >= 300
+        request_forwarder, "passes_unchanged", lambda status, is_signed, marked: is_signed or status >= 300
     )
 
 
 def seal_not_needed(patch: pytest.MonkeyPatch) -> None:
     """A success without its seal goes to the client."""
     patch.setattr(
-        request_forwarder, "passes_unchanged", lambda status, sealed, marked: status not in PROMISES
+        request_forwarder, "passes_unchanged", lambda status, is_signed, marked: status not in PROMISES
     )
 
 
--- a/tests/dataplane/wire_world.py
+++ b/tests/dataplane/wire_world.py
@@ -1,4 +1,5 @@
-"""Requests through `Exchange` and `UpstreamPool` over connections in memory, on virtual time, byte by byte.
+"""Requests through `RequestForwarder` and `UpstreamPool` over connections in memory, on virtual time, byte by
+byte.
 
 A script says for each request that reaches a server what the server does: how many bytes of it it takes, how
 many of the answer it sends, and what happens then. `check` holds what came of it against the rules.
@@ -19,8 +20,8 @@
 from granitewell.dataplane.request_forwarder import (
     Answer,
     ClientRequest,
-    Exchange,
     OwnAnswer,
+    RequestForwarder,
     StreamEnd,
     WholeAnswer,
 )
@@ -32,7 +33,7 @@
 from tests.coordination.virtual_loop import VirtualLoop
 
 SERVICE = "plain"
-SEAL = "Granitewell-Response-Seal"
+SIGNATURE = "Granitewell-Response-Seal"
 LATENCY_S = 0.0005  # each way
 PAUSE_S = 0.05  # of a server that goes on
 GAP_S = 0.02  # between an answer and the next request
@@ -141,7 +142,7 @@
 def _head(status: int, request_id: str, *fields: str, seal: str | None = None) -> bytes:
     lines = [f"HTTP/1.1 {status} Word", f"Granitewell-Request-Id: {request_id}", "Keep-Alive: timeout=9"]
     if seal:
-        lines.append(f"{SEAL}: {seal}")
+        lines.append(f"{SIGNATURE}: {seal}")
     return "\r\n".join([*lines, *fields, "", ""]).encode()
 
 
@@ -626,7 +627,7 @@
             last_event_id=None, body=BODY, parts=(), arrived_at=now, deadline=now + TIMEOUT_MS / 1000.0,
         )  # fmt: skip
         caller = self.callers[request_id] = Caller(request)
-        exchange = Exchange(
+        exchange = RequestForwarder(
             self.dispatcher, self.pool, self.loop.time, self._wake_later, request, self.route, SERVICE, None,
             caller,
         )  # fmt: skip
@@ -671,7 +672,7 @@
         """Beyond the first requests, which met the script, all must be served. Raises Violation."""
         for caller in list(self.callers.values())[spoiled:]:
             answer = caller.answer
-            served = answer.whole if isinstance(answer, StreamEnd) else answer_status(answer) == 200
+            served = answer.is_complete if isinstance(answer, StreamEnd) else answer_status(answer) == 200
             if not served:
                 raise ViolationError(f"a request that met no trouble got {answer}")
 
@@ -698,7 +699,7 @@
             raise ViolationError("two answers to one request")
 
     def _check_whole(self, mine: list[Arrival], answer: WholeAnswer) -> None:
-        seal = _field(answer.headers, SEAL)
+        seal = _field(answer.headers, SIGNATURE)
         for arrival in mine:
             given = arrival.answer
             if given is None or (given.status, given.body, given.seal) != (answer.status, answer.body, seal):
@@ -713,17 +714,17 @@
         raise ViolationError(f"MIXED: nobody gave {answer} to this request")
 
     def _check_stream(self, mine: list[Arrival], caller: Caller, answer: StreamEnd) -> None:
-        if answer.whole != caller.ended:
+        if answer.is_complete != caller.ended:
             raise ViolationError("the client's end and the exchange's differ")
         events = [event(number) for number in range(1, EVENTS + 1)]
         prefixes = [b"".join(events[:count]) for count in range(EVENTS + 1)]
         if caller.passed not in prefixes:
             raise ViolationError(f"ORDER: {caller.passed!r}")
-        if answer.whole and caller.passed != prefixes[-1]:
+        if answer.is_complete and caller.passed != prefixes[-1]:
             raise ViolationError("ORDER: a cut stream looks complete")
-        if caller.status != 200 or _field(caller.headers, SEAL) not in [f"s.{a.number}" for a in mine]:
+        if caller.status != 200 or _field(caller.headers, SIGNATURE) not in [f"s.{a.number}" for a in mine]:
             raise ViolationError("MIXED: a stream with another head")
-        if answer.whole and not any(arrival.whole for arrival in mine):
+        if answer.is_complete and not any(arrival.whole for arrival in mine):
             raise ViolationError("MIXED: a stream that was cut looks complete")
 
 
