--- a/granitewell/controlplane/configuration/view.py
+++ b/granitewell/controlplane/configuration/view.py
@@ -30,8 +30,9 @@
     def apply(self, version: int, is_complete: bool, documents: Sequence[bytes]) -> Configuration | None:
         """Apply an update; return the new configuration, or None if it is not newer.
 
-        Raises: DeltaMismatchError: The update does not fit; the view stays as it was. Request the complete
-            configuration (as from version 0).
+        Raises:
+            DeltaMismatchError: The update does not fit; the view stays as it was. Request the complete
+                configuration (as from version 0).
         """
         if version <= self.version:
             return None
--- a/granitewell/coordination/consensus/group.py
+++ b/granitewell/coordination/consensus/group.py
@@ -403,7 +403,7 @@
             self._send(outgoing.address, self.name, codec.encode(outgoing.message))
 
     def _halt(self, halted: StateMachineHaltedError) -> None:
-        """Take no further part until the process is restarted; the disk stays as it is."""
+        """Take no further part until the process is restarted."""
         log.error("replica halted", group=self.name, reason=halted.reason, error=str(halted.error))
         self.halted_by = halted.error
         self._replica = None
--- a/granitewell/coordination/consensus/identity.py
+++ b/granitewell/coordination/consensus/identity.py
@@ -39,7 +39,8 @@
 """Index of the snapshot that contains the first members.
 
 A replica that joins starts at index 0. It lacks that snapshot, so it cannot append the entries after it
-without receiving it first. """
+without receiving it first.
+"""
 
 
 @dataclass(frozen=True)
--- a/granitewell/coordination/consensus/membership.py
+++ b/granitewell/coordination/consensus/membership.py
@@ -32,9 +32,12 @@
 class MemberView:
     """A member as the leader sees it.
 
-    Attributes: member: The member. seconds_since_contact: Seconds since its last reply or since the term
-        began; 0 for the leader itself. answering: Whether it has replied recently. caught_up: Whether all
-        committed entries are on its disk; while members change, the entry that began the change.
+    Attributes:
+        member: The member.
+        seconds_since_contact: Seconds since its last reply or since the term began; 0 for the leader itself.
+        answering: Whether it has replied recently.
+        caught_up: Whether all committed entries are on its disk; while members change, the entry that began
+            the change.
     """
 
     member: Member
--- a/granitewell/coordination/consensus/messages.py
+++ b/granitewell/coordination/consensus/messages.py
@@ -48,8 +48,9 @@
 class Vote(Message):
     """A candidate's request for a vote.
 
-    Attributes: leadership_transfer: Whether the previous leader has given up its lease and told the sender to
-        campaign.
+    Attributes:
+        leadership_transfer: Whether the previous leader has given up its lease and told the sender to
+            campaign.
     """
 
     last_index: int
--- a/granitewell/coordination/consensus/pending_messages.py
+++ b/granitewell/coordination/consensus/pending_messages.py
@@ -11,7 +11,8 @@
 """Maximum number of messages that wait for one write.
 
 Beyond it the oldest are dropped, as the network might lose them: while a disk refuses writes, replies to a
-peer's heartbeats would pile up. """
+peer's heartbeats would pile up.
+"""
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/coordination/consensus/read_staleness.py
+++ b/granitewell/coordination/consensus/read_staleness.py
@@ -20,7 +20,8 @@
 
 STAMPS_PER_S = 1_000_000
 """Resolution of stamps. They are taken from this process's clock, so that another process that ran under the
-same replica id never used the same ones. """
+same replica id never used the same ones.
+"""
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/coordination/consensus/roles.py
+++ b/granitewell/coordination/consensus/roles.py
@@ -12,8 +12,10 @@
 class Roles:
     """Role changes of one replica.
 
-    Attributes: leadership: Leader state; None while this replica does not lead. old_leader: Id of the last
-        leader that this replica followed, unless that one has transferred its leadership.
+    Attributes:
+        leadership: Leader state; None while this replica does not lead.
+        old_leader: Id of the last leader that this replica followed, unless that one has transferred its
+            leadership.
     """
 
     def __init__(self, core: Core, election: Election, target_voters: int) -> None:
--- a/granitewell/coordination/consensus/settings.py
+++ b/granitewell/coordination/consensus/settings.py
@@ -20,7 +20,8 @@
     """Minimum time between heartbeats.
 
     Wake-ups are on a grid of 50 ms (`WAKE_GRID_S`), so a heartbeat is sent every 0.15 s: a lease of 0.5 s
-    ends only after three are lost. """
+    ends only after three are lost.
+    """
 
     election_timeout_min_s: float = 0.65
     """Minimum election timeout. A follower that heard from its leader within this time grants no vote."""
--- a/granitewell/coordination/consensus/tracker.py
+++ b/granitewell/coordination/consensus/tracker.py
@@ -22,7 +22,7 @@
     """Progress of all peers, for one term.
 
     Attributes:
-        peers: Progress by replica peer_id.
+        peers: Progress by replica id.
     """
 
     def __init__(self, core: Core, now: float) -> None:
--- a/granitewell/coordination/consensus/types.py
+++ b/granitewell/coordination/consensus/types.py
@@ -81,8 +81,11 @@
 class Membership:
     """Voters after some entry, and the ids of the replicas removed last.
 
-    Attributes: voters: The voters. removed: Ids of the replicas removed last. outgoing_voters: While members
-        change, all voters from before the change, each of which still counts; else empty.
+    Attributes:
+        voters: The voters.
+        removed: Ids of the replicas removed last.
+        outgoing_voters: While members change, all voters from before the change, each of which still counts;
+            else empty.
     """
 
     voters: tuple[Member, ...] = ()
--- a/granitewell/coordination/durable_log.py
+++ b/granitewell/coordination/durable_log.py
@@ -92,9 +92,12 @@
     def rewrite(self, batch: int, payload: bytes, *, optional: bool) -> None:
         """Replace the file, after earlier batches are written, with a payload that stands for all of them.
 
-        Args: batch: Number of the batch. payload: The new contents. optional: Whether the rewrite only makes
-            the file shorter, so that it is dropped if the disk refuses it. It replaces batches in the queue
-            that are not shorter than it, so that the queue of a disk that refuses writes stays bounded.
+        Args:
+            batch: Number of the batch.
+            payload: The new contents.
+            optional: Whether the rewrite only makes the file shorter, so that it is dropped if the disk
+                refuses it. It replaces batches in the queue that are not shorter than it, so that the queue
+                of a disk that refuses writes stays bounded.
         """
         if self.waiting_bytes >= len(payload):
             optional = optional and not self._waiting
--- a/granitewell/lab/cluster/leases.py
+++ b/granitewell/lab/cluster/leases.py
@@ -74,7 +74,7 @@
 def aim(cluster: Cluster, role: str) -> list[str]:
     """Who has that role now."""
     machines = {node.id: planner_of(node) for node in cluster.nodes.values()}
-    up = {name: machine.seat for name, machine in machines.items() if machine is not None}
+    up = {name: machine.participant for name, machine in machines.items() if machine is not None}
     holders = [name for name in up if holds(cluster, cluster.nodes[name])]
     if role == "holder":
         return holders
--- a/granitewell/lab/cluster/leases_plants.py
+++ b/granitewell/lab/cluster/leases_plants.py
@@ -42,12 +42,14 @@
 }
 
 
-def _stored(self: persistence.Desk, event: Any, whole: Callable[..., Any] = persistence.Desk.stored) -> Any:
+def _stored(
+    self: persistence.Persistence, event: Any, whole: Callable[..., Any] = persistence.Persistence.stored
+) -> Any:
     return whole(self, replace(event, ok=True))
 
 
 def _write_then(
-    self: participant.Seat, record: Any, then: Any, whole: Any = participant.Seat.write_then
+    self: participant.Participant, record: Any, then: Any, whole: Any = participant.Participant.write_then
 ) -> Any:
     whole(self, record, None)
     return then
@@ -61,9 +63,9 @@
 
 def _give(self: Any, asked: Any, number: int, whole: Any = grants.Grants._give) -> None:
     """With term-ge the vote moves to whoever asks."""
-    record = self._seat.record
+    record = self._participant.record
     if asked.term == record.term and record.voted != asked.who:
-        self._seat.desk.record = replace(record, voted=asked.who)
+        self._participant.persistence.record = replace(record, voted=asked.who)
     whole(self, asked, number)
 
 
@@ -73,13 +75,13 @@
 
 
 def _lifeless(asked: Any, record: Any, promise: Any, now: int, me: int, whole: Any = voter.verdict) -> str:
-    why: str = whole(replace(asked, lives=record.lives), record, promise, now, me)
+    why: str = whole(replace(asked, incarnations=record.incarnations), record, promise, now, me)
     return why
 
 
-def _until(self: Any, lives: Any, whole: Any = rounds.Rounds.until) -> int:
-    return int(whole(self, {name: life for name, (life, _) in self._granted.items()} | {
-        name: lives[name] for name in lives if name not in self._granted}))  # fmt: skip
+def _until(self: Any, incarnations: Any, whole: Any = rounds.Rounds.until) -> int:
+    return int(whole(self, {name: incarnation for name, (incarnation, _) in self._granted.items()} | {
+        name: incarnations[name] for name in incarnations if name not in self._granted}))  # fmt: skip
 
 
 def _blank(settings: Any, count: int, bits: float, whole: Any = voter_recovery.blank) -> Any:
@@ -101,20 +103,20 @@
 
 def _handle(self: Any, now_us: int, event: object, whole: Any = state_machine.Leases.handle) -> list[object]:
     """Only when its timer is due does it see what time it is."""
-    participant = self.seat
+    participant = self.participant
     late = now_us if isinstance(event, Woken) else min(now_us, max(self.until_us - 1, participant.now_us))
     effects: list[object] = whole(self, late if self.until_us >= 0 else now_us, event)
     return effects
 
 
-def _granted(self: Any, name: str, body: Any, whole: Any = candidacy.Standing.granted) -> None:
+def _granted(self: Any, name: str, body: Any, whole: Any = candidacy.Candidacy.granted) -> None:
     for asked in self._rounds._asked:
-        self._rounds._asked[asked] = self._seat.now_us
+        self._rounds._asked[asked] = self._participant.now_us
     whole(self, name, body)
 
 
 _PATCHES: dict[str, tuple[tuple[Any, str, Any], ...]] = {
-    "vote-unwritten": ((participant.Seat, "write_then", _write_then),),
+    "vote-unwritten": ((participant.Participant, "write_then", _write_then),),
     "term-ge": ((grants, "verdict", _verdict), (grants.Grants, "_give", _give)),
     "lease-unshortened": ((types.Settings, "held", lambda self, lease_us: lease_us),),
     "lost-disk-votes": ((voter_recovery, "blank", _blank),),
@@ -127,8 +129,8 @@
     ),
     "promise-broken": ((grants, "verdict", _unpromised),),
     "clock-unread": ((state_machine.Leases, "handle", _handle),),
-    "counted-late": ((candidacy.Standing, "granted", _granted),),
-    "disk-trusted": ((persistence.Desk, "stored", _stored),),
+    "counted-late": ((candidacy.Candidacy, "granted", _granted),),
+    "disk-trusted": ((persistence.Persistence, "stored", _stored),),
 }
 
 
--- a/granitewell/lab/cluster/leases_rules.py
+++ b/granitewell/lab/cluster/leases_rules.py
@@ -75,10 +75,10 @@
         self.followed += isinstance(effect, Follows)
 
     def _fell(self, node: Node, machine: Leases) -> str | None:
-        durable = machine.seat.desk.durable
+        durable = machine.participant.persistence.durable
         if durable is None:
             return None
-        key, term = (node.id, durable.life), durable.term
+        key, term = (node.id, durable.incarnation), durable.term
         before = self._high.get(key, 0)
         self._high[key] = max(term, before)
         return f"term-fell: {node.id} was in term {before} and is in {term}" if term < before else None
@@ -100,25 +100,27 @@
         for name in self.names:
             voter = cluster.nodes[name]
             other = planner_of(voter)
-            if other is None or not other.seat.votes:
+            if other is None or not other.participant.votes:
                 continue  # it votes for nobody, and for a while after it is back
-            promise = other.seat.promise
-            kept = promise.to in (None, machine.seat.who) and voter.clock.real(promise.until_us) >= until
+            promise = other.participant.promise
+            kept = (
+                promise.to in (None, machine.participant.who) and voter.clock.real(promise.until_us) >= until
+            )
             short += not kept
-        if short >= machine.seat.settings.majority:
+        if short >= machine.participant.settings.majority:
             return f"outlived: {node.id} leads in term {machine.term} longer than {short} planners promise"
         return None
 
     def _said(self, cluster: Cluster, node: Node, machine: Leases, say: Say) -> str | None:
-        letter = letter_of(say.data)
-        if letter is None:
+        message = letter_of(say.data)
+        if message is None:
             return None
-        said = letter.said
+        said = message.said
         if isinstance(said, Ask) and said.leads and not machine.leads(node.clock.local(cluster.now_us)):
             return f"late-word: {node.id} says that it leads in term {said.term}, and its lease is over"
         if isinstance(said, Grant):
             to = (say.to, said.for_boot)
-            first = self._votes.setdefault((node.spec.address, said.life, said.term), to)
+            first = self._votes.setdefault((node.spec.address, said.incarnation, said.term), to)
             if first != to:
                 return f"voted-twice: {node.id} has granted term {said.term} to {first} and to {to}"
             return _unwritten(node, said, to, len(self.names))
--- a/granitewell/lab/cluster/leases_search.py
+++ b/granitewell/lab/cluster/leases_search.py
@@ -27,7 +27,7 @@
 from granitewell.lab.cluster.leases_tables import DRIFT_PPM, LEASE_US, NAMES, SETTINGS, WAKE, Came, Tables
 from granitewell.lab.cluster.search import Seen, search
 from granitewell.leases import voter_recovery
-from granitewell.leases.incarnations import life
+from granitewell.leases.incarnation_numbers import incarnation
 from granitewell.leases.record import FOUNDED, Record
 from granitewell.leases.types import State
 
@@ -40,7 +40,7 @@
     times: int = 0
     deaths: int = 0
     lost: int = 0
-    twins: int = 0
+    duplicate_identity: int = 0
     stands: int = 0
 
 
@@ -94,7 +94,7 @@
         for place, number in enumerate(world.processes):
             name = tables.processes[number].name
             yield from self._due(world, place, number)
-            if left.deaths or left.lost or left.twins:
+            if left.deaths or left.lost or left.duplicate_identity:
                 yield from self._deaths(world, place, number)
             rest = world.said & tables.to[name]
             while rest:
@@ -147,9 +147,11 @@
         if left.lost:
             less = world._replace(left=left._replace(lost=left.lost - 1))
             yield Step("loses its disk and starts again", number, place), self._again(less, place, None)
-        if left.twins and place < len(NAMES):
+        if left.duplicate_identity and place < len(NAMES):
             twin = self.tables.fresh(process.name, world.starts, world.time, None)
-            more = world._replace(left=left._replace(twins=left.twins - 1), starts=world.starts + 1)
+            more = world._replace(
+                left=left._replace(duplicate_identity=left.duplicate_identity - 1), starts=world.starts + 1
+            )
             yield Step("gets a twin", number, place), more._replace(processes=(*world.processes, twin))
 
     def _again(self, world: World, place: int, disk: bytes | None) -> World:
@@ -169,8 +171,8 @@
         who = NAMES[tables.processes[step.number].name] + ("'" if step.place >= len(NAMES) else "")
         what = step.what
         if what == "hears":
-            letter = tables.letters[step.other]
-            what = f"hears from {NAMES[letter.sender]}: {letter.words}"
+            message = tables.letters[step.other]
+            what = f"hears from {NAMES[message.sender]}: {message.words}"
         elif step.other >= 0:
             what = f"{what} {NAMES[tables.processes[step.other].name]}"
         return f"{who} {what}" + ("; it dies before that is written, and starts again" if step.dies else "")
@@ -193,9 +195,11 @@
 # --- Where a search begins ------------------------------------------------------------------------------
 def founded(planners: Planners, bounds: Bounds) -> World:
     """Three that have just come to their first votes; whatever may have been promised is over."""
-    lives, first, numbers = tuple(life(1, k / 10) for k in range(1, 4)), SETTINGS[0], []
+    incarnations, first, numbers = tuple(incarnation(1, k / 10) for k in range(1, 4)), SETTINGS[0], []
     for k in range(3):
-        record = Record(first.epoch, first.fleet, lives[k], FOUNDED, first.first_term, None, 0, lives)
+        record = Record(
+            first.epoch, first.fleet, incarnations[k], FOUNDED, first.first_term, None, 0, incarnations
+        )
         numbers.append(planners.tables.fresh(k, k + 1, 0, record.write(), 5 * LEASE_US))
     return World(0, tuple(numbers), 0, (), 0, 4, bounds)
 
--- a/granitewell/lab/cluster/leases_tables.py
+++ b/granitewell/lab/cluster/leases_tables.py
@@ -42,9 +42,9 @@
 START_US = 100_000_000  # of every clock, when the search begins
 WAKE = -1  # in place of a message's number
 _QUIET = (Here, Probe, Would)  # what is not kept among the messages
-_TELLING = (voter.TERM, voter.VOTED, voter.LIVES)  # the refusals that change who hears them
-_PARTS = (Leases, participant.Seat, persistence.Desk, grants.Grants, voter_recovery.Swearing, rounds.Rounds, candidacy.Standing,
-          duplicate_identity.Twins)  # fmt: skip
+_TELLING = (voter.TERM, voter.VOTED, voter.INCARNATIONS)  # the refusals that change who hears them
+_PARTS = (Leases, participant.Participant, persistence.Persistence, grants.Grants, voter_recovery.VoterRecovery, rounds.Rounds, candidacy.Candidacy,
+          duplicate_identity.DuplicateIdentityCheck)  # fmt: skip
 
 
 class Fixed(Random):
@@ -156,7 +156,7 @@
         number = self._numbers.setdefault(key, len(self.processes))
         if number == len(self.processes):
             machine = process.machine
-            self.processes.append(replace(process, waits=(machine.seat.boot, machine.term)))
+            self.processes.append(replace(process, waits=(machine.participant.boot, machine.term)))
         return number
 
     def look(self, number: int, time: int) -> Look:
@@ -202,10 +202,10 @@
         if self.processes[number].name == self.processes[other].name:
             return None
         if key not in self._stood:
-            self._stood[key] = self._stand(self.processes[number], self.processes[other], time)
+            self._stood[key] = self._campaign(self.processes[number], self.processes[other], time)
         return self._stood[key]
 
-    def _stand(self, process: Process, helper: Process, time: int) -> Came | None:
+    def _campaign(self, process: Process, helper: Process, time: int) -> Came | None:
         machine, now = clone(process.machine), self.now(process.name, time)
         probe = _say_to(machine.handle(now, Woken()), NAMES[helper.name])
         if machine.state is not State.PROBING or probe is None:
@@ -216,11 +216,11 @@
             return None
         came = self._handle(replace(process, machine=machine), time, Heard("", would))
         heard = self.processes[came.process].machine
-        term = heard.standing._heard_term
-        if heard.state is State.PROBING and term > process.machine.standing._heard_term:
+        term = heard.candidacy._heard_term
+        if heard.state is State.PROBING and term > process.machine.candidacy._heard_term:
             again = clone(process.machine)  # it has heard of a higher term, and tries again
-            again.standing._heard_term = term
-            return self._stand(replace(process, machine=again), helper, time)
+            again.candidacy._heard_term = term
+            return self._campaign(replace(process, machine=again), helper, time)
         return came if heard.state is State.CANDIDATE else None
 
     # --- Messages and votes -----------------------------------------------------------------------------
@@ -228,18 +228,18 @@
         """Numbers of the messages that were said, and the votes among them."""
         said, votes = [], 0
         for effect in effects:
-            letter = letter_of(effect.data) if isinstance(effect, Say) else None
-            if letter is None or not isinstance(effect, Say) or isinstance(letter.said, _QUIET):
+            message = letter_of(effect.data) if isinstance(effect, Say) else None
+            if message is None or not isinstance(effect, Say) or isinstance(message.said, _QUIET):
                 continue
-            if isinstance(letter.said, No) and letter.said.why not in _TELLING:
+            if isinstance(message.said, No) and message.said.why not in _TELLING:
                 continue
-            if isinstance(letter.said, Grant):
-                votes |= self._vote(process.name, effect.to, letter.said)
-            said.append(self._letter(process.name, effect, letter.said, letter.boot))
+            if isinstance(message.said, Grant):
+                votes |= self._vote(process.name, effect.to, message.said)
+            said.append(self._letter(process.name, effect, message.said, message.boot))
         return tuple(said), votes
 
     def _vote(self, voter_name: int, to: str, grant: Grant) -> int:
-        whose = (voter_name, grant.life, grant.term)
+        whose = (voter_name, grant.incarnation, grant.term)
         vote = self._votes.setdefault((*whose, to, grant.for_boot), 1 << len(self._votes))
         self._contests[whose] = self._contests.get(whose, 0) | vote
         return vote
@@ -297,9 +297,9 @@
     if isinstance(said, Ask):
         return "ask", said.term
     if isinstance(said, Grant):
-        return "grant", said.life, said.for_boot, said.term
+        return "grant", said.incarnation, said.for_boot, said.term
     if isinstance(said, No):
-        return "no", said.life, said.for_boot, said.term, said.why
+        return "no", said.incarnation, said.for_boot, said.term, said.why
     return ("one of its kind", number)
 
 
@@ -345,9 +345,9 @@
 
 def key_of(machine: Leases) -> tuple[Any, ...]:
     """All of a machine that what it does later can depend on, but for greetings and lines."""
-    participant, own, rounds = machine.seat, machine.standing, machine.standing._rounds
+    participant, own, rounds = machine.participant, machine.candidacy, machine.candidacy._rounds
     return (
-        own.state, machine.twins.waits_us, participant.began_us, participant.record, participant.desk.durable, participant.promise,
+        own.state, machine.duplicate_identity.waits_us, participant.began_us, participant.record, participant.persistence.durable, participant.promise,
         participant.votes, own.until_us, own.next_us, own._end_us, own._heard_term, own._raise_us, own._denials,
         rounds.last, tuple(rounds._asked.items()), tuple(sorted(rounds._granted.items())),
         machine.grants._given_up, tuple(sorted(_answers(machine))),
@@ -355,5 +355,5 @@
 
 
 def _answers(machine: Leases) -> Iterator[tuple[Any, ...]]:
-    for name, a in machine.swearing._answers.items():
-        yield name, a.asked, a.life, a.sworn, a.term, tuple(a.lives)
+    for name, a in machine.voter_recovery._answers.items():
+        yield name, a.asked, a.incarnation, a.sworn, a.term, tuple(a.incarnations)
--- a/granitewell/leases/__init__.py
+++ b/granitewell/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Which planner leads: terms, votes and leases among three to seven planners.
+"""Leases among three to seven planners: terms, votes, and which planner leads.
 
-Docs/design/leases.md says why it is safe; `machine.Leases` is what a shell runs.
+docs/design/leases.md explains why it is safe; `state_machine.Leases` is what a process runs.
 """
--- a/granitewell/leases/candidacy.py
+++ b/granitewell/leases/candidacy.py
@@ -1,7 +1,7 @@
-"""A planner that follows, stands or leads: its state (terms.TABLE), when it acts next, and its lease.
+"""Following, campaigning and leading of a planner: its state (types.TABLE), its timers, and its lease.
 
-It owns the states from FOLLOWER to HOLDER and every move between states. It must never say a vote of its own
-before that is on the disk, and never verify what it hears: machine does.
+This module owns the states from FOLLOWER to HOLDER and every transition between states. It never announces a
+vote of its own before that vote is on disk, and does not verify messages: state_machine does.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from dataclasses import replace
 
 from granitewell.leases import voter
-from granitewell.leases.incarnations import joined
-from granitewell.leases.participant import Seat
+from granitewell.leases.incarnation_numbers import joined
+from granitewell.leases.participant import Participant
 from granitewell.leases.persistence import Go
 from granitewell.leases.rounds import Rounds
 from granitewell.leases.types import TABLE, Cause, Leads, Lost, State
@@ -24,22 +24,33 @@
 _ASKING = (State.CANDIDATE, State.HOLDER)
 
 
-class Standing:
-    """state: see terms.
+class Candidacy:
+    """State of a planner that may vote.
 
     Attributes:
-        until_us: Of the lease, on our own clock; -1 for none.
-        next_us: When `due` is to be called.
+        state: Current state, see types.
+        until_us: End of the lease on the planner's own clock, in microseconds; -1 for none.
+        next_us: When `due` is to be called, in microseconds.
     """
 
-    __slots__ = ("_denials", "_end_us", "_heard_term", "_probed", "_raise_us", "_rounds", "_seat", "next_us",
-                 "state", "until_us")  # fmt: skip
-
-    def __init__(self, seat: Seat) -> None:
-        self._seat, self._rounds = seat, Rounds(seat.settings)
+    __slots__ = (
+        "_denials",
+        "_end_us",
+        "_heard_term",
+        "_participant",
+        "_probed",
+        "_raise_us",
+        "_rounds",
+        "next_us",
+        "state",
+        "until_us",
+    )
+
+    def __init__(self, participant: Participant) -> None:
+        self._participant, self._rounds = participant, Rounds(participant.settings)
         self.state = State.BLANK
         self.until_us = -1
-        self.next_us = self._raise_us = seat.now_us
+        self.next_us = self._raise_us = participant.now_us
         self._end_us = -1  # when the present try is over
         self._probed: tuple[int, tuple[str, ...]] = (0, ())  # the round, and who has said yes
         self._denials: tuple[str, ...] = ()  # who has voted for another in our term
@@ -47,84 +58,89 @@
 
     @property
     def _spread(self) -> int:
-        return self._seat.settings.lease_us // 4
+        return self._participant.settings.lease_us // 4
 
     @property
     def _next_term(self) -> int:
-        return max(self._seat.record.term, self._heard_term) + 1
+        return max(self._participant.record.term, self._heard_term) + 1
 
     # --- Moves ------------------------------------------------------------------------------------------
     def _move(self, cause: Cause) -> None:
         self.state = TABLE[self.state, cause]
 
     def _after(self, time_us: int) -> None:
-        self.next_us = time_us + self._seat.some(self._spread)
+        self.next_us = time_us + self._participant.some(self._spread)
 
     def sworn(self) -> None:
-        """We may vote, once what we may have promised is over."""
-        seat = self._seat
+        """Begin to vote, once earlier promises have expired."""
+        participant = self._participant
         self._move(Cause.SWORN)
-        seat.votes = True
-        self._after(max(seat.promise.until_us, seat.now_us))
+        participant.votes = True
+        self._after(max(participant.promise.until_us, participant.now_us))
 
     def look(self) -> None:
-        """Before anything else: is the lease, or the try, over by now?"""
-        now = self._seat.now_us
+        """Check whether the lease or the campaign has expired; called before each event."""
+        now = self._participant.now_us
         if self.state is State.HOLDER and now >= self.until_us:
-            self._seat.out.append(Line("lease", f"the lease of term {self._seat.record.term} is over"))
+            self._participant.out.append(
+                Line("lease", f"the lease of term {self._participant.record.term} is over")
+            )
             self._leave(Cause.LAPSED)
         elif self.state in (State.PROBING, State.CANDIDATE) and now >= self._end_us:
             self._leave(Cause.OVER)
 
     def gave(self) -> None:
-        """Another has our vote, or more time."""
+        """Record that another planner got this planner's vote, or an extension."""
         if self.state in (State.FOLLOWER, State.PROBING):
             self._move(Cause.GAVE)
-            self._after(self._seat.promise.until_us)
+            self._after(self._participant.promise.until_us)
 
     def freed(self, heir: str | None) -> None:
-        """Whoever had our vote gives up; the one that it names goes first."""
+        """Record that the planner that had this one's vote has stepped down.
+
+        The planner that it names campaigns first.
+        """
         if self.state is State.FOLLOWER:
-            self._after(self._seat.now_us + (self._spread if heir else 0))
-            if heir == self._seat.settings.name:
-                self.next_us = self._seat.now_us
+            self._after(self._participant.now_us + (self._spread if heir else 0))
+            if heir == self._participant.settings.name:
+                self.next_us = self._participant.now_us
 
-    def yield_(self) -> None:
-        """Let another that probes too go first."""
+    def defer(self) -> None:
+        """Let another planner that also probes campaign first."""
         if self.state is State.PROBING:
             self._leave(Cause.OVER)
 
     def end(self, cause: Cause) -> None:
-        """Stop for good, and hand over to whoever has granted last."""
+        """Stop for good, and transfer leadership to the planner that granted last."""
         if self.state in _ASKING:
             self._release(self._rounds.newest())
         self._move(cause)
 
     def _leave(self, cause: Cause) -> None:
-        """Back to following; free whoever has voted for us; try again some time later."""
+        """Become a follower; release all votes for this planner, and campaign again later."""
         if self.state in _ASKING:
             self._release(None)
         self._move(cause)
-        self._after(self._seat.now_us + self._spread)
+        self._after(self._participant.now_us + self._spread)
 
     def _lose(self) -> None:
         if self.until_us >= 0:
-            self._seat.out.append(Lost(self._seat.record.term))
+            self._participant.out.append(Lost(self._participant.record.term))
         self.until_us = -1
         self._rounds.clear()
 
     def _release(self, heir: str | None) -> None:
         """Give up the term for good."""
         self._lose()
-        seat = self._seat
-        if seat.promise.to == seat.who:
-            seat.promise = Promise(None, seat.now_us)
+        participant = self._participant
+        if participant.promise.to == participant.who:
+            participant.promise = Promise(None, participant.now_us)
         for road in Road:  # at once, and surely
-            seat.say_all(Release(seat.record.term, heir), road)
+            participant.say_all(Release(participant.record.term, heir), road)
 
     # --- Asking -----------------------------------------------------------------------------------------
     def due(self) -> None:
-        """The time of next_us has come."""
+        """Handle the timer `next_us`."""
         if self.state is State.FOLLOWER:
             self._ask_first()
         elif self.state is State.PROBING:
@@ -133,109 +149,132 @@
             self.ask()
 
     def _ask_first(self) -> None:
-        seat = self._seat
-        if seat.promise.against(seat.who, seat.now_us):
-            self._after(seat.promise.until_us)
+        participant = self._participant
+        if participant.promise.against(participant.who, participant.now_us):
+            self._after(participant.promise.until_us)
             return
         self._move(Cause.DUE)
-        self._end_us = seat.now_us + self._spread
-        self._probed = (self._rounds.ask(seat.now_us), ())
+        self._end_us = participant.now_us + self._spread
+        self._probed = (self._rounds.ask(participant.now_us), ())
         self._ask_again()
 
     def _ask_again(self) -> None:
-        """Those that have not said yes; they may not have heard us, or not have been free yet."""
-        seat, length = self._seat, self._seat.settings.lease_us
-        self.next_us = min(seat.now_us + length // PROBES_A_LEASE, self._end_us)
+        """Ask planners that have not granted again.
+
+        The message may be lost, or they may have been bound by a promise.
+        """
+        participant, length = self._participant, self._participant.settings.lease_us
+        self.next_us = min(participant.now_us + length // PROBES_A_LEASE, self._end_us)
         number, yes = self._probed
-        for name in seat.others:
+        for name in participant.others:
             if name not in yes:
-                seat.say(name, Probe(number, self._next_term, list(seat.record.lives), length))
+                participant.say(
+                    name, Probe(number, self._next_term, list(participant.record.incarnations), length)
+                )
 
     def would(self, name: str, body: Would) -> None:
-        """The answer to a probe."""
+        """Handle the answer to a probe."""
         number, yes = self._probed
-        if self.state is not State.PROBING or (body.for_boot, body.round) != (self._seat.boot, number):
+        if self.state is not State.PROBING or (body.for_boot, body.round) != (self._participant.boot, number):
             return
         self.hear(body.term)
-        if not body.why and name not in yes and body.life == self._seat.life_of(name):
+        if not body.why and name not in yes and body.incarnation == self._participant.incarnation_of(name):
             self._probed = (number, (*yes, name))
-        if len(self._probed[1]) + 1 >= self._seat.settings.majority:
+        if len(self._probed[1]) + 1 >= self._participant.settings.majority:
             self._move(Cause.ENOUGH)
-            self._stand()
+            self._campaign()
 
-    def _stand(self) -> None:
-        """Take a new term and vote for ourselves; nothing is said of it before it is on the disk."""
-        seat, length = self._seat, self._seat.settings.lease_us
+    def _campaign(self) -> None:
+        """Begin a new term and vote for this planner; the vote is announced only once it is on disk."""
+        participant, length = self._participant, self._participant.settings.lease_us
         self._rounds.clear()
         self._denials = ()
-        seat.promise = Promise(seat.who, seat.now_us + seat.settings.promised(length))
-        self.next_us = self._end_us = seat.now_us + length // 2 + seat.some(self._spread)
-        seat.write(replace(seat.record, term=self._next_term, voted=seat.who, lease_us=length), Go("ask"))
+        participant.promise = Promise(
+            participant.who, participant.now_us + participant.settings.promised(length)
+        )
+        self.next_us = self._end_us = participant.now_us + length // 2 + participant.some(self._spread)
+        participant.write(
+            replace(participant.record, term=self._next_term, voted=participant.who, lease_us=length),
+            Go("ask"),
+        )
 
     def ask(self) -> None:
-        """A round: of a candidate for votes, of a holder for more time. It is our own grant too."""
+        """Begin a round: a candidate asks for votes, a holder for an extension.
+
+        It is also the planner's own grant.
+        """
         if self.state not in _ASKING:
             return
-        seat, length = self._seat, self._seat.settings.lease_us
+        participant, length = self._participant, self._participant.settings.lease_us
         holds = self.state is State.HOLDER
-        seat.promise = Promise(seat.who, seat.now_us + seat.settings.promised(length))
+        participant.promise = Promise(
+            participant.who, participant.now_us + participant.settings.promised(length)
+        )
         end = self.until_us if holds else self._end_us
-        self.next_us = min(seat.now_us + length // ROUNDS_A_LEASE, end)
-        number = self._rounds.ask(seat.now_us)
-        seat.say_all(Ask(number, seat.record.term, list(seat.record.lives), length, holds))
+        self.next_us = min(participant.now_us + length // ROUNDS_A_LEASE, end)
+        number = self._rounds.ask(participant.now_us)
+        participant.say_all(
+            Ask(number, participant.record.term, list(participant.record.incarnations), length, holds)
+        )
 
     def granted(self, name: str, body: Grant) -> None:
-        """A vote, or more time: with a majority's we lead."""
-        seat = self._seat
-        if self.state not in _ASKING or (body.for_boot, body.term) != (seat.boot, seat.record.term):
+        """Handle a vote or an extension; with a majority the planner leads."""
+        participant = self._participant
+        if self.state not in _ASKING or (body.for_boot, body.term) != (
+            participant.boot,
+            participant.record.term,
+        ):
             return
-        self._rounds.grant(name, body.life, body.round)
-        until = self._rounds.until({n: seat.life_of(n) for n in seat.others})
-        if until <= max(self.until_us, seat.now_us):
+        self._rounds.grant(name, body.incarnation, body.round)
+        until = self._rounds.until({n: participant.incarnation_of(n) for n in participant.others})
+        if until <= max(self.until_us, participant.now_us):
             return
         self.until_us = until
         if self.state is State.CANDIDATE:
             self._move(Cause.ENOUGH)
-            self.next_us = seat.now_us  # tell the others at once
-        seat.out.append(Leads(seat.record.term, until))
+            self.next_us = participant.now_us  # tell the others at once
+        participant.out.append(Leads(participant.record.term, until))
 
     def denied(self, name: str, body: No) -> None:
-        """A refusal: what it says of disks is kept; of a higher term, or of our term's votes, followed."""
-        seat = self._seat
-        if body.for_boot != seat.boot:
+        """Handle a refusal: record the incarnations that it names, and follow a higher term."""
+        participant = self._participant
+        if body.for_boot != participant.boot:
             return
         self.hear(body.term)
-        lives = joined(seat.record.lives, body.lives)
-        if lives != seat.record.lives:
-            seat.write(replace(seat.record, lives=lives), None)
-        if body.why not in (voter.TERM, voter.VOTED) or body.term < seat.record.term:
+        incarnations = joined(participant.record.incarnations, body.incarnations)
+        if incarnations != participant.record.incarnations:
+            participant.write(replace(participant.record, incarnations=incarnations), None)
+        if body.why not in (voter.TERM, voter.VOTED) or body.term < participant.record.term:
             return
         if self.state is State.HOLDER:
             self._raise()
         elif self.state is State.CANDIDATE:
             self._denials = tuple(sorted({*self._denials, name}))
-            left = len(seat.settings.names) - len(self._denials)
-            if body.why == voter.TERM or left < seat.settings.majority:
+            left = len(participant.settings.names) - len(self._denials)
+            if body.why == voter.TERM or left < participant.settings.majority:
                 self._leave(Cause.OVER)
 
     # --- Higher terms -----------------------------------------------------------------------------------
     def hear(self, term: int) -> None:
-        """Somebody is, or was, in that term: we stand in a higher one."""
+        """Record that another planner is or was in a term, so that this one campaigns in a higher one."""
         if term < MAX_TERM:
             self._heard_term = max(self._heard_term, term)
 
     def floor(self, term: int) -> None:
-        """A plan of that term was taken: ours counts for nothing in a lower one."""
+        """Record that a plan of a term was accepted, so that this planner's plans need a higher one."""
         self.hear(term)
-        if self.state is State.HOLDER and term > self._seat.record.term:
+        if self.state is State.HOLDER and term > self._participant.record.term:
             self._raise()
 
     def _raise(self) -> None:
-        """Lead on in a term above the one heard of: at most once a lease, since it costs a moment without."""
-        seat = self._seat
-        if seat.now_us < self._raise_us:
+        """Continue to lead in a higher term.
+
+        At most once per lease, because it interrupts leadership briefly.
+        """
+        participant = self._participant
+        if participant.now_us < self._raise_us:
             return
-        self._raise_us = seat.now_us + seat.settings.lease_us
+        self._raise_us = participant.now_us + participant.settings.lease_us
         self._lose()
         self._move(Cause.OUTBID)
-        self._stand()
+        self._campaign()
--- a/granitewell/leases/duplicate_identity.py
+++ b/granitewell/leases/duplicate_identity.py
@@ -1,75 +1,84 @@
-"""Two processes that go by one name: how each finds out, and which of them gives way.
+"""Detection of two processes with the same name, and the choice of the one that gives way.
 
-It owns the comparison and how often a process says that it is here. It must never vote or lead. A process
-says so to its own address. What comes back under another boot may be from a former process of this name that
-is dead by now, so it is answered, and only what answers us is alive. The younger of two that are alive
-refuses itself.
+This module owns the comparison and how often a process announces itself. It never votes or leads. A process
+announces itself at its own address. What returns under another boot id may come from an earlier process of
+this name that no longer runs, so it is answered, and only what answers back is alive. The younger of two
+running processes refuses to work.
 
-Two disks of one name are safe all the same, by their lives. A disk that was copied is not told from the
-original but by this, so it votes for nobody new until a lease has passed since it started, and asks often
-meanwhile.
+Two disks of one name are safe in any case because of their incarnations. A copied disk can be distinguished
+from the original only by this check, so it votes for no one new until a lease has passed since its start, and
+announces itself often until then.
 """
 
 from __future__ import annotations
 
-from granitewell.leases.participant import Seat
+from granitewell.leases.participant import Participant
 from granitewell.protocols.peers.leases import Here
 from granitewell.state_machine import Line
 
-TIE_US = 1_000_000  # two that started so close together are told apart by their boots
+TIE_US = 1_000_000  # two that started this close together are distinguished by their boot ids
 HERES_A_LEASE = 32  # while it waits after its start; one a lease later
 
 
-class Twins:
-    """next_us: when `due` is to be called.
+class DuplicateIdentityCheck:
+    """Announcements of this process to its own address.
 
     Attributes:
-        waits_us: Until when we wait after our start.
+        next_us: When `due` is to be called, in microseconds.
+        waits_us: End of the wait after the start, in microseconds.
     """
 
-    __slots__ = ("_answer_us", "_seat", "next_us", "waits_us")
+    __slots__ = ("_answer_us", "_participant", "next_us", "waits_us")
 
-    def __init__(self, seat: Seat) -> None:
-        self._seat = seat
-        self.waits_us = max(seat.promise.until_us, seat.now_us + seat.settings.lease_us)
-        self.next_us = self._answer_us = seat.now_us
+    def __init__(self, participant: Participant) -> None:
+        self._participant = participant
+        self.waits_us = max(participant.promise.until_us, participant.now_us + participant.settings.lease_us)
+        self.next_us = self._answer_us = participant.now_us
 
     @property
     def _up_us(self) -> int:
-        return self._seat.now_us - self._seat.began_us
+        return self._participant.now_us - self._participant.began_us
 
     @property
     def _often_us(self) -> int:
-        return max(self._seat.settings.lease_us // HERES_A_LEASE, 1)
+        return max(self._participant.settings.lease_us // HERES_A_LEASE, 1)
 
     def due(self) -> None:
-        """Say that we are here, if it is time to."""
-        now = self._seat.now_us
+        """Announce this process, if it is time to."""
+        now = self._participant.now_us
         if now >= self.next_us:
-            self.next_us = now + (self._often_us if now < self.waits_us else self._seat.settings.lease_us)
-            self._seat.say_here(Here(self._up_us))
+            self.next_us = now + (
+                self._often_us if now < self.waits_us else self._participant.settings.lease_us
+            )
+            self._participant.say_here(Here(self._up_us))
 
     def heard(self, sender: str, boot: int, body: Here) -> str:
-        """Somebody else goes by our name. Why we refuse ourselves; empty where we do not."""
-        seat, now = self._seat, self._seat.now_us
-        if body.heard != seat.boot:  # a dead one's word, or one that has not heard of us
-            seat.say_here(Here(self._up_us, boot), sender)
+        """Handle an announcement under the same name; return why this process refuses to work, or ""."""
+        participant, now = self._participant, self._participant.now_us
+        if (
+            body.heard != participant.boot
+        ):  # an announcement of a dead process, or of one that has not heard from us
+            participant.say_here(Here(self._up_us, boot), sender)
             return ""
-        if younger(body, boot, seat.boot, self._up_us):
-            return f"a process that has been up for longer goes by our name, {seat.settings.name}"
-        seat.out.append(Line("twin", f"a younger process goes by our name, {seat.settings.name}"))
+        if younger(body, boot, participant.boot, self._up_us):
+            return f"a process that has been up for longer goes by our name, {participant.settings.name}"
+        participant.out.append(
+            Line("twin", f"a younger process goes by our name, {participant.settings.name}")
+        )
         if now >= self._answer_us:
             self._answer_us = now + self._often_us
-            seat.say_here(Here(self._up_us, boot), sender)
+            participant.say_here(Here(self._up_us, boot), sender)
         return ""
 
 
 def younger(here: Here, theirs: int, boot: int, up_us: int) -> bool:
-    """Whether we are the younger one.
+    """Return whether this process is the younger one.
 
     Args:
-        theirs, boot: The two boots.
-        up_us: How long we have been up.
+        theirs: Boot id of the other process.
+        boot: Boot id of this process.
+        up_us: How long this process has been running, in microseconds.
+        here: Announcement of the other process.
     """
     ahead = here.up_us - up_us
     return ahead > 0 if abs(ahead) > TIE_US else boot > theirs
--- a/granitewell/leases/participant.py
+++ b/granitewell/leases/participant.py
@@ -1,13 +1,13 @@
-"""What all parts of a planner share: its settings, its disk, its promise, the present time and what it says.
+"""What all parts of a planner share: settings, record, promise, current time, and outgoing messages.
 
-It owns the sealing and opening of letters. It must never decide anything.
+This module owns the sealing and opening of messages. It makes no decisions.
 """
 
 from __future__ import annotations
 
 from random import Random
 
-from granitewell.leases.persistence import Desk, Then
+from granitewell.leases.persistence import Persistence, Then
 from granitewell.leases.record import Record
 from granitewell.leases.types import Settings
 from granitewell.leases.voter import Promise, Who
@@ -18,20 +18,34 @@
 REFUSALS_US = 1_000_000  # at most one answer to an unknown version in so long
 
 
-class Seat:
+class Participant:
     """A planner's process.
 
     Attributes:
-        out: The effects of the event at hand.
-        now_us: When that is.
-        promise: The last one given.
+        out: Effects of the current event.
+        now_us: Time of the current event, in microseconds.
+        promise: The promise given last.
     """
 
-    __slots__ = ("_address", "_refusal_us", "began_us", "boot", "desk", "me", "now_us", "others", "out",
-                 "promise", "refused", "rng", "settings", "votes")  # fmt: skip
-
-    def __init__(self, settings: Settings, rng: Random, now_us: int, desk: Desk) -> None:
-        self.settings, self.rng, self.desk = settings, rng, desk
+    __slots__ = (
+        "_address",
+        "_refusal_us",
+        "began_us",
+        "boot",
+        "me",
+        "now_us",
+        "others",
+        "out",
+        "persistence",
+        "promise",
+        "refused",
+        "rng",
+        "settings",
+        "votes",
+    )
+
+    def __init__(self, settings: Settings, rng: Random, now_us: int, persistence: Persistence) -> None:
+        self.settings, self.rng, self.persistence = settings, rng, persistence
         self.now_us = self.began_us = self._refusal_us = now_us
         self.boot = 1 + int(rng.random() * (1 << 53))
         self.me = settings.names.index(settings.name)
@@ -44,78 +58,82 @@
 
     @property
     def record(self) -> Record:
-        """As it is in memory, which the disk may lag behind."""
-        return self.desk.record
+        """The record in memory, which the disk may lag behind."""
+        return self.persistence.record
 
     @property
     def who(self) -> Who:
-        """This process."""
+        """Name and boot id of this process."""
         return self.settings.name, self.boot
 
-    def life_of(self, name: str) -> int:
-        """The newest disk that we know of a planner."""
-        return self.record.lives[self.settings.names.index(name)]
+    def incarnation_of(self, name: str) -> int:
+        """Return the newest known incarnation of a planner."""
+        return self.record.incarnations[self.settings.names.index(name)]
 
-    def lives_said(self, record: Record) -> list[int]:
-        """What we tell others of disks.
+    def incarnations_announced(self, record: Record) -> list[int]:
+        """Return the incarnations that this planner announces.
 
-        Of our own only once it has a vote: before, it is no more than a claim, and an oath is the one way to
-        make it.
+        Its own is included only once its disk has a vote; before that it is only a claim, which voter
+        recovery alone makes.
         """
-        return [*record.lives[: self.me], record.life if self.votes else 0, *record.lives[self.me + 1 :]]
+        return [
+            *record.incarnations[: self.me],
+            record.incarnation if self.votes else 0,
+            *record.incarnations[self.me + 1 :],
+        ]
 
     def some(self, length_us: int) -> int:
-        """A random part of that."""
+        """Return a random part of a duration, in microseconds."""
         return int(self.rng.random() * length_us)
 
     def write(self, record: Record, then: Then | None) -> None:
-        """Take a new record; `then` follows once the disk has it."""
-        self.out.append(self.desk.write(record, then))
+        """Replace the record; `then` follows once the disk has it."""
+        self.out.append(self.persistence.write(record, then))
 
     def write_then(self, record: Record, then: Then) -> Then | None:
-        """The same, where nothing has to be written if the disk has it already: `then` may be done at once.
+        """Replace the record unless the disk has it already, in which case `then` follows at once.
 
-        Where just this is being written, nothing is to do: whoever asked will ask again.
+        If this very record is being written, nothing is done: the other planner will ask again.
         """
-        if record == self.record and self.desk.settled:
+        if record == self.record and self.persistence.is_idle:
             return then
-        if record != self.record or not self.desk.waiting:
+        if record != self.record or not self.persistence.waiting:
             self.write(record, then)
         return None
 
     def say(self, name: str, said: Said) -> None:
-        """To another planner."""
+        """Send a message to another planner."""
         self.send(self._address[name], said, Road.DATAGRAM)
 
     def say_all(self, said: Said, road: Road = Road.DATAGRAM) -> None:
-        """To all others."""
+        """Send a message to all other planners."""
         for name in self.others:
             self.send(self._address[name], said, road)
 
     def say_here(self, said: Said, address: str = "") -> None:
-        """To whoever else goes by our name, at our own address unless another is given."""
+        """Announce this process at its own address, or at another one."""
         self.send(address or self._address[self.settings.name], said, Road.STREAM)
 
     def send(self, address: str, said: Said, road: Road) -> None:
-        """To an address."""
-        letter = LETTERS.write(Letter(self.settings.fleet, self.boot, said))
-        self.out.append(Say(address, seal(Kind.LEASE, letter, self.settings.keys, self.settings.name), road))
+        """Send a message to an address."""
+        message = LETTERS.write(Letter(self.settings.fleet, self.boot, said))
+        self.out.append(Say(address, seal(Kind.LEASE, message, self.settings.keys, self.settings.name), road))
 
     def open(self, heard: Heard) -> tuple[str, int, Said] | None:
-        """Name and boot of who has said what, if it is for us and from one of our planners."""
+        """Return the name and boot id of a message's sender, if it is a planner of this fleet."""
         frame = open_(heard.data, self.settings.keys)
         if isinstance(frame, Refused):
             self._unread(heard, frame)
             return None
         if frame.kind != Kind.LEASE or frame.sender not in self._address:
             return None
-        letter = LETTERS.read(frame.body)
-        if letter is None:
+        message = LETTERS.read(frame.body)
+        if message is None:
             return None
-        if letter.fleet != self.settings.fleet:
+        if message.fleet != self.settings.fleet:
             self.out.append(Line("fleet", f"{frame.sender} has another list of planners, or another epoch"))
             return None
-        return frame.sender, letter.boot, letter.said
+        return frame.sender, message.boot, message.said
 
     def _unread(self, heard: Heard, refused: Refused) -> None:
         self.refused += 1
--- a/granitewell/leases/persistence.py
+++ b/granitewell/leases/persistence.py
@@ -1,7 +1,7 @@
-"""The record as it is in memory and on the disk, and what may be said only once it is there.
+"""The record in memory and on disk, and the messages that may be sent only once it is on disk.
 
-It owns the order: written first, said afterwards. It must never decide what is written. What the disk refuses
-is not said, and stays in memory as if it might be on the disk, which is the safe side of both.
+This module owns the order: write first, send afterwards. It does not decide what is written. What the disk
+refuses is not announced, and stays in memory as if it might be on disk, which is safe either way.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Say this to a planner, if the record has not moved on meanwhile."""
+    """Send a message to a planner, unless the record has changed in the meantime."""
 
     to: str
     body: Said
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Go:
-    """Go on with what waits for the disk: `step` names it."""
+    """Continue with a step that waits for the disk."""
 
     step: str
 
@@ -31,8 +31,13 @@
 Then = Reply | Go
 
 
-class Desk:
-    """record: as it is in memory; durable: as it was last on the disk for certain, None for not known."""
+class Persistence:
+    """The record of a planner.
+
+    Attributes:
+        record: The record in memory.
+        durable: The record that was last on disk for certain, None if unknown.
+    """
 
     __slots__ = ("_asked", "_token", "durable", "record")
 
@@ -43,31 +48,32 @@
         self._token = 0
 
     @property
-    def settled(self) -> bool:
-        """Whether all that is in memory is on the disk."""
+    def is_idle(self) -> bool:
+        """Whether everything in memory is on disk."""
         return self.durable == self.record
 
     @property
     def waiting(self) -> bool:
-        """Whether a write of just this record is under way."""
+        """Return whether a write of this very record is in progress."""
         return any(record == self.record for record, _ in self._asked.values())
 
     def write(self, record: Record, then: Then | None) -> Store:
-        """Take a new record, and write it."""
+        """Replace the record and write it."""
         self.record = record
         self._token += 1
         self._asked[self._token] = (record, then)
         return Store(KEY, record.write(), self._token)
 
     def stored(self, event: Stored) -> Then | None:
-        """What may be done now: nothing where the disk has refused, or the vote in question is not the
-        record's any more.
+        """Return what may be done now.
+
+        Nothing if the disk has refused the write, or if the record no longer contains the vote in question.
         """
         record, then = self._asked.pop(event.token, (None, None))
         if record is None:
             return None
         self.durable = record if event.ok else None
-        same = (record.term, record.voted, record.life) == (
-            self.record.term, self.record.voted, self.record.life,
+        same = (record.term, record.voted, record.incarnation) == (
+            self.record.term, self.record.voted, self.record.incarnation,
         )  # fmt: skip
         return then if event.ok and same else None
--- a/granitewell/leases/record.py
+++ b/granitewell/leases/record.py
@@ -1,7 +1,7 @@
-"""What a planner keeps on its disk, as one value that is written whole.
+"""What a planner keeps on its disk, as one value that is written completely.
 
-It owns the form of the value. It must never decide what is in it. The value is JSON with a version: a reader
-of an older version refuses a newer one rather than lose what it does not know.
+This module owns the format. The value is JSON with a version: an older program refuses a newer value rather
+than lose what it does not know.
 """
 
 from __future__ import annotations
@@ -15,45 +15,51 @@
 MOST = 2_000  # bytes
 BLANK, FOUNDED, OATH = "blank", "founded", "oath"
 _NUMBERS = ("epoch", "fleet", "life", "term", "lease_us")
+_STORED_NAMES = {"incarnation": "life", "incarnations": "lives"}
+"""Names of fields on the disk where they differ from those here."""
+_FIELD_NAMES = {stored: name for name, stored in _STORED_NAMES.items()}
 
 
 class MalformedRecordError(ValueError):
-    """A record that can't be read: what is wrong with it, in words.
+    """A record cannot be read.
 
-    To go on with an empty disk in its place is safe; to go on with an older record is not.
+    It is safe to continue with an empty disk in its place, but not with an older record.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """epoch, fleet: whose record it is (Settings).
+    """What a planner must remember.
 
     Attributes:
-        life: This disk's number; higher than that of any disk that this name has had.
-        sworn: How it came to its vote: not yet ("blank"), with its first disk ("founded"), or with a later
-            one ("oath").
-        term: The highest voted in or adopted.
-        voted: The name and boot of whom in that term; None: for nobody, and nobody may be.
-        lease_us: The longest lease that may have been promised with that vote.
-        lives: Of all planners, by name.
+        epoch: Epoch of the settings.
+        fleet: Digest of the planners' names and the epoch.
+        incarnation: Number of this disk; higher than that of any earlier disk of this name.
+        sworn: How the disk got its vote: not yet ("blank"), as a founder ("founded"), or by recovery
+            ("oath").
+        term: Highest term voted in or adopted.
+        voted: Name and boot id of the planner voted for in that term; None if no vote may be given in it.
+        lease_us: Longest lease that may have been promised with that vote, in microseconds.
+        incarnations: Incarnations of all planners, by name.
     """
 
     epoch: int
     fleet: int
-    life: int
+    incarnation: int
     sworn: str
     term: int
     voted: tuple[str, int] | None
     lease_us: int
-    lives: tuple[int, ...]
+    incarnations: tuple[int, ...]
 
     def write(self) -> bytes:
-        """The value."""
-        return json.dumps({"v": VERSION, **asdict(self)}, separators=(",", ":")).encode()
+        """Return the value to store."""
+        fields = {_STORED_NAMES.get(name, name): value for name, value in asdict(self).items()}
+        return json.dumps({"v": VERSION, **fields}, separators=(",", ":")).encode()
 
 
 def read(data: bytes, planners: int) -> Record:
-    """The record that a value holds. Raises MalformedRecordError."""
+    """Parse a stored value; raises MalformedRecordError."""
     if len(data) > MOST:
         raise MalformedRecordError(f"lease record: found {len(data)} bytes, allowed are {MOST}")
     try:
@@ -73,11 +79,17 @@
 
 
 def _record(fields: dict[str, Any], planners: int) -> Record:
-    voted, lives = fields["voted"], fields["lives"]
+    voted, incarnations = fields["voted"], fields["lives"]
     if voted is not None and [type(x) for x in voted] != [str, int]:
         raise MalformedRecordError(f"lease record: voted: found {voted!r}, allowed are null or [name, boot]")
-    if type(lives) is not list or len(lives) != planners or not all(map(_natural, lives)):
-        raise MalformedRecordError(f"lease record: lives: found {lives!r}, allowed are {planners} numbers")
+    if (
+        type(incarnations) is not list
+        or len(incarnations) != planners
+        or not all(map(_natural, incarnations))
+    ):
+        raise MalformedRecordError(
+            f"lease record: lives: found {incarnations!r}, allowed are {planners} numbers"
+        )
     for name in _NUMBERS:
         if not _natural(fields[name]):
             raise MalformedRecordError(
@@ -86,8 +98,8 @@
     if fields["sworn"] not in (BLANK, FOUNDED, OATH):
         raise MalformedRecordError(f"lease record: sworn: found {fields['sworn']!r}")
     pair = None if voted is None else (voted[0], voted[1])
-    numbers = {name: fields[name] for name in _NUMBERS}
-    return Record(sworn=fields["sworn"], voted=pair, lives=tuple(lives), **numbers)
+    numbers = {_FIELD_NAMES.get(name, name): fields[name] for name in _NUMBERS}
+    return Record(sworn=fields["sworn"], voted=pair, incarnations=tuple(incarnations), **numbers)
 
 
 def _natural(value: object) -> bool:
--- a/granitewell/leases/state_machine.py
+++ b/granitewell/leases/state_machine.py
@@ -1,17 +1,18 @@
-"""The planner that a shell runs: which of a few leads, by a lease that a majority grants.
+"""State machine of a planner: which of a few planners leads, by a lease that a majority grants.
 
-It owns which part hears of which event, and the start of a process. It must never let a part handle an event
-before the present time has been held against the lease.
+This module owns the dispatch of events to the parts of a planner, and the start of a process. No part handles
+an event before the current time has been checked against the lease.
 
-Theory of operation. A planner that hears of no holder first asks whether it would be voted for (PROBING),
-which changes nothing anywhere, so that one that is cut off does not raise terms. With a majority's yes it
-takes a new term, votes for itself, writes that down, and asks (CANDIDATE). A vote is written before it is
-said; it is also the first grant of the lease. With a majority, itself included, it leads (HOLDER) until the
-lease is over, counted from when it asked the round that the majority has granted; it asks again eight times a
-lease. Waits before probing are random, as are those after a failure; nobody has priority.
+Theory of operation. A planner that hears of no holder first asks whether it would be voted for (PROBING).
+That changes no state anywhere, so that a partitioned planner does not raise terms. If a majority says yes, it
+begins a new term, votes for itself, writes that to disk, and asks for votes (CANDIDATE). A vote is on disk
+before it is announced; it is also the first grant of the lease. With a majority, including itself, the
+planner leads (HOLDER) until the lease expires, counted from the beginning of the round that the majority has
+granted. It asks again eight times per lease. Waits before probing and after a failure are random; no planner
+has priority.
 
-Whoever comes late (a process that was stopped) compares the clock with its lease before anything else.
-Whoever stops, fails or lets its lease lapse says so, which frees its voters at once.
+A process that was stopped and continues late compares the clock with its lease before anything else. A
+planner that stops, fails or lets its lease lapse announces that, which frees its voters at once.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 from typing import assert_never
 
 from granitewell.leases import voter_recovery
-from granitewell.leases.candidacy import Standing
-from granitewell.leases.duplicate_identity import Twins
+from granitewell.leases.candidacy import Candidacy
+from granitewell.leases.duplicate_identity import DuplicateIdentityCheck
 from granitewell.leases.grants import Grants
-from granitewell.leases.incarnations import join
-from granitewell.leases.participant import Seat
-from granitewell.leases.persistence import Desk, Go, Reply, Then
+from granitewell.leases.incarnation_numbers import join
+from granitewell.leases.participant import Participant
+from granitewell.leases.persistence import Go, Persistence, Reply, Then
 from granitewell.leases.record import BLANK, KEY, OATH, MalformedRecordError, Record, read
 from granitewell.leases.types import LONGEST_US, Cause, Floor, Refuses, Settings, State, Stop
 from granitewell.leases.voter import Promise, at_start
-from granitewell.leases.voter_recovery import Swearing
+from granitewell.leases.voter_recovery import VoterRecovery
 from granitewell.protocols.peers.leases import (
     Ask,
     Grant,
@@ -52,99 +53,109 @@
 class Leases:
     """A planner.
 
-    Attributes: disk: What the shell has found, by key; an empty one is a new disk. Raises
-        MalformedRecordError where the record can't be read; a shell then stops, and an operator decides
-        whether to go on with a new disk.
+    Args:
+        settings: Settings of the protocol.
+        disk: Stored values by key; an empty one is a new disk.
+        now_us: Current time on the planner's own clock, in microseconds.
+        rng: Source of random numbers.
+
+    Raises:
+        MalformedRecordError: The record cannot be read. The process should stop, and an operator decide
+            whether to continue with a new disk.
     """
 
-    __slots__ = ("grants", "seat", "standing", "swearing", "twins")
+    __slots__ = ("grants", "participant", "candidacy", "voter_recovery", "duplicate_identity")
 
     def __init__(self, settings: Settings, rng: Random, now_us: int, disk: Mapping[str, bytes]) -> None:
         record = restored(settings, disk)
-        desk = Desk(record or voter_recovery.blank(settings, 1, rng.random()), record is not None)
-        seat = self.seat = Seat(settings, rng, now_us, desk)
-        seat.promise = at_start(desk.record, now_us, settings)
-        self.grants, self.swearing = Grants(seat), Swearing(seat)
-        self.standing, self.twins = Standing(seat), Twins(seat)
-        if desk.record.sworn != BLANK:
-            self.standing.sworn()
+        persistence = Persistence(
+            record or voter_recovery.blank(settings, 1, rng.random()), record is not None
+        )
+        participant = self.participant = Participant(settings, rng, now_us, persistence)
+        participant.promise = at_start(persistence.record, now_us, settings)
+        self.grants, self.voter_recovery = Grants(participant), VoterRecovery(participant)
+        self.candidacy, self.duplicate_identity = Candidacy(participant), DuplicateIdentityCheck(participant)
+        if persistence.record.sworn != BLANK:
+            self.candidacy.sworn()
 
     # --- What others see --------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
-        """When Woken is wanted; -1 for never."""
-        return -1 if self.state in _DONE else min(self.standing.next_us, self.twins.next_us)
+        """When a Woken event is wanted, in microseconds; -1 for never."""
+        return -1 if self.state in _DONE else min(self.candidacy.next_us, self.duplicate_identity.next_us)
 
     @property
     def state(self) -> State:
-        """Where we stand."""
-        return self.standing.state
+        """Current state."""
+        return self.candidacy.state
 
     @property
     def term(self) -> int:
-        """The highest we have voted in or adopted."""
-        return self.seat.record.term
+        """Highest term voted in or adopted."""
+        return self.participant.record.term
 
     @property
     def until_us(self) -> int:
-        """Until when we lead, on our own clock; -1 where we do not."""
-        return self.standing.until_us
+        """Until when this planner leads, on its own clock; -1 if it does not."""
+        return self.candidacy.until_us
 
     @property
     def follows(self) -> tuple[str, int]:
-        """Name and term of whoever said last that it leads."""
+        """Name and term of the planner that last claimed to lead."""
         return self.grants.follows
 
     def leads(self, now_us: int) -> bool:
-        """Whether we hold the lease at that time of our own clock."""
+        """Return whether this planner holds the lease at a time of its own clock."""
         return self.state is State.HOLDER and now_us < self.until_us
 
     # --- Events -----------------------------------------------------------------------------------------
     def handle(self, now_us: int, event: object) -> list[object]:
-        """Apply one event; the effects, in order. A time before the last one counts as the last one."""
-        self.seat.now_us = max(now_us, self.seat.now_us)
-        self.seat.out = []
+        """Apply one event; return the effects in order. A time before the last one counts as the last one."""
+        self.participant.now_us = max(now_us, self.participant.now_us)
+        self.participant.out = []
         if self.state not in _DONE:
-            self.standing.look()
+            self.candidacy.look()
             self._event(event)
-        return self.seat.out
+        return self.participant.out
 
     def _event(self, event: object) -> None:
         if isinstance(event, Heard):
-            letter = self.seat.open(event)
-            if letter is not None:
-                self._heard(event.sender, *letter)
+            message = self.participant.open(event)
+            if message is not None:
+                self._heard(event.sender, *message)
         elif isinstance(event, Woken):
             self._due()
         elif isinstance(event, Stored):
             self._stored(event)
         elif isinstance(event, Floor):
-            self.standing.floor(event.term)
+            self.candidacy.floor(event.term)
         elif isinstance(event, Stop):
-            self.standing.end(Cause.STOP)
+            self.candidacy.end(Cause.STOP)
 
     def _due(self) -> None:
-        self.twins.due()
-        if self.seat.now_us < self.standing.next_us:
+        self.duplicate_identity.due()
+        if self.participant.now_us < self.candidacy.next_us:
             return
         if self.state is State.BLANK:
             self._swear()
         else:
-            self.standing.due()
+            self.candidacy.due()
 
     def _stored(self, event: Stored) -> None:
         if not event.ok:
-            self.seat.out.append(Line("disk", "the disk has refused the lease record: no vote without it"))
-        then = self.seat.desk.stored(event)
+            self.participant.out.append(
+                Line("disk", "the disk has refused the lease record: no vote without it")
+            )
+        then = self.participant.persistence.stored(event)
         if then is not None:
             self._go_on(then)
 
     def _go_on(self, then: Then) -> None:
-        """What has waited for the disk."""
+        """Continue with a step that has waited for the disk."""
         if isinstance(then, Reply):
-            self.seat.say(then.to, then.body)
+            self.participant.say(then.to, then.body)
         elif then == Go("ask") and self.state is State.CANDIDATE:
-            self.standing.ask()
+            self.candidacy.ask()
         elif then == Go("swear") and self.state is State.BLANK:
             self._swear()
         elif then == Go("sworn") and self.state is State.BLANK:
@@ -152,81 +163,91 @@
 
     # --- A new disk -------------------------------------------------------------------------------------
     def _swear(self) -> None:
-        """Wait for somebody who goes by our name, then ask for our vote, again and again."""
-        seat, standing = self.seat, self.standing
-        if seat.now_us < self.twins.waits_us:
-            standing.next_us = self.twins.waits_us
+        """Wait for a duplicate process, then recover this disk's vote, repeatedly."""
+        participant, candidacy = self.participant, self.candidacy
+        if participant.now_us < self.duplicate_identity.waits_us:
+            candidacy.next_us = self.duplicate_identity.waits_us
             return
-        standing.next_us = seat.now_us + seat.settings.lease_us // OATHS_A_LEASE
-        if self.swearing.ask():
+        candidacy.next_us = participant.now_us + participant.settings.lease_us // OATHS_A_LEASE
+        if self.voter_recovery.ask():
             self._may_vote()
 
     def _may_vote(self) -> None:
-        """From now on; after an oath, once whatever we may have promised has run out."""
-        seat = self.seat
-        if seat.record.sworn == OATH:
-            seat.promise = Promise(None, seat.now_us + seat.settings.promised(LONGEST_US))
-        if seat.record.sworn != BLANK:
-            self.standing.sworn()
-            words = f"the new disk may vote ({seat.record.sworn}), above term {seat.record.term}"
-            seat.out.append(Line("sworn", words))
+        """Begin to vote; after a recovery, once earlier promises have expired."""
+        participant = self.participant
+        if participant.record.sworn == OATH:
+            participant.promise = Promise(
+                None, participant.now_us + participant.settings.promised(LONGEST_US)
+            )
+        if participant.record.sworn != BLANK:
+            self.candidacy.sworn()
+            text = f"the new disk may vote ({participant.record.sworn}), above term {participant.record.term}"
+            participant.out.append(Line("sworn", text))
 
     # --- Messages ---------------------------------------------------------------------------------------
     def _heard(self, sender: str, name: str, boot: int, said: Said) -> None:
-        if name != self.seat.settings.name:
-            if self._lives(said):
+        if name != self.participant.settings.name:
+            if self._incarnations_are_possible(said):
                 self._said(name, boot, said)
-        elif isinstance(said, Here) and boot != self.seat.boot:
-            self._refuse(self.twins.heard(sender, boot, said))
+        elif isinstance(said, Here) and boot != self.participant.boot:
+            self._refuse(self.duplicate_identity.heard(sender, boot, said))
 
-    def _lives(self, said: Said) -> bool:
-        """Whether what is said of disks can be; refuses ourselves where it says that ours is an old one."""
+    def _incarnations_are_possible(self, said: Said) -> bool:
+        """Return whether the incarnations in a message are possible.
+
+        This planner refuses to work if the message shows that its own disk is an old one.
+        """
         if isinstance(said, Would | Grant | Release | Oath | Here):
             return True
-        if len(said.lives) != len(self.seat.settings.names):
+        if len(said.incarnations) != len(self.participant.settings.names):
             return False
-        mine = self.seat.record.life
-        if self.seat.votes and join(said.lives[self.seat.me], mine) != mine:
+        mine = self.participant.record.incarnation
+        if self.participant.votes and join(said.incarnations[self.participant.me], mine) != mine:
             self._refuse("another process has taken our name with a newer disk")
             return False
         return True
 
     def _refuse(self, reason: str) -> None:
-        """Our name is another's: do nothing more."""
+        """Do nothing more, because another process uses this planner's name."""
         if reason:
-            self.standing.end(Cause.TWIN)
-            self.seat.out += [Line("twin", reason), Refuses(reason)]
+            self.candidacy.end(Cause.TWIN)
+            self.participant.out += [Line("twin", reason), Refuses(reason)]
 
     def _said(self, name: str, boot: int, said: Said) -> None:
+        match said:
+            case Oath():
+                self.voter_recovery.asked(name, said)
+            case Sworn():
+                if self.state is State.BLANK:
+                    self.voter_recovery.answered(name, said)
+            case Here():
+                pass
+            case _:
+                self._said_of_votes(name, boot, said)
+
+    def _said_of_votes(self, name: str, boot: int, said: Probe | Would | Ask | Grant | No | Release) -> None:
         match said:
             case Ask():
                 if self.grants.ask(name, boot, said):
-                    self.standing.gave()
+                    self.candidacy.gave()
             case Grant():
-                self.standing.granted(name, said)
+                self.candidacy.granted(name, said)
             case No():
-                self.standing.denied(name, said)
+                self.candidacy.denied(name, said)
             case Probe():
                 if self.grants.probe(name, boot, said, self.state is State.PROBING):
-                    self.standing.yield_()
+                    self.candidacy.defer()
             case Would():
-                self.standing.would(name, said)
+                self.candidacy.would(name, said)
             case Release():
                 if self.grants.release(name, boot, said):
-                    self.standing.freed(said.next)
-            case Oath():
-                self.swearing.asked(name, said)
-            case Sworn():
-                if self.state is State.BLANK:
-                    self.swearing.answered(name, said)
-            case Here():
-                pass
+                    self.candidacy.freed(said.next)
             case _:
                 assert_never(said)
 
 
 def restored(settings: Settings, disk: Mapping[str, bytes]) -> Record | None:
-    """The record on the disk; None for none of this epoch. Raises MalformedRecordError."""
+    """Return the record on the disk, None if there is none of this epoch; raises MalformedRecordError."""
     data = disk.get(KEY)
     if data is None:
         return None
--- a/granitewell/leases/types.py
+++ b/granitewell/leases/types.py
@@ -1,11 +1,11 @@
-"""What the lease protocol is set to, its states, and its own events and effects.
+"""Settings of the lease protocol, its states, and its own events and effects.
 
-It owns the figures, the table of states and the two allowances for drift. It must never hold state.
+This module owns the table of states and the two allowances for clock drift. It holds no state.
 
-A lease of length L is asked for by one clock and promised by others, each of which runs at a rate between 1 -
-drift and 1 + drift. Who asks counts from before the question leaves and to L (1 - drift) on its own clock,
-which is L at most; who promises counts from when the question has come and to L (1 + drift) on its own, which
-is L at least. So the promise outlives the lease, whatever the two clocks show (Gray and Cheriton 1989,
+A lease of length L is requested by one clock and promised by others, each of which runs at a rate between 1 -
+drift and 1 + drift. The requester counts from before the request is sent to L (1 - drift) on its own clock,
+which is at most L. The promiser counts from the arrival of the request to L (1 + drift) on its own clock,
+which is at least L. So the promise outlasts the lease, whatever the two clocks show (Gray and Cheriton 1989,
 "Leases: an efficient fault-tolerant mechanism for distributed file cache consistency").
 """
 
@@ -27,19 +27,19 @@
 
 
 class State(Enum):
-    """Where a planner stands."""
+    """State of a planner."""
 
-    BLANK = "blank"  # its disk is new: no vote until the others have heard of that
+    BLANK = "blank"  # its disk is new: no vote until the others know that
     FOLLOWER = "follower"
     PROBING = "probing"  # asks whether it would be voted for; nothing has changed yet
     CANDIDATE = "candidate"  # has voted for itself
     HOLDER = "holder"
-    REFUSED = "refused"  # its name is taken: it does nothing until it is started again
+    REFUSED = "refused"  # another process has its name: it does nothing until it is restarted
     STOPPED = "stopped"
 
 
 class Cause(Enum):
-    """What moves a planner."""
+    """Cause of a transition."""
 
     SWORN = "sworn"  # it may vote
     DUE = "due"  # nobody leads that it has heard of
@@ -71,20 +71,21 @@
 # --- Events and effects of its own ----------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The process is about to end: hand over."""
+    """The process is about to end: transfer leadership."""
 
 
 @dataclass(frozen=True, slots=True)
 class Floor:
-    """Somebody has taken a plan of this term: lead in a higher one or not at all."""
+    """A plan of this term was accepted: lead in a higher term or not at all."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class Leads:
-    """We lead in this term until then on our own clock, and not a microsecond longer without another of
-    these. The term is the fencing token: no other process ever leads in it.
+    """This planner leads in a term until a time on its own clock, unless another Leads extends it.
+
+    The term is the fencing token: no other process ever leads in it.
     """
 
     term: int
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Follows:
-    """Another says that it leads."""
+    """Another planner claims to lead."""
 
     name: str
     term: int
@@ -101,14 +102,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """We do not lead in this term any more, and never will again."""
+    """This planner no longer leads in a term, and never will again."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refuses:
-    """We do nothing more until the process is started again; an operator has to look."""
+    """This planner does nothing more until the process is restarted; an operator must act."""
 
     reason: str
 
@@ -116,15 +117,17 @@
 # --- Settings -------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """planners: names and addresses of all of them, this one included.
+    """Settings of a planner. Raises ValueError naming the field.
 
     Attributes:
-        epoch: Raised by the operator on all at once, to begin anew where more disks were lost than the
-            protocol can stand.
-        lease_us: How long a lease is; a longer one means fewer messages, and a longer gap after a holder's
-            death.
-        drift_ppm: The most that any clock runs off real time; 100,000 allows for a time daemon that slews as
-            hard as any does. Raises ValueError naming the field.
+        name: Name of this planner.
+        planners: Names and addresses of all planners, including this one.
+        keys: Keys that seal messages.
+        epoch: Raised by the operator on all planners at once, to start over if more disks were lost than the
+            protocol tolerates.
+        lease_us: Length of a lease, in microseconds. A longer one needs fewer messages, and leaves a longer
+            gap after the holder's death.
+        drift_ppm: Maximum drift of any clock in parts per million; 100,000 covers any time daemon that slews.
     """
 
     name: str
@@ -155,23 +158,26 @@
 
     @property
     def majority(self) -> int:
-        """How many make one."""
+        """How many planners are a majority."""
         return len(self.planners) // 2 + 1
 
     @property
     def first_term(self) -> int:
-        """That nobody leads in; every term of this epoch is higher, and lower than any of the next."""
+        """A term in which no one leads.
+
+        Every term of this epoch is higher, and lower than any term of the next.
+        """
         return self.epoch * TERMS_AN_EPOCH
 
     def held(self, lease_us: int) -> int:
-        """How long whoever has asked for such a lease may count on it, on its own clock.
+        """Return how long the requester of a lease may count on it, on its own clock, in microseconds.
 
-        A reading of a clock is cut to whole microseconds, hence one less.
+        One less, because readings of a clock are rounded down to whole microseconds.
         """
         return lease_us * (MILLION - self.drift_ppm) // MILLION - 1
 
     def promised(self, lease_us: int) -> int:
-        """How long whoever has granted such a lease must keep to it, on its own clock."""
+        """Return how long the promiser of a lease must keep it, on its own clock, in microseconds."""
         return -(-lease_us * (MILLION + self.drift_ppm) // MILLION) + 1
 
 
--- a/granitewell/leases/voter.py
+++ b/granitewell/leases/voter.py
@@ -1,20 +1,20 @@
-"""Whether a planner grants what another asks for: the promise, and the verdict with its reason.
+"""Whether a planner grants a request: the promise, and the verdict with its reason.
 
-It owns the rules of a vote. It must never write, say or change a record.
+This module owns the rules of a vote. It never writes, sends, or changes a record.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from granitewell.leases.incarnations import joined
+from granitewell.leases.incarnation_numbers import joined
 from granitewell.leases.record import Record
 from granitewell.leases.types import LONGEST_US, Settings
 
 Who = tuple[str, int]  # name and boot of a process
 
 NO_VOTE = "blank"  # the disk is new
-LIVES = "lives"  # the two know different disks of some planner
+INCARNATIONS = "lives"  # the two know different disks of some planner
 LENGTH = "length"  # a longer lease than there are, or than was voted for
 TERM = "term"  # lower than the one we are in
 VOTED = "voted"  # for another in this term, or for nobody
@@ -25,42 +25,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Not to help another to lead before until_us.
+    """A promise not to help another planner to lead before `until_us`.
 
     Attributes:
-        to: Whom it was given; None: not known, so it holds against everyone.
+        to: The planner that it was given to; None if unknown, so that it holds against everyone.
     """
 
     to: Who | None
     until_us: int
 
     def against(self, who: Who, now_us: int) -> bool:
-        """Whether it keeps us from voting for that process."""
+        """Return whether the promise forbids a vote for a process."""
         return now_us < self.until_us and self.to != who
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """What is asked: a vote in a term, or to lead on in one.
+    """A request: a vote in a term, or an extension of the lease.
 
     Attributes:
-        lives: By name, as who asks knows them.
+        incarnations: Incarnations by name, as the requester knows them.
     """
 
     who: Who
     term: int
     lease_us: int
-    lives: tuple[int, ...]
+    incarnations: tuple[int, ...]
 
 
 def verdict(asked: Question, record: Record, promise: Promise, now_us: int, me: int) -> str:
-    """Why not; empty for yes.
+    """Return why a request is refused; "" if it is granted.
 
     Args:
-        me: Our own place among the planners. Whether we have a vote at all is not asked here.
+        asked: The request.
+        record: This planner's record.
+        promise: The promise given last.
+        now_us: Current time, in microseconds.
+        me: Index of this planner. Whether it has a vote at all is not checked here.
     """
-    if asked.lives[me] != record.life or joined(asked.lives, record.lives) != asked.lives:
-        return LIVES
+    if (
+        asked.incarnations[me] != record.incarnation
+        or joined(asked.incarnations, record.incarnations) != asked.incarnations
+    ):
+        return INCARNATIONS
     if asked.term < record.term:
         return TERM
     again = asked.term == record.term
@@ -74,9 +81,10 @@
 
 
 def at_start(record: Record, now_us: int, settings: Settings) -> Promise:
-    """What a process that starts with this record must keep to.
+    """Return the promise that a process starting with a record must keep.
 
-    Every promise that its disk's former process can still be bound by was given to whom it voted for last: it
-    gave none to another before that one was over, and wrote each new one down before it said it.
+    Every promise that may still bind the disk's former process was given to the planner that it voted for
+    last: it gave none to another planner before that one had expired, and wrote each new one to disk before
+    announcing it.
     """
     return Promise(record.voted, now_us + settings.promised(max(record.lease_us, settings.lease_us)))
--- a/granitewell/leases/voter_recovery.py
+++ b/granitewell/leases/voter_recovery.py
@@ -1,28 +1,28 @@
-"""How a planner with a new disk comes to its vote.
+"""How a planner with a new disk gets its vote.
 
-It owns the number of its life and what the others have said of it. It must never vote.
+This module owns the number of its incarnation and what the others have said about it. It never votes.
 
-A planner that has lost its disk does not know in which terms it has voted, nor whom it has promised what. It
-takes a number for its new disk that is higher than any that the others know of it, and asks all of them to
-write that down. Two ways lead on:
+A planner that has lost its disk does not know in which terms it has voted, nor what it has promised to whom.
+It takes a number for its new disk that is higher than any that the others know, and asks all of them to write
+it down. There are two ways to continue:
 
-- **founded**: every other planner has written down our first life, so none has ever heard of an earlier disk
-  of ours,
-  and
-  none has itself come to its vote by oath. Then this is our first disk, and we have never voted.
-- **oath**: a majority of all planners, ourselves not among them, who have a vote have written it down. We
-  then
-  vote in no term up to the highest that any of them was in, and not before a longest lease has passed.
+- **founded**: every other planner has written down this planner's first incarnation, so none has ever heard
+  of an earlier disk of it, and none has itself got its vote by recovery. Then this is its first disk, and it
+  has never voted.
+- **oath** (recovery): a majority of all planners, not counting this one, that have a vote have written it
+  down. This planner then votes in no term up to the highest that any of them was in, and not before the
+  longest lease has passed.
 
-An answer counts only if nobody names a newer disk of whoever gave it. docs/design/leases.md has the proof.
+An answer counts only if no one names a newer disk of the planner that gave it. docs/design/leases.md has the
+proof.
 """
 
 from __future__ import annotations
 
 from dataclasses import replace
 
-from granitewell.leases.incarnations import count_of, join, joined, life, takes
-from granitewell.leases.participant import Seat
+from granitewell.leases.incarnation_numbers import count_of, incarnation, join, joined, takes
+from granitewell.leases.participant import Participant
 from granitewell.leases.persistence import Go, Reply
 from granitewell.leases.record import BLANK, FOUNDED, OATH, Record
 from granitewell.leases.types import LONGEST_US, Settings
@@ -32,97 +32,108 @@
 
 
 def blank(settings: Settings, count: int, bits: float) -> Record:
-    """The record of a name's count-th disk.
+    """Return the record of a name's count-th disk.
 
     Args:
-        bits: A random number from 0 up to 1.
+        settings: Settings of the protocol.
+        count: Which disk it is, from 1.
+        bits: Random number from 0 up to 1.
     """
-    mine = life(count, bits)
-    lives = tuple(mine if name == settings.name else 0 for name in settings.names)
-    return Record(settings.epoch, settings.fleet, mine, BLANK, settings.first_term, None, 0, lives)
+    mine = incarnation(count, bits)
+    incarnations = tuple(mine if name == settings.name else 0 for name in settings.names)
+    return Record(settings.epoch, settings.fleet, mine, BLANK, settings.first_term, None, 0, incarnations)
 
 
-class Swearing:
-    """answers: of the others, to our present life."""
+class VoterRecovery:
+    """Recovery of a new disk's vote.
 
-    __slots__ = ("_answers", "_seat")
+    Attributes:
+        answers: Answers of the other planners to the current incarnation.
+    """
+
+    __slots__ = ("_answers", "_participant")
 
-    def __init__(self, seat: Seat) -> None:
-        self._seat = seat
+    def __init__(self, participant: Participant) -> None:
+        self._participant = participant
         self._answers: dict[str, Sworn] = {}
 
     def ask(self) -> bool:
-        """Ask those who have not answered, or had no vote themselves; whether there is nothing more to ask.
+        """Ask the planners that have not answered or had no vote themselves.
 
-        What we have decided is on the disk first.
+        Returns whether no more need be asked. What has been decided is on disk first.
         """
-        seat = self._seat
-        if seat.record.sworn != BLANK:
-            return seat.write_then(seat.record, Go("sworn")) is not None
-        if seat.write_then(seat.record, Go("swear")) is None or self._decide():
+        participant = self._participant
+        if participant.record.sworn != BLANK:
+            return participant.write_then(participant.record, Go("sworn")) is not None
+        if participant.write_then(participant.record, Go("swear")) is None or self._decide():
             return False
-        for name in seat.others:
+        for name in participant.others:
             if name not in self._answers or self._answers[name].sworn == BLANK:
-                seat.say(name, Oath(seat.record.life))
+                participant.say(name, Oath(participant.record.incarnation))
         return False
 
     def asked(self, name: str, body: Oath) -> None:
-        """Write down another's new disk, and tell it what we know."""
-        seat, record = self._seat, self._seat.record
-        place = seat.settings.names.index(name)
-        if takes(record.lives[place], body.life):
-            others = record.lives[:place], record.lives[place + 1 :]
-            record = replace(record, lives=(*others[0], body.life, *others[1]))
-        lives = seat.lives_said(record)
-        answer = Sworn(body.life, record.life, record.sworn, record.term, lives)
-        if seat.write_then(record, Reply(name, answer)) is not None:
-            seat.say(name, answer)
+        """Write down another planner's new disk, and report what this one knows."""
+        participant, record = self._participant, self._participant.record
+        place = participant.settings.names.index(name)
+        if takes(record.incarnations[place], body.incarnation):
+            others = record.incarnations[:place], record.incarnations[place + 1 :]
+            record = replace(record, incarnations=(*others[0], body.incarnation, *others[1]))
+        incarnations = participant.incarnations_announced(record)
+        answer = Sworn(body.incarnation, record.incarnation, record.sworn, record.term, incarnations)
+        if participant.write_then(record, Reply(name, answer)) is not None:
+            participant.say(name, answer)
 
     def answered(self, name: str, body: Sworn) -> None:
-        """Keep an answer; with enough of them, write down that we may vote."""
-        seat, record = self._seat, self._seat.record
+        """Record an answer; with enough of them, write down that this planner may vote."""
+        participant, record = self._participant, self._participant.record
         if record.sworn != BLANK:
             return
-        known = body.lives[seat.me]
-        if count_of(known) >= count_of(record.life) and known != record.life:
+        known = body.incarnations[participant.me]
+        if count_of(known) >= count_of(record.incarnation) and known != record.incarnation:
             self._anew(count_of(known) + 1)
-        elif body.asked == record.life == known:
+        elif body.asked == record.incarnation == known:
             self._answers[name] = body
             self._decide()
 
     def _decide(self) -> bool:
-        """With answers enough, write down that we may vote.
+        """Write down that this planner may vote, if there are enough answers.
 
-        A first disk waits a while for all of them, since an oath would cost it a longest lease.
+        A first disk waits a while for all of them, because a recovery would cost it the longest lease.
         """
-        seat = self._seat
-        result = sworn(seat.settings, seat.record, self._answers)
-        early = seat.now_us < seat.began_us + FOUNDING_LEASES * seat.settings.lease_us
-        if result is None or (result.sworn == OATH and count_of(result.life) == 1 and early):
+        participant = self._participant
+        result = sworn(participant.settings, participant.record, self._answers)
+        early = participant.now_us < participant.began_us + FOUNDING_LEASES * participant.settings.lease_us
+        if result is None or (result.sworn == OATH and count_of(result.incarnation) == 1 and early):
             return False
-        seat.write(result, Go("sworn"))
+        participant.write(result, Go("sworn"))
         return True
 
     def _anew(self, count: int) -> None:
-        """Another disk of ours is known: take a number above it."""
-        seat = self._seat
+        """Take a higher number, because another disk of this name is known."""
+        participant = self._participant
         self._answers = {}
-        record = blank(seat.settings, count, seat.rng.random())
-        seat.write(replace(record, lives=joined(record.lives, seat.record.lives)), Go("swear"))
+        record = blank(participant.settings, count, participant.rng.random())
+        participant.write(
+            replace(record, incarnations=joined(record.incarnations, participant.record.incarnations)),
+            Go("swear"),
+        )
 
 
 def sworn(settings: Settings, record: Record, answers: dict[str, Sworn]) -> Record | None:
-    """The record with which we may vote, once there are answers enough."""
-    lives = record.lives
+    """Return the record with which this planner may vote, once there are enough answers."""
+    incarnations = record.incarnations
     for answer in answers.values():
-        lives = joined(lives, answer.lives)
-    place = settings.names.index
-    counted = [a for name, a in answers.items() if join(lives[place(name)], a.life) == a.life]
-    first = count_of(record.life) == 1 and all(a.sworn != OATH for a in counted)
+        incarnations = joined(incarnations, answer.incarnations)
+    index_of = settings.names.index
+    counted = [
+        a for name, a in answers.items() if join(incarnations[index_of(name)], a.incarnation) == a.incarnation
+    ]
+    first = count_of(record.incarnation) == 1 and all(a.sworn != OATH for a in counted)
     if first and len(counted) == len(settings.names) - 1:
-        return replace(record, lives=lives, sworn=FOUNDED)
+        return replace(record, incarnations=incarnations, sworn=FOUNDED)
     voters = [a for a in counted if a.sworn != BLANK]
     if len(voters) < settings.majority:
         return None
     term = max(a.term for a in voters)
-    return replace(record, lives=lives, sworn=OATH, term=term, lease_us=LONGEST_US)
+    return replace(record, incarnations=incarnations, sworn=OATH, term=term, lease_us=LONGEST_US)
--- a/granitewell/protocols/peers/leases.py
+++ b/granitewell/protocols/peers/leases.py
@@ -1,11 +1,11 @@
-"""Bodies of lease messages: what planners say to each other about who leads.
+"""Bodies of lease messages between planners.
 
-It owns their fields and bounds. It must never know what follows from them. Times are lengths in microseconds;
-no message carries a reading of a clock.
+This module owns their fields and bounds. Times are durations in microseconds; no message contains a reading
+of a clock.
 
-`life` is the number of a disk: it is higher for each disk that a name has had. `lives` lists what the sender
-knows of them, a number for each planner in the order of their names, 0 where it knows none. `for_boot` is the
-boot of the process that is answered, `round` the number under which that one asked.
+`incarnation` is the number of a disk: it is higher for each disk that a name has had. `incarnations` lists
+what the sender knows of them, a number for each planner in the order of their names, 0 if unknown. `for_boot`
+is the boot id of the process that is answered, `round` the number under which that process asked.
 """
 
 from __future__ import annotations
@@ -17,113 +17,122 @@
 from granitewell.protocols.peers.bodies import Bodies, Body, Name, Time
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-Lives = Annotated[list[Number], msgspec.Meta(min_length=3, max_length=7)]
+_WIRE_NAMES = {"incarnation": "life", "incarnations": "lives"}
+"""Names of fields on the wire where they differ from those here."""
 
+Incarnations = Annotated[list[Number], msgspec.Meta(min_length=3, max_length=7)]
 
-class Probe(Body, frozen=True, tag="probe"):
-    """Would you vote for me in this term? Changes nothing."""
+
+class Probe(Body, frozen=True, tag="probe", rename=_WIRE_NAMES):
+    """Asks whether the receiver would vote for the sender in a term; changes no state."""
 
     round: Number
     term: Number
-    lives: Lives
+    incarnations: Incarnations
     lease_us: Time
 
 
-class Would(Body, frozen=True, tag="would"):
-    """The answer.
+class Would(Body, frozen=True, tag="would", rename=_WIRE_NAMES):
+    """Answer to a Probe.
 
     Attributes:
-        term: The highest that the sender has voted in or adopted.
-        why: Empty for yes.
+        term: Highest term that the sender has voted in or adopted.
+        why: Reason of a refusal; "" for yes.
     """
 
     round: Number
     for_boot: Number
-    life: Number
+    incarnation: Number
     term: Number
     why: str = ""
 
 
-class Ask(Body, frozen=True, tag="ask"):
-    """Vote for me in this term, and let me lead for lease_us from when I asked.
-
-    Or, voted already, let me go on.
+class Ask(Body, frozen=True, tag="ask", rename=_WIRE_NAMES):
+    """Requests a vote in a term and a lease that begins with the request, or its extension.
 
     Attributes:
-        leads: The sender holds the lease now.
+        round: Number of the round.
+        term: The term.
+        incarnations: Known incarnations of all planners.
+        lease_us: Length of the lease, in microseconds.
+        leads: Whether the sender holds the lease now.
     """
 
     round: Number
     term: Number
-    lives: Lives
+    incarnations: Incarnations
     lease_us: Time
     leads: bool = False
 
 
-class Grant(Body, frozen=True, tag="grant"):
-    """Yes; it is on the disk."""
+class Grant(Body, frozen=True, tag="grant", rename=_WIRE_NAMES):
+    """Grants an Ask; the vote is on disk."""
 
     round: Number
     for_boot: Number
-    life: Number
+    incarnation: Number
     term: Number
 
 
-class No(Body, frozen=True, tag="no"):
-    """No, and why.
+class No(Body, frozen=True, tag="no", rename=_WIRE_NAMES):
+    """Refuses an Ask.
 
     Attributes:
-        term: The highest that the sender has voted in or adopted.
+        term: Highest term that the sender has voted in or adopted.
+        why: Reason of the refusal.
     """
 
     round: Number
     for_boot: Number
-    life: Number
+    incarnation: Number
     term: Number
     why: str
-    lives: Lives
+    incarnations: Incarnations
 
 
-class Release(Body, frozen=True, tag="release"):
-    """I neither lead in this term any more nor will again: what you have promised me in it is over.
+class Release(Body, frozen=True, tag="release", rename=_WIRE_NAMES):
+    """Announces that the sender does not lead in this term any more, so that promises made to it in it are
+    void.
 
     Attributes:
-        next: Whom I would like to follow me.
+        next: The planner that should lead next.
     """
 
     term: Number
     next: Name | None = None
 
 
-class Oath(Body, frozen=True, tag="oath"):
-    """I have a new disk, of this life: count nothing that an earlier one has said, and tell me what you
-    know.
+class Oath(Body, frozen=True, tag="oath", rename=_WIRE_NAMES):
+    """Announces a new disk.
+
+    The receiver should ignore what an earlier disk has said, and report what it knows.
     """
 
-    life: Number
+    incarnation: Number
 
 
-class Sworn(Body, frozen=True, tag="sworn"):
-    """asked: the life that the oath was for; whether it was taken shows in lives.
+class Sworn(Body, frozen=True, tag="sworn", rename=_WIRE_NAMES):
+    """Answer to an Oath.
 
     Attributes:
-        sworn: How the sender came to its vote: "blank" (it has none yet), "founded" (with its first disk) or
-            "oath".
+        asked: Incarnation that the Oath was for; `incarnations` shows whether it was recorded.
+        sworn: How the sender got its vote: "blank" (it has none), "founded" (as a founder) or "oath" (by
+            recovery).
     """
 
     asked: Number
-    life: Number
+    incarnation: Number
     sworn: str
     term: Number
-    lives: Lives
+    incarnations: Incarnations
 
 
-class Here(Body, frozen=True, tag="here"):
-    """To the sender's own address: whoever else hears it goes by the same name.
+class Here(Body, frozen=True, tag="here", rename=_WIRE_NAMES):
+    """Sent to the sender's own address: any other process that receives it uses the same name.
 
     Attributes:
-        up_us: How long this process has been up.
-        heard: The boot that this answers, 0 where it answers none.
+        up_us: How long this process has been running, in microseconds.
+        heard: Boot id that this answers, 0 if it answers none.
     """
 
     up_us: Time
@@ -133,13 +142,13 @@
 Said = Probe | Would | Ask | Grant | No | Release | Oath | Sworn | Here
 
 
-class Letter(Body, frozen=True, tag="lease"):
-    """What is sealed.
+class Letter(Body, frozen=True, tag="lease", rename=_WIRE_NAMES):
+    """The sealed message.
 
     Attributes:
-        fleet: A digest of the planners' names and the epoch, so that planners with different operator files
+        fleet: Digest of the planners' names and the epoch, so that planners with different operator files
             never count each other.
-        boot: A random number of the sender's process.
+        boot: Random number of the sender's process.
     """
 
     fleet: Number
--- a/granitewell/rpc/serialization.py
+++ b/granitewell/rpc/serialization.py
@@ -29,8 +29,11 @@
 def decode(kind: Any, data: bytes, check: Callable[[bytes], None] = check_struct) -> Any:
     """Decode a message of a given type.
 
-    Args: kind: Type of the message. data: Encoded message. check: Raises MalformedFrameError for bytes that
-        the thrift library must not see, because it trusts their counts.
+    Args:
+        kind: Type of the message.
+        data: Encoded message.
+        check: Raises MalformedFrameError for bytes that the thrift library must not see, because it trusts
+            their counts.
 
     Raises:
         MalformedFrameError: The bytes are not such a message.
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -23,7 +23,7 @@
 from granitewell.lab.cluster.links import Cut
 from granitewell.lab.cluster.world import Boot, Cluster, Node
 from granitewell.leases.duplicate_identity import younger
-from granitewell.leases.incarnations import A_COUNT, join, takes
+from granitewell.leases.incarnation_numbers import A_COUNT, join, takes
 from granitewell.leases.record import BLANK, FOUNDED, KEY, OATH, MalformedRecordError, Record, read
 from granitewell.leases.state_machine import Leases
 from granitewell.leases.types import (
@@ -55,7 +55,7 @@
 SECOND = 1_000_000
 FLEET = Settings("p1", planners(3), KEYS)
 FIRST = FLEET.first_term
-LIVES = tuple(k * 10 + A_COUNT for k in (1, 2, 3))
+INCARNATIONS = tuple(k * 10 + A_COUNT for k in (1, 2, 3))
 
 
 # --- One planner, by hand -------------------------------------------------------------------------------
@@ -64,7 +64,9 @@
 
     def __init__(self, disk: Record | None = None, **more: int) -> None:
         self.settings = replace(FLEET, name="p2", **more)  # type: ignore[arg-type]
-        record = disk or Record(1, self.settings.fleet, LIVES[1], FOUNDED, FIRST, None, 0, LIVES)
+        record = disk or Record(
+            1, self.settings.fleet, INCARNATIONS[1], FOUNDED, FIRST, None, 0, INCARNATIONS
+        )
         self.now, self.disk = SECOND, {KEY: record.write()}
         self.start()
 
@@ -94,7 +96,7 @@
         return out
 
     def ask(self, name: str, boot: int, term: int, number: int = 1, **more: object) -> list[object]:
-        body = Ask(number, FIRST + term, list(LIVES), 3 * SECOND)
+        body = Ask(number, FIRST + term, list(INCARNATIONS), 3 * SECOND)
         return self.hear(name, boot, replace_(body, **more))
 
 
@@ -120,8 +122,8 @@
     effects = hand.ask("p1", 11, 1)
     assert said(effects) == [] and any(isinstance(e, Store) for e in effects)
     assert said(hand.ask("p1", 11, 1)) == []  # the same question, while the disk is at work
-    assert said(hand.stored(effects)) == [Grant(1, 11, LIVES[1], FIRST + 1)]
-    assert said(hand.ask("p1", 11, 1, 5)) == [Grant(5, 11, LIVES[1], FIRST + 1)]  # nothing to write
+    assert said(hand.stored(effects)) == [Grant(1, 11, INCARNATIONS[1], FIRST + 1)]
+    assert said(hand.ask("p1", 11, 1, 5)) == [Grant(5, 11, INCARNATIONS[1], FIRST + 1)]  # nothing to write
 
 
 def test_what_the_disk_refuses_is_not_said_and_is_tried_again() -> None:
@@ -131,7 +133,7 @@
     assert said(refused) == [] and any(isinstance(e, Line) and e.topic == "disk" for e in refused)
     assert why(hand.ask("p3", 33, 1)) == "voted"  # it may be on the disk
     again = hand.ask("p1", 11, 1, 2)
-    assert said(again) == [] and said(hand.stored(again)) == [Grant(2, 11, LIVES[1], FIRST + 1)]
+    assert said(again) == [] and said(hand.stored(again)) == [Grant(2, 11, INCARNATIONS[1], FIRST + 1)]
 
 
 def test_a_vote_that_was_overtaken_while_it_was_written_is_not_said() -> None:
@@ -141,7 +143,7 @@
     hand.wait(4 * SECOND)  # the promise is over, and another asks
     newer = hand.ask("p3", 33, 2)
     assert said(hand.stored(slow)) == []
-    assert said(hand.stored(newer)) == [Grant(1, 33, LIVES[1], FIRST + 2)]
+    assert said(hand.stored(newer)) == [Grant(1, 33, INCARNATIONS[1], FIRST + 2)]
 
 
 def test_a_term_goes_to_one_process_and_a_promise_is_kept() -> None:
@@ -157,7 +159,7 @@
     assert why(hand.ask("p3", 33, 4)) == "promised"
     hand.wait(1)
     assert why(hand.ask("p3", 33, 3)) == "voted"
-    assert said(hand.stored(hand.ask("p3", 33, 4))) == [Grant(1, 33, LIVES[1], FIRST + 4)]
+    assert said(hand.stored(hand.ask("p3", 33, 4))) == [Grant(1, 33, INCARNATIONS[1], FIRST + 4)]
 
 
 def test_a_restart_keeps_the_vote_and_waits_as_long_as_it_may_have_promised() -> None:
@@ -166,7 +168,7 @@
     hand.stored(hand.ask("p1", 11, 1, lease_us=9 * SECOND))
     hand.wait(SECOND)
     hand.start()
-    assert said(hand.ask("p1", 11, 1, 2, lease_us=9 * SECOND)) == [Grant(2, 11, LIVES[1], FIRST + 1)]
+    assert said(hand.ask("p1", 11, 1, 2, lease_us=9 * SECOND)) == [Grant(2, 11, INCARNATIONS[1], FIRST + 1)]
     hand.start()
     assert why(hand.ask("p3", 33, 1)) == "voted" and why(hand.ask("p3", 33, 2)) == "promised"
     hand.wait(FLEET.promised(9 * SECOND) - 1)
@@ -191,14 +193,16 @@
     """It probes and stands in term 1; what its disk is asked for."""
     hand.wait(20 * SECOND)
     hand.event(Woken())
-    number = hand.machine.standing._probed[0]
-    return hand.hear("p1", 11, Would(number, hand.machine.seat.boot, LIVES[0], FIRST))
+    number = hand.machine.candidacy._probed[0]
+    return hand.hear("p1", 11, Would(number, hand.machine.participant.boot, INCARNATIONS[0], FIRST))
 
 
 def leads(hand: Hand) -> list[object]:
     asks = said(hand.stored(stands(hand)))
     assert isinstance(asks[0], Ask) and len(asks) == 2
-    return hand.hear("p1", 11, Grant(asks[0].round, hand.machine.seat.boot, LIVES[0], FIRST + 1))
+    return hand.hear(
+        "p1", 11, Grant(asks[0].round, hand.machine.participant.boot, INCARNATIONS[0], FIRST + 1)
+    )
 
 
 def test_nothing_is_asked_before_our_own_vote_is_written_and_nothing_at_all_if_it_cannot_be() -> None:
@@ -217,7 +221,7 @@
     asked = hand.now
     hand.wait(SECOND)
     assert isinstance(asks[0], Ask)
-    grant = Grant(asks[0].round, hand.machine.seat.boot, LIVES[0], FIRST + 1)
+    grant = Grant(asks[0].round, hand.machine.participant.boot, INCARNATIONS[0], FIRST + 1)
     assert Leads(FIRST + 1, asked + FLEET.held(3 * SECOND)) in hand.hear("p1", 11, grant)
     hand.wait(3 * SECOND)  # stopped meanwhile; what waited comes first, not the timer
     effects = hand.hear("p1", 11, grant)
@@ -230,18 +234,25 @@
     asks = said(hand.stored(stands(hand)))
     hand.wait(FLEET.held(3 * SECOND))
     assert isinstance(asks[0], Ask)
-    effects = hand.hear("p1", 11, Grant(asks[0].round, hand.machine.seat.boot, LIVES[0], FIRST + 1))
+    effects = hand.hear(
+        "p1", 11, Grant(asks[0].round, hand.machine.participant.boot, INCARNATIONS[0], FIRST + 1)
+    )
     assert not any(isinstance(e, Leads) for e in effects)
 
 
 @pytest.mark.parametrize(
-    "changed", [{"for_boot": 1}, {"round": 99}, {"term": FIRST}, {"life": 5}, {"term": FIRST + 2}]
+    "changed", [{"for_boot": 1}, {"round": 99}, {"term": FIRST}, {"incarnation": 5}, {"term": FIRST + 2}]
 )
 def test_grants_that_are_not_for_this_lease_count_for_nothing(changed: dict[str, int]) -> None:
     hand = Hand()
     asks = said(hand.stored(stands(hand)))
     assert isinstance(asks[0], Ask)
-    good = {"round": asks[0].round, "for_boot": hand.machine.seat.boot, "life": LIVES[0], "term": FIRST + 1}
+    good = {
+        "round": asks[0].round,
+        "for_boot": hand.machine.participant.boot,
+        "incarnation": INCARNATIONS[0],
+        "term": FIRST + 1,
+    }
     hand.hear("p1", 11, Grant(**{**good, **changed}))
     assert hand.state() == "candidate"
     hand.hear("p1", 11, Grant(**good))
@@ -269,19 +280,19 @@
 def test_what_does_not_verify_changes_nothing() -> None:
     hand = Hand()
     hand.wait(10 * SECOND)
-    body = Ask(1, FIRST + 1, list(LIVES), 3 * SECOND)
-    letter = LETTERS.write(Letter(hand.settings.fleet, 11, body))
-    long = Letter(hand.settings.fleet, 11, replace_(body, lives=[1] * 5))
+    body = Ask(1, FIRST + 1, list(INCARNATIONS), 3 * SECOND)
+    message = LETTERS.write(Letter(hand.settings.fleet, 11, body))
+    long = Letter(hand.settings.fleet, 11, replace_(body, incarnations=[1] * 5))
     other = LETTERS.write(Letter(hand.settings.fleet + 1, 11, body))
     for frame in (
-        seal(Kind.LEASE, letter, Keys(Key(bytes(32))), "p1"), seal(Kind.LEASE, letter, KEYS, "p9"),
-        seal(Kind.LEASE, letter[:-1], KEYS, "p1"), seal(Kind.GOSSIP, letter, KEYS, "p1"), b"", b"GW",
+        seal(Kind.LEASE, message, Keys(Key(bytes(32))), "p1"), seal(Kind.LEASE, message, KEYS, "p9"),
+        seal(Kind.LEASE, message[:-1], KEYS, "p1"), seal(Kind.GOSSIP, message, KEYS, "p1"), b"", b"GW",
         seal(Kind.LEASE, LETTERS.write(long), KEYS, "p1"),
     ):  # fmt: skip
         assert hand.event(Heard("x", frame)) == []
     [line] = hand.event(Heard("x", seal(Kind.LEASE, other, KEYS, "p1")))
     assert isinstance(line, Line) and line.topic == "fleet"
-    assert hand.machine.term == FIRST and hand.machine.seat.refused == 3
+    assert hand.machine.term == FIRST and hand.machine.participant.refused == 3
 
 
 def test_an_unknown_version_is_answered_once_a_second() -> None:
@@ -295,7 +306,7 @@
 
 def test_a_disk_of_which_others_know_a_newer_one_refuses_itself() -> None:
     hand = Hand()
-    [_, refuses] = hand.ask("p1", 11, 1, lives=[LIVES[0], 2 * A_COUNT, LIVES[2]])
+    [_, refuses] = hand.ask("p1", 11, 1, incarnations=[INCARNATIONS[0], 2 * A_COUNT, INCARNATIONS[2]])
     assert isinstance(refuses, Refuses) and hand.machine.state is State.REFUSED
 
 
@@ -334,7 +345,7 @@
     ],
 )  # fmt: skip
 def test_a_bad_record_names_what_is_wrong(changed: dict[str, object], words: str) -> None:
-    good = Record(1, FLEET.fleet, LIVES[0], OATH, FIRST + 7, ("p1", 8), 9, LIVES)
+    good = Record(1, FLEET.fleet, INCARNATIONS[0], OATH, FIRST + 7, ("p1", 8), 9, INCARNATIONS)
     assert read(good.write(), 3) == good
     with pytest.raises(MalformedRecordError, match=words.replace("[", r"\[")):
         read(json.dumps(json.loads(good.write()) | changed).encode(), 3)
@@ -344,7 +355,7 @@
 
 
 def test_a_record_cut_at_any_byte_or_of_another_fleet_is_never_taken() -> None:
-    good = Record(1, FLEET.fleet, LIVES[1], FOUNDED, FIRST + 7, None, 0, LIVES)
+    good = Record(1, FLEET.fleet, INCARNATIONS[1], FOUNDED, FIRST + 7, None, 0, INCARNATIONS)
     for length in range(len(good.write())):
         with pytest.raises(MalformedRecordError):
             read(good.write()[:length], 3)
@@ -421,7 +432,7 @@
 def test_new_planners_found_themselves_and_one_leads(count: int) -> None:
     cluster, rules = running(1, count)
     first = holder(cluster)
-    assert {m.seat.record.sworn for m in machines(cluster)} == {FOUNDED}
+    assert {m.participant.record.sworn for m in machines(cluster)} == {FOUNDED}
     assert len({m.follows for m in machines(cluster)} - {("", -1)}) == 1
     cluster.kill(first)
     until(cluster, lambda: any(holds(cluster, n) for n in cluster.nodes.values()))
@@ -433,7 +444,7 @@
     for name in ("p1", "p2", "p3"):
         cluster.start(cluster.nodes[name])
     cluster.run(60 * SECOND)
-    assert {m.seat.record.sworn for m in machines(cluster)} == {BLANK}
+    assert {m.participant.record.sworn for m in machines(cluster)} == {BLANK}
     cluster, _ = running(2, 4)
     cut = Cut((("p1", "p2"), ("p3", "p4")))
     cluster.links.cut(cut)
@@ -454,23 +465,23 @@
     assert machine is not None and machine.state is State.BLANK
     until(cluster, lambda: machine.state is not State.BLANK)
     sworn_at = lost.clock.local(cluster.now_us)
-    assert machine.seat.record.sworn == OATH and machine.term >= term
-    assert machine.seat.promise.to is None
-    assert machine.seat.promise.until_us >= sworn_at + LONGEST_US
-    until(cluster, lambda: machine.seat.record.voted is not None)
+    assert machine.participant.record.sworn == OATH and machine.term >= term
+    assert machine.participant.promise.to is None
+    assert machine.participant.promise.until_us >= sworn_at + LONGEST_US
+    until(cluster, lambda: machine.participant.record.voted is not None)
     assert machine.term > term
 
 
 def test_a_founder_that_loses_its_disk_founds_nothing_again() -> None:
     cluster, _ = running(4)
     first = cluster.nodes["p1"]
-    life = first.machines[0].seat.record.life  # type: ignore[attr-defined]
+    incarnation = first.machines[0].participant.record.incarnation  # type: ignore[attr-defined]
     cluster.kill(first, Fate.LOST)
     cluster.start(first)
     machine = planner_of(first)
     assert machine is not None
     until(cluster, lambda: machine.state is not State.BLANK)
-    assert machine.seat.record.sworn == OATH and machine.seat.record.life > life
+    assert machine.participant.record.sworn == OATH and machine.participant.record.incarnation > incarnation
 
 
 def test_a_lost_majority_stays_without_a_leader_until_the_operator_begins_a_new_epoch() -> None:
@@ -493,7 +504,7 @@
     first, machine = holder(cluster), planner_of(holder(cluster))
     cluster.stall(first)
     until(cluster, lambda: any(holds(cluster, n) for n in cluster.nodes.values() if n is not first))
-    assert machine is not None and machine.standing.state is State.HOLDER  # as it still believes
+    assert machine is not None and machine.candidacy.state is State.HOLDER  # as it still believes
     cluster.go_on(first)
     assert machine.state is not State.HOLDER
 
@@ -526,12 +537,12 @@
 
 def test_a_former_self_that_is_dead_is_not_taken_for_a_twin() -> None:
     hand = Hand()
-    old = hand.machine.seat.boot
+    old = hand.machine.participant.boot
     hand.wait(SECOND)
     hand.start()
     effects = hand.hear("p2", old, Here(50 * SECOND))
     assert hand.state() == "follower" and not any(isinstance(e, Refuses) for e in effects)
-    hand.hear("p2", old, Here(50 * SECOND, hand.machine.seat.boot))  # it answers us: it is alive
+    hand.hear("p2", old, Here(50 * SECOND, hand.machine.participant.boot))  # it answers us: it is alive
     assert hand.state() == "refused"
 
 
