--- a/granitewell/dataplane/__init__.py
+++ b/granitewell/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: routes, dispatch, streams, connections to servers, readiness and drain."""
+"""The data plane: routes, dispatch, streams, connections to servers, readiness and draining."""
--- a/granitewell/dataplane/affinity.py
+++ b/granitewell/dataplane/affinity.py
@@ -1,4 +1,4 @@
-"""Which servers of a pool this node lately sent which leading parts of prompts to. Pure and bounded."""
+"""Which servers of a pool this edge recently sent which prompt prefixes to. Bounded, no I/O."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 MAX_SERVERS = 4  # of each, the latest ones
 
 Prefix = tuple[str, ...]
-"""A pool's name, then the ids of the leading parts in order: a part is kept only behind those before it."""
+"""Name of a pool, then the ids of the prefix parts in order: a part is cached only behind those before it."""
 
 
 class PrefixAffinity:
-    """Least recently used first out."""
+    """Prompt prefixes and the servers that have seen them; the least recently used are dropped first."""
 
     def __init__(self) -> None:
         self._servers: OrderedDict[Prefix, list[str]] = OrderedDict()
 
     def sent(self, pool: str, parts: Sequence[PromptPart], server_id: str) -> None:
-        """A prompt with these parts has been sent there."""
+        """Record that a prompt with these parts was sent to a server."""
         for prefix, _ in _prefixes(pool, parts):
             servers = self._servers.setdefault(prefix, [])
             if server_id in servers:
@@ -33,7 +33,7 @@
             self._servers.popitem(last=False)
 
     def cached_tokens(self, pool: str, parts: Sequence[PromptPart]) -> dict[str, int]:
-        """By server id: tokens of the leading parts that it may have kept. Others are missing."""
+        """Return, by server id, the tokens of the prefix that the server may have cached."""
         kept: dict[str, int] = {}
         for prefix, tokens in _prefixes(pool, parts):
             for server_id in self._servers.get(prefix, ()):
--- a/granitewell/dataplane/demand.py
+++ b/granitewell/dataplane/demand.py
@@ -1,4 +1,4 @@
-"""What this node sees of each model, for the placement. Pure."""
+"""Demand for each model as this edge sees it, for placement. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class _Seen:
-    """Of one model: requests since the last report, those that run, and the waiting by priority."""
+    """Requests for one model: since the last report, in flight, and waiting by priority."""
 
     requests: int
     in_flight: int
@@ -24,12 +24,12 @@
 
 
 class Demand:
-    """Counts by service and model. Models without demand take no memory."""
+    """Counters by service and model. Models without demand take no memory."""
 
     def __init__(self) -> None:
         self._seen: dict[tuple[str, ModelRef], _Seen] = {}
         self._reported_at = -REPORT_GAP_S
-        self._news = False  # somebody waits who did not at the last report
+        self._changed = False  # somebody waits who did not at the last report
 
     def _of(self, service: str, ref: ModelRef) -> _Seen:
         seen = self._seen.get((service, ref))
@@ -38,37 +38,37 @@
         return seen
 
     def arrived(self, service: str, ref: ModelRef) -> None:
-        """A request for it has come."""
+        """Record that a request has arrived."""
         self._of(service, ref).requests += 1
 
     def sent(self, service: str, ref: ModelRef) -> None:
-        """A request for it runs at a server."""
+        """Record that a request was sent to a server."""
         self._of(service, ref).in_flight += 1
 
     def ended(self, service: str, ref: ModelRef) -> None:
-        """It runs there no longer."""
+        """Record that a request at a server has ended."""
         self._of(service, ref).in_flight -= 1
 
     def waits(self, service: str, ref: ModelRef, priority: int) -> None:
-        """A request waits because no server has the model."""
+        """Record that a request waits because no server has the model."""
         self._of(service, ref).waiting.append(priority)
-        self._news = True
+        self._changed = True
 
     def waits_no_more(self, service: str, ref: ModelRef, priority: int) -> None:
-        """It has been sent, or given up."""
+        """Record that a waiting request was sent or given up."""
         self._of(service, ref).waiting.remove(priority)
 
     def urgent(self, now: float) -> bool:
-        """Whether a report about waiting requests is due now; if so, it counts as sent."""
-        if not self._news or now - self._reported_at < REPORT_GAP_S:
+        """Return whether a report about waiting requests is due now; if so, it counts as sent."""
+        if not self._changed or now - self._reported_at < REPORT_GAP_S:
             return False
-        self._news = False
+        self._changed = False
         self._reported_at = now
         return True
 
     def take(self) -> list[ModelDemand]:
-        """Since the last time."""
-        self._news = False
+        """Return the demand since the last call."""
+        self._changed = False
         taken = []
         for (service, ref), seen in list(self._seen.items()):
             priority = min(seen.waiting, default=NO_PRIORITY)
--- a/granitewell/dataplane/dispatch.py
+++ b/granitewell/dataplane/dispatch.py
@@ -1,7 +1,7 @@
-"""Which server gets a request, and who waits for one. Pure: it knows servers and pools, no connection.
+"""Assignment of requests to servers, and the queues of waiting requests. No I/O.
 
-Every choice counts at once as a request that is there; the caller ends it with `ended`. Requests that find no
-server wait in the line of their service and get one as soon as there is one, the most urgent first.
+Every choice counts at once as a request at that server; the caller ends it with `ended`. Requests that find
+no server wait in the queue of their service and get one as soon as there is one, the most urgent first.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 
 @dataclass(slots=True)
 class DispatchRequest:
-    """What a request asks for.
+    """What a request needs.
 
     Attributes:
-        ref: None where the service runs no models.
-        passed_over: Ids of servers that have had it.
-        excluded: Those that must not get it again.
+        ref: The model; None if the service runs no models.
+        passed_over: Ids of servers that have had the request.
+        excluded: Ids of servers that must not get it again.
         granted: Called with a server as soon as there is one.
     """
 
     service: str
     ref: ModelRef | None
     priority: int
-    aim_s: float
+    target_s: float
     parts: Sequence[PromptPart]
     granted: Callable[[ServerRecord], None]
     passed_over: set[str] = field(default_factory=set)
@@ -55,7 +55,7 @@
 
 
 class _ServiceState:
-    """Of one service: its servers, its line, its retry budget."""
+    """State of one service: its servers, queue, and retry budget."""
 
     def __init__(self, budget: RetryBudget) -> None:
         self.records: dict[str, ServerRecord] = {}
@@ -72,7 +72,7 @@
 
 
 class Dispatcher:
-    """The servers, pools and lines of one node."""
+    """Servers, pools and queues of one edge."""
 
     def __init__(self, bounds: Bounds, rng: Random) -> None:
         self._bounds, self._rng = bounds, rng
@@ -86,7 +86,7 @@
 
     # --- What others tell -------------------------------------------------------------------------------
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Another configuration is in force."""
+        """Apply a new configuration."""
         before, self._configured = self._configured, dict(configuration.services)
         for key in list(self._pools):
             service = key[0]
@@ -94,7 +94,7 @@
                 del self._pools[key]
 
     def set_edges(self, alive: int, most: int) -> None:
-        """How many nodes share the traffic, and how many may share the budget."""
+        """Set how many edges share the traffic, and how many may share the retry budget."""
         self._edges, self._max_edges = max(alive, 1), max(most, alive, 1)
         for state in self._services.values():
             state.budget.divide_among(self._bounds.retry_budget_slack, self._max_edges)
@@ -105,9 +105,9 @@
         removed: Sequence[str],
         now: float,
     ) -> list[str]:
-        """News of the table of servers; requests that waited for them get them at once.
+        """Apply changes of the table of servers; waiting requests get new servers at once.
 
-        Gives the ids of those that are gone.
+        Returns the ids of removed servers.
         """
         touched = {server.service for server in changed}
         for server in changed:
@@ -149,11 +149,11 @@
 
     # --- Pools ------------------------------------------------------------------------------------------
     def service(self, name: str) -> Service | None:
-        """A service of the configuration in force."""
+        """Return a service of the configuration in force."""
         return self._configured.get(name)
 
     def knows(self, service: str, ref: ModelRef | None) -> bool:
-        """Whether the configuration has the model, or the service needs none."""
+        """Return whether the configuration has the model, or the service needs none."""
         configured = self._configured.get(service)
         if configured is None:
             return False
@@ -165,7 +165,7 @@
         return not ref.adapter or _adapter_number(ref.adapter) in range(1, model.adapters + 1)
 
     def load_time_s(self, service: str, ref: ModelRef | None) -> float:
-        """How long a load of what a pool needs takes."""
+        """Return how long a load of what a pool needs takes, in seconds."""
         configured = self._configured.get(service)
         if configured is None or configured.engine is None or ref is None:
             return PLAIN_SETUP_S
@@ -173,7 +173,7 @@
         return next((model.load_time_s for model in models if model.name == ref.model), PLAIN_SETUP_S)
 
     def pool(self, service: str, ref: ModelRef | None, now: float) -> Pool:
-        """The servers that may run such requests now."""
+        """Return the servers that may run such requests now."""
         entry = self._pools.get((service, ref))
         if entry is None:
             entry = self._pools[(service, ref)] = _PoolEntry(self._new_pool(service, ref))
@@ -201,13 +201,13 @@
 
     # --- Requests ---------------------------------------------------------------------------------------
     def arrived(self, dispatch_request: DispatchRequest, now: float) -> None:
-        """A request has come."""
+        """Record that a request has arrived."""
         self.pool(dispatch_request.service, dispatch_request.ref, now).arrived(now, self._edges)
         if dispatch_request.ref is not None:
             self._demand.arrived(dispatch_request.service, dispatch_request.ref)
 
     def choose(self, dispatch_request: DispatchRequest, now: float) -> ServerRecord | None:
-        """A server for it now, unless others wait for the same; None: it has to wait."""
+        """Return a server for a request; None if it has to wait, also because others wait for the same."""
         pool = self.pool(dispatch_request.service, dispatch_request.ref, now)
         for position in self._state(dispatch_request.service).queue:
             first = position.request
@@ -243,30 +243,33 @@
     def _capacity_check(
         self, dispatch_request: DispatchRequest, pool: Pool, now: float
     ) -> Callable[[ServerRecord], bool]:
-        """What a server must have room for besides a slot: a connection, and an answer not far too late."""
+        """Return what a server must have besides a slot.
+
+        That is a free connection, and an answer that is not far too late.
+        """
         configured = self._configured.get(dispatch_request.service)
         most = configured.max_connections * CONNECTIONS_PART / self._edges if configured else math.inf
-        latest = dispatch_request.aim_s * MAX_DELAY_TARGETS if pool.runs_models else math.inf
+        latest = dispatch_request.target_s * MAX_DELAY_TARGETS if pool.runs_models else math.inf
         return lambda record: (
             record.in_flight < max(most, 1.0)
             and (record.in_flight == 0 or record.first_byte_in(now) <= latest)
         )
 
     def ended(self, dispatch_request: DispatchRequest, record: ServerRecord, now: float) -> None:
-        """A request that was given this server is there no longer."""
+        """Record that a request at a server has ended."""
         self.pool(dispatch_request.service, dispatch_request.ref, now).ended(record)
         if dispatch_request.ref is not None:
             self._demand.ended(dispatch_request.service, dispatch_request.ref)
         self.wake(dispatch_request.service, now)
 
     def give_back(self, dispatch_request: DispatchRequest, record: ServerRecord, now: float) -> None:
-        """A request that was given this server is not sent there."""
+        """Record that a request was not sent to the server chosen for it."""
         record.withdrawn()
         self.ended(dispatch_request, record, now)
 
     # --- The line ---------------------------------------------------------------------------------------
     def wait(self, dispatch_request: DispatchRequest, now: float) -> QueuePosition[DispatchRequest]:
-        """Its place in the line; raises QueueFullError."""
+        """Queue a request; return its position. Raises QueueFullError."""
         position = self._state(dispatch_request.service).queue.join(
             dispatch_request.priority, dispatch_request
         )
@@ -278,7 +281,7 @@
         return position
 
     def leave(self, position: QueuePosition[DispatchRequest]) -> None:
-        """It waits no longer."""
+        """Remove a request from the queue."""
         dispatch_request = position.request
         self._state(dispatch_request.service).queue.leave(position)
         if dispatch_request.missing and dispatch_request.ref is not None:
@@ -288,7 +291,7 @@
             )
 
     def wake(self, service: str, now: float) -> None:
-        """Give servers to those that wait, as far as there are any."""
+        """Give servers to waiting requests of a service, as far as there are any."""
         queue = self._state(service).queue
         if not queue:
             return
@@ -305,26 +308,26 @@
             dispatch_request.granted(record)
 
     def wake_all(self, now: float) -> bool:
-        """The same for all services; whether anybody still waits."""
+        """Give servers to waiting requests of all services; return whether any still wait."""
         for service in self._services:
             self.wake(service, now)
         return any(state.queue for state in self._services.values())
 
     # --- Budget and demand ------------------------------------------------------------------------------
     def budget(self, service: str) -> RetryBudget:
-        """This node's part of the retry budget of a service."""
+        """Return this edge's part of the retry budget of a service."""
         return self._state(service).budget
 
     def overran(self, dispatch_request: DispatchRequest, now: float) -> None:
-        """A request took longer than its aim."""
+        """Record that a request took longer than its latency target."""
         self.pool(dispatch_request.service, dispatch_request.ref, now).overran(now, self._edges)
 
     def urgent(self, now: float) -> bool:
-        """Whether the placement should be told now that requests wait for a model."""
+        """Return whether placement should be told now that requests wait for a model."""
         return self._demand.urgent(now)
 
     def take_demand(self) -> list[ModelDemand]:
-        """What has been asked for since the last time."""
+        """Return the demand since the last call."""
         return self._demand.take()
 
 
@@ -333,8 +336,8 @@
         return False
     if ref is None:
         return True
-    held = server.models.get(ref.model)
-    return held is not None and (not ref.adapter or ref.adapter in held.adapters)
+    loaded = server.models.get(ref.model)
+    return loaded is not None and (not ref.adapter or ref.adapter in loaded.adapters)
 
 
 def _adapter_number(name: str) -> int:
--- a/granitewell/dataplane/edge.py
+++ b/granitewell/dataplane/edge.py
@@ -1,7 +1,7 @@
-"""The data plane of one node: takes clients' requests, sends them to servers, passes the answers on.
+"""The data plane of one edge: accepts clients' requests, forwards them to servers, returns the answers.
 
-It holds no lasting state: configuration, servers and the number of nodes are told by `apply_configuration`,
-`apply_servers` and `set_edges`; what models are asked for is taken by `take_demand`.
+It stores no durable state. Configuration, servers and the number of edges are set by `apply_configuration`,
+`apply_servers` and `set_edges`; demand is read by `take_demand`.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
 from granitewell.dataplane.readiness import ReadinessServer
 from granitewell.dataplane.request_forwarder import (
     ClientRequest,
-    OwnAnswer,
+    CompleteAnswer,
+    LocalAnswer,
     RequestForwarder,
     StreamEnd,
-    WholeAnswer,
 )
 from granitewell.dataplane.routes import RouteTable, choose_service, host_name, path_of
 from granitewell.dataplane.upstream_pool import UpstreamPool
@@ -69,7 +69,7 @@
 
 
 class DataPlane:
-    """One node's data plane."""
+    """The data plane of one edge."""
 
     def __init__(
         self,
@@ -78,7 +78,14 @@
         clock: Callable[[], float] = time.monotonic,
         on_demand: Callable[[], None] = _nobody,
     ) -> None:
-        """on_demand: called when a request waits for a model that no server has, at most every 30 ms."""
+        """Create the data plane.
+
+        Args:
+            settings: Settings of the process.
+            rng: Source of random numbers.
+            clock: Steady clock, in seconds.
+            on_demand: Called when a request waits for a model that no server has, at most every 30 ms.
+        """
         self._settings, self._rng, self._clock, self._on_demand = settings, rng, clock, on_demand
         self._configuration: Configuration | None = None
         self._routes: RouteTable | None = None
@@ -95,7 +102,7 @@
 
     # --- What the control plane tells -------------------------------------------------------------------
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Put a newer configuration in force; it cuts no request."""
+        """Put a newer configuration in force; no request is cut off."""
         current = self._configuration
         if current is not None and configuration.version <= current.version:
             return
@@ -107,38 +114,43 @@
         _log.info("configuration in force", version=configuration.version, routes=len(configuration.routes))
 
     def apply_servers(self, changed: Sequence[Server], removed: Sequence[str]) -> None:
-        """News of the table of servers."""
+        """Apply changes of the table of servers."""
         self._servers_known = True
         for server_id in self._dispatcher.apply_servers(changed, removed, self._clock()):
             self._upstreams.close_server(server_id)
 
     def set_edges(self, alive: int, most: int) -> None:
-        """alive: nodes that share the traffic; most: those that may share the retry budget."""
+        """Set the number of edges.
+
+        Args:
+            alive: Edges that share the traffic.
+            most: Edges that may share the retry budget.
+        """
         self._dispatcher.set_edges(alive, most)
 
     def take_demand(self) -> list[ModelDemand]:
-        """What models have been asked for since the last time."""
+        """Return the demand since the last call."""
         return self._dispatcher.take_demand()
 
     # --- Life -------------------------------------------------------------------------------------------
     @property
     def ready(self) -> bool:
-        """Whether this node wants clients."""
+        """Whether this edge accepts clients."""
         draining = self._draining_since is not None
         return self._configuration is not None and self._servers_known and not draining
 
     @property
     def client_port(self) -> int:
-        """Where clients are taken."""
+        """Port for clients."""
         return self._http_server.port
 
     @property
     def ready_port(self) -> int:
-        """Where readiness is told."""
+        """Port of the readiness check."""
         return self._readiness.port
 
     async def start(self) -> None:
-        """Listen for clients and for the platform's question."""
+        """Listen for clients and for the readiness check."""
         listen = self._settings.listen
         if listen.ready is not None:
             await self._readiness.start(listen.ready)
@@ -146,13 +158,13 @@
             await self._http_server.start(listen.front)
 
     def begin_drain(self) -> None:
-        """SIGTERM: not ready from now on, but clients are still taken."""
+        """Begin a graceful shutdown: not ready from now on, but clients are still accepted."""
         if self._draining_since is None:
             self._draining_since = self._clock()
             _log.info("draining")
 
     async def finish(self, grace_s: float) -> None:
-        """Answer what has been taken, then end; returns before grace_s since the drain began is over."""
+        """Answer accepted requests, then end; returns within `grace_s` of the beginning of the drain."""
         self.begin_drain()
         began = self._draining_since or 0.0
         end = began + grace_s - END_MARGIN_S
@@ -170,7 +182,7 @@
             self._waker.cancel()
 
     async def _idle_by(self, when: float) -> bool:
-        """Whether all requests have their answers by then."""
+        """Return whether all requests have their answers by a time."""
         try:
             async with asyncio.timeout(max(when - self._clock(), 0.0)):
                 await self._http_server.wait_idle()
@@ -179,28 +191,28 @@
         return True
 
     # --- Requests that wait -----------------------------------------------------------------------------
-    def _somebody_waits(self) -> None:
-        self._tell_demand()
+    def _request_waits(self) -> None:
+        self._report_demand()
         if self._waker is None:
             self._waker = asyncio.get_running_loop().call_later(WAKE_GAP_S, self._wake)
 
     def _wake(self) -> None:
         self._waker = None
         if self._dispatcher.wake_all(self._clock()):
-            self._somebody_waits()
+            self._request_waits()
 
-    def _tell_demand(self) -> None:
+    def _report_demand(self) -> None:
         if self._dispatcher.urgent(self._clock()):
             self._on_demand()
 
     # --- Requests ---------------------------------------------------------------------------------------
     async def _answer(self, request: BaseRequest) -> web.StreamResponse:
-        """The answer to one request of a client."""
+        """Return the answer to one request of a client."""
         arrived_at = self._clock()
         try:
             response = await self._routed(request, arrived_at)
         except RejectedRequestError as refused:
-            response = own_response(OwnAnswer(refused.status, refused.message))
+            response = own_response(LocalAnswer(refused.status, refused.message))
             if refused.status != 404:
                 response.force_close()
         if not response.prepared and self._ends_connection(request):
@@ -208,7 +220,7 @@
         return response
 
     def _ends_connection(self, request: BaseRequest) -> bool:
-        """Whether an answer tells the client to use its connection no more.
+        """Return whether an answer tells the client to close its connection.
 
         Not while requests that have been read wait behind it.
         """
@@ -220,7 +232,7 @@
             await self._wait_for_configuration(request)
         routes = self._routes
         if routes is None:
-            return own_response(OwnAnswer(503, "no configuration yet", NO_CONFIGURATION_RETRY_S))
+            return own_response(LocalAnswer(503, "no configuration yet", NO_CONFIGURATION_RETRY_S))
         route = routes.find(host_name(request.headers["Host"]), path_of(request.raw_path))
         if route is None:
             raise RejectedRequestError(404, "no such route")
@@ -229,13 +241,13 @@
             raise RejectedRequestError(400, f"one {REQUEST_ID} is needed")
         if peer_has_closed(request.transport):
             raise RejectedRequestError(503, "the client has left")
-        return await self._exchanged(request, self._client_request(request, route, body, arrived_at), route)
+        return await self._forwarded(request, self._client_request(request, route, body, arrived_at), route)
 
     async def _read(self, request: BaseRequest) -> bytes | None:
-        """The body of a request within the limits in force.
+        """Read the body of a request within the limits in force.
 
-        Before any are known, the usual ones protect this process, yet what goes beyond them may be allowed:
-        no refusal of the request itself.
+        Before any are known, the default limits protect this process, but exceeding them does not reject the
+        request itself.
         """
         configuration = self._configuration
         limits = configuration.limits if configuration is not None else Limits()
@@ -248,13 +260,15 @@
             raise
 
     async def _wait_for_configuration(self, request: BaseRequest) -> None:
-        """A process that has just started learns the configuration in a moment, where the control plane is
-        up: a refusal would cost the client its retry.
+        """Wait until the configuration is known.
+
+        A process that has just started learns it in a moment if the control plane is up; a rejection would
+        cost the client its retry.
         """
-        told_ms = parse_milliseconds(request.headers.get(DEADLINE_MS))
+        stated_ms = parse_milliseconds(request.headers.get(DEADLINE_MS))
         hold_s = CONFIGURATION_HOLD_S
-        if told_ms is not None:
-            hold_s = min(hold_s, CONFIGURATION_HOLD_PART * told_ms / 1000.0)
+        if stated_ms is not None:
+            hold_s = min(hold_s, CONFIGURATION_HOLD_PART * stated_ms / 1000.0)
         if self._waiting_for_configuration >= MAX_WAITING_FOR_CONFIGURATION:
             return
         self._waiting_for_configuration += 1
@@ -270,8 +284,8 @@
         self, request: BaseRequest, route: Route, body: bytes | None, arrived_at: float
     ) -> ClientRequest:
         headers = request.headers
-        told_ms = parse_milliseconds(headers.get(DEADLINE_MS))
-        max_ms = min(told_ms, route.timeout_ms) if told_ms is not None else route.timeout_ms
+        stated_ms = parse_milliseconds(headers.get(DEADLINE_MS))
+        max_ms = min(stated_ms, route.timeout_ms) if stated_ms is not None else route.timeout_ms
         return ClientRequest(
             method=request.method,
             target=request.raw_path,
@@ -284,7 +298,7 @@
             deadline=arrived_at + max_ms / 1000.0 - DEADLINE_MARGIN_S,
         )
 
-    async def _exchanged(
+    async def _forwarded(
         self, request: BaseRequest, client_request: ClientRequest, route: Route
     ) -> web.StreamResponse:
         service = choose_service(route, self._rng)
@@ -293,7 +307,7 @@
             self._dispatcher,
             self._upstreams,
             self._clock,
-            self._somebody_waits,
+            self._request_waits,
             client_request,
             route,
             service,
@@ -306,9 +320,9 @@
         finally:
             self._forwarders.discard(forwarder)
         match answer:
-            case WholeAnswer():
+            case CompleteAnswer():
                 return passed_response(answer)
-            case OwnAnswer():
+            case LocalAnswer():
                 return own_response(answer)
             case StreamEnd(is_complete=True):
                 assert stream.response is not None
@@ -317,7 +331,7 @@
                 return stream.break_off()
 
     def _model(self, request: BaseRequest, service: str) -> ModelRef | None:
-        """The model that a request needs; None where its service runs none."""
+        """Return the model that a request needs; None if its service runs none."""
         configured = self._dispatcher.service(service)
         if configured is None or configured.engine is None:
             return None
--- a/granitewell/dataplane/events.py
+++ b/granitewell/dataplane/events.py
@@ -1,7 +1,7 @@
-"""Cuts a stream of server-sent events into whole events, byte for byte. Pure.
+"""Splits a stream of server-sent events into complete events, byte for byte. No I/O.
 
-An event ends at a blank line; lines end with LF, CR LF or CR. What is behind the last blank line is kept back
-until the rest of it comes, so that only whole events are passed on.
+An event ends at a blank line; lines end with LF, CR LF or CR. What follows the last blank line is buffered
+until the rest of it arrives, so that only complete events are forwarded.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 
 
 class EventTooLongError(Exception):
-    """An event goes on beyond all bounds."""
+    """An event exceeds the size limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A whole event: its bytes with the blank line, and its id (None: it has none)."""
+    """A complete event: its bytes with the blank line, and its id (None if it has none)."""
 
     data: bytes
     id: str | None
 
 
 def number_of(event_id: str | None) -> int | None:
-    """An event's id as a number; None where it is none."""
+    """Return an event's id as a number; None if it is not one."""
     if event_id is None or not event_id.isascii() or not event_id.isdigit():
         return None
     return int(event_id)
 
 
 class EventCutter:
-    """Takes bytes as they come, gives whole events."""
+    """Takes bytes as they arrive, returns complete events."""
 
     __slots__ = ("_rest", "_searched")
 
@@ -45,11 +45,11 @@
 
     @property
     def rest(self) -> bytes:
-        """Bytes of an event that is not whole yet."""
+        """Bytes of an event that is not complete yet."""
         return self._rest
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that are whole with these bytes."""
+        """Return the events that are complete with these bytes."""
         rest = self._rest + data if self._rest else data
         events: list[Event] = []
         start, search = 0, self._searched
--- a/granitewell/dataplane/failure_suspicion.py
+++ b/granitewell/dataplane/failure_suspicion.py
@@ -1,10 +1,10 @@
-"""What speaks against a server for a request that has no second attempt. Pure; times in seconds.
+"""Suspicion of a server, for requests that have no second attempt. No I/O; times in seconds.
 
-Half of the requests that a server with a fault takes may be answered well, so a failure there tells little
-about the next request. A request that may be repeated goes there all the same once the server is no longer
-avoided, and so finds out. One whose failure would be final goes where the last that was seen is a success and
-no request waits too long for its answer, as long as there is such a server. FailureSuspicion also ends with
-time: a service may have no requests that find out.
+A faulty server may answer half of its requests well, so one failure tells little about the next request. An
+idempotent request goes there again once the server is no longer avoided, and thereby tests it. A request
+whose failure would be final goes to servers whose last result was a success and where no request waits too
+long for its answer, as long as there are any. Suspicion also expires, because a service may have no requests
+that test its servers.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class FailureSuspicion:
-    """Of one server, by the ends of this node's requests there."""
+    """Suspicion of one server, by the results of this edge's requests there."""
 
     __slots__ = ("_failed_at", "_missing_proofs", "_unanswered")
 
@@ -29,31 +29,34 @@
 
     # --- What happens there -----------------------------------------------------------------------------
     def written(self, request: object, now: float) -> None:
-        """A request has been written to the server; it owes an answer."""
+        """Record that a request was written to the server, so that an answer is due."""
         self._unanswered[request] = now
 
     def answered(self, request: object) -> None:
-        """The answer has begun."""
+        """Record that an answer has begun."""
         self._unanswered.pop(request, None)
 
     def given_up(self, request: object, now: float, patience: float) -> None:
-        """Nobody waits for the answer any more; where it was due long ago, that was the server's silence."""
+        """Record that no one waits for an answer any more.
+
+        If it was due long ago, the server was unresponsive.
+        """
         written_at = self._unanswered.pop(request, math.inf)
         if now - written_at > patience:
             self.broke(now)
 
     def broke(self, now: float) -> None:
-        """It could not be reached, broke off or stayed silent."""
+        """Record that the server could not be reached, broke off, or was unresponsive."""
         self._fail(PROOFS_AFTER_BREAK, now)
 
     def erred(self, now: float) -> None:
-        """It answered with a failure of its own."""
+        """Record that the server answered with a failure of its own."""
         self._fail(PROOFS_AFTER_ERROR, now)
 
     def succeeded(self, began_at: float) -> None:
-        """A whole answer to a request that went there at this time.
+        """Record a complete answer to a request that was sent at a given time.
 
-        One from before the failure proves nothing.
+        A request sent before the last failure proves nothing.
         """
         if self._missing_proofs and began_at >= self._failed_at:
             self._missing_proofs -= 1
@@ -63,13 +66,13 @@
         self._failed_at = now
 
     # --- What follows -----------------------------------------------------------------------------------
-    def silent(self, now: float, patience: float) -> bool:
-        """Whether a request has waited for its answer for so long, whatever was answered since."""
+    def is_unresponsive(self, now: float, patience: float) -> bool:
+        """Return whether a request has waited too long for its answer, whatever was answered since."""
         oldest = next(iter(self._unanswered.values()), math.inf)
         return now - oldest > patience
 
     def holds(self, now: float, patience: float) -> bool:
-        """Whether a request without a second attempt goes elsewhere."""
-        if self.silent(now, patience):
+        """Return whether requests without a second attempt should go elsewhere."""
+        if self.is_unresponsive(now, patience):
             return True
         return self._missing_proofs > 0 and now - self._failed_at < DOUBT_LASTS_S
--- a/granitewell/dataplane/framing.py
+++ b/granitewell/dataplane/framing.py
@@ -1,7 +1,7 @@
-"""How many of the bytes that a server sends belong to an answer. Pure.
+"""Finds how many of a server's bytes belong to an answer. No I/O.
 
-aiohttp's parser reads what an answer says; these types follow the same bytes only to tell where its head and
-its body end, wherever the network has split them, so that no byte behind an answer is taken for a part of it.
+aiohttp's parser interprets the answer. These types follow the same bytes only to find where its head and its
+body end, however the network has split them, so that no byte behind an answer is taken for a part of it.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class MalformedFramingError(Exception):
-    """What came can't be the body that the head has announced."""
+    """The bytes cannot be the body that the head has announced."""
 
 
 class HeadFraming:
@@ -25,7 +25,7 @@
         self._last = b""  # bytes that may be the beginning of the blank line
 
     def take(self, data: bytes) -> tuple[int, bool]:
-        """How many of these bytes belong to the head, and whether it ends with them."""
+        """Return how many of these bytes belong to the head, and whether it ends with them."""
         window = self._last + data
         start = window.find(HEAD_END)
         if start < 0:
@@ -41,14 +41,14 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether all of it has come."""
+        """Whether all of it has arrived."""
 
     def take(self, data: bytes) -> int:
-        """How many of these bytes belong to it; raises MalformedFramingError."""
+        """Return how many of these bytes belong to the body; raises MalformedFramingError."""
 
 
 class LengthFraming:
-    """A body of a length that the head tells."""
+    """A body with a Content-Length."""
 
     __slots__ = ("_left",)
 
@@ -68,7 +68,7 @@
 
 
 class ChunkedFraming:
-    """A body in chunks."""
+    """A chunked body."""
 
     __slots__ = ("_in_trailer", "_left", "_line", "is_complete")
 
@@ -101,7 +101,10 @@
             raise MalformedFramingError("a line beyond all bounds")
 
     def _line_came(self, line: bytes) -> None:
-        """A line without its end. What is no number here is none to the parser either, which is stricter."""
+        """Handle a line without its end.
+
+        What is not a number here is not one for the parser either, which is stricter.
+        """
         self._line = b""
         if self._in_trailer:
             self.is_complete = line in (b"", b"\r")
@@ -117,7 +120,7 @@
 
 
 class CloseFraming:
-    """A body that ends with its connection: its bytes never tell that it is whole."""
+    """A body that ends with its connection: its bytes never tell that it is complete."""
 
     __slots__ = ()
 
--- a/granitewell/dataplane/headers.py
+++ b/granitewell/dataplane/headers.py
@@ -1,6 +1,6 @@
-"""Headers of requests and answers: which go along, and what the system reads from them. Pure.
+"""Headers of requests and answers: which are forwarded, and what the system reads from them. No I/O.
 
-Headers are pairs of bytes, as they came; names are compared in lower case.
+Headers are pairs of bytes, as they arrived; names are compared in lower case.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 _OWN = frozenset({
     b"content-length", b"expect", b"granitewell-deadline-ms", b"granitewell-expect-instance", b"priority",
 })  # fmt: skip
-"""Of a request: written anew for each send."""
+"""Request headers that are written anew for each attempt."""
 _KEPT = frozenset({b"host", b"content-type", b"last-event-id"})
-"""What a `Connection` header may not take away, besides the system's own."""
+"""Headers that a `Connection` header may not remove, in addition to the system's own."""
 
 MAX_LOAD = 1_000_000  # of any figure of a server's load: beyond it it's no figure
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What a server says of itself: requests running, requests waiting, slots."""
+    """Load that a server reports: requests in progress, requests waiting, slots."""
 
     running: int
     waiting: int
@@ -53,7 +53,7 @@
 
 
 def end_to_end(headers: RawHeaders) -> list[tuple[bytes, bytes]]:
-    """Without those that concern one connection only."""
+    """Return the headers without the hop-by-hop ones."""
     pairs = list(headers)
     named = {name for key, value in pairs if key.lower() == b"connection" for name in _tokens(value)}
     dropped = _HOP_BY_HOP | {name for name in named if not _essential(name)} if named else _HOP_BY_HOP
@@ -61,12 +61,12 @@
 
 
 def for_sending(headers: RawHeaders) -> list[tuple[bytes, bytes]]:
-    """Of a client's request, those that go along unchanged to every server."""
+    """Return the headers of a client's request that are forwarded unchanged to every server."""
     return [pair for pair in end_to_end(headers) if pair[0].lower() not in _OWN]
 
 
 def without(headers: RawHeaders, name: str) -> list[tuple[bytes, bytes]]:
-    """All but those of one name."""
+    """Return all headers but those of one name."""
     dropped = name.lower().encode()
     return [pair for pair in headers if pair[0].lower() != dropped]
 
@@ -78,7 +78,10 @@
     extra: Iterable[tuple[str, str]],
     body_length: int | None,
 ) -> bytes:
-    """The head of a request to a server; target: path and query byte for byte as the client sent them."""
+    """Return the head of a request to a server.
+
+    `target` is path and query, byte for byte as the client sent them.
+    """
     lines = [method.encode("ascii"), b" ", target.encode("utf-8", "surrogateescape"), b" HTTP/1.1\r\n"]
     for name, value in headers:
         lines += (name, b": ", value, b"\r\n")
@@ -91,7 +94,7 @@
 
 
 def parse_milliseconds(value: str | None) -> float | None:
-    """A number of milliseconds above 0; None for anything else."""
+    """Parse a number of milliseconds above 0; None for anything else."""
     if value is None or len(value) > 20:
         return None
     try:
@@ -102,7 +105,7 @@
 
 
 def parse_server_load(value: str | None) -> ServerLoad | None:
-    """`running,waiting,slots`."""
+    """Parse `running,waiting,slots`."""
     if value is None:
         return None
     parts = value.split(",")
@@ -118,7 +121,7 @@
 
 
 def parse_keep_alive(value: str | None) -> float | None:
-    """The seconds after which the server closes an idle connection."""
+    """Return the seconds after which the server closes an idle connection."""
     for parameter in (value or "").split(","):
         key, _, number = parameter.partition("=")
         if key.strip().lower() in ("timeout", "") or not number:
@@ -129,7 +132,7 @@
 
 
 def parse_prompt_parts(value: str | None) -> tuple[PromptPart, ...]:
-    """`ID:TOKENS,...` in order; what can't be read ends the list."""
+    """Parse `ID:TOKENS,...` in order; what cannot be read ends the list."""
     parts: list[PromptPart] = []
     for entry in (value or "").split(","):
         part_id, _, tokens = entry.strip().partition(":")
--- a/granitewell/dataplane/http_server.py
+++ b/granitewell/dataplane/http_server.py
@@ -1,6 +1,6 @@
-"""What clients connect to: aiohttp's low-level server, one handler call a request.
+"""The HTTP server for clients: aiohttp's low-level server, with one handler call per request.
 
-A request is read whole, within the limits of the configuration in force, before anything is decided.
+A request is read completely, within the limits of the configuration in force, before anything is decided.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from multidict import CIMultiDict
 
 from granitewell.dataplane.addresses import host_and_port
-from granitewell.dataplane.request_forwarder import OwnAnswer, WholeAnswer
+from granitewell.dataplane.request_forwarder import CompleteAnswer, LocalAnswer
 from granitewell.dataplane.server_log import QUIET_LOGGER
 from granitewell.domain.configuration import Limits
 from granitewell.domain.errors import GranitewellError
@@ -44,15 +44,15 @@
 
 
 def has_more_requests(request: BaseRequest) -> bool:
-    """Whether the client's next requests on the connection have been read already."""
+    """Return whether the client's next requests on the connection have been read already."""
     connection = request.protocol
     return isinstance(connection, ClientConnection) and connection.has_more_requests
 
 
 def peer_has_closed(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the end of a connection has arrived, though the loop may not have read it yet.
+    """Return whether the end of a connection has arrived, though the event loop may not have read it yet.
 
-    After a stall, requests are read whose clients left long ago.
+    After a stall, requests are read whose clients have left long ago.
     """
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None:
@@ -66,7 +66,11 @@
 
 
 class RejectedRequestError(GranitewellError):
-    """A request that is not taken; status: the answer to it."""
+    """A request is rejected.
+
+    Attributes:
+        status: HTTP status code of the answer.
+    """
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -75,14 +79,14 @@
 
 
 class DefectLog:
-    """Logs what should never happen, however often it does, now and then."""
+    """Logs errors that should never happen, at a limited rate."""
 
     def __init__(self) -> None:
         self._logged_at = -math.inf
         self._unlogged = 0
 
     def note(self, error: BaseException, now: float) -> None:
-        """A request ended in an error that nobody has foreseen."""
+        """Log that a request ended in an unexpected error."""
         if now - self._logged_at < DEFECT_GAP_S:
             self._unlogged += 1
             return
@@ -94,7 +98,10 @@
 
 
 class ClientConnection(RequestHandler):
-    """A connection of a client; it also knows since when a request's head is incomplete, or nothing comes."""
+    """A connection of a client.
+
+    It also knows since when the head of a request has been incomplete, or nothing has arrived.
+    """
 
     def __init__(self, *args: Any, idle_timeout_s: float, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -104,7 +111,7 @@
         self._head_bytes = 0  # of a head that is not whole yet
 
     def data_received(self, data: bytes) -> None:
-        """As the library does; what is neither part of a body nor a whole head begins a head."""
+        """Pass bytes to the library; what is neither part of a body nor a complete head begins a head."""
         self.mark_active()
         before = self._request_count
         super().data_received(data)
@@ -120,11 +127,11 @@
             return  # the rest of a body that was refused is read away
         self._head_bytes += by
         server = self._manager
-        if isinstance(server, FrontServer) and self._head_bytes > server.max_head_bytes:
+        if isinstance(server, ClientServer) and self._head_bytes > server.max_head_bytes:
             self.force_close()
 
     def mark_active(self) -> None:
-        """Bytes have come, or an answer has ended."""
+        """Record that bytes have arrived or an answer has ended."""
         self._active_at = asyncio.get_running_loop().time()
 
     @property
@@ -134,11 +141,13 @@
 
     @property
     def has_more_requests(self) -> bool:
-        """Whether requests that have been read wait behind the one that is being answered."""
+        """Whether requests that have been read wait behind the current one."""
         return bool(self._messages)
 
     def idle_too_long(self, now: float, idle_timeout_s: float) -> bool:
-        """Whether its client may use it no more, by the limit in force and by the one that it began with."""
+        """Return whether the idle timeout has expired, by the limit in force and by the one that it began
+        with.
+        """
         return self.idle and now - self._active_at > max(idle_timeout_s, self._idle_timeout_s)
 
     def end_if_idle(self) -> None:
@@ -147,7 +156,7 @@
             self.force_close()
 
     def end_behind_answer(self) -> None:
-        """An answer has been made: the connection ends once it is written.
+        """Close it once the current answer is written.
 
         Not sooner: the library reads no more of a body once `close` has been called.
         """
@@ -159,22 +168,27 @@
         request: BaseRequest,
         status: int = 500,
         exc: BaseException | None = None,
-        message: str | None = None,
+        message: str | None = None,  # noqa: ARG002  the library's signature
     ) -> web.StreamResponse:
-        """A malformed request, or a defect of ours: an answer without details; only a defect is logged."""
+        """Answer a malformed request, or one that failed by a defect, without details.
+
+        Only a defect is logged.
+        """
         if exc is not None and status >= 500:
             _defects.note(exc, asyncio.get_running_loop().time())
         if request.writer.output_size > 0:
             raise ConnectionError("the answer has begun")
         if isinstance(exc, LineTooLong):
             status = 431
-        response = own_response(OwnAnswer(status, "malformed request" if status < 500 else "internal error"))
+        response = own_response(
+            LocalAnswer(status, "malformed request" if status < 500 else "internal error")
+        )
         response.force_close()
         return response
 
 
-class FrontServer(web.Server):
-    """Makes connections with the limits of the moment."""
+class ClientServer(web.Server):
+    """Creates connections with the current limits."""
 
     def __init__(self, handler: Handler, limits: Limits) -> None:
         super().__init__(handler, handler_cancellation=True)
@@ -182,15 +196,19 @@
 
     @property
     def max_head_bytes(self) -> int:
-        """Of a head that is read at all: check_head knows the limit in force, also for older connections."""
+        """Size of a head that is read at all.
+
+        Check_head applies the limit in force, also on older connections.
+        """
         return max(self.limits.max_header_bytes, MAX_HEAD_BYTES)
 
     @property
     def transports(self) -> dict[ClientConnection, asyncio.Transport]:
-        """Of each connection, also of those that are being closed."""
+        """Transports of all connections, including those that are being closed."""
         return {c: t for c, t in self._connections.items() if isinstance(c, ClientConnection)}
 
     def __call__(self) -> RequestHandler:
+        """Create a connection."""
         limits = self.limits
         return ClientConnection(
             self,
@@ -208,12 +226,12 @@
 
 
 class HttpServer:
-    """Listens for clients and counts the requests that are being answered."""
+    """Listens for clients and counts the requests in progress."""
 
     def __init__(self, handler: Handler, limits: Limits) -> None:
         self._handler = handler
         self._limits = limits
-        self._server: FrontServer | None = None
+        self._server: ClientServer | None = None
         self._listener: asyncio.Server | None = None
         self._sweeper: asyncio.TimerHandle | None = None
         self.port = 0  # where it listens
@@ -226,7 +244,7 @@
         """Listen on `ip:port`."""
         host, port = host_and_port(address)
         loop = asyncio.get_running_loop()
-        self._server = FrontServer(self._counted, self._limits)
+        self._server = ClientServer(self._counted, self._limits)
         self._listener = await loop.create_server(
             self._server, host, port, backlog=BACKLOG, reuse_address=True
         )
@@ -234,7 +252,7 @@
         self._sweeper = loop.call_later(SWEEP_S, self._sweep)
 
     def set_limits(self, limits: Limits) -> None:
-        """Other limits, for new connections and requests."""
+        """Apply other limits to new connections and requests."""
         self._limits = limits
         if self._server is not None:
             self._server.limits = limits
@@ -272,7 +290,7 @@
 
     # --- The end ----------------------------------------------------------------------------------------
     def stop_listening(self) -> None:
-        """Take no new connections; idle ones are closed, the others after their answer."""
+        """Accept no new connections; idle ones are closed, the others after their answer."""
         self._ending = True
         if self._listener is not None:
             self._listener.close()
@@ -280,9 +298,9 @@
             connection.end_if_idle()
 
     async def wait_idle(self) -> None:
-        """Until no request is being answered, and the answers have been sent.
+        """Wait until no request is in progress and the answers have been sent.
 
-        What a slow client has not taken yet is lost with `abort`.
+        What a slow client has not read by then is lost with `abort`.
         """
         while self._busy or self._unsent():
             await self._idle.wait()
@@ -295,7 +313,7 @@
         return any(c.has_more_requests or t.get_write_buffer_size() for c, t in connections)
 
     def abort(self) -> None:
-        """Cut what is left."""
+        """Abort the remaining connections."""
         if self._sweeper is not None:
             self._sweeper.cancel()
         for connection in self._connections():
@@ -305,7 +323,7 @@
 
 # --- Reading a request ----------------------------------------------------------------------------------
 def check_head(request: BaseRequest, limits: Limits) -> None:
-    """Raises RejectedRequestError for a head beyond the limits or one whose host is ambiguous."""
+    """Raise RejectedRequestError for a head beyond the limits or with an ambiguous host."""
     size = sum(len(name) + len(value) + 4 for name, value in request.raw_headers) + len(request.raw_path)
     if size > limits.max_header_bytes:
         raise RejectedRequestError(431, "headers beyond the limit")
@@ -316,7 +334,7 @@
 
 
 async def read_body(request: BaseRequest, limits: Limits) -> bytes | None:
-    """The whole body, None where there is none; raises RejectedRequestError."""
+    """Return the complete body, None if there is none; raises RejectedRequestError."""
     if not request.body_exists and request.content_length is None:
         return None
     most = limits.max_body_bytes
@@ -346,8 +364,8 @@
 
 
 # --- Answers --------------------------------------------------------------------------------------------
-def own_response(answer: OwnAnswer) -> web.Response:
-    """An answer of this node, as JSON."""
+def own_response(answer: LocalAnswer) -> web.Response:
+    """Return an answer of this edge, as JSON."""
     headers = {"Content-Type": "application/json"}
     if answer.retry_after_s is not None:
         headers["Retry-After"] = f"{answer.retry_after_s:.2f}"
@@ -355,8 +373,8 @@
     return web.Response(status=answer.status, headers=headers, body=body)
 
 
-def passed_response(answer: WholeAnswer) -> web.Response:
-    """A server's answer as it is."""
+def passed_response(answer: CompleteAnswer) -> web.Response:
+    """Return a server's answer as it is."""
     headers = _headers(answer.headers)
     length = headers.pop("Content-Length", None)
     response = web.Response(
@@ -375,7 +393,7 @@
 
 
 def _reason(status: int, reason: str) -> str | None:
-    """The server's words, unless they are the usual ones."""
+    """Return the server's reason phrase, unless it is the usual one."""
     try:
         usual = HTTPStatus(status).phrase
     except ValueError:
@@ -384,20 +402,25 @@
 
 
 class StreamedAnswer:
-    """Passes the pieces of an answer to the client; see exchange.ClientStream."""
+    """Forwards an answer to the client in parts; see request_forwarder.ClientStream."""
 
     def __init__(self, request: BaseRequest, closing: Callable[[], bool]) -> None:
-        """closing: whether the connection is not to be used again."""
+        """Create the answer.
+
+        Args:
+            request: The client's request.
+            closing: Returns whether the connection is not to be reused.
+        """
         self._request, self._closing = request, closing
         self.response: web.StreamResponse | None = None
 
     @property
     def began(self) -> bool:
-        """Whether the head has been passed on."""
+        """Whether the head has been forwarded."""
         return self.response is not None
 
     async def begin(self, status: int, reason: str, headers: list[tuple[bytes, bytes]]) -> None:
-        """Pass the head on, with the first piece."""
+        """Forward the head, with the first part."""
         passed = _headers(headers)
         passed.pop("Content-Length", None)
         response = web.StreamResponse(status=status, reason=_reason(status, reason), headers=passed)
@@ -411,20 +434,20 @@
         await response.prepare(self._request)
 
     async def write(self, data: bytes) -> None:
-        """Pass a piece on at once."""
+        """Forward a part at once."""
         assert self.response is not None
         await self.response.write(data)
 
     async def end(self) -> None:
-        """The answer is whole."""
+        """Complete the answer."""
         assert self.response is not None
         await self.response.write_eof()
 
     def break_off(self) -> web.StreamResponse:
-        """The answer must not look complete.
+        """End the answer so that it does not look complete.
 
-        With chunks, an end without the last one doesn't; what has been passed on still arrives. Without them
-        only a reset tells.
+        A chunked answer without its last chunk does not, and what has been forwarded still arrives. Otherwise
+        only a reset shows it.
         """
         assert self.response is not None
         transport = self._request.transport
@@ -436,7 +459,7 @@
 
 
 def _reset_on_close(transport: asyncio.Transport) -> None:
-    """Close with a reset, which an answer without a length doesn't survive."""
+    """Make closing reset the connection, which an answer without a length does not survive."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/granitewell/dataplane/readiness.py
+++ b/granitewell/dataplane/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this node wants clients: `GET /readyz`. Nobody reads the body of the answer."""
+"""The readiness check, `GET /readyz`. The body of the answer is not read."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ReadinessServer:
-    """Listens where the platform asks."""
+    """Listens for the platform's readiness check."""
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
@@ -36,6 +36,6 @@
         return web.Response(status=200 if self._ready() else 503)
 
     def close(self) -> None:
-        """Listen no longer."""
+        """Stop listening."""
         if self._listener is not None:
             self._listener.close()
--- a/granitewell/dataplane/request.py
+++ b/granitewell/dataplane/request.py
@@ -1,7 +1,8 @@
-"""What the end of an attempt allows: another attempt, or which final answer. Pure; a table and its rules.
+"""What the end of an attempt allows: another attempt, or a final answer. A table and its rules; no I/O.
 
-A request that may run once is sent again only after proof that it has not run. 503 (as 429, 408 and 421) is
-a promise that a request has not run and never will, so it is given only with such proof for every attempt.
+A request that is not idempotent is sent again only with proof that it was not executed. Status 503 (like 429,
+408 and 421) promises that a request was not executed and never will be, so it is returned only with such
+proof for every attempt.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt ended that gave the client nothing."""
+    """How an attempt without an answer for the client ended."""
 
     NOT_CONNECTED = auto()  # no connection, or nothing was written to it
     NOT_EXECUTED = auto()  # the server says that it has not run it
@@ -27,7 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Consequence:
-    """reached: it counts as an arrival at a server; may_have_run: there is no proof that it hasn't."""
+    """What follows from the end of an attempt.
+
+    Attributes:
+        reached: Whether it counts as an arrival at a server.
+        may_have_run: Whether there is no proof that it was not executed.
+    """
 
     reached: bool
     may_have_run: bool
@@ -44,7 +50,7 @@
 
 
 class Attempts:
-    """The attempts of one request so far."""
+    """Attempts of one request so far."""
 
     __slots__ = ("_max", "_out", "_repeatable", "arrivals", "may_have_run", "attempts")
 
@@ -57,22 +63,22 @@
         self.may_have_run = False
 
     def begin(self) -> None:
-        """One more begins: a server has been chosen."""
+        """Begin an attempt: a server has been chosen."""
         self.attempts += 1
 
     def written(self) -> None:
-        """From now on it may run."""
+        """Record that the request may be executed from now on."""
         self._out = True
 
     def end(self, end: AttemptEnd) -> None:
-        """It has ended."""
+        """Record the end of the attempt."""
         self._out = False
         consequence = CONSEQUENCES[end]
         self.arrivals += consequence.reached
         self.may_have_run = self.may_have_run or consequence.may_have_run
 
     def may_repeat(self) -> bool:
-        """Whether the rules allow one more attempt, budget and time aside."""
+        """Return whether the rules allow another attempt, apart from budget and time."""
         if self._out or self.arrivals >= self._max or self.attempts >= MAX_ATTEMPTS:
             return False
         return self._repeatable or not self.may_have_run
@@ -84,28 +90,30 @@
 
     @property
     def failure_status(self) -> int:
-        """The status of a final answer of our own, now."""
+        """Status of a final answer of this edge, now."""
         return 502 if self.may_have_run or self._out else 503
 
     @property
     def overdue_status(self) -> int:
-        """The status when the request's time is over, now."""
+        """Status if the request's time is over, now."""
         return 504 if self.may_have_run or self._out else 503
 
 
 def proves_not_executed(status: int, marked: bool) -> bool:
-    """Whether an answer says that the request has not run, and that another server may run it.
+    """Return whether an answer proves that the request was not executed and another server may.
 
     Args:
-        marked: It carries the header that says so; other failures with that header hold wherever it is sent.
+        status: Status of the answer.
+        marked: Whether it carries the header that says so; other failures with that header apply to every
+            server.
     """
     return status == 421 or (marked and status in PROMISES)
 
 
 def passes_unchanged(status: int, is_signed: bool, marked: bool) -> bool:
-    """Whether a whole answer may go to the client.
+    """Return whether a complete answer may be forwarded to the client.
 
-    A success only with its seal, and no promise that the server hasn't given.
+    A success needs its signature, and a promise must have been made by the server.
     """
     if 200 <= status < 300:
         return is_signed
--- a/granitewell/dataplane/request_forwarder.py
+++ b/granitewell/dataplane/request_forwarder.py
@@ -1,6 +1,6 @@
-"""One client request's course: choose a server, send, pass the answer on or try again.
+"""Forwards one client request: chooses a server, sends, returns the answer or tries again.
 
-Runs the pure rules of request.py and dispatch.py over connections of upstream.py.
+It applies the rules of request.py and dispatch.py to connections of upstream.py.
 """
 
 from __future__ import annotations
@@ -55,13 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as the client sent it, read whole.
+    """A complete request of a client.
 
     Attributes:
         target: Path and query.
-        headers: Those that go along.
-        body: None where there is none.
-        deadline: When its time is over, on the steady clock.
+        headers: Headers to forward.
+        body: None if there is none.
+        deadline: End of its time, on the steady clock.
     """
 
     method: str
@@ -76,8 +76,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """A server's answer, to be passed on as it is."""
+class CompleteAnswer:
+    """A server's answer, to be forwarded as it is."""
 
     status: int
     reason: str
@@ -86,8 +86,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnAnswer:
-    """An answer of this node."""
+class LocalAnswer:
+    """An answer of this edge."""
 
     status: int
     message: str
@@ -96,37 +96,41 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEnd:
-    """The answer has been passed on piece by piece; whole: up to its proper end."""
+    """End of an answer that was forwarded in parts.
+
+    Attributes:
+        is_complete: Whether it was forwarded up to its proper end.
+    """
 
     is_complete: bool
 
 
-Answer = WholeAnswer | OwnAnswer | StreamEnd
+Answer = CompleteAnswer | LocalAnswer | StreamEnd
 
 
 class ClientStream(Protocol):
-    """Where the pieces of an answer go."""
+    """Receiver of the parts of an answer."""
 
     @property
     def began(self) -> bool:
-        """Whether the head has been passed on."""
+        """Whether the head has been forwarded."""
 
     async def begin(self, status: int, reason: str, headers: list[tuple[bytes, bytes]]) -> None:
-        """Pass the head on, with the first piece."""
+        """Forward the head, with the first part."""
 
     async def write(self, data: bytes) -> None:
-        """Pass a piece on at once."""
+        """Forward a part at once."""
 
     async def end(self) -> None:
-        """The answer is whole."""
+        """Complete the answer."""
 
 
 class NoServerError(GranitewellError):
-    """No server may have the request in time."""
+    """No server may get the request in time."""
 
 
 class RequestForwarder:
-    """The course of one request on its route."""
+    """Forwards one request on its route."""
 
     def __init__(
         self,
@@ -145,28 +149,28 @@
         self.request, self.route, self.stream = request, route, stream
         self.attempts = Attempts(route)
         self._paid = 0  # repeats that the budget has borne
-        self.failure: WholeAnswer | None = None  # the last failure of a server that may be passed on
+        self.failure: CompleteAnswer | None = None  # the last failure of a server that may be passed on
         self.resume_at: str | None = None  # id of the last event passed on, None where it has none
         self._timeout: asyncio.Timeout | None = None
         self.dispatch_request = DispatchRequest(
-            service, ref, route.priority, self.aim_s, request.parts, self._granted
+            service, ref, route.priority, self.target_s, request.parts, self._granted
         )
         self._grant: asyncio.Future[ServerRecord] | None = None
         self._waited_for_model = False
 
     @property
-    def aim_s(self) -> float:
-        """Within this an answer earns its full worth."""
+    def target_s(self) -> float:
+        """Time within which an answer earns its full value, in seconds."""
         return (self.route.target_ms or self.route.timeout_ms) / 1000.0
 
     @property
     def left_s(self) -> float:
-        """Until its time is over."""
+        """Remaining time, in seconds."""
         return self.request.deadline - self.clock()
 
     # --- The course -------------------------------------------------------------------------------------
     async def run(self) -> Answer:
-        """Until its final answer, or the end of its time."""
+        """Return the final answer, at the latest at the end of the request's time."""
         self.dispatcher.arrived(self.dispatch_request, self.clock())
         try:
             async with asyncio.timeout(max(self.left_s, 0.0)) as self._timeout:
@@ -174,10 +178,10 @@
         except TimeoutError:
             if self.stream.began:
                 return StreamEnd(is_complete=False)
-            return OwnAnswer(self.attempts.overdue_status, "no answer in time")
+            return LocalAnswer(self.attempts.overdue_status, "no answer in time")
 
     def expire(self) -> None:
-        """Its time is over now."""
+        """End the request's time now."""
         if self._timeout is not None and not self._timeout.expired():
             self._timeout.reschedule(asyncio.get_running_loop().time())
 
@@ -187,20 +191,20 @@
             try:
                 record = await self._server()
             except NoServerError as error:
-                return self._given_up(str(error))
+                return self._gave_up(str(error))
             answer = await self._attempt(record)
             if answer is not None:
                 return answer
             if self.stream.began and self.resume_at is None:
-                return self._given_up("the stream can't be continued")
+                return self._gave_up("the stream can't be continued")
             if not self.attempts.may_repeat():
-                return self._given_up("no further attempt is allowed")
+                return self._gave_up("no further attempt is allowed")
             if not self._pay():
-                return self._given_up("no repeats left")
+                return self._gave_up("no repeats left")
             await asyncio.sleep(DELTA / 1000.0)
 
     def _pay(self) -> bool:
-        """Whether the budget bears the next attempt; those that reached no server cost nothing."""
+        """Return whether the budget allows the next attempt; attempts that reached no server cost nothing."""
         if self.attempts.arrivals <= self._paid:
             return True
         if not self.dispatcher.budget(self.dispatch_request.service).spend():
@@ -208,18 +212,18 @@
         self._paid += 1
         return True
 
-    def _given_up(self, why: str) -> Answer:
+    def _gave_up(self, why: str) -> Answer:
         if self.stream.began:
             return StreamEnd(is_complete=False)
         if self.failure is not None:
             return self.failure
         status = self.attempts.failure_status
-        return OwnAnswer(status, why, self._retry_after_s if status == 503 else None)
+        return LocalAnswer(status, why, self._retry_after_s if status == 503 else None)
 
     @property
     def _retry_after_s(self) -> float:
         missing = self.dispatch_request.ref is not None and self._waited_for_model
-        wait = RETRY_AFTER_MISSING_S if missing else self.aim_s * RETRY_AFTER_TARGETS
+        wait = RETRY_AFTER_MISSING_S if missing else self.target_s * RETRY_AFTER_TARGETS
         return min(wait, MAX_RETRY_AFTER_S)
 
     # --- A server ---------------------------------------------------------------------------------------
@@ -231,7 +235,7 @@
             self.dispatcher.give_back(self.dispatch_request, record, self.clock())
 
     async def _server(self) -> ServerRecord:
-        """A server that may have the request; it counts as being there. Raises NoServer."""
+        """Return a server for the request, which counts as being there. Raises NoServerError."""
         now = self.clock()
         self.dispatch_request.careful = self.attempts.last
         record = self.dispatcher.choose(self.dispatch_request, now)
@@ -263,16 +267,16 @@
                 self.dispatcher.give_back(self.dispatch_request, grant.result(), self.clock())
 
     def _max_wait_s(self) -> float:
-        """How long a wait may be worth it."""
+        """Return how long waiting may be worthwhile, in seconds."""
         left = self.left_s
         if self.dispatch_request.missing or self.attempts.arrivals:
             return max(left * MISSING_PART, MIN_WAIT_S)
         spent = self.clock() - self.request.arrived_at
-        return min(max(self.aim_s * FULL_PART - spent, MIN_WAIT_S), max(left * MISSING_PART, MIN_WAIT_S))
+        return min(max(self.target_s * FULL_PART - spent, MIN_WAIT_S), max(left * MISSING_PART, MIN_WAIT_S))
 
     # --- An attempt -------------------------------------------------------------------------------------
     async def _attempt(self, record: ServerRecord) -> Answer | None:
-        """The final answer; None where the attempt gave none."""
+        """Return the final answer; None if the attempt gave none."""
         attempt = _Attempt(self, record)
         self.attempts.begin()
         self.dispatch_request.passed_over.add(record.id)
@@ -295,7 +299,7 @@
         self._resumes_after = number_of(forwarder.resume_at)  # events up to here have been passed on
 
     async def run(self) -> Answer | None:
-        """The final answer; None where this attempt gave none: its end is noted."""
+        """Return the final answer; None if this attempt gave none, in which case its end is recorded."""
         try:
             await self._send()
         except RequestNotWrittenError:
@@ -313,7 +317,7 @@
         self._x.attempts.end(end)
 
     def close(self) -> None:
-        """It is over, whichever way."""
+        """End the attempt, whatever happened."""
         x, record, now = self._x, self._record, self._x.clock()
         if self._connection is not None:
             x.upstreams.release(self._connection, self._complete_answer)
@@ -324,9 +328,9 @@
         x.dispatcher.ended(x.dispatch_request, record, now)
 
     async def _send(self) -> None:
-        """Raises RequestNotWrittenError.
+        """Write the request; raises RequestNotWrittenError.
 
-        An idle connection that takes not one byte had ended: that says nothing of the server.
+        An idle connection that accepts not one byte had ended; that says nothing about the server.
         """
         x = self._x
         while True:
@@ -372,7 +376,7 @@
         self._answer_began(message)
         status, marked = message.code, NOT_EXECUTED in message.headers
         if proves_not_executed(status, marked):
-            await self._turned_away(message, body)
+            await self._rejected(message, body)
             return None
         if status == 200 and SIGNATURE in message.headers and self._streams(message):
             return await self._pass_stream(message, body)
@@ -393,8 +397,8 @@
         kind = message.headers.get("Content-Type", "").partition(";")[0].strip().lower()
         return self._x.route.kind is RouteKind.STREAMING and kind == STREAM_TYPE
 
-    async def _turned_away(self, message: RawResponseMessage, body: StreamReader) -> None:
-        """The server has not run it and will not."""
+    async def _rejected(self, message: RawResponseMessage, body: StreamReader) -> None:
+        """Record that the server has not executed the request and will not."""
         x, now = self._x, self._x.clock()
         pool = x.dispatcher.pool(x.dispatch_request.service, x.dispatch_request.ref, now)
         self._ended(AttemptEnd.NOT_EXECUTED)
@@ -411,11 +415,11 @@
         except (BrokenResponseError, TimeoutError):
             self._complete_answer = None  # its word stands; the connection goes
 
-    def _take_complete(self, message: RawResponseMessage, data: bytes, marked: bool) -> WholeAnswer | None:
+    def _take_complete(self, message: RawResponseMessage, data: bytes, marked: bool) -> CompleteAnswer | None:
         x, status = self._x, message.code
         is_signed = SIGNATURE in message.headers
         passes = passes_unchanged(status, is_signed, marked)
-        answer = WholeAnswer(status, message.reason, end_to_end(message.raw_headers), data)
+        answer = CompleteAnswer(status, message.reason, end_to_end(message.raw_headers), data)
         if status >= 500 or not passes:
             self._ended(AttemptEnd.FAILED)
             self._record.erred(x.clock())
@@ -429,18 +433,18 @@
         return answer
 
     def _answered(self) -> None:
-        """A whole answer: the sizing learns from it."""
+        """Record a complete answer, from which the sizing learns."""
         x, now = self._x, self._x.clock()
         self._record.worked(self._began_at)
         pool = x.dispatcher.pool(x.dispatch_request.service, x.dispatch_request.ref, now)
         first_ms, hold_ms = (self._first_at - self._began_at) * 1000.0, (now - self._began_at) * 1000.0
         pool.traffic.answered(first_ms, hold_ms, x.route.target_ms)
-        if self._first_at - x.request.arrived_at > x.aim_s:
+        if self._first_at - x.request.arrived_at > x.target_s:
             x.dispatcher.overran(x.dispatch_request, now)
 
     # --- Streams ----------------------------------------------------------------------------------------
     async def _pass_stream(self, message: RawResponseMessage, body: StreamReader) -> StreamEnd | None:
-        """Pass whole events on as they come, up to the proper end of the answer."""
+        """Forward complete events as they arrive, up to the proper end of the answer."""
         x, connection = self._x, self._connection
         assert connection is not None
         cutter = EventCutter()
--- a/granitewell/dataplane/request_queue.py
+++ b/granitewell/dataplane/request_queue.py
@@ -1,4 +1,4 @@
-"""Requests of a service that wait for a server, the most urgent first. Pure and bounded."""
+"""Queue of a service's requests that wait for a server, the most urgent first. Bounded, no I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, order=True)
 class QueuePosition(Generic[T]):
-    """A request's place in the line: priority (0 first), then the order of coming."""
+    """Position of a request in the queue: priority (0 first), then the order of arrival."""
 
     priority: int
     number: int
@@ -22,11 +22,11 @@
 
 
 class QueueFullError(Exception):
-    """No more requests may wait."""
+    """The queue is full."""
 
 
 class RequestQueue(Generic[T]):
-    """In order of priority, then of coming."""
+    """Requests in order of priority, then of arrival."""
 
     def __init__(self, most: int = MAX_WAITING) -> None:
         self._positions: list[QueuePosition[T]] = []
@@ -40,7 +40,7 @@
         return iter(list(self._positions))
 
     def join(self, priority: int, request: T) -> QueuePosition[T]:
-        """Its place; raises QueueFullError."""
+        """Queue a request; return its position. Raises QueueFullError."""
         if len(self._positions) >= self._max:
             raise QueueFullError()
         self._number += 1
@@ -49,15 +49,15 @@
         return position
 
     def least_urgent(self) -> QueuePosition[T] | None:
-        """The last of the line."""
+        """Return the last position of the queue."""
         return self._positions[-1] if self._positions else None
 
     def leave(self, position: QueuePosition[T]) -> None:
-        """Sent, or given up; leaving twice does no harm."""
+        """Remove a request; removing it twice does no harm."""
         if position in self._positions:
             self._positions.remove(position)
 
     @property
     def full(self) -> bool:
-        """Whether nobody more may join."""
+        """Whether the queue is full."""
         return len(self._positions) >= self._max
--- a/granitewell/dataplane/retry_budget.py
+++ b/granitewell/dataplane/retry_budget.py
@@ -1,8 +1,8 @@
-"""This node's part of a service's retry budget. Pure.
+"""This edge's part of a service's retry budget. No I/O.
 
-All nodes share one budget: repeats in a window may be at most a ratio of the requests plus a slack. Each node
-earns a part of the ratio with its own requests, and saves up at most its part of the slack; so the sum holds
-whatever the others do, without any talk between nodes.
+All edges share one budget: retries in a window may be at most a ratio of the requests plus a slack. Each edge
+earns a part of the ratio with its own requests, and saves up at most its part of the slack, so that the sum
+holds whatever the others do, without any communication between edges.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class RetryBudget:
-    """A token bucket: each first send of a request earns a part of a repeat, each repeat spends one."""
+    """Token bucket: each first attempt of a request earns a part of a retry, each retry spends one."""
 
     __slots__ = ("_max", "_ratio", "_tokens")
 
@@ -24,16 +24,16 @@
         self._max = _max_saved(slack, max_edges)
 
     def divide_among(self, slack: float, max_edges: int) -> None:
-        """Another number of nodes: what has been saved beyond the new part is gone."""
+        """Set the number of edges; savings beyond the new part are lost."""
         self._max = _max_saved(slack, max_edges)
         self._tokens = min(self._tokens, self._max)
 
     def earn(self) -> None:
-        """A request of this node is sent for the first time."""
+        """Record that a request of this edge is sent for the first time."""
         self._tokens = min(self._tokens + self._ratio, self._max)
 
     def spend(self) -> bool:
-        """Whether one more repeat may be sent now; if so, it counts."""
+        """Return whether another retry may be sent now; if so, it counts."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -41,9 +41,10 @@
 
 
 def _max_saved(slack: float, max_edges: int) -> float:
-    """Where the slack has not one repeat for each node, a node saves less than one and makes none.
+    """Return how much an edge may save.
 
-    The sum of what all save must stay below it.
+    If the slack has less than one retry per edge, an edge saves less than one and makes none: the sum of all
+    savings must stay below the slack.
     """
     part = slack / max(max_edges, 1)
     return max(SLACK_PART * part, min(1.0, MAX_SLACK_PART * part))
--- a/granitewell/dataplane/routes.py
+++ b/granitewell/dataplane/routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, from the configuration in force. Pure."""
+"""Selection of the route of a request, from the configuration in force. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def host_name(header: str) -> str:
-    """The host of a `Host` header: lower case, without the port."""
+    """Return the host of a `Host` header: lower case, without the port."""
     host = header.strip().lower()
     if host.startswith("["):
         return host.partition("]")[0] + "]"
@@ -18,7 +18,7 @@
 
 
 def path_of(target: str) -> str:
-    """The path of a request target, as it was sent."""
+    """Return the path of a request target, as it was sent."""
     end = len(target)
     for mark in "?#":
         at = target.find(mark, 0, end)
@@ -27,7 +27,7 @@
 
 
 class _Host:
-    """The routes of one host: by prefix, and the lengths of the prefixes, longest first."""
+    """Routes of one host by prefix, and the lengths of the prefixes, longest first."""
 
     __slots__ = ("by_prefix", "lengths")
 
@@ -37,7 +37,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration: by host, then the longest prefix that begins the path."""
+    """Routes of one configuration: by host, then by the longest prefix of the path."""
 
     def __init__(self, configuration: Configuration) -> None:
         hosts: dict[str, dict[str, Route]] = {}
@@ -46,7 +46,7 @@
         self._hosts = {host: _Host(by_prefix) for host, by_prefix in hosts.items()}
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a host (see host_name) and a path (see path_of)."""
+        """Return the route of a host (see host_name) and a path (see path_of)."""
         routes = self._hosts.get(host)
         if routes is None:
             return None
@@ -58,7 +58,7 @@
 
 
 def choose_service(route: Route, rng: Random) -> str:
-    """One of a route's services, by weight. Draws only where there is a choice."""
+    """Return one of a route's services, by weight. Draws a random number only if there is a choice."""
     services = route.services
     if len(services) == 1:
         return services[0].service
--- a/granitewell/dataplane/server_log.py
+++ b/granitewell/dataplane/server_log.py
@@ -1,4 +1,7 @@
-"""aiohttp's server logs each malformed request with its stack: a hostile client could fill the log."""
+"""Suppression of aiohttp's server log.
+
+aiohttp logs each malformed request with its traceback, so a hostile client could fill the log.
+"""
 
 from __future__ import annotations
 
--- a/granitewell/dataplane/server_selection.py
+++ b/granitewell/dataplane/server_selection.py
@@ -5,8 +5,8 @@
 (granitewell.balancing.prefix_sizing). A request goes to a random server of the prefix; a server with too many
 requests of this node is busy and passed over, and past a prefix of busy servers the rest of the order is
 used. Departures from this, each for a rule or a deployment: of two random picks the less loaded one is taken,
-servers where requests wait or that look ill are passed over while others have room, and a server that may
-have kept the leading parts of the prompt is preferred.
+servers where requests wait or that look unhealthy are passed over while others have capacity, and a server
+that may have kept the leading parts of the prompt is preferred.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class Traffic:
-    """What the sizing needs of a pool's past: arrivals by period, times, and how many were late."""
+    """Past traffic of a pool for its sizing: arrivals per period, times, and the fraction of late answers."""
 
     def __init__(self, setup_s: float) -> None:
         self._setup_ms = setup_s * 1000.0
@@ -60,7 +60,7 @@
         self._judged = 0.0
 
     def arrived(self, now: float) -> None:
-        """A request has come."""
+        """Record that a request has arrived."""
         self.roll(now)
         self._arrived += 1
 
@@ -79,46 +79,50 @@
         fade = 0.5 ** min(passed, 64)
         self._late, self._judged = self._late * fade, self._judged * fade
 
-    def answered(self, first_ms: float, hold_ms: float, aim_ms: float) -> None:
-        """An answer has ended."""
+    def answered(self, first_ms: float, hold_ms: float, target_ms: float) -> None:
+        """Record that an answer has ended."""
         self.answers += 1
         part = 1.0 / min(self.answers, EWMA_N)
         self.hold_ms += (hold_ms - self.hold_ms) * part
         self.first_ms += (first_ms - self.first_ms) * part
         if self.answers >= EWMA_N:
             self._best_ms = max(min(self._best_ms * 1.0005, self.first_ms), 0.01)
-        target = aim_ms or 5.0 * self.first_ms
+        target = target_ms or 5.0 * self.first_ms
         self.samples.append((first_ms, max(target, 1.0)))
         self._judged += 1.0
         self._late += first_ms > target
 
     def rejected_by_server(self, after_ms: float) -> None:
-        """A server has refused, or no connection came up."""
+        """Record that a server has rejected a request, or that no connection could be opened."""
         self.refusal_ms += (after_ms - self.refusal_ms) * 0.05
 
     @property
     def rate(self) -> float:
-        """Requests a ms at this node, one model load ahead."""
+        """Return the expected rate at this edge, one model load ahead, in requests per ms."""
         return forecast(self._counts, self._setup_ms)
 
     @property
     def late_fraction(self) -> float:
-        """Of recent answers."""
+        """Return the fraction of recent answers that were late."""
         return self._late / max(self._judged, 3.0)
 
     @property
     def slow(self) -> float:
-        """Mean time to the first byte over the best seen; inf while too little is known."""
+        """Return the mean time to the first byte over the best seen; infinite while too little is known."""
         return self.first_ms / self._best_ms if self.answers >= EWMA_N else math.inf
 
 
 class Pool:
-    """One pool. key names it, the same at every node."""
+    """One pool. `key` names it, the same at every edge."""
 
     def __init__(self, key: str, engine_slots: int | None, setup_s: float, rng: Random) -> None:
-        """engine_slots: of the service's engine, None where it runs no models.
+        """Create the pool.
 
-        Setup_s: time that one more server takes to be there.
+        Args:
+            key: Name of the pool.
+            rng: Source of random numbers.
+            engine_slots: Slots of the service's engine, None if it runs no models.
+            setup_s: Time that another server takes to become available, in seconds.
         """
         self.key = key
         self.runs_models = engine_slots is not None
@@ -135,7 +139,7 @@
         return max(slots * COMFORTABLE_PART, 1.0) if self.runs_models else float(slots)
 
     def set_servers(self, records: Sequence[ServerRecord]) -> None:
-        """All that may run its requests now."""
+        """Set all servers that may run its requests now."""
         full = self._prefix.size >= len(self.servers)
         self.servers = sorted(records, key=lambda record: record.id)
         self._prefix.size = len(records) if full else min(self._prefix.size, len(records))
@@ -148,12 +152,12 @@
 
     @property
     def prefix_size(self) -> int:
-        """How many servers of the order are used."""
+        """Return how many servers of the order are used."""
         return self._prefix.size
 
     # --- Sizing -----------------------------------------------------------------------------------------
     def arrived(self, now: float, edges: int) -> None:
-        """A request has come."""
+        """Record that a request has arrived."""
         self.traffic.arrived(now)
         self._unsized += 1
         age = now - self._sized_at
@@ -161,7 +165,7 @@
             self._resize(now, edges)
 
     def overran(self, now: float, edges: int) -> None:
-        """A request took longer than its aim."""
+        """Record that a request took longer than its latency target."""
         if now - self._sized_at >= OVERRUN / 1000.0:
             self._resize(now, edges)
 
@@ -182,7 +186,7 @@
     # --- Pick -------------------------------------------------------------------------------------------
     @property
     def patience(self) -> float:
-        """Seconds that a server may owe answers before it is suspected."""
+        """Return how long a server may owe answers before it is suspected, in seconds."""
         mean = self.traffic.first_ms / 1000.0 if self.traffic.answers else UNKNOWN_MEAN_S
         return max(PATIENCE_MEANS * mean, MIN_PATIENCE_S)
 
@@ -196,13 +200,17 @@
         has_capacity: Callable[[ServerRecord], bool] = lambda _: True,
         careful: bool = False,
     ) -> ServerRecord | None:
-        """The server for a request; None if none may have it now.
+        """Return the server for a request; None if none may have it now.
 
         Args:
-            passed_over: Servers that have had it, used again only where there are no others.
-            excluded: Never used.
+            now: Current time, in seconds.
+            edges: How many edges share the traffic.
+            passed_over: Servers that have had it, used again only if there are no others.
+            excluded: Servers that are never used.
+            cached_tokens: Tokens of the prompt that a server may have cached, by server id.
             has_capacity: What else must hold.
-            careful: It has no second attempt, so servers in doubt are used only where there are no others.
+            careful: Whether it has no second attempt, so that suspected servers are used only if there are no
+                others.
         """
         patience = self.patience
 
@@ -221,7 +229,7 @@
         return drawn
 
     def _draw(self, now: float, fits: Callable[[ServerRecord], bool]) -> ServerRecord | None:
-        """The better of two random servers of the prefix that fit; None if a few draws find none."""
+        """Return the better of two random eligible servers of the prefix; None if a few draws find none."""
         size = min(max(self._prefix.size, 1), len(self.servers))
         best, best_cost, seen = None, math.inf, 0
         for _ in range(REDRAWS if size else 0):
@@ -243,7 +251,7 @@
         cached_tokens: Mapping[str, int],
         fits: Callable[[ServerRecord], bool],
     ) -> ServerRecord | None:
-        """A server that may have kept leading parts of the prompt, unless its load is clearly higher."""
+        """Return a server that may have cached the prompt's prefix, unless its load is clearly higher."""
         best, best_cost = drawn, math.inf
         if drawn is not None:
             best_cost = drawn.cost(now) - cached_tokens.get(drawn.id, 0) / KEPT_TOKENS_A_REQUEST
@@ -265,9 +273,9 @@
         has_capacity: Callable[[ServerRecord], bool],
         careful: bool,
     ) -> ServerRecord | None:
-        """The same over the whole order.
+        """Search the complete order.
 
-        Past the prefix, then busy servers, then those that look ill or have had the request.
+        First past the prefix, then busy servers, then those that look unhealthy or have had the request.
         """
         usable = self._usable(now, passed_over, excluded)
         open_ones = [record for record in usable if not record.full(now) and has_capacity(record)]
@@ -282,7 +290,10 @@
     def _usable(
         self, now: float, passed_over: Collection[str], excluded: Collection[str]
     ) -> Sequence[ServerRecord]:
-        """Those that may get it, by preference: sound ones, then any that hasn't had it, then the rest."""
+        """Yield eligible servers by preference.
+
+        Healthy ones, then any that has not had the request, then the rest.
+        """
         here = [r for r in self.servers if r.id not in excluded and not self._has_moved(r, now)]
         fresh = [record for record in here if record.id not in passed_over]
         patience = self.patience
@@ -290,7 +301,7 @@
         return sound or fresh or here
 
     def _busy(self, record: ServerRecord, edges: int) -> bool:
-        """Whether this node has its part of the server's slots out there."""
+        """Return whether this edge uses its part of the server's slots."""
         out = self._by_server.get(record.id, 0)
         return out >= 1 and out >= self._comfortable(record.slots) / max(edges, 1)
 
@@ -299,12 +310,12 @@
 
     # --- What happens at its servers --------------------------------------------------------------------
     def sent(self, record: ServerRecord, now: float) -> None:
-        """A request of this pool goes there."""
+        """Record that a request of this pool was sent to a server."""
         record.sent(now)
         self._by_server[record.id] = self._by_server.get(record.id, 0) + 1
 
     def ended(self, record: ServerRecord) -> None:
-        """It is there no longer."""
+        """Record that a request at a server has ended."""
         record.ended()
         left = self._by_server[record.id] - 1
         if left:
@@ -313,10 +324,10 @@
             del self._by_server[record.id]
 
     def moved(self, record: ServerRecord, now: float, for_s: float) -> None:
-        """The server says that it can't run this pool's requests, whatever the table says."""
+        """Record that the server says it cannot run this pool's requests, whatever the table says."""
         self._moved[record.id] = now + for_s
 
     @property
     def in_flight(self) -> int:
-        """Requests of this node at its servers."""
+        """Requests of this edge at its servers."""
         return sum(self._by_server.values())
--- a/granitewell/dataplane/servers.py
+++ b/granitewell/dataplane/servers.py
@@ -1,7 +1,7 @@
-"""What this node knows of each server: what it runs, its load, its health. Pure; times in seconds.
+"""What this edge knows of each server: its requests, load and health. No I/O; times in seconds.
 
-A record outlives changes of what the server holds, and ends with the server's id: every start of a server is
-a new incarnation with a new id, of which nothing is known.
+A record outlives changes of the server's models, and ends with the server's id: every start of a server is a
+new incarnation with a new id, of which nothing is known.
 """
 
 from __future__ import annotations
@@ -24,13 +24,25 @@
 
 
 class ServerRecord:
-    """One incarnation of a server as this node sees it."""
+    """One incarnation of a server as this edge sees it."""
 
     __slots__ = (
-        "_errors", "_failed_at", "_load", "_load_at", "_others_running", "_others_waiting", "_read_s",
-        "_refused_until", "_unresponsive_since", "avoided_until", "suspicion", "failures", "in_flight", "server",
+        "_errors",
+        "_failed_at",
+        "_load",
+        "_load_at",
+        "_others_running",
+        "_others_waiting",
+        "_read_s",
+        "_refused_until",
+        "_unresponsive_since",
+        "avoided_until",
+        "failures",
+        "in_flight",
+        "server",
+        "suspicion",
         "unanswered",
-    )  # fmt: skip
+    )
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -51,45 +63,45 @@
 
     @property
     def id(self) -> str:
-        """The server's id, new with each of its starts."""
+        """Id of the server, new with each of its starts."""
         return self.server.id
 
     # --- What happens there -----------------------------------------------------------------------------
     def sent(self, now: float) -> None:
-        """A request is on its way there."""
+        """Record that a request was sent."""
         if not self.unanswered:
             self._unresponsive_since = now
         self.in_flight += 1
         self.unanswered += 1
 
     def answered(self, now: float) -> None:
-        """An answer has begun."""
+        """Record that an answer has begun."""
         self.unanswered -= 1
         self._unresponsive_since = now if self.unanswered else math.inf
 
     def first_byte_came(self, after_s: float, waiting: float) -> None:
-        """An answer began so long after it was sent there, when so many were held to wait."""
+        """Record how long after the request its answer began, and how many requests were waiting."""
         sample = after_s / (1.0 + waiting)
         self._read_s += (sample - self._read_s) * (READ_GAIN if self._read_s else 1.0)
 
     def given_up(self, now: float, patience: float) -> None:
-        """An answer that has not begun is no longer waited for."""
+        """Record that an answer that has not begun is no longer awaited."""
         if self.suspect(now, patience):
             self.failed(now)
         self.withdrawn()
 
     def withdrawn(self) -> None:
-        """A request was not sent after all, or nobody waits for its answer."""
+        """Record that a request was not sent after all, or that no one waits for its answer."""
         self.unanswered -= 1
         if not self.unanswered:
             self._unresponsive_since = math.inf
 
     def ended(self) -> None:
-        """A request is there no longer."""
+        """Record that a request has ended."""
         self.in_flight -= 1
 
     def erred(self, now: float) -> None:
-        """It answered with a failure of its own: a few of them in a row speak against it."""
+        """Record that it answered with a failure of its own; a few in a row make it unhealthy."""
         self._errors += 1
         self.suspicion.erred(now)
         if self._errors >= ERRORS_IN_A_ROW:
@@ -97,7 +109,7 @@
             self.failed(now)
 
     def worked(self, began_at: float) -> None:
-        """A whole answer speaks for the server, unless the request went there before its last failure."""
+        """Record a complete answer, unless the request was sent before the last failure."""
         self._errors = 0
         self.suspicion.succeeded(began_at)
         if began_at >= self._failed_at:
@@ -105,7 +117,7 @@
             self.avoided_until = -math.inf
 
     def failed(self, now: float) -> None:
-        """It could not be reached, broke off, or sent what is no answer."""
+        """Record that it could not be reached, broke off, or sent an invalid answer."""
         self.suspicion.broke(now)
         if now < self.avoided_until:
             return  # requests that were there together failed together: this counts once
@@ -115,11 +127,11 @@
         self.avoided_until = now + min(wait, MAX_AVOIDANCE_S)
 
     def refused(self, now: float) -> None:
-        """It turned a request away unseen."""
+        """Record that it rejected a request without executing it."""
         self._refused_until = now + REFUSED_FOR_S
 
     def load_reported(self, load: ServerLoad, now: float) -> None:
-        """It has said how loaded it is."""
+        """Record the load that it reports."""
         self._load, self._load_at = load, now
         self._others_running = max(load.running - (self.in_flight - self.unanswered), 0)
         self._others_waiting = max(load.waiting - self.unanswered, 0)
@@ -127,41 +139,46 @@
     # --- What follows -----------------------------------------------------------------------------------
     @property
     def slots(self) -> int:
-        """Requests that it works on at once."""
+        """Concurrent requests."""
         if self._load is not None and self._load.slots > 0:
             return self._load.slots
         return max(self.server.slots, 1)
 
     def waiting(self, now: float) -> float:
-        """Requests that are held to wait there: own ones without an answer, and others' by its last word."""
+        """Return how many requests are assumed to wait there.
+
+        Those are this edge's without an answer, and others' by the server's last report.
+        """
         return self.unanswered + self._others_waiting * math.exp((self._load_at - now) / WAITING_TAU_S)
 
     def load(self, now: float) -> float:
-        """Requests that are held to be there, run or waiting."""
+        """Return how many requests are assumed to be there, in progress or waiting."""
         others = self._others_running * math.exp((self._load_at - now) / LOAD_TAU_S)
         return self.in_flight - self.unanswered + others + self.waiting(now)
 
     def cost(self, now: float) -> float:
-        """What one more request would meet there, in requests: those that wait count for more."""
+        """Return the cost of one more request, in requests: those that wait count for more."""
         return self.load(now) + WAITING_COST * self.waiting(now)
 
     def first_byte_in(self, now: float) -> float:
-        """Seconds until one more request there would get its first byte."""
+        """Return how long one more request would wait for its first byte, in seconds."""
         return self._read_s * (1.0 + self.waiting(now))
 
     def full(self, now: float) -> bool:
-        """Whether one more request would find no slot there."""
+        """Return whether one more request would find no slot."""
         return now < self._refused_until or self.load(now) >= self.slots
 
     def suspect(self, now: float, patience: float) -> bool:
-        """Whether it owes answers and has begun none for so long."""
+        """Return whether it owes answers and has begun none for too long."""
         return now - self._unresponsive_since > patience
 
     def sound(self, now: float, patience: float, careful: bool = False) -> bool:
-        """Whether nothing speaks against it.
+        """Return whether it is healthy.
 
         Args:
-            careful: For a request without a second attempt.
+            now: Current time, in seconds.
+            patience: How long it may owe answers, in seconds.
+            careful: Whether this is for a request without a second attempt.
         """
         if now < self.avoided_until or self.suspect(now, patience):
             return False
--- a/granitewell/dataplane/upstream.py
+++ b/granitewell/dataplane/upstream.py
@@ -58,7 +58,7 @@
 from granitewell.dataplane.headers import REQUEST_ID, parse_keep_alive
 from granitewell.domain.errors import GranitewellError
 
-SILENT_KEEP_ALIVE_S = 0.4  # use of an idle connection whose server doesn't say how long it keeps it
+DEFAULT_KEEP_ALIVE_S = 0.4  # use of an idle connection whose server doesn't say how long it keeps it
 KEEP_ALIVE_MARGIN_S = 0.5  # before the server closes an idle connection: a request must not cross that
 KEEP_ALIVE_PART = 0.6  # of the server's time, where that is short
 EARLIER_REQUESTS = 8  # of a connection, of which a second answer may come late
@@ -71,26 +71,26 @@
 PROBE_EVERY_S = 1  # of a silent connection, by the kernel
 
 BREAKS = (ClientError, HttpProcessingError, OSError, EofStream)
-"""What aiohttp raises when an answer doesn't come whole."""
+"""Errors that aiohttp raises when an answer does not arrive completely."""
 
 
 class RequestNotWrittenError(GranitewellError):
-    """No connection, or it ended before a byte of the request was written."""
+    """There is no connection, or it ended before a byte of the request was written."""
 
 
 class BrokenResponseError(GranitewellError):
-    """What came is no whole answer to this request."""
+    """What arrived is not a complete answer to this request."""
 
 
 class UpstreamConnection(ResponseHandler):
-    """One connection to one incarnation of a server; one request at a time."""
+    """One connection to one incarnation of a server, with one request at a time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, forget: Callable[[UpstreamConnection], None]) -> None:
         super().__init__(loop)
         self._forget = forget
         self.server_id = ""
         self.idle_since = 0.0
-        self.idle_for = SILENT_KEEP_ALIVE_S
+        self.idle_for = DEFAULT_KEEP_ALIVE_S
         self._idle = True  # no request is out: whatever comes belongs to none
         self._no_body = False
         self._malformed = ""  # why what came is no answer
@@ -104,22 +104,22 @@
 
     # --- Bytes from the server --------------------------------------------------------------------------
     def connection_lost(self, exc: BaseException | None) -> None:
-        """The pool must not give it out again."""
+        """Mark the connection as unusable."""
         super().connection_lost(exc)
         self._forget(self)
 
     def eof_received(self) -> None:
-        """The server has closed its side, properly. What it has not taken of a request it never will."""
+        """Handle a proper close by the server. It will never read the rest of a request."""
         self._closed_by_server = True
         super().eof_received()
         if not self.all_written and self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Feeds the parser no byte beyond an answer.
+        """Feed the parser no byte beyond an answer.
 
-        One stray byte there would spoil the whole answer before it. Without bytes the parser goes on with
-        what it has.
+        One stray byte would spoil the complete answer before it. Without bytes the parser continues with what
+        it has.
         """
         if not data:
             super().data_received(data)
@@ -131,7 +131,7 @@
             self._body_received(rest)
 
     def _head_received(self, data: bytes) -> bytes:
-        """What is behind the head."""
+        """Handle what follows the head."""
         while data and self._in_head:
             taken, ended = self._head.take(data)
             super().data_received(data[:taken])
@@ -153,7 +153,7 @@
             super().data_received(data)
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
-        """A head has come: note where its body ends."""
+        """Handle a head: find where its body ends."""
         message = data[0]
         if message.code >= 200:
             self._in_head = False
@@ -161,19 +161,22 @@
         super().feed_data(data, size)
 
     def resume_reading(self, resume_parser: bool = True) -> None:
-        """Each read of a body asks for this, paused or not; the library would run its parser each time."""
+        """Skip resuming if reading was not paused.
+
+        The library would run its parser for each read of a body.
+        """
         if self._reading_paused:
             super().resume_reading(resume_parser)
 
     # --- A request --------------------------------------------------------------------------------------
     @property
     def usable(self) -> bool:
-        """Whether a request may be written to it."""
+        """Return whether a request may be written to it."""
         return self.is_connected() and not self.should_close
 
     @property
     def all_written(self) -> bool:
-        """Whether the kernel has all bytes of its requests."""
+        """Return whether the kernel has all bytes of its requests."""
         return self.transport is None or not self.transport.get_write_buffer_size()
 
     @property
@@ -182,11 +185,11 @@
         return bool(self._earlier)
 
     def has_carried(self, request_id: str) -> bool:
-        """Whether a late answer to an earlier send of this request may come on it."""
+        """Return whether a late answer to an earlier attempt of this request may arrive on it."""
         return request_id in self._earlier
 
-    def silent(self) -> bool:
-        """Whether nothing has come on it that the loop hasn't seen.
+    def has_nothing_unread(self) -> bool:
+        """Return whether nothing has arrived that the event loop has not read.
 
         The end of an idle connection, too, is there for a moment before the loop reads it.
         """
@@ -198,8 +201,10 @@
         return not poll.poll(0)
 
     def write(self, request: bytes, *, method: str, repeatable: bool) -> None:
-        """Write a whole request; raises RequestNotWrittenError, after which nothing of it can have
-        arrived.
+        """Write a complete request.
+
+        Raises:
+            RequestNotWrittenError: Nothing of it can have arrived.
         """
         if not self.usable or self.transport is None:
             raise RequestNotWrittenError("the connection had ended")
@@ -224,9 +229,9 @@
         self._in_head = True
 
     def _notice_death(self, wanted: bool) -> None:
-        """Whether the connection ends when the server's machine says nothing at all.
+        """Set whether the connection ends when the server's machine stops acknowledging.
 
-        Only where the request may be repeated: else nothing is won by an early end, and a cut link may heal.
+        Only for idempotent requests: for others an early end gains nothing, and a broken link may recover.
         """
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
         if sock is None or wanted == self._notices_death:
@@ -239,14 +244,14 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, int(wanted))
 
     async def read_head(self, request_id: str) -> tuple[RawResponseMessage, StreamReader]:
-        """The head of the answer to this request; raises BrokenResponseError.
+        """Return the head of the answer to this request; raises BrokenResponseError.
 
-        One late answer to an earlier request may come in its place: it is read and dropped, and the
-        connection not used again.
+        One late answer to an earlier request may arrive in its place: it is read and dropped, and the
+        connection is not used again.
         """
         message, body = await self._next_head()
-        told = message.headers.get(REQUEST_ID)
-        if told != request_id and told in self._earlier:
+        announced = message.headers.get(REQUEST_ID)
+        if announced != request_id and announced in self._earlier:
             self.force_close()
             await self.read_body(body)
             self._expect_head()
@@ -271,7 +276,7 @@
                 return message, body
 
     async def read_body(self, body: StreamReader) -> bytes:
-        """A whole body; raises BrokenResponseError."""
+        """Return a complete body; raises BrokenResponseError."""
         parts: list[bytes] = []
         size = 0
         while part := await self.read_part(body):
@@ -282,7 +287,7 @@
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     async def read_part(self, body: StreamReader) -> bytes:
-        """What has come of a body; empty at its proper end; raises BrokenResponseError."""
+        """Return what has arrived of a body, empty at its proper end; raises BrokenResponseError."""
         try:
             part = await body.readany()
         except BREAKS as error:
@@ -293,18 +298,18 @@
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether only the end of the connection tells the end of this answer."""
+        """Whether only the end of the connection shows the end of this answer."""
         return isinstance(self._body, CloseFraming)
 
     def rest(self, message: RawResponseMessage, now: float) -> None:
-        """The answer has come whole."""
+        """Record that the answer has arrived completely."""
         self._idle = True
         self.idle_since = now
-        told = parse_keep_alive(message.headers.get("Keep-Alive"))
-        if told is None:
-            self.idle_for = SILENT_KEEP_ALIVE_S
+        announced = parse_keep_alive(message.headers.get("Keep-Alive"))
+        if announced is None:
+            self.idle_for = DEFAULT_KEEP_ALIVE_S
         else:
-            self.idle_for = max(told - KEEP_ALIVE_MARGIN_S, told * KEEP_ALIVE_PART)
+            self.idle_for = max(announced - KEEP_ALIVE_MARGIN_S, announced * KEEP_ALIVE_PART)
         if self._surplus or not self._body.is_complete or not self.all_written:
             self.force_close()
 
--- a/granitewell/dataplane/upstream_pool.py
+++ b/granitewell/dataplane/upstream_pool.py
@@ -25,9 +25,12 @@
         self._busy: set[UpstreamConnection] = set()
 
     async def connection(self, server: Server, request_id: str) -> UpstreamConnection:
-        """An idle connection that its server keeps open and that hasn't carried this request, or a new one.
+        """Return an idle connection that its server keeps open, or a new one.
 
-        Raises RequestNotWrittenError.
+        An idle connection that has carried this request before is not used.
+
+        Raises:
+            RequestNotWrittenError: There is no connection.
         """
         connection = self._take_idle(server.id, request_id)
         if connection is None:
@@ -43,7 +46,7 @@
                 continue
             idle.remove(connection)
             kept = connection.usable and now - connection.idle_since < connection.idle_for
-            if kept and connection.silent():
+            if kept and connection.has_nothing_unread():
                 return connection
             connection.close()
         return None
@@ -62,7 +65,12 @@
         return connection
 
     def release(self, connection: UpstreamConnection, message: RawResponseMessage | None) -> None:
-        """A request has ended on it; message: the head of its whole answer, None for any other end."""
+        """Return a connection after a request.
+
+        Args:
+            connection: The connection.
+            message: Head of the complete answer, None for any other end.
+        """
         self._busy.discard(connection)
         if message is None or not connection.all_written:
             connection.abort()
@@ -86,12 +94,12 @@
             self._idle.pop(connection.server_id, None)
 
     def close_server(self, server_id: str) -> None:
-        """The server is gone: its idle connections are of no use."""
+        """Close a removed server's idle connections."""
         for connection in list(self._idle.pop(server_id, ())):
             connection.close()
 
     def close(self) -> None:
-        """Close them all."""
+        """Close all connections."""
         for server_id in list(self._idle):
             self.close_server(server_id)
         for connection in list(self._busy):
--- a/tests/dataplane/test_edge.py
+++ b/tests/dataplane/test_edge.py
@@ -459,7 +459,7 @@
 
 
 def test_a_connection_that_has_been_idle_too_long_is_not_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("granitewell.dataplane.upstream.SILENT_KEEP_ALIVE_S", 0.0)
+    monkeypatch.setattr("granitewell.dataplane.upstream.DEFAULT_KEEP_ALIVE_S", 0.0)
 
     async def run() -> None:
         async with scene(well) as s:
--- a/tests/dataplane/test_planted_defects.py
+++ b/tests/dataplane/test_planted_defects.py
@@ -12,7 +12,7 @@
 from granitewell.dataplane.dispatch import Dispatcher
 from granitewell.dataplane.edge import DataPlane
 from granitewell.dataplane.failure_suspicion import FailureSuspicion
-from granitewell.dataplane.http_server import ClientConnection, FrontServer, HttpServer
+from granitewell.dataplane.http_server import ClientConnection, ClientServer, HttpServer
 from granitewell.dataplane.request import Attempts
 from granitewell.dataplane.request_forwarder import RequestForwarder
 from granitewell.dataplane.routes import RouteTable
@@ -55,13 +55,13 @@
 
 
 def handlers_outlive_clients(patch: Patch) -> None:
-    make = FrontServer.__init__
+    make = ClientServer.__init__
 
-    def without_cancellation(server: FrontServer, *given: Any) -> None:
+    def without_cancellation(server: ClientServer, *given: Any) -> None:
         make(server, *given)
         server.handler_cancellation = False
 
-    patch.setattr(FrontServer, "__init__", without_cancellation)
+    patch.setattr(ClientServer, "__init__", without_cancellation)
 
 
 def end_of_client_not_looked_for(patch: Patch) -> None:
--- a/tests/dataplane/test_time_left.py
+++ b/tests/dataplane/test_time_left.py
@@ -38,9 +38,9 @@
         seen.refuse()
 
 
-@pytest.mark.parametrize("told_ms", ["", "4000", "60000", "4000.5"])
+@pytest.mark.parametrize("stated_ms", ["", "4000", "60000", "4000.5"])
 @pytest.mark.parametrize("name", KINDS)
-def test_each_send_hands_on_what_is_left_of_the_shorter_time(name: str, told_ms: str) -> None:
+def test_each_send_hands_on_what_is_left_of_the_shorter_time(name: str, stated_ms: str) -> None:
     """The client's, or the route's where that is shorter or the client sends none.
 
     Also a second send much later.
@@ -53,8 +53,8 @@
             s.fund()
             loop = asyncio.get_running_loop()
             began = loop.time()
-            await s.call(f"/{name}/x", Granitewell_Deadline_Ms=told_ms)
-            due = began + min(float(told_ms or "5000"), 5000.0) / 1000.0
+            await s.call(f"/{name}/x", Granitewell_Deadline_Ms=stated_ms)
+            due = began + min(float(stated_ms or "5000"), 5000.0) / 1000.0
             assert len(handed.ends) == 3 and handed.sent_at[-1] - handed.sent_at[0] > 1.0
             assert all(due - SEND_MARGIN_S < end <= due for end in handed.ends), (due, handed.ends)
 
--- a/tests/dataplane/test_upstream.py
+++ b/tests/dataplane/test_upstream.py
@@ -81,7 +81,7 @@
 def test_a_write_that_the_kernel_refuses_is_proof(
     listener: socket.socket, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(UpstreamConnection, "silent", lambda self: True)
+    monkeypatch.setattr(UpstreamConnection, "has_nothing_unread", lambda self: True)
 
     async def run() -> None:
         link = Link(listener)
--- a/tests/dataplane/wire_world.py
+++ b/tests/dataplane/wire_world.py
@@ -20,10 +20,10 @@
 from granitewell.dataplane.request_forwarder import (
     Answer,
     ClientRequest,
-    OwnAnswer,
+    CompleteAnswer,
+    LocalAnswer,
     RequestForwarder,
     StreamEnd,
-    WholeAnswer,
 )
 from granitewell.dataplane.upstream import RequestNotWrittenError, UpstreamConnection
 from granitewell.dataplane.upstream_pool import CONNECT_TIMEOUT_S, UpstreamPool
@@ -685,10 +685,10 @@
         if len(mine) > self.route.max_attempts:
             raise ViolationError(f"BUDGET: {request_id} arrived {len(mine)} times")
         match answer:
-            case OwnAnswer():
+            case LocalAnswer():
                 if answer.status in PROMISES and runs:
                     raise ViolationError(f"REFUSED: {request_id} has run and got {answer.status}")
-            case WholeAnswer():
+            case CompleteAnswer():
                 self._check_whole(mine, answer)
             case StreamEnd():
                 self._check_stream(mine, caller, answer)
@@ -698,7 +698,7 @@
         if caller.began and not isinstance(answer, StreamEnd) and answer is not None:
             raise ViolationError("two answers to one request")
 
-    def _check_whole(self, mine: list[Arrival], answer: WholeAnswer) -> None:
+    def _check_whole(self, mine: list[Arrival], answer: CompleteAnswer) -> None:
         seal = _field(answer.headers, SIGNATURE)
         for arrival in mine:
             given = arrival.answer
@@ -730,7 +730,7 @@
 
 def answer_status(answer: Answer | None) -> int:
     """0 where there is none."""
-    return answer.status if isinstance(answer, WholeAnswer | OwnAnswer) else 0
+    return answer.status if isinstance(answer, CompleteAnswer | LocalAnswer) else 0
 
 
 def _field(headers: Sequence[tuple[bytes, bytes]], name: str) -> str | None:
