--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -56,6 +56,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "operate" / "system.md").read_text()
+ONCALL = (ROOT / "ONCALL.md").read_text()
 CLEAN = {k: v for k, v in os.environ.items() if k != "GRANITEWELL_NODE_FILE"} | {"PYTHONPATH": str(ROOT)}
 PROGRAM = [sys.executable, "-m", "granitewell.cli.system"]
 
@@ -651,8 +652,8 @@
         for path in (ROOT / "granitewell" / part).rglob("*.py"):
             said |= set(log_templates(path.read_text()))
     assert len(said) >= 5
-    _, _, table = PAGE.partition("## Log lines\n")
-    rows = set(re.findall(r"^\| `(.+?)` \| `\w+` \| ", table, re.M))
+    _, _, table = ONCALL.partition("## Lines of the edge and the control node\n")
+    rows = set(re.findall(r"^\| \w+ \| `granitewell\.\w+` \| `(.+?)` \| ", table, re.M))
     assert rows == said | {"lines were left out"}
 
 
