--- a/granitewell/balancing/balancer.py
+++ b/granitewell/balancing/balancer.py
@@ -18,16 +18,57 @@
 from typing import Any
 from zlib import crc32
 
-from granitewell.balancing.outlier_detection import FULL_SHARE, SICK, Call, Health, Pair
 from granitewell.balancing.interface import (
-    Abandoned, Acting, Action, MalformedMessageError, Cancel, Effect, Ended, Event, Fail, Field, FirstByte, Host, Hosts,
-    Log, Outcome, PeerMessage, Probed, Refuse, Request, RequestClass, Resettled, Scope, Send, SetTimer,
-    Settings, State, Timer, Uploaded, View, Watch,
-)  # fmt: skip
+    Abandoned,
+    Acting,
+    Action,
+    Cancel,
+    Effect,
+    Ended,
+    Event,
+    Fail,
+    Field,
+    FirstByte,
+    Host,
+    Hosts,
+    Log,
+    MalformedMessageError,
+    Outcome,
+    PeerMessage,
+    Probed,
+    Refuse,
+    Request,
+    RequestClass,
+    Resettled,
+    Scope,
+    Send,
+    SetTimer,
+    Settings,
+    State,
+    Timer,
+    Uploaded,
+    View,
+    Watch,
+)
+from granitewell.balancing.outlier_detection import FULL_SHARE, SICK, Call, Health, Pair
+from granitewell.balancing.prefix_sizing import (
+    BINS,
+    BURST,
+    DELTA,
+    EWMA_N,
+    OVERRUN,
+    RTT,
+    SAMPLES,
+    ActivePrefix,
+    forecast,
+    slots_needed,
+)
+from granitewell.balancing.prefix_sizing import (
+    PERIOD as PERIOD,
+)
 from granitewell.balancing.prefix_sizing import (
-    BINS, BURST, DELTA, EWMA_N, OVERRUN, PERIOD as PERIOD, RTT, SAMPLES, SCALE_IN as SCALE_IN, ActivePrefix,
-    forecast, slots_needed,
-)  # fmt: skip
+    SCALE_IN as SCALE_IN,
+)
 from granitewell.balancing.settings_validation import validate
 
 # --- Constants: unit, reason ----------------------------------------------------------------------------
