--- a/granitewell/lab/cluster/leases_plants.py
+++ b/granitewell/lab/cluster/leases_plants.py
@@ -118,10 +118,10 @@
 _PATCHES: dict[str, tuple[tuple[Any, str, Any], ...]] = {
     "vote-unwritten": ((participant.Participant, "write_then", _write_then),),
     "term-ge": ((grants, "verdict", _verdict), (grants.Grants, "_give", _give)),
-    "lease-unshortened": ((types.Settings, "held", lambda self, lease_us: lease_us),),
+    "lease-unshortened": ((types.Settings, "requester_lease_us", lambda self, lease_us: lease_us),),
     "lost-disk-votes": ((voter_recovery, "blank", _blank),),
     "oath-forgets": ((voter_recovery, "sworn", _forgets),),
-    "oath-unwaited": ((state_machine, "LONGEST_US", 0),),
+    "oath-unwaited": ((state_machine, "MAX_LEASE_US", 0),),
     "oath-minority": ((voter_recovery, "sworn", _sworn),),
     "lives-ignored": ((grants, "verdict", _lifeless), (rounds.Rounds, "until", _until)),
     "promise-forgotten": (
--- a/granitewell/leases/candidacy.py
+++ b/granitewell/leases/candidacy.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from granitewell.leases import voter
-from granitewell.leases.incarnation_numbers import joined
+from granitewell.leases.incarnation_numbers import merged
 from granitewell.leases.participant import Participant
 from granitewell.leases.persistence import Go
 from granitewell.leases.rounds import Rounds
@@ -190,7 +190,7 @@
         self._rounds.clear()
         self._denials = ()
         participant.promise = Promise(
-            participant.who, participant.now_us + participant.settings.promised(length)
+            participant.who, participant.now_us + participant.settings.promiser_lease_us(length)
         )
         self.next_us = self._end_us = participant.now_us + length // 2 + participant.some(self._spread)
         participant.write(
@@ -208,7 +208,7 @@
         participant, length = self._participant, self._participant.settings.lease_us
         holds = self.state is State.HOLDER
         participant.promise = Promise(
-            participant.who, participant.now_us + participant.settings.promised(length)
+            participant.who, participant.now_us + participant.settings.promiser_lease_us(length)
         )
         end = self.until_us if holds else self._end_us
         self.next_us = min(participant.now_us + length // ROUNDS_A_LEASE, end)
@@ -241,7 +241,7 @@
         if body.for_boot != participant.boot:
             return
         self.hear(body.term)
-        incarnations = joined(participant.record.incarnations, body.incarnations)
+        incarnations = merged(participant.record.incarnations, body.incarnations)
         if incarnations != participant.record.incarnations:
             participant.write(replace(participant.record, incarnations=incarnations), None)
         if body.why not in (voter.TERM, voter.VOTED) or body.term < participant.record.term:
--- a/granitewell/leases/grants.py
+++ b/granitewell/leases/grants.py
@@ -100,7 +100,7 @@
             record = replace(record, term=asked.term, voted=asked.who, lease_us=asked.lease_us)
         record = replace(record, incarnations=asked.incarnations)
         participant.promise = Promise(
-            asked.who, participant.now_us + participant.settings.promised(asked.lease_us)
+            asked.who, participant.now_us + participant.settings.promiser_lease_us(asked.lease_us)
         )
         grant = Grant(number, asked.who[1], record.incarnation, asked.term)
         now = participant.write_then(record, Reply(asked.who[0], grant))
--- a/granitewell/leases/incarnation_numbers.py
+++ b/granitewell/leases/incarnation_numbers.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable, Sequence
 
-A_COUNT = 1 << 40
+NUMBERS_PER_COUNT = 1 << 40
 
 
 def incarnation(count: int, bits: float) -> int:
@@ -20,15 +20,15 @@
         count: Which disk it is, from 1.
         bits: Random number from 0 up to 1.
     """
-    return count * A_COUNT + int(bits * A_COUNT)
+    return count * NUMBERS_PER_COUNT + int(bits * NUMBERS_PER_COUNT)
 
 
 def count_of(number: int) -> int:
     """Return which disk of its name a number stands for, from 1; 0 if none is known."""
-    return number // A_COUNT
+    return number // NUMBERS_PER_COUNT
 
 
-def takes(known: int, number: int) -> bool:
+def accepts(known: int, number: int) -> bool:
     """Return whether a planner that knows one incarnation of a name records another.
 
     Only if the count of the other one is higher.
@@ -36,11 +36,11 @@
     return number == known or count_of(number) > count_of(known)
 
 
-def join(a: int, b: int) -> int:
+def merge(a: int, b: int) -> int:
     """Return what follows from knowing two incarnations of one name."""
-    return 2 * A_COUNT if a != b and count_of(a) == count_of(b) == 1 else max(a, b)
+    return 2 * NUMBERS_PER_COUNT if a != b and count_of(a) == count_of(b) == 1 else max(a, b)
 
 
-def joined(a: Sequence[int], b: Iterable[int]) -> tuple[int, ...]:
+def merged(a: Sequence[int], b: Iterable[int]) -> tuple[int, ...]:
     """Return what follows from knowing two lists of incarnations, name by name."""
-    return tuple(map(join, a, b))
+    return tuple(map(merge, a, b))
--- a/granitewell/leases/record.py
+++ b/granitewell/leases/record.py
@@ -12,8 +12,8 @@
 
 KEY = "lease"
 VERSION = 1
-MOST = 2_000  # bytes
-BLANK, FOUNDED, OATH = "blank", "founded", "oath"
+MAX_RECORD_BYTES = 2_000
+BLANK, FOUNDED, RECOVERED = "blank", "founded", "oath"
 _NUMBERS = ("epoch", "fleet", "life", "term", "lease_us")
 _STORED_NAMES = {"incarnation": "life", "incarnations": "lives"}
 """Names of fields on the disk where they differ from those here."""
@@ -60,8 +60,8 @@
 
 def read(data: bytes, planners: int) -> Record:
     """Parse a stored value; raises MalformedRecordError."""
-    if len(data) > MOST:
-        raise MalformedRecordError(f"lease record: found {len(data)} bytes, allowed are {MOST}")
+    if len(data) > MAX_RECORD_BYTES:
+        raise MalformedRecordError(f"lease record: found {len(data)} bytes, allowed are {MAX_RECORD_BYTES}")
     try:
         fields = json.loads(data)
     except (ValueError, RecursionError) as error:
@@ -95,7 +95,7 @@
             raise MalformedRecordError(
                 f"lease record: {name}: found {fields[name]!r}, allowed is a number from 0"
             )
-    if fields["sworn"] not in (BLANK, FOUNDED, OATH):
+    if fields["sworn"] not in (BLANK, FOUNDED, RECOVERED):
         raise MalformedRecordError(f"lease record: sworn: found {fields['sworn']!r}")
     pair = None if voted is None else (voted[0], voted[1])
     numbers = {_FIELD_NAMES.get(name, name): fields[name] for name in _NUMBERS}
--- a/granitewell/leases/rounds.py
+++ b/granitewell/leases/rounds.py
@@ -28,7 +28,7 @@
     def ask(self, now_us: int) -> int:
         """Begin a new round now; return its number."""
         self.last += 1
-        over = now_us - self._settings.held(self._settings.lease_us)
+        over = now_us - self._settings.requester_lease_us(self._settings.lease_us)
         self._asked = {number: asked for number, asked in self._asked.items() if asked > over}
         self._asked[self.last] = now_us
         return self.last
@@ -58,7 +58,7 @@
         wanted = self._settings.majority - 1
         if len(times) < wanted:
             return -1
-        return times[wanted - 1] + self._settings.held(self._settings.lease_us)
+        return times[wanted - 1] + self._settings.requester_lease_us(self._settings.lease_us)
 
     def newest(self) -> str | None:
         """Return the planner that granted last; the first by name if there are several."""
--- a/granitewell/leases/state_machine.py
+++ b/granitewell/leases/state_machine.py
@@ -25,11 +25,11 @@
 from granitewell.leases.candidacy import Candidacy
 from granitewell.leases.duplicate_identity import DuplicateIdentityCheck
 from granitewell.leases.grants import Grants
-from granitewell.leases.incarnation_numbers import join
+from granitewell.leases.incarnation_numbers import merge
 from granitewell.leases.participant import Participant
 from granitewell.leases.persistence import Go, Persistence, Reply, Then
-from granitewell.leases.record import BLANK, KEY, OATH, MalformedRecordError, Record, read
-from granitewell.leases.types import LONGEST_US, Cause, Floor, Refuses, Settings, State, Stop
+from granitewell.leases.record import BLANK, KEY, RECOVERED, MalformedRecordError, Record, read
+from granitewell.leases.types import MAX_LEASE_US, Cause, Floor, Refuses, Settings, State, Stop
 from granitewell.leases.voter import Promise, at_start
 from granitewell.leases.voter_recovery import VoterRecovery
 from granitewell.protocols.peers.leases import (
@@ -175,9 +175,9 @@
     def _may_vote(self) -> None:
         """Begin to vote; after a recovery, once earlier promises have expired."""
         participant = self.participant
-        if participant.record.sworn == OATH:
+        if participant.record.sworn == RECOVERED:
             participant.promise = Promise(
-                None, participant.now_us + participant.settings.promised(LONGEST_US)
+                None, participant.now_us + participant.settings.promiser_lease_us(MAX_LEASE_US)
             )
         if participant.record.sworn != BLANK:
             self.candidacy.sworn()
@@ -202,7 +202,7 @@
         if len(said.incarnations) != len(self.participant.settings.names):
             return False
         mine = self.participant.record.incarnation
-        if self.participant.votes and join(said.incarnations[self.participant.me], mine) != mine:
+        if self.participant.votes and merge(said.incarnations[self.participant.me], mine) != mine:
             self._refuse("another process has taken our name with a newer disk")
             return False
         return True
--- a/granitewell/leases/types.py
+++ b/granitewell/leases/types.py
@@ -17,15 +17,19 @@
 
 from granitewell.protocols.peers.frames import Keys
 
-MILLION = 1_000_000
-LEAST, MOST = 3, 7  # planners
-LONGEST_US = 10_000_000  # the longest lease: a planner with a new disk waits so long, as it can't know better
-SHORTEST_US = 100_000
+PARTS_PER_MILLION = 1_000_000
+MIN_PLANNERS, MAX_PLANNERS = 3, 7
+MAX_LEASE_US = 10_000_000  # a planner with a new disk waits so long, as it can't know better
+MIN_LEASE_US = 100_000
 MAX_DRIFT_PPM = 200_000
 TERMS_AN_EPOCH = 1 << 32
 MAX_EPOCH = 1 << 20
 
 
+class LeaseSettingsError(ValueError):
+    """A setting of the lease protocol is out of its bounds. The message names the field."""
+
+
 class State(Enum):
     """State of a planner."""
 
@@ -117,7 +121,7 @@
 # --- Settings -------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings of a planner. Raises ValueError naming the field.
+    """Settings of a planner. Raises LeaseSettingsError naming the field.
 
     Attributes:
         name: Name of this planner.
@@ -144,14 +148,16 @@
         put(self, "planners", tuple(sorted(self.planners)))
         put(self, "names", tuple(name for name, _ in self.planners))
         addresses = {address for _, address in self.planners}
-        _held("planners", len(self.planners), LEAST, MOST)
-        _held("epoch", self.epoch, 1, MAX_EPOCH)
-        _held("lease_us", self.lease_us, SHORTEST_US, LONGEST_US)
-        _held("drift_ppm", self.drift_ppm, 0, MAX_DRIFT_PPM)
+        _check_bounds("planners", len(self.planners), MIN_PLANNERS, MAX_PLANNERS)
+        _check_bounds("epoch", self.epoch, 1, MAX_EPOCH)
+        _check_bounds("lease_us", self.lease_us, MIN_LEASE_US, MAX_LEASE_US)
+        _check_bounds("drift_ppm", self.drift_ppm, 0, MAX_DRIFT_PPM)
         if len(addresses) < len(self.planners) or len(set(self.names)) < len(self.names):
-            raise ValueError(f"planners: found {self.planners}, allowed are different names and addresses")
+            raise LeaseSettingsError(
+                f"planners: found {self.planners}, allowed are different names and addresses"
+            )
         if self.name not in self.names:
-            raise ValueError(f"name: found {self.name!r}, allowed are {', '.join(self.names)}")
+            raise LeaseSettingsError(f"name: found {self.name!r}, allowed are {', '.join(self.names)}")
         text = "\n".join((str(self.epoch), *self.names)).encode()
         digest = blake2b(text, digest_size=8, person=b"granitewell flee").digest()
         put(self, "fleet", int.from_bytes(digest, "big") >> 2)
@@ -169,18 +175,18 @@
         """
         return self.epoch * TERMS_AN_EPOCH
 
-    def held(self, lease_us: int) -> int:
+    def requester_lease_us(self, lease_us: int) -> int:
         """Return how long the requester of a lease may count on it, on its own clock, in microseconds.
 
         One less, because readings of a clock are rounded down to whole microseconds.
         """
-        return lease_us * (MILLION - self.drift_ppm) // MILLION - 1
+        return lease_us * (PARTS_PER_MILLION - self.drift_ppm) // PARTS_PER_MILLION - 1
 
-    def promised(self, lease_us: int) -> int:
+    def promiser_lease_us(self, lease_us: int) -> int:
         """Return how long the promiser of a lease must keep it, on its own clock, in microseconds."""
-        return -(-lease_us * (MILLION + self.drift_ppm) // MILLION) + 1
+        return -(-lease_us * (PARTS_PER_MILLION + self.drift_ppm) // PARTS_PER_MILLION) + 1
 
 
-def _held(name: str, value: int, least: int, most: int) -> None:
-    if not least <= value <= most:
-        raise ValueError(f"{name}: found {value}, allowed are {least} to {most}")
+def _check_bounds(name: str, value: int, minimum: int, maximum: int) -> None:
+    if not minimum <= value <= maximum:
+        raise LeaseSettingsError(f"{name}: found {value}, allowed are {minimum} to {maximum}")
--- a/granitewell/leases/voter.py
+++ b/granitewell/leases/voter.py
@@ -7,9 +7,9 @@
 
 from dataclasses import dataclass
 
-from granitewell.leases.incarnation_numbers import joined
+from granitewell.leases.incarnation_numbers import merged
 from granitewell.leases.record import Record
-from granitewell.leases.types import LONGEST_US, Settings
+from granitewell.leases.types import MAX_LEASE_US, Settings
 
 Who = tuple[str, int]  # name and boot of a process
 
@@ -65,7 +65,7 @@
     """
     if (
         asked.incarnations[me] != record.incarnation
-        or joined(asked.incarnations, record.incarnations) != asked.incarnations
+        or merged(asked.incarnations, record.incarnations) != asked.incarnations
     ):
         return INCARNATIONS
     if asked.term < record.term:
@@ -73,7 +73,7 @@
     again = asked.term == record.term
     if again and record.voted != asked.who:
         return VOTED
-    if asked.lease_us > (record.lease_us if again else LONGEST_US):
+    if asked.lease_us > (record.lease_us if again else MAX_LEASE_US):
         return LENGTH
     if not again and promise.against(asked.who, now_us):
         return PROMISED
@@ -87,4 +87,4 @@
     last: it gave none to another planner before that one had expired, and wrote each new one to disk before
     announcing it.
     """
-    return Promise(record.voted, now_us + settings.promised(max(record.lease_us, settings.lease_us)))
+    return Promise(record.voted, now_us + settings.promiser_lease_us(max(record.lease_us, settings.lease_us)))
--- a/granitewell/leases/voter_recovery.py
+++ b/granitewell/leases/voter_recovery.py
@@ -21,11 +21,11 @@
 
 from dataclasses import replace
 
-from granitewell.leases.incarnation_numbers import count_of, incarnation, join, joined, takes
+from granitewell.leases.incarnation_numbers import accepts, count_of, incarnation, merge, merged
 from granitewell.leases.participant import Participant
 from granitewell.leases.persistence import Go, Reply
-from granitewell.leases.record import BLANK, FOUNDED, OATH, Record
-from granitewell.leases.types import LONGEST_US, Settings
+from granitewell.leases.record import BLANK, FOUNDED, RECOVERED, Record
+from granitewell.leases.types import MAX_LEASE_US, Settings
 from granitewell.protocols.peers.leases import Oath, Sworn
 
 FOUNDING_LEASES = 3  # for how long a first disk prefers to be one of the founders
@@ -76,7 +76,7 @@
         """Write down another planner's new disk, and report what this one knows."""
         participant, record = self._participant, self._participant.record
         place = participant.settings.names.index(name)
-        if takes(record.incarnations[place], body.incarnation):
+        if accepts(record.incarnations[place], body.incarnation):
             others = record.incarnations[:place], record.incarnations[place + 1 :]
             record = replace(record, incarnations=(*others[0], body.incarnation, *others[1]))
         incarnations = participant.incarnations_announced(record)
@@ -104,7 +104,7 @@
         participant = self._participant
         result = sworn(participant.settings, participant.record, self._answers)
         early = participant.now_us < participant.began_us + FOUNDING_LEASES * participant.settings.lease_us
-        if result is None or (result.sworn == OATH and count_of(result.incarnation) == 1 and early):
+        if result is None or (result.sworn == RECOVERED and count_of(result.incarnation) == 1 and early):
             return False
         participant.write(result, Go("sworn"))
         return True
@@ -115,7 +115,7 @@
         self._answers = {}
         record = blank(participant.settings, count, participant.rng.random())
         participant.write(
-            replace(record, incarnations=joined(record.incarnations, participant.record.incarnations)),
+            replace(record, incarnations=merged(record.incarnations, participant.record.incarnations)),
             Go("swear"),
         )
 
@@ -124,16 +124,18 @@
     """Return the record with which this planner may vote, once there are enough answers."""
     incarnations = record.incarnations
     for answer in answers.values():
-        incarnations = joined(incarnations, answer.incarnations)
+        incarnations = merged(incarnations, answer.incarnations)
     index_of = settings.names.index
     counted = [
-        a for name, a in answers.items() if join(incarnations[index_of(name)], a.incarnation) == a.incarnation
+        a
+        for name, a in answers.items()
+        if merge(incarnations[index_of(name)], a.incarnation) == a.incarnation
     ]
-    first = count_of(record.incarnation) == 1 and all(a.sworn != OATH for a in counted)
+    first = count_of(record.incarnation) == 1 and all(a.sworn != RECOVERED for a in counted)
     if first and len(counted) == len(settings.names) - 1:
         return replace(record, incarnations=incarnations, sworn=FOUNDED)
     voters = [a for a in counted if a.sworn != BLANK]
     if len(voters) < settings.majority:
         return None
     term = max(a.term for a in voters)
-    return replace(record, incarnations=incarnations, sworn=OATH, term=term, lease_us=LONGEST_US)
+    return replace(record, incarnations=incarnations, sworn=RECOVERED, term=term, lease_us=MAX_LEASE_US)
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -23,15 +23,16 @@
 from granitewell.lab.cluster.links import Cut
 from granitewell.lab.cluster.world import Boot, Cluster, Node
 from granitewell.leases.duplicate_identity import younger
-from granitewell.leases.incarnation_numbers import A_COUNT, join, takes
-from granitewell.leases.record import BLANK, FOUNDED, KEY, OATH, MalformedRecordError, Record, read
+from granitewell.leases.incarnation_numbers import NUMBERS_PER_COUNT, accepts, merge
+from granitewell.leases.record import BLANK, FOUNDED, KEY, RECOVERED, MalformedRecordError, Record, read
 from granitewell.leases.state_machine import Leases
 from granitewell.leases.types import (
-    LONGEST_US,
+    MAX_LEASE_US,
     TABLE,
     Cause,
     Floor,
     Leads,
+    LeaseSettingsError,
     Lost,
     Refuses,
     Settings,
@@ -55,7 +56,7 @@
 SECOND = 1_000_000
 FLEET = Settings("p1", planners(3), KEYS)
 FIRST = FLEET.first_term
-INCARNATIONS = tuple(k * 10 + A_COUNT for k in (1, 2, 3))
+INCARNATIONS = tuple(k * 10 + NUMBERS_PER_COUNT for k in (1, 2, 3))
 
 
 # --- One planner, by hand -------------------------------------------------------------------------------
@@ -155,7 +156,7 @@
     assert why(hand.ask("p3", 33, 2)) == "term"
     assert why(hand.ask("p3", 33, 4)) == "promised"
     assert why(hand.ask("p1", 11, 3, lease_us=4 * SECOND)) == "length"
-    hand.wait(FLEET.promised(3 * SECOND) - 1)
+    hand.wait(FLEET.promiser_lease_us(3 * SECOND) - 1)
     assert why(hand.ask("p3", 33, 4)) == "promised"
     hand.wait(1)
     assert why(hand.ask("p3", 33, 3)) == "voted"
@@ -171,7 +172,7 @@
     assert said(hand.ask("p1", 11, 1, 2, lease_us=9 * SECOND)) == [Grant(2, 11, INCARNATIONS[1], FIRST + 1)]
     hand.start()
     assert why(hand.ask("p3", 33, 1)) == "voted" and why(hand.ask("p3", 33, 2)) == "promised"
-    hand.wait(FLEET.promised(9 * SECOND) - 1)
+    hand.wait(FLEET.promiser_lease_us(9 * SECOND) - 1)
     assert why(hand.ask("p3", 33, 2)) == "promised"
     hand.wait(1)
     assert hand.stored(hand.ask("p3", 33, 2))
@@ -222,7 +223,7 @@
     hand.wait(SECOND)
     assert isinstance(asks[0], Ask)
     grant = Grant(asks[0].round, hand.machine.participant.boot, INCARNATIONS[0], FIRST + 1)
-    assert Leads(FIRST + 1, asked + FLEET.held(3 * SECOND)) in hand.hear("p1", 11, grant)
+    assert Leads(FIRST + 1, asked + FLEET.requester_lease_us(3 * SECOND)) in hand.hear("p1", 11, grant)
     hand.wait(3 * SECOND)  # stopped meanwhile; what waited comes first, not the timer
     effects = hand.hear("p1", 11, grant)
     assert Lost(FIRST + 1) in effects and not any(isinstance(x, Ask) for x in said(effects))
@@ -232,7 +233,7 @@
 def test_an_answer_that_comes_after_the_lease_it_would_give_makes_nobody_lead() -> None:
     hand = Hand()
     asks = said(hand.stored(stands(hand)))
-    hand.wait(FLEET.held(3 * SECOND))
+    hand.wait(FLEET.requester_lease_us(3 * SECOND))
     assert isinstance(asks[0], Ask)
     effects = hand.hear(
         "p1", 11, Grant(asks[0].round, hand.machine.participant.boot, INCARNATIONS[0], FIRST + 1)
@@ -306,7 +307,9 @@
 
 def test_a_disk_of_which_others_know_a_newer_one_refuses_itself() -> None:
     hand = Hand()
-    [_, refuses] = hand.ask("p1", 11, 1, incarnations=[INCARNATIONS[0], 2 * A_COUNT, INCARNATIONS[2]])
+    [_, refuses] = hand.ask(
+        "p1", 11, 1, incarnations=[INCARNATIONS[0], 2 * NUMBERS_PER_COUNT, INCARNATIONS[2]]
+    )
     assert isinstance(refuses, Refuses) and hand.machine.state is State.REFUSED
 
 
@@ -315,23 +318,23 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(RATE, RATE, st.integers(0, 10**9), st.integers(0, 10**6), st.integers(100_000, LONGEST_US))
+@given(RATE, RATE, st.integers(0, 10**9), st.integers(0, 10**6), st.integers(100_000, MAX_LEASE_US))
 def test_a_promise_outlives_the_lease_whatever_the_two_clocks_do(
     holder: int, voter: int, asked: int, way: int, lease: int
 ) -> None:
     """From asking to the last microsecond in which the holder believes it, in real time, and the voter's."""
     ours, theirs = Clock(77, holder), Clock(5, voter)
-    until = ours.local(asked) + FLEET.held(lease)
-    promised = theirs.local(asked + way) + FLEET.promised(lease)
+    until = ours.local(asked) + FLEET.requester_lease_us(lease)
+    promised = theirs.local(asked + way) + FLEET.promiser_lease_us(lease)
     assert ours.real(until) - 1 < theirs.real(promised)
 
 
 def test_the_order_of_lives() -> None:
-    first, other, second = A_COUNT + 1, A_COUNT + 2, 2 * A_COUNT
-    assert takes(0, first) and takes(first, first) and takes(first, second)
-    assert not takes(first, other) and not takes(second, first) and not takes(second, second + 1)
-    assert join(first, other) == join(other, first) == second and join(0, first) == first
-    assert join(second, first) == second and join(second + 5, second) == second + 5
+    first, other, second = NUMBERS_PER_COUNT + 1, NUMBERS_PER_COUNT + 2, 2 * NUMBERS_PER_COUNT
+    assert accepts(0, first) and accepts(first, first) and accepts(first, second)
+    assert not accepts(first, other) and not accepts(second, first) and not accepts(second, second + 1)
+    assert merge(first, other) == merge(other, first) == second and merge(0, first) == first
+    assert merge(second, first) == second and merge(second + 5, second) == second + 5
 
 
 @pytest.mark.parametrize(
@@ -345,7 +348,7 @@
     ],
 )  # fmt: skip
 def test_a_bad_record_names_what_is_wrong(changed: dict[str, object], words: str) -> None:
-    good = Record(1, FLEET.fleet, INCARNATIONS[0], OATH, FIRST + 7, ("p1", 8), 9, INCARNATIONS)
+    good = Record(1, FLEET.fleet, INCARNATIONS[0], RECOVERED, FIRST + 7, ("p1", 8), 9, INCARNATIONS)
     assert read(good.write(), 3) == good
     with pytest.raises(MalformedRecordError, match=words.replace("[", r"\[")):
         read(json.dumps(json.loads(good.write()) | changed).encode(), 3)
@@ -375,7 +378,7 @@
     ],
 )  # fmt: skip
 def test_settings_name_the_field(changed: dict[str, object], words: str) -> None:
-    with pytest.raises(ValueError, match=words):
+    with pytest.raises(LeaseSettingsError, match=words):
         replace(FLEET, **changed)  # type: ignore[arg-type]
 
 
@@ -465,9 +468,9 @@
     assert machine is not None and machine.state is State.BLANK
     until(cluster, lambda: machine.state is not State.BLANK)
     sworn_at = lost.clock.local(cluster.now_us)
-    assert machine.participant.record.sworn == OATH and machine.term >= term
+    assert machine.participant.record.sworn == RECOVERED and machine.term >= term
     assert machine.participant.promise.to is None
-    assert machine.participant.promise.until_us >= sworn_at + LONGEST_US
+    assert machine.participant.promise.until_us >= sworn_at + MAX_LEASE_US
     until(cluster, lambda: machine.participant.record.voted is not None)
     assert machine.term > term
 
@@ -481,7 +484,9 @@
     machine = planner_of(first)
     assert machine is not None
     until(cluster, lambda: machine.state is not State.BLANK)
-    assert machine.participant.record.sworn == OATH and machine.participant.record.incarnation > incarnation
+    assert (
+        machine.participant.record.sworn == RECOVERED and machine.participant.record.incarnation > incarnation
+    )
 
 
 def test_a_lost_majority_stays_without_a_leader_until_the_operator_begins_a_new_epoch() -> None:
--- a/tests/recorded/samples.py
+++ b/tests/recorded/samples.py
@@ -290,7 +290,9 @@
     (Known("n2", -1), Known("n3", 120_000_000)),
     ("10.2.0.2:9000",),
 )
-LEASE_RECORD = lease_record.Record(1, 4242, 4, lease_record.OATH, 1 << 32, ("n2", 22), 3_000_000, (4, 5, 6))
+LEASE_RECORD = lease_record.Record(
+    1, 4242, 4, lease_record.RECOVERED, 1 << 32, ("n2", 22), 3_000_000, (4, 5, 6)
+)
 BAN = (b"endpoint-\xff", True, handover.Moment(1_700_000_000_000_000, 42))
 
 
