--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -1,5 +1,7 @@
-"""Rule 4 for a whole fleet, in virtual time: many gateways, each with a thin and uneven part of the traffic,
-nothing said between them, and one endpoint that has just started and to which all of them turn at once.
+"""The cold endpoint's budget (rule 4) for a fleet of many gateways, in virtual time.
+
+Each gateway has a thin and uneven part of the traffic, they exchange no messages, and one endpoint has just
+started, to which all of them turn at once.
 
 What is asked: in no window of `fall_ms` do they send it more than N + 2 x root of N + 2 requests of mean
 work, N being fall_multiple x what it can do then x that time. The endpoints are queues of the same speed; the
@@ -48,10 +50,12 @@
         self.sent: list[float] = []  # to the cold one, from its start on
 
     def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
+        """Schedule a call."""
         self.last += 1
         heappush(self.agenda, (when, self.last, what, args))
 
     def feed(self, k: int, event: t.Event) -> None:
+        """Give an event to a gateway and run its actions."""
         for action in self.gateways[k].handle(self.now, event):
             if isinstance(action, t.SetTimer):
                 self.at(action.at_ms, self.feed, k, t.Timer(action.mark))
@@ -63,6 +67,7 @@
         return COLD_FROM + (1 - COLD_FROM) * min((self.now - STARTS_MS) / RAMP_MS, 1.0)
 
     def serve(self, k: int, send: t.Send) -> None:
+        """Play an attempt at an endpoint."""
         attempt = self.tries[k, send.id]
         self.tries[k, send.id] += 1
         cold = send.host == COLD and self.now >= STARTS_MS
@@ -76,11 +81,13 @@
         self.at(done, self.feed, k, ended)
 
     def ask(self, k: int) -> None:
+        """Send the next request of a gateway, and schedule the one after it."""
         self.last += 1
         self.feed(k, t.Request(self.last, 0, 0, 0, self.now + 2500.0, 0.0))
         self.at(self.now + self.rng.expovariate(self.rates[k]), self.ask, k)
 
     def news(self, view: t.View, *hosts: t.Host) -> None:
+        """Tell all gateways of the endpoints."""
         for k in range(len(self.gateways)):
             self.feed(k, t.Hosts(view, hosts))
 
--- a/benchmarks/counts_cost.py
+++ b/benchmarks/counts_cost.py
@@ -63,6 +63,7 @@
 
 
 def main() -> int:
+    """Measure and print the costs."""
     for keys in (10, 1_000, 100_000):
         print(f"a request at {keys:7} tenants: {request_us(keys):6.2f} us")
     for nodes, seconds in SECONDS.items():
--- a/benchmarks/lab_speed.py
+++ b/benchmarks/lab_speed.py
@@ -20,8 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from granitewell.lab import scenario
 from granitewell.lab.day import Day
@@ -30,6 +29,7 @@
 from granitewell.lab.simulation.profile import Sampler
 from granitewell.lab.simulation.world import World
 
+ROOT = Path(__file__).resolve().parent.parent
 SEED = 1
 LOOP = 2_000_000
 # nodes, endpoints, first tries a second, seconds of arrivals, and from which second on they are counted
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -105,6 +105,7 @@
 
 
 def open_socket() -> socket.socket:
+    """Return a non-blocking TCP socket without delay."""
     sock = socket.socket()
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -118,10 +119,12 @@
         self.done = False
 
     def on_message_complete(self) -> None:
+        """Note that the answer is complete."""
         self.done = True
 
 
 async def by_sock(trial: Trial) -> None:
+    """Play a trial with the socket calls of asyncio."""
     loop, idle, tasks = asyncio.get_running_loop(), list[tuple[socket.socket, bytearray]](), list[Any]()
 
     async def one(request: bytes) -> None:
@@ -153,18 +156,22 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the first request."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.write(self.first)
 
     def data_received(self, data: bytes) -> None:
+        """Parse a piece of the answer."""
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
+        """Count the answer and return the connection."""
         self.trial.answered += 1
         self.idle.append(self)
 
 
 async def by_protocol(trial: Trial) -> None:
+    """Play a trial with protocols of asyncio."""
     loop, idle, over = asyncio.get_running_loop(), list[Client](), asyncio.Event()
     tasks = list[Any]()
 
@@ -200,11 +207,13 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def on_message_complete(self) -> None:
+        """Count the answer and return the connection."""
         self.trial.answered += 1
         self.idle.append(self)
 
 
 def by_epoll(trial: Trial) -> None:
+    """Play a trial with epoll."""
     epoll, conns, idle = select.epoll(), dict[int, Held](), list[Held]()
 
     def leave() -> None:
@@ -266,6 +275,7 @@
 
 
 def main() -> None:
+    """Run one client, or compare all of them."""
     what, rest = sys.argv[1] if len(sys.argv) > 1 else "", sys.argv[2:]
     if what == "client":
         client(rest[0], int(rest[1]), int(rest[2]))
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,5 +1,4 @@
-"""A loaded day of the lab on sockets, with the nodes watched from inside: what grows, and what asyncio
-complains of.
+"""A loaded day of the lab on sockets: what grows in the nodes, and what asyncio complains of.
 
     python benchmarks/soak.py [SECONDS] [--turns]
 
@@ -80,6 +79,7 @@
 
 
 def main() -> int:
+    """Play the day, and print what grew."""
     from dataclasses import replace
 
     from granitewell.lab import day as d
@@ -102,7 +102,7 @@
     place = Path(tempfile.mkdtemp(prefix="granitewell-soak-"))
     os.environ[PLACE] = f"{place}|{length_s}|{'turns' if turns else ''}"
     watch = () if turns else ("-X", "dev", "-W", "error::ResourceWarning")
-    program = (sys.executable, *watch, os.path.abspath(__file__), "--node")
+    program = (sys.executable, *watch, str(Path(__file__).resolve()), "--node")
     options = Options(program=program, rough=0.1, rude=20)
     played = play_on_sockets(replace(day, faults=faults), place, options)
     print(f"rules: {played['report']['offences'] or 'none broken'}")
--- a/benchmarks/status_cost.py
+++ b/benchmarks/status_cost.py
@@ -167,6 +167,7 @@
 
 
 def main() -> None:
+    """Measure and print the table."""
     times = int(sys.argv[1]) if len(sys.argv) > 1 else 20
     print("| endpoints | rows | look, CPU (ms) | steps | step p99, max, CPU (ms) | "
           "step p99, max, clock (ms) | turn max, quiet and asked, CPU (ms) | the same, clock (ms) | "
