--- a/granitewell/lab/system/standins.py
+++ b/granitewell/lab/system/standins.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from collections import Counter
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -43,12 +44,18 @@
 
 @dataclass
 class ModelServer:
-    """One server.
+    """Stand-in for a server that runs models.
 
     Attributes:
-        models: Held now.
-        sequence: Orders taken.
+        id: Instance id.
+        service: Service that it belongs to.
+        load_time_s: Duration of a load, in seconds.
+        models: Models that it has now.
         runs: How often each request id was run.
+        loads: Models that it has loaded, in order.
+        sequence: Number of orders taken.
+        open_streams: Answers that are being written.
+        address: `ip:port` once it listens.
     """
 
     id: str
@@ -58,6 +65,7 @@
     runs: Counter[str] = field(default_factory=Counter)
     loads: list[str] = field(default_factory=list)
     sequence: int = 0
+    open_streams: int = 0
     address: str = ""
     _fence: int = 0
     _busy: bool = False
@@ -161,16 +169,21 @@
             return web.Response(status=421, headers={REQUEST_ID: request_id, NOT_EXECUTED: "1"})
         await request.read()
         self.runs[request_id] += 1
-        return await self._stream(request, model, request_id)
+        self.open_streams += 1
+        try:
+            return await self._stream(request, model, request_id)
+        finally:
+            self.open_streams -= 1
 
     async def _stream(self, request: web.Request, model: str, request_id: str) -> web.StreamResponse:
         answer = web.StreamResponse(headers={REQUEST_ID: request_id, SEAL: self.seal(request_id)})
         answer.content_type = "text/event-stream"
         await answer.prepare(request)
-        for number in range(1, EVENTS + 1):
-            await answer.write(event(model, request_id, number))
-            await asyncio.sleep(EVENT_PAUSE_S)
-        await answer.write_eof()
+        with contextlib.suppress(ConnectionResetError):  # the edge has left, as its own client has
+            for number in range(1, EVENTS + 1):
+                await answer.write(event(model, request_id, number))
+                await asyncio.sleep(EVENT_PAUSE_S)
+            await answer.write_eof()
         return answer
 
 
--- a/tests/test_system_demo.py
+++ b/tests/test_system_demo.py
@@ -154,3 +154,25 @@
             await server.stop()
 
     assert play(scene()) == 421
+
+
+def test_a_caller_that_leaves_in_the_middle_of_a_stream_is_no_error(caplog: pytest.LogCaptureFixture) -> None:
+    async def scene() -> int:
+        server = ModelServer("i-1", SERVICE, 0.0, {HELD_MODEL})
+        await server.start(STANDIN_IP)
+        host, port = server.address.split(":")
+        reader, writer = await asyncio.open_connection(host, int(port))
+        head = f"POST /chat/ HTTP/1.1\r\nHost: a\r\nGranitewell-Model: {HELD_MODEL}\r\n"
+        writer.write(f"{head}Granitewell-Request-Id: a\r\nContent-Length: 0\r\n\r\n".encode())
+        await reader.readuntil(b"data:")
+        writer.transport.abort()
+        try:
+            async with asyncio.timeout(MAX_S):
+                while server.open_streams:
+                    await asyncio.sleep(0.001)
+        finally:
+            await server.stop()
+        return server.runs.total()
+
+    assert play(scene()) == 1
+    assert [record.getMessage() for record in caplog.records] == []
