--- a/tiderelay/health.py
+++ b/tiderelay/health.py
@@ -87,8 +87,11 @@
 
 
 class Health(Generic[C]):
-    """The evidence of one gateway. `mean[k]` is the mean time in ms of class k's answers, `known[k]` their
-    number, as the caller learns them from hosts that are well."""
+    """The evidence of one gateway.
+
+    `mean[k]` is the mean time in ms of class k's answers, `known[k]` their number, as the caller learns them
+    from hosts that are well.
+    """
 
     def __init__(self, safe: Iterable[bool], least: Iterable[float] = ()) -> None:
         """safe: by class, whether it may be repeated; least: ms, the patience that each has at least."""
@@ -117,8 +120,11 @@
 
     # --- Judgement --------------------------------------------------------------------------------------
     def fails(self, pairs: list[Pair], cls: int, zone: int, now: float) -> float:
-        """A class's share of failures at a host, forgotten with time. Where most of a zone's attempts go
-        unanswered, its hosts count as failing before each has cost a request."""
+        """A class's share of failures at a host, forgotten with time.
+
+        Where most of a zone's attempts go unanswered, its hosts count as failing before each has cost a
+        request.
+        """
         fail = pairs[cls].own(now)
         share, at = self._zones.get(zone, _NONE)
         return max(fail, share * math.exp((at - now) / FAIL_TAU)) if share > ZONE_BAD else fail
@@ -134,8 +140,11 @@
         return not self.full[cls] and self.fails(pairs, cls, zone, now) > SICK
 
     def review(self, hosts: list[tuple[list[Pair], int]], now: float) -> list[tuple[int, int, Pair]]:
-        """Now and then, over (pairs, zone) of all ready hosts: whether the fleet is full, and whose state has
-        changed since the last review (host's index, class, row)."""
+        """Now and then, over (pairs, zone) of all ready hosts.
+
+        Whether the fleet is full, and whose state has changed since the last review (host's index, class,
+        row).
+        """
         changed = []
         for k in range(len(self._safe)):
             ill = 0
@@ -181,8 +190,10 @@
         self._zones[call.zone] = (zone * (1 - ZONE_GAIN) + (outcome in _LOST) * ZONE_GAIN, now)
 
     def overdue(self, now: float) -> list[C]:
-        """The calls that have now been out beyond all patience, each of them told once: they speak against
-        their hosts long before their time is up."""
+        """The calls that have now been out beyond all patience, each of them told once.
+
+        They speak against their hosts long before their time is up.
+        """
         found: list[C] = []
         for k, recent in enumerate(self._recent):
             until = now - max(PATIENCE * self.mean[k], self._least[k])
@@ -220,8 +231,11 @@
     def judged(
         self, pairs: list[Pair], zone: int, now: float
     ) -> list[tuple[Cause, float, float, float, int, float]]:
-        """A host's rows by class, changing nothing: cause, since when it is ill (0: it is not), its share of
-        failures, what of that is its own and not its zone's, requests in flight, when it got the last."""
+        """A host's rows by class, changing nothing.
+
+        Cause, since when it is ill (0: it is not), its share of failures, what of that is its own and not its
+        zone's, requests in flight, when it got the last.
+        """
         return [
             (p.cause, p.since, self.fails(pairs, k, zone, now), p.own(now), p.inflight, p.tried)
             for k, p in enumerate(pairs)
--- a/tiderelay/interface.py
+++ b/tiderelay/interface.py
@@ -90,8 +90,10 @@
 
 
 class Broken(Exception):
-    """The decisions have failed on an event, for the reason behind this (`__cause__`). What they had decided
-    by then stands and has to be carried out: they count on it."""
+    """The decisions have failed on an event, for the reason behind this (`__cause__`).
+
+    What they had decided by then stands and has to be carried out: they count on it.
+    """
 
     def __init__(self, actions: list[Action]) -> None:
         super().__init__("the decisions failed")
@@ -100,10 +102,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Acting:
-    """How many gateways act on the same hosts, this one included. most: the most that may; every budget that
-    they share is divided by it. up: those that share the traffic, smoothed; the forecast is multiplied by
-    it. parts: of each tenant's allowance that is this gateway's, by index; a tenant beyond them has the
-    most-th part. Until it is told both counts are Settings.proxies, and again from each Resettled on."""
+    """How many gateways act on the same hosts, this one included.
+
+    Attributes:
+        most: The most that may; every budget that they share is divided by it.
+        up: Those that share the traffic, smoothed; the forecast is multiplied by it.
+        parts: Of each tenant's allowance that is this gateway's, by index; a tenant beyond them has the
+            most-th part. Until it is told both counts are Settings.proxies, and again from each Resettled on.
+    """
 
     most: int
     up: float
@@ -243,16 +249,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Resettled:
-    """Other settings count for what comes from now on. Classes and tenants keep their index, new ones come
-    behind; one that has been dropped keeps its place and gets no more requests."""
+    """Other settings count for what comes from now on.
+
+    Classes and tenants keep their index, new ones come behind; one that has been dropped keeps its place and
+    gets no more requests.
+    """
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class Uploaded:
-    """The body of a request has come whole, from which its time counts; attempt: the one that is out for it,
-    -1 for none."""
+    """The body of a request has come whole, from which its time counts.
+
+    Attempt: the one that is out for it, -1 for none.
+    """
 
     id: int
     attempt: int
--- a/tiderelay/policy.py
+++ b/tiderelay/policy.py
@@ -307,8 +307,10 @@
 
     # --- Pick (4.5) -------------------------------------------------------------------------------------
     def _weigh(self) -> None:
-        """The odds of a draw: a host's speed, less its failures, by the share of it that is warm. Departure
-        from uniform picks: one mu for all overloads the slow hosts of an unlike fleet. All alike: uniform.
+        """The odds of a draw: a host's speed, less its failures, by the share of it that is warm.
+
+        Departure from uniform picks: one mu for all overloads the slow hosts of an unlike fleet. All alike:
+        uniform.
         """
         for s in self._order:
             self._refresh(s)
@@ -372,9 +374,10 @@
         return best
 
     def _home(self, req: _Held) -> tuple[_Server | None, float]:
-        """Departure from random picks, where hosts remember keys and the request has one: its place on a
-        ring of hosts, the same at every gateway, or a next one while that is crowded: no hot key makes a hot
-        host.
+        """Departure from random picks, where hosts remember keys and the request has one.
+
+        Its place on a ring of hosts, the same at every gateway, or a next one while that is crowded: no hot
+        key makes a hot host.
         """
         at = bisect(self._ring_at, (req.key * 0x9E3779B97F4A7C15 & (1 << 64) - 1) >> 32)
         most = CROWDED * (1.0 + len(self._out) / max(self._size, 1) + self._others)
@@ -515,9 +518,10 @@
         return over
 
     def _control(self) -> None:
-        """Load shedding, when more than a few answers are late or overdue: queues in front of the hosts would
-        make every answer late, and clients' retries would keep it so after the cause has gone. What is worth
-        least for its work is refused first.
+        """Load shedding, when more than a few answers are late or overdue.
+
+        Queues in front of the hosts would make every answer late, and clients' retries would keep it so after
+        the cause has gone. What is worth least for its work is refused first.
         """
         aims = [c.aim_ms for c in self._set.classes]
         stuck = 0  # overdue attempts, held by ill hosts: not a queue before the others
@@ -615,8 +619,9 @@
                 self._finish(req)
 
     def _copy(self, late: _Try) -> None:
-        """A second copy of a safe request that is out beyond all patience, where its host is to blame: a full
-        fleet gets none. The budget is that of the repeats.
+        """A second copy of a safe request that is out beyond all patience, where its host is to blame.
+
+        A full fleet gets none. The budget is that of the repeats.
         """
         req, ill = self._held.get(late.rid), self._sick(late.server, late.cls)
         if req is None or not ill or not self._set.parallel_tries or self._retries < 1.0:
@@ -765,8 +770,10 @@
         self._do.append(Watch(True))
 
     def judged(self) -> tuple[dict[str, float], list[bool], Any, Any]:
-        """For on call, changing nothing: figures, full classes, each held request (class, came) and each
-        ready host (id, in the prefix, warm share, speed ratio, Health.judged), the last two one by one.
+        """For on call, changing nothing.
+
+        Figures, full classes, each held request (class, came) and each ready host (id, in the prefix, warm
+        share, speed ratio, Health.judged), the last two one by one.
         """
         figures = {"prefix": self._size, "c": self._prefix.slots, "shedding": self._level,
                    "late": self._share_late, "mean_ms": self._latency,
--- a/tiderelay/sizing.py
+++ b/tiderelay/sizing.py
@@ -92,8 +92,11 @@
     def resize(
         self, now: float, need: int, hosts: int, slow: float, share_late: float, reach: Callable[[float], int]
     ) -> None:
-        """need: slots that the model asks for; slow: mean latency over the best seen (inf: not known);
-        reach(k): the least prefix that is as good as k healthy hosts."""
+        """need: slots that the model asks for.
+
+        Slow: mean latency over the best seen (inf: not known); reach(k): the least prefix that is as good as
+        k healthy hosts.
+        """
         even = need / max(hosts, 1)
         self.even += (even - self.even) * (0.1 if self.even else 1.0)
         if share_late > BUSY_LATE or slow > BUSY_SLOW:
--- a/tools/mixed_versions.py
+++ b/tools/mixed_versions.py
@@ -9,7 +9,8 @@
 version included), or if a node ends by itself.
 
 Everything runs on loopback. The program knows the deploy file's command, the settings file and the operator
-API, and imports nothing of either checkout."""
+API, and imports nothing of either checkout.
+"""
 
 from __future__ import annotations
 
@@ -209,8 +210,10 @@
 
 
 async def restart_each(nodes: Sequence[ControlNode], checkout: Path, operator: Operator) -> None:
-    """Restart the nodes one after the other from a checkout; every second one is killed, the others are
-    stopped."""
+    """Restart the nodes one after the other from a checkout.
+
+    Every second one is killed, the others are stopped.
+    """
     for number, node in enumerate(nodes):
         await node.end(kill=number % 2 == 0)
         await operator.change()
--- a/tools/opened_files.py
+++ b/tools/opened_files.py
@@ -52,7 +52,11 @@
 # --- traces ---
 @dataclass(slots=True)
 class Trace:
-    """Files that processes opened or executed. files: by process."""
+    """Files that processes opened or executed.
+
+    Attributes:
+        files: By process.
+    """
 
     files: dict[int, set[str]] = field(default_factory=lambda: defaultdict(set))
     parents: dict[int, int] = field(default_factory=dict)
@@ -129,7 +133,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Package:
-    """An installed package. needs: each with its alternatives."""
+    """An installed package.
+
+    Attributes:
+        needs: Each with its alternatives.
+    """
 
     name: str
     essential: bool
@@ -233,7 +241,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkout:
-    """A clean checkout of the committed tree. absent: files that its processes are told don't exist."""
+    """A clean checkout of the committed tree.
+
+    Attributes:
+        absent: Files that its processes are told don't exist.
+    """
 
     place: Path
     absent: frozenset[str] = frozenset()
--- a/tools/worst_days.py
+++ b/tools/worst_days.py
@@ -31,8 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Which of all days are wanted. points: their first letters; mixed: days of two points, for each seed and
-    moment; only: a word in the day's name."""
+    """Which of all days are wanted.
+
+    Attributes:
+        points: Their first letters.
+        mixed: Days of two points, for each seed and moment.
+        only: A word in the day's name.
+    """
 
     seeds: Sequence[int] = SEEDS
     moments_s: Sequence[float] = MOMENTS_S
