--- a/granitewell/lab/cluster/budgets_plants.py
+++ b/granitewell/lab/cluster/budgets_plants.py
@@ -60,7 +60,7 @@
     "lent-short": ((types.QuotaSettings, "lender_loan_us", property(lambda self: self.loan_us // 2)),),
     "doubled-counts": ((quota_transfer.Quota, "borrow", _twice),),
     "begins-free": ((quota_transfer.Quota, "__init__", _init),),
-    "back-forgotten": ((quota_transfer.Quota, "give_back", _forgets),),
+    "back-forgotten": ((quota_transfer.Quota, "return_loan", _forgets),),
     "stall-spends": ((budget.Budget, "advance", _advance),),
     "floor-lent": ((quota_transfer.Quota, "reserve", property(lambda self: 0)),),
 }
--- a/granitewell/lab/cluster/budgets_search.py
+++ b/granitewell/lab/cluster/budgets_search.py
@@ -113,7 +113,7 @@
             if not amount:
                 continue
             rights = rights_of(one)
-            rights.give_back(NOW, (lender, birth, number))
+            rights.return_loan(NOW, (lender, birth, number))
             back = Letter("back", name, lender, one.birth, DEAD, birth, number)
             put = _put(state, k, process_of(rights, one.birth))
             yield f"{name} gives {number} back to {lender}", _said(put, back)
--- a/granitewell/quotas/quota_transfer.py
+++ b/granitewell/quotas/quota_transfer.py
@@ -113,16 +113,16 @@
             del self.lent[number]
 
     # --- As a borrower ----------------------------------------------------------------------------------
-    def borrow(self, asked_us: int, now_us: int, loan_id: tuple[str, int, int], amount: int) -> None:
+    def borrow(self, requested_us: int, now_us: int, loan_id: tuple[str, int, int], amount: int) -> None:
         """Record a loan, or its renewal; its duration counts from when the request was sent.
 
         Args:
-            asked_us: When the request was sent, in microseconds.
+            requested_us: When the request was sent, in microseconds.
             now_us: Time now, in microseconds.
             loan_id: Name of the lender, id of its process, and number of the loan.
             amount: Amount of the loan.
         """
-        end_us = asked_us + self._settings.borrower_loan_us
+        end_us = requested_us + self._settings.borrower_loan_us
         known = self.borrowed.get(loan_id)
         if known is None:
             if now_us < end_us:
@@ -130,7 +130,7 @@
         elif known.amount:
             known.end_us = max(known.end_us, end_us)
 
-    def give_back(self, now_us: int, loan_id: tuple[str, int, int]) -> None:
+    def return_loan(self, now_us: int, loan_id: tuple[str, int, int]) -> None:
         """Stop using a loan.
 
         Its number is remembered for as long as an answer to any request sent until now could count.
--- a/granitewell/quotas/state_machine.py
+++ b/granitewell/quotas/state_machine.py
@@ -197,7 +197,7 @@
                 continue
             name, process_id, number = loan_id
             if missing <= 0 and demand < own * settings.borrow_threshold:
-                quota.give_back(now, loan_id)
+                quota.return_loan(now, loan_id)
                 returns.setdefault((name, process_id), []).append(number)
             elif loan.end_us - now < settings.borrower_loan_us // 2 and missing > 0:
                 renewals.setdefault((name, process_id), []).append(number)
@@ -284,10 +284,10 @@
 
     def _handle_loan_grant(self, name: str, budget: Budget, lend: Lend) -> str:
         """Record what was lent; return why the message was dropped, or ""."""
-        asked_us, peer, key = self._pending.get(lend.number, (-1, "", ""))
-        if asked_us < 0 or peer != name or key != lend.key:
+        requested_us, peer, key = self._pending.get(lend.number, (-1, "", ""))
+        if requested_us < 0 or peer != name or key != lend.key:
             return "unsolicited"
         budget.advance(self._now_us)  # up to now at the rate of before
         for number, amount in zip(lend.loans[::2], lend.loans[1::2], strict=False):
-            budget.quota.borrow(asked_us, self._now_us, (name, lend.birth, number), amount)
+            budget.quota.borrow(requested_us, self._now_us, (name, lend.birth, number), amount)
         return ""
--- a/granitewell/rpc/structure.py
+++ b/granitewell/rpc/structure.py
@@ -13,9 +13,9 @@
 
 MAX_DEPTH = 8
 _LENGTH = struct.Struct("!i")
-_FIELD_HEAD = 3  # a byte for the type, two for the field's id
-_LIST_HEAD = 5  # a byte for the type, four for the count
-_MAP_HEAD = 6
+_FIELD_HEADER_BYTES = 3  # a byte for the type, two for the field's id
+_LIST_HEADER_BYTES = 5  # a byte for the type, four for the count
+_MAP_HEADER_BYTES = 6
 
 
 class FieldType(IntEnum):
@@ -43,65 +43,81 @@
     FieldType.I32: 4,
     FieldType.I64: 8,
 }
-_LEAST = {FieldType.STRING: 4, FieldType.STRUCT: 1, FieldType.MAP: _MAP_HEAD, FieldType.SET: _LIST_HEAD,
-          FieldType.LIST: _LIST_HEAD}  # fmt: skip
+_MIN_SIZES = {
+    FieldType.STRING: 4,
+    FieldType.STRUCT: 1,
+    FieldType.MAP: _MAP_HEADER_BYTES,
+    FieldType.SET: _LIST_HEADER_BYTES,
+    FieldType.LIST: _LIST_HEADER_BYTES,
+}
 
 
 def check_struct(data: bytes) -> None:
     """Raise MalformedFrameError unless the bytes begin with a complete struct."""
     try:
-        _after_struct(data, 0, 0)
+        _skip_struct(data, 0, 0)
     except (IndexError, struct.error) as error:
         raise MalformedFrameError("a struct is cut short") from error
 
 
-def _after_struct(data: bytes, at: int, depth: int) -> int:
+def _skip_struct(data: bytes, offset: int, depth: int) -> int:
     """Return the offset after a struct."""
     if depth > MAX_DEPTH:
         raise MalformedFrameError("structs are nested too deeply")
     while True:
-        kind = data[at]
-        if kind == FieldType.STOP:
-            return at + 1
-        at = _after_value(data, at + _FIELD_HEAD, kind, depth)
+        field_type = data[offset]
+        if field_type == FieldType.STOP:
+            return offset + 1
+        offset = _skip_value(data, offset + _FIELD_HEADER_BYTES, field_type, depth)
 
 
-def _after_value(data: bytes, at: int, kind: int, depth: int) -> int:
+def _skip_value(data: bytes, offset: int, field_type: int, depth: int) -> int:
     """Return the offset after a value of a type."""
-    size = _SIZES.get(kind)  # type: ignore[call-overload]
+    size = _SIZES.get(field_type)  # type: ignore[call-overload]
     if size is not None:
-        return _within(data, at + int(size))
-    if kind == FieldType.STRING:
-        return _within(data, at + 4 + _count(data, at))
-    if kind == FieldType.STRUCT:
-        return _after_struct(data, at, depth + 1)
-    if kind in (FieldType.LIST, FieldType.SET):
-        return _after_items(data, at + _LIST_HEAD, _count(data, at + 1), (data[at],), depth)
-    if kind == FieldType.MAP:
-        return _after_items(data, at + _MAP_HEAD, _count(data, at + 2), (data[at], data[at + 1]), depth)
-    raise MalformedFrameError(f"no type {kind}")
-
-
-def _after_items(data: bytes, at: int, count: int, kinds: tuple[int, ...], depth: int) -> int:
+        return _check_within(data, offset + int(size))
+    if field_type == FieldType.STRING:
+        return _check_within(data, offset + 4 + _read_count(data, offset))
+    if field_type == FieldType.STRUCT:
+        return _skip_struct(data, offset, depth + 1)
+    if field_type in (FieldType.LIST, FieldType.SET):
+        return _skip_items(
+            data, offset + _LIST_HEADER_BYTES, _read_count(data, offset + 1), (data[offset],), depth
+        )
+    if field_type == FieldType.MAP:
+        return _skip_items(
+            data,
+            offset + _MAP_HEADER_BYTES,
+            _read_count(data, offset + 2),
+            (data[offset], data[offset + 1]),
+            depth,
+        )
+    raise MalformedFrameError(f"no type {field_type}")
+
+
+def _skip_items(data: bytes, offset: int, count: int, field_types: tuple[int, ...], depth: int) -> int:
     """Return the offset after the items of a list, a set or a map."""
     if depth > MAX_DEPTH:
         raise MalformedFrameError("lists are nested too deeply")
-    least = sum(_SIZES.get(kind) or _LEAST.get(kind, 1) for kind in kinds)  # type: ignore[call-overload]
-    _within(data, at + count * least)
+    min_item_size = sum(
+        _SIZES.get(field_type) or _MIN_SIZES.get(field_type, 1)  # type: ignore[call-overload]
+        for field_type in field_types
+    )
+    _check_within(data, offset + count * min_item_size)
     for _ in range(count):
-        for kind in kinds:
-            at = _after_value(data, at, kind, depth + 1)
-    return at
+        for field_type in field_types:
+            offset = _skip_value(data, offset, field_type, depth + 1)
+    return offset
 
 
-def _count(data: bytes, at: int) -> int:
-    count = int(_LENGTH.unpack_from(data, at)[0])
+def _read_count(data: bytes, offset: int) -> int:
+    count = int(_LENGTH.unpack_from(data, offset)[0])
     if count < 0:
         raise MalformedFrameError("a negative length")
     return count
 
 
-def _within(data: bytes, at: int) -> int:
-    if at > len(data):
+def _check_within(data: bytes, offset: int) -> int:
+    if offset > len(data):
         raise MalformedFrameError("a value is cut short")
-    return at
+    return offset
--- a/granitewell/rpc/transport.py
+++ b/granitewell/rpc/transport.py
@@ -22,11 +22,11 @@
 
 from granitewell.domain.errors import MalformedFrameError, PeerUnreachableError, RpcError, RpcTimeoutError
 
-HEAD = struct.Struct("!HBBHII")
+HEADER = struct.Struct("!HBBHII")
 MAGIC = 0x6757
 VERSION = 1
-MAX_PAYLOAD = 32 * 1024 * 1024
-MAX_BUFFERED = 8 * 1024 * 1024  # bytes waiting for one peer, beyond which one-way messages are dropped
+MAX_PAYLOAD_BYTES = 32 * 1024 * 1024
+MAX_BUFFERED_BYTES = 8 * 1024 * 1024  # bytes waiting for one peer, beyond which one-way messages are dropped
 CONNECT_TIMEOUT_S = 0.4
 USER_TIMEOUT_MS = 1_500
 
@@ -54,7 +54,7 @@
 message). """
 
 
-def _tune(transport: asyncio.BaseTransport) -> None:
+def _set_socket_options(transport: asyncio.BaseTransport) -> None:
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
@@ -76,25 +76,25 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are not a subclass
-        _tune(transport)
+        _set_socket_options(transport)
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
         try:
-            self._cut()
+            self._split_frames()
         except MalformedFrameError:
             self.close()
 
-    def _cut(self) -> None:
+    def _split_frames(self) -> None:
         buffer = self._buffer
-        while len(buffer) >= HEAD.size:
-            magic, version, kind, method, call, length = HEAD.unpack_from(buffer)
-            if magic != MAGIC or version != VERSION or length > MAX_PAYLOAD:
+        while len(buffer) >= HEADER.size:
+            magic, version, kind, method, call, length = HEADER.unpack_from(buffer)
+            if magic != MAGIC or version != VERSION or length > MAX_PAYLOAD_BYTES:
                 raise MalformedFrameError(f"magic {magic:#x}, version {version}, length {length}")
-            end = HEAD.size + length
+            end = HEADER.size + length
             if len(buffer) < end:
                 return
-            payload = bytes(buffer[HEAD.size : end])
+            payload = bytes(buffer[HEADER.size : end])
             del buffer[:end]
             self.frame(kind, method, call, payload)
 
@@ -105,7 +105,7 @@
     def write(self, kind: Kind, method: int, call: int, payload: bytes) -> None:
         """Send one frame."""
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(HEAD.pack(MAGIC, VERSION, kind, method, call, len(payload)) + payload)
+            self.transport.write(HEADER.pack(MAGIC, VERSION, kind, method, call, len(payload)) + payload)
 
     def buffered(self) -> int:
         """Return the number of bytes that wait for the peer."""
@@ -181,7 +181,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Waiting:
+class _PendingCall:
     """A call whose reply is pending."""
 
     method: int
@@ -191,7 +191,7 @@
 class _ClientProtocol(_FrameProtocol):
     def __init__(self) -> None:
         super().__init__()
-        self._waiting: dict[int, _Waiting] = {}
+        self._pending: dict[int, _PendingCall] = {}
         self.closed = False
 
     def expect(self, call: int, method: int) -> asyncio.Future[bytes]:
@@ -199,35 +199,35 @@
         if self.closed:
             raise PeerUnreachableError("connection lost")
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        self._waiting[call] = _Waiting(method, future)
+        self._pending[call] = _PendingCall(method, future)
         return future
 
     def forget(self, call: int) -> None:
         """Drop the reply to a call if it arrives late."""
-        self._waiting.pop(call, None)
+        self._pending.pop(call, None)
 
     def frame(self, kind: int, method: int, call: int, payload: bytes) -> None:
         if kind not in (Kind.REPLY, Kind.FAILURE):
             raise MalformedFrameError(f"a frame of kind {kind} at a client")
-        waiting = self._waiting.get(call)
-        if waiting is None:
+        pending = self._pending.get(call)
+        if pending is None:
             return
-        if waiting.method != method:
-            raise MalformedFrameError(f"a reply of method {method} to a call of {waiting.method}")
-        del self._waiting[call]
-        if waiting.future.done():
+        if pending.method != method:
+            raise MalformedFrameError(f"a reply of method {method} to a call of {pending.method}")
+        del self._pending[call]
+        if pending.future.done():
             return
         if kind == Kind.REPLY:
-            waiting.future.set_result(payload)
+            pending.future.set_result(payload)
         else:
-            waiting.future.set_exception(RpcError(payload.decode(errors="replace")))
+            pending.future.set_exception(RpcError(payload.decode(errors="replace")))
 
     def connection_lost(self, _error: Exception | None) -> None:
         self.closed = True
-        for waiting in self._waiting.values():
-            if not waiting.future.done():
-                waiting.future.set_exception(PeerUnreachableError("connection lost"))
-        self._waiting.clear()
+        for pending in self._pending.values():
+            if not pending.future.done():
+                pending.future.set_exception(PeerUnreachableError("connection lost"))
+        self._pending.clear()
 
 
 class RpcClient:
@@ -244,26 +244,26 @@
         self._protocol: _ClientProtocol | None = None
         self._connecting: asyncio.Task[_ClientProtocol] | None = None
         self._next_call = 0
-        self._dropped = False
+        self._is_closed = False
 
-    async def _dial(self) -> _ClientProtocol:
+    async def _connect(self) -> _ClientProtocol:
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, protocol = await loop.create_connection(_ClientProtocol, self._host, self._port)
         except (OSError, TimeoutError) as error:
             raise PeerUnreachableError(f"{self.address}: {error!r}") from error
-        if self._dropped:
+        if self._is_closed:
             protocol.close()
             raise PeerUnreachableError(f"{self.address}: no longer wanted")
         self._protocol = protocol
         return protocol
 
-    async def _connected(self) -> _ClientProtocol:
+    async def _connected_protocol(self) -> _ClientProtocol:
         if self._protocol is not None and not self._protocol.closed:
             return self._protocol
         if self._connecting is None or self._connecting.done():
-            self._connecting = asyncio.get_running_loop().create_task(self._dial())
+            self._connecting = asyncio.get_running_loop().create_task(self._connect())
         return await asyncio.shield(self._connecting)
 
     async def call(self, method: Method, payload: bytes, timeout_s: float) -> bytes:
@@ -278,7 +278,7 @@
         protocol: _ClientProtocol | None = None
         try:
             async with asyncio.timeout(timeout_s):
-                protocol = await self._connected()
+                protocol = await self._connected_protocol()
                 future = protocol.expect(call, method)
                 protocol.write(Kind.CALL, method, call, payload)
                 return await future
@@ -292,12 +292,12 @@
         """Send a one-way message; it is lost if there is no connection or the peer does not read."""
         if self._protocol is None or self._protocol.closed:
             if self._connecting is None or self._connecting.done():
-                self._connecting = asyncio.get_running_loop().create_task(self._dial())
+                self._connecting = asyncio.get_running_loop().create_task(self._connect())
                 self._connecting.add_done_callback(lambda task: task.exception())
             connecting = self._connecting
             connecting.add_done_callback(lambda task: self._send_after(task, method, payload))
             return
-        if self._protocol.buffered() < MAX_BUFFERED:
+        if self._protocol.buffered() < MAX_BUFFERED_BYTES:
             self._protocol.write(Kind.ONE_WAY, method, 0, payload)
 
     def _send_after(self, task: asyncio.Task[_ClientProtocol], method: Method, payload: bytes) -> None:
@@ -306,7 +306,7 @@
 
     def close(self) -> None:
         """Close the connection for good."""
-        self._dropped = True
+        self._is_closed = True
         if self._protocol is not None:
             self._protocol.close()
 
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -85,7 +85,7 @@
     def played() -> None:
         made = Quota(SETTINGS, 1_000, 2, 0)
         made.borrow(0, 10, ("b", 1, 1), 300)
-        made.give_back(20, ("b", 1, 1))
+        made.return_loan(20, ("b", 1, 1))
         made.remove_expired(
             SETTINGS.borrower_loan_us + 10
         )  # its own time is over, that of what was asked since is not
--- a/tests/recorded/test_recorded_bytes.py
+++ b/tests/recorded/test_recorded_bytes.py
@@ -13,7 +13,7 @@
 from granitewell.coordination.consensus.identity import IDENTITY_NAME, load_identity
 from granitewell.coordination.log_format import CorruptLogError
 from granitewell.domain.errors import GranitewellError, MalformedFrameError
-from granitewell.rpc.transport import HEAD, MAGIC, VERSION, Kind, Method
+from granitewell.rpc.transport import HEADER, MAGIC, VERSION, Kind, Method
 from tests.recorded.samples import (
     CLAIM,
     DATA,
@@ -132,7 +132,7 @@
 
 
 def test_the_head_of_an_internal_frame_is_as_recorded() -> None:
-    heads = [HEAD.pack(MAGIC, VERSION, kind, method, 7, 11).hex() for kind in Kind for method in Method]
+    heads = [HEADER.pack(MAGIC, VERSION, kind, method, 7, 11).hex() for kind in Kind for method in Method]
     assert heads == json.loads((DATA / "frame-heads.json").read_text())
 
 
--- a/tests/rpc/test_transport.py
+++ b/tests/rpc/test_transport.py
@@ -15,9 +15,9 @@
 from granitewell.domain.errors import MalformedFrameError, PeerUnreachableError, RpcError, RpcTimeoutError
 from granitewell.rpc.messages import DemandReport, GroupMessage, WatchReply, decode, encode
 from granitewell.rpc.transport import (
-    HEAD,
+    HEADER,
     MAGIC,
-    MAX_PAYLOAD,
+    MAX_PAYLOAD_BYTES,
     VERSION,
     Kind,
     Method,
@@ -114,9 +114,9 @@
 @pytest.mark.parametrize(
     "head",
     [
-        HEAD.pack(MAGIC + 1, VERSION, Kind.CALL, Method.WATCH, 1, 0),
-        HEAD.pack(MAGIC, VERSION + 1, Kind.CALL, Method.WATCH, 1, 0),
-        HEAD.pack(MAGIC, VERSION, Kind.CALL, Method.WATCH, 1, MAX_PAYLOAD + 1),
+        HEADER.pack(MAGIC + 1, VERSION, Kind.CALL, Method.WATCH, 1, 0),
+        HEADER.pack(MAGIC, VERSION + 1, Kind.CALL, Method.WATCH, 1, 0),
+        HEADER.pack(MAGIC, VERSION, Kind.CALL, Method.WATCH, 1, MAX_PAYLOAD_BYTES + 1),
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     ],
 )
@@ -173,7 +173,7 @@
 
 
 def frame(kind: int, method: int, call: int, payload: bytes = b"") -> bytes:
-    return HEAD.pack(MAGIC, VERSION, kind, method, call, len(payload)) + payload
+    return HEADER.pack(MAGIC, VERSION, kind, method, call, len(payload)) + payload
 
 
 class Pipe(asyncio.Transport):
@@ -280,8 +280,8 @@
     calls: asyncio.Queue[tuple[int, asyncio.StreamWriter]] = asyncio.Queue()
 
     async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        head = await reader.readexactly(HEAD.size + 1)
-        calls.put_nowait((HEAD.unpack_from(head)[4], writer))
+        head = await reader.readexactly(HEADER.size + 1)
+        calls.put_nowait((HEADER.unpack_from(head)[4], writer))
 
     server = await asyncio.start_server(accept, "127.0.0.1", 0)
     client = RpcClient(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
@@ -311,7 +311,7 @@
 
     def init(self: _ClientProtocol) -> None:
         real(self)
-        self._waiting = of_all
+        self._pending = of_all
 
     def connection_lost(self: _ClientProtocol, error: Exception | None) -> None:
         self.closed = True
@@ -326,8 +326,8 @@
     real = _ClientProtocol.frame
 
     def any_method(self: _ClientProtocol, kind: int, method: int, call: int, payload: bytes) -> None:
-        waiting = self._waiting.get(call)
-        real(self, kind, method if waiting is None else waiting.method, call, payload)
+        pending = self._pending.get(call)
+        real(self, kind, method if pending is None else pending.method, call, payload)
 
     monkeypatch.setattr(_ClientProtocol, "frame", any_method)
     first, _, ended = feed(frame(Kind.REPLY, Method.EDGES, 1, b"of another method"), 0)
