--- a/granitewell/quotas/budget.py
+++ b/granitewell/quotas/budget.py
@@ -1,7 +1,7 @@
 """One budget at one process: a token bucket whose rate is the process's quota.
 
-This module decides whether one more request may be taken. Times are microseconds on the process's clock,
-which are passed in.
+This module decides whether one more request may be admitted. Times are in microseconds, by the process's
+clock, and are passed in.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
     Attributes:
         quota: What may be spent per second.
-        tokens: Requests that may be taken at once, as of updated_us.
+        tokens: Requests that may be admitted at once, as of updated_us.
         updated_us: Time of the last update, in microseconds.
-        demand: Requests per second that were asked for lately, admitted or not.
+        demand: Recent rate of requests per second, admitted or not.
         admitted: Number of requests admitted.
         rejected: Number of requests rejected.
-        next_peer: Position of the next peer to ask, counted on without end.
+        next_peer: Counter that selects the next peer to ask, modulo the number of peers.
     """
 
     __slots__ = (
@@ -53,8 +53,8 @@
     def advance(self, now_us: int) -> None:
         """Add the tokens of the time that has passed.
 
-        They come at the lower of the rates of then and now, and no more are kept than the rate of now allows
-        at once: a process that stood still may not spend loans that expired meanwhile.
+        They accrue at the lower of the previous and the current rate, up to the burst of the current rate, so
+        that a process that was paused can't spend loans that expired meanwhile.
         """
         passed_us = max(now_us - self.updated_us, 0)
         rate = self.quota.available(now_us) / MILLI
@@ -68,7 +68,7 @@
         """Admit one more request if the budget allows it.
 
         Returns:
-            -1 if it is admitted, else after how many microseconds one might be.
+            -1 if it is admitted, else the time until one might be, in microseconds.
         """
         self.advance(now_us)
         self.demand += 1e6 / DEMAND_SMOOTHING_US
--- a/granitewell/quotas/quota_transfer.py
+++ b/granitewell/quotas/quota_transfer.py
@@ -1,7 +1,7 @@
 """The quota of one process for one budget: its base quota, what it has lent and what it has borrowed.
 
-This module owns the sum. It sends nothing and does not decide whom to ask. Every amount is as of a time
-that is passed in: a loan that has expired counts as none, however late its process looks. Amounts are
+This module computes the quota. It sends nothing and does not decide which nodes to ask. Every amount is as of
+a time that is passed in, so that an expired loan never counts, however late the process runs. Amounts are in
 thousandths of a request per second.
 """
 
@@ -18,7 +18,7 @@
 
     Attributes:
         peer: Name of the other node.
-        amount: Amount lent; 0 for a loan that was returned and must not come back.
+        amount: Amount lent; 0 for a loan that was returned, which a late message must not restore.
         end_us: When it expires at this node, in microseconds.
     """
 
@@ -33,7 +33,8 @@
     Attributes:
         total: Budget of the whole fleet.
         max_nodes: Maximum number of nodes that can be alive, at least 1.
-        recovery_end_us: Until when only the reserve may be spent, as a predecessor may have lent the rest.
+        recovery_end_us: Time until which only the reserve may be spent, as a predecessor may have
+            lent the rest.
         lent: Loans to others, by number.
         borrowed: Loans from others, by name of the lender, id of its process, and number.
     """
@@ -60,11 +61,11 @@
         return int(self.base * self._settings.reserve_fraction)
 
     def lent_amount(self, now_us: int) -> int:
-        """Return what is lent and neither returned nor expired."""
+        """Return the amount lent that is neither returned nor expired."""
         return sum(loan.amount for loan in self.lent.values() if now_us < loan.end_us)
 
     def borrowed_amount(self, now_us: int) -> int:
-        """Return what is borrowed and has not expired."""
+        """Return the amount borrowed that has not expired."""
         return sum(loan.amount for loan in self.borrowed.values() if now_us < loan.end_us)
 
     def available(self, now_us: int) -> int:
@@ -73,7 +74,7 @@
         return max(own, 0) + self.borrowed_amount(now_us)
 
     def lendable(self, now_us: int) -> int:
-        """Return what could be lent now."""
+        """Return the amount that could be lent now."""
         if now_us < self.recovery_end_us:
             return 0
         return max(self.base - self.reserve - self.lent_amount(now_us), 0)
@@ -133,7 +134,7 @@
     def return_loan(self, now_us: int, loan_id: tuple[str, int, int]) -> None:
         """Stop using a loan.
 
-        Its number is remembered for as long as an answer to any request sent until now could count.
+        Its number is remembered as long as a late reply to a request sent until now could renew it.
         """
         loan = self.borrowed.get(loan_id)
         if loan is not None:
@@ -141,6 +142,6 @@
             loan.end_us = max(loan.end_us, now_us + self._settings.borrower_loan_us)
 
     def remove_expired(self, now_us: int) -> None:
-        """Remove expired loans; returned ones stay while a late message about them could count."""
+        """Remove expired loans. Returned ones are kept while a late message could renew them."""
         self.lent = {number: loan for number, loan in self.lent.items() if now_us < loan.end_us}
         self.borrowed = {loan_id: loan for loan_id, loan in self.borrowed.items() if now_us < loan.end_us}
--- a/granitewell/quotas/state_machine.py
+++ b/granitewell/quotas/state_machine.py
@@ -1,10 +1,10 @@
 """All budgets of one process: admits requests, and lends and borrows quota.
 
-This module decides how much to ask of whom, and what to lend to whom. It does no I/O and reads no clock,
-and raises nothing on input from the network.
+This module decides how much to request from which node, and how much to lend. It does no I/O, reads no
+clock, and raises nothing on input from the network.
 
-Demand is what was asked for lately, admitted or not. A node that demands more than most of its quota asks
-the others in turn; a node that is asked lends what it does not need itself. A loan that is needed is
+Demand is the recent rate of requests, admitted or not. A node whose demand is close to its quota asks the
+others in turn; a node that is asked lends what it does not need itself. A loan that is still needed is
 renewed before it expires; one that is not is returned at once, so that it can be lent elsewhere.
 """
 
@@ -26,7 +26,7 @@
 MIN_TRANSFER_MILLI = 1_000
 """Smallest amount that is worth a message, in thousandths of a request per second."""
 LENDER_DEMAND_MARGIN = 1.1
-"""How much a lender keeps, as a multiple of its own demand."""
+"""Quota that a lender keeps for itself, as a multiple of its demand."""
 MAX_MESSAGES_PER_SENDER_PER_S = 60
 MAX_MESSAGES_PER_S = 4_000
 
@@ -62,7 +62,7 @@
             settings: Settings of all budgets.
             rng: Source of random numbers.
             now_us: Time now, in microseconds.
-            first: No process of this name has run before, so that none can have lent anything.
+            first: Whether no process of this name has run before, so that none can have lent anything.
         """
         self.name = name
         self.process_id = process_id
@@ -201,7 +201,7 @@
                 returns.setdefault((name, process_id), []).append(number)
             elif loan.end_us - now < settings.borrower_loan_us // 2 and missing > 0:
                 renewals.setdefault((name, process_id), []).append(number)
-            missing -= loan.amount  # nothing for one that was returned
+            missing -= loan.amount  # 0 for one that was returned
         return renewals, returns, missing
 
     def _request_loans(self, key: str, budget: Budget, missing: int) -> None:
@@ -262,12 +262,12 @@
         return ""
 
     def _handle_loan_request(self, name: str, budget: Budget, want: Want, address: str) -> None:
-        """Lend what this node does not need itself; tokens of what is lent are given up."""
+        """Lend what this node does not need itself; its tokens are reduced accordingly."""
         now, quota = self._now_us, budget.quota
         budget.advance(now)
         loans: list[int] = []
         keep = int(budget.demand * MILLI * LENDER_DEMAND_MARGIN)
-        # a lender that needs its quota itself renews nothing, so that its loans come back one by one
+        # a lender that needs its quota itself renews nothing, so that its loans return as they expire
         has_enough = quota.available(now) - quota.borrowed_amount(now) >= min(keep, quota.base)
         if want.birth == self.process_id and has_enough:
             for number in want.again:
@@ -278,16 +278,16 @@
             amount = min(want.amount, spare)
             number, amount = quota.lend(now, name, amount) if amount >= MIN_TRANSFER_MILLI else (0, 0)
             loans += [number, amount] if amount else []
-        budget.advance(now)  # the limit on what may be spent at once is lower now
+        budget.advance(now)  # applies the lower burst limit
         if loans:
             self._send(name, Lend(want.number, want.key, self.process_id, loans), address)
 
     def _handle_loan_grant(self, name: str, budget: Budget, lend: Lend) -> str:
-        """Record what was lent; return why the message was dropped, or ""."""
+        """Record granted loans; return why the message was dropped, or ""."""
         requested_us, peer, key = self._pending.get(lend.number, (-1, "", ""))
         if requested_us < 0 or peer != name or key != lend.key:
             return "unsolicited"
-        budget.advance(self._now_us)  # up to now at the rate of before
+        budget.advance(self._now_us)  # accrues tokens at the previous rate first
         for number, amount in zip(lend.loans[::2], lend.loans[1::2], strict=False):
             budget.quota.borrow(requested_us, self._now_us, (name, lend.birth, number), amount)
         return ""
--- a/granitewell/quotas/types.py
+++ b/granitewell/quotas/types.py
@@ -1,7 +1,6 @@
 """Settings of quotas and the events of their state machine.
 
-This module holds no state and decides nothing. Times are whole microseconds, amounts are thousandths of a
-request per second.
+Times are whole microseconds, amounts are in thousandths of a request per second.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 from granitewell.protocols.peers.frames import Keys
 
 MILLI = 1_000
-"""Thousandths in one request per second."""
+"""Amount of one request per second, in thousandths."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,13 +19,13 @@
     """Settings of all budgets of a process.
 
     Attributes:
-        reserve_fraction: Part of a node's base quota that is never lent, from 0 to 1.
+        reserve_fraction: Fraction of a node's base quota that is never lent, from 0 to 1.
         loan_us: Duration of a loan, in microseconds.
         drift_ppm: Maximum difference in speed between two clocks, in parts per million.
-        burst_us: Quota of this duration may be spent at once, in microseconds.
+        burst_us: Duration whose quota may be spent at once, in microseconds.
         round_interval_us: Time between two rounds of requests to other nodes, in microseconds.
-        borrow_threshold: Part of its quota in use above which a node asks for more, from 0 to 1.
-        demand_margin: How much a node wants to have, as a multiple of its demand.
+        borrow_threshold: Fraction of its quota in use above which a node requests loans, from 0 to 1.
+        demand_margin: Quota that a node aims to have, as a multiple of its demand.
     """
 
     reserve_fraction: float = 0.1
@@ -39,19 +38,19 @@
 
     @property
     def borrower_loan_us(self) -> int:
-        """How long a borrower may use a loan, by its own clock, from when it sent the request."""
+        """Time for which a borrower may use a loan, by its own clock, from its request on."""
         return self.loan_us - self.loan_us * self.drift_ppm // 1_000_000 - 1
 
     @property
     def lender_loan_us(self) -> int:
-        """How long a lender counts it as lent, by its own clock, from when it answered."""
+        """Time for which a lender counts a loan as lent, by its own clock, from its reply on."""
         return self.loan_us + self.loan_us * self.drift_ppm // 1_000_000 + 1
 
 
 # --- Events ---------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class BudgetTotals:
-    """All budgets as they are from now on.
+    """The budgets from now on; others are removed.
 
     Attributes:
         totals: Budget of the whole fleet by key, in thousandths of a request per second.
@@ -62,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveNodes:
-    """Nodes that may spend, as they are from now on.
+    """The nodes that share the budgets from now on.
 
     Attributes:
         max_nodes: Maximum number of nodes that can be alive, including this one.
@@ -75,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeysChanged:
-    """Other keys seal and open messages from now on.
+    """Replacement of the keys that seal and open messages.
 
     Attributes:
         keys: The keys.
--- a/granitewell/rpc/serialization.py
+++ b/granitewell/rpc/serialization.py
@@ -1,4 +1,4 @@
-"""Thrift structs and their binary encoding, used for all messages between nodes. No I/O."""
+"""Thrift structs in binary encoding, used for all messages between nodes. No I/O."""
 
 from __future__ import annotations
 
@@ -41,5 +41,5 @@
     check(data)
     try:
         return deserialize(kind(), data, _PROTOCOL)
-    except Exception as error:  # the library raises whatever the bytes cause
+    except Exception as error:  # the library raises arbitrary exceptions
         raise MalformedFrameError(f"not a {kind.__name__}: {error!r}") from error
--- a/granitewell/rpc/structure.py
+++ b/granitewell/rpc/structure.py
@@ -1,7 +1,7 @@
 """Validation of thrift structs in binary form before the library decodes them. No I/O.
 
-The library trusts counts and lengths: a list that claims to be long exhausts the memory before the bytes run
-out. Here every count is checked against the remaining bytes, and nesting against a limit.
+The library trusts counts and lengths, so a false count could make it exhaust the memory. Here every count is
+checked against the remaining bytes, and the nesting against a limit.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 MAX_DEPTH = 8
 _LENGTH = struct.Struct("!i")
-_FIELD_HEADER_BYTES = 3  # a byte for the type, two for the field's id
-_LIST_HEADER_BYTES = 5  # a byte for the type, four for the count
+_FIELD_HEADER_BYTES = 3  # one byte for the type, two for the field id
+_LIST_HEADER_BYTES = 5  # one byte for the type, four for the count
 _MAP_HEADER_BYTES = 6
 
 
--- a/granitewell/rpc/transport.py
+++ b/granitewell/rpc/transport.py
@@ -1,12 +1,12 @@
-"""Frames between nodes over TCP: calls with a reply, and one-way messages.
+"""RPC between nodes over TCP: calls with a reply, and one-way messages.
 
 A reply belongs to the call with its id and method on the same connection. A client does not reuse ids, and a
 call ends with its connection. A frame that cannot be a reply ends the connection.
 
 A frame is a header of 14 bytes (magic, version, kind, method, call id, length) and a payload. Unknown
 versions and lengths beyond the limit end the connection. There is one connection per pair of nodes and
-direction, opened when needed. A peer that does not respond is given up by TCP_USER_TIMEOUT. Queues are
-bounded: a message for a peer that does not read is dropped.
+direction, opened when needed. TCP_USER_TIMEOUT closes the connection to an unresponsive peer. Queues are
+bounded: one-way messages to a peer that does not read are dropped.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 MAGIC = 0x6757
 VERSION = 1
 MAX_PAYLOAD_BYTES = 32 * 1024 * 1024
-MAX_BUFFERED_BYTES = 8 * 1024 * 1024  # bytes waiting for one peer, beyond which one-way messages are dropped
+MAX_BUFFERED_BYTES = 8 * 1024 * 1024  # per peer; beyond it one-way messages are dropped
 CONNECT_TIMEOUT_S = 0.4
 USER_TIMEOUT_MS = 1_500
 
@@ -41,7 +41,7 @@
 
 
 class Method(IntEnum):
-    """Purpose of a call or message."""
+    """Method of a call or message."""
 
     WATCH = 1
     DEMAND = 2
@@ -50,8 +50,7 @@
 
 
 Handler = Callable[[bytes, str], Awaitable[bytes]]
-"""Takes a payload and the peer's ip address; returns the payload of the reply (ignored for a one-way
-message). """
+"""Takes a payload and the peer's IP address; returns the reply's payload, ignored for one-way messages."""
 
 
 def _set_socket_options(transport: asyncio.BaseTransport) -> None:
@@ -75,7 +74,7 @@
         self._buffer = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are not a subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports are not a subclass of it
         _set_socket_options(transport)
 
     def data_received(self, data: bytes) -> None:
@@ -108,7 +107,7 @@
             self.transport.write(HEADER.pack(MAGIC, VERSION, kind, method, call, len(payload)) + payload)
 
     def buffered(self) -> int:
-        """Return the number of bytes that wait for the peer."""
+        """Return the number of unsent bytes."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
     def close(self) -> None:
@@ -147,7 +146,7 @@
             if handler is None:
                 raise MalformedFrameError(f"no method {method}")
             reply = await handler(payload, self._peer)
-        except Exception as error:  # noqa: BLE001  a bad call ends here; the connection goes on
+        except Exception as error:  # noqa: BLE001  a failed call doesn't end the connection
             if kind == Kind.CALL:
                 self.write(Kind.FAILURE, method, call, f"{type(error).__name__}: {error}".encode()[:500])
             return
@@ -156,7 +155,7 @@
 
 
 class RpcServer:
-    """Listens for the frames of other nodes.
+    """Server for the calls and messages of other nodes.
 
     Args:
         handlers: Handlers by method.
@@ -203,7 +202,7 @@
         return future
 
     def forget(self, call: int) -> None:
-        """Drop the reply to a call if it arrives late."""
+        """Stop expecting the reply to a call; a late one is dropped."""
         self._pending.pop(call, None)
 
     def frame(self, kind: int, method: int, call: int, payload: bytes) -> None:
@@ -231,7 +230,7 @@
 
 
 class RpcClient:
-    """Makes calls to one node; connects when needed.
+    """Client of one node, which connects when needed.
 
     Args:
         address: `ip:port`.
@@ -305,14 +304,14 @@
             task.result().write(Kind.ONE_WAY, method, 0, payload)
 
     def close(self) -> None:
-        """Close the connection for good."""
+        """Close the connection and open no other."""
         self._is_closed = True
         if self._protocol is not None:
             self._protocol.close()
 
 
 class RpcPeers:
-    """The clients of this node, one per address."""
+    """Clients of other nodes, one per address."""
 
     def __init__(self) -> None:
         self._clients: dict[str, RpcClient] = {}
