--- a/tests/dataplane/node_world.py
+++ b/tests/dataplane/node_world.py
@@ -15,15 +15,17 @@
 from granitewell.domain.configuration import Route
 from granitewell.domain.servers import ServerState
 from tests.dataplane.simulated_network import SimulatedTransport
-from tests.dataplane.standin import Message, Scene, Seen, configuration, route, scene
+from tests.dataplane.standin import Message, ReceivedRequest, Scene, configuration, route, scene
 
 GRACE_S = 8.0
-BOUND_S = 0.5  # of the rules on time: after a client left, after a request's time, beyond a client's deadline
-TRAVEL_S = 0.01  # of a message, both ways and with some loop turns
-LISTENS_S = 2.0  # after SIGTERM: sooner, no client may find the node closed
-LOOK_S = 0.02  # of a server at work, for the end of its connection
+TOLERANCE_S = (
+    0.5  # of the rules on time: after a client left, after a request's time, beyond a client's deadline
+)
+TRAVEL_TIME_S = 0.01  # of a message, both ways and with some loop turns
+MIN_LISTEN_S = 2.0  # after SIGTERM: sooner, no client may find the node closed
+POLL_INTERVAL_S = 0.02  # of a server at work, for the end of its connection
 CLIENTS = 24
-SPAN_S = 6.0  # in which clients come
+ARRIVAL_SPAN_S = 6.0  # in which clients come
 EVENTS = 4
 KINDS = ("once", "again", "stream", "resume", "model")
 
@@ -33,7 +35,7 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """A client's request, as the client saw it.
 
     Attributes:
@@ -44,7 +46,7 @@
 
     id: str
     name: str
-    told_s: float | None
+    deadline_s: float | None
     sent_at: float = 0.0
     left_at: float | None = None
     answer: Message | None = None
@@ -55,12 +57,12 @@
     @property
     def due_at(self) -> float:
         """When its time is over at the latest."""
-        return self.sent_at + min(self.told_s or self.timeout_s, self.timeout_s)
+        return self.sent_at + min(self.deadline_s or self.timeout_s, self.timeout_s)
 
     @property
     def soonest_due_at(self) -> float:
         """When its time is over, whichever configuration counts."""
-        return self.sent_at + min(self.told_s or self.min_timeout_s, self.min_timeout_s)
+        return self.sent_at + min(self.deadline_s or self.min_timeout_s, self.min_timeout_s)
 
 
 @dataclass
@@ -70,7 +72,7 @@
     id: str
     server: str
     at: float
-    handed_s: float
+    remaining_s: float
     ran: bool = True
     faulty: bool = False  # the server broke off, or was silent
     ended_at: float = 0.0
@@ -81,14 +83,14 @@
     """What happened."""
 
     rng: Random
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[SentRequest] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    term_at: float = 0.0
-    gone_at: float = 0.0
+    sigterm_at: float = 0.0
+    exited_at: float = 0.0
     timeout_s: float = 2.0
 
     # --- Servers ----------------------------------------------------------------------------------------
-    async def serve(self, seen: Seen) -> None:
+    async def serve(self, seen: ReceivedRequest) -> None:
         """One request at a server, with some fault or none."""
         loop = asyncio.get_running_loop()
         handed = seen.request.header("Granitewell-Deadline-Ms")
@@ -103,17 +105,17 @@
         await self._answer(seen, arrival, fault)
         arrival.ended_at = loop.time()
 
-    async def _work(self, seen: Seen, for_s: float) -> bool:
+    async def _work(self, seen: ReceivedRequest, for_s: float) -> bool:
         """Whether nobody has closed the connection meanwhile."""
         loop = asyncio.get_running_loop()
         end = loop.time() + for_s
         while loop.time() < end:
             if seen.reader.at_eof() or seen.reader.exception() is not None:
                 return False
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return True
 
-    async def _answer(self, seen: Seen, arrival: Arrival, fault: str) -> None:
+    async def _answer(self, seen: ReceivedRequest, arrival: Arrival, fault: str) -> None:
         if fault == "left":
             return
         arrival.faulty = fault in ("silent", "close")
@@ -131,7 +133,7 @@
         else:
             seen.answer(body=seen.id.encode())
 
-    async def _stream(self, seen: Seen, fault: str) -> None:
+    async def _stream(self, seen: ReceivedRequest, fault: str) -> None:
         seen.writer.write(seen.head(Content_Type="text/event-stream"))
         first = int(seen.request.header("Last-Event-Id") or 0) + 1
         for number in range(first, EVENTS + 1):
@@ -148,14 +150,14 @@
     async def client(self, s: Scene, number: int) -> None:
         """One client with one request; some leave before its answer."""
         rng, loop = self.rng, asyncio.get_running_loop()
-        told_s = rng.choice((None, 0.4, 1.0, 3.0, 30.0))
-        request = Sent(f"{number:016x}", rng.choice(KINDS), told_s)
+        deadline_s = rng.choice((None, 0.4, 1.0, 3.0, 30.0))
+        request = SentRequest(f"{number:016x}", rng.choice(KINDS), deadline_s)
         leaves_after_s, how = rng.random() * 2.0, rng.choice(("", "", "close", "reset"))
-        await asyncio.sleep(rng.random() * SPAN_S)
+        await asyncio.sleep(rng.random() * ARRIVAL_SPAN_S)
         try:
             client = await s.connect()
         except ConnectionError:
-            if loop.time() < self.term_at + LISTENS_S or not self.term_at:
+            if loop.time() < self.sigterm_at + MIN_LISTEN_S or not self.sigterm_at:
                 raise ViolationError(f"{request.id} finds nobody at {loop.time():.3f}") from None
             return
         self.sent.append(request)
@@ -165,7 +167,7 @@
             f"/{request.name}/x",
             body=b"b" * rng.choice((0, 10, 90_000)),
             Granitewell_Request_Id=request.id,
-            Granitewell_Deadline_Ms="" if told_s is None else str(int(told_s * 1000)),
+            Granitewell_Deadline_Ms="" if deadline_s is None else str(int(deadline_s * 1000)),
             Granitewell_Model=rng.choice(("m1", "m2")),
         )
         answer = asyncio.create_task(client.answer())
@@ -206,10 +208,10 @@
         """SIGTERM, and the end of the process."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(2.0 + self.rng.random() * 3.0)
-        self.term_at = loop.time()
+        self.sigterm_at = loop.time()
         s.plane.begin_drain()
         await s.plane.finish(GRACE_S)
-        self.gone_at = loop.time()
+        self.exited_at = loop.time()
 
 
 def routes(timeout_s: float, more: bool) -> Sequence[Route]:
@@ -231,21 +233,21 @@
     async with scene(*[world.serve] * 4) as s:
         s.plane.apply_configuration(configuration(1, routes(world.timeout_s, True)))
         s.plane.apply_servers([s.server(s.stand_ins[-1], "engine", ("m1",))], [])
-        s.fund()
+        s.fill_retry_budget()
         tasks = [asyncio.create_task(world.client(s, k + 1)) for k in range(CLIENTS)]
         tasks += [asyncio.create_task(world.operator(s)), asyncio.create_task(world.platform(s))]
         await asyncio.gather(*tasks)
         await asyncio.sleep(1.0)
         check(world)
-        check_nothing_is_left(s)
+        check_no_request_left(s)
     return world
 
 
 # --- The rules --------------------------------------------------------------------------------------------
 def check(world: World) -> None:
     """Raises Violation."""
-    if world.gone_at - world.term_at > GRACE_S:
-        raise ViolationError(f"the process needs {world.gone_at - world.term_at:.3f} s to end")
+    if world.exited_at - world.sigterm_at > GRACE_S:
+        raise ViolationError(f"the process needs {world.exited_at - world.sigterm_at:.3f} s to end")
     for request in world.sent:
         arrivals = [arrival for arrival in world.arrivals if arrival.id == request.id]
         _check_arrivals(request, arrivals)
@@ -255,7 +257,7 @@
             _check_after_leaving(request, arrivals)
 
 
-def _check_arrivals(request: Sent, arrivals: list[Arrival]) -> None:
+def _check_arrivals(request: SentRequest, arrivals: list[Arrival]) -> None:
     most = 3 if request.name in ("again", "resume") else 2
     if len(arrivals) > most:
         raise ViolationError(f"{request} on {len(arrivals)} servers")
@@ -263,26 +265,26 @@
     if request.name in ("once", "stream", "model") and len(ran) > 1:
         raise ViolationError(f"{request} runs twice")
     for arrival in arrivals:
-        if arrival.at + arrival.handed_s > request.due_at + TRAVEL_S:
+        if arrival.at + arrival.remaining_s > request.due_at + TRAVEL_TIME_S:
             raise ViolationError(f"{arrival} is handed more time than is left of {request}")
 
 
-def _check_after_leaving(request: Sent, arrivals: list[Arrival]) -> None:
+def _check_after_leaving(request: SentRequest, arrivals: list[Arrival]) -> None:
     assert request.left_at is not None
     for arrival in arrivals:
-        if arrival.at > request.left_at + BOUND_S:
+        if arrival.at > request.left_at + TOLERANCE_S:
             raise ViolationError(f"{arrival} after its client left: {request}")
-        if arrival.ended_at > request.left_at + BOUND_S:
+        if arrival.ended_at > request.left_at + TOLERANCE_S:
             raise ViolationError(f"{arrival} is worked on after its client left: {request}")
 
 
-def _check_answer(world: World, request: Sent, arrivals: list[Arrival]) -> None:
+def _check_answer(world: World, request: SentRequest, arrivals: list[Arrival]) -> None:
     answer, ended_at = request.answer, request.ended_at
     assert ended_at is not None
-    if ended_at > request.due_at + BOUND_S:
+    if ended_at > request.due_at + TOLERANCE_S:
         raise ViolationError(f"{request} has no end at {request.due_at:.3f}")
     if answer is None:
-        if arrivals or not world.term_at or request.sent_at < world.term_at + LISTENS_S:
+        if arrivals or not world.sigterm_at or request.sent_at < world.sigterm_at + MIN_LISTEN_S:
             raise ViolationError(f"{request} is lost")
         return
     if answer.status not in (200, 500, 502, 503, 504):
@@ -295,7 +297,9 @@
         raise ViolationError(f"{request} gets a part of an answer of the node's own: {answer}")
 
 
-def _check_passed_answer(world: World, request: Sent, answer: Message, arrivals: list[Arrival]) -> None:
+def _check_passed_answer(
+    world: World, request: SentRequest, answer: Message, arrivals: list[Arrival]
+) -> None:
     is_signed = answer.header("Granitewell-Response-Seal") is not None
     if answer.header("Granitewell-Request-Id") != request.id or not is_signed:
         raise ViolationError(f"{request} gets an answer to another one: {answer}")
@@ -310,15 +314,15 @@
         raise ViolationError(f"{request} gets no whole events in order: {answer}")
 
 
-def _may_be_cut(world: World, request: Sent, arrivals: list[Arrival]) -> bool:
+def _may_be_cut(world: World, request: SentRequest, arrivals: list[Arrival]) -> bool:
     """Its time was over, its server broke off, or the grace period was."""
     assert request.ended_at is not None
-    overdue = request.ended_at >= request.soonest_due_at - BOUND_S / 4
-    graceless = bool(world.term_at) and request.ended_at > world.term_at + GRACE_S / 2
+    overdue = request.ended_at >= request.soonest_due_at - TOLERANCE_S / 4
+    graceless = bool(world.sigterm_at) and request.ended_at > world.sigterm_at + GRACE_S / 2
     return overdue or graceless or any(arrival.faulty for arrival in arrivals)
 
 
-def check_nothing_is_left(s: Scene) -> None:
+def check_no_request_left(s: Scene) -> None:
     """No place in a line, no request counted at a server, none under way."""
     for state in s.plane._dispatcher._services.values():
         counts = [(record.in_flight, record.unanswered) for record in state.records.values()]
--- a/tests/dataplane/standin.py
+++ b/tests/dataplane/standin.py
@@ -17,13 +17,13 @@
 from granitewell.domain.settings import Bounds, Listen, Platform, Settings
 
 HOST = "shop.example"
-MAX_S = 10.0  # of any test here
+TEST_TIMEOUT_S = 10.0  # of any test here
 T = TypeVar("T")
 
 
-def play(scene: Coroutine[Any, Any, T]) -> T:
+def run_scene(scene: Coroutine[Any, Any, T]) -> T:
     """Run a test's scene, bounded in time."""
-    return asyncio.run(asyncio.wait_for(scene, MAX_S))
+    return asyncio.run(asyncio.wait_for(scene, TEST_TIMEOUT_S))
 
 
 # --- Messages -------------------------------------------------------------------------------------------
@@ -86,7 +86,7 @@
 
 # --- Servers --------------------------------------------------------------------------------------------
 @dataclass
-class Seen:
+class ReceivedRequest:
     """A request at a stand-in, and the connection to answer on."""
 
     request: Message
@@ -140,7 +140,7 @@
         self.writer.transport.abort()
 
 
-Behaviour = Callable[[Seen], Awaitable[None] | None]
+Behaviour = Callable[[ReceivedRequest], Awaitable[None] | None]
 
 
 class StandIn:
@@ -168,7 +168,7 @@
         self._writers.append(writer)
         while (request := await read_message(reader)) is not None:
             self.seen.append(request)
-            done = self.behaviour(Seen(request, reader, writer, self, connection))
+            done = self.behaviour(ReceivedRequest(request, reader, writer, self, connection))
             if done is not None:
                 await done
 
@@ -182,7 +182,7 @@
             writer.transport.abort()
 
 
-def well(seen: Seen) -> None:
+def answer_normally(seen: ReceivedRequest) -> None:
     """Answers."""
     seen.answer()
 
@@ -221,7 +221,7 @@
     )  # fmt: skip
 
 
-def held(*names: str) -> Mapping[str, LoadedModel]:
+def loaded_models(*names: str) -> Mapping[str, LoadedModel]:
     """`model` or `model/adapter`."""
     models: dict[str, set[str]] = {}
     for name in names:
@@ -243,13 +243,13 @@
         self, stand_in: StandIn, service: str = "plain", models: Sequence[str] = (), **fields: Any
     ) -> Server:
         given: dict[str, Any] = {"zone": "a", "slots": 4, "state": ServerState.READY, **fields}
-        return Server(stand_in.name, service, stand_in.address, models=held(*models), **given)
+        return Server(stand_in.name, service, stand_in.address, models=loaded_models(*models), **given)
 
-    def tell(self, service: str = "plain", models: Sequence[str] = ()) -> None:
+    def register_servers(self, service: str = "plain", models: Sequence[str] = ()) -> None:
         """All stand-ins are servers of this service."""
         self.plane.apply_servers([self.server(s, service, models) for s in self.stand_ins], [])
 
-    def fund(self, service: str = "plain", requests: int = 200) -> None:
+    def fill_retry_budget(self, service: str = "plain", requests: int = 200) -> None:
         """Earlier requests have earned repeats."""
         for _ in range(requests):
             self.plane._dispatcher.budget(service).earn()
@@ -304,7 +304,7 @@
     await plane.start()
     plane.apply_configuration(configuration())
     made = Scene(plane, stand_ins, demands)
-    made.tell(service, models)
+    made.register_servers(service, models)
     try:
         yield made
     finally:
--- a/tests/dataplane/test_dispatch.py
+++ b/tests/dataplane/test_dispatch.py
@@ -48,22 +48,22 @@
 
 
 # --- Pool -----------------------------------------------------------------------------------------------
-def test_all_servers_are_used_at_random_until_something_is_known() -> None:
+def test_new_pool_uses_all_servers() -> None:
     counted = Counter(picks(pool(5), 500))
     assert len(counted) == 5 and min(counted.values()) > 60
 
 
-def test_the_order_is_the_same_whatever_order_servers_are_told_in() -> None:
+def test_server_order_is_independent_of_update_order() -> None:
     one, other = pool(6), pool(0)
     other.set_servers(list(reversed(records(6))))
     assert [r.id for r in one.servers] == [r.id for r in other.servers]
 
 
-def test_a_pool_without_servers_gives_none() -> None:
+def test_empty_pool_returns_no_server() -> None:
     assert pool(0).pick(0.0, 1) is None
 
 
-def test_only_the_prefix_is_used_and_past_a_busy_one_the_rest() -> None:
+def test_servers_outside_the_prefix_are_used_only_if_it_is_busy() -> None:
     made = pool(6)
     made._prefix.size = 2
     assert set(picks(made, 100)) == {"s00", "s01"}
@@ -73,7 +73,7 @@
     assert set(picks(made, 100)) <= {"s02", "s03", "s04", "s05"}
 
 
-def test_a_server_is_busy_at_this_node_s_part_of_its_slots() -> None:
+def test_server_is_busy_at_this_node_s_share_of_its_slots() -> None:
     made = pool(2)
     made.sent(made.servers[0], 0.0)
     assert set(picks(made, 50, edges=6)) == {"s01"}
@@ -85,7 +85,7 @@
     assert set(picks(engine, 50, edges=4)) == {"s01"}
 
 
-def test_full_servers_get_nothing() -> None:
+def test_full_servers_get_no_requests() -> None:
     made = pool(2, slots=2)
     for record in made.servers:
         made.sent(record, 0.0)
@@ -96,39 +96,39 @@
     assert set(picks(made, 5)) == {"s01"}
 
 
-def test_a_server_s_own_word_on_its_load_counts_for_a_while() -> None:
+def test_reported_load_decays() -> None:
     made = pool(2)
     made.servers[0].load_reported(ServerLoad(6, 3, 6), 0.0)
     assert set(picks(made, 50)) == {"s01"}
     assert set(picks(made, 50, now=20.0)) == {"s00", "s01"}
 
 
-def test_a_server_that_turned_a_request_away_is_left_alone_for_a_moment() -> None:
+def test_server_is_skipped_briefly_after_a_rejection() -> None:
     made = pool(2)
     made.servers[0].rejected(0.0)
     assert set(picks(made, 50)) == {"s01"}
     assert set(picks(made, 50, now=REJECTION_BACKOFF_S)) == {"s00", "s01"}
 
 
-def test_a_failed_server_is_avoided_for_a_growing_time_unless_it_is_the_only_one() -> None:
+def test_ejection_time_grows_and_the_only_server_is_still_used() -> None:
     made = pool(2)
-    sick = made.servers[0]
+    faulty_server = made.servers[0]
     now, waits = 0.0, []
     for _ in range(6):
-        sick.failed(now)
-        sick.failed(now)  # what failed together counts once
+        faulty_server.failed(now)
+        faulty_server.failed(now)  # what failed together counts once
         assert set(picks(made, 30, now=now)) == {"s01"}
-        waits.append(sick.ejected_until - now)
-        now = sick.ejected_until
+        waits.append(faulty_server.ejected_until - now)
+        now = faulty_server.ejected_until
     assert waits == [1.0, 2.0, 4.0, MAX_EJECTION_S, MAX_EJECTION_S, MAX_EJECTION_S]
-    sick.failed(now)
+    faulty_server.failed(now)
     made.servers[1].failed(now)
     assert set(picks(made, 30, now=now)) <= {"s00", "s01"} and picks(made, 1, now=now)
-    sick.response_completed(now)
-    assert sick.is_healthy(now, 1.0)
+    faulty_server.response_completed(now)
+    assert faulty_server.is_healthy(now, 1.0)
 
 
-def test_own_failures_in_a_row_speak_against_a_server() -> None:
+def test_consecutive_errors_eject_a_server() -> None:
     record = records(1)[0]
     for _ in range(2):
         record.error_received(0.0)
@@ -140,21 +140,23 @@
     assert not record.is_healthy(0.0, 1.0)
 
 
-def test_a_silent_server_is_suspected_and_one_that_answers_is_not() -> None:
+def test_unresponsive_server_is_unhealthy_until_it_responds() -> None:
     made = pool(2)
-    sick = made.servers[0]
-    made.sent(sick, 0.0)
+    faulty_server = made.servers[0]
+    made.sent(faulty_server, 0.0)
     assert "s00" in picks(made, 50, now=1.0)
     assert set(picks(made, 50, now=5.0)) == {"s01"}
-    sick.response_started(5.0)
-    made.ended(sick)
+    faulty_server.response_started(5.0)
+    made.ended(faulty_server)
     assert "s00" in picks(made, 50, now=5.0)
-    made.sent(sick, 5.0)
-    sick.abandoned(10.0, made.unresponsive_after_s)  # its time was over while the server said nothing
+    made.sent(faulty_server, 5.0)
+    faulty_server.abandoned(
+        10.0, made.unresponsive_after_s
+    )  # its time was over while the server said nothing
     assert set(picks(made, 50, now=10.5)) == {"s01"}
 
 
-def test_a_repeat_goes_elsewhere_and_excluded_servers_get_nothing() -> None:
+def test_retry_prefers_other_servers_and_skips_excluded_ones() -> None:
     made = pool(2)
     assert {made.pick(0.0, 1, attempted={"s00"}) for _ in range(30)} == {made.servers[1]}
     only = pool(1)
@@ -162,14 +164,14 @@
     assert only.pick(0.0, 1, excluded={"s00"}) is None
 
 
-def test_a_server_that_has_moved_is_not_asked_until_it_may_be_back() -> None:
+def test_misdirected_server_is_skipped_for_a_while() -> None:
     made = pool(1)
     made.misdirected(made.servers[0], 0.0, 1.0)
     assert made.pick(0.5, 1) is None
     assert made.pick(1.0, 1) is not None
 
 
-def test_kept_parts_draw_a_request_unless_the_server_is_clearly_fuller() -> None:
+def test_cached_prompt_attracts_a_request_unless_load_is_much_higher() -> None:
     made = pool(6, 60, engine=True)
     home = made.servers[4]
     assert {made.pick(0.0, 1, cached_tokens={"s04": 1200}) for _ in range(30)} == {home}
@@ -178,7 +180,7 @@
     assert home not in {made.pick(0.0, 1, cached_tokens={"s04": 1200}) for _ in range(30)}
 
 
-def test_the_prefix_grows_and_shrinks_with_the_traffic() -> None:
+def test_prefix_size_follows_traffic() -> None:
     made, now = pool(10, 60, engine=True), 0.0
     for k in range(20_000):
         now += 0.01
@@ -197,7 +199,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(STEPS, st.integers(0, 3)), max_size=60))
-def test_no_full_server_is_ever_picked_and_counts_stay_true(steps: list[tuple[str, int]]) -> None:
+def test_full_servers_are_never_picked_and_counts_are_consistent(steps: list[tuple[str, int]]) -> None:
     made, now = pool(4, slots=3), 0.0
     out: list[ServerRecord] = []
     for what, k in steps:
@@ -235,7 +237,7 @@
     return made
 
 
-class Waiter(DispatchRequest):
+class WaitingRequest(DispatchRequest):
     """A request that notes what it is granted."""
 
     def __init__(self, priority: int, service: str = "engine", ref: ModelRef | None = M1) -> None:
@@ -243,7 +245,7 @@
         super().__init__(service, ref, priority, 1.0, (), self.got.append)
 
 
-def test_models_and_states_make_the_pools() -> None:
+def test_pools_contain_ready_servers_with_the_model() -> None:
     made = dispatcher()
     made.apply_servers(
         [
@@ -261,7 +263,7 @@
     assert [r.id for r in made.pool("plain", None, 0.0).servers] == ["d"]
 
 
-def test_news_of_servers_whole_and_in_part() -> None:
+def test_server_updates_add_change_and_remove() -> None:
     made = dispatcher()
     made.apply_servers([server("a"), server("b"), server("e", "engine")], [], 0.0)
     assert made.apply_servers([server("c")], ["a", "nobody"], 0.0) == ["a", "nobody"]
@@ -274,29 +276,29 @@
     assert [r.id for r in made.pool("engine", None, 0.0).servers] == ["c"]
 
 
-def test_what_is_known_of_a_server_stays_when_its_models_change() -> None:
+def test_server_state_is_kept_when_models_change() -> None:
     made = dispatcher()
     made.apply_servers([server("a", "engine", ("m1",))], [], 0.0)
-    record = made.choose(Waiter(0), 0.0)
+    record = made.choose(WaitingRequest(0), 0.0)
     assert record is not None
     made.apply_servers([server("a", "engine", ("m2",))], [], 0.0)
     (same,) = made.pool("engine", ModelRef("m2"), 0.0).servers
     assert same is record and record.in_flight == 1
 
 
-def test_a_server_that_is_gone_ends_its_requests_without_fault() -> None:
-    made, waiter = dispatcher(), Waiter(0)
+def test_requests_of_a_removed_server_end_cleanly() -> None:
+    made, waiter = dispatcher(), WaitingRequest(0)
     made.apply_servers([server("a", "engine", ("m1",))], [], 0.0)
     record = made.choose(waiter, 0.0)
     assert record is not None
     made.apply_servers([], ["a"], 0.0)
     made.ended(waiter, record, 0.0)
-    assert record.in_flight == 0 and made.choose(Waiter(0), 0.0) is None
+    assert record.in_flight == 0 and made.choose(WaitingRequest(0), 0.0) is None
 
 
-def test_those_that_wait_are_served_in_order_of_priority() -> None:
+def test_queue_is_served_by_priority() -> None:
     made = dispatcher()
-    waiters = [Waiter(priority) for priority in (5, 0, 5, 1)]
+    waiters = [WaitingRequest(priority) for priority in (5, 0, 5, 1)]
     for waiter in waiters:
         assert made.choose(waiter, 0.0) is None
         made.wait(waiter, 0.0)
@@ -305,62 +307,62 @@
     assert (demand.ref, demand.waiting, demand.priority) == (M1, 4, 0)
     made.apply_servers([server("a", "engine", ("m1",), slots=2)], [], 0.0)
     assert [len(w.got) for w in waiters] == [0, 1, 0, 1]
-    assert made.choose(Waiter(9), 0.0) is None  # behind those that wait
+    assert made.choose(WaitingRequest(9), 0.0) is None  # behind those that wait
     done = waiters[1]
     done.got[0].response_started(0.0)
     made.ended(done, done.got[0], 0.0)
     assert [len(w.got) for w in waiters] == [1, 1, 0, 1]
 
 
-def test_a_more_urgent_request_passes_those_that_wait() -> None:
+def test_higher_priority_request_overtakes_the_queue() -> None:
     made = dispatcher()
     made.apply_servers([server("a", "engine", ("m1",), slots=1)], [], 0.0)
-    first = Waiter(5)
+    first = WaitingRequest(5)
     record = made.choose(first, 0.0)
     assert record is not None
-    made.wait(Waiter(5), 0.0)
+    made.wait(WaitingRequest(5), 0.0)
     record.response_started(0.0)
     made.pool("engine", M1, 0.0).ended(record)  # nobody has been woken yet
-    assert made.choose(Waiter(5), 0.0) is None
-    assert made.choose(Waiter(4), 0.0) is record
+    assert made.choose(WaitingRequest(5), 0.0) is None
+    assert made.choose(WaitingRequest(4), 0.0) is record
 
 
-def test_a_place_that_is_left_counts_no_longer() -> None:
-    made, waiter = dispatcher(), Waiter(3)
-    place = made.wait(waiter, 0.0)
-    made.leave(place)
-    made.leave(place)
+def test_request_that_leaves_the_queue_is_not_assigned() -> None:
+    made, waiter = dispatcher(), WaitingRequest(3)
+    position = made.wait(waiter, 0.0)
+    made.leave(position)
+    made.leave(position)
     assert made.take_demand()[0].waiting == 0
     made.apply_servers([server("a", "engine", ("m1",))], [], 0.0)
     assert waiter.got == []
 
 
-def test_a_line_is_bounded() -> None:
+def test_queue_is_bounded() -> None:
     made = dispatcher()
     with pytest.raises(QueueFullError):
         for _ in range(10_000):
-            made.wait(Waiter(5), 0.0)
+            made.wait(WaitingRequest(5), 0.0)
 
 
-def test_connections_of_all_nodes_together_stay_under_the_server_s_bound() -> None:
+def test_connections_of_all_nodes_stay_within_the_server_limit() -> None:
     made = Dispatcher(Bounds(), Random(1))
     made.apply_configuration(Configuration(1, {}, {"plain": Service("plain", max_connections=20)}))
     made.set_edges(3, 3)
     made.apply_servers([server("a", slots=100)], [], 0.0)
-    got = [made.choose(Waiter(5, "plain", None), 0.0) for _ in range(30)]
+    got = [made.choose(WaitingRequest(5, "plain", None), 0.0) for _ in range(30)]
     assert sum(record is not None for record in got) == 6  # 20 * 0.9 / 3
 
 
-def test_an_engine_gets_no_more_requests_than_it_can_begin_in_time() -> None:
+def test_engine_gets_only_requests_that_it_can_begin_in_time() -> None:
     made = dispatcher()
     made.apply_servers([server("a", "engine", ("m1",), slots=100)], [], 0.0)
     (record,) = made.pool("engine", M1, 0.0).servers
     record.first_byte_received(0.25, 0.0)
-    got = [made.choose(Waiter(5), 0.0) for _ in range(30)]
+    got = [made.choose(WaitingRequest(5), 0.0) for _ in range(30)]
     assert sum(r is not None for r in got) == 6  # the seventh would wait 1.75 s: past one and a half aims
 
 
-def test_models_that_are_known() -> None:
+def test_configured_models() -> None:
     made = dispatcher()
     assert made.is_configured("engine", M1) and made.is_configured("engine", ModelRef("m1", "a2"))
     assert made.is_configured("plain", None)
@@ -369,10 +371,10 @@
     assert not made.is_configured("other", None)
 
 
-def test_pools_are_bounded_and_those_in_use_stay() -> None:
+def test_pools_are_bounded_and_active_ones_are_kept() -> None:
     made = dispatcher()
     made.apply_servers([server("a", "engine", ("m1",))], [], 0.0)
-    waiter = Waiter(5)
+    waiter = WaitingRequest(5)
     record = made.choose(waiter, 0.0)
     assert record is not None
     for k in range(3 * MAX_POOLS):
@@ -381,13 +383,13 @@
     made.ended(waiter, record, 0.0)
 
 
-def test_prompt_parts_bring_requests_of_a_session_together() -> None:
+def test_requests_of_a_session_go_to_the_same_server() -> None:
     made = dispatcher()
     made.apply_servers([server(f"s{k}", "engine", ("m1",), slots=60) for k in range(9)], [], 0.0)
     parts = (PromptPart("shared", 500), PromptPart("session", 900))
     got = set()
     for _ in range(20):
-        waiter = Waiter(5)
+        waiter = WaitingRequest(5)
         waiter.parts = parts
         record = made.choose(waiter, 0.0)
         assert record is not None
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -13,21 +13,21 @@
     Behaviour,
     Client,
     Message,
+    ReceivedRequest,
     Scene,
-    Seen,
+    answer_normally,
     configuration,
     read_message,
     route,
     scene,
-    well,
 )
 
 GRACE_S = 8.0  # between SIGTERM and SIGKILL
-OUT_WITHIN_S = 4.0  # of SIGTERM a process must not count as ready
-ASKED_EVERY_S = 1.0  # by the platform, which needs two misses
+MAX_DRAIN_S = 4.0  # of SIGTERM a process must not count as ready
+READINESS_INTERVAL_S = 1.0  # by the platform, which needs two misses
 
 
-async def asked(s: Scene) -> int:
+async def readiness_status(s: Scene) -> int:
     """What the platform is told; 0: nobody listens."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", s.plane.ready_port)
@@ -39,10 +39,10 @@
     return answer.status if answer is not None else 0
 
 
-def later(answer_after_s: float) -> Behaviour:
+def answers_after(answer_after_s: float) -> Behaviour:
     """A server that answers after so long."""
 
-    async def behaviour(seen: Seen) -> None:
+    async def behaviour(seen: ReceivedRequest) -> None:
         await asyncio.sleep(answer_after_s)
         seen.answer()
 
@@ -50,48 +50,48 @@
 
 
 # --- DRAIN: readiness -------------------------------------------------------------------------------------
-def test_readiness_ends_with_sigterm_and_never_comes_back() -> None:
+def test_drain_ends_readiness_for_good() -> None:
     """Whatever is told meanwhile: configurations, servers, other edges."""
 
     async def run() -> None:
-        async with scene(later(7.0)) as s:
-            assert await asked(s) == 200
+        async with scene(answers_after(7.0)) as s:
+            assert await readiness_status(s) == 200
             kept = await s.connect()
             kept.send("/again/x", Granitewell_Request_Id="1")
             loop = asyncio.get_running_loop()
             began = loop.time()
             s.plane.begin_drain()
-            assert await asked(s) == 503
+            assert await readiness_status(s) == 503
             end = asyncio.create_task(s.plane.finish(GRACE_S))
             told = []
             version = 2
             while not end.done():
                 s.plane.apply_configuration(configuration(version))
                 s.plane.set_edges(version, version)
-                s.tell()
+                s.register_servers()
                 version += 1
-                told.append(await asked(s))
-                await asyncio.sleep(ASKED_EVERY_S / 4)
+                told.append(await readiness_status(s))
+                await asyncio.sleep(READINESS_INTERVAL_S / 4)
             assert set(told) <= {0, 503} and len(told) > 4
             assert loop.time() - began < GRACE_S
 
     play_simulated(run())
 
 
-def test_clients_are_taken_until_the_platform_has_asked_twice() -> None:
+def test_listener_stays_open_for_two_readiness_checks() -> None:
     """It asks each second: one that stops listening sooner refuses clients that are still sent to it."""
 
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             loop = asyncio.get_running_loop()
             began = loop.time()
             s.plane.begin_drain()
             end = asyncio.create_task(s.plane.finish(GRACE_S))
-            while loop.time() - began < 2 * ASKED_EVERY_S + 0.2:
+            while loop.time() - began < 2 * READINESS_INTERVAL_S + 0.2:
                 assert (await s.call("/once/x")).status == 200
                 await asyncio.sleep(0.1)
             await end
-            assert loop.time() - began < OUT_WITHIN_S
+            assert loop.time() - began < MAX_DRAIN_S
 
     play_simulated(run())
 
@@ -99,9 +99,9 @@
 # --- LOST: all that was read is answered ------------------------------------------------------------------
 @pytest.mark.parametrize("sent_after_s", [-3.0, -0.5, 0.5, 2.0, 2.4])
 @pytest.mark.parametrize("answer_after_s", [0.0, 0.3, 1.0, 4.5])
-def test_all_that_is_sent_around_sigterm_is_answered(sent_after_s: float, answer_after_s: float) -> None:
+def test_requests_around_sigterm_are_answered(sent_after_s: float, answer_after_s: float) -> None:
     async def run() -> None:
-        async with scene(later(answer_after_s)) as s:
+        async with scene(answers_after(answer_after_s)) as s:
             s.plane.apply_configuration(configuration(2, [route("long", timeout_ms=15_000.0)]))
             clients = [await s.connect() for _ in range(4)]
             loop = asyncio.get_running_loop()
@@ -123,9 +123,9 @@
     play_simulated(run())
 
 
-def test_a_body_on_its_way_when_the_listener_closes_is_read_to_its_end() -> None:
+def test_body_is_read_completely_when_the_listener_closes() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             client = await s.connect()
             s.plane.begin_drain()
             end = asyncio.create_task(s.plane.finish(GRACE_S))
@@ -143,7 +143,7 @@
     play_simulated(run())
 
 
-def test_an_answer_that_a_slow_client_still_reads_is_not_cut() -> None:
+def test_drain_waits_for_a_slow_client() -> None:
     """The last answer is written, yet not sent: the client's window is full."""
 
     async def run() -> None:
@@ -167,8 +167,8 @@
     play_simulated(run())
 
 
-def test_a_stream_that_ends_late_in_the_grace_is_whole() -> None:
-    async def behaviour(seen: Seen) -> None:
+def test_stream_completes_late_in_the_grace_period() -> None:
+    async def behaviour(seen: ReceivedRequest) -> None:
         seen.events()
         for number in range(1, 13):
             seen.event(number)
@@ -188,7 +188,7 @@
     play_simulated(run())
 
 
-def test_the_silence_of_a_server_ends_no_answer_before_its_time() -> None:
+def test_unresponsive_server_does_not_end_a_request_before_its_deadline() -> None:
     """Not in a drain, not beside a configuration: only the time of the request, or of the process, does."""
 
     async def run() -> None:
@@ -208,9 +208,9 @@
     play_simulated(run())
 
 
-def test_changes_of_the_configuration_and_of_the_servers_cut_nothing() -> None:
+def test_configuration_and_server_changes_interrupt_no_request() -> None:
     async def run() -> None:
-        async with scene(later(1.0)) as s:
+        async with scene(answers_after(1.0)) as s:
             call = asyncio.create_task(s.call("/once/x"))
             waits = asyncio.create_task(s.call("/model/x", Granitewell_Model="m1"))
             await asyncio.sleep(0.1)
@@ -233,11 +233,11 @@
 
 
 @pytest.mark.parametrize(("before_ms", "after_ms"), [(5_000, 20_000), (20_000, 5_000)])
-def test_a_connection_rests_as_long_as_either_limit_allows(before_ms: float, after_ms: float) -> None:
+def test_idle_connection_is_kept_for_the_longer_limit(before_ms: float, after_ms: float) -> None:
     """Clients use connections again within four fifths of the limit that they know."""
 
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             s.plane.apply_configuration(limited(2, before_ms))
             client = await s.connect()
             client.send("/once/x", Granitewell_Request_Id="1")
@@ -255,9 +255,9 @@
     play_simulated(run())
 
 
-def test_the_plane_of_a_process_that_has_ended_answers_nobody() -> None:
+def test_finished_data_plane_accepts_no_connection() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             plane: DataPlane = s.plane
             await plane.finish(GRACE_S)
             for port in (plane.client_port, plane.ready_port):
@@ -267,11 +267,11 @@
     play_simulated(run())
 
 
-def test_requests_that_were_read_behind_another_are_answered_too() -> None:
+def test_pipelined_requests_are_answered_in_a_drain() -> None:
     """On one connection, both in before the listener closes, the second still in line."""
 
     async def run() -> None:
-        async with scene(later(2.0)) as s:
+        async with scene(answers_after(2.0)) as s:
             s.plane.apply_configuration(configuration(2, [route("long", timeout_ms=15_000.0)]))
             client = await s.connect()
             s.plane.begin_drain()
--- a/tests/dataplane/test_edge.py
+++ b/tests/dataplane/test_edge.py
@@ -12,21 +12,21 @@
 from granitewell.domain.servers import ModelDemand, ModelRef, ServerState
 from tests.dataplane.standin import (
     Behaviour,
+    ReceivedRequest,
     Scene,
-    Seen,
     StandIn,
+    answer_normally,
     configuration,
-    play,
     read_message,
     route,
+    run_scene,
     scene,
-    well,
 )
 
 
-def test_an_answer_passes_unchanged() -> None:
+def test_response_is_forwarded_unchanged() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             answer = await s.call("/once/x", body=b"hello")
             (seen,) = s.stand_ins[0].seen
             assert (answer.status, answer.body, answer.complete) == (200, b"well", True)
@@ -37,7 +37,7 @@
             assert 0 < int(seen.header("Granitewell-Deadline-Ms") or 0) < 2000
             assert seen.header("Priority") == "5"
 
-    play(run())
+    run_scene(run())
 
 
 PATHS = [
@@ -48,39 +48,39 @@
 
 
 @pytest.mark.parametrize("target", PATHS)
-def test_path_and_query_go_on_byte_for_byte(target: str) -> None:
+def test_path_and_query_are_forwarded_byte_for_byte(target: str) -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             answer = await s.call(target)
             assert answer.status == 200, answer.body
             assert s.stand_ins[0].seen[0].target == target
 
-    play(run())
+    run_scene(run())
 
 
-def test_headers_of_one_connection_stay_behind_and_the_others_go_along() -> None:
+def test_only_end_to_end_headers_are_forwarded() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             await s.call("/once/x", X_Mine="1", Connection="keep-alive, X-Gone", X_Gone="1", TE="trailers",
                          Keep_Alive="timeout=5", Accept_Encoding="identity")  # fmt: skip
             (seen,) = s.stand_ins[0].seen
             assert (seen.header("X-Mine"), seen.header("Accept-Encoding")) == ("1", "identity")
             assert [seen.header(name) for name in ("X-Gone", "TE", "Keep-Alive", "Connection")] == [None] * 4
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_connection_header_takes_away_none_of_the_system_s() -> None:
+def test_connection_header_can_not_remove_system_headers() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             await s.call("/once/x", body=b"1", Connection="Granitewell-Request-Id, Host, Content-Length")
             (seen,) = s.stand_ins[0].seen
             assert seen.header("Granitewell-Request-Id") and seen.header("Host") and seen.body == b"1"
 
-    play(run())
+    run_scene(run())
 
 
-def test_what_a_server_works_by_reaches_it_as_the_client_s() -> None:
+def test_server_receives_the_client_s_headers() -> None:
     """Names in any case, repeated, with odd space and bytes, named by a Connection header, resent or not."""
     given = [
         (b"granitewell-MODEL", b"m1/a1"),
@@ -94,8 +94,8 @@
     connection = b"Connection: Granitewell-Model, granitewell-token-usage, Granitewell-Prompt-Prefix\r\n"
 
     async def run() -> None:
-        async with scene(Seen.refuse, well) as s:
-            s.fund()
+        async with scene(ReceivedRequest.refuse, answer_normally) as s:
+            s.fill_retry_budget()
             for _ in range(4):
                 client = await s.connect()
                 client.writer.write(
@@ -110,12 +110,12 @@
                 pairs = [(name.encode(), value.encode("latin-1")) for name, value in seen.headers]
                 assert [pair for pair in pairs if pair in given] == given
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_request_with_two_ids_reaches_no_server() -> None:
+def test_request_with_two_ids_is_rejected() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             client = await s.connect()
             ids = b"Granitewell-Request-Id: 1\r\ngranitewell-request-ID: 2\r\n"
             client.writer.write(b"GET /once/x HTTP/1.1\r\nHost: shop.example\r\n" + ids + b"\r\n")
@@ -123,22 +123,22 @@
             assert answer is not None and answer.status == 400
             assert s.stand_ins[0].seen == []
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_client_s_own_instance_and_priority_are_not_believed() -> None:
+def test_client_can_not_set_instance_or_priority() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             await s.call("/once/x", Granitewell_Expect_Instance="other", Priority="0")
             (seen,) = s.stand_ins[0].seen
             assert (seen.header("Granitewell-Expect-Instance"), seen.header("Priority")) == ("s0", "5")
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_body_in_chunks_goes_on_whole_with_its_length() -> None:
+def test_chunked_request_body_is_forwarded_with_a_length() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             client = await s.connect()
             client.send("/once/x", Transfer_Encoding="chunked", Content_Length="", Granitewell_Request_Id="7")
             client.writer.write(b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n")
@@ -148,7 +148,7 @@
             assert (seen.body, seen.header("Content-Length")) == (b"abcde", "5")
             assert seen.header("Transfer-Encoding") is None
 
-    play(run())
+    run_scene(run())
 
 
 def test_an_encoded_body_is_not_decoded() -> None:
@@ -158,11 +158,11 @@
             assert s.stand_ins[0].seen[0].body == b"\x1f\x8bgz"
             assert (answer.body, answer.header("Content-Encoding")) == (b"\x1f\x8bno", "gzip")
 
-    play(run())
+    run_scene(run())
 
 
 def test_requests_without_a_body_and_head_requests() -> None:
-    def behaviour(seen: Seen) -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         body = b"" if seen.request.first_line.startswith("HEAD") else b"well"
         seen.writer.write(seen.head(length=4) + body)
 
@@ -176,21 +176,21 @@
             again = await s.call("/once/x", "GET")
             assert again.body == b"well"
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("length", [0, 1, 70_000])
-def test_bodies_of_any_length_pass(length: int) -> None:
+def test_bodies_of_any_length_are_forwarded(length: int) -> None:
     async def run() -> None:
         async with scene(lambda seen: seen.answer(body=b"a" * length)) as s:
             assert (await s.call("/once/x", body=b"b" * length)).body == b"a" * length
             assert s.stand_ins[0].seen[0].body == b"b" * length
 
-    play(run())
+    run_scene(run())
 
 
-def test_answers_with_chunks_pass_whole() -> None:
-    def behaviour(seen: Seen) -> None:
+def test_chunked_responses_are_forwarded() -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         seen.writer.write(seen.head())
         for part in (b"ab", b"cde", b""):
             seen.chunk(part)
@@ -202,7 +202,7 @@
                 assert (answer.status, answer.body, answer.complete) == (200, b"abcde", True)
             assert s.stand_ins[0].connections == 1
 
-    play(run())
+    run_scene(run())
 
 
 # --- What is not taken ----------------------------------------------------------------------------------
@@ -229,9 +229,9 @@
          b"Transfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n", 400),
     ],
 )  # fmt: skip
-def test_what_is_malformed_or_ambiguous_reaches_no_server(raw: bytes, status: int) -> None:
+def test_malformed_or_ambiguous_requests_are_rejected(raw: bytes, status: int) -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             client = await s.connect()
             client.writer.write(raw)
             answer = await client.answer()
@@ -239,12 +239,12 @@
             assert await client.reader.read() == b""  # and the connection is not used again
             assert s.stand_ins[0].seen == []
 
-    play(run())
+    run_scene(run())
 
 
-def test_bytes_behind_a_request_are_no_part_of_it() -> None:
+def test_bytes_after_a_request_are_not_part_of_it() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             client = await s.connect()
             client.send("/once/x", body=b"ab", Granitewell_Request_Id="1")
             client.send("/once/y", body=b"cd", Granitewell_Request_Id="2")
@@ -253,12 +253,12 @@
             seen = [(m.target, m.body) for m in s.stand_ins[0].seen]
             assert seen == [("/once/x", b"ab"), ("/once/y", b"cd")]
 
-    play(run())
+    run_scene(run())
 
 
-def test_slow_heads_and_bodies_are_ended() -> None:
+def test_slow_heads_and_bodies_time_out() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             loop = asyncio.get_running_loop()
             began = loop.time()
             slow_head, slow_body = await s.connect(), await s.connect()
@@ -271,12 +271,12 @@
             assert await slow_head.reader.read() == b""
             assert loop.time() - began < 8.0  # not the time that an idle connection has
 
-    play(run())
+    run_scene(run())
 
 
-def test_promises_without_configuration_or_route() -> None:
+def test_status_without_configuration_or_route() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             assert (await s.call("/other/x")).status == 404
             assert (await s.call("/once")).status == 404
             assert (await s.call("/once/x", Host="elsewhere.example")).status == 404
@@ -286,7 +286,7 @@
             answer = await s.call("/once/x")
             assert answer.status == 503 and answer.header("Retry-After")
 
-    play(run())
+    run_scene(run())
 
 
 def without_configuration(s: Scene) -> None:
@@ -294,9 +294,9 @@
     s.plane._configured.clear()
 
 
-def test_a_request_that_comes_before_the_configuration_waits_for_it() -> None:
+def test_request_waits_for_the_first_configuration() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             without_configuration(s)
             call = asyncio.create_task(s.call("/once/x"))
             while not s.plane._waiting_for_configuration:
@@ -305,12 +305,12 @@
             assert (await call).status == 200
             assert s.plane._waiting_for_configuration == 0
 
-    play(run())
+    run_scene(run())
 
 
-def test_it_waits_for_a_part_of_its_time_and_many_do_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_wait_for_the_configuration_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             without_configuration(s)
             answer = await s.call("/once/x", Granitewell_Deadline_Ms="25")
             assert answer.status == 503 and answer.header("Retry-After")
@@ -318,41 +318,41 @@
             monkeypatch.setattr("granitewell.dataplane.edge.MAX_CONFIGURATION_WAIT_S", 1e9)
             assert (await s.call("/once/x", Granitewell_Deadline_Ms="100000000")).status == 503
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_defect_is_a_500_and_logged_once_in_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_internal_error_is_a_500_and_logged_at_a_limited_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     def fails(*_: object) -> None:
         raise KeyError("planted")
 
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             for _ in range(3):
                 assert (await s.call("/once/x")).status == 500
 
     monkeypatch.setattr("granitewell.dataplane.edge.choose_service", fails)
     monkeypatch.setattr("granitewell.dataplane.http_server._defects", DefectLog())
     with logbook.TestHandler() as log:
-        play(run())
+        run_scene(run())
     assert len([r for r in log.records if "planted" in (r.formatted_exception or "")]) == 1
 
 
-def test_a_new_configuration_counts_at_once_and_an_older_one_never() -> None:
+def test_newer_configuration_applies_and_an_older_one_does_not() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             s.plane.apply_configuration(configuration(3, [route("new")]))
             s.plane.apply_configuration(configuration(2))
             assert (await s.call("/new/x")).status == 200
             assert (await s.call("/once/x")).status == 404
 
-    play(run())
+    run_scene(run())
 
 
 # --- What a server may send -----------------------------------------------------------------------------
-def test_an_answer_to_another_request_is_not_passed_on() -> None:
+def test_response_to_another_request_is_not_forwarded() -> None:
     """The late one is dropped; the own one behind it counts, and the connection is not used again."""
 
-    def behaviour(seen: Seen) -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         if seen.connection == 1 and len(seen.server.seen) == 2:
             late = seen.head(length=5).replace(seen.id.encode(), b"%016x" % 1)
             seen.writer.write(late + b"wrong")
@@ -366,12 +366,12 @@
                 assert answer.header("Granitewell-Request-Id") == f"{k + 1:016x}"
             assert s.stand_ins[0].connections == 2
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("split", [False, True])
-def test_two_answers_to_other_requests_are_a_broken_one(split: bool) -> None:
-    async def behaviour(seen: Seen) -> None:
+def test_two_responses_to_other_requests_are_a_502(split: bool) -> None:
+    async def behaviour(seen: ReceivedRequest) -> None:
         for name in (b"a", b"b"):
             seen.writer.write(seen.head(length=5).replace(seen.id.encode(), name) + b"wrong")
             if split:
@@ -381,13 +381,13 @@
         async with scene(behaviour) as s:
             assert (await s.call("/once/x")).status == 502
 
-    play(run())
+    run_scene(run())
 
 
-def test_bytes_behind_an_answer_belong_to_nothing() -> None:
+def test_bytes_after_a_response_are_dropped() -> None:
     """In the same segment, and later on the idle connection."""
 
-    async def behaviour(seen: Seen) -> None:
+    async def behaviour(seen: ReceivedRequest) -> None:
         count = len(seen.server.seen)
         stray = seen.head(length=5).replace(seen.id.encode(), b"zz") + b"stray"
         if count == 1:
@@ -413,15 +413,15 @@
                 assert (answer.status, answer.body) == (200, b"well")
             assert s.stand_ins[0].connections == 4
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("same_segment", [True, False])
-def test_a_stray_answer_in_two_halves_spoils_no_other(same_segment: bool) -> None:
+def test_stray_response_in_two_parts_affects_no_other_request(same_segment: bool) -> None:
     """Its second half comes when the next request is out."""
     half, rest = b"HTTP/1.1 200 OK\r\nGranitewell-Req", b"uest-Id: zz\r\nContent-Length: 0\r\n\r\n"
 
-    async def behaviour(seen: Seen) -> None:
+    async def behaviour(seen: ReceivedRequest) -> None:
         first = seen.connection == 1 and len(seen.server.seen) == 1
         if not first:
             if seen.connection == 1:
@@ -441,10 +441,10 @@
                 await asyncio.sleep(0.05)
             assert s.stand_ins[0].connections == 2
 
-    play(run())
+    run_scene(run())
 
 
-def test_connections_are_used_again_as_long_as_the_server_says() -> None:
+def test_connections_are_reused_within_the_announced_timeout() -> None:
     async def run() -> None:
         async with scene(lambda seen: seen.answer(Keep_Alive="timeout=9")) as s:
             for _ in range(5):
@@ -455,24 +455,24 @@
                 await s.call("/once/x")
             assert s.stand_ins[0].connections == 2
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_connection_that_has_been_idle_too_long_is_not_used(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_expired_idle_connection_is_not_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("granitewell.dataplane.upstream.DEFAULT_KEEP_ALIVE_S", 0.0)
 
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             for _ in range(3):
                 assert (await s.call("/once/x")).status == 200
             assert s.stand_ins[0].connections == 3
 
-    play(run())
+    run_scene(run())
 
 
-def test_an_expected_100_is_given_before_the_body() -> None:
+def test_expect_100_continue() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             client = await s.connect()
             client.send("/once/x", Content_Length="3", Expect="100-continue", Granitewell_Request_Id="1")
             assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -482,58 +482,58 @@
             (seen,) = s.stand_ins[0].seen
             assert (seen.body, seen.header("Expect")) == (b"abc", None)
 
-    play(run())
+    run_scene(run())
 
 
-def breaks_off(seen: Seen) -> None:
+def breaks_off(seen: ReceivedRequest) -> None:
     seen.writer.write(seen.head(length=10) + b"well")
     seen.reset()
 
 
-def hangs_up(seen: Seen) -> None:
+def hangs_up(seen: ReceivedRequest) -> None:
     seen.writer.close()
 
 
-def rubbish(seen: Seen) -> None:
+def rubbish(seen: ReceivedRequest) -> None:
     seen.writer.write(b"\x16\x03\x01 no answer\r\n\r\n")
 
 
-def no_seal(seen: Seen) -> None:
+def no_seal(seen: ReceivedRequest) -> None:
     seen.answer(Granitewell_Response_Seal="")
 
 
-def no_id(seen: Seen) -> None:
+def no_id(seen: ReceivedRequest) -> None:
     seen.answer(Granitewell_Request_Id="")
 
 
-def without_length(seen: Seen, instead: bytes = b"") -> None:
+def without_length(seen: ReceivedRequest, instead: bytes = b"") -> None:
     seen.writer.write(seen.head(length=0).replace(b"Content-Length: 0\r\n", instead) + b"well")
 
 
-def reset_without_length(seen: Seen) -> None:
+def reset_without_length(seen: ReceivedRequest) -> None:
     without_length(seen)
     seen.reset_by_kernel()
 
 
-def other_coding(seen: Seen) -> None:
+def other_coding(seen: ReceivedRequest) -> None:
     without_length(seen, b"Transfer-Encoding: gzip\r\n")
     seen.writer.close()
 
 
-def switches(seen: Seen) -> None:
+def switches(seen: ReceivedRequest) -> None:
     seen.writer.write(seen.head(101, length=0, Upgrade="x", Connection="upgrade"))
 
 
-def two_ids(seen: Seen) -> None:
+def two_ids(seen: ReceivedRequest) -> None:
     head = seen.head(length=4)
     seen.writer.write(head.replace(b"\r\n\r\n", b"\r\nGranitewell-Request-Id: zz\r\n\r\n") + b"well")
 
 
-def bare_line_ends(seen: Seen) -> None:
+def bare_line_ends(seen: ReceivedRequest) -> None:
     seen.writer.write(seen.head(length=4).replace(b"\r\n", b"\n") + b"well")
 
 
-def cut_chunks(seen: Seen) -> None:
+def cut_chunks(seen: ReceivedRequest) -> None:
     seen.writer.write(seen.head())
     seen.chunk(b"well")
     seen.writer.close()
@@ -546,8 +546,8 @@
 
 
 @pytest.mark.parametrize("target", ["/once/x", "/stream/x"])
-def test_an_answer_without_length_is_whole_where_its_server_closes_it(target: str) -> None:
-    def behaviour(seen: Seen) -> None:
+def test_response_without_length_is_complete_at_close(target: str) -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         without_length(seen)
         seen.writer.close()
 
@@ -559,14 +559,14 @@
                 assert answer.header("Content-Length") == "4"
             assert s.stand_ins[0].connections == 2
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_stream_without_length_is_whole_where_its_server_closes_it(reset: bool) -> None:
+def test_stream_without_length_is_complete_at_close(reset: bool) -> None:
     event = b"id: 1\ndata: word\n\n"
 
-    async def behaviour(seen: Seen) -> None:
+    async def behaviour(seen: ReceivedRequest) -> None:
         head = seen.head(length=0, Content_Type="text/event-stream")
         seen.writer.write(head.replace(b"Content-Length: 0\r\n", b"") + event)
         await seen.writer.drain()
@@ -581,14 +581,14 @@
             answer = await s.call("/stream/x")
             assert (answer.status, answer.body, answer.complete) == (200, event, not reset)
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "close"])
-def test_long_answers_pass_whole_in_any_form(form: str) -> None:
+def test_long_responses_are_forwarded_in_any_framing(form: str) -> None:
     body = bytes(range(256)) * 8_192
 
-    async def behaviour(seen: Seen) -> None:
+    async def behaviour(seen: ReceivedRequest) -> None:
         if form == "chunks":
             seen.writer.write(seen.head())
             for start in range(0, len(body), 50_000):
@@ -608,84 +608,84 @@
                 assert answer.status == 200 and answer.body == body
             assert s.stand_ins[0].connections == (2 if form == "close" else 1)
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("behaviour", BROKEN)
-def test_what_may_have_run_is_not_sent_again_and_no_promise(behaviour: Behaviour) -> None:
+def test_possibly_executed_request_is_not_retried(behaviour: Behaviour) -> None:
     async def run() -> None:
         async with scene(behaviour, behaviour) as s:
-            s.fund()
+            s.fill_retry_budget()
             answer = await s.call("/once/x")
             assert answer.status == 502 and answer.header("Granitewell-Response-Seal") is None
             assert answer.header("Retry-After") is None
             assert sum(len(stand_in.seen) for stand_in in s.stand_ins) == 1
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("behaviour", BROKEN)
-def test_what_may_be_repeated_goes_to_another_server(behaviour: Behaviour) -> None:
+def test_idempotent_request_is_retried_elsewhere(behaviour: Behaviour) -> None:
     async def run() -> None:
-        async with scene(behaviour, well) as s:
-            s.fund()
+        async with scene(behaviour, answer_normally) as s:
+            s.fill_retry_budget()
             for _ in range(6):
                 answer = await s.call("/again/x")
                 assert (answer.status, answer.body) == (200, b"well")
             assert s.stand_ins[0].seen
 
-    play(run())
+    run_scene(run())
 
 
 def test_attempts_are_bounded_by_the_route() -> None:
     async def run() -> None:
         async with scene(*[hangs_up] * 5) as s:
-            s.fund()
+            s.fill_retry_budget()
             assert (await s.call("/again/x")).status == 502
             assert sum(len(stand_in.seen) for stand_in in s.stand_ins) == 3
 
-    play(run())
+    run_scene(run())
 
 
-def test_without_budget_nothing_is_sent_again() -> None:
+def test_no_retry_without_retry_budget() -> None:
     async def run() -> None:
         async with scene(hangs_up, hangs_up) as s:
             assert (await s.call("/again/x")).status == 502
             assert sum(len(stand_in.seen) for stand_in in s.stand_ins) == 1
-        async with scene(Seen.refuse, Seen.refuse) as s:
+        async with scene(ReceivedRequest.refuse, ReceivedRequest.refuse) as s:
             answer = await s.call("/again/x")
             assert answer.status == 503 and answer.header("Retry-After")
             assert answer.header("Granitewell-Response-Seal") is None
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("status", [503, 429, 421])
-def test_what_a_server_has_not_run_goes_to_another_one(status: int) -> None:
+def test_rejected_request_is_retried_elsewhere(status: int) -> None:
     async def run() -> None:
-        async with scene(lambda seen: seen.refuse(status), well) as s:
-            s.fund()
+        async with scene(lambda seen: seen.refuse(status), answer_normally) as s:
+            s.fill_retry_budget()
             for _ in range(6):
                 assert (await s.call("/once/x")).status == 200
             assert s.stand_ins[0].seen
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_refusal_everywhere_is_a_promise() -> None:
+def test_rejection_by_all_servers_is_a_503() -> None:
     async def run() -> None:
-        async with scene(*[Seen.refuse] * 3) as s:
-            s.fund()
+        async with scene(*[ReceivedRequest.refuse] * 3) as s:
+            s.fill_retry_budget()
             answer = await s.call("/once/x")
             assert answer.status == 503 and float(answer.header("Retry-After") or 0) > 0
             assert answer.header("Granitewell-Not-Executed") is None
             assert sum(len(stand_in.seen) for stand_in in s.stand_ins) == 2  # the route's attempts
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_refusal_then_a_break_is_no_promise() -> None:
-    def behaviour(seen: Seen) -> None:
+def test_rejection_then_reset_is_a_502() -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         if sum(len(s.seen) for s in stand_ins) == 1:
             seen.refuse()
         else:
@@ -696,27 +696,27 @@
     async def run() -> None:
         async with scene(behaviour, behaviour) as s:
             stand_ins.extend(s.stand_ins)
-            s.fund()
+            s.fill_retry_budget()
             assert (await s.call("/once/x")).status == 502
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("status", [503, 429, 408])
-def test_a_promise_that_the_server_has_not_given_is_not_passed_on(status: int) -> None:
+def test_unmarked_503_is_not_forwarded(status: int) -> None:
     async def run() -> None:
         async with scene(lambda seen: seen.answer(status)) as s:
             answer = await s.call("/once/x")
             assert answer.status == 502 and answer.header("Granitewell-Response-Seal") is None
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("status", [500, 504, 404, 302, 400])
-def test_a_server_s_own_failure_passes_with_its_seal(status: int) -> None:
+def test_server_error_is_forwarded_with_its_signature(status: int) -> None:
     async def run() -> None:
         async with scene(lambda seen: seen.answer(status, b"mine")) as s:
-            s.fund()
+            s.fill_retry_budget()
             loop = asyncio.get_running_loop()
             for target in ("/once/x", "/again/x"):
                 began = loop.time()
@@ -725,68 +725,68 @@
                 assert (answer.status, answer.body) == (status, b"mine")
                 assert answer.header("Granitewell-Response-Seal") == "s.1"
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_refusal_of_the_request_itself_is_passed_on() -> None:
+def test_client_error_is_forwarded() -> None:
     async def run() -> None:
-        async with scene(lambda seen: seen.refuse(400), well) as s:
-            s.fund()
+        async with scene(lambda seen: seen.refuse(400), answer_normally) as s:
+            s.fill_retry_budget()
             s.plane.apply_servers([], ["s1"])
             answer = await s.call("/once/x")
             assert (answer.status, answer.body) == (400, b"full")
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_server_that_can_not_be_reached_costs_no_attempt() -> None:
+def test_unreachable_server_costs_no_attempt() -> None:
     async def run() -> None:
-        async with scene(well, well, well) as s:
+        async with scene(answer_normally, answer_normally, answer_normally) as s:
             s.stand_ins[0].stop_listening()
             s.stand_ins[1].stop_listening()
             for _ in range(4):
                 assert (await s.call("/once/x")).status == 200  # without any budget
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             s.stand_ins[0].stop_listening()
             answer = await s.call("/once/x")
             assert answer.status == 503
 
-    play(run())
+    run_scene(run())
 
 
 # --- Time -----------------------------------------------------------------------------------------------
-def silent(seen: Seen) -> None:
+def never_responds(seen: ReceivedRequest) -> None:
     pass
 
 
 @pytest.mark.parametrize("target", ["/short/x", "/again-short/x"])
-def test_silence_ends_at_the_route_s_time_and_is_no_promise(target: str) -> None:
+def test_unresponsive_server_is_a_504_at_the_route_timeout(target: str) -> None:
     async def run() -> None:
-        async with scene(silent) as s:
+        async with scene(never_responds) as s:
             loop = asyncio.get_running_loop()
             began = loop.time()
             answer = await s.call(target)
             assert answer.status == 504
             assert 0.1 < loop.time() - began < 1.5  # the client has 5 s
 
-    play(run())
+    run_scene(run())
 
 
-def test_the_client_s_time_counts_too() -> None:
+def test_client_deadline_applies() -> None:
     async def run() -> None:
-        async with scene(silent) as s:
+        async with scene(never_responds) as s:
             answer = await s.call("/once/x", Granitewell_Deadline_Ms="120")
             assert answer.status == 504
             assert int(s.stand_ins[0].seen[0].header("Granitewell-Deadline-Ms") or 0) < 110
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_client_that_leaves_takes_its_request_along() -> None:
+def test_client_disconnect_cancels_its_request() -> None:
     async def run() -> None:
         gone = asyncio.Event()
 
-        async def behaviour(seen: Seen) -> None:
+        async def behaviour(seen: ReceivedRequest) -> None:
             client.close()
             with contextlib.suppress(ConnectionError):
                 await seen.reader.read()
@@ -802,15 +802,15 @@
             record = s.plane._dispatcher._services["plain"].records["s0"]
             assert record.in_flight == record.unanswered == 0
 
-    play(run())
+    run_scene(run())
 
 
 # --- Streams --------------------------------------------------------------------------------------------
-def test_each_event_is_passed_on_when_it_comes_and_only_whole() -> None:
+def test_events_are_forwarded_immediately_and_complete() -> None:
     async def run() -> None:
         more = asyncio.Event()
 
-        async def behaviour(seen: Seen) -> None:
+        async def behaviour(seen: ReceivedRequest) -> None:
             seen.events(1)
             seen.chunk(b"id: 2\ndata: hal")
             await more.wait()
@@ -831,27 +831,27 @@
             rest = await client.reader.readuntil(b"0\r\n\r\n")
             assert b"id: 2\ndata: half\n\n" in rest and b"id: 3\ndata: x\n\n" in rest
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_stream_that_breaks_off_never_looks_whole() -> None:
-    def behaviour(seen: Seen) -> None:
+def test_broken_stream_is_seen_to_be_incomplete() -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         seen.events(1, 2)
         seen.chunk(b"id: 3\nda")
         seen.writer.close()
 
     async def run() -> None:
         async with scene(behaviour, behaviour) as s:
-            s.fund()
+            s.fill_retry_budget()
             answer = await s.call("/stream/x")
             assert not answer.complete and answer.body == b"id: 1\ndata: word\n\nid: 2\ndata: word\n\n"
             assert sum(len(stand_in.seen) for stand_in in s.stand_ins) == 1
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_stream_without_seal_is_not_passed_on() -> None:
-    def behaviour(seen: Seen) -> None:
+def test_unsigned_stream_is_not_forwarded() -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         seen.writer.write(seen.head(Content_Type="text/event-stream", Granitewell_Response_Seal=""))
         seen.event(1)
         seen.chunk(b"")
@@ -860,13 +860,13 @@
         async with scene(behaviour) as s:
             assert (await s.call("/stream/x")).status == 502
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_stream_with_a_length_passes_whole_and_a_short_one_does_not() -> None:
+def test_stream_with_length_must_be_complete() -> None:
     event = b"id: 1\ndata: word\n\n"
 
-    def behaviour(seen: Seen) -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         length = len(event) if len(seen.server.seen) == 1 else 30
         seen.writer.write(seen.head(length=length, Content_Type="text/event-stream") + event)
         if length == 30:
@@ -878,24 +878,24 @@
                 answer = await s.call("/stream/x")
                 assert (answer.status, answer.complete, answer.body) == (200, complete, event)
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_stream_that_breaks_off_before_its_first_event() -> None:
-    def behaviour(seen: Seen) -> None:
+def test_stream_broken_before_its_first_event() -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         seen.events()
         seen.chunk(b"id: 1\n")
         seen.writer.close()
 
     async def run() -> None:
         async with scene(behaviour, behaviour) as s:
-            s.fund()
+            s.fill_retry_budget()
             assert (await s.call("/stream/x")).status == 502
 
-    play(run())
+    run_scene(run())
 
 
-def goes_on(seen: Seen, last: int = 4, repeats: int = 0) -> None:
+def goes_on(seen: ReceivedRequest, last: int = 4, repeats: int = 0) -> None:
     """A stream of events up to `last`, behind the one that the request names."""
     at = int(seen.request.header("Last-Event-Id") or 0)
     seen.writer.write(seen.head(Content_Type="text/event-stream", Granitewell_Response_Seal=seen.server.name))
@@ -905,8 +905,8 @@
 
 
 @pytest.mark.parametrize("repeats", [0, 2])
-def test_a_stream_that_may_be_resumed_goes_on_at_another_server(repeats: int) -> None:
-    def behaviour(seen: Seen) -> None:
+def test_resumable_stream_continues_at_another_server(repeats: int) -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         if sum(len(s.seen) for s in stand_ins) > 1:
             return goes_on(seen, repeats=repeats)
         seen.writer.write(
@@ -922,7 +922,7 @@
     async def run() -> None:
         async with scene(behaviour, behaviour) as s:
             stand_ins.extend(s.stand_ins)
-            s.fund()
+            s.fill_retry_budget()
             answer = await s.call("/resume/x")
             first = next(m for stand_in in stand_ins for m in stand_in.seen if not m.header("Last-Event-Id"))
             second = next(m for stand_in in stand_ins for m in stand_in.seen if m.header("Last-Event-Id"))
@@ -932,38 +932,38 @@
             assert answer.complete
             assert answer.body == b"".join(b"id: %d\ndata: word\n\n" % k for k in (1, 2, 3, 4))
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_client_s_own_last_event_goes_along() -> None:
+def test_client_s_last_event_id_is_forwarded() -> None:
     async def run() -> None:
         async with scene(goes_on) as s:
             answer = await s.call("/resume/x", Last_Event_Id="2")
             assert answer.body == b"id: 3\ndata: word\n\nid: 4\ndata: word\n\n"
             assert s.stand_ins[0].seen[0].header("Last-Event-Id") == "2"
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_stream_without_ids_is_not_resumed() -> None:
-    def behaviour(seen: Seen) -> None:
+def test_stream_without_event_ids_is_not_resumed() -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         seen.events()
         seen.chunk(b"data: 1\n\n")
         seen.writer.close()
 
     async def run() -> None:
         async with scene(behaviour, behaviour) as s:
-            s.fund()
+            s.fill_retry_budget()
             answer = await s.call("/resume/x")
             assert not answer.complete and answer.body == b"data: 1\n\n"
             assert sum(len(stand_in.seen) for stand_in in s.stand_ins) == 1
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("status", [500, 404, 200])
-def test_a_resumption_that_fails_leaves_the_answer_broken(status: int) -> None:
-    def behaviour(seen: Seen) -> None:
+def test_failed_resumption_leaves_the_response_incomplete(status: int) -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         if seen.request.header("Last-Event-Id"):
             return seen.answer(status)
         seen.events(1)
@@ -971,15 +971,15 @@
 
     async def run() -> None:
         async with scene(*[behaviour] * 4) as s:
-            s.fund()
+            s.fill_retry_budget()
             answer = await s.call("/resume/x")
             assert (answer.status, answer.complete, answer.body) == (200, False, b"id: 1\ndata: word\n\n")
 
-    play(run())
+    run_scene(run())
 
 
-def test_bytes_behind_the_last_event_pass_at_the_proper_end() -> None:
-    def behaviour(seen: Seen) -> None:
+def test_bytes_after_the_last_event_are_forwarded_at_the_end() -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         seen.events(1)
         seen.chunk(b": bye")
         seen.chunk(b"")
@@ -989,31 +989,31 @@
             answer = await s.call("/stream/x")
             assert answer.complete and answer.body == b"id: 1\ndata: word\n\n: bye"
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_stream_ends_at_its_time_and_does_not_look_whole() -> None:
+def test_stream_at_its_deadline_is_seen_to_be_incomplete() -> None:
     async def run() -> None:
         async with scene(lambda seen: seen.events(1)) as s:
             s.plane.apply_configuration(configuration(2, [route("stream", "streaming", timeout_ms=150.0)]))
             answer = await s.call("/stream/x")
             assert answer.status == 200 and not answer.complete
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_plain_answer_on_a_streaming_route_passes_whole() -> None:
+def test_plain_response_on_a_streaming_route() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             assert (await s.call("/stream/x")).body == b"well"
 
-    play(run())
+    run_scene(run())
 
 
 # --- Models ---------------------------------------------------------------------------------------------
-def test_a_request_goes_where_its_model_and_adapter_are() -> None:
+def test_request_goes_to_a_server_with_its_model_and_adapter() -> None:
     async def run() -> None:
-        async with scene(well, well) as s:
+        async with scene(answer_normally, answer_normally) as s:
             one, two = s.stand_ins
             s.plane.apply_servers(
                 [s.server(one, "engine", ["m1/a1"]), s.server(two, "engine", ["m1", "m2"])], []
@@ -1025,45 +1025,45 @@
             assert {m.header("Granitewell-Model") for m in two.seen} == {"m2"}
             assert two.seen[0].header("Priority") == "1"
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_request_waits_for_its_model_and_is_sent_at_once_when_it_is_there() -> None:
+def test_request_waits_for_its_model() -> None:
     async def run() -> None:
-        async with scene(well, service="engine") as s:
+        async with scene(answer_normally, service="engine") as s:
             call = asyncio.create_task(s.call("/model/x", Granitewell_Model="m1"))
             while not s.demands:
                 await asyncio.sleep(0)
             (demand,) = s.plane.take_demand()
             assert (demand.service, demand.ref, demand.requests) == ("engine", ModelRef("m1"), 1)
             assert (demand.waiting, demand.in_flight, demand.priority) == (1, 0, 1)
-            s.tell("engine", ["m1"])
+            s.register_servers("engine", ["m1"])
             assert (await call).status == 200
             assert s.plane.take_demand() == [ModelDemand("engine", ModelRef("m1"), 0, 0, 0, 9)]
             assert s.plane.take_demand() == []
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_server_that_comes_with_the_end_of_the_wait_is_given_back() -> None:
+def test_server_assigned_at_the_end_of_the_wait_is_released() -> None:
     async def run() -> None:
-        async with scene(well, service="engine") as s:
+        async with scene(answer_normally, service="engine") as s:
             call = asyncio.create_task(s.call("/model/x", Granitewell_Model="m1"))
             while not s.demands:
                 await asyncio.sleep(0)
             (exchange,) = s.plane._forwarders
             exchange.expire()
-            s.tell("engine", ["m1"])
+            s.register_servers("engine", ["m1"])
             assert (await call).status in (200, 503)
             record = s.plane._dispatcher._services["engine"].records["s0"]
             assert record.in_flight == record.unanswered == 0
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_model_that_does_not_come_is_refused_before_half_its_time() -> None:
+def test_wait_for_a_model_ends_before_half_the_time() -> None:
     async def run() -> None:
-        async with scene(well, service="engine") as s:
+        async with scene(answer_normally, service="engine") as s:
             loop = asyncio.get_running_loop()
             began = loop.time()
             answer = await s.call("/model-short/x", Granitewell_Model="m1")
@@ -1072,35 +1072,37 @@
             assert s.stand_ins[0].seen == []
             assert s.plane._dispatcher._services["engine"].queue._positions == []
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize("model", ["m9", "m1/a3", "m1/b1", "m2/a1", "/"])
-def test_a_model_that_does_not_exist_is_refused_at_once(model: str) -> None:
+def test_unknown_model_is_rejected_at_once(model: str) -> None:
     async def run() -> None:
-        async with scene(well, service="engine") as s:
+        async with scene(answer_normally, service="engine") as s:
             loop = asyncio.get_running_loop()
             began = loop.time()
             answer = await s.call("/model/x", Granitewell_Model=model)
             assert answer.status == 503 and loop.time() - began < 0.7  # else it waited 0.9 s
 
-    play(run())
+    run_scene(run())
 
 
-def test_an_instance_that_is_another_one_is_not_asked_again() -> None:
+def test_server_that_answers_421_is_not_asked_again() -> None:
     async def run() -> None:
-        async with scene(lambda seen: seen.refuse(421), well, service="engine", models=["m1"]) as s:
-            s.fund("engine")
+        async with scene(
+            lambda seen: seen.refuse(421), answer_normally, service="engine", models=["m1"]
+        ) as s:
+            s.fill_retry_budget("engine")
             for _ in range(6):
                 assert (await s.call("/model/x", Granitewell_Model="m1")).status == 200
             assert len(s.stand_ins[0].seen) == 1
 
-    play(run())
+    run_scene(run())
 
 
-def test_draining_and_removed_servers_get_nothing() -> None:
+def test_draining_and_removed_servers_get_no_requests() -> None:
     async def run() -> None:
-        async with scene(well, well, well) as s:
+        async with scene(answer_normally, answer_normally, answer_normally) as s:
             one, two, _ = s.stand_ins
             s.plane.apply_servers([s.server(one, state=ServerState.DRAINING)], ["s1"])
             for _ in range(6):
@@ -1111,7 +1113,7 @@
                 assert (await s.call("/once/x")).status == 200
             assert len(two.seen) == 2
 
-    play(run())
+    run_scene(run())
 
 
 # --- Life -----------------------------------------------------------------------------------------------
@@ -1124,9 +1126,9 @@
     return answer.status
 
 
-def test_ready_with_configuration_and_servers_until_the_drain() -> None:
+def test_readiness_needs_configuration_and_servers() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             assert (await readiness(s), await readiness(s, "/other")) == (200, 404)
             s.plane._servers_known = False
             assert await readiness(s) == 503
@@ -1137,16 +1139,16 @@
             answer = await s.call("/once/x")
             assert answer.status == 200 and answer.header("Connection") == "close"
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_drain_answers_all_that_was_taken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drain_answers_all_accepted_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("granitewell.dataplane.edge.LISTEN_AFTER_DRAIN_S", 0.1)
 
     async def run() -> None:
         release = asyncio.Event()
 
-        async def behaviour(seen: Seen) -> None:
+        async def behaviour(seen: ReceivedRequest) -> None:
             await release.wait()
             seen.answer()
 
@@ -1166,17 +1168,17 @@
             assert [(await early).status, (await late).status] == [200, 200]
             await end
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_drain_ends_within_the_grace_with_an_answer_for_all(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drain_answers_all_within_the_grace_period(monkeypatch: pytest.MonkeyPatch) -> None:
     """What a server has may have run; what waited for one has not and gets the promise."""
     monkeypatch.setattr("granitewell.dataplane.edge.LISTEN_AFTER_DRAIN_S", 0.05)
     monkeypatch.setattr("granitewell.dataplane.edge.SHUTDOWN_MARGIN_S", 1.2)
     monkeypatch.setattr("granitewell.dataplane.edge.EXPIRE_MARGIN_S", 0.1)
 
     async def run() -> None:
-        async with scene(silent) as s:
+        async with scene(never_responds) as s:
             client, waits = await s.connect(), await s.connect()
             client.send("/once/x", Granitewell_Request_Id="1")
             waits.send("/model/x", Granitewell_Request_Id="2", Granitewell_Model="m1")
@@ -1190,4 +1192,4 @@
             assert answer is not None and answer.status == 504 and answer.complete
             assert promise is not None and promise.status == 503 and promise.complete
 
-    play(run())
+    run_scene(run())
--- a/tests/dataplane/test_failure_suspicion.py
+++ b/tests/dataplane/test_failure_suspicion.py
@@ -17,70 +17,70 @@
 from granitewell.dataplane.servers import BASE_EJECTION_S, ServerRecord
 from granitewell.domain.servers import Server, ServerState
 
-PATIENCE_S = 0.5
+UNRESPONSIVE_AFTER_S = 0.5
 
 
 # --- The evidence -----------------------------------------------------------------------------------------
-def test_nothing_is_doubted_before_a_failure() -> None:
-    doubt = FailureSuspicion()
-    doubt.written("a", 0.0)
-    doubt.response_started("a")
-    doubt.succeeded(0.0)
-    assert not doubt.is_suspected(100.0, PATIENCE_S)
+def test_no_suspicion_before_a_failure() -> None:
+    suspicion = FailureSuspicion()
+    suspicion.written("a", 0.0)
+    suspicion.response_started("a")
+    suspicion.succeeded(0.0)
+    assert not suspicion.is_suspected(100.0, UNRESPONSIVE_AFTER_S)
 
 
-def test_a_break_is_doubted_until_whole_answers_in_a_row() -> None:
-    doubt = FailureSuspicion()
-    doubt.connection_failed(1.0)
+def test_suspicion_after_a_connection_failure_ends_with_consecutive_successes() -> None:
+    suspicion = FailureSuspicion()
+    suspicion.connection_failed(1.0)
     for _ in range(SUCCESSES_AFTER_CONNECTION_FAILURE):
-        assert doubt.is_suspected(2.0, PATIENCE_S)
-        doubt.succeeded(1.5)
-    assert not doubt.is_suspected(2.0, PATIENCE_S)
+        assert suspicion.is_suspected(2.0, UNRESPONSIVE_AFTER_S)
+        suspicion.succeeded(1.5)
+    assert not suspicion.is_suspected(2.0, UNRESPONSIVE_AFTER_S)
 
 
-def test_answers_to_requests_from_before_the_failure_prove_nothing() -> None:
-    doubt = FailureSuspicion()
-    doubt.error_received(1.0)
-    doubt.succeeded(0.9)
-    assert doubt.is_suspected(1.1, PATIENCE_S)
-    doubt.succeeded(1.0)
-    assert not doubt.is_suspected(1.1, PATIENCE_S)
+def test_responses_to_earlier_requests_do_not_end_suspicion() -> None:
+    suspicion = FailureSuspicion()
+    suspicion.error_received(1.0)
+    suspicion.succeeded(0.9)
+    assert suspicion.is_suspected(1.1, UNRESPONSIVE_AFTER_S)
+    suspicion.succeeded(1.0)
+    assert not suspicion.is_suspected(1.1, UNRESPONSIVE_AFTER_S)
 
 
-def test_doubt_is_bounded_in_proofs_and_in_time() -> None:
-    doubt = FailureSuspicion()
+def test_suspicion_is_bounded_in_successes_and_time() -> None:
+    suspicion = FailureSuspicion()
     for _ in range(50):
-        doubt.connection_failed(1.0)
+        suspicion.connection_failed(1.0)
     for _ in range(MAX_MISSING_SUCCESSES):
-        doubt.succeeded(1.0)
-    assert not doubt.is_suspected(1.0, PATIENCE_S)
-    doubt.connection_failed(2.0)
-    assert doubt.is_suspected(2.0 + SUSPICION_TIMEOUT_S - 0.1, PATIENCE_S)
-    assert not doubt.is_suspected(2.0 + SUSPICION_TIMEOUT_S, PATIENCE_S)
+        suspicion.succeeded(1.0)
+    assert not suspicion.is_suspected(1.0, UNRESPONSIVE_AFTER_S)
+    suspicion.connection_failed(2.0)
+    assert suspicion.is_suspected(2.0 + SUSPICION_TIMEOUT_S - 0.1, UNRESPONSIVE_AFTER_S)
+    assert not suspicion.is_suspected(2.0 + SUSPICION_TIMEOUT_S, UNRESPONSIVE_AFTER_S)
 
 
-def test_one_silent_request_counts_whatever_is_answered_since() -> None:
-    doubt = FailureSuspicion()
-    doubt.written("mute", 0.0)
+def test_overdue_response_causes_suspicion_despite_later_responses() -> None:
+    suspicion = FailureSuspicion()
+    suspicion.written("mute", 0.0)
     for k in range(10):
-        doubt.written(k, k * 0.1)
-        doubt.response_started(k)
-    assert not doubt.is_suspected(PATIENCE_S, PATIENCE_S)
-    assert doubt.is_suspected(1.0, PATIENCE_S)
-    doubt.response_started("mute")
-    assert not doubt.is_suspected(1.0, PATIENCE_S)
-
-
-def test_silence_is_remembered_once_its_request_is_given_up() -> None:
-    doubt = FailureSuspicion()
-    doubt.written("left soon", 0.0)
-    doubt.abandoned("left soon", 0.1, PATIENCE_S)
-    assert not doubt.is_suspected(0.1, PATIENCE_S)
-    doubt.written("mute", 0.0)
-    doubt.abandoned("mute", 1.0, PATIENCE_S)
-    doubt.abandoned("mute", 1.0, PATIENCE_S)
-    assert doubt.is_suspected(1.0, PATIENCE_S) and not doubt.is_suspected(
-        1.0 + SUSPICION_TIMEOUT_S, PATIENCE_S
+        suspicion.written(k, k * 0.1)
+        suspicion.response_started(k)
+    assert not suspicion.is_suspected(UNRESPONSIVE_AFTER_S, UNRESPONSIVE_AFTER_S)
+    assert suspicion.is_suspected(1.0, UNRESPONSIVE_AFTER_S)
+    suspicion.response_started("mute")
+    assert not suspicion.is_suspected(1.0, UNRESPONSIVE_AFTER_S)
+
+
+def test_suspicion_remains_after_an_overdue_request_is_abandoned() -> None:
+    suspicion = FailureSuspicion()
+    suspicion.written("left soon", 0.0)
+    suspicion.abandoned("left soon", 0.1, UNRESPONSIVE_AFTER_S)
+    assert not suspicion.is_suspected(0.1, UNRESPONSIVE_AFTER_S)
+    suspicion.written("mute", 0.0)
+    suspicion.abandoned("mute", 1.0, UNRESPONSIVE_AFTER_S)
+    suspicion.abandoned("mute", 1.0, UNRESPONSIVE_AFTER_S)
+    assert suspicion.is_suspected(1.0, UNRESPONSIVE_AFTER_S) and not suspicion.is_suspected(
+        1.0 + SUSPICION_TIMEOUT_S, UNRESPONSIVE_AFTER_S
     )
 
 
@@ -97,11 +97,11 @@
     return Counter(record.id for record in found if record is not None)
 
 
-def test_without_failures_careful_requests_are_spread_as_all_others() -> None:
+def test_without_failures_final_attempts_are_spread_like_others() -> None:
     assert picks(pool(4), 0.0, is_final_attempt=True) == picks(pool(4), 0.0, is_final_attempt=False)
 
 
-def test_after_its_avoidance_a_failed_server_is_tried_only_by_what_may_be_repeated() -> None:
+def test_after_ejection_a_server_gets_only_retryable_requests() -> None:
     made = pool(3)
     made.servers[0].failed(0.0)
     now = BASE_EJECTION_S
@@ -112,14 +112,14 @@
     assert set(picks(made, now, is_final_attempt=True)) == {"s0", "s1", "s2"}
 
 
-def test_with_doubt_of_all_servers_there_is_still_a_pick() -> None:
+def test_a_server_is_picked_even_if_all_are_suspected() -> None:
     made = pool(3)
     for record in made.servers:
         record.failed(0.0)
     assert picks(made, 0.1, is_final_attempt=True) and picks(made, BASE_EJECTION_S, is_final_attempt=True)
 
 
-def test_a_doubted_server_is_used_rather_than_none_with_room() -> None:
+def test_suspected_server_is_used_if_the_others_are_full() -> None:
     """The others are full: waiting would be no better."""
     made = pool(2)
     made.servers[0].failed(0.0)
@@ -127,7 +127,7 @@
     assert set(picks(made, BASE_EJECTION_S, is_final_attempt=True)) == {"s0"}
 
 
-def test_an_answer_from_before_the_failure_does_not_end_the_avoidance() -> None:
+def test_response_to_an_earlier_request_does_not_end_ejection() -> None:
     made = pool(2)
     made.servers[0].failed(1.0)
     made.servers[0].response_completed(0.5)
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("share", [0.2, 0.45, 0.7])
-def test_what_has_one_attempt_fares_no_worse_than_what_may_be_repeated(share: float) -> None:
+def test_final_attempts_fail_less_often_than_retryable_requests(share: float) -> None:
     """A model of a service: some servers break off a share of their requests, both kinds come at once.
 
     The careful kind sees far fewer failures than by luck, and all servers stay in use.
@@ -161,7 +161,7 @@
             record.failed(now)
         else:
             record.response_completed(now)
-    by_luck = share * len(faulty) / 8
-    assert failures[True] / sent[True] < by_luck / 4
+    average_failure_ratio = share * len(faulty) / 8
+    assert failures[True] / sent[True] < average_failure_ratio / 4
     assert failures[True] / sent[True] < failures[False] / sent[False]
     assert len(used) == 8
--- a/tests/dataplane/test_framing.py
+++ b/tests/dataplane/test_framing.py
@@ -44,7 +44,7 @@
 
 
 @given(CUTS, STRAYS)
-def test_a_head_ends_at_its_blank_line(cuts: list[int], stray: bytes) -> None:
+def test_head_ends_at_its_blank_line(cuts: list[int], stray: bytes) -> None:
     framing, total = HeadFraming(), 0
     for part in pieces(HEAD + stray, cuts):
         count, ended = framing.consume(part)
@@ -55,7 +55,7 @@
     assert total == len(HEAD)
 
 
-def test_one_head_after_another() -> None:
+def test_consecutive_heads() -> None:
     framing = HeadFraming()
     assert framing.consume(HEAD[:-1]) == (len(HEAD) - 1, False)
     assert framing.consume(HEAD[-1:] + HEAD) == (1, True)
@@ -63,39 +63,39 @@
 
 
 @given(CUTS, STRAYS)
-def test_chunks_end_behind_the_last_one_and_its_trailer(cuts: list[int], stray: bytes) -> None:
+def test_chunked_body_ends_after_its_trailer(cuts: list[int], stray: bytes) -> None:
     framing = ChunkedFraming()
     assert taken(framing, pieces(CHUNKED + stray, cuts)) == len(CHUNKED)
     assert framing.is_complete
 
 
 @given(st.integers(0, len(CHUNKED) - 1), CUTS)
-def test_chunks_that_are_cut_are_not_whole(length: int, cuts: list[int]) -> None:
+def test_incomplete_chunked_body(length: int, cuts: list[int]) -> None:
     framing = ChunkedFraming()
     assert taken(framing, pieces(CHUNKED[:length], cuts)) == length
     assert not framing.is_complete
 
 
 @given(st.integers(0, 30), st.binary(max_size=40), CUTS)
-def test_a_body_of_known_length(length: int, data: bytes, cuts: list[int]) -> None:
+def test_body_with_length(length: int, data: bytes, cuts: list[int]) -> None:
     framing = LengthFraming(length)
     assert taken(framing, pieces(data, cuts)) == min(length, len(data))
     assert framing.is_complete == (len(data) >= length)
 
 
 @pytest.mark.parametrize("data", [b"\r\n", b"x\r\n", b"-1\r\n", b";x\r\n", b"1 1\r\n"])
-def test_what_is_no_chunk(data: bytes) -> None:
+def test_malformed_chunks(data: bytes) -> None:
     with pytest.raises(MalformedFramingError):
         ChunkedFraming().consume(data)
 
 
-def test_a_line_without_end_is_bounded() -> None:
+def test_chunk_lines_are_bounded() -> None:
     framing = ChunkedFraming()
     with pytest.raises(MalformedFramingError):
         for _ in range(MAX_LINE_BYTES + 1):
             framing.consume(b"1")
 
 
-def test_without_length_every_byte_belongs_to_the_body() -> None:
+def test_body_without_length_takes_every_byte() -> None:
     framing = CloseFraming()
     assert framing.consume(b"abc") == 3 and not framing.is_complete
--- a/tests/dataplane/test_leaving_clients.py
+++ b/tests/dataplane/test_leaving_clients.py
@@ -11,29 +11,37 @@
 
 from granitewell.dataplane.http_server import peer_has_closed
 from tests.dataplane.simulated_network import SimulatedTransport, play_simulated
-from tests.dataplane.standin import Client, Scene, Seen, configuration, route, scene, well
+from tests.dataplane.standin import (
+    Client,
+    ReceivedRequest,
+    Scene,
+    answer_normally,
+    configuration,
+    route,
+    scene,
+)
 
-TOLD_WITHIN_S = 0.5  # of the client's leaving, as the rule has it
+MAX_CLOSE_DELAY_S = 0.5  # of the client's leaving, as the rule has it
 
 
-class Watched:
+class ConnectionWatcher:
     """A server that notes when each of its connections ends."""
 
     def __init__(self, events: int = 0) -> None:
         self._events = events
-        self.at_work = asyncio.Event()
-        self.told_at: list[float] = []
+        self.started = asyncio.Event()
+        self.closed_at: list[float] = []
 
-    async def __call__(self, seen: Seen) -> None:
+    async def __call__(self, seen: ReceivedRequest) -> None:
         if self._events:
             seen.events(*range(1, self._events + 1))
-        self.at_work.set()
+        self.started.set()
         with suppress(ConnectionError):
             await seen.reader.read()
-        self.told_at.append(asyncio.get_running_loop().time())
+        self.closed_at.append(asyncio.get_running_loop().time())
 
 
-def assert_nothing_is_left(s: Scene) -> None:
+def assert_no_request_left(s: Scene) -> None:
     """No place in a line, no request counted at a server."""
     for state in s.plane._dispatcher._services.values():
         assert not state.queue
@@ -56,46 +64,46 @@
 
 @pytest.mark.parametrize("how", ["closed", "reset", "half"])
 @pytest.mark.parametrize("target", ["/once/x", "/again/x", "/stream/x", "/resume/x"])
-def test_a_server_at_work_is_told_at_once(target: str, how: str) -> None:
+def test_server_connection_is_closed_when_the_client_leaves(target: str, how: str) -> None:
     async def run() -> None:
-        server = Watched(events=2 if target in ("/stream/x", "/resume/x") else 0)
+        server = ConnectionWatcher(events=2 if target in ("/stream/x", "/resume/x") else 0)
         async with scene(server) as s:
             client = await s.connect()
             client.send(target, Granitewell_Request_Id="1")
-            await server.at_work.wait()
+            await server.started.wait()
             await asyncio.sleep(0.05)
             left_at = asyncio.get_running_loop().time()
             await leave(client, how)
-            await asyncio.sleep(TOLD_WITHIN_S)
-            assert [told - left_at < TOLD_WITHIN_S for told in server.told_at] == [True]
-            assert_nothing_is_left(s)
+            await asyncio.sleep(MAX_CLOSE_DELAY_S)
+            assert [told - left_at < MAX_CLOSE_DELAY_S for told in server.closed_at] == [True]
+            assert_no_request_left(s)
 
     play_simulated(run())
 
 
-def test_one_that_waits_for_a_model_leaves_the_line_and_is_never_sent() -> None:
+def test_abandoned_request_waiting_for_a_model_is_never_sent() -> None:
     async def run() -> None:
-        async with scene(well, service="engine") as s:
+        async with scene(answer_normally, service="engine") as s:
             client = await s.connect()
             client.send("/model/x", Granitewell_Request_Id="1", Granitewell_Model="m1")
             while not s.demands:
                 await asyncio.sleep(0.01)
             client.close()
             await asyncio.sleep(0.01)
-            assert_nothing_is_left(s)
-            s.tell("engine", ["m1"])
+            assert_no_request_left(s)
+            s.register_servers("engine", ["m1"])
             await asyncio.sleep(1.0)
             assert s.stand_ins[0].seen == []
-            assert_nothing_is_left(s)
+            assert_no_request_left(s)
 
     play_simulated(run())
 
 
-def test_one_that_waits_for_a_slot_leaves_the_line_and_the_next_gets_the_slot() -> None:
+def test_abandoned_request_waiting_for_a_slot_frees_its_position() -> None:
     async def run() -> None:
         release = asyncio.Event()
 
-        async def behaviour(seen: Seen) -> None:
+        async def behaviour(seen: ReceivedRequest) -> None:
             await release.wait()
             seen.answer()
 
@@ -116,27 +124,27 @@
     play_simulated(run())
 
 
-def test_one_that_waits_for_a_repeat_is_not_sent_again() -> None:
+def test_abandoned_request_is_not_retried() -> None:
     async def run() -> None:
-        async def behaviour(seen: Seen) -> None:
+        async def behaviour(seen: ReceivedRequest) -> None:
             client.close()
             await asyncio.sleep(0.0005)
             seen.reset()
 
         async with scene(behaviour, behaviour) as s:
-            s.fund()
+            s.fill_retry_budget()
             client = await s.connect()
             client.send("/again/x", Granitewell_Request_Id="1")
             await asyncio.sleep(2.0)
             assert sum(len(stand_in.seen) for stand_in in s.stand_ins) == 1
-            assert_nothing_is_left(s)
+            assert_no_request_left(s)
 
     play_simulated(run())
 
 
-def test_one_that_waits_for_the_configuration_is_not_sent() -> None:
+def test_abandoned_request_waiting_for_the_configuration_is_not_sent() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             s.plane._configuration = s.plane._routes = None
             s.plane._configured.clear()
             client = await s.connect()
@@ -153,9 +161,9 @@
     play_simulated(run())
 
 
-def test_a_body_that_is_cut_off_reaches_no_server() -> None:
+def test_incomplete_body_reaches_no_server() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             client = await s.connect()
             client.send("/once/x", Content_Length="100", Granitewell_Request_Id="1")
             client.writer.write(b"half")
@@ -163,7 +171,7 @@
             client.close()
             await asyncio.sleep(1.0)
             assert s.stand_ins[0].seen == []
-            assert_nothing_is_left(s)
+            assert_no_request_left(s)
 
     play_simulated(run())
 
@@ -186,7 +194,7 @@
         return self._socket if name == "socket" else None
 
 
-def test_the_end_of_a_peer_is_seen_before_it_is_read() -> None:
+def test_close_of_a_peer_is_seen_before_it_is_read() -> None:
     with socket_pair() as (ours, theirs):
         assert not peer_has_closed(WithSocket(ours))  # type: ignore[arg-type]
         theirs.send(b"a request")
@@ -198,7 +206,7 @@
     assert not peer_has_closed(None)
 
 
-def test_a_request_whose_client_had_left_before_it_was_read_is_not_sent() -> None:
+def test_request_of_a_disconnected_client_is_not_sent() -> None:
     """As after a stall of the whole process: the request and the connection's end were both there.
 
     A request is written at once where a connection to the server is idle.
@@ -228,11 +236,11 @@
 
 
 # --- The price: a server that works on, half a second after the client has left -----------------------------
-def test_a_client_that_leaves_between_two_servers_of_one_stream_frees_both() -> None:
+def test_client_leaving_during_a_resumption_frees_both_servers() -> None:
     async def run() -> None:
-        second = Watched(events=0)
+        second = ConnectionWatcher(events=0)
 
-        async def behaviour(seen: Seen) -> None:
+        async def behaviour(seen: ReceivedRequest) -> None:
             if seen.request.header("Last-Event-Id"):
                 await second(seen)
                 return
@@ -243,14 +251,14 @@
             s.plane.apply_configuration(
                 configuration(2, [route("resume", "streaming", resumable=True, timeout_ms=9000.0)])
             )
-            s.fund()
+            s.fill_retry_budget()
             client = await s.connect()
             client.send("/resume/x", Granitewell_Request_Id="1")
-            await second.at_work.wait()
+            await second.started.wait()
             left_at = asyncio.get_running_loop().time()
             client.close()
-            await asyncio.sleep(TOLD_WITHIN_S)
-            assert len(second.told_at) == 1 and second.told_at[0] - left_at < TOLD_WITHIN_S
-            assert_nothing_is_left(s)
+            await asyncio.sleep(MAX_CLOSE_DELAY_S)
+            assert len(second.closed_at) == 1 and second.closed_at[0] - left_at < MAX_CLOSE_DELAY_S
+            assert_no_request_left(s)
 
     play_simulated(run())
--- a/tests/dataplane/test_node_world.py
+++ b/tests/dataplane/test_node_world.py
@@ -20,7 +20,7 @@
 MAX_SEEDS = 60  # in which a planted defect must show
 
 
-def test_no_rule_is_broken_whatever_happens() -> None:
+def test_random_faults_violate_no_rule() -> None:
     statuses: Counter[Any] = Counter()
     for seed in range(SEEDS):
         try:
@@ -32,38 +32,38 @@
     assert {500, 502, 503, 504} <= set(statuses)
 
 
-def promises_whatever_ran(patch: pytest.MonkeyPatch) -> None:
+def always_answers_503(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Attempts, "failure_status", property(lambda attempts: 503))
 
 
-def repeats_what_may_have_run(patch: pytest.MonkeyPatch) -> None:
+def retries_possibly_executed_requests(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Attempts, "may_retry", lambda attempts: attempts.servers_reached < attempts._max_attempts)
 
 
-def grants_are_not_given_back(patch: pytest.MonkeyPatch) -> None:
+def requests_never_end(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Dispatcher, "ended", lambda dispatcher, dispatch_request, record, now: None)
 
 
-def grace_is_not_kept(patch: pytest.MonkeyPatch) -> None:
+def grace_period_exceeded(patch: pytest.MonkeyPatch) -> None:
     patch.setattr("granitewell.dataplane.edge.SHUTDOWN_MARGIN_S", -1.0)
     patch.setattr(RequestForwarder, "expire", lambda exchange: None)
 
 
 DEFECTS: tuple[Callable[[pytest.MonkeyPatch], None], ...] = (
-    promises_whatever_ran,
-    repeats_what_may_have_run,
-    grants_are_not_given_back,
-    grace_is_not_kept,
-    defects.deadline_handed_on_unchanged,
-    defects.place_in_line_kept,
+    always_answers_503,
+    retries_possibly_executed_requests,
+    requests_never_end,
+    grace_period_exceeded,
+    defects.full_timeout_sent_to_servers,
+    defects.queue_position_kept,
     defects.handlers_outlive_clients,
-    defects.time_without_end,
+    defects.timeouts_disabled,
     defects.listener_closed_at_once,
 )
 
 
 @pytest.mark.parametrize("plant", DEFECTS, ids=lambda plant: plant.__name__)
-def test_a_planted_defect_is_noticed(plant: Callable[[Any], None], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_defect_is_found(plant: Callable[[Any], None], monkeypatch: pytest.MonkeyPatch) -> None:
     plant(monkeypatch)
     for seed in range(MAX_SEEDS):
         try:
--- a/tests/dataplane/test_older_weights.py
+++ b/tests/dataplane/test_older_weights.py
@@ -11,7 +11,7 @@
 from granitewell.dataplane.servers import ServerRecord
 from granitewell.domain.servers import LoadedModel, Server, ServerState, parse_version
 from tests.dataplane.simulated_network import play_simulated
-from tests.dataplane.standin import Scene, Seen, route, scene
+from tests.dataplane.standin import ReceivedRequest, Scene, route, scene
 from tests.dataplane.standin import configuration as configured
 
 SLOTS = 6
@@ -44,25 +44,25 @@
     return found
 
 
-def test_the_newest_version_is_used_until_its_servers_are_full() -> None:
+def test_newest_version_is_preferred_until_its_servers_are_full() -> None:
     found = picked(pool_of(1, 2, 1, 2), 4 * SLOTS)
     assert set(found[: 2 * SLOTS]) == {"s1", "s3"}
     assert set(found[2 * SLOTS :]) == {"s0", "s2"}
 
 
 @pytest.mark.parametrize("versions", [(3, 3, 3), (0, 0, 0), (0, 3, 3)])
-def test_equal_or_unknown_versions_change_nothing(versions: tuple[int, ...]) -> None:
+def test_equal_or_unknown_versions_are_not_preferred(versions: tuple[int, ...]) -> None:
     pool = pool_of(*versions)
     assert set(picked(pool, 12)) == {"s0", "s1", "s2"}
     assert not pool.has_several_versions and not pool.with_other_version(7)
 
 
-def test_a_request_for_a_version_goes_to_servers_that_may_have_it() -> None:
+def test_requested_version_restricts_the_servers() -> None:
     pool = pool_of(1, 2, 0)
     assert pool.with_other_version(1) == {"s1"} and pool.with_other_version(2) == {"s0"}
 
 
-def tell(s: Scene, *versions: int) -> None:
+def register_servers(s: Scene, *versions: int) -> None:
     """The table says so of the stand-ins' weights."""
     models = [{"m1": LoadedModel("m1", version=version)} for version in versions]
     s.plane.apply_servers(
@@ -74,7 +74,7 @@
     )
 
 
-def breaks_off(seen: Seen, version: int, *, changes_to: int = 0) -> None:
+def breaks_off(seen: ReceivedRequest, version: int, *, changes_to: int = 0) -> None:
     seen.writer.write(seen.head(Content_Type="text/event-stream", Versions=str(version)))
     seen.event(1)
     if changes_to:
@@ -82,7 +82,7 @@
     seen.writer.close()
 
 
-def goes_on(seen: Seen, version: int) -> None:
+def goes_on(seen: ReceivedRequest, version: int) -> None:
     expected = seen.request.header("Expect-Version")
     if expected is not None and expected != str(version):
         return seen.refuse(421)
@@ -92,15 +92,15 @@
 
 
 @pytest.mark.parametrize(("changes_to", "continued_at"), [(0, "s1"), (2, "s2")])
-def test_a_stream_goes_on_with_the_version_that_it_has(changes_to: int, continued_at: str) -> None:
+def test_stream_is_resumed_with_its_version(changes_to: int, continued_at: str) -> None:
     """The first server breaks off; of the others one has version 1, one version 2."""
     resumed: list[str] = []
 
-    def first(seen: Seen) -> None:
+    def first(seen: ReceivedRequest) -> None:
         breaks_off(seen, 1, changes_to=changes_to)
 
     def other(version: int) -> object:
-        def behaviour(seen: Seen) -> None:
+        def behaviour(seen: ReceivedRequest) -> None:
             resumed.append(seen.server.name)
             assert seen.request.header("Expect-Version") == str(changes_to or 1)
             goes_on(seen, version)
@@ -111,9 +111,9 @@
         async with scene(first, other(1), other(2), service="engine", models=("m1",)) as s:  # type: ignore[arg-type]
             routes = [route("r", "streaming", service="engine", resumable=True, max_attempts=3)]
             s.plane.apply_configuration(configured(2, routes))
-            s.fund("engine")
+            s.fill_retry_budget("engine")
             s.plane.apply_servers([s.server(s.stand_ins[0], "engine", ("m1",))], ["s1", "s2"])
-            tell(s, 3, 1, 2)  # the first is the newest by the table: it gets the request
+            register_servers(s, 3, 1, 2)  # the first is the newest by the table: it gets the request
             answer = await s.call("/r/x", Granitewell_Model="m1")
             assert answer.complete and answer.body.endswith(b"id: 3\ndata: word\n\n")
 
@@ -121,7 +121,7 @@
     assert resumed == [continued_at]
 
 
-def test_an_event_says_which_version_begins_with_it() -> None:
+def test_event_version() -> None:
     (event,) = EventSplitter().feed(b"versions: 8\r\nid: 2\r\ndata: word\r\n\r\n")
     assert (event.version, event.id) == (8, "2")
     odd = b"versions: x\nid: 2\n\n", b"id: 2\nversions: 8\n\n", b"versions:\ndata: a\n\n"
@@ -144,5 +144,5 @@
         ("9" * 40, 0),
     ],
 )  # fmt: skip
-def test_what_is_no_version_is_not_known(value: object, version: int) -> None:
+def test_invalid_versions_are_unknown(value: object, version: int) -> None:
     assert parse_version(value) == version
--- a/tests/dataplane/test_paused_servers.py
+++ b/tests/dataplane/test_paused_servers.py
@@ -8,14 +8,14 @@
 import pytest
 
 from tests.dataplane.simulated_network import play_simulated
-from tests.dataplane.standin import Seen, scene
+from tests.dataplane.standin import ReceivedRequest, scene
 
 PERIOD_S = 0.1
 RUNS_S = 0.01  # of each period
 REQUESTS = 120
 
 
-def answers_when_it_runs(seen: Seen) -> None:
+def answers_when_it_runs(seen: ReceivedRequest) -> None:
     """Answers in the next 10 ms in which its process runs."""
     loop = asyncio.get_running_loop()
     phase = loop.time() % PERIOD_S
@@ -24,10 +24,10 @@
 
 
 @pytest.mark.parametrize("target", ["/once/x", "/again/x"])
-def test_no_paused_server_is_suspected(target: str) -> None:
+def test_process_pause_causes_no_suspicion(target: str) -> None:
     async def run() -> None:
         async with scene(*[answers_when_it_runs] * 3) as s:
-            s.fund()
+            s.fill_retry_budget()
             for _ in range(REQUESTS):
                 assert (await s.call(target)).status == 200
                 await asyncio.sleep(0.037)
--- a/tests/dataplane/test_planted_defects.py
+++ b/tests/dataplane/test_planted_defects.py
@@ -19,7 +19,7 @@
 from granitewell.dataplane.servers import ServerRecord
 from granitewell.domain.configuration import Configuration
 from tests.dataplane import test_draining as draining
-from tests.dataplane import test_failure_suspicion as doubt
+from tests.dataplane import test_failure_suspicion as failure_suspicion_tests
 from tests.dataplane import test_leaving_clients as leaving
 from tests.dataplane import test_refusals as refusals
 from tests.dataplane import test_time_left as time_left
@@ -28,30 +28,30 @@
 
 
 # --- The guards that are taken out ------------------------------------------------------------------------
-def ready_in_a_drain(patch: Patch) -> None:
+def ready_during_drain(patch: Patch) -> None:
     patch.setattr(DataPlane, "ready", property(lambda plane: plane._configuration is not None))
 
 
-def ready_again_with_news(patch: Patch) -> None:
+def drain_forgotten_on_server_update(patch: Patch) -> None:
     apply_servers = DataPlane.apply_servers
 
-    def forgets_the_drain(plane: DataPlane, *news: Any) -> None:
+    def forget_drain(plane: DataPlane, *news: Any) -> None:
         plane._draining_since = None
         apply_servers(plane, *news)
 
-    patch.setattr(DataPlane, "apply_servers", forgets_the_drain)
+    patch.setattr(DataPlane, "apply_servers", forget_drain)
 
 
-def deadline_handed_on_unchanged(patch: Patch) -> None:
+def full_timeout_sent_to_servers(patch: Patch) -> None:
     patch.setattr(RequestForwarder, "left_s", property(lambda x: x.request.deadline - x.request.arrived_at))
 
 
-def deadline_of_the_route_only(patch: Patch) -> None:
+def client_deadline_ignored(patch: Patch) -> None:
     patch.setattr("granitewell.dataplane.edge.parse_milliseconds", lambda _: None)
 
 
-def place_in_line_kept(patch: Patch) -> None:
-    patch.setattr(Dispatcher, "leave", lambda dispatcher, place: None)
+def queue_position_kept(patch: Patch) -> None:
+    patch.setattr(Dispatcher, "leave", lambda dispatcher, position: None)
 
 
 def handlers_outlive_clients(patch: Patch) -> None:
@@ -64,30 +64,30 @@
     patch.setattr(ClientServer, "__init__", without_cancellation)
 
 
-def end_of_client_not_looked_for(patch: Patch) -> None:
+def client_disconnect_ignored(patch: Patch) -> None:
     patch.setattr("granitewell.dataplane.edge.peer_has_closed", lambda _: False)
 
 
-def no_route_without_configuration(patch: Patch) -> None:
+def empty_routes_without_configuration(patch: Patch) -> None:
     async def knows_nothing(plane: DataPlane, _: Any) -> None:
         plane._routes = RouteTable(Configuration(0, {}, {}))
 
     patch.setattr(DataPlane, "_wait_for_configuration", knows_nothing)
 
 
-def usual_limits_refuse(patch: Patch) -> None:
+def default_limits_reject(patch: Patch) -> None:
     patch.setattr("granitewell.dataplane.edge.LIMIT_EXCEEDED_STATUSES", frozenset())
 
 
-def limits_of_the_connection(patch: Patch) -> None:
+def limits_fixed_per_connection(patch: Patch) -> None:
     patch.setattr("granitewell.dataplane.http_server.MAX_HEAD_BYTES", 0)
 
 
-def bodies_dropped_by_a_drain(patch: Patch) -> None:
+def drain_drops_bodies(patch: Patch) -> None:
     patch.setattr(ClientConnection, "close_if_idle", lambda c: c.force_close() if c.idle else c.close())
 
 
-def last_answers_cut(patch: Patch) -> None:
+def unsent_responses_dropped(patch: Patch) -> None:
     patch.setattr(HttpServer, "_unsent", lambda front: False)
 
 
@@ -95,7 +95,7 @@
     patch.setattr("granitewell.dataplane.edge.LISTEN_AFTER_DRAIN_S", 0.0)
 
 
-def time_without_end(patch: Patch) -> None:
+def timeouts_disabled(patch: Patch) -> None:
     def no_end(_: float) -> asyncio.Timeout:
         return asyncio.timeout(None)
 
@@ -114,16 +114,16 @@
     patch.setattr(Attempts, "may_retry", lambda attempts: True)
 
 
-def idle_by_the_newest_limit_only(patch: Patch) -> None:
+def only_latest_idle_limit_applies(patch: Patch) -> None:
     patch.setattr(ClientConnection, "idle_too_long", lambda c, now, s: c.idle and now - c._active_at > s)
 
 
-def old_answers_prove(patch: Patch) -> None:
+def earlier_responses_end_suspicion(patch: Patch) -> None:
     succeeded = FailureSuspicion.succeeded
     patch.setattr(FailureSuspicion, "succeeded", lambda it, _: succeeded(it, it._failed_at))
 
 
-def careful_requests_are_not(patch: Patch) -> None:
+def final_attempts_ignore_suspicion(patch: Patch) -> None:
     is_healthy = ServerRecord.is_healthy
     patch.setattr(
         ServerRecord,
@@ -142,64 +142,67 @@
     noticed_by: Callable[[], None]
 
 
-def either_limit(before_ms: float, after_ms: float) -> Callable[[], None]:
-    return lambda: draining.test_a_connection_rests_as_long_as_either_limit_allows(before_ms, after_ms)
+def idle_limits(before_ms: float, after_ms: float) -> Callable[[], None]:
+    return lambda: draining.test_idle_connection_is_kept_for_the_longer_limit(before_ms, after_ms)
 
 
 DEFECTS = (
-    Defect(ready_in_a_drain, draining.test_readiness_ends_with_sigterm_and_never_comes_back),
-    Defect(ready_again_with_news, draining.test_readiness_ends_with_sigterm_and_never_comes_back),
+    Defect(ready_during_drain, draining.test_drain_ends_readiness_for_good),
+    Defect(drain_forgotten_on_server_update, draining.test_drain_ends_readiness_for_good),
     Defect(
-        deadline_handed_on_unchanged,
-        lambda: time_left.test_each_send_hands_on_what_is_left_of_the_shorter_time("again", "4000"),
+        full_timeout_sent_to_servers,
+        lambda: time_left.test_each_attempt_sends_the_remaining_time("again", "4000"),
     ),
     Defect(
-        deadline_of_the_route_only,
-        lambda: time_left.test_each_send_hands_on_what_is_left_of_the_shorter_time("once", "4000"),
+        client_deadline_ignored,
+        lambda: time_left.test_each_attempt_sends_the_remaining_time("once", "4000"),
     ),
-    Defect(place_in_line_kept, leaving.test_one_that_waits_for_a_model_leaves_the_line_and_is_never_sent),
+    Defect(queue_position_kept, leaving.test_abandoned_request_waiting_for_a_model_is_never_sent),
     Defect(
         handlers_outlive_clients,
-        lambda: leaving.test_a_server_at_work_is_told_at_once("/again/x", "closed"),
+        lambda: leaving.test_server_connection_is_closed_when_the_client_leaves("/again/x", "closed"),
     ),
     Defect(
-        end_of_client_not_looked_for,
-        leaving.test_a_request_whose_client_had_left_before_it_was_read_is_not_sent,
+        client_disconnect_ignored,
+        leaving.test_request_of_a_disconnected_client_is_not_sent,
     ),
     Defect(
-        no_route_without_configuration,
-        lambda: refusals.test_a_node_without_a_configuration_says_503("/once/x", "shop.example"),
+        empty_routes_without_configuration,
+        lambda: refusals.test_node_without_configuration_answers_503("/once/x", "shop.example"),
     ),
     Defect(
-        usual_limits_refuse,
-        lambda: refusals.test_limits_that_nobody_has_told_refuse_nothing(refusals.LONG_BODY, "1"),
+        default_limits_reject,
+        lambda: refusals.test_default_limits_reject_no_request_finally(refusals.LONG_BODY, "1"),
     ),
-    Defect(limits_of_the_connection, refusals.test_limits_that_grow_count_for_connections_that_are_open),
+    Defect(limits_fixed_per_connection, refusals.test_raised_limits_apply_to_open_connections),
     Defect(
-        bodies_dropped_by_a_drain,
-        draining.test_a_body_on_its_way_when_the_listener_closes_is_read_to_its_end,
+        drain_drops_bodies,
+        draining.test_body_is_read_completely_when_the_listener_closes,
     ),
-    Defect(last_answers_cut, draining.test_an_answer_that_a_slow_client_still_reads_is_not_cut),
-    Defect(listener_closed_at_once, draining.test_clients_are_taken_until_the_platform_has_asked_twice),
+    Defect(unsent_responses_dropped, draining.test_drain_waits_for_a_slow_client),
+    Defect(listener_closed_at_once, draining.test_listener_stays_open_for_two_readiness_checks),
     Defect(
-        time_without_end,
-        lambda: time_left.test_the_route_s_time_ends_in_a_final_answer("once", time_left.silent),
+        timeouts_disabled,
+        lambda: time_left.test_route_timeout_ends_in_a_final_response("once", time_left.never_responds),
     ),
     Defect(
         attempts_not_counted,
-        lambda: time_left.test_one_answer_uses_no_more_servers_than_the_route_allows(2),
+        lambda: time_left.test_stream_uses_no_more_servers_than_the_route_allows(2),
     ),
-    Defect(idle_by_the_newest_limit_only, either_limit(20_000, 5_000)),
-    Defect(old_answers_prove, doubt.test_answers_to_requests_from_before_the_failure_prove_nothing),
+    Defect(only_latest_idle_limit_applies, idle_limits(20_000, 5_000)),
     Defect(
-        careful_requests_are_not,
-        doubt.test_after_its_avoidance_a_failed_server_is_tried_only_by_what_may_be_repeated,
+        earlier_responses_end_suspicion,
+        failure_suspicion_tests.test_responses_to_earlier_requests_do_not_end_suspicion,
+    ),
+    Defect(
+        final_attempts_ignore_suspicion,
+        failure_suspicion_tests.test_after_ejection_a_server_gets_only_retryable_requests,
     ),
 )
 
 
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda defect: defect.plant.__name__)
-def test_a_defect_is_noticed(defect: Defect, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_defect_fails_its_test(defect: Defect, monkeypatch: pytest.MonkeyPatch) -> None:
     defect.noticed_by()
     defect.plant(monkeypatch)
     with pytest.raises((AssertionError, TimeoutError, ConnectionError)):
--- a/tests/dataplane/test_refusals.py
+++ b/tests/dataplane/test_refusals.py
@@ -13,7 +13,7 @@
 from granitewell.dataplane.http_server import MAX_HEAD_BYTES
 from granitewell.domain.configuration import Configuration, Limits
 from tests.dataplane.simulated_network import play_simulated
-from tests.dataplane.standin import ROUTES, Scene, Seen, configuration, scene, well
+from tests.dataplane.standin import ROUTES, ReceivedRequest, Scene, answer_normally, configuration, scene
 
 NOT_COUNTED = (408, 421, 429)  # 4xx that promise that a request has not run
 LONG_BODY = b"a" * (Limits().max_body_bytes + 1)
@@ -34,9 +34,9 @@
 
 @pytest.mark.parametrize("target", ["/once/x", "/stream/x", "/nowhere/x", "/"])
 @pytest.mark.parametrize("host", ["shop.example", "elsewhere.example"])
-def test_a_node_without_a_configuration_says_503(target: str, host: str) -> None:
+def test_node_without_configuration_answers_503(target: str, host: str) -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             without_configuration(s)
             answer = await s.call(target, Host=host)
             assert answer.status == 503 and answer.header("Retry-After")
@@ -46,20 +46,20 @@
 
 
 @pytest.mark.parametrize(("body", "field"), [(LONG_BODY, "1"), (b"", LONG_FIELD)], ids=["body", "head"])
-def test_limits_that_nobody_has_told_refuse_nothing(body: bytes, field: str) -> None:
+def test_default_limits_reject_no_request_finally(body: bytes, field: str) -> None:
     """The usual limits protect a node that knows none, but the day's may be wider."""
 
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             without_configuration(s)
             assert (await s.call("/once/x", body=body, X_Long=field)).status == 503
 
     play_simulated(run())
 
 
-def test_limits_that_grow_count_for_connections_that_are_open() -> None:
+def test_raised_limits_apply_to_open_connections() -> None:
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             small = Limits(max_header_bytes=1_000, max_body_bytes=1_000, header_timeout_ms=300)
             s.plane.apply_configuration(limited(2, small))
             client = await s.connect()
@@ -75,11 +75,11 @@
     play_simulated(run())
 
 
-def test_a_head_without_end_is_not_kept_in_memory() -> None:
+def test_endless_head_is_bounded_in_memory() -> None:
     """Each of its fields is within the limit, all together are not."""
 
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             client = await s.connect()
             client.writer.write(b"POST /once/x HTTP/1.1\r\n")
             sent = 0
@@ -95,11 +95,11 @@
 
 
 @pytest.mark.parametrize("told", [True, False], ids=["length", "chunks"])
-def test_a_body_beyond_the_limit_is_read_away_behind_its_refusal(told: bool) -> None:
+def test_rest_of_a_rejected_body_is_discarded(told: bool) -> None:
     """Else the refusal would be lost with a reset."""
 
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             client = await s.connect()
             length, coding = ("200000", "") if told else ("", "chunked")
             client.send(
@@ -114,11 +114,11 @@
     play_simulated(run())
 
 
-def test_a_route_of_all_configurations_is_never_refused_while_they_change() -> None:
+def test_common_route_is_never_rejected_during_changes() -> None:
     """Out of touch, with an old version, or while versions come in quick succession."""
 
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             for version in range(2, 30):
                 other = ROUTES if version % 2 else ROUTES[:1]
                 call = asyncio.create_task(s.call("/once/x"))
@@ -129,11 +129,11 @@
 
 
 @pytest.mark.parametrize("target", [f"/{route.name}/x" for route in ROUTES])
-def test_troubles_at_servers_are_no_refusals_of_the_request(target: str) -> None:
+def test_server_faults_are_not_client_errors(target: str) -> None:
     """Full servers, no server, no model, too many that wait: 5xx, or what promises that it has not run."""
 
     async def run() -> None:
-        async with scene(Seen.refuse, Seen.refuse) as s:
+        async with scene(ReceivedRequest.refuse, ReceivedRequest.refuse) as s:
             for _ in range(2):
                 status = (await s.call(target, Granitewell_Model="m1")).status
                 assert status >= 500 or status in NOT_COUNTED
--- a/tests/dataplane/test_rules.py
+++ b/tests/dataplane/test_rules.py
@@ -56,23 +56,21 @@
 
 
 @given(st.lists(SEGMENTS, min_size=1, max_size=8), SEGMENTS, st.sampled_from(["", "/", "/x"]))
-def test_the_longest_prefix_that_begins_the_path_wins(
-    known: list[list[str]], path: list[str], end: str
-) -> None:
+def test_longest_matching_prefix_wins(known: list[list[str]], path: list[str], end: str) -> None:
     prefixes = {"/" + "".join(f"{segment}/" for segment in segments) for segments in known}
     found = table(*(a_route(prefix) for prefix in prefixes)).find("h", "/" + "/".join(path) + end)
     wanted = max((p for p in prefixes if ("/" + "/".join(path) + end).startswith(p)), key=len, default=None)
     assert (found.prefix if found else None) == wanted
 
 
-def test_hosts_are_alike_in_any_case_and_with_a_port() -> None:
+def test_host_matching_ignores_case_and_port() -> None:
     routes = table(a_route("/a/", "Shop.Example"))
     assert routes.find(host_name("SHOP.example:8080"), "/a/b")
     assert not routes.find(host_name("example"), "/a/b")
     assert host_name("[::1]:80") == "[::1]"
 
 
-def test_a_path_ends_before_its_query() -> None:
+def test_path_excludes_the_query() -> None:
     assert path_of("/a/b?c=/d?e#f") == "/a/b"
     assert path_of("/a/%3Fb#c?d") == "/a/%3Fb"
 
@@ -97,27 +95,29 @@
 
 
 @given(st.lists(EVENTS, max_size=6), RESTS, st.data())
-def test_events_are_cut_whole_wherever_the_bytes_are_split(
+def test_events_are_complete_wherever_the_bytes_are_split(
     events: list[bytes], rest: bytes, data: st.DataObject
 ) -> None:
     stream = b"".join(events) + rest
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=8)))
-    cutter = EventSplitter()
+    splitter = EventSplitter()
     got = [
-        event for start, end in pairwise([0, *cuts, len(stream)]) for event in cutter.feed(stream[start:end])
+        event
+        for start, end in pairwise([0, *cuts, len(stream)])
+        for event in splitter.feed(stream[start:end])
     ]
     assert [event.data for event in got] == events
-    assert cutter.rest == rest
+    assert splitter.rest == rest
     assert [event.id for event in got] == ["7" if b"id: 7" in event else None for event in events]
 
 
 @given(st.binary(max_size=60), st.lists(st.integers(0, 60), max_size=6))
 def test_no_byte_is_lost_or_changed(stream: bytes, cuts: list[int]) -> None:
-    cutter = EventSplitter()
+    splitter = EventSplitter()
     got = b""
     for start, end in pairwise([0, *sorted(cuts), len(stream)]):
-        got += b"".join(event.data for event in cutter.feed(stream[start : max(start, end)]))
-    assert got + cutter.rest == b"".join(
+        got += b"".join(event.data for event in splitter.feed(stream[start : max(start, end)]))
+    assert got + splitter.rest == b"".join(
         stream[start : max(start, end)] for start, end in pairwise([0, *sorted(cuts), len(stream)])
     )
 
@@ -132,24 +132,24 @@
         (b"id: 1\nid: 2\n\n", "2"),
     ],
 )
-def test_ids(event: bytes, found: str | None) -> None:
+def test_event_ids(event: bytes, found: str | None) -> None:
     assert EventSplitter().feed(event)[0].id == found
 
 
-def test_numbers_of_ids() -> None:
+def test_numeric_event_ids() -> None:
     assert event_number("12") == 12
     assert [event_number(text) for text in ("", "-1", "x", None, "\u0663")] == [None] * 5
 
 
-def test_an_event_without_end_is_given_up() -> None:
-    cutter = EventSplitter()
+def test_endless_event_raises() -> None:
+    splitter = EventSplitter()
     with pytest.raises(EventTooLongError):
         for _ in range(MAX_EVENT_BYTES // 65536 + 2):
-            cutter.feed(b"x" * 65536)
+            splitter.feed(b"x" * 65536)
 
 
 # --- Headers --------------------------------------------------------------------------------------------
-def test_what_goes_along() -> None:
+def test_end_to_end_headers() -> None:
     pairs = [(b"Host", b"h"), (b"TE", b"t"), (b"X", b"1"), (b"Connection", b"close, X"), (b"X-B", b"2")]
     assert end_to_end(pairs) == [(b"Host", b"h"), (b"X-B", b"2")]
     own = [(b"CONTENT-length", b"1"), (b"Granitewell-Deadline-Ms", b"5"), (b"Priority", b"1"), (b"Y", b"2")]
@@ -157,14 +157,14 @@
     assert without_header([(b"LAST-event-id", b"1"), (b"Y", b"2")], "Last-Event-Id") == [(b"Y", b"2")]
 
 
-def test_a_head_is_written_byte_for_byte() -> None:
+def test_request_head_is_written_byte_for_byte() -> None:
     target = b"/a/\xff%2f//..;?x".decode("utf-8", "surrogateescape")
     head = request_head("POST", target, [(b"X", b"\xe9")], [("Priority", "1")], 0)
     assert head == b"POST /a/\xff%2f//..;?x HTTP/1.1\r\nX: \xe9\r\nPriority: 1\r\nContent-Length: 0\r\n\r\n"
     assert b"Content-Length" not in request_head("GET", "/", [], [], None)
 
 
-def test_figures_of_headers() -> None:
+def test_parsed_header_values() -> None:
     assert parse_server_load("3, 0,8") == ServerLoad(3, 0, 8)
     assert parse_milliseconds("1500") == 1500.0
     assert parse_keep_alive("timeout=5, max=100") == parse_keep_alive("max=9,timeout=5") == 5.0
@@ -174,7 +174,7 @@
 
 
 @given(st.text(max_size=30))
-def test_any_header_is_read_without_fault(text: str) -> None:
+def test_header_parsers_accept_any_text(text: str) -> None:
     parse_server_load(text)
     parse_milliseconds(text)
     parse_keep_alive(text)
@@ -182,12 +182,12 @@
 
 
 @pytest.mark.parametrize("text", ["1,2", "1,2,3,4", "-1,2,3", "a,b,c", "", None, "1,2,99999999999"])
-def test_a_load_that_is_none(text: str | None) -> None:
+def test_invalid_server_load(text: str | None) -> None:
     assert parse_server_load(text) is None
 
 
 @pytest.mark.parametrize("text", ["nan", "inf", "-1", "0", "", None, "1e300"])
-def test_a_time_that_is_none(text: str | None) -> None:
+def test_invalid_milliseconds(text: str | None) -> None:
     assert parse_milliseconds(text) is None
 
 
@@ -200,7 +200,7 @@
 
 
 @given(KINDS, st.integers(1, 4), ENDS)
-def test_attempts_keep_to_the_rules(kind: dict[str, Any], most: int, ends: list[AttemptEnd]) -> None:
+def test_attempts_follow_the_retry_rules(kind: dict[str, Any], most: int, ends: list[AttemptEnd]) -> None:
     """TWICE, BUDGET by request, and REFUSED, over any course of attempts."""
     route = a_route(max_attempts=most, **kind)
     attempts = Attempts(route)
@@ -225,14 +225,14 @@
     assert promised == (runs == 0)
 
 
-def test_the_table_names_every_end() -> None:
+def test_every_attempt_end_has_an_effect() -> None:
     assert set(ATTEMPT_EFFECTS) == set(AttemptEnd)
     may_have_run = [end for end in AttemptEnd if ATTEMPT_EFFECTS[end].may_have_run]
     assert may_have_run == [AttemptEnd.FAILED, AttemptEnd.BROKEN]
 
 
 @given(st.integers(100, 599), st.booleans(), st.booleans())
-def test_what_passes_is_a_sealed_success_or_no_false_promise(
+def test_forwarded_responses_are_signed_or_make_no_false_promise(
     status: int, is_signed: bool, marked: bool
 ) -> None:
     if may_forward(status, is_signed, marked):
@@ -247,7 +247,7 @@
     st.integers(1, 12), st.floats(0.0, 1.0), st.floats(0.0, 100.0),
     st.lists(st.tuples(st.integers(0, 11), st.booleans()), max_size=400),
 )  # fmt: skip
-def test_all_nodes_together_stay_within_the_shared_budget(
+def test_all_nodes_stay_within_the_shared_retry_budget(
     edges: int, ratio: float, slack: float, steps: list[tuple[int, bool]]
 ) -> None:
     """In any window: repeats <= ratio x requests + slack, where the slack has at least one a node."""
@@ -270,7 +270,7 @@
     assert sum(budget._tokens for budget in saved) <= max(slack / 2, min(edges, 0.9 * slack)) + 1e-6
 
 
-def test_a_node_starts_without_repeats_and_loses_what_is_over_its_new_part() -> None:
+def test_retry_budget_starts_empty_and_shrinks_with_its_share() -> None:
     budget = RetryBudget(0.2, 56, 1)
     assert not budget.try_spend()
     for _ in range(1000):
@@ -279,7 +279,7 @@
     assert [budget.try_spend() for _ in range(3)] == [True, True, False]
 
 
-def test_where_the_slack_has_no_repeat_for_each_node_none_is_made() -> None:
+def test_no_retries_if_the_slack_is_below_one_per_node() -> None:
     budgets = [RetryBudget(0.2, 198, 350) for _ in range(350)]
     for budget in budgets:
         for _ in range(1000):
@@ -289,22 +289,22 @@
 
 # --- Waiting line and demand ----------------------------------------------------------------------------
 @given(st.lists(st.integers(0, 9), max_size=30))
-def test_the_most_urgent_first_then_in_order(priorities: list[int]) -> None:
+def test_queue_order_is_priority_then_arrival(priorities: list[int]) -> None:
     line: RequestQueue[int] = RequestQueue(max_size=20)
     for number, priority in enumerate(priorities[:20]):
         line.join(priority, number)
-    got = [(place.priority, place.request) for place in line]
+    got = [(position.priority, position.request) for position in line]
     assert got == sorted((priority, number) for number, priority in enumerate(priorities[:20]))
     if len(priorities) > 20:
         with pytest.raises(QueueFullError):
             line.join(0, 99)
-    for place in line:
-        line.leave(place)
-        line.leave(place)
+    for position in line:
+        line.leave(position)
+        line.leave(position)
     assert not line
 
 
-def test_demand_is_told_once_and_forgotten() -> None:
+def test_demand_is_reported_once() -> None:
     demand, ref = Demand(), ModelRef("m")
     assert not demand.urgent_report_due(1.0)
     demand.arrived("s", ref)
@@ -326,7 +326,7 @@
 
 
 # --- Affinity -------------------------------------------------------------------------------------------
-def test_leading_parts_are_remembered_by_pool_and_order() -> None:
+def test_affinity_is_by_pool_and_prefix_order() -> None:
     memory = PrefixAffinity()
     one, two, three = PromptPart("1", 100), PromptPart("2", 10), PromptPart("3", 1)
     memory.sent("p", [one, two], "s1")
@@ -336,7 +336,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 9)), max_size=50))
-def test_few_servers_are_remembered(sends: list[tuple[int, int]]) -> None:
+def test_affinity_keeps_few_servers_per_prefix(sends: list[tuple[int, int]]) -> None:
     memory = PrefixAffinity()
     for part, server in sends:
         memory.sent("p", [PromptPart(str(part), 1)], str(server))
@@ -344,7 +344,7 @@
         assert len(memory.cached_tokens("p", [PromptPart(str(part), 1)])) <= MAX_SERVERS
 
 
-def test_what_is_remembered_is_bounded() -> None:
+def test_affinity_is_bounded() -> None:
     memory = PrefixAffinity()
     for k in range(MAX_PREFIXES + 10):
         memory.sent("p", [PromptPart(str(k), 1)], "s")
--- a/tests/dataplane/test_time_left.py
+++ b/tests/dataplane/test_time_left.py
@@ -8,9 +8,9 @@
 
 from granitewell.domain.configuration import Route
 from tests.dataplane.simulated_network import play_simulated
-from tests.dataplane.standin import Behaviour, Message, Scene, Seen, configuration, route, scene
+from tests.dataplane.standin import Behaviour, Message, ReceivedRequest, Scene, configuration, route, scene
 
-MAX_BEYOND_S = 0.5  # that a server may be handed, or a client may wait, beyond what is left
+MAX_OVERRUN_S = 0.5  # that a server may be handed, or a client may wait, beyond what is left
 SEND_MARGIN_S = 0.05  # by which less is handed on, at most: the answers must travel
 KINDS = {"once": "non_idempotent", "again": "idempotent", "stream": "streaming"}
 
@@ -20,7 +20,7 @@
     return [route(name, kind, timeout_ms=timeout_ms, max_attempts=3) for name, kind in KINDS.items()]
 
 
-class Handed:
+class DeadlineRecorder:
     """A server that notes when it was sent what deadline, and turns requests away after a while."""
 
     def __init__(self, refuses_after_s: float) -> None:
@@ -28,7 +28,7 @@
         self.sent_at: list[float] = []
         self._refuses_after_s = refuses_after_s
 
-    async def __call__(self, seen: Seen) -> None:
+    async def __call__(self, seen: ReceivedRequest) -> None:
         now = asyncio.get_running_loop().time()
         told = seen.request.header("Granitewell-Deadline-Ms")
         assert told is not None and told.isdigit() and int(told) > 0
@@ -40,17 +40,17 @@
 
 @pytest.mark.parametrize("stated_ms", ["", "4000", "60000", "4000.5"])
 @pytest.mark.parametrize("name", KINDS)
-def test_each_send_hands_on_what_is_left_of_the_shorter_time(name: str, stated_ms: str) -> None:
+def test_each_attempt_sends_the_remaining_time(name: str, stated_ms: str) -> None:
     """The client's, or the route's where that is shorter or the client sends none.
 
     Also a second send much later.
     """
 
     async def run() -> None:
-        handed = Handed(refuses_after_s=1.0)
+        handed = DeadlineRecorder(refuses_after_s=1.0)
         async with scene(handed, handed, handed) as s:
             s.plane.apply_configuration(configuration(2, routes(5000.0)))
-            s.fund()
+            s.fill_retry_budget()
             loop = asyncio.get_running_loop()
             began = loop.time()
             await s.call(f"/{name}/x", Granitewell_Deadline_Ms=stated_ms)
@@ -61,12 +61,12 @@
     play_simulated(run())
 
 
-def test_a_resumption_hands_on_what_is_left_then() -> None:
+def test_resumption_sends_the_remaining_time() -> None:
     async def run() -> None:
         ends: list[float] = []
         loop = asyncio.get_running_loop()
 
-        async def behaviour(seen: Seen) -> None:
+        async def behaviour(seen: ReceivedRequest) -> None:
             ends.append(loop.time() + int(seen.request.header("Granitewell-Deadline-Ms") or 0) / 1000.0)
             seen.writer.write(seen.head(Content_Type="text/event-stream"))
             for number in range(int(seen.request.header("Last-Event-Id") or 0) + 1, 9):
@@ -81,7 +81,7 @@
             s.plane.apply_configuration(
                 configuration(2, [route("r", "streaming", resumable=True, timeout_ms=9000.0)])
             )
-            s.fund()
+            s.fill_retry_budget()
             began = loop.time()
             answer = await s.call("/r/x", Granitewell_Deadline_Ms="8000")
             assert answer.complete and answer.body.count(b"data:") == 8
@@ -92,23 +92,23 @@
 
 
 # --- CONFIG: a final answer at the end of the route's time ------------------------------------------------
-def silent(seen: Seen) -> None:
+def never_responds(seen: ReceivedRequest) -> None:
     pass
 
 
-def only_the_head(seen: Seen) -> None:
+def sends_only_the_head(seen: ReceivedRequest) -> None:
     seen.writer.write(seen.head(length=10))
 
 
-def stalls_in_a_body(seen: Seen) -> None:
+def stalls_in_a_body(seen: ReceivedRequest) -> None:
     seen.writer.write(seen.head(length=10) + b"half")
 
 
-def stalls_in_a_stream(seen: Seen) -> None:
+def stalls_in_a_stream(seen: ReceivedRequest) -> None:
     seen.events(1)
 
 
-def refuses_for_ever(seen: Seen) -> None:
+def always_rejects(seen: ReceivedRequest) -> None:
     seen.refuse()
 
 
@@ -123,19 +123,19 @@
 
 
 @pytest.mark.parametrize(
-    "behaviour", [silent, only_the_head, stalls_in_a_body, stalls_in_a_stream, refuses_for_ever]
+    "behaviour", [never_responds, sends_only_the_head, stalls_in_a_body, stalls_in_a_stream, always_rejects]
 )
 @pytest.mark.parametrize("name", KINDS)
-def test_the_route_s_time_ends_in_a_final_answer(name: str, behaviour: Behaviour) -> None:
+def test_route_timeout_ends_in_a_final_response(name: str, behaviour: Behaviour) -> None:
     """Of a stream whose head is out, the end of the connection is the answer: it must not look whole."""
 
     async def run() -> None:
         async with scene(behaviour, behaviour) as s:
             s.plane.apply_configuration(configuration(2, routes(1200.0)))
-            s.fund()
+            s.fill_retry_budget()
             answer, after_s = await answer_or_end(s, f"/{name}/x")
-            assert answer is not None and after_s < 1.2 + MAX_BEYOND_S
-            if behaviour is refuses_for_ever:
+            assert answer is not None and after_s < 1.2 + MAX_OVERRUN_S
+            if behaviour is always_rejects:
                 assert answer.status == 503
             elif behaviour is stalls_in_a_stream and name == "stream":
                 assert answer.status == 200 and not answer.complete
@@ -147,9 +147,9 @@
 
 
 @pytest.mark.parametrize("stage", ["no server", "no model", "connecting", "body", "resumption"])
-def test_the_route_s_time_ends_in_a_final_answer_at_each_stage(stage: str) -> None:
+def test_route_timeout_ends_in_a_final_response_at_each_stage(stage: str) -> None:
     async def run() -> None:
-        def breaks_once(seen: Seen) -> None:
+        def breaks_once(seen: ReceivedRequest) -> None:
             if not seen.request.header("Last-Event-Id"):
                 seen.events(1)
                 seen.writer.close()
@@ -158,7 +158,7 @@
         async with scene(breaks_once, breaks_once, service=service) as s:
             made = route("r", "streaming", service, resumable=True, timeout_ms=1200.0)
             s.plane.apply_configuration(configuration(2, [made]))
-            s.fund()
+            s.fill_retry_budget()
             if stage == "no server":
                 s.plane.apply_servers([], ["s0", "s1"])
             if stage == "connecting":
@@ -170,37 +170,37 @@
             length = "5" if stage == "body" else "0"
             client.send("/r/x", Granitewell_Request_Id="1", Content_Length=length, Granitewell_Model="m1")
             answer = await client.answer()
-            assert answer is not None and loop.time() - began < 1.2 + MAX_BEYOND_S
+            assert answer is not None and loop.time() - began < 1.2 + MAX_OVERRUN_S
             assert answer.status in ({200} if stage == "resumption" else {408, 503, 504})
             assert answer.complete is (stage != "resumption")
 
     play_simulated(run())
 
 
-def test_a_shorter_time_counts_for_requests_that_come_after_it() -> None:
+def test_shorter_timeout_applies_to_later_requests() -> None:
     """One that is under way keeps the time under which it was taken."""
 
     async def run() -> None:
-        async with scene(silent) as s:
+        async with scene(never_responds) as s:
             s.plane.apply_configuration(configuration(2, routes(3000.0)))
             earlier = asyncio.create_task(answer_or_end(s, "/again/x"))
             await asyncio.sleep(0.2)
             s.plane.apply_configuration(configuration(3, routes(800.0)))
             _, after_s = await answer_or_end(s, "/again/x")
-            assert after_s < 0.8 + MAX_BEYOND_S
+            assert after_s < 0.8 + MAX_OVERRUN_S
             _, after_s = await earlier
-            assert 2.9 < after_s < 3.0 + MAX_BEYOND_S
+            assert 2.9 < after_s < 3.0 + MAX_OVERRUN_S
 
     play_simulated(run())
 
 
 # --- BUDGET: servers of one client attempt ------------------------------------------------------------------
 @pytest.mark.parametrize("most", [1, 2, 3])
-def test_one_answer_uses_no_more_servers_than_the_route_allows(most: int) -> None:
+def test_stream_uses_no_more_servers_than_the_route_allows(most: int) -> None:
     """Resumptions inside the answer count with the rest."""
 
     async def run() -> None:
-        def behaviour(seen: Seen) -> None:
+        def behaviour(seen: ReceivedRequest) -> None:
             at = int(seen.request.header("Last-Event-Id") or 0)
             seen.events(at + 1)
             seen.writer.close()
@@ -209,7 +209,7 @@
             s.plane.apply_configuration(
                 configuration(2, [route("r", "streaming", resumable=True, max_attempts=most)])
             )
-            s.fund()
+            s.fill_retry_budget()
             answer = await s.call("/r/x")
             assert not answer.complete and answer.body.count(b"data:") == most
             assert sum(len(stand_in.seen) for stand_in in s.stand_ins) == most
--- a/tests/dataplane/test_upstream.py
+++ b/tests/dataplane/test_upstream.py
@@ -13,10 +13,10 @@
 from granitewell.dataplane.upstream import RequestNotWrittenError, UpstreamConnection
 from granitewell.dataplane.upstream_pool import UpstreamPool
 from granitewell.domain.servers import Server, ServerState
-from tests.dataplane.standin import play
+from tests.dataplane.standin import run_scene
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
-ANSWER = b"HTTP/1.1 %d Word\r\nGranitewell-Request-Id: 1\r\nKeep-Alive: timeout=9\r\n%s\r\n"
+RESPONSE = b"HTTP/1.1 %d Word\r\nGranitewell-Request-Id: 1\r\nKeep-Alive: timeout=9\r\n%s\r\n"
 
 
 @pytest.fixture
@@ -38,79 +38,79 @@
         connection = await self.pool.connection(self.server, "2")
         return connection, self._listener.accept()[0]
 
-    async def answered(self, fields: bytes = b"Content-Length: 0\r\n", status: int = 200) -> socket.socket:
+    async def idle_connection(
+        self, fields: bytes = b"Content-Length: 0\r\n", status: int = 200
+    ) -> socket.socket:
         """The server's end of a connection that has carried one request and is idle, if it is kept."""
-        connection, far = await self.connect()
+        connection, server_side = await self.connect()
         connection.write(REQUEST, method="GET", repeatable=False)
-        far.sendall(ANSWER % (status, fields))
+        server_side.sendall(RESPONSE % (status, fields))
         message, body = await connection.read_head("1")
         assert await connection.read_body(body) == b""
         self.pool.release(connection, message)
-        return far
+        return server_side
 
 
-def reset(far: socket.socket) -> None:
-    far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    far.close()
+def reset(server_side: socket.socket) -> None:
+    server_side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    server_side.close()
 
 
 @pytest.mark.parametrize("end", ["close", "reset", "byte"])
-def test_an_idle_connection_on_which_something_has_come_is_not_used(
-    listener: socket.socket, end: str
-) -> None:
+def test_idle_connection_with_unread_data_is_not_reused(listener: socket.socket, end: str) -> None:
     """Although the loop has had no moment to read it."""
 
     async def run() -> None:
         link = Link(listener)
-        far = await link.answered()
+        server_side = await link.idle_connection()
         if end == "byte":
-            far.sendall(b"x")
+            server_side.sendall(b"x")
         elif end == "close":
-            far.close()
+            server_side.close()
         else:
-            reset(far)
+            reset(server_side)
         connection, new = await link.connect()
         assert not connection.used_before
         new.close()
-        far.close()
+        server_side.close()
         link.pool.close()
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_write_that_the_kernel_refuses_is_proof(
+def test_write_refused_by_the_kernel_raises_request_not_written(
     listener: socket.socket, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(UpstreamConnection, "has_nothing_unread", lambda self: True)
 
     async def run() -> None:
         link = Link(listener)
-        reset(await link.answered())
+        reset(await link.idle_connection())
         connection = await link.pool.connection(link.server, "2")
         assert connection.used_before
         with pytest.raises(RequestNotWrittenError):
             connection.write(REQUEST, method="GET", repeatable=False)
         link.pool.close()
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_connection_is_not_kept_while_bytes_of_its_request_are_left(listener: socket.socket) -> None:
+def test_connection_with_unsent_bytes_is_not_reused(listener: socket.socket) -> None:
     """The server answers early, and would read what comes next as the rest of the body."""
 
     async def run() -> None:
         link = Link(listener)
-        connection, far = await link.connect()
+        connection, server_side = await link.connect()
         connection.write(REQUEST + bytes(50_000_000), method="POST", repeatable=False)
         assert not connection.all_written
-        far.sendall(ANSWER % (200, b"Content-Length: 0\r\n"))
+        server_side.sendall(RESPONSE % (200, b"Content-Length: 0\r\n"))
         message, _ = await connection.read_head("1")
         link.pool.release(connection, message)
         assert not connection.usable
-        far.close()
+        server_side.close()
         link.pool.close()
 
-    play(run())
+    run_scene(run())
 
 
 @pytest.mark.parametrize(
@@ -125,42 +125,42 @@
         (200, b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nHTTP/1.1", False),
     ],
 )
-def test_which_connections_are_kept(listener: socket.socket, status: int, fields: bytes, kept: bool) -> None:
+def test_reuse_of_connections(listener: socket.socket, status: int, fields: bytes, kept: bool) -> None:
     async def run() -> None:
         link = Link(listener)
-        far = await link.answered(fields, status)
+        server_side = await link.idle_connection(fields, status)
         connection = await link.pool.connection(link.server, "2")
         assert connection.used_before == kept
-        far.close()
+        server_side.close()
         link.pool.close()
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_connection_never_carries_an_id_twice(listener: socket.socket) -> None:
+def test_connection_never_carries_a_request_id_twice(listener: socket.socket) -> None:
     async def run() -> None:
         link = Link(listener)
-        far = await link.answered()
+        server_side = await link.idle_connection()
         other = await link.pool.connection(link.server, "1")
         same = await link.pool.connection(link.server, "2")
         assert not other.used_before and same.used_before
-        far.close()
+        server_side.close()
         link.pool.close()
 
-    play(run())
+    run_scene(run())
 
 
-def test_a_server_that_ends_its_side_before_it_has_taken_a_request(listener: socket.socket) -> None:
+def test_half_closed_connection_with_unsent_request_is_aborted(listener: socket.socket) -> None:
     """No answer can come any more: it isn't waited for until the request's time is over."""
 
     async def run() -> None:
         link = Link(listener)
-        connection, far = await link.connect()
+        connection, server_side = await link.connect()
         connection.write(REQUEST + bytes(50_000_000), method="POST", repeatable=False)
-        far.shutdown(socket.SHUT_WR)
+        server_side.shutdown(socket.SHUT_WR)
         while connection.is_connected():
             await asyncio.sleep(0)
-        far.close()
+        server_side.close()
         link.pool.close()
 
-    play(run())
+    run_scene(run())
--- a/tests/dataplane/test_versions_and_priority.py
+++ b/tests/dataplane/test_versions_and_priority.py
@@ -6,15 +6,15 @@
 
 from granitewell.dataplane.events import EventSplitter
 from tests.dataplane.simulated_network import play_simulated
-from tests.dataplane.standin import Seen, configuration, route, scene, well
+from tests.dataplane.standin import ReceivedRequest, answer_normally, configuration, route, scene
 
 
 @pytest.mark.parametrize(("ranked", "told"), [(0, "0"), (3, "3"), (9, "9"), (12, "9"), (-1, "0")])
-def test_the_rank_of_the_route_goes_to_the_server_within_its_bounds(ranked: int, told: str) -> None:
+def test_route_priority_is_sent_within_bounds(ranked: int, told: str) -> None:
     """The client's own word doesn't count."""
 
     async def run() -> None:
-        async with scene(well) as s:
+        async with scene(answer_normally) as s:
             s.plane.apply_configuration(configuration(2, [route("r", priority=ranked)]))
             assert (await s.call("/r/x", Priority="4")).status == 200
             assert s.stand_ins[0].seen[0].header("Priority") == told
@@ -22,17 +22,17 @@
     play_simulated(run())
 
 
-def test_a_server_with_another_version_is_passed_over() -> None:
-    def old(seen: Seen) -> None:
+def test_resumption_skips_servers_with_another_version() -> None:
+    def old(seen: ReceivedRequest) -> None:
         assert seen.request.header("Expect-Version") == "7"
         seen.refuse(421)
 
-    def new(seen: Seen) -> None:
+    def new(seen: ReceivedRequest) -> None:
         seen.answer(Versions="7")
 
     async def run() -> None:
         async with scene(old, new) as s:
-            s.fund()
+            s.fill_retry_budget()
             for _ in range(6):
                 answer = await s.call("/once/x", Expect_Version="7")
                 assert (answer.status, answer.header("Versions")) == (200, "7")
@@ -40,10 +40,10 @@
     play_simulated(run())
 
 
-def test_the_line_at_a_change_of_version_passes_within_its_event() -> None:
+def test_version_line_is_forwarded_within_its_event() -> None:
     changed = b"versions: 8\nid: 2\ndata: word\n\n"
 
-    def behaviour(seen: Seen) -> None:
+    def behaviour(seen: ReceivedRequest) -> None:
         seen.writer.write(seen.head(Content_Type="text/event-stream", Versions="7"))
         seen.event(1)
         seen.chunk(changed)
@@ -59,6 +59,6 @@
     play_simulated(run())
 
 
-def test_an_event_that_begins_with_its_version_is_still_known_by_its_id() -> None:
+def test_event_with_a_version_line_keeps_its_id() -> None:
     (event,) = EventSplitter().feed(b"versions: 8\nid: 41\ndata: id: 5\n\n")
     assert event.id == "41"
--- a/tests/dataplane/test_wire.py
+++ b/tests/dataplane/test_wire.py
@@ -17,20 +17,28 @@
 
 from tests.dataplane import wire_defects as defects
 from tests.dataplane.wire_faults import (
-    Trouble,
+    FaultCase,
     answer_length,
     cut_answers,
     cut_requests,
     extra_bytes,
-    play_course,
+    play_fault_sequence,
+)
+from tests.dataplane.wire_world import (
+    Continuation,
+    ExtraBytes,
+    Runner,
+    ServerAction,
+    ViolationError,
+    When,
+    answer_status,
 )
-from tests.dataplane.wire_world import Act, Extra, Runner, Then, ViolationError, When, answer_status
 
-Troubles = Callable[[], Iterator[Trouble]]
+FaultCases = Callable[[], Iterator[FaultCase]]
 
-PART = 61  # of all split points, one in so many is tried here: prime, so that each kind gets others
-COURSES = 400
-MAX_TRIED = 4_000  # of a planted defect's troubles
+CASE_STEP = 61  # of all split points, one in so many is tried here: prime, so that each kind gets others
+FAULT_SEQUENCES = 400
+MAX_CASES_PER_DEFECT = 4_000  # of a planted defect's troubles
 
 
 @pytest.fixture
@@ -40,60 +48,62 @@
     made.close()
 
 
-def play_all(runner: Runner, troubles: Iterable[Trouble]) -> int:
+def play_all(runner: Runner, fault_cases: Iterable[FaultCase]) -> int:
     count = 0
-    for trouble in troubles:
+    for fault_case in fault_cases:
         try:
-            trouble.play(runner)
+            fault_case.play(runner)
         except ViolationError as violation:
-            raise ViolationError(f"{violation}: {trouble}") from violation
+            raise ViolationError(f"{violation}: {fault_case}") from violation
         count += 1
     return count
 
 
-@pytest.mark.parametrize("troubles", [cut_answers, cut_requests])
-def test_a_cut_at_any_byte_breaks_no_rule(runner: Runner, troubles: Troubles) -> None:
-    assert play_all(runner, islice(troubles(), 0, None, PART)) > 300
+@pytest.mark.parametrize("fault_cases", [cut_answers, cut_requests])
+def test_cut_at_any_byte_violates_no_rule(runner: Runner, fault_cases: FaultCases) -> None:
+    assert play_all(runner, islice(fault_cases(), 0, None, CASE_STEP)) > 300
 
 
-def test_bytes_behind_an_answer_reach_nobody(runner: Runner) -> None:
+def test_bytes_after_a_response_reach_no_client(runner: Runner) -> None:
     assert play_all(runner, islice(extra_bytes(), 0, None, 2)) > 600
 
 
-def test_courses_of_several_troubles_break_no_rule(runner: Runner) -> None:
-    for seed in range(COURSES):
-        play_course(runner, seed)
+def test_random_sequences_of_faults_violate_no_rule(runner: Runner) -> None:
+    for seed in range(FAULT_SEQUENCES):
+        play_fault_sequence(runner, seed)
 
 
 # --- Found by the search, each by itself ----------------------------------------------------------------
-@pytest.mark.parametrize("extra", [Extra.SAME_ANSWER, Extra.HALF_ANSWER])
-def test_a_late_second_refusal_is_no_word_on_the_next_send(runner: Runner, extra: Extra) -> None:
+@pytest.mark.parametrize("extra", [ExtraBytes.SAME_ANSWER, ExtraBytes.HALF_ANSWER])
+def test_duplicate_rejection_does_not_count_for_the_retry(runner: Runner, extra: ExtraBytes) -> None:
     """The only server turns a request away, runs it when it comes again, and says its refusal twice."""
-    world = Trouble("once", Act("refused", extra=extra, when=When.NEXT_REQUEST), servers=1).play(runner)
+    world = FaultCase("once", ServerAction("refused", extra=extra, when=When.NEXT_REQUEST), servers=1).play(
+        runner
+    )
     assert [arrival.ran for arrival in world.arrivals[:2]] == [False, True]
 
 
 @pytest.mark.parametrize("answer", ["length", "chunked", "refused", "until-close"])
-def test_an_answer_in_single_bytes_is_served(runner: Runner, answer: str) -> None:
-    Trouble("once", Act(answer, sends=0, piece=1)).play(runner)
+def test_response_in_single_bytes_is_forwarded(runner: Runner, answer: str) -> None:
+    FaultCase("once", ServerAction(answer, sends=0, piece=1)).play(runner)
 
 
-def test_a_refusal_counts_although_its_body_never_comes(runner: Runner) -> None:
-    act = Act("refused", sends=answer_length("refused") - 5, then=Then.SILENCE)
-    world = Trouble("once", act).play(runner)
+def test_rejection_counts_without_its_body(runner: Runner) -> None:
+    act = ServerAction("refused", sends=answer_length("refused") - 5, then=Continuation.SILENCE)
+    world = FaultCase("once", act).play(runner)
     world.check_served(0)
 
 
 @pytest.mark.parametrize("kind", ["once", "again"])
-def test_an_idle_connection_that_takes_no_byte_is_replaced(runner: Runner, kind: str) -> None:
+def test_closed_idle_connection_is_replaced(runner: Runner, kind: str) -> None:
     """Nothing of the request has arrived, so it goes to the same server over another connection."""
-    world = Trouble(kind, Act(extra=Extra.UNSEEN_RESET), servers=1).play(runner)
+    world = FaultCase(kind, ServerAction(extra=ExtraBytes.UNSEEN_RESET), servers=1).play(runner)
     assert world.connections == 2 and len(world.arrivals) == 3
 
 
-def test_an_idle_connection_that_was_dropped_silently_is_no_proof(runner: Runner) -> None:
+def test_silently_dropped_idle_connection_is_no_proof(runner: Runner) -> None:
     """The reset comes only after the request was written: it may have run."""
-    world = Trouble("once", Act(extra=Extra.DROPPED), servers=1).play(runner)
+    world = FaultCase("once", ServerAction(extra=ExtraBytes.DROPPED), servers=1).play(runner)
     answers = [caller.answer for caller in world.callers.values()]
     assert [answer_status(answer) for answer in answers] == [200, 502, 200]
 
@@ -104,47 +114,51 @@
     """A guard that is taken out, the troubles that show it, and what the violation says: an expression."""
 
     plant: Callable[[pytest.MonkeyPatch], None]
-    troubles: Troubles
-    shows: str
+    fault_cases: FaultCases
+    violation_pattern: str
     step: int = 7  # one in so many is tried
 
 
-def of(troubles: Troubles, kind: str, *answers: str) -> Troubles:
+def of(fault_cases: FaultCases, kind: str, *answers: str) -> FaultCases:
     """Those of one kind of route, with these answers."""
 
-    def chosen() -> Iterator[Trouble]:
-        return (t for t in troubles() if t.kind == kind and (not answers or t.act.answer in answers))
+    def chosen() -> Iterator[FaultCase]:
+        return (t for t in fault_cases() if t.kind == kind and (not answers or t.act.answer in answers))
 
     return chosen
 
 
 DEFECTS = (
-    Defect(defects.reuse_after_extra_bytes, of(extra_bytes, "once"), "met no trouble", step=1),
-    Defect(defects.idle_bytes_wait_for_the_next_answer, of(extra_bytes, "once"), "met no trouble", step=1),
-    Defect(defects.id_not_checked, of(extra_bytes, "once"), "MIXED: nobody gave", step=1),
-    Defect(defects.same_id_twice_on_a_connection, of(extra_bytes, "once", "refused"), "TWICE", step=1),
-    Defect(defects.reuse_after_early_answer, of(cut_requests, "once"), "the rest of another", step=31),
-    Defect(defects.reset_without_length_is_whole, of(cut_answers, "once", "until-close"), "MIXED"),
-    Defect(defects.reset_without_length_is_whole, of(cut_answers, "stream", "stream-until-close"), "ORDER"),
-    Defect(defects.broken_is_taken_for_not_run, of(cut_answers, "once"), "TWICE"),
-    Defect(defects.written_part_is_taken_for_not_run, of(cut_requests, "once"), "TWICE", step=31),
-    Defect(defects.not_executed_not_needed, of(cut_answers, "once", "busy"), "TWICE"),
-    Defect(defects.bare_promise_passes, of(cut_answers, "once", "busy"), "REFUSED"),
-    Defect(defects.seal_not_needed, of(cut_answers, "once", "unsealed"), "without its seal"),
-    Defect(defects.pieces_pass_as_they_come, of(cut_answers, "resume", "stream"), "ORDER"),
-    Defect(defects.resumed_from_the_start, of(cut_answers, "resume", "stream"), "ORDER"),
-    Defect(defects.head_end_within_one_segment, of(cut_answers, "once", "length"), "met no trouble"),
+    Defect(defects.reuse_after_extra_bytes, of(extra_bytes, "once"), "met no fault", step=1),
+    Defect(defects.idle_bytes_taken_for_next_response, of(extra_bytes, "once"), "met no fault", step=1),
+    Defect(defects.request_id_not_checked, of(extra_bytes, "once"), "MIXED: nobody gave", step=1),
+    Defect(defects.request_id_reused_on_a_connection, of(extra_bytes, "once", "refused"), "TWICE", step=1),
+    Defect(defects.reuse_with_unsent_bytes, of(cut_requests, "once"), "the rest of another", step=31),
+    Defect(defects.reset_completes_response_without_length, of(cut_answers, "once", "until-close"), "MIXED"),
+    Defect(
+        defects.reset_completes_response_without_length,
+        of(cut_answers, "stream", "stream-until-close"),
+        "ORDER",
+    ),
+    Defect(defects.broken_taken_for_not_executed, of(cut_answers, "once"), "TWICE"),
+    Defect(defects.partly_written_taken_for_not_executed, of(cut_requests, "once"), "TWICE", step=31),
+    Defect(defects.unmarked_503_taken_for_not_executed, of(cut_answers, "once", "busy"), "TWICE"),
+    Defect(defects.unmarked_503_forwarded, of(cut_answers, "once", "busy"), "REFUSED"),
+    Defect(defects.unsigned_success_forwarded, of(cut_answers, "once", "unsealed"), "without its seal"),
+    Defect(defects.partial_events_forwarded, of(cut_answers, "resume", "stream"), "ORDER"),
+    Defect(defects.resumption_without_last_event_id, of(cut_answers, "resume", "stream"), "ORDER"),
+    Defect(defects.head_end_only_within_one_segment, of(cut_answers, "once", "length"), "met no fault"),
 )
 
 
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda defect: defect.plant.__name__)
-def test_the_search_notices(defect: Defect, runner: Runner, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_search_finds_planted_defect(defect: Defect, runner: Runner, monkeypatch: pytest.MonkeyPatch) -> None:
     defect.plant(monkeypatch)
-    for trouble in islice(defect.troubles(), 0, MAX_TRIED, defect.step):
+    for fault_case in islice(defect.fault_cases(), 0, MAX_CASES_PER_DEFECT, defect.step):
         try:
-            trouble.play(runner)
+            fault_case.play(runner)
         except ViolationError as violation:
-            assert re.search(defect.shows, str(violation)), violation
+            assert re.search(defect.violation_pattern, str(violation)), violation
             return
     pytest.fail("no violation")
 
@@ -154,14 +168,14 @@
     """Play all troubles of one connection, or the courses of some seeds."""
     runner, began = Runner(), time.monotonic()
     if arguments == ["all"]:
-        for troubles in (cut_answers, cut_requests, extra_bytes):
-            count = play_all(runner, troubles())
-            print(f"{troubles.__name__}: {count} played, {time.monotonic() - began:.0f} s so far")
+        for fault_cases in (cut_answers, cut_requests, extra_bytes):
+            count = play_all(runner, fault_cases())
+            print(f"{fault_cases.__name__}: {count} played, {time.monotonic() - began:.0f} s so far")
         return
     first, last = map(int, arguments)
     for seed in range(first, last):
         try:
-            play_course(runner, seed)
+            play_fault_sequence(runner, seed)
         except ViolationError as violation:
             raise ViolationError(f"{violation}: seed {seed}") from violation
     print(f"courses {first} to {last - 1}: {time.monotonic() - began:.0f} s")
--- a/tests/dataplane/wire_defects.py
+++ b/tests/dataplane/wire_defects.py
@@ -31,7 +31,7 @@
     patch.setattr(UpstreamConnection, "mark_idle", mark_idle)
 
 
-def idle_bytes_wait_for_the_next_answer(patch: pytest.MonkeyPatch) -> None:
+def idle_bytes_taken_for_next_response(patch: pytest.MonkeyPatch) -> None:
     """Bytes on an idle connection are taken for the beginning of the next answer."""
 
     def data_received(self: UpstreamConnection, data: bytes) -> None:
@@ -43,7 +43,7 @@
     patch.setattr(UpstreamConnection, "usable", property(UpstreamConnection.is_connected))
 
 
-def id_not_checked(patch: pytest.MonkeyPatch) -> None:
+def request_id_not_checked(patch: pytest.MonkeyPatch) -> None:
     """The first answer on a connection counts, whoever it is for."""
 
     async def read_head(self: UpstreamConnection, request_id: str) -> tuple[RawResponseMessage, StreamReader]:
@@ -52,22 +52,22 @@
     patch.setattr(UpstreamConnection, "read_head", read_head)
 
 
-def same_id_twice_on_a_connection(patch: pytest.MonkeyPatch) -> None:
+def request_id_reused_on_a_connection(patch: pytest.MonkeyPatch) -> None:
     """A request that was turned away may go over the same connection again."""
     patch.setattr(UpstreamConnection, "has_carried", lambda self, request_id: False)
 
 
-def reuse_after_early_answer(patch: pytest.MonkeyPatch) -> None:
+def reuse_with_unsent_bytes(patch: pytest.MonkeyPatch) -> None:
     """A connection is kept although bytes of the request have not been written."""
     patch.setattr(UpstreamConnection, "all_written", True)
 
 
-def reset_without_length_is_whole(patch: pytest.MonkeyPatch) -> None:
+def reset_completes_response_without_length(patch: pytest.MonkeyPatch) -> None:
     """Any end of a connection ends an answer without length."""
     patch.setattr(UpstreamConnection, "ends_with_connection", False)
 
 
-def broken_is_taken_for_not_run(patch: pytest.MonkeyPatch) -> None:
+def broken_taken_for_not_executed(patch: pytest.MonkeyPatch) -> None:
     """A reset after the whole request was written counts as proof that it has not run."""
     table: Mapping[AttemptEnd, AttemptEffect] = MappingProxyType({
         **ATTEMPT_EFFECTS, AttemptEnd.BROKEN: AttemptEffect(reached=True, may_have_run=False)
@@ -75,7 +75,7 @@
     patch.setattr(request, "ATTEMPT_EFFECTS", table)
 
 
-def written_part_is_taken_for_not_run(patch: pytest.MonkeyPatch) -> None:
+def partly_written_taken_for_not_executed(patch: pytest.MonkeyPatch) -> None:
     """A break counts as proof where not all of the request could be written at once."""
 
     def write(self: UpstreamConnection, request: bytes, *, method: str, repeatable: bool) -> None:
@@ -93,21 +93,21 @@
     patch.setattr(_Attempt, "_record_end", ended)
 
 
-def not_executed_not_needed(patch: pytest.MonkeyPatch) -> None:
+def unmarked_503_taken_for_not_executed(patch: pytest.MonkeyPatch) -> None:
     """A bare 503 counts as proof."""
     patch.setattr(
         request_forwarder, "proves_not_executed", lambda status, marked: status in NOT_EXECUTED_STATUSES
     )
 
 
-def bare_promise_passes(patch: pytest.MonkeyPatch) -> None:
+def unmarked_503_forwarded(patch: pytest.MonkeyPatch) -> None:
     """A server's 503 without its word goes to the client."""
     patch.setattr(
         request_forwarder, "may_forward", lambda status, is_signed, marked: is_signed or status >= 300
     )
 
 
-def seal_not_needed(patch: pytest.MonkeyPatch) -> None:
+def unsigned_success_forwarded(patch: pytest.MonkeyPatch) -> None:
     """A success without its seal goes to the client."""
     patch.setattr(
         request_forwarder,
@@ -116,7 +116,7 @@
     )
 
 
-def pieces_pass_as_they_come(patch: pytest.MonkeyPatch) -> None:
+def partial_events_forwarded(patch: pytest.MonkeyPatch) -> None:
     """Parts of events go to the client."""
 
     class Cutter(EventSplitter):
@@ -128,7 +128,7 @@
     patch.setattr(request_forwarder, "EventSplitter", Cutter)
 
 
-def resumed_from_the_start(patch: pytest.MonkeyPatch) -> None:
+def resumption_without_last_event_id(patch: pytest.MonkeyPatch) -> None:
     """The second server is not told where to go on, and nothing is left out."""
     real = _Attempt._request_bytes
 
@@ -143,7 +143,7 @@
     patch.setattr(_Attempt, "_request_bytes", request_bytes)
 
 
-def head_end_within_one_segment(patch: pytest.MonkeyPatch) -> None:
+def head_end_only_within_one_segment(patch: pytest.MonkeyPatch) -> None:
     """The blank line behind a head is found only where one segment holds all of it."""
 
     def consume(self: HeadFraming, data: bytes) -> tuple[int, bool]:
--- a/tests/dataplane/wire_world.py
+++ b/tests/dataplane/wire_world.py
@@ -55,7 +55,7 @@
     """A rule is broken."""
 
 
-class Then(Enum):
+class Continuation(Enum):
     """What happens once the server has sent its part of the answer."""
 
     GO_ON = auto()  # the rest, after a pause
@@ -66,7 +66,7 @@
     CANCEL = auto()  # the client leaves, and the rest comes
 
 
-class Extra(Enum):
+class ExtraBytes(Enum):
     """What follows a whole answer.
 
     Bytes that belong to no request, or an end that the data plane can't see yet.
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True)
-class Act:
+class ServerAction:
     """What a server does with one request.
 
     Attributes:
@@ -115,15 +115,15 @@
     answer: str = "length"
     takes: int | None = None
     sends: int | None = None
-    then: Then = Then.GO_ON
-    extra: Extra = Extra.NONE
+    then: Continuation = Continuation.GO_ON
+    extra: ExtraBytes = ExtraBytes.NONE
     when: When = When.SAME_SEGMENT
     piece: int = 0
 
 
 # --- Answers --------------------------------------------------------------------------------------------
 @dataclass(frozen=True)
-class Scripted:
+class ScriptedResponse:
     """An answer as bytes.
 
     Attributes:
@@ -155,7 +155,7 @@
     return first + b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-def answer_of(kind: str, request_id: str, arrival: int, after: int = 0) -> Scripted:
+def answer_of(kind: str, request_id: str, arrival: int, after: int = 0) -> ScriptedResponse:
     """An answer of this kind to a request; after: its Last-Event-Id."""
     seal, body = f"s.{arrival}", b"<%d %s>" % (arrival, request_id.encode())
     length = f"Content-Length: {len(body)}"
@@ -164,37 +164,39 @@
     chunked = "Transfer-Encoding: chunked"
     match kind:
         case "length":
-            return Scripted(_head(200, request_id, length, seal=seal) + body, 200, body, seal)
+            return ScriptedResponse(_head(200, request_id, length, seal=seal) + body, 200, body, seal)
         case "chunked":
             data = _head(200, request_id, chunked, seal=seal) + chunks(body[:4], body[4:])
-            return Scripted(data, 200, body, seal)
+            return ScriptedResponse(data, 200, body, seal)
         case "until-close":
-            return Scripted(_head(200, request_id, seal=seal) + body, 200, body, seal, closes=True)
+            return ScriptedResponse(_head(200, request_id, seal=seal) + body, 200, body, seal, closes=True)
         case "continue":
             data = b"HTTP/1.1 100 Continue\r\n\r\n" + _head(200, request_id, length, seal=seal) + body
-            return Scripted(data, 200, body, seal)
+            return ScriptedResponse(data, 200, body, seal)
         case "closing":
             data = _head(200, request_id, length, "Connection: close", seal=seal) + body
-            return Scripted(data, 200, body, seal, closes=True)
+            return ScriptedResponse(data, 200, body, seal, closes=True)
         case "refused" | "refused-429" | "moved":
             status = {"refused": 503, "refused-429": 429, "moved": 421}[kind]
             data = _head(status, request_id, length, "Granitewell-Not-Executed: 1") + body
-            return Scripted(data, status, body, None, executed=False)
+            return ScriptedResponse(data, status, body, None, executed=False)
         case "failed" | "busy" | "timeout" | "too-many":
             status = {"failed": 500, "busy": 503, "timeout": 408, "too-many": 429}[kind]
-            return Scripted(_head(status, request_id, length, seal=seal) + body, status, body, seal)
+            return ScriptedResponse(_head(status, request_id, length, seal=seal) + body, status, body, seal)
         case "unsealed":
-            return Scripted(_head(200, request_id, length) + body, 200, body, None)
+            return ScriptedResponse(_head(200, request_id, length) + body, 200, body, None)
         case "stream":
             data = _head(200, request_id, chunked, stream, seal=seal) + chunks(*events)
-            return Scripted(data, 200, b"".join(events), seal)
+            return ScriptedResponse(data, 200, b"".join(events), seal)
         case "stream-until-close":
             body = b"".join(events)
-            return Scripted(_head(200, request_id, stream, seal=seal) + body, 200, body, seal, closes=True)
+            return ScriptedResponse(
+                _head(200, request_id, stream, seal=seal) + body, 200, body, seal, closes=True
+            )
         case "stream-length":
             body = b"".join(events)
             data = _head(200, request_id, stream, f"Content-Length: {len(body)}", seal=seal) + body
-            return Scripted(data, 200, body, seal)
+            return ScriptedResponse(data, 200, body, seal)
     raise AssertionError(kind)
 
 
@@ -213,7 +215,7 @@
     server: str
     ran: bool = False
     whole: bool = False
-    answer: Scripted | None = None
+    answer: ScriptedResponse | None = None
 
 
 class Wire(asyncio.Transport):
@@ -227,11 +229,11 @@
         self._open = True  # the server takes bytes
         self._due_at = 0.0
         self._inbox = b""  # taken, no whole request yet
-        self._act: Act | None = None
+        self._act: ServerAction | None = None
         self._arrival: Arrival | None = None
         self._owed = b""  # what comes in the place of the next answer
         self._rest_due = False  # of a request that was answered early
-        self._gone: Extra | None = None
+        self._gone: ExtraBytes | None = None
 
     # --- The data plane's end ---------------------------------------------------------------------------
     def get_extra_info(self, name: str, default: Any = None) -> Any:
@@ -254,7 +256,7 @@
         if self._unsent:
             raise ViolationError("a request is written where the rest of another one is due")
         if self._gone is not None:
-            self._closing = self._gone is Extra.UNSEEN_RESET
+            self._closing = self._gone is ExtraBytes.UNSEEN_RESET
             self.world.loop.call_later(LATENCY_S, self._end, ConnectionResetError(104, "reset"))
             return
         self._unsent += bytes(data)
@@ -297,7 +299,7 @@
         act = self.world.upcoming
         if request is None and (act.takes is None or len(self._inbox) < act.takes):
             return
-        if request is None and act.then is Then.GO_ON and not self.world.known_id(self._inbox):
+        if request is None and act.then is Continuation.GO_ON and not self.world.known_id(self._inbox):
             self.world.take_all_of_upcoming()
             self.world.loop.call_later(PAUSE_S, self._take)
             return
@@ -315,7 +317,7 @@
         self._inbox = self._inbox[request[2] :]
         self._look()
 
-    def _begin(self, act: Act, request: tuple[str, int, int] | None) -> None:
+    def _begin(self, act: ServerAction, request: tuple[str, int, int] | None) -> None:
         """A request is there, whole or in part."""
         if request is not None:
             request_id, after, size = request
@@ -335,12 +337,12 @@
         if not rest:
             first, rest = self._whole(act, first), b""
         self._send(owed + first)
-        if rest or act.then is not Then.GO_ON:
+        if rest or act.then is not Continuation.GO_ON:
             self._then(act, rest)
         else:
             self._ready()
 
-    def _whole(self, act: Act, last: bytes) -> bytes:
+    def _whole(self, act: ServerAction, last: bytes) -> bytes:
         """The last bytes of the answer, and what comes behind them in the same segment."""
         assert self._arrival is not None and self._arrival.answer is not None
         answer = self._arrival.answer
@@ -359,46 +361,46 @@
             self._owed = now + later
         return last
 
-    def _surplus(self, act: Act, answer: Scripted) -> tuple[bytes, bytes]:
+    def _surplus(self, act: ServerAction, answer: ScriptedResponse) -> tuple[bytes, bytes]:
         assert self._arrival is not None
         match act.extra:
-            case Extra.UNSEEN_RESET | Extra.DROPPED:
+            case ExtraBytes.UNSEEN_RESET | ExtraBytes.DROPPED:
                 self._gone = act.extra
-            case Extra.SAME_ANSWER:
+            case ExtraBytes.SAME_ANSWER:
                 return answer.data, b""
-            case Extra.OTHER_ANSWER:
+            case ExtraBytes.OTHER_ANSWER:
                 return answer.data.replace(self._arrival.request_id.encode(), b"zz"), b""
-            case Extra.HALF_ANSWER:
+            case ExtraBytes.HALF_ANSWER:
                 half = answer.data.index(b"\r\n") + 2
                 return answer.data[:half], answer.data[half:]
-            case Extra.RUBBISH:
+            case ExtraBytes.RUBBISH:
                 return b"\x16\x03\x01 no answer\r\n\r\n", b""
-            case Extra.ONE_BYTE:
+            case ExtraBytes.ONE_BYTE:
                 return b"H", b""
         return b"", b""
 
-    def _then(self, act: Act, rest: bytes) -> None:
+    def _then(self, act: ServerAction, rest: bytes) -> None:
         loop, arrival, then = self.world.loop, self._arrival, act.then
         assert arrival is not None and arrival.answer is not None
-        if then is Then.CLOSE and arrival.answer.closes:
-            then = Then.RESET  # where a proper close would be the proper end
+        if then is Continuation.CLOSE and arrival.answer.closes:
+            then = Continuation.RESET  # where a proper close would be the proper end
         wait = max(self._due_at - loop.time(), 0.0) + LATENCY_S
         match then:
-            case Then.RESET:
+            case Continuation.RESET:
                 loop.call_later(wait, self._end, ConnectionResetError(104, "reset"))
-            case Then.CLOSE:
+            case Continuation.CLOSE:
                 self._close_cleanly(None)
-            case Then.GO_ON:
+            case Continuation.GO_ON:
                 loop.call_later(wait + PAUSE_S, self._go_on, act, rest)
-            case Then.LATE:
+            case Continuation.LATE:
                 loop.call_later(TIMEOUT_MS / 1000.0 + 0.1, self._go_on, act, rest)
-            case Then.CANCEL:
+            case Continuation.CANCEL:
                 loop.call_later(wait, self.world.cancel, arrival.request_id)
                 loop.call_later(wait + PAUSE_S, self._go_on, act, rest)
-            case Then.SILENCE:
+            case Continuation.SILENCE:
                 pass
 
-    def _go_on(self, act: Act, rest: bytes) -> None:
+    def _go_on(self, act: ServerAction, rest: bytes) -> None:
         if self._ended:
             return
         while act.piece and len(rest) > act.piece:
@@ -530,7 +532,7 @@
         self,
         loop: VirtualLoop,
         kind: str,
-        script: Sequence[Act],
+        script: Sequence[ServerAction],
         servers: int = 2,
         connects: Sequence[Connect] = (),
     ) -> None:
@@ -555,11 +557,11 @@
 
     # --- The script -------------------------------------------------------------------------------------
     @property
-    def upcoming(self) -> Act:
+    def upcoming(self) -> ServerAction:
         """What the server does with the next request."""
         if self._played < len(self._script):
             return self._script[self._played]
-        return Act("stream" if self.route.kind is RouteKind.STREAMING else "length")
+        return ServerAction("stream" if self.route.kind is RouteKind.STREAMING else "length")
 
     def next_act(self) -> None:
         self._played += 1
@@ -668,13 +670,13 @@
         if any(record.in_flight or record.unanswered for record in records.values()):
             raise ViolationError("a request is held to be at a server for ever")
 
-    def check_served(self, spoiled: int) -> None:
+    def check_served(self, allowed_failures: int) -> None:
         """Beyond the first requests, which met the script, all must be served. Raises Violation."""
-        for caller in list(self.callers.values())[spoiled:]:
+        for caller in list(self.callers.values())[allowed_failures:]:
             answer = caller.answer
             served = answer.is_complete if isinstance(answer, StreamEnd) else answer_status(answer) == 200
             if not served:
-                raise ViolationError(f"a request that met no trouble got {answer}")
+                raise ViolationError(f"a request that met no fault got {answer}")
 
     def _check(self, caller: Caller) -> None:
         request_id, answer = caller.request.request_id, caller.answer
@@ -752,7 +754,7 @@
     def play(
         self,
         kind: str,
-        script: Sequence[Act],
+        script: Sequence[ServerAction],
         *,
         servers: int = 2,
         connects: Sequence[Connect] = (),
--- a/tests/nodes/test_edge.py
+++ b/tests/nodes/test_edge.py
@@ -12,7 +12,7 @@
 from granitewell.domain.settings import Settings
 from granitewell.nodes import edge
 from granitewell.nodes.process import Signals
-from tests.dataplane.standin import Scene, Seen, StandIn, configuration, read_message, settings
+from tests.dataplane.standin import ReceivedRequest, Scene, StandIn, configuration, read_message, settings
 
 MAX_S = 10.0
 
@@ -57,7 +57,7 @@
     async def run() -> None:
         release = asyncio.Event()
 
-        async def behaviour(seen: Seen) -> None:
+        async def behaviour(seen: ReceivedRequest) -> None:
             await release.wait()
             seen.answer()
 
@@ -71,7 +71,7 @@
         assert await readiness(plane.ready_port) == 503  # it knows nothing yet
         s = Scene(plane, [server])
         plane.apply_configuration(configuration())
-        s.tell()
+        s.register_servers()
         assert await readiness(plane.ready_port) == 200
         call = asyncio.create_task(s.call("/once/x"))
         while not server.seen:
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -20,17 +20,22 @@
 from granitewell.state_machine import Heard, Say, Woken
 
 S = 1_000_000
-DAYS = ("loan-from-answer", "lent-short", "doubled-counts", "begins-free")  # that days catch
+FOUND_BY_RANDOM_FAULTS = (
+    "loan-from-answer",
+    "lent-short",
+    "doubled-counts",
+    "begins-free",
+)  # that days catch
 
 
-def node(name: str, first: bool = True, most: int = 2) -> QuotaManager:
+def node(name: str, first: bool = True, max_nodes: int = 2) -> QuotaManager:
     made = QuotaManager(name, ord(name), KEYS, SETTINGS, Random(name), 0, first=first)
-    made.handle(0, ActiveNodes(most, {n: n for n in "ab" if n != name}))
+    made.handle(0, ActiveNodes(max_nodes, {n: n for n in "ab" if n != name}))
     made.handle(0, BudgetTotals({KEY: 100 * MILLI}))
     return made
 
 
-def talk(now: int, *nodes: QuotaManager) -> list[Say]:
+def exchange_messages(now: int, *nodes: QuotaManager) -> list[Say]:
     """All wake; what they say is delivered at once, and what comes of that, too."""
     by_name, heard = {n.name: n for n in nodes}, list[Say]()
     said = [(n.name, e) for n in nodes for e in n.handle(now, Woken())]
@@ -42,46 +47,46 @@
     return heard
 
 
-def right(one: QuotaManager, now: int) -> float:
+def available_rate(one: QuotaManager, now: int) -> float:
     return one.budgets[KEY].quota.available(now) / MILLI
 
 
-def busy(now: int, a: QuotaManager, b: QuotaManager, until: int) -> int:
+def run_with_demand(now: int, a: QuotaManager, b: QuotaManager, until: int) -> int:
     while now < until:
         now += 5_000
         a.try_acquire(now, KEY)
         if now % SETTINGS.round_interval_us == 0:
-            talk(now, a, b)
+            exchange_messages(now, a, b)
     return now
 
 
 # --- Days and the search --------------------------------------------------------------------------------
-def test_days_of_chaos_never_allow_more_than_the_whole_and_have_one_digest() -> None:
+def test_random_faults_never_exceed_the_budget_and_are_reproducible() -> None:
     days = [play(Case(seed, 0.7)) for seed in range(1, 25)]
     assert not any(d.broken for d in days), [d.broken for d in days if d.broken]
     assert max(float(str(d.figures["right_max"])) for d in days) <= 1.0 and any(d.done for d in days)
     assert play(Case(5, 0.7)).digest == days[4].digest
 
 
-@pytest.mark.parametrize("plant", DAYS)
-def test_a_planted_defect_breaks_a_day(plant: str) -> None:
+@pytest.mark.parametrize("plant", FOUND_BY_RANDOM_FAULTS)
+def test_planted_defect_is_found_by_random_faults(plant: str) -> None:
     assert any(play(Case(seed, 0.8, plant=plant)).broken for seed in range(1, 65))
 
 
-def test_every_state_of_a_small_world_keeps_to_the_whole() -> None:
+def test_exhaustive_search_never_exceeds_the_budget() -> None:
     seen = look(1, 1)
     assert seen.whole and not seen.broken and seen.states > 8_000
 
 
 @pytest.mark.parametrize(("plant", "wants", "ends"), [("lent-short", 1, 0), ("begins-free", 1, 1)])
-def test_the_search_finds_a_planted_defect_by_the_shortest_way(plant: str, wants: int, ends: int) -> None:
+def test_search_finds_planted_defect_by_a_shortest_path(plant: str, wants: int, ends: int) -> None:
     with planted(plant):
         seen = look(wants, ends)
     assert "all may spend" in seen.broken and 2 <= len(seen.trace) <= 8
 
 
 # --- Rights ---------------------------------------------------------------------------------------------
-def test_a_loan_given_back_never_comes_again() -> None:
+def test_returned_loan_is_never_restored() -> None:
     def played() -> None:
         made = Quota(SETTINGS, 1_000, 2, 0)
         made.borrow(0, 10, ("b", 1, 1), 300)
@@ -97,15 +102,17 @@
         played()
 
 
-def test_what_was_lent_by_a_process_before_is_not_spent_by_the_next_until_it_has_ended() -> None:
+def test_restarted_lender_does_not_spend_loans_of_its_predecessor() -> None:
     one = node("a", first=False)
-    assert right(one, 0) == pytest.approx(5.0) and right(one, SETTINGS.lender_loan_us) == 50.0
+    assert (
+        available_rate(one, 0) == pytest.approx(5.0) and available_rate(one, SETTINGS.lender_loan_us) == 50.0
+    )
     assert one.budgets[KEY].quota.lendable(SETTINGS.lender_loan_us - 1) == 0
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("lbgr"), st.integers(1, 60), st.integers(0, 3 * S)), max_size=30))
-def test_a_lender_keeps_its_floor_and_lends_no_more_than_it_has(steps: list[tuple[str, int, int]]) -> None:
+def test_lender_keeps_its_reserve_and_lends_no_more_than_it_has(steps: list[tuple[str, int, int]]) -> None:
     made, now = Quota(QuotaSettings(reserve_fraction=0.3), 100, 2, 0), 0
     for what, amount, wait in steps:
         now += wait
@@ -122,48 +129,52 @@
 
 
 # --- Trading --------------------------------------------------------------------------------------------
-def test_rights_go_where_the_demand_is_and_come_back_when_it_ends() -> None:
+def test_quota_moves_to_demand_and_returns() -> None:
     a, b = node("a"), node("b")
-    now = busy(0, a, b, 2 * S)
-    assert right(a, now) > 85.0 and right(a, now) + right(b, now) <= 100.0 and right(b, now) >= 5.0
+    now = run_with_demand(0, a, b, 2 * S)
+    assert (
+        available_rate(a, now) > 85.0
+        and available_rate(a, now) + available_rate(b, now) <= 100.0
+        and available_rate(b, now) >= 5.0
+    )
     for _ in range(25):  # nobody asks any more: a gives back what it does not need, and no letter is said
         now += SETTINGS.round_interval_us
-        last = talk(now, a, b)
-    assert right(a, now) == right(b, now) == 50.0 and last == []
+        last = exchange_messages(now, a, b)
+    assert available_rate(a, now) == available_rate(b, now) == 50.0 and last == []
 
 
-def test_who_hears_nothing_falls_back_to_its_home_and_a_stop_spends_nothing_of_what_was_lent() -> None:
+def test_isolated_node_falls_back_to_its_base_quota() -> None:
     a, b = node("a"), node("b")
-    now = busy(0, a, b, 2 * S)
+    now = run_with_demand(0, a, b, 2 * S)
     later = now + 60 * S
-    assert right(a, later) == 50.0
+    assert available_rate(a, later) == 50.0
     taken = sum(a.try_acquire(later + k, KEY) < 0 for k in range(200))
     assert taken <= 50  # a second of its own at once, and nothing of a minute's
 
     def stopped() -> None:
         one, other = node("a"), node("b")
-        at = busy(0, one, other, 2 * S) + 60 * S
+        at = run_with_demand(0, one, other, 2 * S) + 60 * S
         assert sum(one.try_acquire(at + k, KEY) < 0 for k in range(200)) <= 50
 
     with planted("stall-spends"), pytest.raises(AssertionError):
         stopped()
 
 
-def test_a_doubled_answer_and_one_that_comes_an_hour_late_give_nothing() -> None:
+def test_duplicate_and_late_grants_are_ignored() -> None:
     a, b = node("a"), node("b")
     for k in range(400):
         a.try_acquire(k * 1_000, KEY)
     (want,) = (e for e in a.handle(S, Woken()) if isinstance(e, Say))
     (lend,) = (e for e in b.handle(S, Heard("a", want.data)) if isinstance(e, Say))
     a.handle(S, Heard("b", lend.data))
-    once = right(a, S)
+    once = available_rate(a, S)
     a.handle(S, Heard("b", lend.data))
-    assert right(a, S) == once > 50.0
+    assert available_rate(a, S) == once > 50.0
     a.handle(3_600 * S, Heard("b", lend.data))
-    assert right(a, 3_600 * S) == 50.0
+    assert available_rate(a, 3_600 * S) == 50.0
 
 
-def test_a_node_lends_what_it_does_not_need_and_never_its_floor() -> None:
+def test_node_lends_spare_quota_but_never_its_reserve() -> None:
     a, b = node("a"), node("b")
     now = 0
     while now < 10 * S:
@@ -172,8 +183,8 @@
         for _ in range(2):
             a.try_acquire(now, KEY)
         if now % SETTINGS.round_interval_us == 0:
-            talk(now, a, b)
-    assert right(b, now) >= 45.0
+            exchange_messages(now, a, b)
+    assert available_rate(b, now) >= 45.0
 
     def starved() -> None:
         made = Quota(SETTINGS, 1_000, 2, 0)
@@ -185,13 +196,13 @@
         starved()
 
 
-def test_budgets_that_change_and_keys_that_have_none() -> None:
+def test_budget_changes_and_keys_without_budget() -> None:
     a = node("a")
     assert a.try_acquire(S, "unknown") == -1 and a.try_acquire(S, KEY) == -1
     a.handle(S, BudgetTotals({KEY: 20 * MILLI, "other": 0}))
-    assert right(a, S) == 10.0 and a.try_acquire(S, "other") == SETTINGS.round_interval_us
+    assert available_rate(a, S) == 10.0 and a.try_acquire(S, "other") == SETTINGS.round_interval_us
     a.handle(S, ActiveNodes(5, {"b": "b"}))
-    assert right(a, S) == 4.0
+    assert available_rate(a, S) == 4.0
     a.handle(S, BudgetTotals({}))
     assert a.try_acquire(S, KEY) == -1 and a.wake_us == -1
     with pytest.raises(TypeError, match="budgets"):
@@ -209,23 +220,27 @@
         (seal(Kind.RIGHT, LETTERS.write(Lend(1, KEY, 9, [1, 50])), KEYS, "b"), "unsolicited"),
     ],
 )  # fmt: skip
-def test_what_is_no_letter_for_us_is_counted_and_gives_nothing(data: bytes, why: str) -> None:
+def test_invalid_messages_are_counted_and_ignored(data: bytes, why: str) -> None:
     a = node("a")
-    assert a.handle(S, Heard("b", data)) == [] and a.counts[f"dropped {why}"] == 1 and right(a, S) == 50.0
+    assert (
+        a.handle(S, Heard("b", data)) == []
+        and a.counts[f"dropped {why}"] == 1
+        and available_rate(a, S) == 50.0
+    )
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.binary(max_size=200))
-def test_bytes_from_a_holder_of_the_key_raise_nothing(body: bytes) -> None:
+def test_arbitrary_authenticated_bytes_raise_nothing(body: bytes) -> None:
     node("a").handle(S, Heard("b", seal(Kind.RIGHT, body, KEYS, "b")))
 
 
-def test_other_keys_are_taken_up_and_every_defect_is_caught_somewhere() -> None:
+def test_keys_are_replaced_and_every_planted_defect_is_covered() -> None:
     a = node("a")
     other = Keys(Key(b"another key altogether"))
     a.handle(0, KeysChanged(other))
     for k in range(400):
         a.try_acquire(k * 1_000, KEY)
     assert isinstance(open_(next(e for e in a.handle(S, Woken()) if isinstance(e, Say)).data, other), Frame)
-    assert set(PLANTS) == {*DAYS, "back-forgotten", "stall-spends", "floor-lent"}
+    assert set(PLANTS) == {*FOUND_BY_RANDOM_FAULTS, "back-forgotten", "stall-spends", "floor-lent"}
     assert LETTERS.read(LETTERS.write(Back(KEY, 1, [2]))) == Back(KEY, 1, [2])
