--- a/tests/rpc/test_transport.py
+++ b/tests/rpc/test_transport.py
@@ -30,7 +30,7 @@
 LOOPS = [asyncio.new_event_loop, uvloop.new_event_loop]  # what runs in service is uvloop
 
 
-def play(handler: Any, use: Callable[[RpcPeers, str, RpcServer], Awaitable[Any]]) -> None:
+def run_with_server(handler: Any, use: Callable[[RpcPeers, str, RpcServer], Awaitable[Any]]) -> None:
     async def run() -> Any:
         server = RpcServer({Method.WATCH: handler})
         await server.start("127.0.0.1", 0)
@@ -58,10 +58,10 @@
         assert replies == [b"%d 127.0.0.1" % n for n in range(50)]
         assert len(server.connections) == 1
 
-    play(echo, use)
+    run_with_server(echo, use)
 
 
-def test_what_a_handler_raises_reaches_the_caller_as_a_type() -> None:
+def test_handler_errors_reach_the_caller() -> None:
     async def broken(payload: bytes, peer: str) -> bytes:
         raise ValueError("no such thing")
 
@@ -71,10 +71,10 @@
         with pytest.raises(RpcError, match="no method"):
             await peers[address].call(Method.DEMAND, b"", 5)
 
-    play(broken, use)
+    run_with_server(broken, use)
 
 
-def test_no_reply_in_time_is_a_timeout_and_a_dead_port_unreachable() -> None:
+def test_missing_reply_is_a_timeout_and_closed_port_unreachable() -> None:
     async def never(payload: bytes, peer: str) -> bytes:
         await asyncio.Event().wait()
         return b""
@@ -85,10 +85,10 @@
         with pytest.raises(PeerUnreachableError):
             await peers["127.0.0.1:1"].call(Method.WATCH, b"", 5)
 
-    play(never, use)
+    run_with_server(never, use)
 
 
-def test_one_way_messages_arrive_though_the_connection_is_not_up_yet() -> None:
+def test_one_way_messages_are_sent_after_connecting() -> None:
     async def run() -> None:
         heard: asyncio.Queue[bytes] = asyncio.Queue()
 
@@ -120,7 +120,7 @@
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     ],
 )
-def test_bytes_that_are_no_frame_end_the_connection_and_nothing_else(head: bytes) -> None:
+def test_malformed_frame_ends_only_its_connection(head: bytes) -> None:
     async def use(peers: RpcPeers, address: str, server: RpcServer) -> None:
         host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -132,11 +132,11 @@
         writer.close()
         assert await peers[address].call(Method.WATCH, b"x", 5) == b"x127.0.0.1"
 
-    play(echo, use)
+    run_with_server(echo, use)
 
 
 @given(st.binary(max_size=200))
-def test_garbage_is_a_bad_frame_or_a_message(data: bytes) -> None:
+def test_random_bytes_are_rejected_or_decoded(data: bytes) -> None:
     for kind in (WatchReply, DemandReport, GroupMessage):
         try:
             decode(kind, data)
@@ -144,7 +144,7 @@
             continue
 
 
-def test_counts_beyond_the_bytes_are_refused_before_the_library_reads_them() -> None:
+def test_false_counts_are_rejected_before_decoding() -> None:
     long_list = bytes([15, 0, 3, 12]) + (2**31 - 1).to_bytes(4, "big")
     long_text = bytes([11, 0, 1]) + (2**31 - 1).to_bytes(4, "big") + b"x"
     negative = bytes([11, 0, 1]) + b"\xff\xff\xff\xff" + b"\0"
@@ -155,7 +155,7 @@
             decode(WatchReply, data)
 
 
-def test_a_message_cut_anywhere_is_refused() -> None:
+def test_truncated_message_is_rejected() -> None:
     whole = encode(GroupMessage(group="g", sender_address="10.0.0.1:7660", payload=b"payload"))
     for length in range(len(whole)):
         with pytest.raises(MalformedFrameError):
@@ -163,7 +163,7 @@
 
 
 @given(st.text(max_size=20), st.binary(max_size=300))
-def test_messages_come_back_as_they_went(group: str, payload: bytes) -> None:
+def test_messages_round_trip(group: str, payload: bytes) -> None:
     message = GroupMessage(group=group, sender_address="10.0.0.1:7660", payload=payload)
     back = decode(GroupMessage, encode(message))
     assert (back.group, back.payload) == (group, payload)
@@ -200,7 +200,7 @@
 }
 
 
-def feed(data: bytes, cut: int) -> tuple[Any, Any, bool]:
+def receive_replies(data: bytes, cut: int) -> tuple[Any, Any, bool]:
     """What two callers get of a connection's bytes, which come in two parts; whether it was ended."""
 
     async def run() -> tuple[Any, Any, bool]:
@@ -222,19 +222,19 @@
     return future.exception() or future.result()
 
 
-def test_each_caller_gets_its_own_reply_in_every_order_and_at_every_cut() -> None:
+def test_replies_match_their_calls_in_every_order_and_split() -> None:
     for names in itertools.permutations(REPLIES):
         data = b"".join(REPLIES[name] for name in names)
         expected = b"one" if names.index("first") < names.index("first again") else b"one more"
         for cut in range(0, len(data) + 1, 3):
-            first, second, ended = feed(data, cut)
+            first, second, ended = receive_replies(data, cut)
             assert first == expected and not ended
             assert isinstance(second, RpcError) and "two" in str(second)
 
 
 @pytest.mark.parametrize("length", range(len(REPLIES["first"])))
-def test_a_reply_that_is_cut_answers_nobody(length: int) -> None:
-    assert feed(REPLIES["first"][:length], 0)[:2] == (None, None)
+def test_truncated_reply_answers_no_call(length: int) -> None:
+    assert receive_replies(REPLIES["first"][:length], 0)[:2] == (None, None)
 
 
 @pytest.mark.parametrize(
@@ -248,13 +248,13 @@
         frame(77, Method.WATCH, 99),
     ],
 )
-def test_a_frame_that_can_be_no_reply_ends_the_connection_and_answers_nobody(foreign: bytes) -> None:
-    first, second, ended = feed(foreign + REPLIES["first"] + REPLIES["second"], 0)
+def test_unexpected_frame_ends_the_connection(foreign: bytes) -> None:
+    first, second, ended = receive_replies(foreign + REPLIES["first"] + REPLIES["second"], 0)
     assert isinstance(first, PeerUnreachableError) and isinstance(second, PeerUnreachableError) and ended
 
 
 @pytest.mark.parametrize("kind", [Kind.REPLY, Kind.FAILURE, 0, 77])
-def test_a_server_runs_nothing_for_a_frame_that_is_no_call(kind: int) -> None:
+def test_server_ignores_frames_that_are_no_call(kind: int) -> None:
     ran: list[bytes] = []
 
     async def handler(payload: bytes, peer: str) -> bytes:
@@ -272,7 +272,7 @@
         writer.close()
         assert ran == []
 
-    play(handler, use)
+    run_with_server(handler, use)
 
 
 async def reconnect() -> None:
@@ -301,11 +301,11 @@
     server.close()
 
 
-def test_a_reply_on_a_new_connection_does_not_answer_a_call_of_the_old_one() -> None:
+def test_reply_on_a_new_connection_does_not_match_an_old_call() -> None:
     asyncio.run(reconnect())
 
 
-def test_replies_matched_without_their_connection_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_defect_matching_without_the_connection_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     of_all: dict[int, Any] = {}
     real = _ClientProtocol.__init__
 
@@ -322,7 +322,7 @@
         asyncio.run(reconnect())
 
 
-def test_replies_matched_without_their_method_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_defect_matching_without_the_method_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     real = _ClientProtocol.frame
 
     def any_method(self: _ClientProtocol, kind: int, method: int, call: int, payload: bytes) -> None:
@@ -330,11 +330,11 @@
         real(self, kind, method if pending is None else pending.method, call, payload)
 
     monkeypatch.setattr(_ClientProtocol, "frame", any_method)
-    first, _, ended = feed(frame(Kind.REPLY, Method.EDGES, 1, b"of another method"), 0)
+    first, _, ended = receive_replies(frame(Kind.REPLY, Method.EDGES, 1, b"of another method"), 0)
     assert first == b"of another method" and not ended
 
 
-def test_a_client_that_is_dropped_while_it_dials_leaves_no_connection() -> None:
+def test_client_closed_while_connecting_leaves_no_connection() -> None:
     async def use(peers: RpcPeers, address: str, server: RpcServer) -> None:
         client = RpcClient(address)
         call = asyncio.create_task(client.call(Method.WATCH, b"", 5))
@@ -348,4 +348,4 @@
         with pytest.raises(PeerUnreachableError):
             await client.call(Method.WATCH, b"", 5)
 
-    play(echo, use)
+    run_with_server(echo, use)
--- a/tools/behavior_digests.py
+++ b/tools/behavior_digests.py
@@ -247,7 +247,9 @@
 
     world = play_simulated(play(seed))
     for arrival in world.arrivals:
-        recorder.add(arrival.id, arrival.server, arrival.at, arrival.handed_s, arrival.ran, arrival.ended_at)
+        recorder.add(
+            arrival.id, arrival.server, arrival.at, arrival.remaining_s, arrival.ran, arrival.ended_at
+        )
     for sent in world.sent:
         answer = sent.answer
         body = (answer.status, answer.body) if answer is not None and answer.first_line else (0, b"")
@@ -256,13 +258,13 @@
 
 def play_upstream_bytes(seed: int, recorder: Recorder) -> None:
     """Requests to servers byte by byte, with several faults."""
-    from tests.dataplane.wire_faults import play_course
+    from tests.dataplane.wire_faults import play_fault_sequence
     from tests.dataplane.wire_world import Runner
 
     runner = Runner()
     try:
         for course in range(seed * 10, seed * 10 + 10):
-            world = play_course(runner, course)
+            world = play_fault_sequence(runner, course)
             for arrival in world.arrivals:
                 recorder.add(arrival.request_id, arrival.number, arrival.server, arrival.ran, arrival.whole)
             for caller in world.callers.values():
