--- a/tests/dataplane/node_world.py
+++ b/tests/dataplane/node_world.py
@@ -1,7 +1,7 @@
-"""A whole edge node for some seconds of virtual time, by one seed.
+"""Random simulation of one edge node for some seconds of virtual time, by seed.
 
-Clients come and leave, servers have faults, come and go, configurations change, and there is a SIGTERM. Then
-`check` holds what all have seen against the rules.
+Clients connect and disconnect, servers fail and drain, configurations change, and the node gets a SIGTERM.
+`check` then compares what clients and servers have seen with the rules.
 """
 
 from __future__ import annotations
@@ -18,20 +18,18 @@
 from tests.dataplane.standin import Message, ReceivedRequest, Scene, configuration, route, scene
 
 GRACE_S = 8.0
-TOLERANCE_S = (
-    0.5  # of the rules on time: after a client left, after a request's time, beyond a client's deadline
-)
-TRAVEL_TIME_S = 0.01  # of a message, both ways and with some loop turns
-MIN_LISTEN_S = 2.0  # after SIGTERM: sooner, no client may find the node closed
-POLL_INTERVAL_S = 0.02  # of a server at work, for the end of its connection
+TOLERANCE_S = 0.5  # after a client's disconnect, after a deadline
+TRAVEL_TIME_S = 0.01  # of a message both ways, with some turns of the event loop
+MIN_LISTEN_S = 2.0  # after SIGTERM, for which every connection must be accepted
+POLL_INTERVAL_S = 0.02  # in which a busy server checks for the end of its connection
 CLIENTS = 24
-ARRIVAL_SPAN_S = 6.0  # in which clients come
+ARRIVAL_SPAN_S = 6.0  # in which clients connect
 EVENTS = 4
 KINDS = ("once", "again", "stream", "resume", "model")
 
 
 class ViolationError(AssertionError):
-    """A rule is broken."""
+    """A rule is violated."""
 
 
 @dataclass
@@ -39,9 +37,9 @@
     """A client's request, as the client saw it.
 
     Attributes:
-        told_s: Its deadline, None: it tells none.
-        timeout_s and min_timeout_s: Of the route, the longest and shortest that were in force while it was
-            under way.
+        deadline_s: Deadline that the client sent, None if it sent none.
+        timeout_s: Longest timeout of the route that was in force during the request.
+        min_timeout_s: Shortest timeout of the route that was in force during the request.
     """
 
     id: str
@@ -56,31 +54,31 @@
 
     @property
     def due_at(self) -> float:
-        """When its time is over at the latest."""
+        """Latest possible deadline."""
         return self.sent_at + min(self.deadline_s or self.timeout_s, self.timeout_s)
 
     @property
     def soonest_due_at(self) -> float:
-        """When its time is over, whichever configuration counts."""
+        """Earliest possible deadline, whichever configuration applies."""
         return self.sent_at + min(self.deadline_s or self.min_timeout_s, self.min_timeout_s)
 
 
 @dataclass
 class Arrival:
-    """A request at a server, as the server saw it."""
+    """A request received by a server, as the server saw it."""
 
     id: str
     server: str
     at: float
     remaining_s: float
     ran: bool = True
-    faulty: bool = False  # the server broke off, or was silent
+    faulty: bool = False  # the server closed the connection or did not respond
     ended_at: float = 0.0
 
 
 @dataclass
 class World:
-    """What happened."""
+    """State and log of one simulation."""
 
     rng: Random
     sent: list[SentRequest] = field(default_factory=list)
@@ -91,11 +89,11 @@
 
     # --- Servers ----------------------------------------------------------------------------------------
     async def serve(self, seen: ReceivedRequest) -> None:
-        """One request at a server, with some fault or none."""
+        """Serve one request, with a random fault or none."""
         loop = asyncio.get_running_loop()
         handed = seen.request.header("Granitewell-Deadline-Ms")
         if handed is None:
-            raise ViolationError(f"{seen.id} without the time that is left")
+            raise ViolationError(f"{seen.id} without a deadline")
         arrival = Arrival(seen.id, seen.server.name, loop.time(), int(handed) / 1000.0)
         self.arrivals.append(arrival)
         fault = self.rng.choice(("none", "none", "none", "refuse", "silent", "close", "error", "late"))
@@ -106,7 +104,7 @@
         arrival.ended_at = loop.time()
 
     async def _work(self, seen: ReceivedRequest, for_s: float) -> bool:
-        """Whether nobody has closed the connection meanwhile."""
+        """Wait; return whether the connection is still open."""
         loop = asyncio.get_running_loop()
         end = loop.time() + for_s
         while loop.time() < end:
@@ -148,7 +146,7 @@
 
     # --- Clients ----------------------------------------------------------------------------------------
     async def client(self, s: Scene, number: int) -> None:
-        """One client with one request; some leave before its answer."""
+        """Run one client with one request; some disconnect before the response."""
         rng, loop = self.rng, asyncio.get_running_loop()
         deadline_s = rng.choice((None, 0.4, 1.0, 3.0, 30.0))
         request = SentRequest(f"{number:016x}", rng.choice(KINDS), deadline_s)
@@ -158,7 +156,7 @@
             client = await s.connect()
         except ConnectionError:
             if loop.time() < self.sigterm_at + MIN_LISTEN_S or not self.sigterm_at:
-                raise ViolationError(f"{request.id} finds nobody at {loop.time():.3f}") from None
+                raise ViolationError(f"{request.id} is refused a connection at {loop.time():.3f}") from None
             return
         self.sent.append(request)
         request.sent_at = loop.time()
@@ -185,9 +183,9 @@
         else:
             transport.close()
 
-    # --- The operator and the platform --------------------------------------------------------------------
+    # --- The operator and the platform ------------------------------------------------------------------
     async def operator(self, s: Scene) -> None:
-        """New configurations and servers; each request may see the longest time-out of its life."""
+        """Change configurations and servers; a request may be subject to any timeout in force meanwhile."""
         for version in range(2, 9):
             await asyncio.sleep(self.rng.random() * 1.5)
             timeout_s = self.rng.choice((0.5, 1.0, 2.0, 15.0))
@@ -205,7 +203,7 @@
             s.plane.apply_servers([s.server(stand_in, service, models, state=state)], [])
 
     async def platform(self, s: Scene) -> None:
-        """SIGTERM, and the end of the process."""
+        """Send the SIGTERM and wait for the end of the process."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(2.0 + self.rng.random() * 3.0)
         self.sigterm_at = loop.time()
@@ -215,7 +213,7 @@
 
 
 def routes(timeout_s: float, more: bool) -> Sequence[Route]:
-    """One of each kind, and one that comes and goes."""
+    """Return one route of each kind, and one that only some configurations have."""
     fields: dict[str, Any] = {"timeout_ms": timeout_s * 1000.0}
     made = [
         route("once", **fields),
@@ -228,7 +226,7 @@
 
 
 async def play(seed: int) -> World:
-    """One node's seconds; raises Violation."""
+    """Run the simulation of a seed; raises ViolationError."""
     world = World(Random(seed))
     async with scene(*[world.serve] * 4) as s:
         s.plane.apply_configuration(configuration(1, routes(world.timeout_s, True)))
@@ -243,11 +241,11 @@
     return world
 
 
-# --- The rules --------------------------------------------------------------------------------------------
+# --- The rules ------------------------------------------------------------------------------------------
 def check(world: World) -> None:
-    """Raises Violation."""
+    """Check all rules; raises ViolationError."""
     if world.exited_at - world.sigterm_at > GRACE_S:
-        raise ViolationError(f"the process needs {world.exited_at - world.sigterm_at:.3f} s to end")
+        raise ViolationError(f"the process takes {world.exited_at - world.sigterm_at:.3f} s to end")
     for request in world.sent:
         arrivals = [arrival for arrival in world.arrivals if arrival.id == request.id]
         _check_arrivals(request, arrivals)
@@ -266,7 +264,7 @@
         raise ViolationError(f"{request} runs twice")
     for arrival in arrivals:
         if arrival.at + arrival.remaining_s > request.due_at + TRAVEL_TIME_S:
-            raise ViolationError(f"{arrival} is handed more time than is left of {request}")
+            raise ViolationError(f"{arrival} is given more time than is left of {request}")
 
 
 def _check_after_leaving(request: SentRequest, arrivals: list[Arrival]) -> None:
@@ -275,26 +273,26 @@
         if arrival.at > request.left_at + TOLERANCE_S:
             raise ViolationError(f"{arrival} after its client left: {request}")
         if arrival.ended_at > request.left_at + TOLERANCE_S:
-            raise ViolationError(f"{arrival} is worked on after its client left: {request}")
+            raise ViolationError(f"{arrival} is still executed after its client left: {request}")
 
 
 def _check_answer(world: World, request: SentRequest, arrivals: list[Arrival]) -> None:
     answer, ended_at = request.answer, request.ended_at
     assert ended_at is not None
     if ended_at > request.due_at + TOLERANCE_S:
-        raise ViolationError(f"{request} has no end at {request.due_at:.3f}")
+        raise ViolationError(f"{request} has no response at {request.due_at:.3f}")
     if answer is None:
         if arrivals or not world.sigterm_at or request.sent_at < world.sigterm_at + MIN_LISTEN_S:
             raise ViolationError(f"{request} is lost")
         return
     if answer.status not in (200, 500, 502, 503, 504):
-        raise ViolationError(f"{request} is denied: {answer}")
+        raise ViolationError(f"{request} gets an unexpected status: {answer}")
     if answer.status == 503 and any(arrival.ran for arrival in arrivals):
-        raise ViolationError(f"{request} has run, yet it gets 503")
+        raise ViolationError(f"{request} was executed, but gets 503")
     if answer.status in (200, 500):
         _check_passed_answer(world, request, answer, arrivals)
     elif not answer.complete:
-        raise ViolationError(f"{request} gets a part of an answer of the node's own: {answer}")
+        raise ViolationError(f"{request} gets an incomplete local reply: {answer}")
 
 
 def _check_passed_answer(
@@ -302,20 +300,20 @@
 ) -> None:
     is_signed = answer.header("Granitewell-Response-Seal") is not None
     if answer.header("Granitewell-Request-Id") != request.id or not is_signed:
-        raise ViolationError(f"{request} gets an answer to another one: {answer}")
+        raise ViolationError(f"{request} gets the response to another request: {answer}")
     events = [b"id: %d\ndata: %s\n\n" % (k, request.id.encode()) for k in range(1, EVENTS + 1)]
     streams = answer.status == 200 and request.name in ("stream", "resume")
     whole = b"".join(events) if streams else request.id.encode()
     if answer.complete and answer.body != whole:
-        raise ViolationError(f"{request} gets a wrong answer: {answer}")
+        raise ViolationError(f"{request} gets a wrong body: {answer}")
     if not answer.complete and not _may_be_cut(world, request, arrivals):
-        raise ViolationError(f"{request} is cut, and nobody but the node did it: {arrivals}")
+        raise ViolationError(f"{request} is cut off by the node itself: {arrivals}")
     if streams and answer.body not in [b"".join(events[:k]) for k in range(EVENTS + 1)]:
-        raise ViolationError(f"{request} gets no whole events in order: {answer}")
+        raise ViolationError(f"{request} gets incomplete or unordered events: {answer}")
 
 
 def _may_be_cut(world: World, request: SentRequest, arrivals: list[Arrival]) -> bool:
-    """Its time was over, its server broke off, or the grace period was."""
+    """Return whether the deadline or the grace period had passed, or a server had failed."""
     assert request.ended_at is not None
     overdue = request.ended_at >= request.soonest_due_at - TOLERANCE_S / 4
     graceless = bool(world.sigterm_at) and request.ended_at > world.sigterm_at + GRACE_S / 2
@@ -323,10 +321,10 @@
 
 
 def check_no_request_left(s: Scene) -> None:
-    """No place in a line, no request counted at a server, none under way."""
+    """Check that no request is queued, counted at a server, or in progress."""
     for state in s.plane._dispatcher._services.values():
         counts = [(record.in_flight, record.unanswered) for record in state.records.values()]
         if state.queue or any(count != (0, 0) for count in counts):
-            raise ViolationError(f"{len(state.queue)} in line, {counts} at servers")
+            raise ViolationError(f"{len(state.queue)} queued, {counts} at servers")
     if s.plane._forwarders or s.plane._http_server._in_progress or s.plane._upstreams._busy:
-        raise ViolationError("requests or connections are left")
+        raise ViolationError("requests or connections are left over")
--- a/tests/dataplane/simulated_network.py
+++ b/tests/dataplane/simulated_network.py
@@ -1,8 +1,8 @@
-"""Connections in memory on virtual time: the data plane, its clients and servers in one event loop.
+"""Simulated network on virtual time: the data plane, its clients and servers in one event loop.
 
 `create_connection` and `create_server` of the loop give transports without sockets, so scenes of standin.py
-run unchanged, to the millisecond and without sleeping. What is written arrives at the other end after the
-link's delay, in order; an end that does not read holds it up, as a full window does.
+run unchanged, exact to the millisecond and without real waiting. Data arrives at the other end after the
+link's delay, in order. An end that does not read stops the sender, as a full TCP window does.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from tests.coordination.virtual_loop import VirtualLoop
 
 DELAY_S = 0.001  # one way
-MAX_SCENE_S = 120.0  # virtual seconds of any scene
-WINDOW_BYTES = 64 * 1024  # on their way to an end that does not read
-HIGH_WATER_BYTES = 64 * 1024  # unsent: above it the writer is told to pause
+MAX_SCENE_S = 120.0  # in virtual time
+WINDOW_BYTES = 64 * 1024  # in flight to an end that does not read
+HIGH_WATER_BYTES = 64 * 1024  # unsent, above which the writer is paused
 
 T = TypeVar("T")
 Address = tuple[str, int]
 
 
 class SimulatedTransport(asyncio.Transport):
-    """One end of a connection."""
+    """One end of a simulated connection."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address) -> None:
         super().__init__(extra={"sockname": address, "peername": address})
@@ -33,8 +33,10 @@
         self._protocol: Any = None
         self.peer: SimulatedTransport | None = None
         self._unsent: deque[bytes] = deque()
-        self._incoming: deque[Callable[[], None]] = deque()  # on their way here, in order
-        self._unread: deque[bytes] = deque()  # arrived, not given to the protocol
+        self._incoming: deque[Callable[[], None]] = (
+            deque()
+        )  # segments and events in flight to this end, in order
+        self._unread: deque[bytes] = deque()  # received, but not yet read by the protocol
         self._on_the_way = 0
         self._reading = True
         self._paused_writing = False
@@ -42,11 +44,11 @@
         self._peer_ended = self._told_end = False
 
     def attach(self, protocol: Any) -> None:
-        """The protocol begins."""
+        """Connect the protocol."""
         self._protocol = protocol
         protocol.connection_made(self)
 
-    # --- What the protocol calls ------------------------------------------------------------------------
+    # --- Interface for the protocol ---------------------------------------------------------------------
     def get_protocol(self) -> Any:
         return self._protocol
 
@@ -82,16 +84,15 @@
         self._send()
 
     def close(self) -> None:
-        """What has been written still arrives."""
+        """Close the connection after sending all written data."""
         self._closing = self._ends_writing = True
         self._reading = False
         self._send()
 
     def abort(self) -> None:
-        """What has not been sent is lost.
+        """Close the connection and drop unsent data.
 
-        As with sockets, the other end sees a plain end, or a reset where something that it sent has not been
-        read.
+        As with sockets, the other end sees a close, or a reset if data that it sent is unread.
         """
         if self._unread:
             self.reset()
@@ -100,7 +101,7 @@
         self.close()
 
     def reset(self) -> None:
-        """What has not been sent is lost, and the other end sees a reset."""
+        """Reset the connection and drop unsent data."""
         if self._lost:
             return
         self._closing = True
@@ -142,12 +143,12 @@
                 self._loop.call_soon(self._lose, None)
 
     def _comes(self, news: Callable[[], None]) -> None:
-        """From the other end. Timers of one moment run in any order, so a queue keeps what arrives."""
+        """Schedule an event from the other end. A queue keeps the order, as simultaneous timers don't."""
         self._incoming.append(news)
         self._loop.call_later(DELAY_S, lambda: self._incoming.popleft()())
 
     def _arrived(self, data: bytes) -> None:
-        if self._closing:  # as a socket that is closed: the sender sees a reset
+        if self._closing:  # like a closed socket: the sender sees a reset
             if self.peer is not None:
                 self.peer._comes(partial(self.peer._lose, ConnectionResetError("closed")))
             return
@@ -182,7 +183,7 @@
 
 
 class _Listener:
-    """What stands for a listening socket and its server."""
+    """Stand-in for a listening socket and its server."""
 
     def __init__(self, loop: SimulatedLoop, address: Address) -> None:
         self._loop, self._address = loop, address
@@ -196,7 +197,7 @@
 
 
 class SimulatedLoop(VirtualLoop):
-    """Virtual time, and connections between those who listen and connect on this loop."""
+    """Event loop with virtual time and simulated connections."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -218,7 +219,7 @@
         await asyncio.sleep(2 * DELAY_S)
         factory = self.listeners.get((host, port))
         if factory is None:
-            raise ConnectionRefusedError(f"nobody listens on {host}:{port}")
+            raise ConnectionRefusedError(f"no listener on {host}:{port}")
         here, there = SimulatedTransport(self, (host, port)), SimulatedTransport(self, (host, port))
         here.peer, there.peer = there, here
         there.attach(factory())
@@ -228,7 +229,7 @@
 
 
 def play_simulated(scene: Coroutine[Any, Any, T]) -> T:
-    """Run a scene to its end on virtual time."""
+    """Run a scene in virtual time."""
     loop = SimulatedLoop()
     try:
         result = loop.run_until_complete(asyncio.wait_for(scene, MAX_SCENE_S))
--- a/tests/dataplane/standin.py
+++ b/tests/dataplane/standin.py
@@ -1,4 +1,4 @@
-"""Stand-ins for servers and clients on loopback, byte by byte, and a data plane between them."""
+"""Stand-ins for servers and clients, which control every byte, and a data plane between them."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from granitewell.domain.settings import Bounds, Listen, Platform, Settings
 
 HOST = "shop.example"
-TEST_TIMEOUT_S = 10.0  # of any test here
+TEST_TIMEOUT_S = 10.0  # per test
 T = TypeVar("T")
 
 
 def run_scene(scene: Coroutine[Any, Any, T]) -> T:
-    """Run a test's scene, bounded in time."""
+    """Run a scene on a real event loop, with a timeout."""
     return asyncio.run(asyncio.wait_for(scene, TEST_TIMEOUT_S))
 
 
 # --- Messages -------------------------------------------------------------------------------------------
 @dataclass
 class Message:
-    """A request or an answer as it came.
+    """A request or a response as it was received.
 
     Attributes:
-        complete: With its proper end.
+        complete: Whether it ended properly.
     """
 
     first_line: str
@@ -41,7 +41,7 @@
     complete: bool = True
 
     def header(self, name: str) -> str | None:
-        """The value of the only header of this name."""
+        """Return the value of a header that occurs at most once."""
         found = [value for key, value in self.headers if key.lower() == name.lower()]
         assert len(found) <= 1, found
         return found[0] if found else None
@@ -56,7 +56,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader, no_body: bool = False) -> Message | None:
-    """The next message of a connection; None at its end."""
+    """Read the next message of a connection; None at its end."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -87,7 +87,7 @@
 # --- Servers --------------------------------------------------------------------------------------------
 @dataclass
 class ReceivedRequest:
-    """A request at a stand-in, and the connection to answer on."""
+    """A request received by a stand-in, and its connection."""
 
     request: Message
     reader: asyncio.StreamReader
@@ -100,7 +100,7 @@
         return self.request.header("Granitewell-Request-Id") or ""
 
     def head(self, status: int = 200, length: int | None = None, **headers: str) -> bytes:
-        """A head of an answer to it, with id and seal; length None: with chunks."""
+        """Return the head of a response, with id and signature; chunked if length is None."""
         fields = {"Granitewell-Request-Id": self.id, "Granitewell-Response-Seal": "s.1"}
         fields.update({key.replace("_", "-"): value for key, value in headers.items()})
         framing = "Transfer-Encoding: chunked" if length is None else f"Content-Length: {length}"
@@ -108,33 +108,33 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
     def answer(self, status: int = 200, body: bytes = b"well", **headers: str) -> None:
-        """A whole answer."""
+        """Send a complete response."""
         self.writer.write(self.head(status, len(body), **headers) + body)
 
     def refuse(self, status: int = 503) -> None:
-        """Says that it has not run it."""
+        """Send a rejection: the request was not executed."""
         self.answer(status, b"full", Granitewell_Not_Executed="1")
 
     def chunk(self, data: bytes) -> None:
-        """A piece of an answer with chunks; empty: its end."""
+        """Send a chunk; an empty one ends the body."""
         self.writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def event(self, number: int, text: str = "word") -> None:
-        """An event of a stream, as one piece."""
+        """Send an event as one chunk."""
         self.chunk(b"id: %d\ndata: %s\n\n" % (number, text.encode()))
 
     def events(self, *numbers: int) -> None:
-        """The head of a stream and some events."""
+        """Send the head of a stream and some events."""
         self.writer.write(self.head(Content_Type="text/event-stream"))
         for number in numbers:
             self.event(number)
 
     def reset(self) -> None:
-        """Break off."""
+        """Abort the connection."""
         self.writer.transport.abort()
 
     def reset_by_kernel(self) -> None:
-        """Break off so that the other side is told of a reset, not of an end."""
+        """Abort the connection with a TCP reset."""
         sock = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
@@ -144,7 +144,7 @@
 
 
 class StandIn:
-    """A server that does what its behaviour says, with the request that came first first."""
+    """A server that handles requests with its behaviour, in order of arrival."""
 
     def __init__(self, name: str, behaviour: Behaviour) -> None:
         self.name, self.behaviour = name, behaviour
@@ -183,13 +183,13 @@
 
 
 def answer_normally(seen: ReceivedRequest) -> None:
-    """Answers."""
+    """Answer with status 200."""
     seen.answer()
 
 
 # --- Configuration --------------------------------------------------------------------------------------
 def route(name: str, kind: str = "non_idempotent", service: str = "plain", **fields: Any) -> Route:
-    """A route whose prefix is its name."""
+    """Return a route whose path prefix is its name."""
     given: dict[str, Any] = {"timeout_ms": 2000.0, "target_ms": 500.0, "max_attempts": 2, **fields}
     return Route(name=name, host=HOST, prefix=f"/{name}/", kind=RouteKind(kind), service=service, **given)
 
@@ -222,7 +222,7 @@
 
 
 def loaded_models(*names: str) -> Mapping[str, LoadedModel]:
-    """`model` or `model/adapter`."""
+    """Return loaded models from names like `model` or `model/adapter`."""
     models: dict[str, set[str]] = {}
     for name in names:
         model, _, adapter = name.partition("/")
@@ -232,7 +232,7 @@
 
 @dataclass
 class Scene:
-    """A data plane, its stand-ins, and what clients do."""
+    """A data plane with its stand-ins, and client operations."""
 
     plane: DataPlane
     stand_ins: list[StandIn]
@@ -246,11 +246,11 @@
         return Server(stand_in.name, service, stand_in.address, models=loaded_models(*models), **given)
 
     def register_servers(self, service: str = "plain", models: Sequence[str] = ()) -> None:
-        """All stand-ins are servers of this service."""
+        """Register all stand-ins as servers of a service."""
         self.plane.apply_servers([self.server(s, service, models) for s in self.stand_ins], [])
 
     def fill_retry_budget(self, service: str = "plain", requests: int = 200) -> None:
-        """Earlier requests have earned repeats."""
+        """Earn retries as earlier requests would have."""
         for _ in range(requests):
             self.plane._dispatcher.budget(service).earn()
 
@@ -258,7 +258,7 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.plane.client_port))
 
     async def call(self, target: str, method: str = "POST", body: bytes = b"", **headers: str) -> Message:
-        """One request on a connection of its own."""
+        """Send one request on a new connection and return the response."""
         self.number += 1
         client = await self.connect()
         client.send(target, method, body, **{"Granitewell_Request_Id": f"{self.number:016x}", **headers})
@@ -294,7 +294,7 @@
 async def scene(
     *behaviours: Behaviour, service: str = "plain", models: Sequence[str] = ()
 ) -> AsyncIterator[Scene]:
-    """A data plane with a configuration and these servers: s0, s1, ... all told as servers of the service."""
+    """Run a data plane with servers s0, s1, ... that are all registered for one service."""
     demands: list[int] = []
     clock = asyncio.get_running_loop().time
     plane = DataPlane(settings(), Random(1), clock, on_demand=lambda: demands.append(1))
--- a/tests/dataplane/test_client_timeouts.py
+++ b/tests/dataplane/test_client_timeouts.py
@@ -1,4 +1,4 @@
-"""How long a client waits for a stream, and when it should come again."""
+"""Idle timeout of clients, and the Retry-After of rejections."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/test_dispatch.py
+++ b/tests/dataplane/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Which server gets a request: pools, prefix, health, lines. With a clock that the tests set."""
+"""Selection of servers: pools, active prefix, health and queues, with an explicit clock."""
 
 from __future__ import annotations
 
@@ -116,7 +116,7 @@
     now, waits = 0.0, []
     for _ in range(6):
         faulty_server.failed(now)
-        faulty_server.failed(now)  # what failed together counts once
+        faulty_server.failed(now)  # concurrent failures count once
         assert set(picks(made, 30, now=now)) == {"s01"}
         waits.append(faulty_server.ejected_until - now)
         now = faulty_server.ejected_until
@@ -150,9 +150,7 @@
     made.ended(faulty_server)
     assert "s00" in picks(made, 50, now=5.0)
     made.sent(faulty_server, 5.0)
-    faulty_server.abandoned(
-        10.0, made.unresponsive_after_s
-    )  # its time was over while the server said nothing
+    faulty_server.abandoned(10.0, made.unresponsive_after_s)  # its deadline passed without a response
     assert set(picks(made, 50, now=10.5)) == {"s01"}
 
 
@@ -238,7 +236,7 @@
 
 
 class WaitingRequest(DispatchRequest):
-    """A request that notes what it is granted."""
+    """A request that records the servers assigned to it."""
 
     def __init__(self, priority: int, service: str = "engine", ref: ModelRef | None = M1) -> None:
         self.got: list[ServerRecord] = []
@@ -307,7 +305,7 @@
     assert (demand.ref, demand.waiting, demand.priority) == (M1, 4, 0)
     made.apply_servers([server("a", "engine", ("m1",), slots=2)], [], 0.0)
     assert [len(w.got) for w in waiters] == [0, 1, 0, 1]
-    assert made.choose(WaitingRequest(9), 0.0) is None  # behind those that wait
+    assert made.choose(WaitingRequest(9), 0.0) is None  # behind the queue
     done = waiters[1]
     done.got[0].response_started(0.0)
     made.ended(done, done.got[0], 0.0)
@@ -322,7 +320,7 @@
     assert record is not None
     made.wait(WaitingRequest(5), 0.0)
     record.response_started(0.0)
-    made.pool("engine", M1, 0.0).ended(record)  # nobody has been woken yet
+    made.pool("engine", M1, 0.0).ended(record)  # the queue has not been served yet
     assert made.choose(WaitingRequest(5), 0.0) is None
     assert made.choose(WaitingRequest(4), 0.0) is record
 
@@ -359,7 +357,7 @@
     (record,) = made.pool("engine", M1, 0.0).servers
     record.first_byte_received(0.25, 0.0)
     got = [made.choose(WaitingRequest(5), 0.0) for _ in range(30)]
-    assert sum(r is not None for r in got) == 6  # the seventh would wait 1.75 s: past one and a half aims
+    assert sum(r is not None for r in got) == 6  # the seventh would wait 1.75 s, more than 1.5 targets
 
 
 def test_configured_models() -> None:
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -1,4 +1,4 @@
-"""LOST and DRAIN: what a process does between SIGTERM and its end, and around changes, on virtual time."""
+"""Rules LOST and DRAIN: a process between SIGTERM and its end, and during changes, in virtual time."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 )
 
 GRACE_S = 8.0  # between SIGTERM and SIGKILL
-MAX_DRAIN_S = 4.0  # of SIGTERM a process must not count as ready
-READINESS_INTERVAL_S = 1.0  # by the platform, which needs two misses
+MAX_DRAIN_S = 4.0  # after SIGTERM, within which a process must be out of service
+READINESS_INTERVAL_S = 1.0  # of the platform, which needs two failed checks
 
 
 async def readiness_status(s: Scene) -> int:
-    """What the platform is told; 0: nobody listens."""
+    """Return the status of the readiness check, 0 if nothing listens."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", s.plane.ready_port)
     except ConnectionError:
@@ -40,7 +40,7 @@
 
 
 def answers_after(answer_after_s: float) -> Behaviour:
-    """A server that answers after so long."""
+    """Return the behaviour of a server that answers after a delay."""
 
     async def behaviour(seen: ReceivedRequest) -> None:
         await asyncio.sleep(answer_after_s)
@@ -49,9 +49,9 @@
     return behaviour
 
 
-# --- DRAIN: readiness -------------------------------------------------------------------------------------
+# --- DRAIN: readiness -----------------------------------------------------------------------------------
 def test_drain_ends_readiness_for_good() -> None:
-    """Whatever is told meanwhile: configurations, servers, other edges."""
+    """Updates of the configuration, the servers or the edges must not make the node ready again."""
 
     async def run() -> None:
         async with scene(answers_after(7.0)) as s:
@@ -79,7 +79,7 @@
 
 
 def test_listener_stays_open_for_two_readiness_checks() -> None:
-    """It asks each second: one that stops listening sooner refuses clients that are still sent to it."""
+    """The platform checks each second and sends clients until two checks have failed."""
 
     async def run() -> None:
         async with scene(answer_normally) as s:
@@ -96,7 +96,7 @@
     play_simulated(run())
 
 
-# --- LOST: all that was read is answered ------------------------------------------------------------------
+# --- LOST: every request that was read is answered ------------------------------------------------------
 @pytest.mark.parametrize("sent_after_s", [-3.0, -0.5, 0.5, 2.0, 2.4])
 @pytest.mark.parametrize("answer_after_s", [0.0, 0.3, 1.0, 4.5])
 def test_requests_around_sigterm_are_answered(sent_after_s: float, answer_after_s: float) -> None:
@@ -144,7 +144,7 @@
 
 
 def test_drain_waits_for_a_slow_client() -> None:
-    """The last answer is written, yet not sent: the client's window is full."""
+    """The last response is written but not sent, because the client's window is full."""
 
     async def run() -> None:
         body = b"a" * 400_000
@@ -189,7 +189,7 @@
 
 
 def test_unresponsive_server_does_not_end_a_request_before_its_deadline() -> None:
-    """Not in a drain, not beside a configuration: only the time of the request, or of the process, does."""
+    """Neither a drain nor a new configuration ends it, only the deadline or the end of the process."""
 
     async def run() -> None:
         async with scene(lambda seen: seen.events(1)) as s:
@@ -223,7 +223,7 @@
     play_simulated(run())
 
 
-# --- LOST: a connection that a client may use again is not closed under it ----------------------------------
+# --- LOST: a connection that a client may still reuse is not closed -------------------------------------
 def limited(version: int, idle_ms: float) -> Configuration:
     made = configuration(version)
     limits = Limits(
@@ -234,7 +234,7 @@
 
 @pytest.mark.parametrize(("before_ms", "after_ms"), [(5_000, 20_000), (20_000, 5_000)])
 def test_idle_connection_is_kept_for_the_longer_limit(before_ms: float, after_ms: float) -> None:
-    """Clients use connections again within four fifths of the limit that they know."""
+    """Clients reuse connections within four fifths of the idle timeout that they know."""
 
     async def run() -> None:
         async with scene(answer_normally) as s:
@@ -250,7 +250,7 @@
             assert answer is not None and answer.status == 200
             fresh = await s.connect()
             await asyncio.sleep(after_ms / 1000.0 + 1.0)
-            assert await fresh.reader.read() == b""  # and not for ever
+            assert await fresh.reader.read() == b""  # but it is closed eventually
 
     play_simulated(run())
 
@@ -268,7 +268,7 @@
 
 
 def test_pipelined_requests_are_answered_in_a_drain() -> None:
-    """On one connection, both in before the listener closes, the second still in line."""
+    """Two requests on one connection, of which the second waits when the listener closes."""
 
     async def run() -> None:
         async with scene(answers_after(2.0)) as s:
--- a/tests/dataplane/test_edge.py
+++ b/tests/dataplane/test_edge.py
@@ -1,4 +1,4 @@
-"""Requests through a data plane on loopback: what passes, byte for byte, and what is promised."""
+"""Requests through a data plane over loopback: forwarding byte for byte, retries and statuses."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
 
 
 def test_server_receives_the_client_s_headers() -> None:
-    """Names in any case, repeated, with odd space and bytes, named by a Connection header, resent or not."""
+    """In any case, repeated, with odd spaces and bytes, named by a Connection header, retried or not."""
     given = [
         (b"granitewell-MODEL", b"m1/a1"),
         (b"Granitewell-Token-Usage", b"1460,80"),
@@ -205,7 +205,7 @@
     run_scene(run())
 
 
-# --- What is not taken ----------------------------------------------------------------------------------
+# --- Rejected requests ----------------------------------------------------------------------------------
 @pytest.mark.parametrize(
     ("raw", "status"),
     [
@@ -236,7 +236,7 @@
             client.writer.write(raw)
             answer = await client.answer()
             assert answer is not None and answer.status == status, answer
-            assert await client.reader.read() == b""  # and the connection is not used again
+            assert await client.reader.read() == b""  # the connection is closed
             assert s.stand_ins[0].seen == []
 
     run_scene(run())
@@ -269,7 +269,7 @@
             answer = await slow_body.answer()
             assert answer is not None and answer.status == 408
             assert await slow_head.reader.read() == b""
-            assert loop.time() - began < 8.0  # not the time that an idle connection has
+            assert loop.time() - began < 8.0  # less than the idle timeout
 
     run_scene(run())
 
@@ -348,9 +348,9 @@
     run_scene(run())
 
 
-# --- What a server may send -----------------------------------------------------------------------------
+# --- Responses of servers -------------------------------------------------------------------------------
 def test_response_to_another_request_is_not_forwarded() -> None:
-    """The late one is dropped; the own one behind it counts, and the connection is not used again."""
+    """The late response is dropped, the right one after it counts, and the connection is not reused."""
 
     def behaviour(seen: ReceivedRequest) -> None:
         if seen.connection == 1 and len(seen.server.seen) == 2:
@@ -418,7 +418,7 @@
 
 @pytest.mark.parametrize("same_segment", [True, False])
 def test_stray_response_in_two_parts_affects_no_other_request(same_segment: bool) -> None:
-    """Its second half comes when the next request is out."""
+    """Its second part arrives while the next request is pending."""
     half, rest = b"HTTP/1.1 200 OK\r\nGranitewell-Req", b"uest-Id: zz\r\nContent-Length: 0\r\n\r\n"
 
     async def behaviour(seen: ReceivedRequest) -> None:
@@ -679,7 +679,9 @@
             answer = await s.call("/once/x")
             assert answer.status == 503 and float(answer.header("Retry-After") or 0) > 0
             assert answer.header("Granitewell-Not-Executed") is None
-            assert sum(len(stand_in.seen) for stand_in in s.stand_ins) == 2  # the route's attempts
+            assert (
+                sum(len(stand_in.seen) for stand_in in s.stand_ins) == 2
+            )  # the attempts that the route allows
 
     run_scene(run())
 
@@ -721,7 +723,7 @@
             for target in ("/once/x", "/again/x"):
                 began = loop.time()
                 answer = await s.call(target)
-                assert loop.time() - began < 0.8  # it does not wait for a server that is not there
+                assert loop.time() - began < 0.8  # it doesn't wait for the unreachable server
                 assert (answer.status, answer.body) == (status, b"mine")
                 assert answer.header("Granitewell-Response-Seal") == "s.1"
 
@@ -745,7 +747,7 @@
             s.stand_ins[0].stop_listening()
             s.stand_ins[1].stop_listening()
             for _ in range(4):
-                assert (await s.call("/once/x")).status == 200  # without any budget
+                assert (await s.call("/once/x")).status == 200  # without any retry budget
         async with scene(answer_normally) as s:
             s.stand_ins[0].stop_listening()
             answer = await s.call("/once/x")
@@ -767,7 +769,7 @@
             began = loop.time()
             answer = await s.call(target)
             assert answer.status == 504
-            assert 0.1 < loop.time() - began < 1.5  # the client has 5 s
+            assert 0.1 < loop.time() - began < 1.5  # the client's deadline is 5 s
 
     run_scene(run())
 
@@ -798,7 +800,7 @@
             loop = asyncio.get_running_loop()
             began = loop.time()
             await gone.wait()
-            assert loop.time() - began < 1.5  # before the route's time
+            assert loop.time() - began < 1.5  # before the route's timeout
             record = s.plane._dispatcher._services["plain"].records["s0"]
             assert record.in_flight == record.unanswered == 0
 
@@ -896,7 +898,7 @@
 
 
 def goes_on(seen: ReceivedRequest, last: int = 4, repeats: int = 0) -> None:
-    """A stream of events up to `last`, behind the one that the request names."""
+    """Send the events after the Last-Event-Id, up to `last`."""
     at = int(seen.request.header("Last-Event-Id") or 0)
     seen.writer.write(seen.head(Content_Type="text/event-stream", Granitewell_Response_Seal=seen.server.name))
     for number in range(max(at + 1 - repeats, 1), last + 1):
@@ -1082,7 +1084,7 @@
             loop = asyncio.get_running_loop()
             began = loop.time()
             answer = await s.call("/model/x", Granitewell_Model=model)
-            assert answer.status == 503 and loop.time() - began < 0.7  # else it waited 0.9 s
+            assert answer.status == 503 and loop.time() - began < 0.7  # otherwise it waits 0.9 s
 
     run_scene(run())
 
@@ -1116,7 +1118,7 @@
     run_scene(run())
 
 
-# --- Life -----------------------------------------------------------------------------------------------
+# --- Lifecycle ------------------------------------------------------------------------------------------
 async def readiness(s: Scene, path: str = "/readyz") -> int:
     reader, writer = await asyncio.open_connection("127.0.0.1", s.plane.ready_port)
     writer.write(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -1160,7 +1162,7 @@
             while len(s.stand_ins[0].seen) < 2:
                 await asyncio.sleep(0.005)
             end = asyncio.create_task(s.plane.finish(3.0))
-            assert await idle.reader.read() == b""  # closed once the listener is
+            assert await idle.reader.read() == b""  # closed together with the listener
             with pytest.raises(ConnectionError):
                 await s.connect()
             assert not end.done()
@@ -1172,7 +1174,7 @@
 
 
 def test_drain_answers_all_within_the_grace_period(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What a server has may have run; what waited for one has not and gets the promise."""
+    """A request at a server may have been executed; a waiting one was not and gets a 503."""
     monkeypatch.setattr("granitewell.dataplane.edge.LISTEN_AFTER_DRAIN_S", 0.05)
     monkeypatch.setattr("granitewell.dataplane.edge.SHUTDOWN_MARGIN_S", 1.2)
     monkeypatch.setattr("granitewell.dataplane.edge.EXPIRE_MARGIN_S", 0.1)
--- a/tests/dataplane/test_failure_suspicion.py
+++ b/tests/dataplane/test_failure_suspicion.py
@@ -1,4 +1,4 @@
-"""Which servers a request without a second attempt avoids, and who finds out about them."""
+"""Suspicion of servers, which requests that can't be retried avoid."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 UNRESPONSIVE_AFTER_S = 0.5
 
 
-# --- The evidence -----------------------------------------------------------------------------------------
+# --- Suspicion ------------------------------------------------------------------------------------------
 def test_no_suspicion_before_a_failure() -> None:
     suspicion = FailureSuspicion()
     suspicion.written("a", 0.0)
@@ -84,7 +84,7 @@
     )
 
 
-# --- The pick ---------------------------------------------------------------------------------------------
+# --- Selection ------------------------------------------------------------------------------------------
 def pool(count: int) -> Pool:
     made = Pool("p", None, 2.0, Random(1))
     servers = [Server(f"s{k}", "plain", f"10.0.0.1:{k + 1}", "a", 6, ServerState.READY) for k in range(count)]
@@ -120,7 +120,7 @@
 
 
 def test_suspected_server_is_used_if_the_others_are_full() -> None:
-    """The others are full: waiting would be no better."""
+    """The alternative would be to wait."""
     made = pool(2)
     made.servers[0].failed(0.0)
     made.servers[1].rejected(BASE_EJECTION_S)
@@ -138,9 +138,9 @@
 
 @pytest.mark.parametrize("share", [0.2, 0.45, 0.7])
 def test_final_attempts_fail_less_often_than_retryable_requests(share: float) -> None:
-    """A model of a service: some servers break off a share of their requests, both kinds come at once.
+    """Simulates a service in which some servers fail a fraction of their requests.
 
-    The careful kind sees far fewer failures than by luck, and all servers stay in use.
+    Final attempts see far fewer failures than random selection gives, and all servers stay in use.
     """
     rng = Random(7)
     made = pool(8)
--- a/tests/dataplane/test_framing.py
+++ b/tests/dataplane/test_framing.py
@@ -1,4 +1,4 @@
-"""Where answers end in the bytes of a connection, wherever the bytes are split."""
+"""Framing of responses, wherever the network splits the bytes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def taken(framing: BodyFraming, parts: list[bytes]) -> int:
-    """Bytes that belong to the body; nothing is given to it behind them."""
+    """Return the number of bytes of the body; stops at its end."""
     total = 0
     for part in parts:
         count = framing.consume(part)
--- a/tests/dataplane/test_leaving_clients.py
+++ b/tests/dataplane/test_leaving_clients.py
@@ -1,4 +1,4 @@
-"""GONE: after a client has left, nothing of its request reaches a server, and servers at work are told."""
+"""Rule GONE: after a client disconnects, its request reaches no server, and busy servers are disconnected."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     scene,
 )
 
-MAX_CLOSE_DELAY_S = 0.5  # of the client's leaving, as the rule has it
+MAX_CLOSE_DELAY_S = 0.5  # after the client's disconnect, as the rule demands
 
 
 class ConnectionWatcher:
-    """A server that notes when each of its connections ends."""
+    """A server that records when its connections are closed."""
 
     def __init__(self, events: int = 0) -> None:
         self._events = events
@@ -42,7 +42,7 @@
 
 
 def assert_no_request_left(s: Scene) -> None:
-    """No place in a line, no request counted at a server."""
+    """Check that no request is queued, counted at a server, or in progress."""
     for state in s.plane._dispatcher._services.values():
         assert not state.queue
         for record in state.records.values():
@@ -51,7 +51,7 @@
 
 
 async def leave(client: Client, how: str) -> None:
-    """closed: a proper end; reset; half: only the client's side of the connection ends."""
+    """Disconnect the client by a close, a reset, or a half-close ("half")."""
     transport = client.writer.transport
     assert isinstance(transport, SimulatedTransport)
     if how == "reset":
@@ -176,7 +176,7 @@
     play_simulated(run())
 
 
-# --- A request that was read late: its client may have gone before ----------------------------------------
+# --- Requests that are read late ------------------------------------------------------------------------
 @contextmanager
 def socket_pair() -> Iterator[tuple[socket.socket, socket.socket]]:
     ours, theirs = socket.socketpair()
@@ -185,7 +185,7 @@
 
 
 class WithSocket:
-    """Of a transport, what the question needs."""
+    """A transport with nothing but a socket."""
 
     def __init__(self, sock: socket.socket | None) -> None:
         self._socket = sock
@@ -201,15 +201,15 @@
         assert not peer_has_closed(WithSocket(ours))  # type: ignore[arg-type]
         theirs.close()
         assert peer_has_closed(WithSocket(ours))  # type: ignore[arg-type]
-    assert peer_has_closed(WithSocket(ours))  # type: ignore[arg-type]  # ours is closed
+    assert peer_has_closed(WithSocket(ours))  # type: ignore[arg-type]  # the own socket is closed
     assert not peer_has_closed(WithSocket(None))  # type: ignore[arg-type]
     assert not peer_has_closed(None)
 
 
 def test_request_of_a_disconnected_client_is_not_sent() -> None:
-    """As after a stall of the whole process: the request and the connection's end were both there.
+    """After a stall of the process, a request and the close of its connection are read together.
 
-    A request is written at once where a connection to the server is idle.
+    An idle connection to the server exists, so that the request could be sent immediately.
     """
 
     async def run() -> None:
@@ -235,7 +235,7 @@
         await asyncio.sleep(0)
 
 
-# --- The price: a server that works on, half a second after the client has left -----------------------------
+# --- Servers are disconnected within half a second ------------------------------------------------------
 def test_client_leaving_during_a_resumption_frees_both_servers() -> None:
     async def run() -> None:
         second = ConnectionWatcher(events=0)
--- a/tests/dataplane/test_node_world.py
+++ b/tests/dataplane/test_node_world.py
@@ -1,4 +1,4 @@
-"""A whole node under random troubles, by seeds: GRANITEWELL_SEEDS sets how many."""
+"""Random simulation of a whole node; GRANITEWELL_SEEDS sets the number of seeds."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.dataplane.simulated_network import play_simulated
 
 SEEDS = int(os.environ.get("GRANITEWELL_SEEDS", "30"))
-MAX_SEEDS = 60  # in which a planted defect must show
+MAX_SEEDS = 60  # within which a planted defect must be found
 
 
 def test_random_faults_violate_no_rule() -> None:
@@ -28,7 +28,7 @@
         except ViolationError as violation:
             raise AssertionError(f"seed {seed}: {violation}") from violation
         statuses.update("left" if r.left_at else r.answer and r.answer.status for r in world.sent)
-    assert statuses[200] > SEEDS and statuses["left"] > SEEDS  # the days are not empty
+    assert statuses[200] > SEEDS and statuses["left"] > SEEDS  # the simulations are not empty
     assert {500, 502, 503, 504} <= set(statuses)
 
 
--- a/tests/dataplane/test_older_weights.py
+++ b/tests/dataplane/test_older_weights.py
@@ -1,4 +1,4 @@
-"""Servers with older weights get requests last, and a stream goes on with the version that it began with."""
+"""Versions of model weights: newer ones are preferred, and a stream is resumed with its own version."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def picked(pool: Pool, count: int) -> list[str]:
-    """Servers of so many requests that all stay there."""
+    """Return the servers of a number of concurrent requests."""
     found: list[str] = []
     for _ in range(count):
         record = pool.pick(0.0, 1)
@@ -63,7 +63,7 @@
 
 
 def register_servers(s: Scene, *versions: int) -> None:
-    """The table says so of the stand-ins' weights."""
+    """Register the stand-ins with these versions of the weights."""
     models = [{"m1": LoadedModel("m1", version=version)} for version in versions]
     s.plane.apply_servers(
         [
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize(("changes_to", "continued_at"), [(0, "s1"), (2, "s2")])
 def test_stream_is_resumed_with_its_version(changes_to: int, continued_at: str) -> None:
-    """The first server breaks off; of the others one has version 1, one version 2."""
+    """The first server closes the stream; the others have version 1 and version 2."""
     resumed: list[str] = []
 
     def first(seen: ReceivedRequest) -> None:
@@ -113,7 +113,7 @@
             s.plane.apply_configuration(configured(2, routes))
             s.fill_retry_budget("engine")
             s.plane.apply_servers([s.server(s.stand_ins[0], "engine", ("m1",))], ["s1", "s2"])
-            register_servers(s, 3, 1, 2)  # the first is the newest by the table: it gets the request
+            register_servers(s, 3, 1, 2)  # s0 has the newest version in the table and gets the request
             answer = await s.call("/r/x", Granitewell_Model="m1")
             assert answer.complete and answer.body.endswith(b"id: 3\ndata: word\n\n")
 
--- a/tests/dataplane/test_paused_servers.py
+++ b/tests/dataplane/test_paused_servers.py
@@ -1,4 +1,4 @@
-"""Servers that stand still for 90 ms of every tenth of a second: none is suspected, nothing is sent twice."""
+"""Servers whose process is paused for 90 ms of every 100 ms: no suspicion and no retries."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tests.dataplane.standin import ReceivedRequest, scene
 
 PERIOD_S = 0.1
-RUNS_S = 0.01  # of each period
+RUNS_S = 0.01  # per period
 REQUESTS = 120
 
 
 def answers_when_it_runs(seen: ReceivedRequest) -> None:
-    """Answers in the next 10 ms in which its process runs."""
+    """Answer in the next 10 ms in which the process runs."""
     loop = asyncio.get_running_loop()
     phase = loop.time() % PERIOD_S
     wait_s = 0.0 if phase < RUNS_S else PERIOD_S - phase
--- a/tests/dataplane/test_planted_defects.py
+++ b/tests/dataplane/test_planted_defects.py
@@ -1,4 +1,4 @@
-"""Guards of the data plane taken out on purpose: a test must fail for each, or it proves nothing."""
+"""Planted defects: for each guard of the data plane that is disabled, its test must fail."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 Patch = pytest.MonkeyPatch
 
 
-# --- The guards that are taken out ------------------------------------------------------------------------
+# --- Disabled guards ------------------------------------------------------------------------------------
 def ready_during_drain(patch: Patch) -> None:
     patch.setattr(DataPlane, "ready", property(lambda plane: plane._configuration is not None))
 
@@ -100,7 +100,7 @@
         return asyncio.timeout(None)
 
     class Module:
-        """asyncio with time-outs that never come."""
+        """asyncio with timeouts that never expire."""
 
         timeout = staticmethod(no_end)
 
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """A guard that is taken out, and the test that must notice."""
+    """A disabled guard, and the test that must fail."""
 
     plant: Callable[[Patch], None]
     noticed_by: Callable[[], None]
--- a/tests/dataplane/test_refusals.py
+++ b/tests/dataplane/test_refusals.py
@@ -1,7 +1,7 @@
-"""DENIED: which answers of its own a node may give.
+"""Rule DENIED: which local replies a node may send.
 
-A proper request gets a 3xx or 4xx from a configuration in force only; a node that knows none says 503,
-whatever is asked.
+A valid request gets a 3xx or 4xx only on the basis of a configuration in force; a node without one answers
+503 to every request.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from tests.dataplane.simulated_network import play_simulated
 from tests.dataplane.standin import ROUTES, ReceivedRequest, Scene, answer_normally, configuration, scene
 
-NOT_COUNTED = (408, 421, 429)  # 4xx that promise that a request has not run
+NOT_COUNTED = (408, 421, 429)  # 4xx that promise that a request was not executed
 LONG_BODY = b"a" * (Limits().max_body_bytes + 1)
 LONG_FIELD = "a" * (Limits().max_header_bytes + 1)
 
 
 def without_configuration(s: Scene) -> None:
-    """As at the start of a process."""
+    """Put the node into its state at process start."""
     s.plane._configuration = s.plane._routes = None
     s.plane._configured.clear()
 
 
 def limited(version: int, limits: Limits) -> Configuration:
-    """The usual routes under other limits."""
+    """Return the usual routes with other limits."""
     made = configuration(version)
     return Configuration(version, made.routes, made.services, limits)
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize(("body", "field"), [(LONG_BODY, "1"), (b"", LONG_FIELD)], ids=["body", "head"])
 def test_default_limits_reject_no_request_finally(body: bytes, field: str) -> None:
-    """The usual limits protect a node that knows none, but the day's may be wider."""
+    """The default limits protect a node without a configuration, but the configured ones may be higher."""
 
     async def run() -> None:
         async with scene(answer_normally) as s:
@@ -76,7 +76,7 @@
 
 
 def test_endless_head_is_bounded_in_memory() -> None:
-    """Each of its fields is within the limit, all together are not."""
+    """Each header is within the limit, but not all together."""
 
     async def run() -> None:
         async with scene(answer_normally) as s:
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("told", [True, False], ids=["length", "chunks"])
 def test_rest_of_a_rejected_body_is_discarded(told: bool) -> None:
-    """Else the refusal would be lost with a reset."""
+    """Otherwise a reset could discard the response."""
 
     async def run() -> None:
         async with scene(answer_normally) as s:
@@ -115,7 +115,7 @@
 
 
 def test_common_route_is_never_rejected_during_changes() -> None:
-    """Out of touch, with an old version, or while versions come in quick succession."""
+    """Guards against rejections while configurations change in quick succession."""
 
     async def run() -> None:
         async with scene(answer_normally) as s:
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("target", [f"/{route.name}/x" for route in ROUTES])
 def test_server_faults_are_not_client_errors(target: str) -> None:
-    """Full servers, no server, no model, too many that wait: 5xx, or what promises that it has not run."""
+    """Full or missing servers and models give a 5xx, or a status that promises no execution."""
 
     async def run() -> None:
         async with scene(ReceivedRequest.refuse, ReceivedRequest.refuse) as s:
--- a/tests/dataplane/test_rules.py
+++ b/tests/dataplane/test_rules.py
@@ -1,4 +1,4 @@
-"""The pure parts of the data plane: routes, events, headers, attempts, budget, waiting line, demand."""
+"""Parts of the data plane without I/O: routes, events, headers, attempts, retry budget, queue, demand."""
 
 from __future__ import annotations
 
@@ -201,7 +201,7 @@
 
 @given(KINDS, st.integers(1, 4), ENDS)
 def test_attempts_follow_the_retry_rules(kind: dict[str, Any], most: int, ends: list[AttemptEnd]) -> None:
-    """TWICE, BUDGET by request, and REFUSED, over any course of attempts."""
+    """Rules TWICE, BUDGET and REFUSED, for any sequence of attempts."""
     route = a_route(max_attempts=most, **kind)
     attempts = Attempts(route)
     runs = arrivals = 0
@@ -242,7 +242,7 @@
         assert status == 421 or marked
 
 
-# --- Budget ---------------------------------------------------------------------------------------------
+# --- Retry budget ---------------------------------------------------------------------------------------
 @given(
     st.integers(1, 12), st.floats(0.0, 1.0), st.floats(0.0, 100.0),
     st.lists(st.tuples(st.integers(0, 11), st.booleans()), max_size=400),
@@ -250,7 +250,7 @@
 def test_all_nodes_stay_within_the_shared_retry_budget(
     edges: int, ratio: float, slack: float, steps: list[tuple[int, bool]]
 ) -> None:
-    """In any window: repeats <= ratio x requests + slack, where the slack has at least one a node."""
+    """In any window, retries <= ratio x requests + slack."""
     budgets = [RetryBudget(ratio, slack, edges) for _ in range(edges)]
     requests = repeats = 0
     for node, sends in steps:
@@ -287,7 +287,7 @@
     assert not any(budget.try_spend() for budget in budgets)
 
 
-# --- Waiting line and demand ----------------------------------------------------------------------------
+# --- Queue and demand -----------------------------------------------------------------------------------
 @given(st.lists(st.integers(0, 9), max_size=30))
 def test_queue_order_is_priority_then_arrival(priorities: list[int]) -> None:
     line: RequestQueue[int] = RequestQueue(max_size=20)
--- a/tests/dataplane/test_time_left.py
+++ b/tests/dataplane/test_time_left.py
@@ -1,4 +1,4 @@
-"""BUDGET and CONFIG: the time that servers are handed, and the answer at the end of a request's time."""
+"""Rules BUDGET and CONFIG: deadlines sent to servers, and the response at a request's deadline."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from tests.dataplane.simulated_network import play_simulated
 from tests.dataplane.standin import Behaviour, Message, ReceivedRequest, Scene, configuration, route, scene
 
-MAX_OVERRUN_S = 0.5  # that a server may be handed, or a client may wait, beyond what is left
-SEND_MARGIN_S = 0.05  # by which less is handed on, at most: the answers must travel
+MAX_OVERRUN_S = 0.5  # beyond the deadline, for a server or a client
+SEND_MARGIN_S = 0.05  # maximum reduction of the deadline, for the way of the response
 KINDS = {"once": "non_idempotent", "again": "idempotent", "stream": "streaming"}
 
 
 def routes(timeout_ms: float) -> list[Route]:
-    """One of each kind."""
+    """Return one route of each kind."""
     return [route(name, kind, timeout_ms=timeout_ms, max_attempts=3) for name, kind in KINDS.items()]
 
 
 class DeadlineRecorder:
-    """A server that notes when it was sent what deadline, and turns requests away after a while."""
+    """A server that records the deadlines it receives and rejects requests after a while."""
 
     def __init__(self, refuses_after_s: float) -> None:
         self.ends: list[float] = []
@@ -41,10 +41,7 @@
 @pytest.mark.parametrize("stated_ms", ["", "4000", "60000", "4000.5"])
 @pytest.mark.parametrize("name", KINDS)
 def test_each_attempt_sends_the_remaining_time(name: str, stated_ms: str) -> None:
-    """The client's, or the route's where that is shorter or the client sends none.
-
-    Also a second send much later.
-    """
+    """The shorter of the client's deadline and the route's timeout applies, also to a late retry."""
 
     async def run() -> None:
         handed = DeadlineRecorder(refuses_after_s=1.0)
@@ -91,7 +88,7 @@
     play_simulated(run())
 
 
-# --- CONFIG: a final answer at the end of the route's time ------------------------------------------------
+# --- CONFIG: a final response at the route's timeout ----------------------------------------------------
 def never_responds(seen: ReceivedRequest) -> None:
     pass
 
@@ -113,7 +110,7 @@
 
 
 async def answer_or_end(s: Scene, target: str) -> tuple[Message | None, float]:
-    """What the client gets, and after how long."""
+    """Return the response and the time until it arrived."""
     loop = asyncio.get_running_loop()
     client = await s.connect()
     began = loop.time()
@@ -127,7 +124,7 @@
 )
 @pytest.mark.parametrize("name", KINDS)
 def test_route_timeout_ends_in_a_final_response(name: str, behaviour: Behaviour) -> None:
-    """Of a stream whose head is out, the end of the connection is the answer: it must not look whole."""
+    """A stream that has begun is closed in a way that shows that it is incomplete."""
 
     async def run() -> None:
         async with scene(behaviour, behaviour) as s:
@@ -178,7 +175,7 @@
 
 
 def test_shorter_timeout_applies_to_later_requests() -> None:
-    """One that is under way keeps the time under which it was taken."""
+    """A request in progress keeps the timeout with which it was accepted."""
 
     async def run() -> None:
         async with scene(never_responds) as s:
@@ -194,10 +191,10 @@
     play_simulated(run())
 
 
-# --- BUDGET: servers of one client attempt ------------------------------------------------------------------
+# --- BUDGET: servers per request ------------------------------------------------------------------------
 @pytest.mark.parametrize("most", [1, 2, 3])
 def test_stream_uses_no_more_servers_than_the_route_allows(most: int) -> None:
-    """Resumptions inside the answer count with the rest."""
+    """Resumptions within the response count as attempts."""
 
     async def run() -> None:
         def behaviour(seen: ReceivedRequest) -> None:
--- a/tests/dataplane/test_upstream.py
+++ b/tests/dataplane/test_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to servers over real sockets, where the kernel knows more than the event loop."""
+"""Connections to servers over real sockets, whose state the event loop sees with a delay."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Link:
-    """A pool, one connection of it, and the server's end of that."""
+    """A pool and the server's ends of its connections."""
 
     def __init__(self, listener: socket.socket) -> None:
         host, port = listener.getsockname()
@@ -41,7 +41,7 @@
     async def idle_connection(
         self, fields: bytes = b"Content-Length: 0\r\n", status: int = 200
     ) -> socket.socket:
-        """The server's end of a connection that has carried one request and is idle, if it is kept."""
+        """Return the server's end of a connection that has carried one request and was released."""
         connection, server_side = await self.connect()
         connection.write(REQUEST, method="GET", repeatable=False)
         server_side.sendall(RESPONSE % (status, fields))
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("end", ["close", "reset", "byte"])
 def test_idle_connection_with_unread_data_is_not_reused(listener: socket.socket, end: str) -> None:
-    """Although the loop has had no moment to read it."""
+    """The event loop has had no time to read it."""
 
     async def run() -> None:
         link = Link(listener)
@@ -96,7 +96,7 @@
 
 
 def test_connection_with_unsent_bytes_is_not_reused(listener: socket.socket) -> None:
-    """The server answers early, and would read what comes next as the rest of the body."""
+    """The server answers early and would take the next request for the rest of the body."""
 
     async def run() -> None:
         link = Link(listener)
@@ -151,7 +151,7 @@
 
 
 def test_half_closed_connection_with_unsent_request_is_aborted(listener: socket.socket) -> None:
-    """No answer can come any more: it isn't waited for until the request's time is over."""
+    """No response can arrive any more, so that the request must not wait for its deadline."""
 
     async def run() -> None:
         link = Link(listener)
--- a/tests/dataplane/test_versions_and_priority.py
+++ b/tests/dataplane/test_versions_and_priority.py
@@ -1,4 +1,4 @@
-"""What a node does with `Priority`, `Expect-Version` and `Versions`."""
+"""Handling of the headers `Priority`, `Expect-Version` and `Versions`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize(("ranked", "told"), [(0, "0"), (3, "3"), (9, "9"), (12, "9"), (-1, "0")])
 def test_route_priority_is_sent_within_bounds(ranked: int, told: str) -> None:
-    """The client's own word doesn't count."""
+    """The client's own Priority header is ignored."""
 
     async def run() -> None:
         async with scene(answer_normally) as s:
--- a/tests/dataplane/test_wire.py
+++ b/tests/dataplane/test_wire.py
@@ -1,7 +1,7 @@
-"""Calls to servers, byte by byte: a part of all troubles.
+"""Requests to servers, byte by byte: a sample of all fault cases.
 
-`python -m tests.dataplane.test_wire all` plays all of them, `python -m tests.dataplane.test_wire FIRST LAST`
-the courses of these seeds.
+`python -m tests.dataplane.test_wire all` runs all of them, `python -m tests.dataplane.test_wire FIRST LAST`
+the random sequences of these seeds.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 
 FaultCases = Callable[[], Iterator[FaultCase]]
 
-CASE_STEP = 61  # of all split points, one in so many is tried here: prime, so that each kind gets others
+CASE_STEP = 61  # one in so many split points is tested; a prime, so that each kind gets different ones
 FAULT_SEQUENCES = 400
-MAX_CASES_PER_DEFECT = 4_000  # of a planted defect's troubles
+MAX_CASES_PER_DEFECT = 4_000  # within which a planted defect must be found
 
 
 @pytest.fixture
@@ -73,10 +73,10 @@
         play_fault_sequence(runner, seed)
 
 
-# --- Found by the search, each by itself ----------------------------------------------------------------
+# --- Cases that the search has found --------------------------------------------------------------------
 @pytest.mark.parametrize("extra", [ExtraBytes.SAME_ANSWER, ExtraBytes.HALF_ANSWER])
 def test_duplicate_rejection_does_not_count_for_the_retry(runner: Runner, extra: ExtraBytes) -> None:
-    """The only server turns a request away, runs it when it comes again, and says its refusal twice."""
+    """The only server rejects a request, executes its retry, and sends the rejection twice."""
     world = FaultCase("once", ServerAction("refused", extra=extra, when=When.NEXT_REQUEST), servers=1).play(
         runner
     )
@@ -96,13 +96,13 @@
 
 @pytest.mark.parametrize("kind", ["once", "again"])
 def test_closed_idle_connection_is_replaced(runner: Runner, kind: str) -> None:
-    """Nothing of the request has arrived, so it goes to the same server over another connection."""
+    """No byte of the request has arrived, so it is sent to the same server over another connection."""
     world = FaultCase(kind, ServerAction(extra=ExtraBytes.UNSEEN_RESET), servers=1).play(runner)
     assert world.connections == 2 and len(world.arrivals) == 3
 
 
 def test_silently_dropped_idle_connection_is_no_proof(runner: Runner) -> None:
-    """The reset comes only after the request was written: it may have run."""
+    """The reset arrives after the request was written, which may have been executed."""
     world = FaultCase("once", ServerAction(extra=ExtraBytes.DROPPED), servers=1).play(runner)
     answers = [caller.answer for caller in world.callers.values()]
     assert [answer_status(answer) for answer in answers] == [200, 502, 200]
@@ -111,16 +111,16 @@
 # --- Planted defects ------------------------------------------------------------------------------------
 @dataclass(frozen=True)
 class Defect:
-    """A guard that is taken out, the troubles that show it, and what the violation says: an expression."""
+    """A disabled guard, the cases that must find it, and a pattern for the violation."""
 
     plant: Callable[[pytest.MonkeyPatch], None]
     fault_cases: FaultCases
     violation_pattern: str
-    step: int = 7  # one in so many is tried
+    step: int = 7  # one in so many cases is tested
 
 
 def of(fault_cases: FaultCases, kind: str, *answers: str) -> FaultCases:
-    """Those of one kind of route, with these answers."""
+    """Return the cases of one kind of route, with these responses."""
 
     def chosen() -> Iterator[FaultCase]:
         return (t for t in fault_cases() if t.kind == kind and (not answers or t.act.answer in answers))
@@ -131,7 +131,7 @@
 DEFECTS = (
     Defect(defects.reuse_after_extra_bytes, of(extra_bytes, "once"), "met no fault", step=1),
     Defect(defects.idle_bytes_taken_for_next_response, of(extra_bytes, "once"), "met no fault", step=1),
-    Defect(defects.request_id_not_checked, of(extra_bytes, "once"), "MIXED: nobody gave", step=1),
+    Defect(defects.request_id_not_checked, of(extra_bytes, "once"), "MIXED: no server sent", step=1),
     Defect(defects.request_id_reused_on_a_connection, of(extra_bytes, "once", "refused"), "TWICE", step=1),
     Defect(defects.reuse_with_unsent_bytes, of(cut_requests, "once"), "the rest of another", step=31),
     Defect(defects.reset_completes_response_without_length, of(cut_answers, "once", "until-close"), "MIXED"),
@@ -144,7 +144,7 @@
     Defect(defects.partly_written_taken_for_not_executed, of(cut_requests, "once"), "TWICE", step=31),
     Defect(defects.unmarked_503_taken_for_not_executed, of(cut_answers, "once", "busy"), "TWICE"),
     Defect(defects.unmarked_503_forwarded, of(cut_answers, "once", "busy"), "REFUSED"),
-    Defect(defects.unsigned_success_forwarded, of(cut_answers, "once", "unsealed"), "without its seal"),
+    Defect(defects.unsigned_success_forwarded, of(cut_answers, "once", "unsealed"), "without its signature"),
     Defect(defects.partial_events_forwarded, of(cut_answers, "resume", "stream"), "ORDER"),
     Defect(defects.resumption_without_last_event_id, of(cut_answers, "resume", "stream"), "ORDER"),
     Defect(defects.head_end_only_within_one_segment, of(cut_answers, "once", "length"), "met no fault"),
@@ -163,9 +163,9 @@
     pytest.fail("no violation")
 
 
-# --- The long form --------------------------------------------------------------------------------------
+# --- Command line ---------------------------------------------------------------------------------------
 def main(arguments: list[str]) -> None:
-    """Play all troubles of one connection, or the courses of some seeds."""
+    """Run all fault cases, or the random sequences of some seeds."""
     runner, began = Runner(), time.monotonic()
     if arguments == ["all"]:
         for fault_cases in (cut_answers, cut_requests, extra_bytes):
--- a/tests/dataplane/wire_defects.py
+++ b/tests/dataplane/wire_defects.py
@@ -1,6 +1,6 @@
-"""Guards of the calls to servers, taken out on purpose.
+"""Planted defects in the requests to servers.
 
-Each function plants one defect for the time of a test.
+Each function disables one guard for the duration of a test.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def reuse_after_extra_bytes(patch: pytest.MonkeyPatch) -> None:
-    """A connection is kept although bytes came behind a whole answer."""
+    """A connection is reused although bytes followed a complete response."""
 
     def mark_idle(self: UpstreamConnection, message: RawResponseMessage, now: float) -> None:
         self._extra_bytes = b""
@@ -32,7 +32,7 @@
 
 
 def idle_bytes_taken_for_next_response(patch: pytest.MonkeyPatch) -> None:
-    """Bytes on an idle connection are taken for the beginning of the next answer."""
+    """Bytes on an idle connection are taken for the beginning of the next response."""
 
     def data_received(self: UpstreamConnection, data: bytes) -> None:
         self._idle = False
@@ -44,7 +44,7 @@
 
 
 def request_id_not_checked(patch: pytest.MonkeyPatch) -> None:
-    """The first answer on a connection counts, whoever it is for."""
+    """The first response on a connection counts, whatever its request id is."""
 
     async def read_head(self: UpstreamConnection, request_id: str) -> tuple[RawResponseMessage, StreamReader]:
         return await self._next_head()
@@ -53,22 +53,22 @@
 
 
 def request_id_reused_on_a_connection(patch: pytest.MonkeyPatch) -> None:
-    """A request that was turned away may go over the same connection again."""
+    """A rejected request may be sent over the same connection again."""
     patch.setattr(UpstreamConnection, "has_carried", lambda self, request_id: False)
 
 
 def reuse_with_unsent_bytes(patch: pytest.MonkeyPatch) -> None:
-    """A connection is kept although bytes of the request have not been written."""
+    """A connection is reused although bytes of the request are unsent."""
     patch.setattr(UpstreamConnection, "all_written", True)
 
 
 def reset_completes_response_without_length(patch: pytest.MonkeyPatch) -> None:
-    """Any end of a connection ends an answer without length."""
+    """A reset also completes a response without length."""
     patch.setattr(UpstreamConnection, "ends_with_connection", False)
 
 
 def broken_taken_for_not_executed(patch: pytest.MonkeyPatch) -> None:
-    """A reset after the whole request was written counts as proof that it has not run."""
+    """A reset after the request was written counts as proof that it was not executed."""
     table: Mapping[AttemptEnd, AttemptEffect] = MappingProxyType({
         **ATTEMPT_EFFECTS, AttemptEnd.BROKEN: AttemptEffect(reached=True, may_have_run=False)
     })  # fmt: skip
@@ -76,7 +76,7 @@
 
 
 def partly_written_taken_for_not_executed(patch: pytest.MonkeyPatch) -> None:
-    """A break counts as proof where not all of the request could be written at once."""
+    """A reset counts as proof if part of the request was still unsent."""
 
     def write(self: UpstreamConnection, request: bytes, *, method: str, repeatable: bool) -> None:
         real_write(self, request, method=method, repeatable=repeatable)
@@ -94,21 +94,21 @@
 
 
 def unmarked_503_taken_for_not_executed(patch: pytest.MonkeyPatch) -> None:
-    """A bare 503 counts as proof."""
+    """A 503 without the Not-Executed header counts as proof."""
     patch.setattr(
         request_forwarder, "proves_not_executed", lambda status, marked: status in NOT_EXECUTED_STATUSES
     )
 
 
 def unmarked_503_forwarded(patch: pytest.MonkeyPatch) -> None:
-    """A server's 503 without its word goes to the client."""
+    """A 503 without the Not-Executed header is forwarded."""
     patch.setattr(
         request_forwarder, "may_forward", lambda status, is_signed, marked: is_signed or status >= 300
     )
 
 
 def unsigned_success_forwarded(patch: pytest.MonkeyPatch) -> None:
-    """A success without its seal goes to the client."""
+    """A success without a signature is forwarded."""
     patch.setattr(
         request_forwarder,
         "may_forward",
@@ -117,7 +117,7 @@
 
 
 def partial_events_forwarded(patch: pytest.MonkeyPatch) -> None:
-    """Parts of events go to the client."""
+    """Incomplete events are forwarded."""
 
     class Cutter(EventSplitter):
         def feed(self, data: bytes) -> list[Event]:
@@ -129,7 +129,7 @@
 
 
 def resumption_without_last_event_id(patch: pytest.MonkeyPatch) -> None:
-    """The second server is not told where to go on, and nothing is left out."""
+    """The second server gets no Last-Event-Id, and duplicate events are not skipped."""
     real = _Attempt._request_bytes
 
     def request_bytes(self: _Attempt) -> bytes:
@@ -144,7 +144,7 @@
 
 
 def head_end_only_within_one_segment(patch: pytest.MonkeyPatch) -> None:
-    """The blank line behind a head is found only where one segment holds all of it."""
+    """The blank line after a head is found only if one segment contains all of it."""
 
     def consume(self: HeadFraming, data: bytes) -> tuple[int, bool]:
         self._tail = b""
--- a/tests/dataplane/wire_faults.py
+++ b/tests/dataplane/wire_faults.py
@@ -1,7 +1,7 @@
-"""The troubles of one connection to a server.
+"""Fault cases of connections to servers.
 
-Every split point of a request or an answer with everything that may happen there, bytes behind an answer, and
-courses of several troubles by seed.
+Every split point of a request or a response with every event that may happen there, bytes after a response,
+and random sequences of several faults by seed.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
     "timeout", "unsealed",
 )  # fmt: skip
 STREAMS = ("stream", "stream-length", "stream-until-close", "length", "refused", "busy")
-MORE_REJECTIONS = ("refused-429", "too-many")  # in courses only: they differ by their status alone
+MORE_REJECTIONS = ("refused-429", "too-many")  # in sequences only, as they differ just by their status
 ANSWERS = {"once": PLAIN, "again": PLAIN, "stream": STREAMS, "resume": STREAMS}
-SEGMENT_BYTES = (0, 1, 3)  # bytes of the segments in which the rest comes
+SEGMENT_BYTES = (0, 1, 3)  # sizes of the segments in which the rest arrives
 REQUEST_BYTES = range(1, 400)  # a request is a little shorter
 REQUEST_ENDS = (
     (Continuation.GO_ON, 1000),
@@ -41,30 +41,30 @@
     (Continuation.RESET, 100),
     (Continuation.CLOSE, 100),
 )
-CONNECTS = (*Connect, Connect.UP, Connect.UP, Connect.UP)  # most come up
+CONNECTS = (*Connect, Connect.UP, Connect.UP, Connect.UP)  # most succeed
 BREAKS_THE_NEXT_REQUEST = (
     ExtraBytes.OTHER_ANSWER,
     ExtraBytes.RUBBISH,
     ExtraBytes.ONE_BYTE,
-)  # where they come in its place
+)  # if they arrive before its response
 
 
 @dataclass(frozen=True)
 class FaultCase:
-    """One request in trouble, and two more behind it."""
+    """One request with a fault, followed by two without."""
 
     kind: str
     act: ServerAction
     servers: int = 2
 
     def play(self, runner: Runner) -> World:
-        """Raises Violation."""
+        """Run the case; raises ViolationError."""
         world = runner.play(self.kind, [self.act], servers=self.servers)
         world.check_served(self._allowed_failures())
         return world
 
     def _allowed_failures(self) -> int:
-        """How many of the three may go without a success."""
+        """Return how many of the three requests may fail."""
         act = self.act
         if act.extra is ExtraBytes.DROPPED or (
             act.when is When.NEXT_REQUEST and act.extra in BREAKS_THE_NEXT_REQUEST
@@ -72,9 +72,9 @@
             return 3
         whole = act.sends is not None and act.sends >= answer_length(act.answer)
         if whole and act.then in (Continuation.SILENCE, Continuation.LATE):
-            return 3  # the server answers and takes nothing from then on, or for long
+            return 3  # the server then reads nothing for long, or ever
         if act.answer == "moved" and self.servers == 1:
-            return 3  # it is not asked again for a while
+            return 3  # it is skipped for a while after a 421
         succeeds = act.then is Continuation.GO_ON and answer_of(act.answer, "", 0).status == 200
         return 0 if succeeds and act.answer != "unsealed" else 1
 
@@ -84,7 +84,7 @@
 
 
 def cut_answers() -> Iterator[FaultCase]:
-    """Every split point of an answer, with everything that may happen there."""
+    """Yield every split point of a response, with every event that may happen there."""
     for kind in KINDS:
         for answer in ANSWERS[kind]:
             for then in Continuation:
@@ -94,7 +94,7 @@
 
 
 def cut_requests() -> Iterator[FaultCase]:
-    """Every split point of a request: answered early, or given up there."""
+    """Yield every split point of a request, answered early or cut off there."""
     for kind in KINDS:
         for answer in ANSWERS[kind][:1] + ("refused",):
             for then, sends in REQUEST_ENDS:
@@ -103,7 +103,7 @@
 
 
 def extra_bytes() -> Iterator[FaultCase]:
-    """Bytes behind an answer."""
+    """Yield the cases with bytes after a response."""
     for kind in KINDS:
         for answer in ANSWERS[kind]:
             for extra in ExtraBytes:
@@ -113,7 +113,7 @@
 
 
 def play_fault_sequence(runner: Runner, seed: int) -> World:
-    """Several requests, alone and together, with several troubles."""
+    """Run several requests, concurrent and one by one, with several faults."""
     rng = Random(seed)
     kind = rng.choice(list(KINDS))
     script = [_act(rng, kind) for _ in range(rng.randint(1, 6))]
--- a/tests/dataplane/wire_world.py
+++ b/tests/dataplane/wire_world.py
@@ -1,8 +1,8 @@
-"""Requests through `RequestForwarder` and `UpstreamPool` on virtual time, byte by byte.
+"""Simulation of `RequestForwarder` and `UpstreamPool` in virtual time, byte by byte.
 
-The connections are in memory. A script says for each request that reaches a server what the server does:
-how many bytes of it it takes, how many of the answer it sends, and what happens then. `check` holds what
-came of it against the rules.
+Connections are in memory. For each request that reaches a server, a script defines how many bytes of it the
+server reads, how many bytes of the response it sends, and what happens then. `check` compares the outcome
+with the rules.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 SERVICE = "plain"
 SIGNATURE = "Granitewell-Response-Seal"
 LATENCY_S = 0.0005  # each way
-PAUSE_S = 0.05  # of a server that goes on
-GAP_S = 0.02  # between an answer and the next request
+PAUSE_S = 0.05  # before a server continues
+GAP_S = 0.02  # between a response and the next request
 TIMEOUT_MS = 1000.0
-AFTERWARDS_S = 3.0  # in which what is still under way arrives
-EVENTS = 3  # of a whole stream
+AFTERWARDS_S = 3.0  # in which everything in flight arrives
+EVENTS = 3  # of a complete stream
 BODY = b"{%0123456789abcdef}"
 HEADERS = (
     (b"Host", b"shop.example"),
@@ -52,64 +52,64 @@
 
 
 class ViolationError(AssertionError):
-    """A rule is broken."""
+    """A rule is violated."""
 
 
 class Continuation(Enum):
-    """What happens once the server has sent its part of the answer."""
+    """What happens after the server has sent the scripted part of the response."""
 
-    GO_ON = auto()  # the rest, after a pause
+    GO_ON = auto()  # it sends the rest after a pause
     RESET = auto()
     CLOSE = auto()
     SILENCE = auto()
-    LATE = auto()  # the rest, when the request's time is over
-    CANCEL = auto()  # the client leaves, and the rest comes
+    LATE = auto()  # it sends the rest after the deadline
+    CANCEL = auto()  # the client disconnects, then it sends the rest
 
 
 class ExtraBytes(Enum):
-    """What follows a whole answer.
+    """What follows a complete response.
 
-    Bytes that belong to no request, or an end that the data plane can't see yet.
+    Bytes that belong to no request, or a reset that the data plane can't see yet.
     """
 
     NONE = auto()
-    SAME_ANSWER = auto()  # once more
-    OTHER_ANSWER = auto()  # to a request that nobody here has sent
-    HALF_ANSWER = auto()  # the first half of it once more; the other half comes with the next request
+    SAME_ANSWER = auto()  # the response again
+    OTHER_ANSWER = auto()  # a response to an unknown request
+    HALF_ANSWER = auto()  # its first line again; the rest comes with the next request
     RUBBISH = auto()
     ONE_BYTE = auto()
-    UNSEEN_RESET = auto()  # the kernel has it, the loop hasn't: the next write is refused
-    DROPPED = auto()  # the network has forgotten the connection: what is written next is reset
+    UNSEEN_RESET = auto()  # known to the kernel only, which refuses the next write
+    DROPPED = auto()  # lost in the network: the next write is answered with a reset
 
 
 class When(Enum):
-    """When they come."""
+    """When the extra bytes arrive."""
 
     SAME_SEGMENT = auto()
     IDLE = auto()
-    NEXT_REQUEST = auto()  # in the place of the answer to the next request on this connection
+    NEXT_REQUEST = auto()  # before the response to the next request on the connection
 
 
 class Connect(Enum):
-    """What becomes of a new connection."""
+    """Outcome of opening a connection."""
 
     UP = auto()
     SLOW = auto()
     REFUSED = auto()
-    LOST = auto()  # no answer at all
-    RESET = auto()  # it comes up, and is reset before anything is written
-    SPEAKS = auto()  # the server speaks first
-    CANCEL = auto()  # the clients leave while it comes up
+    LOST = auto()  # no reply to the SYN
+    RESET = auto()  # reset before anything is written
+    SPEAKS = auto()  # the server sends bytes first
+    CANCEL = auto()  # the clients disconnect meanwhile
 
 
 @dataclass(frozen=True)
 class ServerAction:
-    """What a server does with one request.
+    """Scripted handling of one request by a server.
 
     Attributes:
-        takes: Bytes of the request that it takes first (None: all).
-        sends: Bytes of the answer before `then` (None: all).
-        piece: Bytes of each later segment (0: all in one).
+        takes: Bytes of the request that it reads first; None for all.
+        sends: Bytes of the response before `then`; None for all.
+        piece: Bytes per later segment; 0 for one segment.
     """
 
     answer: str = "length"
@@ -121,14 +121,14 @@
     piece: int = 0
 
 
-# --- Answers --------------------------------------------------------------------------------------------
+# --- Responses ------------------------------------------------------------------------------------------
 @dataclass(frozen=True)
 class ScriptedResponse:
-    """An answer as bytes.
+    """A response as bytes.
 
     Attributes:
-        closes: It ends with its connection.
-        executed: Whether the request was run.
+        closes: Whether closing the connection ends it.
+        executed: Whether the request was executed.
     """
 
     data: bytes
@@ -156,7 +156,7 @@
 
 
 def answer_of(kind: str, request_id: str, arrival: int, after: int = 0) -> ScriptedResponse:
-    """An answer of this kind to a request; after: its Last-Event-Id."""
+    """Return a response of a kind to a request with a Last-Event-Id of `after`."""
     seal, body = f"s.{arrival}", b"<%d %s>" % (arrival, request_id.encode())
     length = f"Content-Length: {len(body)}"
     events = [event(number) for number in range(after + 1, EVENTS + 1)]
@@ -203,11 +203,11 @@
 # --- Servers --------------------------------------------------------------------------------------------
 @dataclass
 class Arrival:
-    """A request at a server.
+    """A request received by a server.
 
     Attributes:
-        ran: Whether the server worked on it.
-        whole: Its answer went out to its end.
+        ran: Whether the server executed it.
+        whole: Whether its response was sent completely.
     """
 
     request_id: str
@@ -219,20 +219,20 @@
 
 
 class Wire(asyncio.Transport):
-    """A connection in memory, and the server at its other end."""
+    """An in-memory connection, and the server at its other end."""
 
     def __init__(self, world: World, server_id: str, protocol: asyncio.Protocol) -> None:
         super().__init__()
         self.world, self.server_id, self.protocol = world, server_id, protocol
         self._closing = self._ended = False
-        self._unsent = b""  # written, and not taken by the server
-        self._open = True  # the server takes bytes
+        self._unsent = b""  # written, but not read by the server
+        self._open = True  # whether the server reads
         self._due_at = 0.0
-        self._inbox = b""  # taken, no whole request yet
+        self._inbox = b""  # read, but not yet handled
         self._act: ServerAction | None = None
         self._arrival: Arrival | None = None
-        self._owed = b""  # what comes in the place of the next answer
-        self._rest_due = False  # of a request that was answered early
+        self._owed = b""  # bytes that precede the next response
+        self._rest_due = False  # the rest of a request that was answered early is still to come
         self._gone: ExtraBytes | None = None
 
     # --- The data plane's end ---------------------------------------------------------------------------
@@ -246,7 +246,7 @@
         return len(self._unsent)
 
     def pause_reading(self) -> None:
-        raise ViolationError("these answers are too short for a pause")
+        raise ViolationError("these responses are too short for a pause")
 
     def resume_reading(self) -> None: ...
 
@@ -254,7 +254,7 @@
         if self._closing:
             raise ViolationError("a write on a closed connection")
         if self._unsent:
-            raise ViolationError("a request is written where the rest of another one is due")
+            raise ViolationError("a request is written before the rest of another one")
         if self._gone is not None:
             self._closing = self._gone is ExtraBytes.UNSEEN_RESET
             self.world.loop.call_later(LATENCY_S, self._end, ConnectionResetError(104, "reset"))
@@ -278,7 +278,7 @@
 
     # --- The server's end -------------------------------------------------------------------------------
     def _take(self) -> None:
-        """The server takes what has been written, as far as its script lets it."""
+        """Read the written bytes, as far as the script allows."""
         room = len(self._unsent)
         if not self._open:
             room = 0
@@ -308,17 +308,17 @@
         self._begin(act, request)
 
     def _drop_rest(self, request: tuple[str, int, int] | None) -> None:
-        """The rest of a request that has had its answer."""
+        """Discard the rest of a request that was answered early."""
         if request is None:
             return
         if self._arrival is None or self._arrival.request_id not in ("", request[0]):
-            raise ViolationError("another request where the rest of one is due")
+            raise ViolationError("another request in place of the rest of one")
         self._rest_due = False
         self._inbox = self._inbox[request[2] :]
         self._look()
 
     def _begin(self, act: ServerAction, request: tuple[str, int, int] | None) -> None:
-        """A request is there, whole or in part."""
+        """Begin the response to a request that was read, completely or in part."""
         if request is not None:
             request_id, after, size = request
             self._inbox = self._inbox[size:]
@@ -343,7 +343,7 @@
             self._ready()
 
     def _whole(self, act: ServerAction, last: bytes) -> bytes:
-        """The last bytes of the answer, and what comes behind them in the same segment."""
+        """Return the last bytes of the response, with extra bytes in the same segment."""
         assert self._arrival is not None and self._arrival.answer is not None
         answer = self._arrival.answer
         self._arrival.whole = not answer.closes or b"Connection: close" in answer.data
@@ -383,7 +383,7 @@
         loop, arrival, then = self.world.loop, self._arrival, act.then
         assert arrival is not None and arrival.answer is not None
         if then is Continuation.CLOSE and arrival.answer.closes:
-            then = Continuation.RESET  # where a proper close would be the proper end
+            then = Continuation.RESET  # a close would complete this response
         wait = max(self._due_at - loop.time(), 0.0) + LATENCY_S
         match then:
             case Continuation.RESET:
@@ -411,7 +411,7 @@
         self._ready()
 
     def _ready(self) -> None:
-        """The server is done with the request; where it answered early, it takes the rest of it now."""
+        """Finish the request; read the rest of one that was answered early."""
         self._act = None
         if not self._open:
             self.world.loop.call_later(PAUSE_S, self._read_on)
@@ -423,12 +423,12 @@
         self._take()
 
     def _send_idle(self, data: bytes) -> None:
-        """Unless another request came meanwhile: nobody could tell such bytes from its answer."""
+        """Send bytes unless a request arrived meanwhile: they would look like its response."""
         if self._act is None:
             self._send(data)
 
     def _send(self, data: bytes) -> None:
-        """In order, each segment by itself."""
+        """Send a segment; segments arrive in order."""
         if not data:
             return
         loop = self.world.loop
@@ -440,7 +440,7 @@
             self.protocol.data_received(data)
 
     def _close_cleanly(self, arrival: Arrival | None) -> None:
-        """arrival: the request whose answer ends with this."""
+        """Close the connection, which completes the response to `arrival` if one is given."""
 
         def end() -> None:
             if self._closing:
@@ -458,7 +458,7 @@
 
 
 class WirePool(UpstreamPool):
-    """Connects in memory."""
+    """Pool with in-memory connections."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world.loop.time)
@@ -486,7 +486,7 @@
 # --- Clients --------------------------------------------------------------------------------------------
 @dataclass
 class Caller:
-    """A client's request, and what came of it. error: what the exchange raised, if it did."""
+    """A client's request and its outcome."""
 
     request: ClientRequest
     task: asyncio.Task[ForwardResult] | None = None
@@ -526,7 +526,7 @@
 
 
 class World:
-    """Servers that play a script, one data plane's exchanges, and the callers."""
+    """Servers that follow a script, the forwarding of one data plane, and the clients."""
 
     def __init__(
         self,
@@ -558,7 +558,7 @@
     # --- The script -------------------------------------------------------------------------------------
     @property
     def upcoming(self) -> ServerAction:
-        """What the server does with the next request."""
+        """Scripted handling of the next request."""
         if self._played < len(self._script):
             return self._script[self._played]
         return ServerAction("stream" if self.route.kind is RouteKind.STREAMING else "length")
@@ -567,11 +567,11 @@
         self._played += 1
 
     def next_connect(self) -> Connect:
-        """What becomes of the next connection."""
+        """Return the outcome of opening the next connection."""
         return self._connects.pop(0) if self._connects else Connect.UP
 
     def take_all_of_upcoming(self) -> None:
-        """The server only pauses within the next request."""
+        """Let the server read all of the next request, after a pause."""
         self._script[self._played : self._played + 1] = [replace(self.upcoming, takes=None)]
 
     def arrived(self, request_id: str, server_id: str) -> Arrival:
@@ -579,7 +579,7 @@
         return self.arrivals[-1]
 
     def cancel(self, request_id: str) -> None:
-        """The client of this request leaves; "": all do."""
+        """Disconnect the client of a request, or all clients for ""."""
         for caller in self.callers.values():
             mine = request_id in ("", caller.request.request_id)
             if mine and caller.task is not None and not caller.task.done():
@@ -588,7 +588,7 @@
 
     # --- Requests at a server ---------------------------------------------------------------------------
     def parse(self, data: bytes) -> tuple[str, int, int] | None:
-        """Id, Last-Event-Id and size of the request at the beginning of these bytes; None: not whole."""
+        """Return id, Last-Event-Id and size of the first request in these bytes; None if incomplete."""
         head, blank, rest = data.partition(b"\r\n\r\n")
         if not blank:
             return None
@@ -606,12 +606,12 @@
             raise ViolationError(f"other headers: {pairs!r}")
         request_id = fields[b"granitewell-request-id"].decode()
         if request_id not in self.callers:
-            raise ViolationError(f"an id that nobody has sent: {request_id}")
+            raise ViolationError(f"an unknown request id: {request_id}")
         after = int(fields.get(b"last-event-id", b"0"))
         return request_id, after, len(head) + 4 + size
 
     def known_id(self, data: bytes) -> str:
-        """The id of a request that is there in part; "" where it hasn't come yet."""
+        """Return the id of an incomplete request; "" if it has not arrived yet."""
         for line in data.split(b"\r\n")[1:-1]:
             name, _, value = line.partition(b": ")
             if name.lower() == b"granitewell-request-id":
@@ -620,7 +620,7 @@
 
     # --- Clients ----------------------------------------------------------------------------------------
     def call(self) -> asyncio.Task[ForwardResult]:
-        """One more request of a client."""
+        """Start a request of another client."""
         request_id = f"{len(self.callers) + 1:016x}"
         headers = [*HEADERS, (b"Granitewell-Request-Id", request_id.encode())]
         now = self.loop.time()
@@ -644,7 +644,7 @@
             self._wake_later()
 
     async def play(self, together: int, then: int) -> None:
-        """Some requests at once, then some one after the other; then what is under way arrives."""
+        """Send `together` requests at once, then `then` more one by one, and wait for all in flight."""
         calls = [self.call() for _ in range(together)]
         await asyncio.wait(calls)
         for _ in range(then):
@@ -657,9 +657,9 @@
             if not caller.task.cancelled():
                 caller.answer = caller.task.result()
 
-    # --- What must hold ---------------------------------------------------------------------------------
+    # --- Rules ------------------------------------------------------------------------------------------
     def check(self) -> None:
-        """Raises Violation."""
+        """Check all rules; raises ViolationError."""
         if self.failures:
             raise self.failures[0]
         for caller in self.callers.values():
@@ -668,10 +668,10 @@
             raise ViolationError("a connection outlives its requests")
         records = self.dispatcher._services[SERVICE].records
         if any(record.in_flight or record.unanswered for record in records.values()):
-            raise ViolationError("a request is held to be at a server for ever")
+            raise ViolationError("a request still counts as in flight at a server")
 
     def check_served(self, allowed_failures: int) -> None:
-        """Beyond the first requests, which met the script, all must be served. Raises Violation."""
+        """Check that all requests after the first `allowed_failures` succeed; raises ViolationError."""
         for caller in list(self.callers.values())[allowed_failures:]:
             answer = caller.answer
             served = answer.is_complete if isinstance(answer, StreamEnd) else answer_status(answer) == 200
@@ -689,16 +689,16 @@
         match answer:
             case LocalReply():
                 if answer.status in NOT_EXECUTED_STATUSES and runs:
-                    raise ViolationError(f"REFUSED: {request_id} has run and got {answer.status}")
+                    raise ViolationError(f"REFUSED: {request_id} was executed and got {answer.status}")
             case UpstreamResponse():
                 self._check_whole(mine, answer)
             case StreamEnd():
                 self._check_stream(mine, caller, answer)
             case None:
                 if not caller.cancelled:
-                    raise ViolationError("no answer")
+                    raise ViolationError("no response")
         if caller.began and not isinstance(answer, StreamEnd) and answer is not None:
-            raise ViolationError("two answers to one request")
+            raise ViolationError("two responses to one request")
 
     def _check_whole(self, mine: list[Arrival], answer: UpstreamResponse) -> None:
         seal = _field(answer.headers, SIGNATURE)
@@ -707,31 +707,31 @@
             if given is None or (given.status, given.body, given.seal) != (answer.status, answer.body, seal):
                 continue
             if not arrival.whole:
-                raise ViolationError("MIXED: an answer that was cut looks complete")
+                raise ViolationError("MIXED: an incomplete response looks complete")
             if 200 <= answer.status < 300 and seal is None:
-                raise ViolationError("MIXED: a success without its seal")
+                raise ViolationError("MIXED: a success without its signature")
             if answer.status in NOT_EXECUTED_STATUSES and any(arrival.ran for arrival in mine):
-                raise ViolationError("REFUSED: a promise is passed on")
+                raise ViolationError("REFUSED: a status that promises no execution is forwarded")
             return
-        raise ViolationError(f"MIXED: nobody gave {answer} to this request")
+        raise ViolationError(f"MIXED: no server sent {answer} to this request")
 
     def _check_stream(self, mine: list[Arrival], caller: Caller, answer: StreamEnd) -> None:
         if answer.is_complete != caller.ended:
-            raise ViolationError("the client's end and the exchange's differ")
+            raise ViolationError("the end differs between the client and the forwarder")
         events = [event(number) for number in range(1, EVENTS + 1)]
         prefixes = [b"".join(events[:count]) for count in range(EVENTS + 1)]
         if caller.passed not in prefixes:
             raise ViolationError(f"ORDER: {caller.passed!r}")
         if answer.is_complete and caller.passed != prefixes[-1]:
-            raise ViolationError("ORDER: a cut stream looks complete")
+            raise ViolationError("ORDER: an incomplete stream looks complete")
         if caller.status != 200 or _field(caller.headers, SIGNATURE) not in [f"s.{a.number}" for a in mine]:
             raise ViolationError("MIXED: a stream with another head")
         if answer.is_complete and not any(arrival.whole for arrival in mine):
-            raise ViolationError("MIXED: a stream that was cut looks complete")
+            raise ViolationError("MIXED: a stream that no server completed looks complete")
 
 
 def answer_status(answer: ForwardResult | None) -> int:
-    """0 where there is none."""
+    """Return the status of a response; 0 if there is none."""
     return answer.status if isinstance(answer, UpstreamResponse | LocalReply) else 0
 
 
@@ -741,7 +741,7 @@
 
 
 class Runner:
-    """Plays worlds one after the other on one loop."""
+    """Runs simulations one after the other on one event loop."""
 
     def __init__(self) -> None:
         self._loop = VirtualLoop()
@@ -761,7 +761,7 @@
         together: int = 1,
         then: int = 2,
     ) -> World:
-        """A world at its end, checked."""
+        """Run a simulation and check it."""
         self._errors.clear()
         world = World(self._loop, kind, script, servers, connects)
         world.failures = self._errors
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -1,4 +1,4 @@
-"""Budgets: never more than the whole, whoever lends to whom and whatever the roads do."""
+"""Quotas: the nodes never spend more than the budget, whatever loans and network faults there are."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     "lent-short",
     "doubled-counts",
     "begins-free",
-)  # that days catch
+)  # planted defects
 
 
 def node(name: str, first: bool = True, max_nodes: int = 2) -> QuotaManager:
@@ -36,7 +36,7 @@
 
 
 def exchange_messages(now: int, *nodes: QuotaManager) -> list[Say]:
-    """All wake; what they say is delivered at once, and what comes of that, too."""
+    """Wake all nodes and deliver their messages immediately, and the replies too."""
     by_name, heard = {n.name: n for n in nodes}, list[Say]()
     said = [(n.name, e) for n in nodes for e in n.handle(now, Woken())]
     while said:
@@ -60,7 +60,7 @@
     return now
 
 
-# --- Days and the search --------------------------------------------------------------------------------
+# --- Random simulation and exhaustive search ------------------------------------------------------------
 def test_random_faults_never_exceed_the_budget_and_are_reproducible() -> None:
     days = [play(Case(seed, 0.7)) for seed in range(1, 25)]
     assert not any(d.broken for d in days), [d.broken for d in days if d.broken]
@@ -85,7 +85,7 @@
     assert "all may spend" in seen.broken and 2 <= len(seen.trace) <= 8
 
 
-# --- Rights ---------------------------------------------------------------------------------------------
+# --- Quota of one node ----------------------------------------------------------------------------------
 def test_returned_loan_is_never_restored() -> None:
     def played() -> None:
         made = Quota(SETTINGS, 1_000, 2, 0)
@@ -93,7 +93,7 @@
         made.return_loan(20, ("b", 1, 1))
         made.remove_expired(
             SETTINGS.borrower_loan_us + 10
-        )  # its own time is over, that of what was asked since is not
+        )  # the loan has expired, but not that of a later request
         made.borrow(15, SETTINGS.borrower_loan_us + 12, ("b", 1, 1), 300)
         assert made.borrowed_amount(SETTINGS.borrower_loan_us + 12) == 0
 
@@ -128,7 +128,7 @@
         assert made.lent_amount(now) <= made.base - made.reserve and made.available(now) >= made.reserve
 
 
-# --- Trading --------------------------------------------------------------------------------------------
+# --- Lending and borrowing ------------------------------------------------------------------------------
 def test_quota_moves_to_demand_and_returns() -> None:
     a, b = node("a"), node("b")
     now = run_with_demand(0, a, b, 2 * S)
@@ -137,7 +137,7 @@
         and available_rate(a, now) + available_rate(b, now) <= 100.0
         and available_rate(b, now) >= 5.0
     )
-    for _ in range(25):  # nobody asks any more: a gives back what it does not need, and no letter is said
+    for _ in range(25):  # without demand, a returns its loans, and messages end
         now += SETTINGS.round_interval_us
         last = exchange_messages(now, a, b)
     assert available_rate(a, now) == available_rate(b, now) == 50.0 and last == []
@@ -149,7 +149,7 @@
     later = now + 60 * S
     assert available_rate(a, later) == 50.0
     taken = sum(a.try_acquire(later + k, KEY) < 0 for k in range(200))
-    assert taken <= 50  # a second of its own at once, and nothing of a minute's
+    assert taken <= 50  # the burst of one second, not the quota of a minute
 
     def stopped() -> None:
         one, other = node("a"), node("b")
@@ -179,7 +179,7 @@
     now = 0
     while now < 10 * S:
         now += 10_000
-        b.try_acquire(now, KEY)  # from its first second on b needs more than its home, and lent some before
+        b.try_acquire(now, KEY)  # b soon needs more than its base quota, after lending some
         for _ in range(2):
             a.try_acquire(now, KEY)
         if now % SETTINGS.round_interval_us == 0:
--- a/tests/rpc/test_transport.py
+++ b/tests/rpc/test_transport.py
@@ -1,4 +1,4 @@
-"""Frames between nodes: calls, failures, garbage, peers that are gone."""
+"""RPC between nodes: calls, failures, malformed frames and lost connections."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     _ClientProtocol,
 )
 
-LOOPS = [asyncio.new_event_loop, uvloop.new_event_loop]  # what runs in service is uvloop
+LOOPS = [asyncio.new_event_loop, uvloop.new_event_loop]  # production uses uvloop
 
 
 def run_with_server(handler: Any, use: Callable[[RpcPeers, str, RpcServer], Awaitable[Any]]) -> None:
@@ -169,7 +169,7 @@
     assert (back.group, back.payload) == (group, payload)
 
 
-# Whose reply it is
+# Matching of replies to calls
 
 
 def frame(kind: int, method: int, call: int, payload: bytes = b"") -> bytes:
@@ -177,7 +177,7 @@
 
 
 class Pipe(asyncio.Transport):
-    """A transport that goes nowhere."""
+    """A transport that discards all data."""
 
     def __init__(self, protocol: _ClientProtocol) -> None:
         super().__init__()
@@ -201,7 +201,7 @@
 
 
 def receive_replies(data: bytes, cut: int) -> tuple[Any, Any, bool]:
-    """What two callers get of a connection's bytes, which come in two parts; whether it was ended."""
+    """Feed bytes in two parts; return the outcomes of two calls, and whether the connection was aborted."""
 
     async def run() -> tuple[Any, Any, bool]:
         protocol = _ClientProtocol()
@@ -276,7 +276,7 @@
 
 
 async def reconnect() -> None:
-    """A call whose connection is lost, then one on the next, where the reply to the first comes as well."""
+    """Lose the connection of a call, then receive its reply on the connection of the next call."""
     calls: asyncio.Queue[tuple[int, asyncio.StreamWriter]] = asyncio.Queue()
 
     async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
