--- a/granitewell/cli/system/differences.py
+++ b/granitewell/cli/system/differences.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Any
 
-LISTS = ("routes", "services")  # items with a name; everything else is compared as one value
+LIST_FIELDS = ("routes", "services")  # items with a name; everything else is compared as one value
 ABSENT = object()
 
 
@@ -44,7 +44,7 @@
     """Everything that differs, in the order of the first, then of the second."""
     found: list[Difference] = []
     for key in _keys(before, after):
-        if key in LISTS:
+        if key in LIST_FIELDS:
             found += _fields(_by_name(before.get(key)), _by_name(after.get(key)), key)
         else:
             found += _values(key, before.get(key, ABSENT), after.get(key, ABSENT))
--- a/granitewell/controlplane/configuration/answers.py
+++ b/granitewell/controlplane/configuration/answers.py
@@ -33,8 +33,8 @@
 
 def changed(result: ChangeResult) -> web.Response:
     """Return the response to a change whose outcome is known."""
-    if result.outcome in (Outcome.TAKEN, Outcome.REPEATED):
-        return _taken(result)
+    if result.outcome in (Outcome.ACCEPTED, Outcome.REPEATED):
+        return _acknowledged(result)
     if result.outcome is Outcome.FORGOTTEN:
         return unavailable("built on a version too old to say whether it was taken; get the newest")
     if result.outcome is Outcome.STALE:
@@ -44,7 +44,7 @@
     return failure(Failure(400, result.error.reason, result.error.field))
 
 
-def _taken(result: ChangeResult) -> web.Response:
+def _acknowledged(result: ChangeResult) -> web.Response:
     """Return an acknowledgement.
 
     It names the change's own version, and the current one if a later change has followed.
--- a/granitewell/controlplane/configuration/api.py
+++ b/granitewell/controlplane/configuration/api.py
@@ -33,13 +33,13 @@
 PROPOSAL_TIMEOUT_S = 3.0  # operators give up before a later acknowledgement
 LEADER_WAIT_S = 0.8  # operators give up after a second without an answer
 LEADER_POLL_S = 0.02  # short beside the above; an election takes some hundred milliseconds
-TURN_WAIT_S = 2.0  # a change that has waited longer for its turn gets a 503
-MAX_WAITING = 32  # changes that wait for their turn; operators have at most eight under way
+MAX_QUEUE_WAIT_S = 2.0  # a change that has waited longer for its turn gets a 503
+MAX_QUEUED_CHANGES = 32  # changes that wait for their turn; operators have at most eight under way
 
 log = logbook.Logger("granitewell.configuration")
 
 
-class Replicated(Protocol):
+class ReplicaGroup(Protocol):
     """What the API needs of a replica group."""
 
     async def propose(self, data: bytes, timeout_s: float = ...) -> object:
@@ -53,7 +53,7 @@
         """Internal address of the leader (`ip:port`), None while it is unknown."""
 
 
-class Standing(Enum):
+class Role(Enum):
     """Role of this node in its group at one moment."""
 
     SERVING = "serving"
@@ -70,7 +70,7 @@
         address: Control address of another node that leads, if known.
     """
 
-    standing: Standing
+    role: Role
     address: str | None = None
 
 
@@ -89,7 +89,7 @@
     def __init__(
         self,
         store: ConfigurationStore,
-        group: Replicated,
+        group: ReplicaGroup,
         control_address: Callable[[str], str],
         clock: Callable[[], float] = time.monotonic,
         *,
@@ -103,8 +103,8 @@
         self._own_address = own_address
         self._sleep = sleep
         self._bodies = BodyReader(sleep)
-        self._turn = asyncio.Lock()
-        self._waiting = 0
+        self._change_lock = asyncio.Lock()
+        self._queued_changes = 0
 
     def routes(self, app: web.Application) -> None:
         """Add the handlers, and typed responses for unknown paths and methods."""
@@ -116,9 +116,9 @@
     async def get(self, request: web.Request) -> web.Response:
         """Return the newest configuration."""
         leadership = await self._leadership()
-        if leadership.standing is not Standing.SERVING:
-            return self._elsewhere(leadership, request.path_qs)
-        answer = self._newest()
+        if leadership.role is not Role.SERVING:
+            return self._redirect_to_leader(leadership, request.path_qs)
+        answer = self._current_document()
         return answer if self._group.holds_lease() else answers.unavailable("the lease has ended")
 
     async def put(self, request: web.Request) -> web.Response:
@@ -146,39 +146,39 @@
             path: Path to request at another node.
         """
         leadership = await self._leadership()
-        if leadership.standing is not Standing.SERVING:
-            return self._elsewhere(leadership, path)
-        if self._waiting >= MAX_WAITING:
+        if leadership.role is not Role.SERVING:
+            return self._redirect_to_leader(leadership, path)
+        if self._queued_changes >= MAX_QUEUED_CHANGES:
             return answers.unavailable("too many changes wait")
-        return await self._in_turn(change, path)
+        return await self._change_in_order(change, path)
 
-    async def _in_turn(self, change: Change, path: str) -> web.Response:
+    async def _change_in_order(self, change: Change, path: str) -> web.Response:
         """Process one change at a time, so that each is checked against the newest state."""
         arrived = self._clock()
-        self._waiting += 1
+        self._queued_changes += 1
         try:
-            async with self._turn:
-                if self._clock() - arrived > TURN_WAIT_S:
+            async with self._change_lock:
+                if self._clock() - arrived > MAX_QUEUE_WAIT_S:
                     return answers.unavailable("too long a wait for earlier changes")
-                return await self._judged(change, path)
+                return await self._check_and_propose(change, path)
         finally:
-            self._waiting -= 1
+            self._queued_changes -= 1
 
-    async def _judged(self, change: Change, path: str) -> web.Response:
+    async def _check_and_propose(self, change: Change, path: str) -> web.Response:
         leadership = self._leadership_now()
-        if leadership.standing is not Standing.SERVING:
-            return self._elsewhere(leadership, path)
+        if leadership.role is not Role.SERVING:
+            return self._redirect_to_leader(leadership, path)
         result = self._store.check(change)
         if result is None:
-            return await self._proposed(change, path)
+            return await self._propose(change, path)
         answer = answers.changed(result)
         return answer if self._group.holds_lease() else answers.unavailable("the lease has ended")
 
-    async def _proposed(self, change: Change, path: str) -> web.Response:
+    async def _propose(self, change: Change, path: str) -> web.Response:
         try:
             result = await self._group.propose(change.encode(), timeout_s=PROPOSAL_TIMEOUT_S)
         except NotLeaderError:
-            return self._elsewhere(self._leadership_now(), path)
+            return self._redirect_to_leader(self._leadership_now(), path)
         except (ProposalLostError, TimeoutError) as error:
             log.warning("change has no outcome", base_version=change.base_version, error=str(error))
             return answers.unavailable("no outcome; send it again")
@@ -187,7 +187,7 @@
             return answers.unavailable("no outcome; send it again")
         return answers.changed(result)
 
-    def _newest(self) -> web.Response:
+    def _current_document(self) -> web.Response:
         if self._store.version == 0:
             return answers.failure(answers.Failure(404, "no configuration yet"))
         return answers.document(self._store.document())
@@ -197,22 +197,22 @@
         deadline = self._clock() + LEADER_WAIT_S
         while True:
             leadership = self._leadership_now()
-            if leadership.standing is not Standing.UNKNOWN or self._clock() >= deadline:
+            if leadership.role is not Role.UNKNOWN or self._clock() >= deadline:
                 return leadership
             await self._sleep(LEADER_POLL_S)
 
     def _leadership_now(self) -> Leadership:
         if self._group.holds_lease():
-            return Leadership(Standing.SERVING)
+            return Leadership(Role.SERVING)
         leader = self._group.leader_address
         if leader is None:
-            return Leadership(Standing.UNKNOWN)
+            return Leadership(Role.UNKNOWN)
         address = self._control_address(leader)
         if address == self._own_address:
-            return Leadership(Standing.UNKNOWN)  # leading, and without a lease so far
-        return Leadership(Standing.FOLLOWING, address)
+            return Leadership(Role.UNKNOWN)  # leading, and without a lease so far
+        return Leadership(Role.FOLLOWING, address)
 
-    def _elsewhere(self, leadership: Leadership, path: str) -> web.Response:
+    def _redirect_to_leader(self, leadership: Leadership, path: str) -> web.Response:
         if leadership.address is None:
             return answers.unavailable("no leader is known")
         return answers.redirect(f"http://{leadership.address}{path}")
--- a/granitewell/controlplane/configuration/body.py
+++ b/granitewell/controlplane/configuration/body.py
@@ -13,14 +13,14 @@
 
 from granitewell.controlplane.configuration.answers import Failure
 
-MAX_BODY = 16 * 1024 * 1024  # bytes; 10,000 routes take 4 MiB
-MAX_BODIES = 2 * MAX_BODY  # bytes buffered for all requests that are being read
+MAX_BODY_BYTES = 16 * 1024 * 1024  # bytes; 10,000 routes take 4 MiB
+MAX_BUFFERED_BYTES = 2 * MAX_BODY_BYTES  # bytes buffered for all requests that are being read
 BODY_TIMEOUT_S = 10.0  # a client that has not sent everything by then is disconnected
 
-TOO_LARGE = Failure(413, f"the body is above {MAX_BODY} bytes")
+TOO_LARGE = Failure(413, f"the body is above {MAX_BODY_BYTES} bytes")
 TOO_SLOW = Failure(503, f"the body was not there after {BODY_TIMEOUT_S:g} s")
-TOO_MANY = Failure(503, "too many bodies at once")
-BROKEN_OFF = Failure(503, "the connection broke off within the body")
+TOO_MANY_BODIES = Failure(503, "too many bodies at once")
+DISCONNECTED = Failure(503, "the connection broke off within the body")
 UNDECODABLE = Failure(400, "the body can't be decoded")
 
 
@@ -37,7 +37,7 @@
 
     async def read(self, request: web.Request) -> bytes | Failure:
         """Return the body, or why there is none."""
-        if (request.content_length or 0) > MAX_BODY:
+        if (request.content_length or 0) > MAX_BODY_BYTES:
             return TOO_LARGE
         reading = asyncio.ensure_future(self._read_all(request))
         timing = asyncio.ensure_future(self._sleep(BODY_TIMEOUT_S))
@@ -56,12 +56,12 @@
                 size += len(chunk)
                 self._buffered_bytes += len(chunk)
                 chunks.append(chunk)
-                if size > MAX_BODY:
+                if size > MAX_BODY_BYTES:
                     return TOO_LARGE
-                if self._buffered_bytes > MAX_BODIES:
-                    return TOO_MANY
+                if self._buffered_bytes > MAX_BUFFERED_BYTES:
+                    return TOO_MANY_BODIES
         except (web.PayloadAccessError, OSError):
-            return BROKEN_OFF
+            return DISCONNECTED
         except web.RequestPayloadError:
             return UNDECODABLE
         finally:
--- a/granitewell/controlplane/configuration/change.py
+++ b/granitewell/controlplane/configuration/change.py
@@ -10,7 +10,7 @@
 from granitewell.controlplane.configuration.errors import UnknownChangeError, UnreadableChangeError
 
 FORMAT = 1
-HEAD = struct.Struct("!BBq")  # format, operation, base version
+HEADER = struct.Struct("!BBq")  # format, operation, base version
 MAX_VERSION = 2**63 - 1  # versions travel as signed 64-bit numbers
 
 
@@ -41,7 +41,7 @@
 
     def encode(self) -> bytes:
         """Return the encoding used in the log and in updates to edges."""
-        return HEAD.pack(FORMAT, _CODES[self.operation], self.base_version) + self.body
+        return HEADER.pack(FORMAT, _CODES[self.operation], self.base_version) + self.body
 
     @classmethod
     def decode(cls, data: bytes) -> Change:
@@ -51,9 +51,9 @@
             UnknownChangeError: A newer version has written it.
             UnreadableChangeError: The bytes cannot be read.
         """
-        if len(data) < HEAD.size:
+        if len(data) < HEADER.size:
             raise UnreadableChangeError(f"{len(data)} bytes are too few")
-        version, code, base_version = HEAD.unpack_from(data)
+        version, code, base_version = HEADER.unpack_from(data)
         if version != FORMAT:
             raise UnknownChangeError(f"format {version} is not known")
         operation = _OPERATIONS.get(code)
@@ -61,7 +61,7 @@
             raise UnknownChangeError(f"operation {code} is not known")
         if base_version < 0:
             raise UnreadableChangeError(f"base version {base_version} is below 0")
-        return cls(operation, base_version, bytes(data[HEAD.size :]))
+        return cls(operation, base_version, bytes(data[HEADER.size :]))
 
     def digest(self) -> bytes:
         """Return a digest of operation and body.
--- a/granitewell/controlplane/configuration/checks.py
+++ b/granitewell/controlplane/configuration/checks.py
@@ -28,7 +28,7 @@
 
 COMPLETE_FIELDS = frozenset({"version", "routes", "services", "limits"})
 PATCH_FIELDS = frozenset({"version", "upsert", "remove", "limits"})
-MAX_SHOWN = 60  # characters of a wrong value in a message
+MAX_SHOWN_CHARS = 60  # characters of a wrong value in a message
 
 Named = TypeVar("Named", Route, Service)
 
@@ -330,4 +330,4 @@
 
 def _shown(value: Any) -> str:
     text = repr(value)
-    return text if len(text) <= MAX_SHOWN else text[:MAX_SHOWN] + "..."
+    return text if len(text) <= MAX_SHOWN_CHARS else text[:MAX_SHOWN_CHARS] + "..."
--- a/granitewell/controlplane/configuration/history.py
+++ b/granitewell/controlplane/configuration/history.py
@@ -16,17 +16,21 @@
 from granitewell.controlplane.configuration.change import Change
 from granitewell.controlplane.configuration.errors import UnreadableSnapshotError
 
-MAX_TAKEN = 10_000  # changes remembered: weeks at some hundred changes a day, in 400 KB of a snapshot
+MAX_ACCEPTED_CHANGES = (
+    10_000  # changes remembered: weeks at some hundred changes a day, in 400 KB of a snapshot
+)
 
 RECORD = struct.Struct("!32sq")  # digest, version
 UNKNOWN_DIGEST = bytes(
     32
 )  # of the record, before all others, whose version is that of the last one forgotten
-FULL_WITHOUT_MARK = 10_000  # records from a program that left no such mark: as many as it remembered at most
+LEGACY_FULL_RECORDS = (
+    10_000  # records from a program that left no such mark: as many as it remembered at most
+)
 
 
 @dataclass(frozen=True, slots=True)
-class TakenChange:
+class AcceptedChange:
     """An accepted change.
 
     Attributes:
@@ -42,22 +46,26 @@
     """The newest accepted changes, by the version that each is based on."""
 
     def __init__(self) -> None:
-        self._taken: dict[int, TakenChange] = {}
+        self._accepted: dict[int, AcceptedChange] = {}
         self._forgotten_version = 0
 
     @property
     def version(self) -> int:
         """Version that the last change produced."""
-        return self._taken[next(reversed(self._taken))].version if self._taken else self._forgotten_version
+        return (
+            self._accepted[next(reversed(self._accepted))].version
+            if self._accepted
+            else self._forgotten_version
+        )
 
     def add(self, change: Change, version: int) -> None:
         """Record an accepted change."""
-        self._append(TakenChange(change.digest(), version))
+        self._append(AcceptedChange(change.digest(), version))
 
     def version_of(self, change: Change) -> int | None:
         """Return the version that a change produced, or None if it was not accepted or is forgotten."""
-        taken = self._taken.get(change.base_version)
-        return taken.version if taken is not None and taken.digest == change.digest() else None
+        accepted = self._accepted.get(change.base_version)
+        return accepted.version if accepted is not None and accepted.digest == change.digest() else None
 
     def reaches(self, base_version: int) -> bool:
         """Return whether all changes accepted on a version or on later ones are remembered."""
@@ -65,28 +73,28 @@
 
     def records(self) -> list[bytes]:
         """Return the records of a snapshot."""
-        taken = [RECORD.pack(change.digest, change.version) for change in self._taken.values()]
+        accepted = [RECORD.pack(change.digest, change.version) for change in self._accepted.values()]
         if not self._forgotten_version:
-            return taken
-        return [RECORD.pack(UNKNOWN_DIGEST, self._forgotten_version), *taken]
+            return accepted
+        return [RECORD.pack(UNKNOWN_DIGEST, self._forgotten_version), *accepted]
 
     @classmethod
     def read(cls, data: bytes) -> ChangeHistory:
         """Return the history in the records of a snapshot; raises UnreadableSnapshotError."""
-        changes = [TakenChange(*fields) for fields in RECORD.iter_unpack(data)]
+        changes = [AcceptedChange(*fields) for fields in RECORD.iter_unpack(data)]
         history = cls()
-        if changes and (changes[0].digest == UNKNOWN_DIGEST or len(changes) >= FULL_WITHOUT_MARK):
+        if changes and (changes[0].digest == UNKNOWN_DIGEST or len(changes) >= LEGACY_FULL_RECORDS):
             history._forgotten_version = changes.pop(0).version
         _check_rising([history._forgotten_version, *(change.version for change in changes)])
         for change in changes:
             history._append(change)
         return history
 
-    def _append(self, change: TakenChange) -> None:
-        self._taken[self.version] = change
-        while len(self._taken) > MAX_TAKEN:
-            oldest = next(iter(self._taken))
-            self._forgotten_version = self._taken.pop(oldest).version
+    def _append(self, change: AcceptedChange) -> None:
+        self._accepted[self.version] = change
+        while len(self._accepted) > MAX_ACCEPTED_CHANGES:
+            oldest = next(iter(self._accepted))
+            self._forgotten_version = self._accepted.pop(oldest).version
 
 
 def _check_rising(versions: Iterable[int]) -> None:
--- a/granitewell/controlplane/configuration/state.py
+++ b/granitewell/controlplane/configuration/state.py
@@ -135,23 +135,23 @@
     return b",".join(upserted), removed
 
 
-def _complete(is_complete: CompleteConfiguration) -> ConfigurationState:
-    services = _values(is_complete.services)
-    for item in is_complete.routes:
+def _complete(complete: CompleteConfiguration) -> ConfigurationState:
+    services = _values(complete.services)
+    for item in complete.routes:
         _check_services(item, services)
     matches: dict[MatchKey, str] = {}
-    _add_matches(matches, is_complete.routes)
+    _add_matches(matches, complete.routes)
     return ConfigurationState(
         configuration=Configuration(
-            version=is_complete.version,
-            routes=_values(is_complete.routes),
+            version=complete.version,
+            routes=_values(complete.routes),
             services=services,
-            limits=read_limits(is_complete.limits),
+            limits=read_limits(complete.limits),
         ),
-        route_documents=_documents(is_complete.routes),
-        service_documents=_documents(is_complete.services),
-        limits_document=None if is_complete.limits is None else encode_value(is_complete.limits, "limits"),
-        other=is_complete.other,
+        route_documents=_documents(complete.routes),
+        service_documents=_documents(complete.services),
+        limits_document=None if complete.limits is None else encode_value(complete.limits, "limits"),
+        other=complete.other,
         matches=matches,
     )
 
--- a/granitewell/controlplane/configuration/store.py
+++ b/granitewell/controlplane/configuration/store.py
@@ -33,17 +33,19 @@
 __all__ = ["Change", "ChangeResult", "ConfigurationDelta", "ConfigurationStore", "Operation", "Outcome"]
 
 SNAPSHOT_FORMAT = 1
-SNAPSHOT_HEAD = struct.Struct(
+SNAPSHOT_HEADER = struct.Struct(
     "!BIII"
 )  # format, checksum of the rest, length of the document, records of changes
-MAX_DOCUMENT = 24 * 1024 * 1024  # bytes; patch by patch it may grow, and must fit into a snapshot and a reply
-MAX_STEPS = 128  # patches kept for edges that lag; one further behind gets the complete configuration
+MAX_DOCUMENT_BYTES = (
+    24 * 1024 * 1024
+)  # bytes; patch by patch it may grow, and must fit into a snapshot and a reply
+MAX_PATCHES = 128  # patches kept for edges that lag; one further behind gets the complete configuration
 
 
 class Outcome(Enum):
     """Outcome of a change."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     REPEATED = "repeated"
     STALE = "stale"
     INVALID = "invalid"
@@ -91,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Step:
+class _Patch:
     """A patch that leads from one version to the next.
 
     Attributes:
@@ -110,14 +112,14 @@
         on_taken: Called after each change of the version.
     """
 
-    def __init__(self, on_taken: Callable[[], None] | None = None) -> None:
+    def __init__(self, on_change: Callable[[], None] | None = None) -> None:
         self._state = EMPTY
         self._history = ChangeHistory()
-        self._steps: deque[_Step] = deque(maxlen=MAX_STEPS)
+        self._patches: deque[_Patch] = deque(maxlen=MAX_PATCHES)
         self._document: bytes | None = None
         self._document_size = 0
         self._checked: _Candidate | None = None  # the last that check passed, on the current state
-        self._on_taken = on_taken
+        self._on_change = on_change
 
     @property
     def configuration(self) -> Configuration | None:
@@ -137,20 +139,20 @@
 
     def check(self, change: Change) -> ChangeResult | None:
         """Return the outcome that a change would have now, None if it would be accepted. Changes no state."""
-        verdict = self._judge(change)
-        if isinstance(verdict, ChangeResult):
-            return verdict
-        self._checked = verdict
+        evaluation = self._evaluate(change)
+        if isinstance(evaluation, ChangeResult):
+            return evaluation
+        self._checked = evaluation
         return None
 
     def apply(self, _index: int, data: bytes) -> ChangeResult:
         """Apply a committed entry of the log; raises UnreadableChangeError."""
         change = Change.decode(data)
-        verdict = self._judge(change)
-        if isinstance(verdict, ChangeResult):
-            return verdict
-        self._take(change, verdict, data)
-        return self._result(Outcome.TAKEN)
+        evaluation = self._evaluate(change)
+        if isinstance(evaluation, ChangeResult):
+            return evaluation
+        self._commit(change, evaluation, data)
+        return self._result(Outcome.ACCEPTED)
 
     def changes_since(self, version: int) -> ConfigurationDelta:
         """Return what leads from a version to the current one.
@@ -159,9 +161,9 @@
         """
         if version >= self.version:
             return ConfigurationDelta(self.version, False, ())
-        steps = [step for step in self._steps if step.version > version]
-        if steps and steps[0].base_version == version:
-            return ConfigurationDelta(self.version, False, tuple(step.data for step in steps))
+        patches = [patch for patch in self._patches if patch.version > version]
+        if patches and patches[0].base_version == version:
+            return ConfigurationDelta(self.version, False, tuple(patch.data for patch in patches))
         return ConfigurationDelta(self.version, True, (self.document(),))
 
     def snapshot(self) -> bytes:
@@ -169,7 +171,7 @@
         document = self.document() if self.version else b""
         records = self._history.records()
         rest = document + b"".join(records)
-        return SNAPSHOT_HEAD.pack(SNAPSHOT_FORMAT, zlib.crc32(rest), len(document), len(records)) + rest
+        return SNAPSHOT_HEADER.pack(SNAPSHOT_FORMAT, zlib.crc32(rest), len(document), len(records)) + rest
 
     def restore(self, data: bytes) -> None:
         """Replace the state with a snapshot.
@@ -177,12 +179,12 @@
         Raises:
             UnreadableSnapshotError: The snapshot cannot be read; the state stays as it was.
         """
-        if len(data) < SNAPSHOT_HEAD.size:
+        if len(data) < SNAPSHOT_HEADER.size:
             raise UnreadableSnapshotError(f"{len(data)} bytes are too few")
-        version, checksum, length, count = SNAPSHOT_HEAD.unpack_from(data)
+        version, checksum, length, count = SNAPSHOT_HEADER.unpack_from(data)
         if version != SNAPSHOT_FORMAT:
             raise UnreadableSnapshotError(f"format {version} is not known")
-        rest = data[SNAPSHOT_HEAD.size :]
+        rest = data[SNAPSHOT_HEADER.size :]
         if len(rest) != length + count * RECORD.size or zlib.crc32(rest) != checksum:
             raise UnreadableSnapshotError("damaged")
         state = _restored_state(bytes(rest[:length]))
@@ -192,12 +194,12 @@
                 f"changes lead to {history.version}, the configuration is {state.version}"
             )
         self._history = history
-        self._steps.clear()
+        self._patches.clear()
         self._set_state(state)
 
-    def _judge(self, change: Change) -> ChangeResult | _Candidate:
+    def _evaluate(self, change: Change) -> ChangeResult | _Candidate:
         if change.base_version != self.version:
-            return self._judge_on_another_version(change)
+            return self._evaluate_on_another_version(change)
         digest = change.digest()
         if self._checked is not None and self._checked.digest == digest:
             return self._checked
@@ -206,7 +208,7 @@
         except InvalidConfigurationError as error:
             return self._result(Outcome.INVALID, error)
 
-    def _judge_on_another_version(self, change: Change) -> ChangeResult:
+    def _evaluate_on_another_version(self, change: Change) -> ChangeResult:
         version = self._history.version_of(change)
         if version is not None:
             return ChangeResult(Outcome.REPEATED, version, self.version)
@@ -217,37 +219,37 @@
     def _result(self, outcome: Outcome, error: InvalidConfigurationError | None = None) -> ChangeResult:
         return ChangeResult(outcome, self.version, self.version, error)
 
-    def _take(self, change: Change, candidate: _Candidate, data: bytes) -> None:
+    def _commit(self, change: Change, candidate: _Candidate, data: bytes) -> None:
         before, after = self._state, candidate.after
         self._history.add(change, after.version)
         patch = bytes(data) if change.operation is Operation.PATCH else _as_patch(before, after)
         if patch is None:
-            self._steps.clear()
+            self._patches.clear()
         else:
-            self._steps.append(_Step(before.version, after.version, patch))
+            self._patches.append(_Patch(before.version, after.version, patch))
         self._set_state(after)
 
-    def _drop_long_steps(self) -> None:
+    def _drop_long_patches(self) -> None:
         """Drop patches that are of no use: together they are shorter than the complete configuration."""
-        size = sum(len(step.data) for step in self._steps)
-        while self._steps and size >= self._document_size:
-            size -= len(self._steps.popleft().data)
+        size = sum(len(patch.data) for patch in self._patches)
+        while self._patches and size >= self._document_size:
+            size -= len(self._patches.popleft().data)
 
     def _set_state(self, state: ConfigurationState) -> None:
         self._state = state
         self._document = None
         self._document_size = state.size()
         self._checked = None
-        self._drop_long_steps()
-        if self._on_taken is not None:
-            self._on_taken()
+        self._drop_long_patches()
+        if self._on_change is not None:
+            self._on_change()
 
 
 def _bounded(state: ConfigurationState) -> ConfigurationState:
     """Return a state if it is small enough to be stored; raises InvalidConfigurationError."""
-    if state.size() > MAX_DOCUMENT:
+    if state.size() > MAX_DOCUMENT_BYTES:
         raise InvalidConfigurationError(
-            "body", f"the whole configuration would be above {MAX_DOCUMENT} bytes"
+            "body", f"the whole configuration would be above {MAX_DOCUMENT_BYTES} bytes"
         )
     return state
 
--- a/granitewell/controlplane/ownership/owner.py
+++ b/granitewell/controlplane/ownership/owner.py
@@ -9,9 +9,11 @@
 from typing import Protocol
 
 from granitewell.controlplane.ownership.processes import KnownProcesses
-from granitewell.controlplane.ownership.record import NOBODY, OwnerClaimed
+from granitewell.controlplane.ownership.record import NO_OWNER, OwnerClaimed
 
-ORDER_LASTS_S = 1.0  # an order that has left has arrived, or its connection was reset, within this time
+MAX_ORDER_DELIVERY_S = (
+    1.0  # an order that has left has arrived, or its connection was reset, within this time
+)
 UNRESPONSIVE_AFTER_S = (
     1.2  # longer than a process that is well may be busy with itself, by 0.2 s for what is on its way
 )
@@ -50,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnRules:
+class TakeoverRules:
     """When two machines may send orders to the same server.
 
     Attributes:
@@ -66,10 +68,10 @@
     @property
     def wait_s(self) -> float:
         """Time from a claim to the first order if another machine sent its last order before the claim."""
-        return self.lease_s + ORDER_LASTS_S
+        return self.lease_s + MAX_ORDER_DELIVERY_S
 
     @property
-    def faults_excuse(self) -> bool:
+    def fault_replaces_wait(self) -> bool:
         """Whether no wait is needed after an owner that was lost to a fault.
 
         The fault also counts against this machine's contact, for at least as long as the wait.
@@ -95,7 +97,7 @@
         group: LeasedGroup,
         claimant: Claimant,
         processes: KnownProcesses,
-        rules: TurnRules,
+        rules: TakeoverRules,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.holder = claimant.node_name
@@ -105,9 +107,9 @@
         self._rules = rules
         self._clock = clock
         self._claimed_term = 0
-        self._last_claim = NOBODY
-        self._order_from = -math.inf
-        self._predecessor = NOBODY
+        self._last_claim = NO_OWNER
+        self._orders_allowed_at = -math.inf
+        self._predecessor = NO_OWNER
 
     @property
     def fencing_token(self) -> int:
@@ -120,7 +122,7 @@
 
     def may_order(self) -> bool:
         """Return whether an order may be sent in this turn of the event loop."""
-        return self.owns() and (self._clock() >= self._order_from or self._predecessor_is_gone())
+        return self.owns() and (self._clock() >= self._orders_allowed_at or self._predecessor_is_gone())
 
     async def claim(self) -> None:
         """Write the claim to the log; raises NotLeaderError and ProposalLostError.
@@ -133,17 +135,17 @@
         previous = await self._group.propose(claim.encode())
         if not isinstance(previous, OwnerClaimed):
             return
-        self._follow(previous)
+        self._start_wait(previous)
         self._last_claim = claim
         if self._group.term == term:
             self._claimed_term = term
 
-    def _follow(self, previous: OwnerClaimed) -> None:
+    def _start_wait(self, previous: OwnerClaimed) -> None:
         """Begin the wait that must follow a claim."""
         if previous == self._last_claim:
             return
-        self._predecessor = NOBODY if self._is_own(previous) else previous
-        self._order_from = self._clock() + (self._rules.wait_s if previous != NOBODY else 0.0)
+        self._predecessor = NO_OWNER if self._is_own(previous) else previous
+        self._orders_allowed_at = self._clock() + (self._rules.wait_s if previous != NO_OWNER else 0.0)
 
     def _is_own(self, claim: OwnerClaimed) -> bool:
         own = self._claimant
@@ -151,19 +153,21 @@
 
     def _predecessor_is_gone(self) -> bool:
         """Return whether the previous owner's process is known to be out of contact."""
-        if not self._rules.faults_excuse or not self._predecessor.address:
+        if not self._rules.fault_replaces_wait or not self._predecessor.address:
             return False
         if not self._has_restarted() and not self._is_unresponsive():
             return False
-        self._order_from = self._clock()
+        self._orders_allowed_at = self._clock()
         return True
 
     def _has_restarted(self) -> bool:
         predecessor = self._predecessor
         if predecessor.address == self._claimant.address:
             return True
-        heard = self._processes.incarnation_at(predecessor.address)
-        return heard is not None and bool(predecessor.incarnation) and heard != predecessor.incarnation
+        announced = self._processes.incarnation_at(predecessor.address)
+        return (
+            announced is not None and bool(predecessor.incarnation) and announced != predecessor.incarnation
+        )
 
     def _is_unresponsive(self) -> bool:
         """Return whether the previous owner is unresponsive.
--- a/granitewell/controlplane/ownership/record.py
+++ b/granitewell/controlplane/ownership/record.py
@@ -51,14 +51,14 @@
             raise MalformedClaimError(repr(error)) from error
 
 
-NOBODY = OwnerClaimed("", 0)
+NO_OWNER = OwnerClaimed("", 0)
 
 
 class OwnerRecord:
     """State machine of a shard's group: the current owner."""
 
     def __init__(self) -> None:
-        self.owner = NOBODY
+        self.owner = NO_OWNER
 
     def apply(self, _index: int, data: bytes) -> OwnerClaimed:
         """Apply a committed claim; return the owner before it."""
--- a/granitewell/controlplane/placement/confirmation.py
+++ b/granitewell/controlplane/placement/confirmation.py
@@ -13,9 +13,11 @@
 from granitewell.controlplane.placement.orders import Operation, Order, Report
 from granitewell.domain.servers import LoadedModel
 
-FIRST_AFTER_S = 0.02  # from the acceptance to the first confirmation; each further one waits twice as long
+FIRST_CONFIRMATION_DELAY_S = (
+    0.02  # from the acceptance to the first confirmation; each further one waits twice as long
+)
 MAX_CONFIRMATIONS = 3  # after which reports are polled instead
-MIN_TRIED = 6  # orders of an operation that are tried before it may be given up
+MIN_CONFIRMATION_SAMPLES = 6  # orders of an operation that are tried before it may be given up
 MIN_CONFIRMED_FRACTION = 0.2  # of an operation's orders; below it sending them again tells nothing
 
 
@@ -28,26 +30,29 @@
     """Which operations the servers confirm; some servers have no clear answer to one that is done."""
 
     def __init__(self) -> None:
-        self._tried: Counter[Operation] = Counter()
+        self._orders: Counter[Operation] = Counter()
         self._confirmed: Counter[Operation] = Counter()
 
     def ended(self, order: Order, *, confirmed: bool) -> None:
         """Record that an order was confirmed, or that a report had to show its end."""
-        self._tried[order.operation] += 1
+        self._orders[order.operation] += 1
         self._confirmed[order.operation] += confirmed
 
     def is_useful(self, order: Order) -> bool:
         """Return whether to send such an order again."""
-        tried = self._tried[order.operation]
-        return tried < MIN_TRIED or self._confirmed[order.operation] >= MIN_CONFIRMED_FRACTION * tried
+        tried = self._orders[order.operation]
+        return (
+            tried < MIN_CONFIRMATION_SAMPLES
+            or self._confirmed[order.operation] >= MIN_CONFIRMED_FRACTION * tried
+        )
 
 
-def next_after(confirmations: int) -> float:
+def confirmation_delay_s(confirmations: int) -> float:
     """Return how long to wait before the next confirmation, in seconds, after some were sent."""
-    return FIRST_AFTER_S * 2.0**confirmations
+    return FIRST_CONFIRMATION_DELAY_S * 2.0**confirmations
 
 
-def report_after(report: Report, order: Order, sequence: int) -> Report:
+def predicted_report(report: Report, order: Order, sequence: int) -> Report:
     """Return the report that a server would give once an order is done.
 
     Args:
--- a/granitewell/controlplane/placement/controller.py
+++ b/granitewell/controlplane/placement/controller.py
@@ -26,7 +26,7 @@
 
 __all__ = ["ListedServer", "Ownership", "PlacementController"]
 
-LONGEST_SLEEP_S = 1.0
+MAX_SLEEP_S = 1.0
 
 log = logbook.Logger("granitewell.placement")
 
@@ -106,7 +106,7 @@
     async def run(self) -> None:
         """Observe, plan and order until cancelled."""
         self._reconciler.start(self._clock())
-        self._tell_changes()
+        self._notify_changes()
         try:
             while True:
                 self._step()
@@ -116,14 +116,14 @@
                 call.cancel()
             self._calls.clear()
             self._reconciler.stop(self._clock())
-            self._tell_changes()
+            self._notify_changes()
 
     def _step(self) -> None:
         ownership = self._ownership
         steps = self._reconciler.due(
             self._clock(), ownership.holder, ownership.fencing_token, ownership.may_order()
         )
-        self._tell_changes()
+        self._notify_changes()
         for step in steps:
             self._spawn(self._poll(step) if isinstance(step, Poll) else self._send(step))
 
@@ -133,7 +133,7 @@
             await asyncio.sleep(0)
             return
         try:
-            async with asyncio.timeout(min(pause, LONGEST_SLEEP_S)):
+            async with asyncio.timeout(min(pause, MAX_SLEEP_S)):
                 await self._wake.wait()
         except TimeoutError:
             pass
@@ -177,10 +177,10 @@
         self._after_event()
 
     def _after_event(self) -> None:
-        self._tell_changes()
+        self._notify_changes()
         if self._reconciler.next_at() < math.inf:
             self._wake.set()
 
-    def _tell_changes(self) -> None:
+    def _notify_changes(self) -> None:
         for server_id in self._reconciler.take_changes():
             self._on_change(server_id)
--- a/granitewell/controlplane/placement/demand.py
+++ b/granitewell/controlplane/placement/demand.py
@@ -12,13 +12,13 @@
 
 from granitewell.domain.servers import ModelDemand, ModelRef
 
-FAST_S = 2.0  # time constant of the rate that shows a rise
-SLOW_S = 20.0  # time constant of the rate of models that are asked for rarely
+FAST_TIME_CONSTANT_S = 2.0  # time constant of the rate that shows a rise
+SLOW_TIME_CONSTANT_S = 20.0  # time constant of the rate of models that are asked for rarely
 MIN_FAST_REQUESTS = 2.5  # within FAST_S, below which a rise may be chance
 INACTIVITY_SCALE_S = 10.0  # a rate is believed to be at most this / idle time squared
-MISS_S = 5.0  # time constant of the rate of misses
-GAUGE_LASTS_S = 2.0  # edges report every second at the latest; an older figure is taken for zero
-FORGET_S = 90.0  # a model not asked for in this time is forgotten
+MISS_TIME_CONSTANT_S = 5.0  # time constant of the rate of misses
+GAUGE_TTL_S = 2.0  # edges report every second at the latest; an older figure is taken for zero
+DEMAND_TTL_S = 90.0  # a model not asked for in this time is forgotten
 NEVER = -math.inf
 
 
@@ -83,7 +83,7 @@
             self._parts.pop(source, None)
 
     def read(self, now: float) -> int:
-        old = [source for source, (_, at) in self._parts.items() if now - at > GAUGE_LASTS_S]
+        old = [source for source, (_, at) in self._parts.items() if now - at > GAUGE_TTL_S]
         for source in old:
             del self._parts[source]
         return sum(value for value, _ in self._parts.values())
@@ -103,12 +103,12 @@
         self._at = now
 
     def per_s(self, now: float) -> float:
-        return self._read(now) / MISS_S
+        return self._read(now) / MISS_TIME_CONSTANT_S
 
     def _read(self, now: float) -> float:
         if self._at == NEVER:
             return 0.0
-        return self._count * math.exp(-max(0.0, now - self._at) / MISS_S)
+        return self._count * math.exp(-max(0.0, now - self._at) / MISS_TIME_CONSTANT_S)
 
 
 class _Arrivals:
@@ -126,9 +126,9 @@
         if requests <= 0:
             return
         if self._at != NEVER:
-            passed = max(0.0, now - self._at)
-            self._fast *= math.exp(-passed / FAST_S)
-            self._slow *= math.exp(-passed / SLOW_S)
+            elapsed_s = max(0.0, now - self._at)
+            self._fast *= math.exp(-elapsed_s / FAST_TIME_CONSTANT_S)
+            self._slow *= math.exp(-elapsed_s / SLOW_TIME_CONSTANT_S)
         self._fast += requests
         self._slow += requests
         self._at = now
@@ -137,13 +137,13 @@
     def rate(self, now: float) -> float:
         if self.last_at == NEVER:
             return 0.0
-        passed = max(0.0, now - self._at)
-        fast = self._fast * math.exp(-passed / FAST_S)
-        rate = self._slow * math.exp(-passed / SLOW_S) / SLOW_S
+        elapsed_s = max(0.0, now - self._at)
+        fast = self._fast * math.exp(-elapsed_s / FAST_TIME_CONSTANT_S)
+        rate = self._slow * math.exp(-elapsed_s / SLOW_TIME_CONSTANT_S) / SLOW_TIME_CONSTANT_S
         if fast >= MIN_FAST_REQUESTS:
-            rate = max(rate, fast / FAST_S)
-        if passed > 1.0:
-            rate = min(rate, INACTIVITY_SCALE_S / (passed * passed))
+            rate = max(rate, fast / FAST_TIME_CONSTANT_S)
+        if elapsed_s > 1.0:
+            rate = min(rate, INACTIVITY_SCALE_S / (elapsed_s * elapsed_s))
         return rate
 
 
@@ -218,7 +218,7 @@
         with_adapters: set[str] = set()
         for ref, entry in list(self._entries.items()):
             seen = _read(now, entry)
-            if seen.idle_s > FORGET_S and not seen.waiting and not seen.in_flight:
+            if seen.idle_s > DEMAND_TTL_S and not seen.waiting and not seen.in_flight:
                 del self._entries[ref]
                 continue
             by_model.setdefault(ref.model, []).append(seen)
--- a/granitewell/controlplane/placement/fleet.py
+++ b/granitewell/controlplane/placement/fleet.py
@@ -12,15 +12,15 @@
 from granitewell.domain.configuration import Engine, Model
 from granitewell.domain.servers import ModelRef
 
-BUSY_RATE = 0.4  # requests a second from which a model has two copies
-KEEP_RATE = 0.25  # from here a lost last copy is loaded again before it is asked for
-ACTIVE_ADAPTER_RATE = 0.04  # adapters requested this often are loaded ahead of need
-SLOTS_FRACTION = 0.2  # of a server's slots in use by one model, beyond which another copy is wanted
-EVEN_FRACTION = (
+BUSY_RATE_PER_S = 0.4  # requests a second from which a model has two copies
+KEEP_RATE_PER_S = 0.25  # from here a lost last copy is loaded again before it is asked for
+ACTIVE_ADAPTER_RATE_PER_S = 0.04  # adapters requested this often are loaded ahead of need
+MAX_SLOTS_FRACTION = 0.2  # of a server's slots in use by one model, beyond which another copy is wanted
+MAX_FAIR_SHARE_RATIO = (
     1.25  # of all requests over all servers: a model asked for more often a copy wants another copy
 )
-COMFORTABLE_FRACTION = 1 / 3  # of a server's slots; with more requests at once its tokens come too slowly
-MIN_RATE_A_COPY = 1.0  # requests a second that one copy serves well anywhere: prompts are read one by one
+TARGET_SLOTS_FRACTION = 1 / 3  # of a server's slots; with more requests at once its tokens come too slowly
+MIN_COPY_RATE_PER_S = 1.0  # requests a second that one copy serves well anywhere: prompts are read one by one
 MAX_REPLICAS_FRACTION = 0.7  # of the servers, for one model
 
 
@@ -50,30 +50,32 @@
         self._sizes = sizes
         self.models: dict[str, Model] = {model.name: model for model in engine.models}
         self.servers = servers
-        self.lasting = [server for server in servers if server.lasting]
+        self.schedulable = [server for server in servers if server.schedulable]
         self._dropped: set[tuple[str, ModelRef]] = set()  # adapters that this plan unloads
         self._copies = self._count_copies()
         self._active_adapters = self._count_active_adapters()
         self.adapter_hosts = {
             server.id for server in servers if not self._active_adapters.keys().isdisjoint(server.loaded)
         }
-        self.rate_a_copy = self._well_served_rate()
-        self.wanted = {name: self._wanted_copies(name) for name in demand.models if name in self.models}
+        self.max_copy_rate = self._max_copy_rate()
+        self.desired = {
+            name: self._count_desired_copies(name) for name in demand.models if name in self.models
+        }
         self.load = {server.id: self._load_of(server) for server in servers}
 
     # Servers
 
     def _count_copies(self) -> dict[str, _Copies]:
         copies: dict[str, _Copies] = {}
-        for server in self.lasting:
+        for server in self.schedulable:
             for name in server.loaded:
                 if server.has(ModelRef(name)):
                     entry = copies.setdefault(name, _Copies())
                     entry.servers.append(server)
                     entry.ready += 1
-            coming = server.coming
-            if coming is not None and not coming.adapter and coming.model not in server.loaded:
-                copies.setdefault(coming.model, _Copies()).servers.append(server)
+            loading = server.loading
+            if loading is not None and not loading.adapter and loading.model not in server.loaded:
+                copies.setdefault(loading.model, _Copies()).servers.append(server)
         return copies
 
     def copies_of(self, model: str) -> _Copies:
@@ -82,10 +84,10 @@
 
     def adapter_copies(self, ref: ModelRef) -> int:
         """Return the lasting servers that have or load an adapter and keep it."""
-        return sum(1 for server in self.lasting if self._has_adapter(server, ref))
+        return sum(1 for server in self.schedulable if self._has_adapter(server, ref))
 
     def _has_adapter(self, server: ServerView, ref: ModelRef) -> bool:
-        return (server.has(ref) and (server.id, ref) not in self._dropped) or server.coming == ref
+        return (server.has(ref) and (server.id, ref) not in self._dropped) or server.loading == ref
 
     def is_adapter(self, ref: ModelRef) -> bool:
         """Return whether the configuration has the adapter."""
@@ -114,7 +116,7 @@
     def _finite(mb: float) -> float:
         return mb if math.isfinite(mb) else 0.0
 
-    def sizes_away(self) -> list[float]:
+    def missing_sizes_mb(self) -> list[float]:
         """Return the sizes of the models that no lasting server has, in order."""
         return sorted(model.weights_mb for name, model in self.models.items() if name not in self._copies)
 
@@ -123,62 +125,62 @@
     def _count_active_adapters(self) -> dict[str, int]:
         active: dict[str, int] = {}
         for ref, seen in self.demand.adapters.items():
-            if seen.waiting or seen.in_flight or seen.rate >= ACTIVE_ADAPTER_RATE:
+            if seen.waiting or seen.in_flight or seen.rate >= ACTIVE_ADAPTER_RATE_PER_S:
                 active[ref.model] = active.get(ref.model, 0) + 1
         return active
 
-    def _well_served_rate(self) -> float:
+    def _max_copy_rate(self) -> float:
         """Return the rate that a replica should serve at most, in requests per second.
 
         That is about an even fraction of all requests.
         """
-        asked = sum(seen.rate for seen in self.demand.models.values())
-        return max(MIN_RATE_A_COPY, EVEN_FRACTION * asked / max(1, len(self.lasting)))
+        total_rate = sum(seen.rate for seen in self.demand.models.values())
+        return max(MIN_COPY_RATE_PER_S, MAX_FAIR_SHARE_RATIO * total_rate / max(1, len(self.schedulable)))
 
-    def _wanted_copies(self, name: str) -> int:
+    def _count_desired_copies(self, name: str) -> int:
         seen = self.demand.models.get(name)
         if seen is None:
             return 0
-        wanted = 0
-        if seen.waiting or seen.in_flight or seen.rate >= KEEP_RATE:
-            wanted = 1
-        if seen.rate >= BUSY_RATE:
-            wanted = max(2, math.ceil(seen.rate / self.rate_a_copy))
-            wanted = max(wanted, math.ceil(seen.in_flight / (SLOTS_FRACTION * self._engine.slots)))
-            places = self._engine.max_adapters
-            if places:
-                wanted = max(wanted, math.ceil(self._active_adapters.get(name, 0) / places))
-        most = max(2, int(len(self.lasting) * MAX_REPLICAS_FRACTION))
-        return min(wanted, most, len(self.lasting))
-
-    def excess(self, name: str, copies: int) -> float:
+        desired = 0
+        if seen.waiting or seen.in_flight or seen.rate >= KEEP_RATE_PER_S:
+            desired = 1
+        if seen.rate >= BUSY_RATE_PER_S:
+            desired = max(2, math.ceil(seen.rate / self.max_copy_rate))
+            desired = max(desired, math.ceil(seen.in_flight / (MAX_SLOTS_FRACTION * self._engine.slots)))
+            adapter_slots = self._engine.max_adapters
+            if adapter_slots:
+                desired = max(desired, math.ceil(self._active_adapters.get(name, 0) / adapter_slots))
+        max_copies = max(2, int(len(self.schedulable) * MAX_REPLICAS_FRACTION))
+        return min(desired, max_copies, len(self.schedulable))
+
+    def excess_in_flight(self, name: str, copies: int) -> float:
         """Return how many requests of a model are in flight beyond those that its copies run in time."""
         seen = self.demand.models.get(name)
         if seen is None:
             return 0.0
-        return max(0.0, seen.in_flight - copies * COMFORTABLE_FRACTION * self._engine.slots)
+        return max(0.0, seen.in_flight - copies * TARGET_SLOTS_FRACTION * self._engine.slots)
 
     def _load_of(self, server: ServerView) -> float:
         load = 0.0
         for name in server.loaded:
             seen = self.demand.models.get(name)
-            if seen is not None and seen.rate >= BUSY_RATE:
+            if seen is not None and seen.rate >= BUSY_RATE_PER_S:
                 load += seen.rate / max(1, self.copies_of(name).count)
         return load
 
     # Changes by this plan
 
-    def comes(self, server: ServerView, name: str) -> None:
+    def record_load(self, server: ServerView, name: str) -> None:
         """Record that the load of a model was ordered."""
         self._copies.setdefault(name, _Copies()).servers.append(server)
 
-    def goes(self, server: ServerView, ref: ModelRef) -> None:
+    def record_unload(self, server: ServerView, ref: ModelRef) -> None:
         """Record that an unload was ordered."""
         if ref.adapter:
             self._dropped.add((server.id, ref))
             return
         copies = self._copies.get(ref.model)
-        if not server.lasting or copies is None:
+        if not server.schedulable or copies is None:
             return
         copies.servers = [kept for kept in copies.servers if kept.id != server.id]
         copies.ready -= 1
--- a/granitewell/controlplane/placement/issuing.py
+++ b/granitewell/controlplane/placement/issuing.py
@@ -13,7 +13,7 @@
 from granitewell.controlplane.placement.limits import (
     Capacity,
     LoadBucket,
-    LoadPace,
+    LoadConcurrency,
     ModelSizes,
     Usage,
     WarmLoadTime,
@@ -25,17 +25,17 @@
 from granitewell.domain.configuration import Engine
 from granitewell.domain.servers import ModelRef
 
-REPORT_SHOWS_S = 0.1  # how old a report usually is; learned from nothing, only a first look depends on it
-UNLOAD_TAKES_S = 0.02
-ADAPTER_TAKES_S = 0.02
+REPORT_DELAY_S = 0.1  # how old a report usually is; learned from nothing, only a first look depends on it
+UNLOAD_DURATION_S = 0.02
+ADAPTER_LOAD_DURATION_S = 0.02
 
-_NEVER_BEGAN = frozenset(
+_NOT_STARTED = frozenset(
     {
         OrderResult.NOT_SENT,
         OrderResult.CONFLICT,
         OrderResult.FENCED,
         OrderResult.OTHER_SERVER,
-        OrderResult.ALREADY_HOLDS,
+        OrderResult.ALREADY_DONE,
     }
 )
 
@@ -46,7 +46,7 @@
     def __init__(self, records: Mapping[str, ServerRecord], counters: PlacementCounters) -> None:
         self.sizes = ModelSizes()
         self.bucket = LoadBucket(0.0)
-        self.pace = LoadPace()
+        self.concurrency = LoadConcurrency()
         self.warm = WarmLoadTime()
         self._records = records
         self._counters = counters
@@ -55,7 +55,7 @@
 
     def start(self, now: float) -> None:
         """Begin without a token, because the loads that an earlier owner has just ordered count."""
-        self.pace = LoadPace()
+        self.concurrency = LoadConcurrency()
         self.bucket = LoadBucket(now)
         self._set_rate(now)
 
@@ -79,7 +79,7 @@
         loads_per_s = engine.loads_per_s * self._load_rate_fraction
         self.bucket.set_rate(now, loads_per_s)
         if engine.models:
-            self.pace.expect(loads_per_s, fmean(model.load_time_s for model in engine.models))
+            self.concurrency.expect(loads_per_s, fmean(model.load_time_s for model in engine.models))
 
     def issue(self, now: float, order: Order, holder: str, fencing_token: int) -> Send | None:
         """Record and issue an order, unless it would exceed a limit."""
@@ -93,9 +93,11 @@
             return None
         report = record.report
         assert report is not None  # orderable
-        at_once = 1 + sum(1 for other in self._records.values() if _is_model(other.coming()))
-        expected_s = self._expected_s(engine, order, at_once)
-        record.pending = PendingOrder(order, report.sequence, fencing_token, now, expected_s, at_once)
+        concurrent_loads = 1 + sum(1 for other in self._records.values() if _is_model(other.loading()))
+        expected_s = self._expected_s(engine, order, concurrent_loads)
+        record.pending = PendingOrder(
+            order, report.sequence, fencing_token, now, expected_s, concurrent_loads
+        )
         record.calling = True
         record.reservation = None
         self._count(order)
@@ -105,7 +107,7 @@
         """Record that an order was answered or timed out."""
         results = self._counters.results
         results[result] = results.get(result, 0) + 1
-        if order.from_store and result in _NEVER_BEGAN:
+        if order.from_store and result in _NOT_STARTED:
             self.bucket.give_back()
 
     def done(self, done: PendingOrder, asked_at: float, report: Report) -> None:
@@ -113,31 +115,31 @@
         if not done.order.loads_model or not shows(report, done.order):
             return
         if not done.order.from_store:
-            if done.stage is OrderStage.TAKEN:
+            if done.stage is OrderStage.ACCEPTED:
                 self.warm.learn(asked_at - done.sent_at)
             return
         nominal = _load_time(self._engine, done.order.ref.model) if self._engine is not None else 0.0
-        if nominal > 0 and done.stage is OrderStage.TAKEN:
-            self.pace.learn(done.at_once, asked_at - done.sent_at, nominal)
+        if nominal > 0 and done.stage is OrderStage.ACCEPTED:
+            self.concurrency.learn(done.concurrent_loads, asked_at - done.sent_at, nominal)
 
     def _admits(self, record: ServerRecord, engine: Engine, order: Order) -> bool:
         after = self._usage_with(record, order.ref)
         return Capacity(engine.weights_mb, engine.max_adapters).admits(after)
 
     def _usage_with(self, record: ServerRecord, ref: ModelRef) -> Usage:
-        coming = record.coming()
-        loads = [ref] if coming is None else [coming, ref]
+        loading = record.loading()
+        loads = [ref] if loading is None else [loading, ref]
         return usage(record.loaded().values(), loads, self.sizes)
 
-    def _expected_s(self, engine: Engine, order: Order, at_once: int) -> float:
+    def _expected_s(self, engine: Engine, order: Order, concurrent_loads: int) -> float:
         if order.operation is Operation.UNLOAD:
-            return UNLOAD_TAKES_S + REPORT_SHOWS_S
+            return UNLOAD_DURATION_S + REPORT_DELAY_S
         if order.ref.adapter:
-            return ADAPTER_TAKES_S + REPORT_SHOWS_S
+            return ADAPTER_LOAD_DURATION_S + REPORT_DELAY_S
         nominal_s = _load_time(engine, order.ref.model)
         if not order.from_store:
             return self.warm.estimate(nominal_s)
-        return nominal_s * max(1.0, at_once / self.pace.at_once) + REPORT_SHOWS_S
+        return nominal_s * max(1.0, concurrent_loads / self.concurrency.concurrent_loads) + REPORT_DELAY_S
 
     def _count(self, order: Order) -> None:
         counters = self._counters
--- a/granitewell/controlplane/placement/limits.py
+++ b/granitewell/controlplane/placement/limits.py
@@ -10,15 +10,17 @@
 from granitewell.domain.servers import LoadedModel, ModelRef
 
 STORE_RATE_FRACTION = 0.95  # of the permitted rate: the bound counts 1.1 times it, plus 3
-STORE_BURST = 2.0  # loads at once after a pause; the bound allows 3
+STORE_BURST_LOADS = 2.0  # loads at once after a pause; the bound allows 3
 MEMORY_SLACK_MB = 1.0  # for sums of rounded sizes
-AT_ONCE_FIRST = 4  # simultaneous loads that are tried before anything is known of the store
-AT_ONCE_LEAST = 2
-AT_ONCE_MOST = 32
-SLOWED = 1.3  # a load that took this many times its usual time met too many others
-WARM_FIRST_FRACTION = 0.4  # of its load time, for a model from the server's own disk, before any was measured
-WARM_GAIN = 0.2  # weight of the newest load from a server's own disk
-UNSLOWED = 1.15  # up to here loads at once were as fast as alone
+INITIAL_CONCURRENT_LOADS = 4  # simultaneous loads that are tried before anything is known of the store
+MIN_CONCURRENT_LOADS = 2
+MAX_CONCURRENT_LOADS = 32
+MIN_SLOW_RATIO = 1.3  # a load that took this many times its usual time met too many others
+INITIAL_WARM_LOAD_FRACTION = (
+    0.4  # of its load time, for a model from the server's own disk, before any was measured
+)
+WARM_LOAD_WEIGHT = 0.2  # weight of the newest load from a server's own disk
+MAX_FULL_SPEED_RATIO = 1.15  # up to here loads at once were as fast as alone
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +73,7 @@
         return self.weights_mb(loaded.name) + adapters
 
 
-def usage(loaded: Iterable[LoadedModel], coming: Iterable[ModelRef], sizes: ModelSizes) -> Usage:
+def usage(loaded: Iterable[LoadedModel], loading: Iterable[ModelRef], sizes: ModelSizes) -> Usage:
     """Return the usage of loaded models together with loads in progress or of unknown outcome."""
     mb = 0.0
     adapters = 0
@@ -80,7 +82,7 @@
         present[model.name] = model
         mb += sizes.loaded_mb(model)
         adapters += len(model.adapters)
-    for ref in coming:
+    for ref in loading:
         if _holds(present, ref):
             continue
         mb += sizes.ref_mb(ref)
@@ -111,7 +113,7 @@
 
     def _fill(self, now: float) -> None:
         passed = max(0.0, now - self._at)
-        self._tokens = min(STORE_BURST, self._tokens + passed * self._rate)
+        self._tokens = min(STORE_BURST_LOADS, self._tokens + passed * self._rate)
         self._at = now
 
     def available(self, now: float) -> int:
@@ -128,7 +130,7 @@
 
     def give_back(self) -> None:
         """Return the token of a load that certainly did not begin."""
-        self._tokens = min(STORE_BURST, self._tokens + 1.0)
+        self._tokens = min(STORE_BURST_LOADS, self._tokens + 1.0)
 
     def next_at(self, now: float) -> float:
         """Return when the next load may begin."""
@@ -139,14 +141,14 @@
         return now + (1.0 - self._tokens) / self._rate
 
 
-class LoadPace:
+class LoadConcurrency:
     """How many concurrent loads run at full speed, learned from how long loads take.
 
     Before any was measured, it is the number that the permitted rate keeps in progress.
     """
 
     def __init__(self) -> None:
-        self.at_once = AT_ONCE_FIRST
+        self.concurrent_loads = INITIAL_CONCURRENT_LOADS
         self._min_overhead_s = math.inf
 
     def expect(self, loads_per_s: float, load_time_s: float) -> None:
@@ -156,17 +158,19 @@
         """
         if math.isinf(self._min_overhead_s):
             under_way = round(loads_per_s * load_time_s)  # Little's law
-            self.at_once = max(AT_ONCE_LEAST, min(AT_ONCE_MOST, under_way))
+            self.concurrent_loads = max(MIN_CONCURRENT_LOADS, min(MAX_CONCURRENT_LOADS, under_way))
 
-    def learn(self, at_once: int, took_s: float, nominal_s: float) -> None:
+    def learn(self, concurrent_loads: int, took_s: float, nominal_s: float) -> None:
         """Record how long a load took beside `at_once` concurrent loads (including itself)."""
         overhead = took_s - nominal_s
         self._min_overhead_s = min(self._min_overhead_s, max(overhead, -0.5 * nominal_s))
         slowness = (took_s - self._min_overhead_s) / max(nominal_s, 0.05)
-        if slowness >= SLOWED and at_once > AT_ONCE_LEAST:
-            self.at_once = max(AT_ONCE_LEAST, min(self.at_once, round(at_once / slowness)))
-        elif slowness <= UNSLOWED and at_once >= self.at_once:
-            self.at_once = min(AT_ONCE_MOST, at_once + 1)
+        if slowness >= MIN_SLOW_RATIO and concurrent_loads > MIN_CONCURRENT_LOADS:
+            self.concurrent_loads = max(
+                MIN_CONCURRENT_LOADS, min(self.concurrent_loads, round(concurrent_loads / slowness))
+            )
+        elif slowness <= MAX_FULL_SPEED_RATIO and concurrent_loads >= self.concurrent_loads:
+            self.concurrent_loads = min(MAX_CONCURRENT_LOADS, concurrent_loads + 1)
 
 
 class WarmLoadTime:
@@ -185,7 +189,7 @@
             nominal_s: Time of a load from the weight store.
         """
         if math.isinf(self._mean_s):
-            return WARM_FIRST_FRACTION * nominal_s
+            return INITIAL_WARM_LOAD_FRACTION * nominal_s
         return min(self._mean_s, nominal_s)
 
     def learn(self, took_s: float) -> None:
@@ -193,4 +197,4 @@
         if math.isinf(self._mean_s):
             self._mean_s = took_s
         else:
-            self._mean_s += WARM_GAIN * (took_s - self._mean_s)
+            self._mean_s += WARM_LOAD_WEIGHT * (took_s - self._mean_s)
--- a/granitewell/controlplane/placement/observation.py
+++ b/granitewell/controlplane/placement/observation.py
@@ -20,13 +20,13 @@
 from granitewell.controlplane.placement.orders import Operation, Order, Report, ReportFailure
 from granitewell.domain.servers import LoadedModel, ModelRef, ServerState
 
-REPORT_LAG_S = 0.6  # a report is surely not older than this ("some hundred ms")
-OVERDUE_S = 3.0  # beyond its expected time, after which an order that left no trace is given up
-RESERVED_S = 1.5  # for which freed capacity stays reserved
-PURPOSE_LASTS_S = 0.5  # of an unload: one that takes longer waits for runs
-REPORT_LASTS_S = 2.5  # an older report is no basis for an order
-DARK_AFTER_S = 0.9  # without any answer, counted from the first failed call: two calls
-REFUSALS_TO_BE_DARK = 2  # connections refused one after the other: nobody listens there
+MAX_REPORT_AGE_S = 0.6  # a report is surely not older than this ("some hundred ms")
+ORDER_OVERDUE_S = 3.0  # beyond its expected time, after which an order that left no trace is given up
+RESERVATION_TTL_S = 1.5  # for which freed capacity stays reserved
+PURPOSE_TTL_S = 0.5  # of an unload: one that takes longer waits for runs
+REPORT_TTL_S = 2.5  # an older report is no basis for an order
+UNREACHABLE_AFTER_S = 0.9  # without any answer, counted from the first failed call: two calls
+MAX_REFUSED_CONNECTIONS = 2  # connections refused one after the other: nobody listens there
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
     """Progress of an order."""
 
     SENDING = "sending"
-    TAKEN = "taken"  # answered 202
+    ACCEPTED = "taken"  # answered 202
     UNKNOWN = "unknown"  # no clear answer
     SETTLING = "settling"  # answered 200: it changes nothing, but the report may be older than that
 
@@ -74,7 +74,7 @@
     fencing_token: int
     sent_at: float
     expected_s: float
-    at_once: int = 1
+    concurrent_loads: int = 1
     stage: OrderStage = OrderStage.SENDING
     answered_at: float = math.inf
     confirmations: int = 0
@@ -114,18 +114,18 @@
         self.loaded_before = {model.name for model in listed.models} | listed.loaded_before
         self.misdirected = False
         self.no_orders_until = -math.inf
-        self.dark_noticed = False
+        self.unreachable_noticed = False
         self._failing_since = math.inf
         self._failures = 0
         self._refusals = 0
 
-    def relist(self, listed: ListedServer) -> None:
+    def update_listing(self, listed: ListedServer) -> None:
         """Apply the newest entry of the list."""
         self.listed = listed
         self.loaded_before.update(model.name for model in listed.models)
         self.loaded_before |= listed.loaded_before
 
-    def forget_calls(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Drop the report and the order; the models that the server had loaded stay known."""
         self.report = None
         self.report_asked_at = -math.inf
@@ -135,16 +135,16 @@
         self.pending = None
         self.withdrawal = None
         self.reservation = None
-        self._answered()
+        self._record_answer()
 
     # Reports
 
-    def take_report(self, asked_at: float, report: Report) -> PendingOrder | None:
+    def apply_report(self, asked_at: float, report: Report) -> PendingOrder | None:
         """Apply a report.
 
         Returns the order that it shows as done or never begun, which is no longer recorded.
         """
-        self._answered()
+        self._record_answer()
         if self._is_outdated(asked_at, report):
             return None
         self.report = report
@@ -157,13 +157,13 @@
         if pending.order.loads_model and shows(report, pending.order):
             self.loaded_at[pending.order.ref.model] = pending.sent_at
         if pending.order.purpose is not None:
-            self.reservation = Reservation(pending.order.purpose, asked_at + RESERVED_S)
+            self.reservation = Reservation(pending.order.purpose, asked_at + RESERVATION_TTL_S)
         return pending
 
     def _is_outdated(self, asked_at: float, report: Report) -> bool:
         """Return whether a report may be older than the confirmed order that `self.report` shows."""
         known = self.report
-        if known is None or asked_at > self.confirmed_at + REPORT_LAG_S:
+        if known is None or asked_at > self.confirmed_at + MAX_REPORT_AGE_S:
             return False
         return report.sequence < known.sequence or (report.sequence == known.sequence and report.busy)
 
@@ -172,21 +172,21 @@
         pending, report = self.pending, self.report
         if pending is None or report is None:
             return
-        self._answered()
-        self.report = confirmation.report_after(report, pending.order, pending.revision + 1)
+        self._record_answer()
+        self.report = confirmation.predicted_report(report, pending.order, pending.revision + 1)
         self.report_asked_at = now
         self.confirmed_at = now
         self.loaded_before.update(self.report.models)
         self.pending = None
         if pending.order.purpose is not None:
-            self.reservation = Reservation(pending.order.purpose, now + RESERVED_S)
+            self.reservation = Reservation(pending.order.purpose, now + RESERVATION_TTL_S)
 
     def reserved_for(self, now: float) -> ModelRef | None:
         """Return what the free capacity is reserved for."""
         reservation = self.reservation
         return reservation.ref if reservation is not None and now < reservation.until else None
 
-    def miss_report(self, asked_at: float, failure: ReportFailure) -> None:
+    def record_failure(self, asked_at: float, failure: ReportFailure) -> None:
         """Record that a requested report did not arrive."""
         if failure is ReportFailure.OTHER_SERVER:
             self.misdirected = True
@@ -195,8 +195,8 @@
         self._failures += 1
         self._refusals = self._refusals + 1 if failure is ReportFailure.REFUSED else 0
 
-    def _answered(self) -> None:
-        self.dark_noticed = False
+    def _record_answer(self) -> None:
+        self.unreachable_noticed = False
         self._failing_since = math.inf
         self._failures = 0
         self._refusals = 0
@@ -206,17 +206,17 @@
         """Whether the last request for a report failed."""
         return self._failures > 0
 
-    def dark(self, now: float) -> bool:
+    def is_unreachable(self, now: float) -> bool:
         """Whether the server has been unresponsive for so long that it counts as down."""
-        if self.misdirected or self._refusals >= REFUSALS_TO_BE_DARK:
+        if self.misdirected or self._refusals >= MAX_REFUSED_CONNECTIONS:
             return True
-        return now - self._failing_since >= DARK_AFTER_S
+        return now - self._failing_since >= UNREACHABLE_AFTER_S
 
-    def dark_at(self) -> float:
+    def unreachable_at(self) -> float:
         """Time at which it will count as down without an answer; infinite once that was noticed."""
-        if self.dark_noticed:
+        if self.unreachable_noticed:
             return math.inf
-        return self._failing_since + DARK_AFTER_S
+        return self._failing_since + UNREACHABLE_AFTER_S
 
     # Loaded models
 
@@ -228,23 +228,23 @@
 
     def ready(self) -> Mapping[str, LoadedModel]:
         """Return the models for which requests may be sent: loaded, and not about to be unloaded."""
-        going = self.going()
+        unloading = self.unloading()
         loaded = self.loaded()
-        if going is None or going.model not in loaded:
+        if unloading is None or unloading.model not in loaded:
             return loaded
         ready = dict(loaded)
-        if not going.adapter:
-            del ready[going.model]
+        if not unloading.adapter:
+            del ready[unloading.model]
             return ready
-        ready[going.model] = ready[going.model].without_adapter(going.adapter)
+        ready[unloading.model] = ready[unloading.model].without_adapter(unloading.adapter)
         return ready
 
-    def going(self) -> ModelRef | None:
+    def unloading(self) -> ModelRef | None:
         """Return what is being unloaded or is about to be."""
         order = self._unload()
         return order.ref if order else None
 
-    def coming(self) -> ModelRef | None:
+    def loading(self) -> ModelRef | None:
         """Return what may be loading: in progress or of unknown outcome."""
         pending = self.pending
         if pending is None or pending.order.operation is not Operation.LOAD:
@@ -256,7 +256,7 @@
 
         None if the unload takes long, because another server may be better.
         """
-        if self.pending is not None and now - self.pending.sent_at > PURPOSE_LASTS_S:
+        if self.pending is not None and now - self.pending.sent_at > PURPOSE_TTL_S:
             return None
         order = self._unload()
         return order.purpose if order else None
@@ -270,13 +270,13 @@
 
     def usage(self, sizes: ModelSizes) -> Usage:
         """Return the usage of the server, with everything that may be loading."""
-        coming = self.coming()
-        return usage(self.loaded().values(), () if coming is None else (coming,), sizes)
+        loading = self.loading()
+        return usage(self.loaded().values(), () if loading is None else (loading,), sizes)
 
     # Orders
 
     @property
-    def lasting(self) -> bool:
+    def schedulable(self) -> bool:
         """Whether the server is to stay."""
         listed = self.listed
         return listed.state is ServerState.READY and listed.remaining_ms < 0 and not self.misdirected
@@ -289,11 +289,11 @@
             and not report.busy
             and not self.calling
             and self.pending is None
-            and self.lasting
+            and self.schedulable
             and not self.failing
             and now >= self.no_orders_until
             and self.report_asked_at >= self.no_orders_until
-            and now - self.report_asked_at <= REPORT_LASTS_S
+            and now - self.report_asked_at <= REPORT_TTL_S
         )
 
 
@@ -301,10 +301,10 @@
     """Return whether a report shows how an order ended."""
     if report.busy or pending.stage is OrderStage.SENDING:
         return False
-    if pending.stage is OrderStage.TAKEN:
-        overdue = asked_at > pending.answered_at + pending.expected_s + OVERDUE_S
+    if pending.stage is OrderStage.ACCEPTED:
+        overdue = asked_at > pending.answered_at + pending.expected_s + ORDER_OVERDUE_S
         return overdue or (report.sequence > pending.revision and shows(report, pending.order))
-    if asked_at > pending.answered_at + REPORT_LAG_S:
+    if asked_at > pending.answered_at + MAX_REPORT_AGE_S:
         return True
     return report.sequence > pending.revision and shows(report, pending.order)
 
@@ -316,9 +316,9 @@
     return present is (order.operation is Operation.LOAD)
 
 
-def too_many_dark(dark: int, all_servers: int) -> bool:
+def too_many_unreachable(unreachable: int, all_servers: int) -> bool:
     """Return whether so many servers are unresponsive at once that this node is probably partitioned."""
-    return all_servers >= 3 and dark > all_servers * 0.6
+    return all_servers >= 3 and unreachable > all_servers * 0.6
 
 
 def by_id(servers: Sequence[ListedServer]) -> dict[str, ListedServer]:
--- a/granitewell/controlplane/placement/orders.py
+++ b/granitewell/controlplane/placement/orders.py
@@ -18,7 +18,7 @@
 ORDER_TIMEOUT_S = 0.8  # the acceptance of an order takes some ms; the work itself is not waited for
 MAX_REPORT_BYTES = 256 * 1024  # far over a report with all models and adapters of a server
 
-MISDIRECTED = 421
+STATUS_MISDIRECTED = 421
 
 
 MAX_COUNT = 10**9  # of orders or requests; anything above it is no count
@@ -68,8 +68,8 @@
 class OrderResult(Enum):
     """What is known of an order after it was sent."""
 
-    TAKEN = "taken"  # 202: being done
-    ALREADY_HOLDS = "held"  # 200: nothing to do
+    ACCEPTED = "taken"  # 202: being done
+    ALREADY_DONE = "held"  # 200: nothing to do
     CONFLICT = "conflict"  # 409: another order is under way, or the revision has moved
     FENCED = "fenced"  # 412: the server has seen a higher fencing token
     INVALID = "invalid"  # 400 and every other refusal
@@ -158,11 +158,11 @@
 
 
 _RESULTS = {
-    200: OrderResult.ALREADY_HOLDS,
-    202: OrderResult.TAKEN,
+    200: OrderResult.ALREADY_DONE,
+    202: OrderResult.ACCEPTED,
     409: OrderResult.CONFLICT,
     412: OrderResult.FENCED,
-    MISDIRECTED: OrderResult.OTHER_SERVER,
+    STATUS_MISDIRECTED: OrderResult.OTHER_SERVER,
 }
 
 
@@ -185,13 +185,13 @@
     def __init__(self, body: bytes, may_send: Callable[[], bool]) -> None:
         self._body = body
         self._may_send = may_send
-        self.left = False
+        self.was_sent = False
 
-    async def parts(self) -> AsyncIterator[bytes]:
+    async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the body, or raise an error if it may no longer be sent."""
         if not self._may_send():
             raise OSError("the lease ended before the order left")
-        self.left = True
+        self.was_sent = True
         yield self._body
 
 
@@ -220,7 +220,7 @@
                 timeout=self._report_timeout,
                 allow_redirects=False,
             ) as response:
-                if response.status == MISDIRECTED:
+                if response.status == STATUS_MISDIRECTED:
                     return ReportFailure.OTHER_SERVER
                 if response.status != 200:
                     return ReportFailure.BAD_ANSWER
@@ -249,11 +249,11 @@
         try:
             async with self._session.post(
                 f"http://{address}/order",
-                data=guarded.parts(),
+                data=guarded.chunks(),
                 headers=headers,
                 timeout=self._order_timeout,
                 allow_redirects=False,
             ) as response:
                 return order_result(response.status)
         except (aiohttp.ClientError, TimeoutError, OSError):
-            return OrderResult.UNKNOWN if guarded.left else OrderResult.NOT_SENT
+            return OrderResult.UNKNOWN if guarded.was_sent else OrderResult.NOT_SENT
--- a/granitewell/controlplane/placement/placement_pass.py
+++ b/granitewell/controlplane/placement/placement_pass.py
@@ -15,17 +15,17 @@
 from granitewell.domain.servers import ModelRef
 
 # Cost of a candidate, in seconds of waiting
-UNLOAD_S = 0.2  # until a report shows an unload
-RUNS_S = 1.5  # the same where runs must end first
-VALUE_S = 10.0  # seconds for one miss a second
-IDLE_AFTER_S = 0.3  # beyond the load time: waiting for the store's rate and for other loads
-BUSY_LOAD_S = 0.1  # for each request a second that the server already has of busy models
-SAME_ZONE_S = 0.3
-ADAPTER_HOST_S = 0.15  # a load holds up orders for adapters on this server
+UNLOAD_COST_S = 0.2  # until a report shows an unload
+BUSY_UNLOAD_COST_S = 1.5  # the same where runs must end first
+VALUE_COST_S = 10.0  # seconds for one miss a second
+STORE_LOAD_COST_S = 0.3  # beyond the load time: waiting for the store's rate and for other loads
+BUSY_SERVER_COST_S = 0.1  # for each request a second that the server already has of busy models
+SAME_ZONE_COST_S = 0.3
+ADAPTER_HOST_COST_S = 0.15  # a load holds up orders for adapters on this server
 
 # A server takes no order for an adapter, which takes some ms, while it loads a model, which takes seconds.
-MISSES_A_LOAD = 1.0  # adapters that requests begin to wait for during a load, from which that matters
-FREE_HOSTS_FRACTION = 0.5  # of a model's servers that then stay free for orders
+MIN_MISSES_PER_LOAD = 1.0  # adapters that requests begin to wait for during a load, from which that matters
+MIN_FREE_HOSTS_FRACTION = 0.5  # of a model's servers that then stay free for orders
 
 MAX_EVICTIONS = 4  # unloads for a waiting load, at once, beyond the loads that may begin
 
@@ -57,7 +57,7 @@
         self.free = {server.id: server for server in servers if server.orderable}
         self._tokens = store.tokens
         self._warm = store.warm
-        self._loading = sum(1 for s in servers if s.coming is not None and not s.coming.adapter)
+        self._loading = sum(1 for s in servers if s.loading is not None and not s.loading.adapter)
         self.purposes = Counter(s.purpose for s in servers if s.purpose is not None)
         self.taken: set[str] = (
             set()
@@ -68,7 +68,7 @@
         """Whether an order may still be sent to any server."""
         return bool(self.free)
 
-    def under_way(self) -> int:
+    def loads_in_progress(self) -> int:
         """Loads of models, and unloads that free capacity for them."""
         return self._loading + self.purposes.total()
 
@@ -94,10 +94,10 @@
         return self.purposes.total() + len(self._reserved) < MAX_EVICTIONS
 
     def _order_load(self, server: ServerView, name: str) -> None:
-        idle = name not in server.loaded_before
+        from_store_now = name not in server.loaded_before
         self._loading += 1
-        self._tokens -= 1 if idle else 0
-        self.order(server, Operation.LOAD, ModelRef(name), from_store=idle)
+        self._tokens -= 1 if from_store_now else 0
+        self.order(server, Operation.LOAD, ModelRef(name), from_store=from_store_now)
 
     def _best_candidate(self, name: str, max_value: float, max_loads: int) -> _Candidate | None:
         best: _Candidate | None = None
@@ -108,7 +108,7 @@
                 continue
             if not may_evict and server.free_mb < self._fleet.models[name].weights_mb + MEMORY_SLACK_MB:
                 continue
-            if self._kept_for_another(server, name):
+            if self._is_reserved_for_another(server, name):
                 continue
             candidate = self._candidate_on(server, name, max_value)
             if candidate is None:
@@ -124,13 +124,15 @@
         )  # it has capacity: nothing need be unloaded while the store is busy
         return None
 
-    def _kept_for_another(self, server: ServerView, name: str) -> bool:
+    def _is_reserved_for_another(self, server: ServerView, name: str) -> bool:
         kept_for = server.reserved_for
         if kept_for is None or kept_for.model == name:
             return False
         if kept_for.adapter:
             return not self._fleet.adapter_copies(kept_for)
-        return self._fleet.copies_of(kept_for.model).count < max(1, self._fleet.wanted.get(kept_for.model, 0))
+        return self._fleet.copies_of(kept_for.model).count < max(
+            1, self._fleet.desired.get(kept_for.model, 0)
+        )
 
     def _may_load(self, server: ServerView, name: str, max_loads: int) -> bool:
         if self._loading >= max_loads:
@@ -139,59 +141,61 @@
 
     def _candidate_on(self, server: ServerView, name: str, max_value: float) -> _Candidate | None:
         model = self._fleet.models[name]
-        if self._holds_up_adapters(server, model):
+        if self._delays_adapters(server, model):
             return None
         if server.free_mb == -math.inf:
-            return self._candidate_beside_unknown(server, model)
-        if model.weights_mb > self._values.reach_mb(server, max_value):
+            return self._candidate_replacing_unknown(server, model)
+        if model.weights_mb > self._values.reclaimable_mb(server, max_value):
             return None
         need = model.weights_mb + MEMORY_SLACK_MB - server.free_mb
         victims: tuple[ModelRef, ...] = ()
-        given_up = 0.0
+        evicted_value = 0.0
         if need > 0:
             chosen = self._values.victims(server, need, max_value)
             if chosen is None:
                 return None
-            victims, given_up = chosen
-        cost = self._load_s(server, model) + VALUE_S * given_up
+            victims, evicted_value = chosen
+        cost = self._load_duration_s(server, model) + VALUE_COST_S * evicted_value
         for victim in victims:
-            cost += RUNS_S if self._fleet.in_flight(victim.model) else UNLOAD_S
-        return _Candidate(server, victims, cost + self._standing_cost(server, model))
+            cost += BUSY_UNLOAD_COST_S if self._fleet.in_flight(victim.model) else UNLOAD_COST_S
+        return _Candidate(server, victims, cost + self._server_cost(server, model))
 
-    def _holds_up_adapters(self, server: ServerView, model: Model) -> bool:
+    def _delays_adapters(self, server: ServerView, model: Model) -> bool:
         """Return whether a load would leave too few servers that take orders for adapters in demand."""
-        load_s = self._load_s(server, model)
+        load_s = self._load_duration_s(server, model)
         for name in server.loaded:
             misses = self._fleet.demand.adapter_misses.get(name, 0.0)
-            if name == model.name or misses * load_s < MISSES_A_LOAD:
+            if name == model.name or misses * load_s < MIN_MISSES_PER_LOAD:
                 continue
             hosts = [host for host in self._fleet.copies_of(name).servers if host.has(ModelRef(name))]
             free = sum(1 for host in hosts if host.id in self.free)
-            if free - 1 < FREE_HOSTS_FRACTION * len(hosts):
+            if free - 1 < MIN_FREE_HOSTS_FRACTION * len(hosts):
                 return True
         return False
 
-    def _candidate_beside_unknown(self, server: ServerView, model: Model) -> _Candidate | None:
+    def _candidate_replacing_unknown(self, server: ServerView, model: Model) -> _Candidate | None:
         """Return a candidate whose model of unknown size is evicted first, as it counts as all memory."""
         unknown = [loaded for loaded in server.loaded if math.isinf(self._sizes.weights_mb(loaded))]
         if not unknown:
             return None
-        return _Candidate(server, (ModelRef(min(unknown)),), self._load_s(server, model) + RUNS_S)
+        return _Candidate(
+            server, (ModelRef(min(unknown)),), self._load_duration_s(server, model) + BUSY_UNLOAD_COST_S
+        )
 
-    def _load_s(self, server: ServerView, model: Model) -> float:
+    def _load_duration_s(self, server: ServerView, model: Model) -> float:
         """Return how long the load takes there, in seconds."""
         if model.name in server.loaded_before:
             return self._warm.estimate(model.load_time_s)
         return model.load_time_s
 
-    def _standing_cost(self, server: ServerView, model: Model) -> float:
-        cost = BUSY_LOAD_S * self._fleet.load[server.id]
+    def _server_cost(self, server: ServerView, model: Model) -> float:
+        cost = BUSY_SERVER_COST_S * self._fleet.load[server.id]
         if model.name not in server.loaded_before:
-            cost += IDLE_AFTER_S
+            cost += STORE_LOAD_COST_S
         if server.id in self._fleet.adapter_hosts:
-            cost += ADAPTER_HOST_S
+            cost += ADAPTER_HOST_COST_S
         if any(copy.zone == server.zone for copy in self._fleet.copies_of(model.name).servers):
-            cost += SAME_ZONE_S
+            cost += SAME_ZONE_COST_S
         return cost
 
     # An adapter
@@ -241,7 +245,7 @@
                     best = (value, victim)
         if best is None:
             return None
-        return 1.0 + UNLOAD_S + VALUE_S * best[0], best[1]
+        return 1.0 + UNLOAD_COST_S + VALUE_COST_S * best[0], best[1]
 
     # Orders
 
@@ -260,10 +264,10 @@
         if purpose is not None or not (ref.adapter or operation is Operation.UNLOAD):
             self.taken.add(server.id)
         if operation is Operation.LOAD and not ref.adapter:
-            self._fleet.comes(server, ref.model)
+            self._fleet.record_load(server, ref.model)
         if operation is Operation.UNLOAD:
-            self._fleet.goes(server, ref)
-        if operation is Operation.UNLOAD and not ref.adapter and server.lasting:
+            self._fleet.record_unload(server, ref)
+        if operation is Operation.UNLOAD and not ref.adapter and server.schedulable:
             self._values.forget(ref.model)
 
 
--- a/granitewell/controlplane/placement/planner.py
+++ b/granitewell/controlplane/placement/planner.py
@@ -18,7 +18,7 @@
 from collections.abc import Sequence
 
 from granitewell.controlplane.placement.demand import DemandView, RefDemand
-from granitewell.controlplane.placement.fleet import BUSY_RATE, KEEP_RATE, FleetView
+from granitewell.controlplane.placement.fleet import BUSY_RATE_PER_S, KEEP_RATE_PER_S, FleetView
 from granitewell.controlplane.placement.limits import MEMORY_SLACK_MB, ModelSizes
 from granitewell.controlplane.placement.orders import Operation, Order
 from granitewell.controlplane.placement.placement_pass import PlacementPass
@@ -27,29 +27,35 @@
 from granitewell.domain.configuration import Engine
 from granitewell.domain.servers import ModelRef
 
-__all__ = ["BUSY_RATE", "KEEP_RATE", "ServerView", "StoreView", "plan"]
+__all__ = ["BUSY_RATE_PER_S", "KEEP_RATE_PER_S", "ServerView", "StoreView", "plan"]
 
-BUSY_ADAPTER_RATE = 1.5  # requests a second from which an adapter has two copies: it comes back in some ms
+BUSY_ADAPTER_RATE_PER_S = (
+    1.5  # requests a second from which an adapter has two copies: it comes back in some ms
+)
 
 # Value that may be given up, in misses a second
-RELIEF_VALUE = 0.3  # value that may be given up for each request a second taken off a copy
-MAX_FOR_WAITING = 1.2  # value that may be given up for a request that waits
-MAX_FOR_JUST_WAITING = 0.3  # the same when it has only begun to wait
-MAX_FOR_SPARE = 0.25  # value that may be given up for a copy that nobody waits for
-MAX_EVICTIONS_FOR_CAPACITY = 0.12  # value that may be evicted to free capacity ahead of need
+SCALE_OUT_VALUE = 0.3  # value that may be given up for each request a second taken off a copy
+MAX_VALUE_FOR_WAITING = 1.2  # value that may be given up for a request that waits
+MAX_VALUE_FOR_NEW_WAITING = 0.3  # the same when it has only begun to wait
+MAX_VALUE_FOR_SPARE = 0.25  # value that may be given up for a copy that nobody waits for
+MAX_VALUE_FOR_CAPACITY = 0.12  # value that may be evicted to free capacity ahead of need
 
 # Urgency
 PRIORITY_WEIGHTS = (3.0, 2.0, 1.0, 0.7, 0.5)  # of one request, by its priority
-WAITED_S = 0.5  # added to the time waited: what has waited long passes what is merely urgent
-RELIEF_WEIGHT = 2.0  # of one request a second that another copy takes off each of those there are
+WAIT_OFFSET_S = 0.5  # added to the time waited: what has waited long passes what is merely urgent
+SCALE_OUT_WEIGHT = 2.0  # of one request a second that another copy takes off each of those there are
 EXCESS_WEIGHT = 3.0  # of a request in flight beyond what the copies run in time: like one that waited 2.5 s
 
 # Limits
-RELIEF_FRACTION = 1 / 6  # of the servers that load further replicas at once while other models are missed
+MAX_SCALE_OUT_FRACTION = (
+    1 / 6
+)  # of the servers that load further replicas at once while other models are missed
 MAX_SPARE_LOADS = 2  # loads that nobody waits for, at once
-MAX_TRIED = 12  # models that could not be placed, after which the rest of the queue is left for later
-EVICTION_INTERVAL_S = 0.9  # horizon of misses that find free capacity: about an unload, its report and a load
-SPARE_SERVERS_FRACTION = 0.34  # maximum fraction of servers on which capacity is freed ahead of need
+MAX_FAILED_PLACEMENTS = (
+    12  # models that could not be placed, after which the rest of the queue is left for later
+)
+EVICTION_HORIZON_S = 0.9  # horizon of misses that find free capacity: about an unload, its report and a load
+MAX_SPARE_SERVERS_FRACTION = 0.34  # maximum fraction of servers on which capacity is freed ahead of need
 
 
 def plan(
@@ -67,7 +73,7 @@
     planning.load_urgent_models()
     planning.load_spare_models()
     planning.load_spare_adapters()
-    planning.renew_models()
+    planning.replace_outdated_models()
     planning.evict_for_capacity()
     return planning.orders
 
@@ -87,9 +93,9 @@
         self._fleet = FleetView(servers, demand, engine, sizes)
         self._values = CopyValues(self._fleet)
         self._placing = PlacementPass(self._fleet, self._values, sizes, store)
-        self._at_once = store.at_once
+        self._concurrent_loads = store.concurrent_loads
         self._blocked_waiting = False
-        self._max_relief = len(servers)
+        self._max_scale_outs = len(servers)
 
     @property
     def orders(self) -> list[Order]:
@@ -108,7 +114,7 @@
         now = self._demand.at
         waiting.sort(key=lambda item: (-_urgency(item[1], now), item[0].model, item[0].adapter))
         for ref, _ in waiting:
-            self._placing.place_adapter(ref, MAX_FOR_WAITING)
+            self._placing.place_adapter(ref, MAX_VALUE_FOR_WAITING)
 
     # 2. Models that requests wait for
 
@@ -117,11 +123,11 @@
 
         One more replica of one model at a time, the most urgent first.
         """
-        urgent = {name: urgency for name in self._fleet.wanted if (urgency := self._urgency_of(name)) > 0}
+        urgent = {name: urgency for name in self._fleet.desired if (urgency := self._urgency_of(name)) > 0}
         if any(self._fleet.is_missed(name) for name in urgent):
-            self._max_relief = max(1, int(len(self._fleet.lasting) * RELIEF_FRACTION))
+            self._max_scale_outs = max(1, int(len(self._fleet.schedulable) * MAX_SCALE_OUT_FRACTION))
         failures = 0
-        while urgent and self._placing.free and failures < MAX_TRIED:
+        while urgent and self._placing.free and failures < MAX_FAILED_PLACEMENTS:
             name = min(urgent, key=lambda other: (-urgent[other], other))
             if not self._place_urgent(name):
                 failures += 1
@@ -139,48 +145,50 @@
         seen = self._demand.models[name]
         if self._fleet.is_missed(name):
             return 0.0 if ModelRef(name) in self._placing.purposes else _urgency(seen, self._demand.at)
-        copies = self._copies_to_be(name)
-        if copies >= self._fleet.wanted[name]:
+        copies = self._expected_copies(name)
+        if copies >= self._fleet.desired[name]:
             return 0.0
-        excess = self._fleet.excess(name, copies)
-        if not excess and seen.rate <= self._fleet.rate_a_copy * copies:
+        excess_in_flight = self._fleet.excess_in_flight(name, copies)
+        if not excess_in_flight and seen.rate <= self._fleet.max_copy_rate * copies:
             return 0.0
-        return RELIEF_WEIGHT * self._relief(name) + EXCESS_WEIGHT * excess
+        return SCALE_OUT_WEIGHT * self._scale_out_gain(name) + EXCESS_WEIGHT * excess_in_flight
 
-    def _relief(self, name: str) -> float:
+    def _scale_out_gain(self, name: str) -> float:
         """Return the rate that one more replica would take off each existing one, in requests per second."""
-        copies = self._copies_to_be(name)
+        copies = self._expected_copies(name)
         return self._demand.models[name].rate / (copies * (copies + 1))
 
-    def _copies_to_be(self, name: str) -> int:
+    def _expected_copies(self, name: str) -> int:
         """Return the number of replicas, including those for which capacity is being freed."""
         return max(1, self._fleet.copies_of(name).count + self._placing.purposes[ModelRef(name)])
 
     def _place_urgent(self, name: str) -> bool:
         if self._fleet.is_missed(name):
-            max_value = self._most_for_waiting(self._demand.models[name])
-            return self._placing.place_model(name, max_value, self._at_once)
-        if self._relief_under_way() >= self._max_relief:
+            max_value = self._max_value_for_waiting(self._demand.models[name])
+            return self._placing.place_model(name, max_value, self._concurrent_loads)
+        if self._scale_outs_in_progress() >= self._max_scale_outs:
             return False
-        max_value = max(MAX_FOR_SPARE, min(MAX_FOR_WAITING, RELIEF_VALUE * self._relief(name)))
-        return self._placing.place_model(name, max_value, self._at_once)
+        max_value = max(
+            MAX_VALUE_FOR_SPARE, min(MAX_VALUE_FOR_WAITING, SCALE_OUT_VALUE * self._scale_out_gain(name))
+        )
+        return self._placing.place_model(name, max_value, self._concurrent_loads)
 
-    def _relief_under_way(self) -> int:
+    def _scale_outs_in_progress(self) -> int:
         """Return how many loads, and unloads for them, are for one more replica of a model that has some."""
-        loading = sum(1 for server in self._fleet.lasting if self._brings_relief(server.coming))
-        freeing = sum(count for ref, count in self._placing.purposes.items() if self._brings_relief(ref))
+        loading = sum(1 for server in self._fleet.schedulable if self._is_scale_out(server.loading))
+        freeing = sum(count for ref, count in self._placing.purposes.items() if self._is_scale_out(ref))
         ordered = sum(
-            1 for order in self.orders if order.operation is Operation.LOAD and self._brings_relief(order.ref)
+            1 for order in self.orders if order.operation is Operation.LOAD and self._is_scale_out(order.ref)
         )
         return loading + freeing + ordered
 
-    def _brings_relief(self, ref: ModelRef | None) -> bool:
+    def _is_scale_out(self, ref: ModelRef | None) -> bool:
         return ref is not None and not ref.adapter and self._fleet.copies_of(ref.model).ready > 0
 
-    def _most_for_waiting(self, seen: RefDemand) -> float:
+    def _max_value_for_waiting(self, seen: RefDemand) -> float:
         """Return the value that may be evicted: little at first, because a better server may be free soon."""
         waited = max(0.0, self._demand.at - seen.waiting_since)
-        return min(MAX_FOR_WAITING, MAX_FOR_JUST_WAITING + round(waited, 1))
+        return min(MAX_VALUE_FOR_WAITING, MAX_VALUE_FOR_NEW_WAITING + round(waited, 1))
 
     # 3. Replicas that demand needs
 
@@ -188,56 +196,56 @@
         """Load models with fewer lasting replicas than desired, the worst first."""
         short = [
             (name, self._demand.models[name])
-            for name, wanted in self._fleet.wanted.items()
-            if wanted > self._fleet.copies_of(name).count + self._placing.purposes[ModelRef(name)]
+            for name, desired in self._fleet.desired.items()
+            if desired > self._fleet.copies_of(name).count + self._placing.purposes[ModelRef(name)]
             and not self._fleet.is_missed(name)
         ]
         short.sort(key=lambda item: (self._fleet.copies_of(item[0]).count, -item[1].rate, item[0]))
         for name, _ in short:
             lost = not self._fleet.copies_of(name).count
-            max_loads = self._at_once if lost else min(MAX_SPARE_LOADS, self._at_once)
-            if self._placing.under_way() < max_loads:
-                self._placing.place_model(name, MAX_FOR_SPARE, max_loads)
+            max_loads = self._concurrent_loads if lost else min(MAX_SPARE_LOADS, self._concurrent_loads)
+            if self._placing.loads_in_progress() < max_loads:
+                self._placing.place_model(name, MAX_VALUE_FOR_SPARE, max_loads)
 
     def load_spare_adapters(self) -> None:
         """Load adapters in use that have too few replicas."""
         for ref, seen in self._demand.adapters.items():
-            if seen.waiting or seen.rate < KEEP_RATE or not self._fleet.is_adapter(ref):
+            if seen.waiting or seen.rate < KEEP_RATE_PER_S or not self._fleet.is_adapter(ref):
                 continue
-            wanted = 2 if seen.rate >= BUSY_ADAPTER_RATE else 1
-            wanted = min(wanted, max(1, self._fleet.copies_of(ref.model).ready))
-            if self._fleet.adapter_copies(ref) < wanted:
-                self._placing.place_adapter(ref, MAX_FOR_SPARE)
+            desired = 2 if seen.rate >= BUSY_ADAPTER_RATE_PER_S else 1
+            desired = min(desired, max(1, self._fleet.copies_of(ref.model).ready))
+            if self._fleet.adapter_copies(ref) < desired:
+                self._placing.place_adapter(ref, MAX_VALUE_FOR_SPARE)
 
     # 4. Newer versions
 
-    def renew_models(self) -> None:
+    def replace_outdated_models(self) -> None:
         """Replace copies with older weights of models in demand, as a load brings the newest.
 
         Never while another copy of the model comes or goes. A further copy is loaded before an older one is
         unloaded; only where no server can take one, an older copy is unloaded first and loaded again.
         """
-        outdated = {name for server in self._fleet.lasting for name in server.outdated}
-        for name in sorted(outdated & self._fleet.wanted.keys()):
-            if self._fleet.wanted[name] and not self._changes(name):
-                self._renew(name)
+        outdated = {name for server in self._fleet.schedulable for name in server.outdated}
+        for name in sorted(outdated & self._fleet.desired.keys()):
+            if self._fleet.desired[name] and not self._is_changing(name):
+                self._replace_outdated(name)
 
-    def _changes(self, name: str) -> bool:
+    def _is_changing(self, name: str) -> bool:
         """Return whether a copy of a model comes or goes."""
         ref = ModelRef(name)
         if ref in self._placing.purposes or any(order.ref == ref for order in self.orders):
             return True
-        return any(ref in (server.coming, server.going) for server in self._fleet.lasting)
+        return any(ref in (server.loading, server.unloading) for server in self._fleet.schedulable)
 
-    def _renew(self, name: str) -> None:
+    def _replace_outdated(self, name: str) -> None:
         ref = ModelRef(name)
         copies = [server for server in self._fleet.copies_of(name).servers if server.has(ref)]
-        is_spare = len(copies) > self._fleet.wanted[name]
+        is_spare = len(copies) > self._fleet.desired[name]
         has_current = any(name not in server.outdated for server in copies)
         if not (is_spare and has_current):
-            max_loads = min(MAX_SPARE_LOADS, self._at_once)
-            has_room = self._placing.under_way() < max_loads
-            if has_room and self._placing.place_model(name, MAX_FOR_SPARE, max_loads):
+            max_loads = min(MAX_SPARE_LOADS, self._concurrent_loads)
+            has_room = self._placing.loads_in_progress() < max_loads
+            if has_room and self._placing.place_model(name, MAX_VALUE_FOR_SPARE, max_loads):
                 return
         older = [server for server in copies if name in server.outdated and server.id in self._placing.free]
         if older and has_current:
@@ -253,31 +261,31 @@
         """
         if self._blocked_waiting or not self._demand.misses_per_s:
             return
-        most = int(len(self._fleet.lasting) * SPARE_SERVERS_FRACTION)
-        wanted = min(most, int(self._demand.misses_per_s * EVICTION_INTERVAL_S + 0.5))
+        most = int(len(self._fleet.schedulable) * MAX_SPARE_SERVERS_FRACTION)
+        desired = min(most, int(self._demand.misses_per_s * EVICTION_HORIZON_S + 0.5))
         size = self._typical_mb()
         with_spare_capacity = [
-            server for server in self._fleet.lasting if self._has_spare_capacity(server, size)
+            server for server in self._fleet.schedulable if self._has_spare_capacity(server, size)
         ]
-        missing = wanted - len(with_spare_capacity)
+        missing = desired - len(with_spare_capacity)
         for _ in range(missing):
             if not self._evict_once(size):
                 return
 
     def _typical_mb(self) -> float:
         """Return a size that fits most models that are on no server, in MB."""
-        away = self._fleet.sizes_away()
+        away = self._fleet.missing_sizes_mb()
         return away[int(len(away) * 0.9)] if away else math.inf
 
     def _has_spare_capacity(self, server: ServerView, size: float) -> bool:
         """Return whether a server has or gets capacity that is not reserved."""
-        spoken_for = server.purpose or server.reserved_for or server.id in self._placing.taken
-        return not spoken_for and self._has_capacity(server, size)
+        is_reserved = server.purpose or server.reserved_for or server.id in self._placing.taken
+        return not is_reserved and self._has_capacity(server, size)
 
     def _has_capacity(self, server: ServerView, size: float) -> bool:
         freed = 0.0
-        if server.going is not None:
-            freed = self._fleet.freed_mb(server, server.going)
+        if server.unloading is not None:
+            freed = self._fleet.freed_mb(server, server.unloading)
         return server.free_mb + freed - MEMORY_SLACK_MB >= size
 
     def _evict_once(self, size: float) -> bool:
@@ -286,9 +294,7 @@
             if server.reserved_for is not None or self._has_capacity(server, size):
                 continue
             for value, name in self._values.ranking(server):
-                if value > MAX_EVICTIONS_FOR_CAPACITY or (
-                    best is not None and (value, server.id) >= best[:2]
-                ):
+                if value > MAX_VALUE_FOR_CAPACITY or (best is not None and (value, server.id) >= best[:2]):
                     break
                 if self._fleet.in_flight(name) or not self._evicts(server, name, size):
                     continue
@@ -310,4 +316,4 @@
     """
     weight = PRIORITY_WEIGHTS[min(max(seen.priority, 0), len(PRIORITY_WEIGHTS) - 1)]
     waited = max(0.0, now - seen.waiting_since)
-    return weight * (seen.waiting + seen.rate) * (WAITED_S + waited)
+    return weight * (seen.waiting + seen.rate) * (WAIT_OFFSET_S + waited)
--- a/granitewell/controlplane/placement/polling.py
+++ b/granitewell/controlplane/placement/polling.py
@@ -7,15 +7,15 @@
 from granitewell.controlplane.placement.observation import ServerRecord
 from granitewell.controlplane.placement.orders import ReportFailure
 
-POLL_S = 1.0  # between reports of a server without an order: each costs as much as a health probe
-POLL_RETRY_S = 0.25  # after a refused connection
-POLL_AGAIN_S = 0.05  # after a poll that timed out, which has taken long enough
-POLL_DARK_S = 0.6  # while a server counts as down
-POLL_ORDER_S = 0.07  # while an order is about to be done
-POLL_LATE_S = 0.2  # when it takes far longer than expected
-FIRST_POLLS_S = 0.05  # over which the first reports of all servers are spread
-FIRST_POLL_FRACTION = 0.9  # of the expected time of an order
-MIN_FIRST_LOOK_S = 0.05
+POLL_INTERVAL_S = 1.0  # between reports of a server without an order: each costs as much as a health probe
+REFUSED_POLL_INTERVAL_S = 0.25  # after a refused connection
+TIMEOUT_POLL_INTERVAL_S = 0.05  # after a poll that timed out, which has taken long enough
+UNREACHABLE_POLL_INTERVAL_S = 0.6  # while a server counts as down
+ORDER_POLL_INTERVAL_S = 0.07  # while an order is about to be done
+OVERDUE_POLL_INTERVAL_S = 0.2  # when it takes far longer than expected
+FIRST_POLL_SPREAD_S = 0.05  # over which the first reports of all servers are spread
+RESULT_POLL_FRACTION = 0.9  # of the expected time of an order
+MIN_FIRST_POLL_DELAY_S = 0.05
 
 
 def after_report(now: float, record: ServerRecord, rng: Random) -> float:
@@ -23,34 +23,34 @@
     pending = record.pending
     if pending is None:
         if record.report is not None and record.report.busy:
-            return now + POLL_LATE_S
-        return now + POLL_S * _jitter(rng)
+            return now + OVERDUE_POLL_INTERVAL_S
+        return now + POLL_INTERVAL_S * _jitter(rng)
     if now - pending.sent_at > 3.0 * pending.expected_s + 1.0:
-        return now + POLL_LATE_S
-    return now + POLL_ORDER_S
+        return now + OVERDUE_POLL_INTERVAL_S
+    return now + ORDER_POLL_INTERVAL_S
 
 
 def after_miss(now: float, record: ServerRecord, failure: ReportFailure, rng: Random) -> float:
     """Return when to poll again after a report that did not arrive."""
-    pause = POLL_AGAIN_S if failure is ReportFailure.NO_ANSWER else POLL_RETRY_S
-    if record.dark(now):
-        pause = POLL_DARK_S
+    pause = TIMEOUT_POLL_INTERVAL_S if failure is ReportFailure.NO_ANSWER else REFUSED_POLL_INTERVAL_S
+    if record.is_unreachable(now):
+        pause = UNREACHABLE_POLL_INTERVAL_S
     return now + pause * _jitter(rng)
 
 
 def after_acceptance(now: float, expected_s: float) -> float:
     """Return when to poll for the result of an order that a server has accepted."""
-    return now + max(MIN_FIRST_LOOK_S, FIRST_POLL_FRACTION * expected_s)
+    return now + max(MIN_FIRST_POLL_DELAY_S, RESULT_POLL_FRACTION * expected_s)
 
 
 def after_confirmation(now: float, rng: Random) -> float:
     """Return when to poll after an order was confirmed: later than reports may be old."""
-    return now + POLL_S * _jitter(rng)
+    return now + POLL_INTERVAL_S * _jitter(rng)
 
 
 def first_poll(now: float, rng: Random) -> float:
     """Return when to poll a server of which nothing is known."""
-    return now + rng.random() * FIRST_POLLS_S
+    return now + rng.random() * FIRST_POLL_SPREAD_S
 
 
 def poll_due(now: float, record: ServerRecord) -> bool:
--- a/granitewell/controlplane/placement/readiness.py
+++ b/granitewell/controlplane/placement/readiness.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from granitewell.controlplane.placement.observation import ServerRecord, too_many_dark
+from granitewell.controlplane.placement.observation import ServerRecord, too_many_unreachable
 from granitewell.domain.servers import LoadedModel
 
 
@@ -26,27 +26,27 @@
         self._changed.clear()
         return changed
 
-    def dark(self, now: float) -> set[str]:
+    def unreachable(self, now: float) -> set[str]:
         """Servers that count as down."""
-        dark = {server_id for server_id, record in self._records.items() if record.dark(now)}
-        certain = {server_id for server_id in dark if self._records[server_id].misdirected}
-        return certain if too_many_dark(len(dark), len(self._records)) else dark
+        unreachable = {server_id for server_id, record in self._records.items() if record.is_unreachable(now)}
+        certain = {server_id for server_id in unreachable if self._records[server_id].misdirected}
+        return certain if too_many_unreachable(len(unreachable), len(self._records)) else unreachable
 
     def publish_all(self, now: float) -> None:
         """Apply what all records show."""
         for gone in [known for known in self._published if known not in self._records]:
             del self._published[gone]
-        dark = self.dark(now)
+        unreachable = self.unreachable(now)
         for server_id, record in self._records.items():
-            self._set(server_id, {} if server_id in dark else record.ready())
+            self._set(server_id, {} if server_id in unreachable else record.ready())
 
     def publish(self, now: float, record: ServerRecord) -> None:
         """Apply what one record shows, unless its server is no longer listed."""
         server_id = record.listed.id
         if self._records.get(server_id) is not record:
             return
-        dark = record.dark(now) and server_id in self.dark(now)
-        self._set(server_id, {} if dark else record.ready())
+        unreachable = record.is_unreachable(now) and server_id in self.unreachable(now)
+        self._set(server_id, {} if unreachable else record.ready())
 
     def _set(self, server_id: str, ready: Mapping[str, LoadedModel]) -> None:
         if self._published.get(server_id) != ready:
--- a/granitewell/controlplane/placement/reconciler.py
+++ b/granitewell/controlplane/placement/reconciler.py
@@ -19,7 +19,7 @@
 
 from granitewell.controlplane.placement import confirmation, polling
 from granitewell.controlplane.placement.demand import DemandTable, DemandView
-from granitewell.controlplane.placement.issuing import REPORT_SHOWS_S, OrderIssuer
+from granitewell.controlplane.placement.issuing import REPORT_DELAY_S, OrderIssuer
 from granitewell.controlplane.placement.observation import (
     ListedServer,
     OrderStage,
@@ -44,15 +44,17 @@
 from granitewell.domain.configuration import Engine
 from granitewell.domain.servers import LoadedModel, ModelDemand, ModelRef
 
-EDGES_LEARN_S = 0.2  # until edges have stopped sending for what was withdrawn
-LATELY_S = 2.0  # without a request for this long, a model is unloaded without waiting for the edges
-REPLAN_S = 0.25  # between plans when nothing happens
-MIN_BETWEEN_PLANS_S = 0.02
-FIRST_REPORTS_S = 0.1  # before the first plan, so that it knows all servers
-FIRST_DEMAND_S = 1.2  # before the first unload: edges report every second, till then nothing seems in use
-AFTER_CONFLICT_S = 0.25  # a report asked for earlier may not show why an order was refused
-AFTER_INVALID_S = 2.0
-RETRY_UNSENT_S = 0.1
+WITHDRAWAL_DELAY_S = 0.2  # until edges have stopped sending for what was withdrawn
+RECENT_USE_S = 2.0  # without a request for this long, a model is unloaded without waiting for the edges
+PLAN_INTERVAL_S = 0.25  # between plans when nothing happens
+MIN_PLAN_INTERVAL_S = 0.02
+FIRST_PLAN_DELAY_S = 0.1  # before the first plan, so that it knows all servers
+FIRST_UNLOAD_DELAY_S = (
+    1.2  # before the first unload: edges report every second, till then nothing seems in use
+)
+CONFLICT_BACKOFF_S = 0.25  # a report asked for earlier may not show why an order was refused
+INVALID_BACKOFF_S = 2.0
+UNSENT_BACKOFF_S = 0.1
 
 
 class PlacementReconciler:
@@ -85,9 +87,9 @@
         self._demand = DemandTable()
         self._issuer.start(now)
         self._forget(now)
-        self._planned_at = now + FIRST_REPORTS_S
+        self._planned_at = now + FIRST_PLAN_DELAY_S
         self._plan_at = self._planned_at
-        self._unload_from = now + FIRST_DEMAND_S
+        self._unload_from = now + FIRST_UNLOAD_DELAY_S
 
     def stop(self, now: float) -> None:
         """End after ownership was lost."""
@@ -97,7 +99,7 @@
 
     def _forget(self, now: float) -> None:
         for record in self._records.values():
-            record.forget_calls(now)
+            record.reset(now)
             record.next_poll_at = polling.first_poll(now, self._rng)
         self._readiness.publish_all(now)
 
@@ -112,7 +114,7 @@
         self._engine = engine
         self._issuer.set_engine(now, engine, load_rate_fraction)
         self._versions.set_models(model.name for model in engine.models)
-        self._soon(now)
+        self._schedule_plan(now)
 
     def set_servers(self, now: float, servers: Sequence[ListedServer]) -> None:
         """Apply the platform's list."""
@@ -124,16 +126,16 @@
             if record is None:
                 self._records[server.id] = ServerRecord(server, now)
             else:
-                before = record.lasting
-                record.relist(server)
-                if record.lasting is not before:
-                    self._soon(now)
+                before = record.schedulable
+                record.update_listing(server)
+                if record.schedulable is not before:
+                    self._schedule_plan(now)
         self._readiness.publish_all(now)
 
     def add_demand(self, now: float, demands: Iterable[ModelDemand], source: str = "") -> None:
         """Record the demand that an edge, `source`, has reported."""
         if self._demand.add(now, demands, source):
-            self._soon(now)
+            self._schedule_plan(now)
 
     def on_report(self, now: float, server_id: str, asked_at: float, answer: Report | ReportFailure) -> None:
         """Handle the end of a poll."""
@@ -149,7 +151,7 @@
 
     def _take_report(self, now: float, record: ServerRecord, asked_at: float, report: Report) -> None:
         first = record.report is None or record.failing
-        done = record.take_report(asked_at, report)
+        done = record.apply_report(asked_at, report)
         self._versions.seen(now, report.models.values())
         record.next_poll_at = polling.after_report(now, record, self._rng)
         if done is not None:
@@ -157,15 +159,15 @@
                 self._confirmations.ended(done.order, confirmed=False)
             self._issuer.done(done, asked_at, report)
         if done is not None or first:
-            self._soon(now)
+            self._schedule_plan(now)
 
     def _miss_report(self, now: float, record: ServerRecord, asked_at: float, failure: ReportFailure) -> None:
-        dark = record.dark(now)
+        unreachable = record.is_unreachable(now)
         asked_at = max(asked_at, now - REPORT_TIMEOUT_S)  # earlier only if this process did not run
-        record.miss_report(asked_at, failure)
+        record.record_failure(asked_at, failure)
         record.next_poll_at = polling.after_miss(now, record, failure, self._rng)
-        if record.dark(now) and not dark:
-            self._soon(now)
+        if record.is_unreachable(now) and not unreachable:
+            self._schedule_plan(now)
 
     def on_order(self, now: float, order: Order, fencing_token: int, result: OrderResult) -> None:
         """Handle the answer to an order that was sent with a fencing token, or its timeout."""
@@ -175,43 +177,43 @@
             self._refused_token = max(self._refused_token, fencing_token)
         if record is not None and pending is not None and pending.order is order:
             record.calling = False
-            if pending.stage is OrderStage.TAKEN:
+            if pending.stage is OrderStage.ACCEPTED:
                 self._on_confirmation(now, record, pending, result)
                 return
         self._issuer.answered(order, result)
         if record is None or pending is None or pending.order is not order:
             return
         pending.answered_at = now
-        if result is OrderResult.TAKEN:
-            pending.stage = OrderStage.TAKEN
+        if result is OrderResult.ACCEPTED:
+            pending.stage = OrderStage.ACCEPTED
             if self._may_confirm(pending):
-                record.next_poll_at = now + confirmation.next_after(0)
+                record.next_poll_at = now + confirmation.confirmation_delay_s(0)
             else:
                 record.next_poll_at = polling.after_acceptance(now, pending.expected_s)
         elif result is OrderResult.UNKNOWN:
             pending.stage = OrderStage.UNKNOWN
             record.next_poll_at = now
-        elif result is OrderResult.ALREADY_HOLDS:
+        elif result is OrderResult.ALREADY_DONE:
             pending.stage = OrderStage.SETTLING
-            record.next_poll_at = now + REPORT_SHOWS_S
+            record.next_poll_at = now + REPORT_DELAY_S
         else:
             record.pending = None
-            self._refused(now, record, result)
+            self._on_rejection(now, record, result)
         self._readiness.publish(now, record)
 
     def _on_confirmation(
         self, now: float, record: ServerRecord, pending: PendingOrder, result: OrderResult
     ) -> None:
         """Handle the answer to an accepted order that was sent again."""
-        if result is OrderResult.ALREADY_HOLDS:
+        if result is OrderResult.ALREADY_DONE:
             self._confirmations.ended(pending.order, confirmed=True)
             record.confirm(now)
             record.next_poll_at = polling.after_confirmation(now, self._rng)
             self._readiness.publish(now, record)
-            self._soon(now)
+            self._schedule_plan(now)
         elif result is OrderResult.CONFLICT:
-            record.next_poll_at = now + confirmation.next_after(pending.confirmations)
-        elif result is OrderResult.TAKEN:  # something else has undone it
+            record.next_poll_at = now + confirmation.confirmation_delay_s(pending.confirmations)
+        elif result is OrderResult.ACCEPTED:  # something else has undone it
             pending.stage = OrderStage.UNKNOWN
             pending.answered_at = now
             record.next_poll_at = now
@@ -219,19 +221,19 @@
             pending.confirmations = confirmation.MAX_CONFIRMATIONS
             record.next_poll_at = now
 
-    def _refused(self, now: float, record: ServerRecord, result: OrderResult) -> None:
+    def _on_rejection(self, now: float, record: ServerRecord, result: OrderResult) -> None:
         """Handle an order that did not and will not begin."""
         if result is OrderResult.OTHER_SERVER:
             record.misdirected = True
             self._readiness.publish_all(now)
         elif result is OrderResult.CONFLICT:
-            record.no_orders_until = now + AFTER_CONFLICT_S
+            record.no_orders_until = now + CONFLICT_BACKOFF_S
         elif result is OrderResult.INVALID:
-            record.no_orders_until = now + AFTER_INVALID_S
+            record.no_orders_until = now + INVALID_BACKOFF_S
         else:
-            record.no_orders_until = now + RETRY_UNSENT_S
+            record.no_orders_until = now + UNSENT_BACKOFF_S
         record.next_poll_at = max(now, record.no_orders_until)
-        self._soon(now)
+        self._schedule_plan(now)
 
     # Steps
 
@@ -241,7 +243,7 @@
             return math.inf
         times = [self._plan_at]
         for record in self._records.values():
-            times.append(record.dark_at())
+            times.append(record.unreachable_at())
             if record.calling or record.misdirected:
                 continue
             times.append(record.next_poll_at)
@@ -254,7 +256,7 @@
         if not self._running:
             return []
         steps: list[Step] = []
-        self._notice_dark(now)
+        self._notice_unreachable(now)
         if may_order and fencing_token > self._refused_token:
             steps.extend(self._due_withdrawals(now, holder, fencing_token))
             steps.extend(self._due_confirmations(now, holder, fencing_token))
@@ -262,18 +264,18 @@
                 steps.extend(self._replan(now, holder, fencing_token))
         else:
             self._drop_withdrawals(now)
-            self._plan_at = max(self._plan_at, now + REPLAN_S)
+            self._plan_at = max(self._plan_at, now + PLAN_INTERVAL_S)
         steps.extend(self._due_polls(now))
         return steps
 
-    def _notice_dark(self, now: float) -> None:
+    def _notice_unreachable(self, now: float) -> None:
         """Publish servers that have become unresponsive by the passing of time alone."""
-        turned = [record for record in self._records.values() if record.dark_at() <= now]
+        turned = [record for record in self._records.values() if record.unreachable_at() <= now]
         for record in turned:
-            record.dark_noticed = True
+            record.unreachable_noticed = True
         if turned:
             self._readiness.publish_all(now)
-            self._soon(now)
+            self._schedule_plan(now)
 
     def _due_confirmations(self, now: float, holder: str, fencing_token: int) -> list[Step]:
         steps: list[Step] = []
@@ -291,7 +293,7 @@
     def _may_confirm(self, pending: PendingOrder) -> bool:
         """Return whether an order's end may be learned by sending it again."""
         return (
-            pending.stage is OrderStage.TAKEN
+            pending.stage is OrderStage.ACCEPTED
             and pending.confirmations < confirmation.MAX_CONFIRMATIONS
             and confirmation.is_quick(pending.order)
             and self._confirmations.is_useful(pending.order)
@@ -303,19 +305,19 @@
             if not polling.poll_due(now, record):
                 continue
             record.calling = True
-            record.next_poll_at = now + polling.POLL_S
+            record.next_poll_at = now + polling.POLL_INTERVAL_S
             self.counters.polls += 1
             polls.append(Poll(record.listed.id, record.listed.address))
         return polls
 
-    def _soon(self, now: float) -> None:
+    def _schedule_plan(self, now: float) -> None:
         if self._running:
-            self._plan_at = min(self._plan_at, max(now, self._planned_at + MIN_BETWEEN_PLANS_S))
+            self._plan_at = min(self._plan_at, max(now, self._planned_at + MIN_PLAN_INTERVAL_S))
 
     # Plans
 
     def _replan(self, now: float, holder: str, fencing_token: int) -> list[Step]:
-        self._plan_at = now + REPLAN_S
+        self._plan_at = now + PLAN_INTERVAL_S
         self._planned_at = now
         engine = self._engine
         if engine is None or not self._records:
@@ -323,7 +325,7 @@
         self.counters.plans += 1
         demand = self._demand.view(now)
         bucket = self._issuer.bucket
-        store = StoreView(bucket.available(now), self._issuer.pace.at_once, self._issuer.warm)
+        store = StoreView(bucket.available(now), self._issuer.concurrency.concurrent_loads, self._issuer.warm)
         views = self._views(now, engine)
         steps: list[Step] = []
         for order in plan(views, demand, engine, self._issuer.sizes, store):
@@ -336,7 +338,7 @@
             if step is not None:
                 steps.append(step)
         if demand.models and store.tokens < 1:
-            self._plan_at = min(self._plan_at, max(bucket.next_at(now), now + MIN_BETWEEN_PLANS_S))
+            self._plan_at = min(self._plan_at, max(bucket.next_at(now), now + MIN_PLAN_INTERVAL_S))
         return steps
 
     def _begin(self, now: float, order: Order, holder: str, fencing_token: int) -> Send | None:
@@ -346,23 +348,23 @@
         return step
 
     def _views(self, now: float, engine: Engine) -> list[ServerView]:
-        dark = self._readiness.dark(now)
-        return [self._view(now, engine, record, dark) for record in self._records.values()]
+        unreachable = self._readiness.unreachable(now)
+        return [self._view(now, engine, record, unreachable) for record in self._records.values()]
 
-    def _view(self, now: float, engine: Engine, record: ServerRecord, dark: set[str]) -> ServerView:
+    def _view(self, now: float, engine: Engine, record: ServerRecord, unreachable: set[str]) -> ServerView:
         used = record.usage(self._issuer.sizes)
         listed = record.listed
         return ServerView(
             id=listed.id,
             zone=listed.zone,
             slots=listed.slots,
-            lasting=record.lasting and listed.id not in dark,
+            schedulable=record.schedulable and listed.id not in unreachable,
             orderable=record.withdrawal is None and record.orderable(now),
             loaded=record.loaded(),
             free_mb=engine.weights_mb - used.mb,
             free_adapters=engine.max_adapters - used.adapters,
-            going=record.going(),
-            coming=record.coming(),
+            unloading=record.unloading(),
+            loading=record.loading(),
             purpose=record.purpose(now),
             reserved_for=record.reserved_for(now),
             loaded_before=record.loaded_before,
@@ -374,11 +376,11 @@
     @staticmethod
     def _in_use(demand: DemandView, ref: ModelRef) -> bool:
         seen = demand.of(ref)
-        return seen.idle_s < LATELY_S or seen.in_flight > 0
+        return seen.idle_s < RECENT_USE_S or seen.in_flight > 0
 
     def _withdraw(self, now: float, order: Order) -> None:
         record = self._records[order.server_id]
-        record.withdrawal = Withdrawal(order, now + EDGES_LEARN_S)
+        record.withdrawal = Withdrawal(order, now + WITHDRAWAL_DELAY_S)
         self._readiness.publish(now, record)
 
     def _due_withdrawals(self, now: float, holder: str, fencing_token: int) -> list[Step]:
@@ -393,7 +395,7 @@
                 if step is not None:
                     steps.append(step)
             self._readiness.publish(now, record)
-            self._soon(now)
+            self._schedule_plan(now)
         return steps
 
     def _drop_withdrawals(self, now: float) -> None:
@@ -406,7 +408,7 @@
         """Return whether requests have begun to wait for a model whose last replica was to be unloaded."""
         if not self._demand.view(now).of(ref).waiting:
             return False
-        others = (other for other in self._records.values() if other is not record and other.lasting)
+        others = (other for other in self._records.values() if other is not record and other.schedulable)
         return not any(_ready_for(other, ref) for other in others)
 
     # Readiness
--- a/granitewell/controlplane/placement/server_session.py
+++ b/granitewell/controlplane/placement/server_session.py
@@ -18,7 +18,7 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-GIVE_UP_MS = 800  # of bytes that a server's machine does not acknowledge: no order lasts longer
+ACK_TIMEOUT_MS = 800  # of bytes that a server's machine does not acknowledge: no order lasts longer
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -27,23 +27,23 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self._asked = False
+        self._call_in_progress = False
 
     def set_response_params(self, *args: object, **options: object) -> None:
         """Begin a call; the library calls this before it writes anything."""
         super().set_response_params(*args, **options)  # type: ignore[arg-type]
-        self._asked = True
+        self._call_in_progress = True
 
     def data_received(self, data: bytes) -> None:
         """Handle bytes of an answer, or of none."""
-        if data and not self._asked:
+        if data and not self._call_in_progress:
             self.abort()
             return
         super().data_received(data)
 
-    def rest(self) -> None:
+    def end_call(self) -> None:
         """Record that the answer was read completely."""
-        self._asked = False
+        self._call_in_progress = False
 
 
 class ServerConnector(aiohttp.TCPConnector):
@@ -56,7 +56,7 @@
     def _release(self, key: object, protocol: ResponseHandler, *, should_close: bool = False) -> None:
         """End a call."""
         if isinstance(protocol, ServerConnection):
-            protocol.rest()
+            protocol.end_call()
         super()._release(key, protocol, should_close=should_close)  # type: ignore[arg-type]
 
 
@@ -70,5 +70,5 @@
     sock = socket.socket(family, kind, protocol)  # type: ignore[arg-type]
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, GIVE_UP_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACK_TIMEOUT_MS)
     return sock
--- a/granitewell/controlplane/placement/values.py
+++ b/granitewell/controlplane/placement/values.py
@@ -8,12 +8,12 @@
 from granitewell.controlplane.placement.views import ServerView
 from granitewell.domain.servers import ModelRef
 
-UNSEEN_VALUE = 0.02  # of a model not asked for yet: about the rate of one of many rare models
-EXTRA_VALUE = 0.03  # of a copy beyond those wanted, while its model is in use
-SECOND_VALUE = 0.5  # of a wanted second copy: a crash or a hot spot away from being the only one
-RECENT_VALUE = 0.5  # of the last copy of a model asked for just now, falling to 0 over RECENT_S
-RECENT_S = 2.0
-UNRESPONSIVE_AFTER_S = 3.0  # without a request for this long, a model's extra replicas have no value
+UNREQUESTED_VALUE = 0.02  # of a model not asked for yet: about the rate of one of many rare models
+SURPLUS_COPY_VALUE = 0.03  # of a copy beyond those wanted, while its model is in use
+SECOND_COPY_VALUE = 0.5  # of a wanted second copy: a crash or a hot spot away from being the only one
+RECENT_USE_VALUE = 0.5  # of the last copy of a model asked for just now, falling to 0 over RECENT_S
+RECENT_USE_TTL_S = 2.0
+SURPLUS_IDLE_S = 3.0  # without a request for this long, a model's extra replicas have no value
 
 
 class CopyValues:
@@ -23,7 +23,7 @@
         self._fleet = fleet
         self._values: dict[str, float] = {}
         self._ranked: dict[str, list[tuple[float, str]]] = {}  # by server: its models, by value
-        self._reach: dict[tuple[str, float], float] = {}  # by server and value: memory that may be had
+        self._reclaimable: dict[tuple[str, float], float] = {}  # by server and value: memory that may be had
 
     def _value(self, server: ServerView, name: str) -> float:
         """Return the value of a model's replica on a server; infinite if it must stay."""
@@ -31,7 +31,7 @@
         if value is None:
             value = self._model_value(name)
             self._values[name] = value
-        if not server.lasting:
+        if not server.schedulable:
             return 0.0
         return value
 
@@ -39,16 +39,16 @@
         seen = self._fleet.demand.models.get(name)
         copies = self._fleet.copies_of(name)
         if name not in self._fleet.models:
-            return 0.0 if seen is None or not seen.in_flight else EXTRA_VALUE
-        if copies.ready > max(1, self._fleet.wanted.get(name, 0)):
-            return EXTRA_VALUE if seen is not None and seen.idle_s < UNRESPONSIVE_AFTER_S else 0.0
+            return 0.0 if seen is None or not seen.in_flight else SURPLUS_COPY_VALUE
+        if copies.ready > max(1, self._fleet.desired.get(name, 0)):
+            return SURPLUS_COPY_VALUE if seen is not None and seen.idle_s < SURPLUS_IDLE_S else 0.0
         if seen is None:
-            return UNSEEN_VALUE
+            return UNREQUESTED_VALUE
         if copies.ready > 1:
-            return SECOND_VALUE + seen.rate / copies.ready
+            return SECOND_COPY_VALUE + seen.rate / copies.ready
         if seen.waiting or seen.in_flight:
             return math.inf
-        recent = RECENT_VALUE * max(0.0, 1.0 - seen.idle_s / RECENT_S)
+        recent = RECENT_USE_VALUE * max(0.0, 1.0 - seen.idle_s / RECENT_USE_TTL_S)
         return seen.rate + recent
 
     def adapter_value(self, ref: ModelRef) -> float:
@@ -58,7 +58,7 @@
             return seen.rate / 2
         if seen.waiting or seen.in_flight:
             return math.inf
-        return seen.rate + RECENT_VALUE * max(0.0, 1.0 - seen.idle_s / RECENT_S)
+        return seen.rate + RECENT_USE_VALUE * max(0.0, 1.0 - seen.idle_s / RECENT_USE_TTL_S)
 
     def ranking(self, server: ServerView) -> list[tuple[float, str]]:
         """Return the models of a server by value."""
@@ -68,17 +68,17 @@
             self._ranked[server.id] = ranking
         return ranking
 
-    def reach_mb(self, server: ServerView, max_value: float) -> float:
+    def reclaimable_mb(self, server: ServerView, max_value: float) -> float:
         """Return the memory that a server has after evicting all replicas of at most that value, in MB."""
-        reach = self._reach.get((server.id, max_value))
-        if reach is None:
-            reach = server.free_mb
+        reclaimable = self._reclaimable.get((server.id, max_value))
+        if reclaimable is None:
+            reclaimable = server.free_mb
             for value, name in self.ranking(server):
                 if value > max_value:
                     break
-                reach += self._fleet.freed_mb(server, ModelRef(name))
-            self._reach[server.id, max_value] = reach
-        return reach
+                reclaimable += self._fleet.freed_mb(server, ModelRef(name))
+            self._reclaimable[server.id, max_value] = reclaimable
+        return reclaimable
 
     def victims(
         self, server: ServerView, need_mb: float, max_value: float
@@ -110,4 +110,4 @@
         """Record that a replica of a model is evicted, which makes the others more valuable."""
         self._values.pop(name, None)
         self._ranked.clear()
-        self._reach.clear()
+        self._reclaimable.clear()
--- a/granitewell/controlplane/placement/views.py
+++ b/granitewell/controlplane/placement/views.py
@@ -26,13 +26,13 @@
     id: str
     zone: str
     slots: int
-    lasting: bool
+    schedulable: bool
     orderable: bool
     loaded: Mapping[str, LoadedModel]
     free_mb: float
     free_adapters: int
-    going: ModelRef | None = None
-    coming: ModelRef | None = None
+    unloading: ModelRef | None = None
+    loading: ModelRef | None = None
     purpose: ModelRef | None = None
     reserved_for: ModelRef | None = None
     loaded_before: frozenset[str] | set[str] = frozenset()
@@ -41,7 +41,7 @@
     def has(self, ref: ModelRef) -> bool:
         """Return whether the server has a model or adapter and keeps it."""
         loaded = self.loaded.get(ref.model)
-        if loaded is None or self.going == ref or self.going == ModelRef(ref.model):
+        if loaded is None or self.unloading == ref or self.unloading == ModelRef(ref.model):
             return False
         return not ref.adapter or ref.adapter in loaded.adapters
 
@@ -57,5 +57,5 @@
     """
 
     tokens: int
-    at_once: int
+    concurrent_loads: int
     warm: WarmLoadTime = field(default_factory=WarmLoadTime)
--- a/granitewell/controlplane/publication/publisher.py
+++ b/granitewell/controlplane/publication/publisher.py
@@ -23,9 +23,9 @@
 from granitewell.rpc.translation import server_from_message, server_to_message
 
 MAX_HOLD_S = 2.0
-GATHER_S = 0.015  # changes this close together are sent together
-EDGE_FORGOTTEN_S = 4.0  # an edge that has not asked for so long is not counted
-PEAK_FORGOTTEN_S = 120.0
+BATCH_DELAY_S = 0.015  # changes this close together are sent together
+EDGE_TTL_S = 4.0  # an edge that has not asked for so long is not counted
+PEAK_TTL_S = 120.0
 MAX_READ_STALENESS_S = 0.75  # what is published is no older; 0.3 s with all well, and two heartbeats may fail
 
 
@@ -33,7 +33,7 @@
     """This control node may be behind; the watcher should ask another."""
 
 
-class Deltas(Protocol):
+class ConfigurationSource(Protocol):
     """The configuration and the updates that lead to it."""
 
     @property
@@ -59,28 +59,28 @@
         self._peak = 0
         self._peak_at = 0.0
 
-    def asked(self, edge: str, now: float) -> None:
+    def record_request(self, edge: str, now: float) -> None:
         """Record a request of an edge."""
         self._asked_at[edge] = now
 
-    def notified(self, node: str, edges: int, now: float) -> None:
+    def record_report(self, node: str, edges: int, now: float) -> None:
         """Record the number of edges that another control node reports."""
         self._others[node] = (edges, now)
 
-    def here(self, now: float) -> int:
+    def local_count(self, now: float) -> int:
         """Return the number of edges that ask this node."""
-        self._asked_at = {e: at for e, at in self._asked_at.items() if now - at < EDGE_FORGOTTEN_S}
+        self._asked_at = {e: at for e, at in self._asked_at.items() if now - at < EDGE_TTL_S}
         return len(self._asked_at)
 
-    def all(self, now: float) -> int:
+    def total(self, now: float) -> int:
         """Return the number of edges that ask any node, at least one."""
-        others = sum(edges for edges, at in self._others.values() if now - at < EDGE_FORGOTTEN_S)
-        return max(self.here(now) + others, 1)
+        others = sum(edges for edges, at in self._others.values() if now - at < EDGE_TTL_S)
+        return max(self.local_count(now) + others, 1)
 
-    def most(self, now: float) -> int:
+    def recent_maximum(self, now: float) -> int:
         """Return the recent maximum, by which shared budgets are divided."""
-        count = self.all(now)
-        if count >= self._peak or now - self._peak_at > PEAK_FORGOTTEN_S:
+        count = self.total(now)
+        if count >= self._peak or now - self._peak_at > PEAK_TTL_S:
             self._peak, self._peak_at = count, now
         return self._peak
 
@@ -90,7 +90,7 @@
 
     def __init__(
         self,
-        configuration: Deltas,
+        configuration: ConfigurationSource,
         tables: Mapping[int, ServerTable],
         control_nodes: Callable[[], Sequence[str]],
         read_staleness_s: Callable[[], float],
@@ -116,29 +116,29 @@
         while True:
             changed = self._changed
             if request.edge:
-                self._edges.asked(request.node, self._clock())
+                self._edges.record_request(request.node, self._clock())
                 if self._read_staleness_s() > MAX_READ_STALENESS_S:
                     raise StaleReplicaError("no leader is known")
             reply = self._reply(request)
             left = deadline - self._clock()
             if reply is not None or left <= 0:
-                return reply if reply is not None else self._reply(request, empty=True)
+                return reply if reply is not None else self._reply(request, allow_empty=True)
             try:
                 async with asyncio.timeout(left):
                     await changed.wait()
             except TimeoutError:
                 continue
-            await asyncio.sleep(min(GATHER_S, left))
+            await asyncio.sleep(min(BATCH_DELAY_S, left))
 
-    def _reply(self, request: Any, empty: bool = False) -> Any | None:
+    def _reply(self, request: Any, allow_empty: bool = False) -> Any | None:
         """Return what the watcher lacks; None if that is nothing and `empty` is false."""
         configuration = self._configuration_update(request)
         updates = list(self._table_updates(request))
         members_wanted = request.edge or request.members_only
         nodes = list(self._control_nodes()) if members_wanted else []
         digest = members_digest(nodes) if members_wanted else request.members_digest
-        update = configuration is not None or any(lacks for _, lacks in updates)
-        if not update and digest == request.members_digest and not empty:
+        update = configuration is not None or any(has_changes for _, has_changes in updates)
+        if not update and digest == request.members_digest and not allow_empty:
             return None
         now = self._clock()
         return WatchReply(
@@ -146,8 +146,8 @@
             tables=[update for update, _ in updates],
             control_nodes=nodes if digest != request.members_digest else [],
             members_digest=digest,
-            edges=self._edges.all(now),
-            max_edges=self._edges.most(now),
+            edges=self._edges.total(now),
+            max_edges=self._edges.recent_maximum(now),
         )
 
     def _configuration_update(self, request: Any) -> Any | None:
--- a/granitewell/controlplane/publication/table.py
+++ b/granitewell/controlplane/publication/table.py
@@ -12,7 +12,9 @@
 
 from granitewell.domain.servers import Server
 
-MAX_REMOVED = 2_000  # removals remembered; a watcher with an older version gets the complete table
+MAX_REMEMBERED_REMOVALS = (
+    2_000  # removals remembered; a watcher with an older version gets the complete table
+)
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -91,7 +93,7 @@
         removed = [key for key in self._servers if key not in wanted]
         if not changed and not removed:
             return False
-        self._take(Version(self.version.epoch, self.version.sequence + 1), changed, removed)
+        self._apply(Version(self.version.epoch, self.version.sequence + 1), changed, removed)
         return True
 
     def update(self, update: Update, listed_at: float | None) -> None:
@@ -105,12 +107,12 @@
             removed = [key for key in self._servers if key not in kept]
             if update.version.epoch != self.version.epoch:
                 self._removed_at, self._changed_at = {}, {}
-            self._take(update.version, update.changed, removed)
+            self._apply(update.version, update.changed, removed)
             self._complete_from = update.version.sequence
             return
-        self._take(update.version, update.changed, update.removed)
+        self._apply(update.version, update.changed, update.removed)
 
-    def _take(self, version: Version, changed: Iterable[Server], removed: Iterable[str]) -> None:
+    def _apply(self, version: Version, changed: Iterable[Server], removed: Iterable[str]) -> None:
         self.version = version
         for server in changed:
             self._servers[server.id] = server
@@ -123,7 +125,7 @@
             self._changed_at.pop(key, None)
             self._removed_at.pop(key, None)
             self._removed_at[key] = version.sequence
-        while len(self._removed_at) > MAX_REMOVED:
+        while len(self._removed_at) > MAX_REMEMBERED_REMOVALS:
             self._complete_from = self._removed_at.pop(next(iter(self._removed_at))) + 1
 
     def since(self, version: Version) -> Update:
--- a/granitewell/discovery/instances.py
+++ b/granitewell/discovery/instances.py
@@ -10,7 +10,7 @@
 from granitewell.domain.servers import LoadedModel, ServerState
 
 DRAINING = "draining"
-NO_END = -1
+UNLIMITED_LIFETIME_MS = -1
 
 
 class MalformedListError(GranitewellError):
@@ -56,7 +56,7 @@
         zone=str(entry.get("zone", "")),
         slots=int(entry.get("slots") or 1),
         state=ServerState.DRAINING if entry.get("state") == DRAINING else ServerState.READY,
-        remaining_ms=NO_END if remaining is None else max(int(remaining), 0),
+        remaining_ms=UNLIMITED_LIFETIME_MS if remaining is None else max(int(remaining), 0),
         models=tuple(LoadedModel.parse(loaded) for loaded in entry.get("models") or ()),
     )
 
--- a/granitewell/discovery/reader.py
+++ b/granitewell/discovery/reader.py
@@ -14,11 +14,11 @@
 
 MAX_PAGES = 200
 PAGE_TIMEOUT_S = 0.8
-OVER_RATE = 429
+STATUS_TOO_MANY_REQUESTS = 429
 
 
 @dataclass(frozen=True, slots=True)
-class DatedList:
+class TimestampedList:
     """The platform's list, with the time of its request.
 
     Attributes:
@@ -36,19 +36,19 @@
 class SharedReader:
     """One list for all readers on a node: a list that was read less than `fresh_s` ago is reused."""
 
-    def __init__(self, reader: InstanceReader, fresh_s: float, clock: Callable[[], float]) -> None:
+    def __init__(self, reader: InstanceReader, max_age_s: float, clock: Callable[[], float]) -> None:
         self._reader = reader
-        self._fresh_s = fresh_s
+        self._max_age_s = max_age_s
         self._clock = clock
         self._lock = asyncio.Lock()
-        self._newest: DatedList | None = None
+        self._newest: TimestampedList | None = None
 
-    async def read(self) -> DatedList:
+    async def read(self) -> TimestampedList:
         """Return the list and the time of its request; raises ListUnavailableError and MalformedListError."""
         async with self._lock:
             now = self._clock()
-            if self._newest is None or now - self._newest.asked_at >= self._fresh_s:
-                self._newest = DatedList(await self._reader.read(), now)
+            if self._newest is None or now - self._newest.asked_at >= self._max_age_s:
+                self._newest = TimestampedList(await self._reader.read(), now)
             return self._newest
 
 
--- a/granitewell/domain/configuration.py
+++ b/granitewell/domain/configuration.py
@@ -29,13 +29,13 @@
         self.index = index
 
 
-def _text(value: Any) -> str:
+def _string(value: Any) -> str:
     if type(value) is not str:
         raise WrongTypeError("not a string")
     return value
 
 
-def _truth(value: Any) -> bool:
+def _boolean(value: Any) -> bool:
     if type(value) is not bool:
         raise WrongTypeError("not true or false")
     return value
@@ -92,8 +92,8 @@
         """Functions with which mashumaro reads each plain type."""
 
         serialization_strategy = {  # noqa: RUF012  mashumaro declares it so
-            str: {"deserialize": _text},
-            bool: {"deserialize": _truth},
+            str: {"deserialize": _string},
+            bool: {"deserialize": _boolean},
             int: {"deserialize": _integer},
             float: {"deserialize": _number},
         }
--- a/granitewell/domain/settings.py
+++ b/granitewell/domain/settings.py
@@ -16,7 +16,7 @@
 
 PATH_VARIABLE = "GRANITEWELL_NODE_FILE"
 DEFAULT_PATH = "/etc/granitewell/boot.json"
-LISTS = ("seeds", "internal-ports", "contracts")  # a string would be read as a list of its characters
+LIST_FIELDS = ("seeds", "internal-ports", "contracts")  # a string would be read as a list of its characters
 
 
 class SettingsFields(DataClassDictMixin):
@@ -159,7 +159,7 @@
         raise InvalidSettingsError("file", f"not JSON: {error}") from error
     if not isinstance(document, dict):
         raise InvalidSettingsError("file", "not an object")
-    for name in LISTS:
+    for name in LIST_FIELDS:
         if not isinstance(document.get(name, []), list):
             raise InvalidSettingsError(name, f"not a list: {document[name]!r}")
     try:
--- a/granitewell/nodes/control.py
+++ b/granitewell/nodes/control.py
@@ -23,15 +23,15 @@
 from granitewell.domain.errors import InvalidSettingsError
 from granitewell.domain.settings import Settings
 from granitewell.nodes.control_messages import ControlMessages
-from granitewell.nodes.layout import CONFIGURATION_GROUP, SHARDS, shard_group
+from granitewell.nodes.layout import CONFIGURATION_GROUP, SHARD_COUNT, shard_group
 from granitewell.nodes.operator_server import OperatorServer
 from granitewell.nodes.process import SettingsFile, Signals, follow_settings
 from granitewell.nodes.shard_supervisor import ShardSupervisor
-from granitewell.nodes.shards import LIST_FRESH_PART, OwnedShard, ShardServices, list_every_s
+from granitewell.nodes.shards import LIST_REUSE_FRACTION, OwnedShard, ShardServices, list_interval_s
 from granitewell.rpc.messages import GroupMessage, encode
 from granitewell.rpc.transport import Method, RpcPeers, RpcServer
 
-STOP_S = 1.5  # for handing leadership over, on SIGTERM; before it, at most `leave_s` for leaving
+TRANSFER_TIMEOUT_S = 1.5  # for handing leadership over, on SIGTERM; before it, at most `leave_s` for leaving
 
 
 class ControlNode:
@@ -49,8 +49,8 @@
         self.claimant = Claimant(settings.node_name, self.address, f"{rng.getrandbits(64):016x}")
         self.peers = RpcPeers()
         self.store = ConfigurationStore()
-        self.records = {shard: OwnerRecord() for shard in range(SHARDS)}
-        self.tables = {shard: ServerTable() for shard in range(SHARDS)}
+        self.records = {shard: OwnerRecord() for shard in range(SHARD_COUNT)}
+        self.tables = {shard: ServerTable() for shard in range(SHARD_COUNT)}
         self.groups = self._make_groups(Path(settings.data_dir))
         self.configuration_group = self.groups[CONFIGURATION_GROUP]
         self.edges = EdgeCounter()
@@ -102,7 +102,7 @@
         """Return the internal addresses of all members of the configuration's group."""
         return sorted({member.address for member in self.configuration_group.members})
 
-    def _announced_to(self) -> list[str]:
+    def _announcement_targets(self) -> list[str]:
         """Return the internal addresses of all members and all seeds."""
         return sorted({*self.control_nodes(), *self._internal(self.settings.seeds)})
 
@@ -115,7 +115,7 @@
         if hasattr(self, "publisher"):
             self.publisher.changed()
 
-    def take_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Apply changed settings: other seeds may be named."""
         self.settings = settings
         for group in self.groups.values():
@@ -130,15 +130,15 @@
             await group.start()
         await self._operator_server.start()
         self._session = open_server_session()
-        groups = {shard: self.groups[shard_group(shard)] for shard in range(SHARDS)}
+        groups = {shard: self.groups[shard_group(shard)] for shard in range(SHARD_COUNT)}
         supervisor = ShardSupervisor(groups, self.tables, self.peers, self._shard_services(), self.owned)
-        self._tasks = [asyncio.create_task(self._messages.tell_edge_count(self._announced_to))]
-        self._tasks += [asyncio.create_task(supervisor.keep(shard)) for shard in range(SHARDS)]
+        self._tasks = [asyncio.create_task(self._messages.announce(self._announcement_targets))]
+        self._tasks += [asyncio.create_task(supervisor.run_shard(shard)) for shard in range(SHARD_COUNT)]
 
     def _shard_services(self) -> ShardServices:
         settings = self.settings
         reader = InstanceReader(settings.cloud.address, self._session)
-        instances = SharedReader(reader, LIST_FRESH_PART * list_every_s(settings), time.monotonic)
+        instances = SharedReader(reader, LIST_REUSE_FRACTION * list_interval_s(settings), time.monotonic)
         return ShardServices(
             settings=lambda: self.settings,
             claimant=self.claimant,
@@ -153,7 +153,7 @@
         """Shut down: let ready learners replace this node's voters, transfer leadership, and end."""
         await asyncio.gather(*(group.leave() for group in self.groups.values()))
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(STOP_S):
+            async with asyncio.timeout(TRANSFER_TIMEOUT_S):
                 for group in self.groups.values():
                     await group.transfer()
         for task in self._tasks:
@@ -170,7 +170,7 @@
     """Run a control node with replicas until it is stopped."""
     node = ControlNode(file.settings, Random())
     await node.start()
-    follow = asyncio.create_task(follow_settings(file, signals, node.take_settings))
+    follow = asyncio.create_task(follow_settings(file, signals, node.apply_settings))
     await signals.stop.wait()
     follow.cancel()
     await node.stop()
--- a/granitewell/nodes/control_gateway.py
+++ b/granitewell/nodes/control_gateway.py
@@ -37,7 +37,7 @@
 HOLD_S = 1.0  # of a long-poll; a voter that has gone is noticed after it
 REPLY_SLACK_S = 0.4
 RETRY_S = 0.2
-RECENT_S = 2.5  # a control node that replied within this time is taken to be there
+CONTACT_TTL_S = 2.5  # a control node that replied within this time is taken to be there
 NODE_WAIT_S = 0.8  # operators give up after a second without an answer
 NODE_POLL_S = 0.02
 BODY_CHUNK_BYTES = 65_536
@@ -73,9 +73,9 @@
             Method.GROUP: self._group_message,
             Method.EDGES: self._announcement,
         }
-        self.take_settings(settings)
+        self.apply_settings(settings)
 
-    def take_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Apply changed settings: other seeds may be named."""
         self._settings = settings
         port = settings.control_rpc_port
@@ -119,12 +119,12 @@
 
     def current(self) -> str | None:
         """Return the internal address of a control node with replicas that has replied lately, or None."""
-        if self._clock() - self._replied_at > RECENT_S:
+        if self._clock() - self._replied_at > CONTACT_TTL_S:
             return None
         node = self.nodes.current
         return node if node in self.nodes.known else None
 
-    def named_to_edges(self) -> list[str]:
+    def advertised_nodes(self) -> list[str]:
         """Return the control nodes that edges are referred to.
 
         Before any of them has named all, these are the ones that have announced themselves lately: only nodes
@@ -133,14 +133,14 @@
         if self.nodes.known:
             return self.nodes.known
         now = self._clock()
-        return sorted(node for node, at in self._announced_at.items() if now - at <= RECENT_S)
+        return sorted(node for node, at in self._announced_at.items() if now - at <= CONTACT_TTL_S)
 
     # --- Messages of other nodes
 
     async def _watch(self, payload: bytes, _peer: str) -> bytes:
         """Name the control nodes; the watcher goes on to one of them."""
         request = decode(WatchRequest, payload)
-        known = self.named_to_edges()
+        known = self.advertised_nodes()
         if not known:
             raise NoControlNodeError(self._settings.node_name)
         if not request.edge and request.members_digest == members_digest(known):
@@ -170,10 +170,10 @@
         count = decode(EdgeCount, payload)
         if count.address:
             self.nodes.add_seed(count.address)
-            self._note_announced(count.address)
+            self._record_announcement(count.address)
         return b""
 
-    def _note_announced(self, address: str) -> None:
+    def _record_announcement(self, address: str) -> None:
         self._announced_at.pop(address, None)
         self._announced_at[address] = self._clock()
         while len(self._announced_at) > MAX_SEEDS:
@@ -183,12 +183,12 @@
 
     def routes(self, app: web.Application) -> None:
         """Add the handlers, and typed responses for unknown paths and methods."""
-        app.router.add_get(PATH, self.refer)
-        app.router.add_put(PATH, self.refer)
-        app.router.add_patch(PATH, self.refer)
+        app.router.add_get(PATH, self.redirect)
+        app.router.add_put(PATH, self.redirect)
+        app.router.add_patch(PATH, self.redirect)
         app.middlewares.append(answers.typed_failures)
 
-    async def refer(self, request: web.Request) -> web.Response:
+    async def redirect(self, request: web.Request) -> web.Response:
         """Redirect to a control node with replicas; 503 where none is known in time."""
         async for _ in request.content.iter_chunked(BODY_CHUNK_BYTES):
             pass  # read to its end, so that the connection stays in use; nothing is kept
@@ -216,7 +216,7 @@
     await operator_server.start()
     tasks = [
         asyncio.create_task(gateway.run()),
-        asyncio.create_task(follow_settings(file, signals, gateway.take_settings)),
+        asyncio.create_task(follow_settings(file, signals, gateway.apply_settings)),
     ]
     await signals.stop.wait()
     for task in tasks:
--- a/granitewell/nodes/control_messages.py
+++ b/granitewell/nodes/control_messages.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from granitewell.controlplane.ownership.owner import Claimant
-from granitewell.controlplane.ownership.processes import ANNOUNCED_EVERY_S, KnownProcesses
+from granitewell.controlplane.ownership.processes import ANNOUNCEMENT_INTERVAL_S, KnownProcesses
 from granitewell.controlplane.publication.publisher import EdgeCounter, Publisher
 from granitewell.coordination.consensus.group import ReplicatedGroup
 from granitewell.coordination.rendezvous import shard_of
-from granitewell.nodes.layout import SHARDS, shard_group
+from granitewell.nodes.layout import SHARD_COUNT, shard_group
 from granitewell.nodes.shards import OwnedShard
 from granitewell.rpc.messages import (
     DemandReport,
@@ -25,13 +25,13 @@
 from granitewell.rpc.translation import demand_from_message
 from granitewell.rpc.transport import Handler, Method, RpcPeers
 
-START_ANNOUNCED_EVERY_S = 0.1
+STARTUP_ANNOUNCEMENT_INTERVAL_S = 0.1
 """Time between announcements of a process that has started.
 
 After a loss of all power, gateways and through them edges learn of the replicas by these alone, and a gateway
 is there some time after the replicas.
 """
-START_LASTS_S = 3.0
+STARTUP_PERIOD_S = 3.0
 
 
 class ControlMessages:
@@ -77,7 +77,7 @@
 
     async def _edge_count(self, payload: bytes, _peer: str) -> bytes:
         count = decode(EdgeCount, payload)
-        self._edges.notified(count.node, count.edges, time.monotonic())
+        self._edges.record_report(count.node, count.edges, time.monotonic())
         if count.address:
             self.processes.announce(count.address, count.incarnation or "")
         return b""
@@ -86,7 +86,7 @@
         report = decode(DemandReport, payload)
         by_shard: dict[int, list[Any]] = {}
         for demand in report.demands or ():
-            by_shard.setdefault(shard_of(demand.service_name, SHARDS), []).append(demand)
+            by_shard.setdefault(shard_of(demand.service_name, SHARD_COUNT), []).append(demand)
         for shard, demands in by_shard.items():
             self._route_demand(shard, report, demands)
         return b""
@@ -101,18 +101,18 @@
             onward = DemandReport(node=report.node, zone=report.zone, demands=demands, forwarded=True)
             self._peers[leader].send(Method.DEMAND, encode(onward))
 
-    async def tell_edge_count(self, listeners: Callable[[], Sequence[str]]) -> None:
+    async def announce(self, targets: Callable[[], Sequence[str]]) -> None:
         """Report to the other control nodes how many edges ask this one, until cancelled.
 
         Args:
-            listeners: Returns the internal addresses of the other control nodes, and of the seeds: one
+            targets: Returns the internal addresses of the other control nodes, and of the seeds: one
                 without replicas learns from this who has some.
         """
         started_at = time.monotonic()
         while True:
-            is_new = time.monotonic() - started_at < START_LASTS_S
-            await asyncio.sleep(START_ANNOUNCED_EVERY_S if is_new else ANNOUNCED_EVERY_S)
-            count = self._edges.here(time.monotonic())
+            is_new = time.monotonic() - started_at < STARTUP_PERIOD_S
+            await asyncio.sleep(STARTUP_ANNOUNCEMENT_INTERVAL_S if is_new else ANNOUNCEMENT_INTERVAL_S)
+            count = self._edges.local_count(time.monotonic())
             claimant = self._claimant
             message = encode(
                 EdgeCount(
@@ -122,6 +122,6 @@
                     address=claimant.address,
                 )
             )
-            for address in listeners():
+            for address in targets():
                 if address != claimant.address:
                     self._peers[address].send(Method.EDGES, message)
--- a/granitewell/nodes/control_nodes.py
+++ b/granitewell/nodes/control_nodes.py
@@ -29,26 +29,26 @@
     def set_seeds(self, addresses: Sequence[str]) -> None:
         """Set the control nodes named by the settings."""
         self._seeds = list(addresses)
-        self._arrange()
+        self._update_order()
 
     def set_known(self, addresses: Sequence[str]) -> None:
         """Set the control nodes named by the control plane."""
         self._known = list(addresses)
-        self._arrange()
+        self._update_order()
 
     def add_seed(self, address: str) -> None:
         """Add a control node that has announced itself."""
         if address not in self._seeds:
             self._seeds.append(address)
             del self._seeds[:-MAX_SEEDS]
-            self._arrange()
+            self._update_order()
 
     @property
     def known(self) -> list[str]:
         """Return the control nodes named by the control plane."""
         return self._known
 
-    def _arrange(self) -> None:
+    def _update_order(self) -> None:
         current = self._order[self._at % len(self._order)] if self._order else None
         known = rank(self._name, self._known)
         rest = rank(self._name, [seed for seed in self._seeds if seed not in self._known])
--- a/granitewell/nodes/control_watch.py
+++ b/granitewell/nodes/control_watch.py
@@ -30,18 +30,18 @@
 from granitewell.domain.servers import Server, ServerState
 from granitewell.domain.settings import Settings
 from granitewell.nodes.control_nodes import ControlNodes
-from granitewell.nodes.layout import SHARDS
+from granitewell.nodes.layout import SHARD_COUNT
 from granitewell.rpc.messages import TableVersion, WatchReply, WatchRequest, decode, encode
 from granitewell.rpc.transport import Method, RpcPeers
 
 MAX_HOLD_S = 1.0
-HOLD_PART = 0.4  # fraction of config-apply-ms: time for an unresponsive control node and the next one
+HOLD_FRACTION = 0.4  # fraction of config-apply-ms: time for an unresponsive control node and the next one
 REPLY_SLACK_S = 0.4  # beyond the hold, after which a control node is given up
 RETRY_S = 0.1
-MAX_LIST_OLD_S = 1.5  # a list older than that is read from the platform itself
-LIST_OLD_PART = 0.5  # of drain-ms: looking, reading and dropping servers fit in
-LIST_LOOK_PART = 0.2  # of the age at which it is old: how often that is looked at
-LIST_PAUSE_PART = 0.57  # of that age: least time between two readings
+MAX_LIST_AGE_S = 1.5  # a list older than that is read from the platform itself
+MAX_LIST_AGE_FRACTION = 0.5  # of drain-ms: looking, reading and dropping servers fit in
+LIST_CHECK_FRACTION = 0.2  # of the age at which it is old: how often that is looked at
+LIST_READ_FRACTION = 0.57  # of that age: least time between two readings
 RATE_FRACTION = 0.5  # of the platform's rate, for all edges together
 
 log = Logger("granitewell.edge")
@@ -59,16 +59,16 @@
         self._view = ConfigurationView()
         self._versions: dict[int, Version] = {}
         self._servers: dict[int, dict[str, Server]] = {}  # by shard and id
-        self._own_servers: dict[int, list[Server]] = {}  # by shard, until its first table comes
+        self._fallback_servers: dict[int, list[Server]] = {}  # by shard, until its first table comes
         self.listed_at: dict[int, float] = {}
         self.max_edges = 1
         self.peers = RpcPeers()
         self.nodes = ControlNodes(settings.node_name)
-        self._complete_tables_wanted = False
-        self._hold_s = min(MAX_HOLD_S, HOLD_PART * settings.bounds.config_apply_ms / 1000.0)
-        self.take_settings(settings)
+        self._full_configuration_needed = False
+        self._hold_s = min(MAX_HOLD_S, HOLD_FRACTION * settings.bounds.config_apply_ms / 1000.0)
+        self.apply_settings(settings)
 
-    def take_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Apply changed settings: other seeds."""
         port = settings.control_rpc_port
         self.nodes.set_seeds([f"{seed.rpartition(':')[0]}:{port}" for seed in settings.seeds])
@@ -81,7 +81,7 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             try:
-                self._take(await self._ask(node))
+                self._apply_reply(await self._ask(node))
             except RpcError as error:
                 log.debug("control node does not answer", node=node, error=str(error))
                 self.nodes.failed()
@@ -89,11 +89,11 @@
 
     async def _ask(self, node: str) -> Any:
         """Return a reply that is recent enough; raises RpcError."""
-        patience_s = self._hold_s + REPLY_SLACK_S
+        reply_timeout_s = self._hold_s + REPLY_SLACK_S
         sent_at = self._clock()
-        reply = await self.peers[node].call(Method.WATCH, encode(self._request()), patience_s)
-        if self._clock() - sent_at > patience_s:  # this process was frozen meanwhile
-            raise RpcTimeoutError(f"{node}: the reply came after {patience_s} s")
+        reply = await self.peers[node].call(Method.WATCH, encode(self._request()), reply_timeout_s)
+        if self._clock() - sent_at > reply_timeout_s:  # this process was frozen meanwhile
+            raise RpcTimeoutError(f"{node}: the reply came after {reply_timeout_s} s")
         return decode(WatchReply, reply)
 
     def _request(self) -> Any:
@@ -101,7 +101,7 @@
             node=self._settings.node_name,
             zone=self._settings.zone,
             edge=True,
-            configuration_version=0 if self._complete_tables_wanted else self._view.version,
+            configuration_version=0 if self._full_configuration_needed else self._view.version,
             tables=[
                 TableVersion(shard=shard, epoch=version.epoch, sequence=version.sequence)
                 for shard, version in self._versions.items()
@@ -110,31 +110,31 @@
             members_digest=self.nodes.digest,
         )
 
-    def _take(self, reply: Any) -> None:
+    def _apply_reply(self, reply: Any) -> None:
         if reply.control_nodes:
             self.nodes.set_known(reply.control_nodes)
         if reply.configuration is not None:
-            self._take_configuration(reply.configuration)
+            self._apply_configuration(reply.configuration)
         for message in reply.tables or ():
-            self._take_table(message)
+            self._apply_table(message)
         # a control node that has just started knows few edges: shared budgets must not grow by that
         self.max_edges = max(reply.max_edges, self.max_edges)
         self._plane.set_edges(max(reply.edges, 1), self.max_edges)
 
-    def _take_configuration(self, message: Any) -> None:
+    def _apply_configuration(self, message: Any) -> None:
         try:
             configuration = self._view.apply(
                 message.version, bool(message.is_complete), message.documents or ()
             )
         except GranitewellError as error:
             log.warning("configuration update does not fit", version=message.version, error=str(error))
-            self._complete_tables_wanted = True
+            self._full_configuration_needed = True
             return
-        self._complete_tables_wanted = False
+        self._full_configuration_needed = False
         if configuration is not None:
             self._plane.apply_configuration(configuration)
 
-    def _take_table(self, message: Any) -> None:
+    def _apply_table(self, message: Any) -> None:
         shard = message.version.shard
         update = update_from_message(message)
         known = self._versions.get(shard, Version())
@@ -147,7 +147,7 @@
             return
         servers = self._servers.setdefault(shard, {})
         removed = list(update.removed)
-        removed += [server.id for server in self._own_servers.pop(shard, ())]
+        removed += [server.id for server in self._fallback_servers.pop(shard, ())]
         if update.is_complete:
             kept = {server.id for server in update.changed}
             removed += [key for key in servers if key not in kept]
@@ -158,7 +158,7 @@
         current = {server.id for server in update.changed}
         self._plane.apply_servers(update.changed, [key for key in removed if key not in current])
 
-    def take_own_list(self, instances: Sequence[ListedInstance]) -> None:
+    def apply_fallback_list(self, instances: Sequence[ListedInstance]) -> None:
         """Apply the platform's list as read by this edge.
 
         Servers that drain or are removed are no longer used. The next update from the control plane takes
@@ -166,7 +166,7 @@
         """
         listed = {one.id: one for one in instances}
         now = self._clock()
-        self._use_listed(instances)
+        self._use_fallback_servers(instances)
         for shard, servers in self._servers.items():
             gone = [key for key in servers if key not in listed]
             draining = [
@@ -183,14 +183,14 @@
             if gone or draining:
                 self._plane.apply_servers(draining, gone)
 
-    def _use_listed(self, instances: Sequence[ListedInstance]) -> None:
+    def _use_fallback_servers(self, instances: Sequence[ListedInstance]) -> None:
         """Use the servers of shards whose table has never arrived, which is better than none."""
-        self._own_servers = {}
+        self._fallback_servers = {}
         for one in instances:
-            shard = shard_of(one.service, SHARDS)
+            shard = shard_of(one.service, SHARD_COUNT)
             if shard not in self._servers:
-                self._own_servers.setdefault(shard, []).append(_server(one))
-        for servers in self._own_servers.values():
+                self._fallback_servers.setdefault(shard, []).append(_server(one))
+        for servers in self._fallback_servers.values():
             self._plane.apply_servers(servers, [])
 
     def list_age_s(self) -> float:
@@ -206,7 +206,7 @@
     return Server(one.id, one.service, one.address, one.zone, one.slots, one.state, one.remaining_ms, models)
 
 
-class OwnList:
+class FallbackListReader:
     """Reads the platform's list while the control plane's copy is old.
 
     It is used only for servers that drain or are removed, which must not wait.
@@ -217,26 +217,26 @@
         self._watch = watch
         self._plane = plane
         self._rng = rng
-        self._old_s = min(MAX_LIST_OLD_S, LIST_OLD_PART * settings.bounds.drain_ms / 1000.0)
+        self._max_age_s = min(MAX_LIST_AGE_S, MAX_LIST_AGE_FRACTION * settings.bounds.drain_ms / 1000.0)
 
     async def run(self, session: aiohttp.ClientSession) -> None:
         """Read the list when needed, until cancelled."""
         reader = InstanceReader(self._settings.cloud.address, session)
         while True:
-            await asyncio.sleep(LIST_LOOK_PART * self._old_s * (0.5 + self._rng.random()))
-            if self._watch.list_age_s() < self._old_s:
+            await asyncio.sleep(LIST_CHECK_FRACTION * self._max_age_s * (0.5 + self._rng.random()))
+            if self._watch.list_age_s() < self._max_age_s:
                 continue
             try:
                 instances = await reader.read()
             except (ListUnavailableError, MalformedListError) as error:
                 log.debug("own list of servers unavailable", error=str(error))
                 continue
-            self._watch.take_own_list(instances)
+            self._watch.apply_fallback_list(instances)
             await asyncio.sleep(self._pause_s() * (0.85 + 0.3 * self._rng.random()))
 
     def _pause_s(self) -> float:
         """Return the time between two reads; all edges together stay well below the platform's rate limit."""
         return max(
-            LIST_PAUSE_PART * self._old_s,
+            LIST_READ_FRACTION * self._max_age_s,
             self._watch.max_edges / (RATE_FRACTION * self._settings.cloud.rate_per_s),
         )
--- a/granitewell/nodes/edge.py
+++ b/granitewell/nodes/edge.py
@@ -9,14 +9,14 @@
 
 from granitewell.dataplane.edge import DataPlane
 from granitewell.domain.settings import Settings
-from granitewell.nodes.control_watch import ControlWatch, OwnList
+from granitewell.nodes.control_watch import ControlWatch, FallbackListReader
 from granitewell.nodes.process import SettingsFile, Signals, follow_settings, run_process
 from granitewell.rpc.messages import DemandReport, encode
 from granitewell.rpc.translation import demand_to_message
 from granitewell.rpc.transport import Method
 
-DEMAND_EVERY_S = 1.0
-DEMAND_LEAST_S = 0.05
+DEMAND_INTERVAL_S = 1.0
+MIN_DEMAND_INTERVAL_S = 0.05
 
 
 class DemandReporter:
@@ -34,7 +34,7 @@
         """Send reports until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(DEMAND_EVERY_S):
+                async with asyncio.timeout(DEMAND_INTERVAL_S):
                     await self._urgent.wait()
             except TimeoutError:
                 pass
@@ -49,7 +49,7 @@
                     forwarded=False,
                 )
                 watch.peers[node].send(Method.DEMAND, encode(report))
-            await asyncio.sleep(DEMAND_LEAST_S)
+            await asyncio.sleep(MIN_DEMAND_INTERVAL_S)
 
 
 async def _serve(file: SettingsFile, signals: Signals) -> None:
@@ -59,12 +59,12 @@
     watch = ControlWatch(settings, plane)
     await plane.start()
     session = aiohttp.ClientSession(auto_decompress=False)
-    own_list = OwnList(settings, watch, plane, Random())
+    fallback_reader = FallbackListReader(settings, watch, plane, Random())
     tasks = [
         asyncio.create_task(watch.run()),
         asyncio.create_task(reporter.run(plane, watch)),
-        asyncio.create_task(own_list.run(session)),
-        asyncio.create_task(follow_settings(file, signals, watch.take_settings)),
+        asyncio.create_task(fallback_reader.run(session)),
+        asyncio.create_task(follow_settings(file, signals, watch.apply_settings)),
     ]
     await signals.stop.wait()
     plane.begin_drain()
--- a/granitewell/nodes/layout.py
+++ b/granitewell/nodes/layout.py
@@ -1,6 +1,6 @@
 """Constants on which all nodes must agree."""
 
-SHARDS = 2
+SHARD_COUNT = 2
 """Number of shards; a service belongs to one by the hash of its name. Changing it requires stopping all
 nodes. """
 
--- a/granitewell/nodes/process.py
+++ b/granitewell/nodes/process.py
@@ -15,13 +15,13 @@
 from granitewell.domain.errors import InvalidSettingsError
 from granitewell.domain.settings import Settings, read_settings, settings_path
 
-SETTINGS_LOOK_S = 1.0
-COLLECTOR_THRESHOLDS = (
+SETTINGS_POLL_S = 1.0
+GC_THRESHOLDS = (
     20_000,
     20,
     50,
 )  # infrequent collections: little here is cyclic, and pauses delay requests
-BAD_SETTINGS = 2  # exit code, as docs/operate/exit-codes.md has it
+EXIT_INVALID_SETTINGS = 2  # exit code, as docs/operate/exit-codes.md has it
 
 
 class SettingsFile:
@@ -34,19 +34,19 @@
 
     def _read(self) -> Settings:
         settings = read_settings(self._path)
-        self._stamp = self._look()
+        self._stamp = self._file_stamp()
         return settings
 
-    def _look(self) -> tuple[int, int, int] | None:
+    def _file_stamp(self) -> tuple[int, int, int] | None:
         try:
             stat = self._path.stat()
         except OSError:
             return None
         return (stat.st_mtime_ns, stat.st_size, stat.st_ino)
 
-    def reread(self, force: bool = False) -> Settings | None:
+    def reload(self, force: bool = False) -> Settings | None:
         """Return the new settings if the file has changed and is valid, otherwise None."""
-        if not force and self._look() == self._stamp:
+        if not force and self._file_stamp() == self._stamp:
             return None
         try:
             fresh = self._read()
@@ -63,29 +63,29 @@
 
     def __init__(self) -> None:
         self.stop = asyncio.Event()
-        self.reread = asyncio.Event()
+        self.reload = asyncio.Event()
 
     def install(self) -> None:
         """Install the handlers on the running loop."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stop.set)
         loop.add_signal_handler(signal.SIGINT, self.stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self.reread.set)
+        loop.add_signal_handler(signal.SIGHUP, self.reload.set)
 
 
-async def follow_settings(file: SettingsFile, signals: Signals, take: Callable[[Settings], None]) -> None:
+async def follow_settings(file: SettingsFile, signals: Signals, apply: Callable[[Settings], None]) -> None:
     """Pass on new settings until cancelled."""
     while True:
         try:
-            async with asyncio.timeout(SETTINGS_LOOK_S):
-                await signals.reread.wait()
+            async with asyncio.timeout(SETTINGS_POLL_S):
+                await signals.reload.wait()
         except TimeoutError:
             pass
-        forced = signals.reread.is_set()
-        signals.reread.clear()
-        fresh = file.reread(force=forced)
+        forced = signals.reload.is_set()
+        signals.reload.clear()
+        fresh = file.reload(force=forced)
         if fresh is not None:
-            take(fresh)
+            apply(fresh)
 
 
 def run_process(serve: Callable[[SettingsFile, Signals], Awaitable[None]]) -> int:
@@ -94,7 +94,7 @@
         file = SettingsFile(settings_path())
     except InvalidSettingsError as error:
         print(f"granitewell: {error}", file=sys.stderr)
-        return BAD_SETTINGS
+        return EXIT_INVALID_SETTINGS
 
     logs.set_up()
 
@@ -104,10 +104,10 @@
         await serve(file, signals)
 
     gc.freeze()  # what is imported stays: no collection need look at it again
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
         uvloop.run(main())
     except InvalidSettingsError as error:  # of a field that only this role needs
         print(f"granitewell: {error}", file=sys.stderr)
-        return BAD_SETTINGS
+        return EXIT_INVALID_SETTINGS
     return 0
--- a/granitewell/nodes/shard_supervisor.py
+++ b/granitewell/nodes/shard_supervisor.py
@@ -8,14 +8,14 @@
 import asyncio
 from collections.abc import Coroutine, Mapping
 
-from granitewell.controlplane.ownership.owner import ShardOwnership, TurnRules
+from granitewell.controlplane.ownership.owner import ShardOwnership, TakeoverRules
 from granitewell.controlplane.publication.table import ServerTable
 from granitewell.coordination.consensus.group import ReplicatedGroup
-from granitewell.nodes.shards import LEASE_LOOK_S, OwnedShard, ShardServices
+from granitewell.nodes.shards import LEASE_POLL_S, OwnedShard, ShardServices
 from granitewell.nodes.table_follower import TableFollower
 from granitewell.rpc.transport import RpcPeers
 
-LEADER_LOOK_S = 0.1  # between two looks for a shard's owner, where none is known
+LEADER_POLL_S = 0.1  # between two looks for a shard's owner, where none is known
 
 
 class ShardSupervisor:
@@ -39,7 +39,7 @@
         self._services = services
         self._owned = owned
 
-    async def keep(self, shard: int) -> None:
+    async def run_shard(self, shard: int) -> None:
         """Own a shard while this node leads its group; otherwise follow its owner's table."""
         group, table, services = self._groups[shard], self._tables[shard], self._services
         follower = TableFollower(shard, table, self._peers, services.settings(), services.changed)
@@ -51,9 +51,9 @@
                 continue
             leader = group.leader_address
             if leader is None or leader == own_address:
-                await asyncio.sleep(LEADER_LOOK_S)
+                await asyncio.sleep(LEADER_POLL_S)
                 continue
-            await self._until_leading(group, follower.poll(leader))
+            await self._poll_until_leading(group, follower.poll(leader))
 
     def _ownership(self, group: ReplicatedGroup) -> ShardOwnership:
         """Return the ownership object of a shard.
@@ -63,7 +63,7 @@
         """
         services = self._services
         bounds = services.settings().bounds
-        rules = TurnRules(bounds.lease_ms / 1000.0, bounds.contact_ms / 1000.0, bounds.fencing)
+        rules = TakeoverRules(bounds.lease_ms / 1000.0, bounds.contact_ms / 1000.0, bounds.fencing)
         return ShardOwnership(group, services.claimant, services.processes, rules)
 
     async def _own(self, shard: int, ownership: ShardOwnership) -> None:
@@ -75,7 +75,7 @@
         finally:
             self._owned.pop(shard, None)
 
-    async def _until_leading(self, group: ReplicatedGroup, poll: Coroutine[None, None, None]) -> None:
+    async def _poll_until_leading(self, group: ReplicatedGroup, poll: Coroutine[None, None, None]) -> None:
         """Poll the owner, but cancel the poll once this node leads.
 
         The owner may be partitioned and never reply.
@@ -83,6 +83,6 @@
         task = asyncio.create_task(poll)
         try:
             while not task.done() and not group.holds_lease():
-                await asyncio.wait({task}, timeout=LEASE_LOOK_S)
+                await asyncio.wait({task}, timeout=LEASE_POLL_S)
         finally:
             task.cancel()
--- a/granitewell/nodes/shards.py
+++ b/granitewell/nodes/shards.py
@@ -22,19 +22,19 @@
 from granitewell.domain.errors import NotLeaderError, ProposalLostError
 from granitewell.domain.servers import LoadedModel, ModelDemand, Server
 from granitewell.domain.settings import Settings
-from granitewell.nodes.layout import SHARDS
+from granitewell.nodes.layout import SHARD_COUNT
 
-MAX_LIST_EVERY_S = 0.5
-LIST_EVERY_PART = 1 / 6  # of drain-ms: a reading that fails, and the way to every edge, fit in
-LIST_FRESH_PART = 0.8  # of the time between two readings: so fresh, a list serves all shards of a node
-LEASE_LOOK_S = 0.1  # between two looks whether this node leads a shard's group
+MAX_LIST_INTERVAL_S = 0.5
+LIST_INTERVAL_FRACTION = 1 / 6  # of drain-ms: a reading that fails, and the way to every edge, fit in
+LIST_REUSE_FRACTION = 0.8  # of the time between two readings: so fresh, a list serves all shards of a node
+LEASE_POLL_S = 0.1  # between two looks whether this node leads a shard's group
 
 log = Logger("granitewell.shards")
 
 
-def list_every_s(settings: Settings) -> float:
+def list_interval_s(settings: Settings) -> float:
     """Return the time between two reads of the platform's list, in seconds."""
-    return min(MAX_LIST_EVERY_S, LIST_EVERY_PART * settings.bounds.drain_ms / 1000.0)
+    return min(MAX_LIST_INTERVAL_S, LIST_INTERVAL_FRACTION * settings.bounds.drain_ms / 1000.0)
 
 
 @dataclass(frozen=True)
@@ -71,20 +71,20 @@
         self._instances: tuple[ListedInstance, ...] = ()
         self._listed_at: float | None = None
         self.ownership = ownership
-        self._list_every_s = list_every_s(services.settings())
+        self._list_interval_s = list_interval_s(services.settings())
 
     async def run(self) -> None:
         """Work until the lease is lost."""
         try:
             await self.ownership.claim()
         except (NotLeaderError, ProposalLostError):
-            await asyncio.sleep(LEASE_LOOK_S)
+            await asyncio.sleep(LEASE_POLL_S)
             return
         log.info("shard ownership gained", shard=self._shard, fencing_token=self.ownership.fencing_token)
         reading = asyncio.create_task(self._read_lists())
         try:
             while self.ownership.owns():  # noqa: ASYNC110  a lease lapses without an event
-                await asyncio.sleep(LEASE_LOOK_S)
+                await asyncio.sleep(LEASE_POLL_S)
         finally:
             log.info("shard ownership lost", shard=self._shard)
             reading.cancel()
@@ -110,11 +110,11 @@
             except (ListUnavailableError, MalformedListError) as error:
                 log.warning("list of servers unavailable", error=str(error))
             else:
-                self._take_list(listed.instances, listed.asked_at)
-            await asyncio.sleep(max(self._list_every_s - (time.monotonic() - started), 0.05))
+                self._apply_list(listed.instances, listed.asked_at)
+            await asyncio.sleep(max(self._list_interval_s - (time.monotonic() - started), 0.05))
 
-    def _take_list(self, instances: Iterable[ListedInstance], read_at: float) -> None:
-        mine = (one for one in instances if shard_of(one.service, SHARDS) == self._shard)
+    def _apply_list(self, instances: Iterable[ListedInstance], read_at: float) -> None:
+        mine = (one for one in instances if shard_of(one.service, SHARD_COUNT) == self._shard)
         self._instances = tuple(mine)
         first = self._listed_at is None
         self._listed_at = read_at
@@ -129,7 +129,7 @@
             return
         engines = [service for service in configuration.services.values() if service.engine is not None]
         for service in engines:
-            if shard_of(service.name, SHARDS) == self._shard:
+            if shard_of(service.name, SHARD_COUNT) == self._shard:
                 self._update_controller(service, configuration, 1.0 / len(engines))
 
     def _update_controller(
--- a/granitewell/nodes/table_follower.py
+++ b/granitewell/nodes/table_follower.py
@@ -14,7 +14,7 @@
 from granitewell.rpc.transport import Method, RpcPeers
 
 FOLLOW_HOLD_S = 0.4
-FOLLOW_PAUSE_S = 0.1
+FOLLOW_RETRY_S = 0.1
 
 
 class TableFollower:
@@ -45,15 +45,15 @@
             data = await self._peers[owner].call(Method.WATCH, encode(request), FOLLOW_HOLD_S + 0.6)
             reply = decode(WatchReply, data)
         except RpcError:
-            await asyncio.sleep(FOLLOW_PAUSE_S)
+            await asyncio.sleep(FOLLOW_RETRY_S)
             return
         updates = [update for update in reply.tables or () if update.version.shard == self._shard]
         for message in updates:
-            self._take(message)
+            self._apply_update(message)
         if not updates:
-            await asyncio.sleep(FOLLOW_PAUSE_S)
+            await asyncio.sleep(FOLLOW_RETRY_S)
 
-    def _take(self, message: object) -> None:
+    def _apply_update(self, message: object) -> None:
         update = update_from_message(message)
         age_ms = message.list_age_ms  # type: ignore[attr-defined]
         listed_at = None if age_ms < 0 else time.monotonic() - age_ms / 1000.0
--- a/tests/controlplane/change_defects.py
+++ b/tests/controlplane/change_defects.py
@@ -6,30 +6,30 @@
 from aiohttp import web
 
 from granitewell.controlplane.configuration import answers, history
-from granitewell.controlplane.configuration.api import Leadership, OperatorApi, Standing
-from granitewell.controlplane.configuration.history import UNKNOWN_DIGEST, ChangeHistory, TakenChange
+from granitewell.controlplane.configuration.api import Leadership, OperatorApi, Role
+from granitewell.controlplane.configuration.history import UNKNOWN_DIGEST, AcceptedChange, ChangeHistory
 from granitewell.controlplane.configuration.store import Change, ChangeResult, ConfigurationStore, Outcome
 from tests.controlplane.change_world import Entry, Node, Waiter
 
 
 def identity_without_base(patch: pytest.MonkeyPatch) -> None:
     """A body that was taken is acknowledged under any If-Match."""
-    real = ConfigurationStore._judge
+    real = ConfigurationStore._evaluate
 
     def judge(self: ConfigurationStore, change: Change) -> object:
-        for taken in self._history._taken.values():
+        for taken in self._history._accepted.values():
             if taken.digest == change.digest():
                 return ChangeResult(Outcome.REPEATED, taken.version, self.version)
         return real(self, change)
 
-    patch.setattr(ConfigurationStore, "_judge", judge)
+    patch.setattr(ConfigurationStore, "_evaluate", judge)
 
 
 def identity_without_body(patch: pytest.MonkeyPatch) -> None:
     """All changes on one version count as the one that was taken there."""
 
     def version_of(self: ChangeHistory, change: Change) -> int | None:
-        taken = self._taken.get(change.base_version)
+        taken = self._accepted.get(change.base_version)
         return None if taken is None else taken.version
 
     patch.setattr(ChangeHistory, "version_of", version_of)
@@ -43,7 +43,7 @@
             return ChangeHistory()
         _, version = history.RECORD.unpack(data[-history.RECORD.size :])
         restored = ChangeHistory()
-        restored._taken = {-1: TakenChange(UNKNOWN_DIGEST, version)}
+        restored._accepted = {-1: AcceptedChange(UNKNOWN_DIGEST, version)}
         return restored
 
     patch.setattr(ChangeHistory, "read", read)
@@ -55,18 +55,18 @@
     def judge(self: ConfigurationStore, change: Change) -> ChangeResult:
         return self._result(Outcome.STALE)
 
-    patch.setattr(ConfigurationStore, "_judge_on_another_version", judge)
+    patch.setattr(ConfigurationStore, "_evaluate_on_another_version", judge)
 
 
 def repeat_is_told_the_current_version(patch: pytest.MonkeyPatch) -> None:
     """As it was once."""
-    real = ConfigurationStore._judge_on_another_version
+    real = ConfigurationStore._evaluate_on_another_version
 
     def judge(self: ConfigurationStore, change: Change) -> ChangeResult:
         result = real(self, change)
         return ChangeResult(result.outcome, self.version, self.version)
 
-    patch.setattr(ConfigurationStore, "_judge_on_another_version", judge)
+    patch.setattr(ConfigurationStore, "_evaluate_on_another_version", judge)
 
 
 def forgotten_is_refused(patch: pytest.MonkeyPatch) -> None:
@@ -89,15 +89,15 @@
 
     async def judged(self: OperatorApi, change: Change, path: str) -> web.Response:
         result = self._store.check(change)
-        return await self._proposed(change, path) if result is None else answers.changed(result)
+        return await self._propose(change, path) if result is None else answers.changed(result)
 
-    patch.setattr(OperatorApi, "_leadership_now", lambda self: Leadership(Standing.SERVING))
-    patch.setattr(OperatorApi, "_judged", judged)
+    patch.setattr(OperatorApi, "_leadership_now", lambda self: Leadership(Role.SERVING))
+    patch.setattr(OperatorApi, "_check_and_propose", judged)
 
 
 def lost_proposal_is_refused(patch: pytest.MonkeyPatch) -> None:
     """A proposal that was not committed in time counts as not taken."""
-    real = OperatorApi._proposed
+    real = OperatorApi._propose
 
     async def proposed(self: OperatorApi, change: Change, path: str) -> web.Response:
         response = await real(self, change, path)
@@ -105,12 +105,12 @@
             return response
         return answers.changed(ChangeResult(Outcome.STALE, self._store.version, self._store.version))
 
-    patch.setattr(OperatorApi, "_proposed", proposed)
+    patch.setattr(OperatorApi, "_propose", proposed)
 
 
 def lost_proposal_is_confirmed(patch: pytest.MonkeyPatch) -> None:
     """What passed the check is confirmed, whatever became of its entry."""
-    real = OperatorApi._proposed
+    real = OperatorApi._propose
 
     async def proposed(self: OperatorApi, change: Change, path: str) -> web.Response:
         before = self._store.check(change)
@@ -118,9 +118,9 @@
         if response.status != 503 or before is not None or self._store._checked is None:
             return response
         version = self._store._checked.after.version
-        return answers.changed(ChangeResult(Outcome.TAKEN, version, version))
+        return answers.changed(ChangeResult(Outcome.ACCEPTED, version, version))
 
-    patch.setattr(OperatorApi, "_proposed", proposed)
+    patch.setattr(OperatorApi, "_propose", proposed)
 
 
 def result_of_another_entry(patch: pytest.MonkeyPatch) -> None:
@@ -138,6 +138,6 @@
     def lose_waiters(self: Node, up_to: int) -> None:
         for waiter in [waiter for waiter in self.waiters if waiter.index <= up_to]:
             self.waiters.remove(waiter)
-            waiter.future.set_result(ChangeResult(Outcome.TAKEN, self.store.version, self.store.version))
+            waiter.future.set_result(ChangeResult(Outcome.ACCEPTED, self.store.version, self.store.version))
 
     patch.setattr(Node, "lose_waiters", lose_waiters)
--- a/tests/controlplane/change_world.py
+++ b/tests/controlplane/change_world.py
@@ -71,7 +71,7 @@
     restarts: int = 0  # of any node, from its own snapshot
     timeouts: int = 1  # of proposals that may still be committed
     strays: int = 1  # calls of a node that is behind and leads no more
-    remembered: int = history.MAX_TAKEN
+    remembered: int = history.MAX_ACCEPTED_CHANGES
 
 
 class Reference:
--- a/tests/controlplane/owner_world.py
+++ b/tests/controlplane/owner_world.py
@@ -15,9 +15,9 @@
 from random import Random
 from typing import Any, cast
 
-from granitewell.controlplane.ownership.owner import Claimant, ShardOwnership, TurnRules
-from granitewell.controlplane.ownership.processes import ANNOUNCED_EVERY_S, KnownProcesses
-from granitewell.controlplane.ownership.record import NOBODY, OwnerClaimed, OwnerRecord
+from granitewell.controlplane.ownership.owner import Claimant, ShardOwnership, TakeoverRules
+from granitewell.controlplane.ownership.processes import ANNOUNCEMENT_INTERVAL_S, KnownProcesses
+from granitewell.controlplane.ownership.record import NO_OWNER, OwnerClaimed, OwnerRecord
 from granitewell.controlplane.placement.controller import PlacementController
 from granitewell.controlplane.placement.observation import ListedServer
 from granitewell.coordination.consensus.ready import Ready
@@ -100,7 +100,7 @@
             self.group,
             Claimant(machine.name, machine.address, self.incarnation),
             self.processes,
-            TurnRules(LEASE_S, CONTACT_S, world.fencing),
+            TakeoverRules(LEASE_S, CONTACT_S, world.fencing),
             lambda: self.now,
         )
         self.loop.create_task(self._keep())
@@ -112,7 +112,7 @@
         super()._apply(ready)
         owners = self.owner_world.owners
         if ready.restore is not None:
-            self.record.owner = owners.get(ready.restore.index, NOBODY)
+            self.record.owner = owners.get(ready.restore.index, NO_OWNER)
             self._lose_claims(ready.restore.index)
         for entry in ready.committed:
             result: object = None
@@ -174,7 +174,7 @@
         await asyncio.sleep(0.3)
         while True:
             self.owner_world.tell_incarnation(self)
-            await asyncio.sleep(ANNOUNCED_EVERY_S)
+            await asyncio.sleep(ANNOUNCEMENT_INTERVAL_S)
 
     def add_demand(self, demands: list[ModelDemand], edge: str) -> None:
         """An edge has reported."""
--- a/tests/controlplane/test_change_identity_search.py
+++ b/tests/controlplane/test_change_identity_search.py
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
 def test_all_orders(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(history_module, "MAX_TAKEN", case.bounds.remembered)
+    monkeypatch.setattr(history_module, "MAX_ACCEPTED_CHANGES", case.bounds.remembered)
     found = asyncio.run(search(lambda: World(case.plans, case.bounds, OperatorApi)))
     print(f"{case.name}: {found} states")
     assert found == case.states
@@ -124,7 +124,7 @@
 async def play(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """A random day, at the end of which all is well again."""
     plans, bounds = day_of(seed)
-    monkeypatch.setattr(history_module, "MAX_TAKEN", bounds.remembered)
+    monkeypatch.setattr(history_module, "MAX_ACCEPTED_CHANGES", bounds.remembered)
     rng = Random(seed)
     world = World(plans, bounds, OperatorApi)
     try:
--- a/tests/controlplane/test_configuration_checks.py
+++ b/tests/controlplane/test_configuration_checks.py
@@ -170,14 +170,14 @@
     store = store_of(put_change(0, whole(5, split_route("s", ("one", 1), ("two", 1)))))
     assert outcomes(store, patch_change(5, patch(9, remove={"services": ["two"]}))) == [Outcome.INVALID]
     unsplit = patch(9, {"routes": [route("s")]}, {"services": ["two"]})
-    assert outcomes(store, patch_change(5, unsplit)) == [Outcome.TAKEN]
+    assert outcomes(store, patch_change(5, unsplit)) == [Outcome.ACCEPTED]
 
 
 def test_a_version_must_rise_for_a_whole_too() -> None:
     store = store_of(put_change(0, whole(5)))
     same, lower = put_change(5, whole(5, owner="x")), put_change(5, whole(4))
     assert outcomes(store, same, lower) == [Outcome.INVALID, Outcome.INVALID]
-    assert outcomes(store, put_change(5, whole(6))) == [Outcome.TAKEN]
+    assert outcomes(store, put_change(5, whole(6))) == [Outcome.ACCEPTED]
 
 
 VALID_WHOLES: list[Json] = [
@@ -241,7 +241,7 @@
 def test_a_prefix_is_free_again_once_its_route_is_removed() -> None:
     store = store_of(put_change(0, whole(5)), patch_change(5, patch(6, remove={"routes": ["a"]})))
     again = patch_change(6, patch(7, {"routes": [route("z", prefix="/a/")]}))
-    assert outcomes(store, again) == [Outcome.TAKEN]
+    assert outcomes(store, again) == [Outcome.ACCEPTED]
     clash = patch_change(7, patch(8, {"routes": [route("y", prefix="/a/")]}))
     assert outcomes(store, clash) == [Outcome.INVALID]
 
@@ -249,8 +249,10 @@
 def test_limits_stay_or_are_altered_one_by_one() -> None:
     store = store_of(put_change(0, whole(5)), patch_change(5, patch(6, {"routes": [route("c")]})))
     assert store.configuration is not None and store.configuration.limits.max_header_bytes == 1000
-    assert outcomes(store, patch_change(6, patch(7, limits={"max-header-bytes": 5}))) == [Outcome.TAKEN]
-    assert outcomes(store, patch_change(7, patch(8, {"limits": {"idle-timeout-ms": 9}}))) == [Outcome.TAKEN]
+    assert outcomes(store, patch_change(6, patch(7, limits={"max-header-bytes": 5}))) == [Outcome.ACCEPTED]
+    assert outcomes(store, patch_change(7, patch(8, {"limits": {"idle-timeout-ms": 9}}))) == [
+        Outcome.ACCEPTED
+    ]
     assert orjson.loads(store.document())["limits"] == {
         "max-header-bytes": 5,
         "max-body-bytes": 2000,
@@ -287,7 +289,7 @@
     assert store.configuration is not None
     before = store.configuration.routes
     changed = put_change(5, whole(6, route("a"), route("b", service="two", timeout_ms=9)))
-    assert outcomes(store, changed) == [Outcome.TAKEN]
+    assert outcomes(store, changed) == [Outcome.ACCEPTED]
     after = store.configuration.routes
     assert after["a"] is before["a"]
     assert after["b"].timeout_ms == 9
--- a/tests/controlplane/test_configuration_examples.py
+++ b/tests/controlplane/test_configuration_examples.py
@@ -100,7 +100,7 @@
         told = store.check(change)
         result = store.apply(0, change.encode())
         if told is None:
-            assert result.outcome is Outcome.TAKEN
+            assert result.outcome is Outcome.ACCEPTED
         else:
             assert (told.outcome, told.version) == (result.outcome, result.version)
         results.append(result)
@@ -115,7 +115,7 @@
 def store_of(*changes: Change) -> ConfigurationStore:
     """A store that has taken these changes."""
     store = ConfigurationStore()
-    assert set(outcomes(store, *changes)) <= {Outcome.TAKEN}
+    assert set(outcomes(store, *changes)) <= {Outcome.ACCEPTED}
     return store
 
 
