--- a/tests/controlplane/test_configuration_store.py
+++ b/tests/controlplane/test_configuration_store.py
@@ -80,7 +80,7 @@
 def test_the_first_change_builds_on_nothing() -> None:
     assert outcomes(ConfigurationStore(), put_change(1, whole(5))) == [Outcome.STALE]
     assert outcomes(ConfigurationStore(), patch_change(0, patch(1, {"services": [service("one")]}))) == [
-        Outcome.TAKEN
+        Outcome.ACCEPTED
     ]
 
 
@@ -92,7 +92,7 @@
         store = store_of(FIRST)
         assert store.check(first) is None and all(store.check(other) is None for other in others)
         results = [store.apply(1, change.encode()).outcome for change in (first, *others)]
-        assert results == [Outcome.TAKEN, Outcome.STALE, Outcome.STALE]
+        assert results == [Outcome.ACCEPTED, Outcome.STALE, Outcome.STALE]
 
 
 def test_a_change_sent_again_is_repeated_also_after_later_ones() -> None:
@@ -100,7 +100,7 @@
     store = store_of(FIRST, change)
     assert outcomes(store, change, FIRST) == [Outcome.REPEATED] * 2
     later = patch_change(7, patch(8, remove={"routes": ["c"]}))
-    assert outcomes(store, later, change, FIRST, later) == [Outcome.TAKEN] + [Outcome.REPEATED] * 3
+    assert outcomes(store, later, change, FIRST, later) == [Outcome.ACCEPTED] + [Outcome.REPEATED] * 3
     assert store.version == 8 and store.configuration is not None
     assert "c" not in store.configuration.routes
 
@@ -157,7 +157,7 @@
 def test_a_configuration_is_bounded_in_bytes_also_if_it_grows_by_patches(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(store_module, "MAX_DOCUMENT", 10_000)
+    monkeypatch.setattr(store_module, "MAX_DOCUMENT_BYTES", 10_000)
     store = store_of(FIRST)
     for number in range(100):
         change = patch_change(store.version, patch(store.version + 1, {"routes": [route(f"r{number}")]}))
@@ -167,7 +167,7 @@
     for field in ({"owner": "x" * 10_000}, {"limits": {"note": "x" * 10_000}}):
         assert outcomes(store, patch_change(store.version, patch(10**6, **field))) == [Outcome.INVALID]
     smaller = patch_change(store.version, patch(10**6, remove={"routes": ["r0"]}))
-    assert outcomes(store, smaller) == [Outcome.TAKEN]
+    assert outcomes(store, smaller) == [Outcome.ACCEPTED]
 
 
 def test_a_change_that_lost_or_was_invalid_is_not_remembered() -> None:
@@ -180,8 +180,8 @@
         Outcome.STALE,
         Outcome.INVALID,
     ]
-    assert outcomes(store, patch_change(5, patch(6, {"services": [service("three")]}))) == [Outcome.TAKEN]
-    assert outcomes(store, Change(Operation.PATCH, 6, invalid.body)) == [Outcome.TAKEN]
+    assert outcomes(store, patch_change(5, patch(6, {"services": [service("three")]}))) == [Outcome.ACCEPTED]
+    assert outcomes(store, Change(Operation.PATCH, 6, invalid.body)) == [Outcome.ACCEPTED]
 
 
 CHAIN = [FIRST] + [patch_change(version, patch(version + 1)) for version in range(5, 9)]
@@ -192,7 +192,7 @@
 
     Of one on a version that the history reaches, it is certain.
     """
-    monkeypatch.setattr(history_module, "MAX_TAKEN", 3)
+    monkeypatch.setattr(history_module, "MAX_ACCEPTED_CHANGES", 3)
     store = store_of(*CHAIN)
     fresh = ConfigurationStore()
     fresh.restore(store.snapshot())
@@ -202,7 +202,7 @@
         assert outcomes(replica, *others) == [Outcome.FORGOTTEN] * 3 + [Outcome.STALE] * 4
     for replica in (store, fresh):
         assert outcomes(replica, patch_change(9, patch(10)), *CHAIN[2:]) == [
-            Outcome.TAKEN, Outcome.FORGOTTEN, Outcome.REPEATED, Outcome.REPEATED,
+            Outcome.ACCEPTED, Outcome.FORGOTTEN, Outcome.REPEATED, Outcome.REPEATED,
         ]  # fmt: skip
     assert store.snapshot() == fresh.snapshot()
 
@@ -225,7 +225,7 @@
 
 def test_the_listener_hears_of_each_new_version_only() -> None:
     heard: list[int] = []
-    store = ConfigurationStore(on_taken=lambda: heard.append(store.version))
+    store = ConfigurationStore(on_change=lambda: heard.append(store.version))
     outcomes(store, FIRST, FIRST, put_change(5, whole(4)), put_change(1, whole(9)), put_change(5, whole(9)))
     assert heard == [5, 9]
 
@@ -247,7 +247,7 @@
     store = store_of(FIRST)
     store.restore(ConfigurationStore().snapshot())
     assert store.version == 0 and store.configuration is None
-    assert outcomes(store, FIRST) == [Outcome.TAKEN]
+    assert outcomes(store, FIRST) == [Outcome.ACCEPTED]
 
 
 def test_a_damaged_snapshot_is_refused_and_changes_nothing() -> None:
@@ -301,7 +301,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An older program left no mark: the base of its oldest record is not known."""
-    monkeypatch.setattr(history_module, "FULL_WITHOUT_MARK", 3)
+    monkeypatch.setattr(history_module, "LEGACY_FULL_RECORDS", 3)
     records = [(change.digest(), version) for change, version in zip(CHAIN, range(5, 10), strict=True)][2:]
     store = ConfigurationStore()
     store.restore(snapshot_of(store_of(*CHAIN).document(), *records))
@@ -332,10 +332,10 @@
 def test_the_largest_history_has_few_bytes_and_comes_back_whole() -> None:
     history = history_module.ChangeHistory()
     change = Change(Operation.PATCH, 0, b"")
-    for version in range(1, history_module.MAX_TAKEN + 50):
+    for version in range(1, history_module.MAX_ACCEPTED_CHANGES + 50):
         history.add(change, version)
     records = history.records()
-    assert len(b"".join(records)) == 40 * (history_module.MAX_TAKEN + 1)
+    assert len(b"".join(records)) == 40 * (history_module.MAX_ACCEPTED_CHANGES + 1)
     read = history_module.ChangeHistory.read(b"".join(records))
     assert read.records() == records
     assert [read.reaches(base) for base in (48, 49)] == [False, True]
@@ -390,8 +390,8 @@
     store = store_of(put_change(0, whole(5, route("a", note="x" * 100_000))))
     for version in range(5, 305):
         store.apply(0, patch_change(version, patch(version + 1)).encode())
-    assert store.changes_since(304 - store_module.MAX_STEPS).is_complete
-    assert not store.changes_since(305 - store_module.MAX_STEPS).is_complete
+    assert store.changes_since(304 - store_module.MAX_PATCHES).is_complete
+    assert not store.changes_since(305 - store_module.MAX_PATCHES).is_complete
 
 
 def test_a_whole_that_alters_little_is_told_as_a_patch() -> None:
@@ -572,7 +572,7 @@
         first = results[0]
         assert len({(result.outcome, result.version, str(result.error)) for result in results}) == 1
         if told is None:
-            assert first.outcome is Outcome.TAKEN and change.base_version not in taken_bases
+            assert first.outcome is Outcome.ACCEPTED and change.base_version not in taken_bases
             taken_bases.add(change.base_version)
         else:
             assert first.outcome is told.outcome and leader.snapshot() == before
@@ -598,10 +598,10 @@
     store = ConfigurationStore()
     reached = [0]
     for index, (drawn, again) in enumerate(history):
-        if store.apply(index, rebased(drawn, store, again).encode()).outcome is Outcome.TAKEN:
+        if store.apply(index, rebased(drawn, store, again).encode()).outcome is Outcome.ACCEPTED:
             reached.append(store.version)
             other = ConfigurationStore()
             put = Change(Operation.PUT, 0, store.document())
-            assert other.apply(1, put.encode()).outcome is Outcome.TAKEN
+            assert other.apply(1, put.encode()).outcome is Outcome.ACCEPTED
             assert other.configuration == store.configuration
     assert all(lower < higher for lower, higher in pairwise(reached))
--- a/tests/controlplane/test_confirmation.py
+++ b/tests/controlplane/test_confirmation.py
@@ -7,7 +7,7 @@
 import pytest
 
 from granitewell.controlplane.placement import confirmation
-from granitewell.controlplane.placement.observation import REPORT_LAG_S, ListedServer
+from granitewell.controlplane.placement.observation import MAX_REPORT_AGE_S, ListedServer
 from granitewell.controlplane.placement.orders import Operation, Order, OrderResult, Report
 from granitewell.controlplane.placement.reconciler import PlacementReconciler
 from granitewell.controlplane.placement.steps import Poll, Send
@@ -41,8 +41,8 @@
 def confirming(now: float = 10.0) -> tuple[PlacementReconciler, Send, float]:
     """The same once the order was accepted and is sent again."""
     made, first = waiting_for_adapter(now)
-    made.on_order(now + 0.13, first.order, 7, OrderResult.TAKEN)
-    at = now + 0.13 + confirmation.FIRST_AFTER_S
+    made.on_order(now + 0.13, first.order, 7, OrderResult.ACCEPTED)
+    at = now + 0.13 + confirmation.FIRST_CONFIRMATION_DELAY_S
     assert made.due(at - 0.001, "node-1", 7, True) == []
     (again,) = made.due(at, "node-1", 7, True)
     assert isinstance(again, Send) and again.order is first.order
@@ -53,7 +53,7 @@
 def test_an_accepted_adapter_is_ready_as_soon_as_the_server_says_that_it_holds() -> None:
     made, again, at = confirming()
     assert not made.ready_models("i-1")["m0"].adapters
-    made.on_order(at + 0.002, again.order, 7, OrderResult.ALREADY_HOLDS)
+    made.on_order(at + 0.002, again.order, 7, OrderResult.ALREADY_DONE)
     assert made.ready_models("i-1")["m0"].adapters == {"a1"}
     assert made.take_changes() == ["i-1"]
 
@@ -61,15 +61,15 @@
 @pytest.mark.parametrize("stale", [report(4), report(5, busy=True)])
 def test_a_report_that_may_be_older_than_the_confirmation_changes_nothing(stale: Report) -> None:
     made, again, at = confirming()
-    made.on_order(at, again.order, 7, OrderResult.ALREADY_HOLDS)
+    made.on_order(at, again.order, 7, OrderResult.ALREADY_DONE)
     made.on_report(at + 0.1, "i-1", at + 0.05, stale)
     assert made.ready_models("i-1")["m0"].adapters == {"a1"}
 
 
 def test_a_report_of_well_after_the_confirmation_counts() -> None:
     made, again, at = confirming()
-    made.on_order(at, again.order, 7, OrderResult.ALREADY_HOLDS)
-    made.on_report(at + 1.0, "i-1", at + REPORT_LAG_S + 0.1, report(4))
+    made.on_order(at, again.order, 7, OrderResult.ALREADY_DONE)
+    made.on_report(at + 1.0, "i-1", at + MAX_REPORT_AGE_S + 0.1, report(4))
     assert not made.ready_models("i-1")["m0"].adapters
 
 
@@ -77,11 +77,13 @@
     made, again, at = confirming()
     for number in range(1, confirmation.MAX_CONFIRMATIONS):
         made.on_order(at, again.order, 7, OrderResult.CONFLICT)
-        at += confirmation.next_after(number)
+        at += confirmation.confirmation_delay_s(number)
         (again,) = made.due(at, "node-1", 7, True)  # type: ignore[assignment]
         assert isinstance(again, Send)
     made.on_order(at, again.order, 7, OrderResult.CONFLICT)
-    (poll,) = made.due(at + confirmation.next_after(confirmation.MAX_CONFIRMATIONS), "node-1", 7, True)
+    (poll,) = made.due(
+        at + confirmation.confirmation_delay_s(confirmation.MAX_CONFIRMATIONS), "node-1", 7, True
+    )
     assert isinstance(poll, Poll)
     made.on_report(at + 1.0, "i-1", at + 0.9, report(5, "a1"))
     assert made.ready_models("i-1")["m0"].adapters == {"a1"}
@@ -97,7 +99,7 @@
 
 def test_one_that_is_accepted_again_was_undone_and_stays_recorded_until_a_later_report() -> None:
     made, again, at = confirming()
-    made.on_order(at, again.order, 7, OrderResult.TAKEN)
+    made.on_order(at, again.order, 7, OrderResult.ACCEPTED)
     made.on_report(at + 0.1, "i-1", at, report(5))
     assert not made.ready_models("i-1")["m0"].adapters
     sends = [s for s in made.due(at + 0.2, "node-1", 7, True) if isinstance(s, Send)]
@@ -106,8 +108,8 @@
 
 def test_no_confirmation_without_the_lease() -> None:
     made, first = waiting_for_adapter()
-    made.on_order(10.13, first.order, 7, OrderResult.TAKEN)
-    steps = made.due(10.13 + confirmation.FIRST_AFTER_S, "node-1", 7, False)
+    made.on_order(10.13, first.order, 7, OrderResult.ACCEPTED)
+    steps = made.due(10.13 + confirmation.FIRST_CONFIRMATION_DELAY_S, "node-1", 7, False)
     assert not any(isinstance(step, Send) for step in steps)
 
 
@@ -128,7 +130,7 @@
     ],
 )
 def test_the_state_after_an_order(operation: Operation, ref: ModelRef, after: dict[str, set[str]]) -> None:
-    later = confirmation.report_after(report(4, "a2"), Order("i", operation, ref), 5)
+    later = confirmation.predicted_report(report(4, "a2"), Order("i", operation, ref), 5)
     assert {name: set(model.adapters) for name, model in later.models.items()} == after
     assert later.sequence == 5 and not later.busy
 
@@ -136,7 +138,7 @@
 def test_an_operation_that_servers_never_confirm_is_no_longer_sent_again() -> None:
     record = confirmation.ConfirmationRecord()
     load, unload = Order("i", Operation.LOAD, ADAPTER), Order("i", Operation.UNLOAD, ADAPTER)
-    for _ in range(confirmation.MIN_TRIED):
+    for _ in range(confirmation.MIN_CONFIRMATION_SAMPLES):
         assert record.is_useful(unload)
         record.ended(unload, confirmed=False)
         record.ended(load, confirmed=True)
--- a/tests/controlplane/test_model_versions.py
+++ b/tests/controlplane/test_model_versions.py
@@ -95,8 +95,8 @@
 
 def test_no_second_copy_goes_while_one_comes_or_goes() -> None:
     current, older = copy(1, NEW), copy(2, OLD, outdated=True)
-    loading = replace(server(3, coming=M), outdated=frozenset())
-    unloading = replace(server(3, OLD, going=M), outdated=frozenset({"m0"}))
+    loading = replace(server(3, loading=M), outdated=frozenset())
+    unloading = replace(server(3, OLD, unloading=M), outdated=frozenset({"m0"}))
     assert planned(current, older, loading) == []
     assert planned(current, older, unloading) == []
 
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -230,7 +230,7 @@
 def test_a_change_from_before_what_is_remembered_is_left_without_a_clear_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(history_module, "MAX_TAKEN", 1)
+    monkeypatch.setattr(history_module, "MAX_ACCEPTED_CHANGES", 1)
 
     async def story(rig: Rig) -> None:
         assert (await rig.patch(5, patch(9))).status == 200
@@ -270,7 +270,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All else is left without a clear answer: it may have been taken, or be taken on the other side."""
-    monkeypatch.setattr(body_module, "MAX_BODY", 1_000)
+    monkeypatch.setattr(body_module, "MAX_BODY_BYTES", 1_000)
 
     async def story(rig: Rig) -> None:
         rig.group.lease, rig.group.leader = False, None
@@ -461,7 +461,7 @@
 
 
 def test_one_proposal_at_a_time_and_a_bound_on_those_that_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(api_module, "MAX_WAITING", 3)
+    monkeypatch.setattr(api_module, "MAX_QUEUED_CHANGES", 3)
 
     async def story(rig: Rig) -> None:
         open_now, max_open = 0, 0
@@ -589,7 +589,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_above_the_bound_is_refused(monkeypatch: pytest.MonkeyPatch, chunked: bool) -> None:
-    monkeypatch.setattr(body_module, "MAX_BODY", 1_000)
+    monkeypatch.setattr(body_module, "MAX_BODY_BYTES", 1_000)
 
     async def story(rig: Rig) -> None:
         async def chunks() -> Any:
@@ -670,7 +670,7 @@
 
 
 def test_bodies_together_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(body_module, "MAX_BODIES", 1_500)
+    monkeypatch.setattr(body_module, "MAX_BUFFERED_BYTES", 1_500)
 
     async def story(rig: Rig) -> None:
         half = HEAD + b"Content-Length: 2000\r\n\r\n" + b" " * 1_000
--- a/tests/controlplane/test_order_wire.py
+++ b/tests/controlplane/test_order_wire.py
@@ -167,8 +167,8 @@
 
 
 FATES = [
-    (Act(answer(202)), OrderResult.TAKEN),
-    (Act(answer(200)), OrderResult.ALREADY_HOLDS),
+    (Act(answer(202)), OrderResult.ACCEPTED),
+    (Act(answer(200)), OrderResult.ALREADY_DONE),
     (Act(answer(409)), OrderResult.CONFLICT),
     (Act(answer(412)), OrderResult.FENCED),
     (Act(answer(421)), OrderResult.OTHER_SERVER),
@@ -206,7 +206,7 @@
     async def scenario(standin: Standin, address: str, client: HttpServerClient) -> None:
         assert isinstance(await client.report("i-1", address), Report)
         result = await client.send(address, ORDER, TICKET, yes)  # may cross the close
-        assert result in (OrderResult.TAKEN, OrderResult.UNKNOWN)
+        assert result in (OrderResult.ACCEPTED, OrderResult.UNKNOWN)
         assert len(standin.orders) <= 1
         assert_whole(standin.orders)
 
@@ -281,7 +281,7 @@
         return True
 
     async def scenario(standin: Standin, address: str, client: HttpServerClient) -> None:
-        assert await client.send(address, ORDER, TICKET, may_send) is OrderResult.TAKEN
+        assert await client.send(address, ORDER, TICKET, may_send) is OrderResult.ACCEPTED
         assert events[:3] == ["asked", "left", "next turn"]
 
     play([Act(answer(202))], scenario, [asyncio.new_event_loop])
--- a/tests/controlplane/test_owner_defects.py
+++ b/tests/controlplane/test_owner_defects.py
@@ -11,7 +11,7 @@
 import pytest
 
 from granitewell.controlplane.ownership import owner, processes
-from granitewell.controlplane.ownership.owner import ShardOwnership, TurnRules
+from granitewell.controlplane.ownership.owner import ShardOwnership, TakeoverRules
 from granitewell.controlplane.ownership.processes import KnownProcesses
 from granitewell.controlplane.ownership.record import OwnerClaimed
 from granitewell.controlplane.placement import orders, reconciler
@@ -39,17 +39,17 @@
 
 def no_wait(patch: pytest.MonkeyPatch) -> None:
     """Behind another machine, orders begin at once."""
-    patch.setattr(TurnRules, "wait_s", property(lambda self: 0.0))
+    patch.setattr(TakeoverRules, "wait_s", property(lambda self: 0.0))
 
 
 def short_wait(patch: pytest.MonkeyPatch) -> None:
     """The wait does not count for how long an order lasts that has left."""
-    patch.setattr(TurnRules, "wait_s", property(lambda self: self.lease_s + 0.1))
+    patch.setattr(TakeoverRules, "wait_s", property(lambda self: self.lease_s + 0.1))
 
 
 def silence_always_excuses(patch: pytest.MonkeyPatch) -> None:
     """Behind a silent holder nothing is waited for, whether servers check fences or not."""
-    patch.setattr(TurnRules, "faults_excuse", property(lambda self: True))
+    patch.setattr(TakeoverRules, "fault_replaces_wait", property(lambda self: True))
 
 
 def hanging_disk_is_silence(patch: pytest.MonkeyPatch) -> None:
@@ -70,14 +70,14 @@
 
 def wait_forgotten(patch: pytest.MonkeyPatch) -> None:
     """Behind a claim of this machine nothing is waited for, whatever that one had to wait for."""
-    real = ShardOwnership._follow
+    real = ShardOwnership._start_wait
 
-    def follow(self: ShardOwnership, previous: OwnerClaimed) -> None:
+    def start_wait(self: ShardOwnership, previous: OwnerClaimed) -> None:
         real(self, previous)
         if previous.address == self._claimant.address:
-            self._order_from = self._clock()
+            self._orders_allowed_at = self._clock()
 
-    patch.setattr(ShardOwnership, "_follow", follow)
+    patch.setattr(ShardOwnership, "_start_wait", start_wait)
 
 
 def fence_reused(patch: pytest.MonkeyPatch) -> None:
@@ -122,7 +122,7 @@
 
 def unloads_at_once(patch: pytest.MonkeyPatch) -> None:
     """A new owner unloads before it has heard the edges."""
-    patch.setattr(reconciler, "FIRST_DEMAND_S", 0.0)
+    patch.setattr(reconciler, "FIRST_UNLOAD_DELAY_S", 0.0)
 
 
 def full_bucket(patch: pytest.MonkeyPatch) -> None:
@@ -134,7 +134,7 @@
         self._tokens = 12.0
 
     patch.setattr(LoadBucket, "__init__", init)
-    patch.setattr("granitewell.controlplane.placement.limits.STORE_BURST", 12.0)
+    patch.setattr("granitewell.controlplane.placement.limits.STORE_BURST_LOADS", 12.0)
 
 
 @dataclass(frozen=True)
--- a/tests/controlplane/test_ownership.py
+++ b/tests/controlplane/test_ownership.py
@@ -8,14 +8,14 @@
 import pytest
 
 from granitewell.controlplane.ownership.owner import (
-    ORDER_LASTS_S,
+    MAX_ORDER_DELIVERY_S,
     UNRESPONSIVE_AFTER_S,
     Claimant,
     ShardOwnership,
-    TurnRules,
+    TakeoverRules,
 )
 from granitewell.controlplane.ownership.processes import (
-    ANNOUNCED_EVERY_S,
+    ANNOUNCEMENT_INTERVAL_S,
     PROCESS_UNRESPONSIVE_AFTER_S,
     KnownProcesses,
 )
@@ -58,7 +58,7 @@
 ) -> tuple[ShardOwnership, Group, Clock]:
     group, clock = Group(record), Clock()
     claimant = Claimant("core-1", OWN_ADDRESS, "process-1")
-    rules = TurnRules(3.0, contact_s, fencing)
+    rules = TakeoverRules(3.0, contact_s, fencing)
     return ShardOwnership(group, claimant, KnownProcesses(clock), rules, clock), group, clock
 
 
@@ -82,7 +82,7 @@
     assert ownership.owns() and not ownership.may_order()
     clock.now += 3.0
     assert not ownership.may_order()
-    clock.now += ORDER_LASTS_S
+    clock.now += MAX_ORDER_DELIVERY_S
     assert ownership.may_order() and ownership.fencing_token == 5
 
 
@@ -125,7 +125,7 @@
     processes.announce(OTHER_ADDRESS, "process-2")
     assert not processes.is_unresponsive(OTHER_ADDRESS)
     assert processes.incarnation_at(OTHER_ADDRESS) == "process-2"
-    assert PROCESS_UNRESPONSIVE_AFTER_S > ANNOUNCED_EVERY_S + 0.2
+    assert PROCESS_UNRESPONSIVE_AFTER_S > ANNOUNCEMENT_INTERVAL_S + 0.2
 
 
 def test_behind_a_holder_that_has_restarted_orders_do_not_wait() -> None:
@@ -148,12 +148,12 @@
     assert not ownership.may_order()
     clock.now += 3.0
     assert not ownership.may_order()  # an order that has left may still be on its way
-    clock.now += ORDER_LASTS_S
+    clock.now += MAX_ORDER_DELIVERY_S
     assert ownership.may_order()
 
 
 def test_an_order_is_over_before_a_follower_without_fences_orders() -> None:
-    assert ORDER_TIMEOUT_S + 0.2 <= ORDER_LASTS_S
+    assert ORDER_TIMEOUT_S + 0.2 <= MAX_ORDER_DELIVERY_S
 
 
 def test_behind_a_member_that_is_no_longer_one_orders_wait() -> None:
@@ -167,7 +167,7 @@
     group.is_unresponsive[OTHER_ADDRESS] = 100.0
     processes_of(ownership).announce(OTHER_ADDRESS, "process-9")
     assert not ownership.may_order()
-    clock.now += 3.0 + ORDER_LASTS_S
+    clock.now += 3.0 + MAX_ORDER_DELIVERY_S
     assert ownership.may_order()
 
 
@@ -178,7 +178,7 @@
     group.term = 5
     asyncio.run(ownership.claim())
     assert not ownership.may_order()
-    clock.now += 3.0 + ORDER_LASTS_S
+    clock.now += 3.0 + MAX_ORDER_DELIVERY_S
     assert ownership.may_order()
 
 
@@ -204,7 +204,7 @@
     group.term = 7
     asyncio.run(unfenced.claim())
     assert not unfenced.may_order()
-    clock.now += 3.0 + ORDER_LASTS_S
+    clock.now += 3.0 + MAX_ORDER_DELIVERY_S
     assert unfenced.may_order()
 
 
@@ -215,7 +215,7 @@
     group.term = 7
     asyncio.run(ownership.claim())
     assert ownership.owns() and not ownership.may_order()
-    clock.now += 1.5 + ORDER_LASTS_S
+    clock.now += 1.5 + MAX_ORDER_DELIVERY_S
     assert ownership.may_order()
 
 
@@ -237,7 +237,7 @@
     group.propose = real  # type: ignore[method-assign]
     asyncio.run(ownership.claim())
     assert ownership.owns() and not ownership.may_order()
-    clock.now += 3.0 + ORDER_LASTS_S
+    clock.now += 3.0 + MAX_ORDER_DELIVERY_S
     assert ownership.may_order()
 
 
--- a/tests/controlplane/test_placement_controller.py
+++ b/tests/controlplane/test_placement_controller.py
@@ -95,7 +95,7 @@
         self.sequence += 1
         self.busy = True
         asyncio.get_running_loop().call_later(0.6, self._done, order)
-        return OrderResult.TAKEN
+        return OrderResult.ACCEPTED
 
     def _done(self, order: Order) -> None:
         self.busy = False
@@ -261,7 +261,7 @@
 
 def test_orders_and_reports_over_http() -> None:
     async def scenario(server: _Server, address: str, client: HttpServerClient) -> None:
-        assert await client.send(address, ORDER, TICKET, _yes) is OrderResult.TAKEN
+        assert await client.send(address, ORDER, TICKET, _yes) is OrderResult.ACCEPTED
         assert server.orders == [
             {"operation": "load_model", "model": "m1", "if-revision": 0, "holder": "node-1", "fence-token": 7}
         ]
@@ -280,14 +280,14 @@
     async def scenario(server: _Server, address: str, client: HttpServerClient) -> None:
         assert await client.send(address, ORDER, TICKET, lambda: False) is OrderResult.NOT_SENT
         assert server.orders == []
-        assert await client.send(address, ORDER, TICKET, _yes) is OrderResult.TAKEN
+        assert await client.send(address, ORDER, TICKET, _yes) is OrderResult.ACCEPTED
 
     _serve(scenario)
 
 
 def test_an_order_whose_answer_is_lost_is_of_unknown_fate_and_sent_once() -> None:
     async def scenario(server: _Server, address: str, client: HttpServerClient) -> None:
-        assert await client.send(address, ORDER, TICKET, _yes) is OrderResult.TAKEN
+        assert await client.send(address, ORDER, TICKET, _yes) is OrderResult.ACCEPTED
         server.drop = True
         assert await client.send(address, ORDER, TICKET, _yes) is OrderResult.UNKNOWN
         assert len(server.orders) == 2
--- a/tests/controlplane/test_placement_faults.py
+++ b/tests/controlplane/test_placement_faults.py
@@ -58,7 +58,7 @@
 ) -> None:
     fleet = troubled(seed, lost_answers, lost_orders, late_orders, crashes)
     fleet.assert_rules()
-    assert fleet.judged.statuses[OrderResult.TAKEN] > 0
+    assert fleet.judged.statuses[OrderResult.ACCEPTED] > 0
 
 
 def test_lost_answers_slow_placement_but_do_not_stop_it() -> None:
@@ -144,8 +144,8 @@
         fleet.run(2.0)
         assert leaving.sequence == taken
         assert fleet.reconciler.ready_models(leaving.id) != {}
-        lasting = [s for s in fleet.servers.values() if s is not leaving and "m2" in s.held]
-        assert len(lasting) >= 2
+        schedulable = [s for s in fleet.servers.values() if s is not leaving and "m2" in s.held]
+        assert len(schedulable) >= 2
         fleet.assert_rules()
 
 
@@ -227,12 +227,12 @@
 
 def test_an_unknown_order_counts_until_a_late_report() -> None:
     record = _record_with_unknown_load()
-    assert record.coming() == ModelRef("m5")
+    assert record.loading() == ModelRef("m5")
     early = Report(0, False, {})
-    assert record.take_report(101.3, early) is None
-    assert record.coming() == ModelRef("m5")
-    assert record.take_report(101.0 + observation.REPORT_LAG_S + 0.1, early) is not None
-    assert record.coming() is None
+    assert record.apply_report(101.3, early) is None
+    assert record.loading() == ModelRef("m5")
+    assert record.apply_report(101.0 + observation.MAX_REPORT_AGE_S + 0.1, early) is not None
+    assert record.loading() is None
 
 
 def _record_with_unknown_load() -> ServerRecord:
@@ -261,7 +261,7 @@
 
 def count_no_loads_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ServerRecord, "orderable", lambda self, now: self.report is not None)
-    monkeypatch.setattr(ServerRecord, "coming", lambda self: None)
+    monkeypatch.setattr(ServerRecord, "loading", lambda self: None)
 
 
 def believe_unloads_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -269,9 +269,9 @@
 
     def loaded(self: ServerRecord) -> object:
         seen = dict(real(self))
-        going = self.going()
-        if going is not None and not going.adapter:
-            seen.pop(going.model, None)
+        unloading = self.unloading()
+        if unloading is not None and not unloading.adapter:
+            seen.pop(unloading.model, None)
         return seen
 
     monkeypatch.setattr(ServerRecord, "loaded", loaded)
@@ -281,9 +281,9 @@
 def no_bucket(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(LoadBucket, "take", lambda self, now: True)
     monkeypatch.setattr(LoadBucket, "available", lambda self, now: 99)
-    monkeypatch.setattr(limits.LoadPace, "learn", lambda self, *figures: None)
-    monkeypatch.setattr(limits.LoadPace, "expect", lambda self, *figures: None)
-    monkeypatch.setattr(limits, "AT_ONCE_FIRST", 30)
+    monkeypatch.setattr(limits.LoadConcurrency, "learn", lambda self, *figures: None)
+    monkeypatch.setattr(limits.LoadConcurrency, "expect", lambda self, *figures: None)
+    monkeypatch.setattr(limits, "INITIAL_CONCURRENT_LOADS", 30)
 
 
 def no_lease_check(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -307,7 +307,7 @@
 
 def play_rush() -> Fleet:
     fleet = usual_fleet(3, servers=20, models=178)
-    fleet.at_once = 20
+    fleet.concurrent_loads = 20
     fleet.start()
     fleet.run(1.0)
     for number in range(15, 170):
@@ -374,7 +374,7 @@
     def send(step: Send) -> None:
         record = fleet.reconciler._records[step.order.server_id]
         assert record.report is not None and record.pending is not None
-        if record.pending.stage is OrderStage.TAKEN:  # sent again, to learn whether it is done
+        if record.pending.stage is OrderStage.ACCEPTED:  # sent again, to learn whether it is done
             assert step.order is record.pending.order
             assert step.ticket.revision == record.pending.revision + 1
         else:
@@ -392,5 +392,5 @@
 def test_the_loop_never_spins() -> None:
     fleet = troubled(11, 0.2, 0.1, 0.1, 4)
     counters = fleet.reconciler.counters
-    assert counters.plans < 12.0 / reconciler.MIN_BETWEEN_PLANS_S
+    assert counters.plans < 12.0 / reconciler.MIN_PLAN_INTERVAL_S
     assert counters.polls < 12.0 * 9 * 6
--- a/tests/controlplane/test_placement_fleet.py
+++ b/tests/controlplane/test_placement_fleet.py
@@ -138,12 +138,12 @@
 class Fleet:
     """Servers, the platform's list, edges as one, the network, and the reconciler under test."""
 
-    def __init__(self, engine: Engine, servers: int, seed: int = 1, at_once: int = 3) -> None:
+    def __init__(self, engine: Engine, servers: int, seed: int = 1, concurrent_loads: int = 3) -> None:
         self.now = 100.0
         self.rng = Random(seed)
         self.engine = engine
         self.sizes = {model.name: model for model in engine.models}
-        self.at_once = at_once
+        self.concurrent_loads = concurrent_loads
         self.report_lag_s = 0.1
         self.lose_answers = 0.0
         self.lose_orders = 0.0
@@ -299,7 +299,7 @@
             if not self.delay_orders:
                 self._check_limit(server, step.order)
             result = self._take(server, step.order, step.ticket)
-            if result is OrderResult.TAKEN:
+            if result is OrderResult.ACCEPTED:
                 self._check_limit(server, step.order)
             self.judged.statuses[result] += 1
             if self.rng.random() < self.lose_answers:
@@ -311,7 +311,7 @@
 
     def _arrive_late(self, step: Send) -> None:
         server = self._by_address(step.address)
-        if server is not None and self._take(server, step.order, step.ticket) is OrderResult.TAKEN:
+        if server is not None and self._take(server, step.order, step.ticket) is OrderResult.ACCEPTED:
             self._check_limit(server, step.order)
 
     def _answer_order(self, step: Send, result: OrderResult, delay: float) -> None:
@@ -333,7 +333,7 @@
             return OrderResult.INVALID
         present = held is not None and (not order.ref.adapter or order.ref.adapter in held)
         if present is (order.operation is Operation.LOAD):
-            return OrderResult.ALREADY_HOLDS
+            return OrderResult.ALREADY_DONE
         server.sequence += 1
         server.order = order
         server.note(self.now)
@@ -343,7 +343,7 @@
         else:
             self.judged.unloads.append((self.now, server.id, order.ref))
             self._unload(server, order)
-        return OrderResult.TAKEN
+        return OrderResult.ACCEPTED
 
     def _begin_load(self, server: EngineServer, order: Order) -> None:
         if order.ref.adapter:
@@ -355,7 +355,7 @@
             return
         self.judged.store_loads.append(self.now)
         self._loads += 1
-        slowness = max(1.0, self._loads / self.at_once)
+        slowness = max(1.0, self._loads / self.concurrent_loads)
 
         def done() -> None:
             self._loads -= 1
--- a/tests/controlplane/test_placement_parts.py
+++ b/tests/controlplane/test_placement_parts.py
@@ -11,22 +11,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitewell.controlplane.placement.demand import GAUGE_LASTS_S, DemandTable
+from granitewell.controlplane.placement.demand import GAUGE_TTL_S, DemandTable
 from granitewell.controlplane.placement.limits import (
-    AT_ONCE_FIRST,
-    AT_ONCE_LEAST,
-    AT_ONCE_MOST,
+    INITIAL_CONCURRENT_LOADS,
+    MAX_CONCURRENT_LOADS,
+    MIN_CONCURRENT_LOADS,
     Capacity,
     LoadBucket,
-    LoadPace,
+    LoadConcurrency,
     ModelSizes,
     Usage,
     WarmLoadTime,
     usage,
 )
 from granitewell.controlplane.placement.observation import (
-    OVERDUE_S,
-    REPORT_LAG_S,
+    MAX_REPORT_AGE_S,
+    ORDER_OVERDUE_S,
     ListedServer,
     OrderStage,
     PendingOrder,
@@ -44,7 +44,7 @@
     order_result,
     parse_report,
 )
-from granitewell.controlplane.placement.planner import BUSY_RATE, KEEP_RATE
+from granitewell.controlplane.placement.planner import BUSY_RATE_PER_S, KEEP_RATE_PER_S
 from granitewell.domain.configuration import Engine, Model
 from granitewell.domain.servers import LoadedModel, ModelDemand, ModelRef, ServerState
 
@@ -108,8 +108,8 @@
 
 def test_usage_counts_what_is_held_and_what_may_be_loading_once() -> None:
     held = [LoadedModel("m", frozenset({"a1"}))]
-    coming = [ModelRef("n"), ModelRef("m", "a1"), ModelRef("m", "a2")]
-    assert usage(held, coming, _sizes()) == Usage(60_000.0 + 40.0 + 30_000.0 + 40.0, 2)
+    loading = [ModelRef("n"), ModelRef("m", "a1"), ModelRef("m", "a2")]
+    assert usage(held, loading, _sizes()) == Usage(60_000.0 + 40.0 + 30_000.0 + 40.0, 2)
 
 
 def test_a_model_of_no_known_size_fills_the_server() -> None:
@@ -124,99 +124,99 @@
 
 
 def test_the_store_pace_follows_what_loads_take() -> None:
-    pace = LoadPace()
-    for at_once in (1, 2, 3, 4, 5):
-        pace.learn(at_once, 0.75, 0.6)
-    assert pace.at_once > AT_ONCE_FIRST
-    pace.learn(6, 0.15 + 0.6 * 2, 0.6)
-    assert pace.at_once == 3
-    pace.learn(1, 5.0, 0.6)
-    assert pace.at_once == 3  # alone and slow says nothing of the store
+    concurrency = LoadConcurrency()
+    for concurrent_loads in (1, 2, 3, 4, 5):
+        concurrency.learn(concurrent_loads, 0.75, 0.6)
+    assert concurrency.concurrent_loads > INITIAL_CONCURRENT_LOADS
+    concurrency.learn(6, 0.15 + 0.6 * 2, 0.6)
+    assert concurrency.concurrent_loads == 3
+    concurrency.learn(1, 5.0, 0.6)
+    assert concurrency.concurrent_loads == 3  # alone and slow says nothing of the store
 
 
 @pytest.mark.parametrize(
-    ("loads_per_s", "load_time_s", "at_once"),
-    [(5.2, 0.6, 3), (4.2, 1.5, 6), (0.1, 1.0, AT_ONCE_LEAST), (20.0, 2.4, AT_ONCE_MOST)],
+    ("loads_per_s", "load_time_s", "concurrent_loads"),
+    [(5.2, 0.6, 3), (4.2, 1.5, 6), (0.1, 1.0, MIN_CONCURRENT_LOADS), (20.0, 2.4, MAX_CONCURRENT_LOADS)],
 )
 def test_the_first_loads_at_once_are_those_that_the_permitted_rate_keeps_under_way(
-    loads_per_s: float, load_time_s: float, at_once: int
+    loads_per_s: float, load_time_s: float, concurrent_loads: int
 ) -> None:
-    pace = LoadPace()
-    pace.expect(loads_per_s, load_time_s)
-    assert pace.at_once == at_once
+    concurrency = LoadConcurrency()
+    concurrency.expect(loads_per_s, load_time_s)
+    assert concurrency.concurrent_loads == concurrent_loads
 
 
 def test_what_was_measured_goes_before_what_the_permitted_rate_tells() -> None:
-    pace = LoadPace()
-    pace.expect(10.0, 0.6)
-    assert pace.at_once == 6
-    pace.learn(6, 0.6, 0.6)
-    pace.learn(6, 1.2, 0.6)
-    pace.expect(20.0, 0.6)
-    assert pace.at_once == 3
+    concurrency = LoadConcurrency()
+    concurrency.expect(10.0, 0.6)
+    assert concurrency.concurrent_loads == 6
+    concurrency.learn(6, 0.6, 0.6)
+    concurrency.learn(6, 1.2, 0.6)
+    concurrency.expect(20.0, 0.6)
+    assert concurrency.concurrent_loads == 3
 
 
 # Demand
 
 
-def _asked(requests: int = 0, waiting: int = 0, in_flight: int = 0, ref: ModelRef = M) -> ModelDemand:
+def _demand(requests: int = 0, waiting: int = 0, in_flight: int = 0, ref: ModelRef = M) -> ModelDemand:
     return ModelDemand("llm", ref, requests, waiting, in_flight, 1)
 
 
 def test_a_rise_shows_with_the_first_report() -> None:
     table = DemandTable()
-    table.add(10.0, [_asked(requests=4)])
-    assert table.view(10.0).models["m"].rate > BUSY_RATE
+    table.add(10.0, [_demand(requests=4)])
+    assert table.view(10.0).models["m"].rate > BUSY_RATE_PER_S
 
 
 def test_single_requests_are_no_rise() -> None:
     table = DemandTable()
-    table.add(10.0, [_asked(requests=1)])
-    table.add(11.0, [_asked(requests=1)])
-    assert table.view(11.0).models["m"].rate < KEEP_RATE
+    table.add(10.0, [_demand(requests=1)])
+    table.add(11.0, [_demand(requests=1)])
+    assert table.view(11.0).models["m"].rate < KEEP_RATE_PER_S
 
 
 def test_silence_of_some_seconds_ends_what_was_busy() -> None:
     table = DemandTable()
     for step in range(200):
-        table.add(step * 0.1, [_asked(requests=1)])
+        table.add(step * 0.1, [_demand(requests=1)])
     assert table.view(20.0).models["m"].rate > 5.0
-    assert table.view(26.0).models["m"].rate < BUSY_RATE
+    assert table.view(26.0).models["m"].rate < BUSY_RATE_PER_S
     assert table.view(40.0).models["m"].rate < 0.05
 
 
 def test_waiting_is_urgent_once_and_remembers_since_when() -> None:
     table = DemandTable()
-    assert table.add(1.0, [_asked(requests=1, waiting=1)])
-    assert not table.add(1.5, [_asked(waiting=2)])
+    assert table.add(1.0, [_demand(requests=1, waiting=1)])
+    assert not table.add(1.5, [_demand(waiting=2)])
     seen = table.view(1.6).models["m"]
     assert (seen.waiting, seen.waiting_since, seen.priority) == (2, 1.0, 1)
-    assert table.view(1.6 + GAUGE_LASTS_S).models["m"].waiting == 0
+    assert table.view(1.6 + GAUGE_TTL_S).models["m"].waiting == 0
 
 
 def test_a_zero_of_another_edge_does_not_hide_what_waits() -> None:
     table = DemandTable()
-    table.add(1.0, [_asked(requests=1, waiting=1)], "edge-1")
-    table.add(1.1, [_asked(waiting=0)], "edge-2")
+    table.add(1.0, [_demand(requests=1, waiting=1)], "edge-1")
+    table.add(1.1, [_demand(waiting=0)], "edge-2")
     assert table.view(1.2).models["m"].waiting == 1
     assert table.view(1.6).models["m"].waiting == 1
-    table.add(1.7, [_asked(waiting=0)], "edge-1")
+    table.add(1.7, [_demand(waiting=0)], "edge-1")
     assert table.view(1.7).models["m"].waiting == 0
 
 
 def test_figures_of_all_edges_are_summed_and_each_replaces_its_own() -> None:
     table = DemandTable()
-    table.add(1.0, [_asked(1, 2, 5)], "edge-1")
-    table.add(1.0, [_asked(1, 1, 7)], "edge-2")
-    table.add(1.5, [_asked(1, 0, 3)], "edge-1")
+    table.add(1.0, [_demand(1, 2, 5)], "edge-1")
+    table.add(1.0, [_demand(1, 1, 7)], "edge-2")
+    table.add(1.5, [_demand(1, 0, 3)], "edge-1")
     seen = table.view(1.5).models["m"]
     assert (seen.in_flight, seen.waiting) == (10, 1)
-    assert table.view(1.1 + GAUGE_LASTS_S).models["m"].in_flight == 3
+    assert table.view(1.1 + GAUGE_TTL_S).models["m"].in_flight == 3
 
 
 def test_requests_for_adapters_count_for_their_model() -> None:
     table = DemandTable()
-    table.add(1.0, [_asked(3, 1, 2, ModelRef("m", "a1")), _asked(3, 0, 1)])
+    table.add(1.0, [_demand(3, 1, 2, ModelRef("m", "a1")), _demand(3, 0, 1)])
     view = table.view(1.0)
     assert view.models["m"].in_flight == 3
     assert view.models["m"].waiting == 1
@@ -226,8 +226,8 @@
 
 def test_what_nobody_asks_for_is_forgotten() -> None:
     table = DemandTable()
-    table.add(1.0, [_asked(requests=1)])
-    table.add(2.0, [_asked(ref=ModelRef("never"))])
+    table.add(1.0, [_demand(requests=1)])
+    table.add(2.0, [_demand(ref=ModelRef("never"))])
     assert set(table.view(2.0).models) == {"m"}
     assert table.view(1_000.0).models == {}
     assert not table._models and not table._entries
@@ -295,7 +295,7 @@
 
 @pytest.mark.parametrize(
     ("status", "result"),
-    [(202, OrderResult.TAKEN), (200, OrderResult.ALREADY_HOLDS), (409, OrderResult.CONFLICT),
+    [(202, OrderResult.ACCEPTED), (200, OrderResult.ALREADY_DONE), (409, OrderResult.CONFLICT),
      (412, OrderResult.FENCED),
      (400, OrderResult.INVALID), (421, OrderResult.OTHER_SERVER), (500, OrderResult.UNKNOWN),
      (504, OrderResult.UNKNOWN), (429, OrderResult.INVALID)],
@@ -308,7 +308,7 @@
 
 LOAD = Order("i-1", Operation.LOAD, M)
 UNLOAD = Order("i-1", Operation.UNLOAD, M)
-ALREADY_HOLDS = {"m": LoadedModel("m")}
+LOADED = {"m": LoadedModel("m")}
 
 
 def _record(order: Order, stage: OrderStage) -> ServerRecord:
@@ -320,44 +320,44 @@
 @pytest.mark.parametrize(
     ("order", "stage", "asked_at", "report", "settled"),
     [
-        (LOAD, OrderStage.SENDING, 20.0, Report(5, False, ALREADY_HOLDS), False),
-        (LOAD, OrderStage.TAKEN, 10.1, Report(4, False, {}), False),  # older than the order
-        (LOAD, OrderStage.TAKEN, 10.3, Report(5, True, {}), False),
-        (LOAD, OrderStage.TAKEN, 10.8, Report(5, False, ALREADY_HOLDS), True),
-        (LOAD, OrderStage.TAKEN, 10.8, Report(5, False, {}), False),
-        (LOAD, OrderStage.TAKEN, 10.8 + OVERDUE_S, Report(5, False, {}), True),
-        (UNLOAD, OrderStage.TAKEN, 10.1, Report(5, False, ALREADY_HOLDS), False),
-        (UNLOAD, OrderStage.TAKEN, 10.1, Report(5, False, {}), True),
+        (LOAD, OrderStage.SENDING, 20.0, Report(5, False, LOADED), False),
+        (LOAD, OrderStage.ACCEPTED, 10.1, Report(4, False, {}), False),  # older than the order
+        (LOAD, OrderStage.ACCEPTED, 10.3, Report(5, True, {}), False),
+        (LOAD, OrderStage.ACCEPTED, 10.8, Report(5, False, LOADED), True),
+        (LOAD, OrderStage.ACCEPTED, 10.8, Report(5, False, {}), False),
+        (LOAD, OrderStage.ACCEPTED, 10.8 + ORDER_OVERDUE_S, Report(5, False, {}), True),
+        (UNLOAD, OrderStage.ACCEPTED, 10.1, Report(5, False, LOADED), False),
+        (UNLOAD, OrderStage.ACCEPTED, 10.1, Report(5, False, {}), True),
         (LOAD, OrderStage.UNKNOWN, 10.1, Report(4, False, {}), False),
-        (LOAD, OrderStage.UNKNOWN, 10.1 + REPORT_LAG_S, Report(4, False, {}), True),
-        (LOAD, OrderStage.UNKNOWN, 10.1 + REPORT_LAG_S, Report(5, True, {}), False),
-        (LOAD, OrderStage.UNKNOWN, 10.3, Report(5, False, ALREADY_HOLDS), True),
+        (LOAD, OrderStage.UNKNOWN, 10.1 + MAX_REPORT_AGE_S, Report(4, False, {}), True),
+        (LOAD, OrderStage.UNKNOWN, 10.1 + MAX_REPORT_AGE_S, Report(5, True, {}), False),
+        (LOAD, OrderStage.UNKNOWN, 10.3, Report(5, False, LOADED), True),
         (LOAD, OrderStage.SETTLING, 10.3, Report(4, False, {}), False),
-        (LOAD, OrderStage.SETTLING, 10.1 + REPORT_LAG_S, Report(4, False, ALREADY_HOLDS), True),
+        (LOAD, OrderStage.SETTLING, 10.1 + MAX_REPORT_AGE_S, Report(4, False, LOADED), True),
     ],
 )
 def test_when_an_order_is_off_the_record(
     order: Order, stage: OrderStage, asked_at: float, report: Report, settled: bool
 ) -> None:
     record = _record(order, stage)
-    assert (record.take_report(asked_at, report) is not None) is settled
+    assert (record.apply_report(asked_at, report) is not None) is settled
     assert (record.pending is None) is settled
 
 
 def test_a_server_is_dark_after_refusals_or_long_silence() -> None:
     record = ServerRecord(ListedServer("i-1", "10.0.0.1:80", "z", ServerState.READY, 64), 0.0)
-    record.miss_report(1.0, ReportFailure.REFUSED)
-    assert not record.dark(1.0)
-    record.miss_report(1.25, ReportFailure.REFUSED)
-    assert record.dark(1.25)
-    record.take_report(1.5, Report(0, False, {}))
-    assert not record.dark(9.0)
-    record.miss_report(2.0, ReportFailure.NO_ANSWER)
-    assert not record.dark(2.85) and record.dark(2.95)
+    record.record_failure(1.0, ReportFailure.REFUSED)
+    assert not record.is_unreachable(1.0)
+    record.record_failure(1.25, ReportFailure.REFUSED)
+    assert record.is_unreachable(1.25)
+    record.apply_report(1.5, Report(0, False, {}))
+    assert not record.is_unreachable(9.0)
+    record.record_failure(2.0, ReportFailure.NO_ANSWER)
+    assert not record.is_unreachable(2.85) and record.is_unreachable(2.95)
 
 
 def test_what_is_being_unloaded_is_not_ready() -> None:
-    record = _record(UNLOAD, OrderStage.TAKEN)
+    record = _record(UNLOAD, OrderStage.ACCEPTED)
     record.report = Report(4, False, {"m": LoadedModel("m"), "n": LoadedModel("n")})
     assert set(record.ready()) == {"n"}
     record.pending = PendingOrder(Order("i-1", Operation.UNLOAD, ModelRef("m", "a1")), 4, 7, 0.0, 0.1)
@@ -394,6 +394,6 @@
     listed = ListedServer("i", "a:1", "z", ServerState.READY, 8, models=(LoadedModel("m"),))
     record = ServerRecord(listed, 0.0)
     assert record.loaded_before == {"m"}
-    record.relist(replace(listed, loaded_before=frozenset({"n"})))
+    record.update_listing(replace(listed, loaded_before=frozenset({"n"})))
     assert record.loaded_before == {"m", "n"}
     assert ServerRecord(replace(listed, loaded_before=frozenset({"o"})), 0.0).loaded_before == {"m", "o"}
--- a/tests/controlplane/test_placement_planner.py
+++ b/tests/controlplane/test_placement_planner.py
@@ -29,9 +29,9 @@
     number: int,
     *held: LoadedModel | str,
     zone: str = "z",
-    coming: ModelRef | None = None,
-    going: ModelRef | None = None,
-    lasting: bool = True,
+    loading: ModelRef | None = None,
+    unloading: ModelRef | None = None,
+    schedulable: bool = True,
     orderable: bool = True,
     before: frozenset[str] = frozenset(),
     purpose: ModelRef | None = None,
@@ -39,10 +39,10 @@
     models = {
         model.name: model for model in (LoadedModel(one) if isinstance(one, str) else one for one in held)
     }
-    used = usage(models.values(), () if coming is None else (coming,), SIZES)
+    used = usage(models.values(), () if loading is None else (loading,), SIZES)
     return ServerView(
-        f"i-{number}", zone, 64, lasting, orderable and coming is None and going is None, models,
-        ENGINE.weights_mb - used.mb, ENGINE.max_adapters - used.adapters, going, coming, purpose,
+        f"i-{number}", zone, 64, schedulable, orderable and loading is None and unloading is None, models,
+        ENGINE.weights_mb - used.mb, ENGINE.max_adapters - used.adapters, unloading, loading, purpose,
         loaded_before=before | set(models),
     )  # fmt: skip
 
@@ -82,20 +82,20 @@
 
 
 def test_a_model_that_is_loading_is_not_loaded_twice() -> None:
-    servers = [server(1, coming=ModelRef("m9")), server(2)]
+    servers = [server(1, loading=ModelRef("m9")), server(2)]
     assert planned(servers, {"m9": WAITING}) == []
 
 
 def test_room_being_made_for_a_model_is_not_made_twice() -> None:
     servers = [
-        server(1, "m0", "m3", "m6", going=ModelRef("m0"), purpose=ModelRef("m9")),
+        server(1, "m0", "m3", "m6", unloading=ModelRef("m0"), purpose=ModelRef("m9")),
         server(2, "m1", "m2", "m5"),
     ]
     assert planned(servers, {"m9": WAITING}) == []
 
 
 def test_a_copy_that_is_about_to_leave_does_not_count() -> None:
-    (order,) = planned([server(1, "m9", lasting=False, orderable=False), server(2)], {"m9": WAITING})
+    (order,) = planned([server(1, "m9", schedulable=False, orderable=False), server(2)], {"m9": WAITING})
     assert order.server_id == "i-2"
 
 
@@ -181,14 +181,22 @@
             model = LoadedModel(name, adapters if name in _NAMES[:4] else frozenset())
             if Capacity(ENGINE.weights_mb, ENGINE.max_adapters).admits(usage([*held, model], (), SIZES)):
                 held.append(model)
-        coming = draw(st.none() | st.sampled_from([ModelRef(name) for name in _NAMES]))
-        if coming is not None and coming.model in {model.name for model in held}:
-            coming = None
+        loading = draw(st.none() | st.sampled_from([ModelRef(name) for name in _NAMES]))
+        if loading is not None and loading.model in {model.name for model in held}:
+            loading = None
         before = frozenset(draw(st.lists(st.sampled_from(_NAMES), max_size=3)))
         zone = draw(st.sampled_from(["za", "zb"]))
-        lasting = draw(st.booleans())
+        schedulable = draw(st.booleans())
         views.append(
-            server(number, *held, zone=zone, coming=coming, lasting=lasting, orderable=lasting, before=before)
+            server(
+                number,
+                *held,
+                zone=zone,
+                loading=loading,
+                schedulable=schedulable,
+                orderable=schedulable,
+                before=before,
+            )
         )
     return views
 
@@ -236,7 +244,7 @@
 
 
 def _check(order: Order, target: ServerView) -> None:
-    assert target.orderable and target.lasting
+    assert target.orderable and target.schedulable
     if order.operation is Operation.LOAD:
         assert not target.has(order.ref)
         assert not order.ref.adapter or target.has(ModelRef(order.ref.model))
@@ -256,7 +264,7 @@
         seen = models.get(name)
         if seen is None or not (seen.in_flight or seen.waiting):
             continue
-        left = [s for s in servers if s.lasting and name in s.loaded and (s.id, name) not in gone]
+        left = [s for s in servers if s.schedulable and name in s.loaded and (s.id, name) not in gone]
         assert left
 
 
@@ -270,7 +278,7 @@
         seen = adapters.get(ref)
         if seen is None or not (seen.in_flight or seen.waiting):
             continue
-        assert [s for s in servers if s.lasting and s.has(ref) and (s.id, ref) not in gone]
+        assert [s for s in servers if s.schedulable and s.has(ref) and (s.id, ref) not in gone]
 
 
 def test_a_plan_for_many_servers_and_models_is_quick() -> None:
@@ -308,14 +316,14 @@
 
 
 def test_a_load_leaves_half_of_the_servers_of_a_model_free() -> None:
-    one_free = [server(1, "m0"), server(2, "m0", coming=ModelRef("m8"))]
+    one_free = [server(1, "m0"), server(2, "m0", loading=ModelRef("m8"))]
     assert with_adapter_misses(5.0, one_free) == []
     (order,) = with_adapter_misses(5.0, [server(1, "m0"), server(2, "m0")])
     assert order.ref == ModelRef("m9")
 
 
 def test_a_load_goes_to_a_server_without_adapters_in_demand() -> None:
-    servers = [server(1, "m0"), server(2, "m5"), server(3, "m0", coming=ModelRef("m8"))]
+    servers = [server(1, "m0"), server(2, "m5"), server(3, "m0", loading=ModelRef("m8"))]
     (order,) = with_adapter_misses(5.0, servers)
     assert order.server_id == "i-2"
 
--- a/tests/controlplane/test_publication.py
+++ b/tests/controlplane/test_publication.py
@@ -79,7 +79,7 @@
 def test_removals_are_bounded_and_a_watcher_from_before_gets_the_whole(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(table_module, "MAX_REMOVED", 2)
+    monkeypatch.setattr(table_module, "MAX_REMEMBERED_REMOVALS", 2)
     for seed in range(100):
         play(seed)
 
@@ -216,7 +216,7 @@
     reply = over_the_wire(asyncio.run(made.watch(request(edge=False, hold_ms=1000, members_only=True))))
     assert reply.control_nodes == ["10.0.0.1:7660"]
     assert reply.configuration is None and not reply.tables
-    assert edges.here(clock.now) == 0
+    assert edges.local_count(clock.now) == 0
 
 
 def test_without_news_the_reply_after_the_hold_tells_the_age_of_the_list() -> None:
@@ -263,18 +263,18 @@
 
 def test_edges_are_counted_over_control_nodes_and_forgotten() -> None:
     edges = EdgeCounter()
-    edges.asked("e1", 0.0)
-    edges.asked("e2", 0.0)
-    edges.notified("core-2", 3, 0.0)
-    assert edges.all(1.0) == 5
-    edges.asked("e1", 5.0)
-    assert edges.all(5.0) == 1
-    assert edges.most(5.0) == 1
+    edges.record_request("e1", 0.0)
+    edges.record_request("e2", 0.0)
+    edges.record_report("core-2", 3, 0.0)
+    assert edges.total(1.0) == 5
+    edges.record_request("e1", 5.0)
+    assert edges.total(5.0) == 1
+    assert edges.recent_maximum(5.0) == 1
 
 
 def test_the_peak_of_edges_divides_shared_budgets() -> None:
     edges = EdgeCounter()
-    edges.notified("core-2", 8, 0.0)
-    assert edges.most(0.0) == 8
-    assert edges.all(10.0) == 1
-    assert edges.most(10.0) == 8
+    edges.record_report("core-2", 8, 0.0)
+    assert edges.recent_maximum(0.0) == 8
+    assert edges.total(10.0) == 1
+    assert edges.recent_maximum(10.0) == 8
--- a/tests/controlplane/test_slow_answers.py
+++ b/tests/controlplane/test_slow_answers.py
@@ -22,7 +22,7 @@
     dark: list[str] = []
 
     def look() -> None:
-        dark.extend(fleet.reconciler._readiness.dark(fleet.now))
+        dark.extend(fleet.reconciler._readiness.unreachable(fleet.now))
         fleet.after(0.02, look)
 
     look()
@@ -38,4 +38,4 @@
     fleet.run(2.0)
     next(iter(fleet.servers.values())).dark = True
     fleet.run(2.0)
-    assert fleet.reconciler._readiness.dark(fleet.now)
+    assert fleet.reconciler._readiness.unreachable(fleet.now)
--- a/tests/nodes/cut_off_invariants.py
+++ b/tests/nodes/cut_off_invariants.py
@@ -130,9 +130,9 @@
         if version < least:
             raise ViolationError(f"{host} publishes {version}, {least} is older than a contact may be")
 
-    def took(self, host: str, version: int, patience_s: float, rate: float) -> None:
+    def took(self, host: str, version: int, reply_timeout_s: float, rate: float) -> None:
         """An edge has taken a reply; version: what it has now."""
-        bound_s = patience_s / rate + MAX_READ_STALENESS_S / (1 - MAX_DRIFT)
+        bound_s = reply_timeout_s / rate + MAX_READ_STALENESS_S / (1 - MAX_DRIFT)
         least = self.committed_before(self._world.now - bound_s - SLACK_S)
         if version < least:
             raise ViolationError(f"{host} takes {version}, {least} was committed {bound_s:.3f} s before")
--- a/tests/nodes/cut_off_world.py
+++ b/tests/nodes/cut_off_world.py
@@ -162,7 +162,7 @@
     def apply(self, index: int, data: bytes) -> ChangeResult:
         """As the real one."""
         result = super().apply(index, data)
-        if result.outcome is Outcome.TAKEN:
+        if result.outcome is Outcome.ACCEPTED:
             self._world.invariants.taken(index, self.version, self.document())
         return result
 
@@ -372,10 +372,10 @@
 
     edge: EdgeProcess
 
-    def _take(self, reply: Any) -> None:
-        super()._take(reply)
-        patience_s = self._hold_s + self.edge.world.reply_slack_s
-        self.edge.world.invariants.took(self.edge.host, self._view.version, patience_s, self.edge.rate)
+    def _apply_reply(self, reply: Any) -> None:
+        super()._apply_reply(reply)
+        reply_timeout_s = self._hold_s + self.edge.world.reply_slack_s
+        self.edge.world.invariants.took(self.edge.host, self._view.version, reply_timeout_s, self.edge.rate)
 
 
 class EdgeProcess(Process):
--- a/tests/nodes/test_announcements.py
+++ b/tests/nodes/test_announcements.py
@@ -8,15 +8,19 @@
 
 import pytest
 
-from granitewell.controlplane.ownership.processes import ANNOUNCED_EVERY_S
+from granitewell.controlplane.ownership.processes import ANNOUNCEMENT_INTERVAL_S
 from granitewell.nodes import control_messages
-from granitewell.nodes.control_messages import START_ANNOUNCED_EVERY_S, START_LASTS_S, ControlMessages
+from granitewell.nodes.control_messages import (
+    STARTUP_ANNOUNCEMENT_INTERVAL_S,
+    STARTUP_PERIOD_S,
+    ControlMessages,
+)
 from granitewell.rpc.messages import EdgeCount, decode
 from granitewell.rpc.transport import Method
 from tests.coordination import virtual_loop
 
 OWN, GATEWAY = "10.0.0.1:7660", "10.0.0.9:7660"
-SECONDS = START_LASTS_S + 5 * ANNOUNCED_EVERY_S
+SECONDS = STARTUP_PERIOD_S + 5 * ANNOUNCEMENT_INTERVAL_S
 
 
 def announced_at(monkeypatch: pytest.MonkeyPatch) -> list[float]:
@@ -33,10 +37,10 @@
             told.append(loop.time() - began_at)
 
         claimant: Any = SimpleNamespace(node_name="core-1", incarnation="i", address=OWN)
-        edges: Any = SimpleNamespace(here=lambda _: 0)
+        edges: Any = SimpleNamespace(local_count=lambda _: 0)
         peers: Any = {GATEWAY: SimpleNamespace(send=send)}
         made = ControlMessages(claimant, peers, {}, SimpleNamespace(), edges, {})  # type: ignore[arg-type]
-        task = asyncio.create_task(made.tell_edge_count(lambda: [OWN, GATEWAY]))
+        task = asyncio.create_task(made.announce(lambda: [OWN, GATEWAY]))
         await asyncio.sleep(SECONDS)
         task.cancel()
 
@@ -47,8 +51,12 @@
 def test_a_started_node_announces_itself_often_and_then_each_second(monkeypatch: pytest.MonkeyPatch) -> None:
     times = announced_at(monkeypatch)
     pauses = [later - earlier for earlier, later in zip([0.0, *times], times, strict=False)]
-    fast = [pause for at, pause in zip(times, pauses, strict=True) if at <= START_LASTS_S]
-    assert max(fast) <= START_ANNOUNCED_EVERY_S + 0.01
-    assert len(fast) >= 0.9 * START_LASTS_S / START_ANNOUNCED_EVERY_S
-    slow = [pause for at, pause in zip(times, pauses, strict=True) if at > START_LASTS_S + ANNOUNCED_EVERY_S]
-    assert slow and min(slow) >= ANNOUNCED_EVERY_S - 0.01
+    fast = [pause for at, pause in zip(times, pauses, strict=True) if at <= STARTUP_PERIOD_S]
+    assert max(fast) <= STARTUP_ANNOUNCEMENT_INTERVAL_S + 0.01
+    assert len(fast) >= 0.9 * STARTUP_PERIOD_S / STARTUP_ANNOUNCEMENT_INTERVAL_S
+    slow = [
+        pause
+        for at, pause in zip(times, pauses, strict=True)
+        if at > STARTUP_PERIOD_S + ANNOUNCEMENT_INTERVAL_S
+    ]
+    assert slow and min(slow) >= ANNOUNCEMENT_INTERVAL_S - 0.01
--- a/tests/nodes/test_control_gateway.py
+++ b/tests/nodes/test_control_gateway.py
@@ -15,7 +15,7 @@
 from granitewell.domain.errors import InvalidSettingsError
 from granitewell.domain.settings import Settings
 from granitewell.nodes.control import ControlNode
-from granitewell.nodes.control_gateway import RECENT_S, ControlGateway, NoControlNodeError
+from granitewell.nodes.control_gateway import CONTACT_TTL_S, ControlGateway, NoControlNodeError
 from granitewell.nodes.control_nodes import MAX_SEEDS, ControlNodes
 from granitewell.rpc.messages import (
     DemandReport,
@@ -198,7 +198,7 @@
     announce(made, "10.0.0.2:7660")
     assert named(made) == ["10.0.0.1:7660", "10.0.0.2:7660"]
     assert named(made, edge=False, hold_ms=60_000, members_digest=0) == named(made)  # it does not hold that
-    clock.now += RECENT_S - 0.5
+    clock.now += CONTACT_TTL_S - 0.5
     assert named(made) == ["10.0.0.2:7660"]
     asyncio.run(learn(made))
     assert named(made) == VOTERS
@@ -255,7 +255,7 @@
     async def answer_itself(_gateway: ControlGateway, _request: web.Request) -> web.Response:
         return answers.document(b'{"version": 1}')
 
-    monkeypatch.setattr(ControlGateway, "refer", answer_itself)
+    monkeypatch.setattr(ControlGateway, "redirect", answer_itself)
     with pytest.raises(AssertionError):
         assert_operators_are_redirected()
 
@@ -274,7 +274,7 @@
 
     async def play() -> None:
         await learn(made)
-        clock.now += RECENT_S + 0.1
+        clock.now += CONTACT_TTL_S + 0.1
         ticks = iter(range(1000))
         made._clock = lambda: clock.now + next(ticks)
 
--- a/tests/nodes/test_control_watch.py
+++ b/tests/nodes/test_control_watch.py
@@ -16,9 +16,9 @@
 from granitewell.domain.servers import LoadedModel, Server, ServerState
 from granitewell.domain.settings import Settings
 from granitewell.nodes.control_nodes import ControlNodes
-from granitewell.nodes.control_watch import ControlWatch, OwnList
-from granitewell.nodes.layout import SHARDS
-from granitewell.nodes.shards import list_every_s
+from granitewell.nodes.control_watch import ControlWatch, FallbackListReader
+from granitewell.nodes.layout import SHARD_COUNT
+from granitewell.nodes.shards import list_interval_s
 from granitewell.rpc.messages import (
     ConfigurationUpdate,
     TableUpdate,
@@ -63,7 +63,7 @@
 
 
 def service_of_shard(shard: int) -> str:
-    return next(name for name in map("svc{}".format, range(100)) if shard_of(name, SHARDS) == shard)
+    return next(name for name in map("svc{}".format, range(100)) if shard_of(name, SHARD_COUNT) == shard)
 
 
 def server(key: str, shard: int = 0, state: ServerState = ServerState.READY) -> Server:
@@ -100,38 +100,38 @@
 
 
 def test_tables_are_taken_whole_and_by_changes(watch: ControlWatch, plane: FakePlane) -> None:
-    watch._take(reply(table(0, 1, 5, server("a"), server("b"), is_complete=True)))
-    watch._take(reply(table(0, 1, 6, server("c"), removed=["a"])))
+    watch._apply_reply(reply(table(0, 1, 5, server("a"), server("b"), is_complete=True)))
+    watch._apply_reply(reply(table(0, 1, 6, server("c"), removed=["a"])))
     assert sorted(plane.servers) == ["b", "c"]
     assert plane.edges == (3, 8)
 
 
 def test_another_epoch_brings_the_whole_and_drops_the_rest(watch: ControlWatch, plane: FakePlane) -> None:
-    watch._take(reply(table(0, 1, 5, server("a"), server("b"), is_complete=True)))
-    watch._take(reply(table(0, 2, 1, server("b"), is_complete=True)))
+    watch._apply_reply(reply(table(0, 1, 5, server("a"), server("b"), is_complete=True)))
+    watch._apply_reply(reply(table(0, 2, 1, server("b"), is_complete=True)))
     assert sorted(plane.servers) == ["b"]
 
 
 def test_what_is_older_than_what_is_known_changes_nothing(watch: ControlWatch, plane: FakePlane) -> None:
-    watch._take(reply(table(0, 2, 5, server("a"), is_complete=True)))
-    watch._take(reply(table(0, 1, 9, server("z"), is_complete=True)))
+    watch._apply_reply(reply(table(0, 2, 5, server("a"), is_complete=True)))
+    watch._apply_reply(reply(table(0, 1, 9, server("z"), is_complete=True)))
     assert sorted(plane.servers) == ["a"]
 
 
 def test_before_the_first_table_the_platforms_list_is_used(watch: ControlWatch, plane: FakePlane) -> None:
-    watch.take_own_list([listed("a"), listed("b", shard=1)])
+    watch.apply_fallback_list([listed("a"), listed("b", shard=1)])
     assert sorted(plane.servers) == ["a", "b"]
-    watch._take(reply(table(0, 1, 1, server("a2"), is_complete=True)))
+    watch._apply_reply(reply(table(0, 1, 1, server("a2"), is_complete=True)))
     assert sorted(plane.servers) == ["a2", "b"]
-    watch._take(reply(table(1, 1, 1, server("b", shard=1), is_complete=True)))
+    watch._apply_reply(reply(table(1, 1, 1, server("b", shard=1), is_complete=True)))
     assert sorted(plane.servers) == ["a2", "b"]
 
 
 def test_a_server_that_drains_or_is_gone_by_the_own_list_is_used_no_more(
     watch: ControlWatch, plane: FakePlane
 ) -> None:
-    watch._take(reply(table(0, 1, 5, server("a"), server("b"), server("c"), is_complete=True)))
-    watch.take_own_list([listed("a", state=ServerState.DRAINING), listed("b")])
+    watch._apply_reply(reply(table(0, 1, 5, server("a"), server("b"), server("c"), is_complete=True)))
+    watch.apply_fallback_list([listed("a", state=ServerState.DRAINING), listed("b")])
     assert plane.servers["a"].state is ServerState.DRAINING
     assert sorted(plane.servers) == ["a", "b"]
     assert watch.list_age_s() < 1.0
@@ -139,13 +139,13 @@
 
 def test_a_change_that_does_not_fit_asks_for_the_whole(watch: ControlWatch, plane: FakePlane) -> None:
     broken = ConfigurationUpdate(version=9, is_complete=False, documents=[b"garbage"])
-    watch._take(reply(configuration=broken))
+    watch._apply_reply(reply(configuration=broken))
     assert plane.configurations == []
     assert watch._request().configuration_version == 0
     is_complete = ConfigurationUpdate(
         version=9, is_complete=True, documents=[b'{"version":9,"routes":[],"services":[]}']
     )
-    watch._take(reply(configuration=is_complete))
+    watch._apply_reply(reply(configuration=is_complete))
     assert [one.version for one in plane.configurations] == [9]
 
 
@@ -183,8 +183,8 @@
 def test_a_control_node_that_knows_few_edges_makes_no_shared_budget_larger(
     watch: ControlWatch, plane: FakePlane
 ) -> None:
-    watch._take(reply())
-    watch._take(decode(WatchReply, encode(WatchReply(tables=[], edges=1, max_edges=1))))
+    watch._apply_reply(reply())
+    watch._apply_reply(decode(WatchReply, encode(WatchReply(tables=[], edges=1, max_edges=1))))
     assert plane.edges == (1, 8)
 
 
@@ -192,13 +192,13 @@
     tight = Settings.from_dict(FIELDS | {"bounds": {"config-apply-ms": 500, "drain-ms": 600}})
     watch = ControlWatch(tight, plane)  # type: ignore[arg-type]
     assert watch._request().hold_ms == 200
-    assert OwnList(tight, watch, plane, Random(1))._old_s == 0.3  # type: ignore[arg-type]
-    assert list_every_s(tight) == pytest.approx(0.1)
-    assert list_every_s(SETTINGS) == 0.5
+    assert FallbackListReader(tight, watch, plane, Random(1))._max_age_s == 0.3  # type: ignore[arg-type]
+    assert list_interval_s(tight) == pytest.approx(0.1)
+    assert list_interval_s(SETTINGS) == 0.5
 
 
 def test_all_edges_together_stay_below_the_platforms_rate(watch: ControlWatch, plane: FakePlane) -> None:
-    own = OwnList(SETTINGS, watch, plane, Random(1))  # type: ignore[arg-type]
+    own = FallbackListReader(SETTINGS, watch, plane, Random(1))  # type: ignore[arg-type]
     watch.max_edges = 300
     assert 300 / own._pause_s() <= SETTINGS.cloud.rate_per_s / 2
 
--- a/tests/nodes/test_edge.py
+++ b/tests/nodes/test_edge.py
@@ -24,7 +24,7 @@
     settings: Settings
     changed: Settings | None = None
 
-    def reread(self, force: bool = False) -> Settings | None:
+    def reload(self, force: bool = False) -> Settings | None:
         """The new settings, once."""
         if not force or self.changed is None:
             return None
@@ -77,7 +77,7 @@
         while not server.seen:
             await asyncio.sleep(0)
         file.changed = replace(file.settings, seeds=("127.0.0.1:2",))
-        signals.reread.set()
+        signals.reload.set()
         while file.changed is not None:
             await asyncio.sleep(0)
         assert not call.done() and await readiness(plane.ready_port) == 200
--- a/tests/nodes/test_serving_while_cut_off.py
+++ b/tests/nodes/test_serving_while_cut_off.py
@@ -50,7 +50,7 @@
     """The API answers GET from what this node has."""
 
     async def get(self: api.OperatorApi, request: Any) -> Any:
-        return self._newest()
+        return self._current_document()
 
     patch.setattr(api.OperatorApi, "get", get)
 
@@ -60,7 +60,7 @@
 
     async def answer(self: api.OperatorApi, change: Change, path: str) -> Any:
         result = self._store.check(change)
-        return await self._proposed(change, path) if result is None else answers.changed(result)
+        return await self._propose(change, path) if result is None else answers.changed(result)
 
     patch.setattr(api.OperatorApi, "answer", answer)
 
