--- a/granitewell/controlplane/configuration/answers.py
+++ b/granitewell/controlplane/configuration/answers.py
@@ -11,7 +11,7 @@
 
 from granitewell.controlplane.configuration.store import ChangeResult, Outcome
 
-RETRY_AFTER_S = 1  # an election, or a change in progress, is over by then
+RETRY_AFTER_S = 1  # an election, or a change in progress, usually takes less
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -22,8 +22,8 @@
 
     Attributes:
         status: HTTP status code.
-        error: Text for the operator.
-        field: Path of the invalid field in the body, if there is one.
+        error: Message for the operator.
+        field: Path of the invalid field in the body, if any.
     """
 
     status: int
@@ -32,7 +32,7 @@
 
 
 def changed(result: ChangeResult) -> web.Response:
-    """Return the response to a change whose outcome is known."""
+    """Return the response for the outcome of a change."""
     if result.outcome in (Outcome.ACCEPTED, Outcome.REPEATED):
         return _acknowledged(result)
     if result.outcome is Outcome.FORGOTTEN:
@@ -45,9 +45,9 @@
 
 
 def _acknowledged(result: ChangeResult) -> web.Response:
-    """Return an acknowledgement.
+    """Return the response to an accepted change.
 
-    It names the change's own version, and the current one if a later change has followed.
+    It contains the change's own version, and the current one if later changes have followed.
     """
     content = {"version": result.version}
     if result.current_version != result.version:
--- a/granitewell/controlplane/configuration/api.py
+++ b/granitewell/controlplane/configuration/api.py
@@ -1,13 +1,12 @@
 """The operator API: GET, PUT and PATCH of /config.
 
 Only the leader answers, and only while it holds its lease. The lease is checked before the state is read, and
-again, in the same turn of the event loop, once the response is made. A change that would be accepted is
-proposed to the replica group, and the response is the result of applying it. Other nodes redirect to the
-leader (307), or answer 503 if no leader is known in time. A change without a clear outcome gets a 503;
-sending it again is safe.
+again, without an await in between, once the response is made. A change that would be accepted is proposed to
+the replica group, and the response is the result of applying it. Other nodes redirect to the leader (307), or
+answer 503 if no leader is known in time. A change of unknown outcome gets a 503; sending it again is safe.
 
-Without the lease, a change is rejected (4xx) only for what no node could accept, whatever its state: no
-version in If-Match, a body that is too large or cannot be decoded, an unknown path or method.
+Without the lease, a change is rejected (4xx) only if no node could accept it, whatever its state: without a
+version in If-Match, with a body that is too large or cannot be decoded, or for an unknown path or method.
 """
 
 from __future__ import annotations
@@ -30,23 +29,23 @@
 from granitewell.domain.errors import NotLeaderError, ProposalLostError
 
 PATH = "/config"
-PROPOSAL_TIMEOUT_S = 3.0  # operators give up before a later acknowledgement
+PROPOSAL_TIMEOUT_S = 3.0  # below the time after which operators give up
 LEADER_WAIT_S = 0.8  # operators give up after a second without an answer
-LEADER_POLL_S = 0.02  # short beside the above; an election takes some hundred milliseconds
-MAX_QUEUE_WAIT_S = 2.0  # a change that has waited longer for its turn gets a 503
-MAX_QUEUED_CHANGES = 32  # changes that wait for their turn; operators have at most eight under way
+LEADER_POLL_S = 0.02  # an election takes some hundred ms
+MAX_QUEUE_WAIT_S = 2.0  # a change that has waited longer for earlier ones gets a 503
+MAX_QUEUED_CHANGES = 32  # operators have at most eight in progress
 
 log = logbook.Logger("granitewell.configuration")
 
 
 class ReplicaGroup(Protocol):
-    """What the API needs of a replica group."""
+    """Interface of the replica group that the API uses."""
 
     async def propose(self, data: bytes, timeout_s: float = ...) -> object:
         """Return the result of applying an entry; raises NotLeaderError and ProposalLostError."""
 
     def holds_lease(self) -> bool:
-        """Return whether no one else can have committed anything that is not applied here."""
+        """Return whether this node leads, and has applied everything that may be committed."""
 
     @property
     def leader_address(self) -> str | None:
@@ -63,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
-    """Which node answers.
+    """Which node leads the group.
 
     Attributes:
         standing: Role of this node.
@@ -83,7 +82,7 @@
         control_address: Returns the control address of the machine with an internal address.
         clock: Steady clock, in seconds.
         own_address: Control address of this node (`ip:port`).
-        sleep: Replaced in tests.
+        sleep: Waits for a time in seconds.
     """
 
     def __init__(
@@ -114,7 +113,7 @@
         app.middlewares.append(answers.typed_failures)
 
     async def get(self, request: web.Request) -> web.Response:
-        """Return the newest configuration."""
+        """Return the current configuration."""
         leadership = await self._leadership()
         if leadership.role is not Role.SERVING:
             return self._redirect_to_leader(leadership, request.path_qs)
@@ -139,7 +138,7 @@
         return await self.answer(Change(operation, version, body), request.path_qs)
 
     async def answer(self, change: Change, path: str) -> web.Response:
-        """Propose a change whose body has been read; return the response.
+        """Return the response to a change whose body has been read.
 
         Args:
             change: The change.
@@ -193,7 +192,7 @@
         return answers.document(self._store.document())
 
     async def _leadership(self) -> Leadership:
-        """Return which node answers; wait briefly while that is unknown."""
+        """Return which node leads; wait briefly while that is unknown."""
         deadline = self._clock() + LEADER_WAIT_S
         while True:
             leadership = self._leadership_now()
@@ -209,7 +208,7 @@
             return Leadership(Role.UNKNOWN)
         address = self._control_address(leader)
         if address == self._own_address:
-            return Leadership(Role.UNKNOWN)  # leading, and without a lease so far
+            return Leadership(Role.UNKNOWN)  # this node leads, but has no lease yet
         return Leadership(Role.FOLLOWING, address)
 
     def _redirect_to_leader(self, leadership: Leadership, path: str) -> web.Response:
--- a/granitewell/controlplane/configuration/body.py
+++ b/granitewell/controlplane/configuration/body.py
@@ -1,7 +1,7 @@
 """Reads the bodies of changes, with limits on size, time, and the memory of all requests together.
 
-What no node could accept, whatever its state, is rejected with a 4xx. A body that has not arrived completely
-gets no clear answer (503), because the same change may have been accepted when it was sent before.
+A body that no node could accept, whatever its state, is rejected with a 4xx. A body that has not arrived
+completely gets a 503, because the same change may have been accepted when it was sent before.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from granitewell.controlplane.configuration.answers import Failure
 
-MAX_BODY_BYTES = 16 * 1024 * 1024  # bytes; 10,000 routes take 4 MiB
-MAX_BUFFERED_BYTES = 2 * MAX_BODY_BYTES  # bytes buffered for all requests that are being read
-BODY_TIMEOUT_S = 10.0  # a client that has not sent everything by then is disconnected
+MAX_BODY_BYTES = 16 * 1024 * 1024  # 10,000 routes take 4 MiB
+MAX_BUFFERED_BYTES = 2 * MAX_BODY_BYTES  # of all requests that are being read
+BODY_TIMEOUT_S = 10.0  # for the complete body
 
 TOO_LARGE = Failure(413, f"the body is above {MAX_BODY_BYTES} bytes")
 TOO_SLOW = Failure(503, f"the body was not there after {BODY_TIMEOUT_S:g} s")
@@ -28,7 +28,7 @@
     """Reads complete bodies.
 
     Args:
-        sleep: Waits for the time limit; replaced in tests.
+        sleep: Waits for a time in seconds.
     """
 
     def __init__(self, sleep: Callable[[float], Awaitable[None]]) -> None:
--- a/granitewell/controlplane/configuration/change.py
+++ b/granitewell/controlplane/configuration/change.py
@@ -1,4 +1,4 @@
-"""A change as an operator requests it, and its encoding in the replicated log."""
+"""A change requested by an operator, and its encoding in the replicated log."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 FORMAT = 1
 HEADER = struct.Struct("!BBq")  # format, operation, base version
-MAX_VERSION = 2**63 - 1  # versions travel as signed 64-bit numbers
+MAX_VERSION = 2**63 - 1  # encoded as a signed 64-bit integer
 
 
 class Operation(Enum):
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change. Two changes are the same if all three fields are equal.
+    """One change; changes with equal fields are the same change.
 
     Attributes:
         operation: Replace or alter.
         base_version: Version that the change is based on (If-Match).
-        body: The bytes as they were sent.
+        body: The body as it was sent.
     """
 
     operation: Operation
@@ -48,7 +48,7 @@
         """Decode a change.
 
         Raises:
-            UnknownChangeError: A newer version has written it.
+            UnknownChangeError: A newer version of the program has written it.
             UnreadableChangeError: The bytes cannot be read.
         """
         if len(data) < HEADER.size:
--- a/granitewell/controlplane/configuration/checks.py
+++ b/granitewell/controlplane/configuration/checks.py
@@ -1,7 +1,7 @@
-"""Parse and validate what an operator sends; InvalidConfigurationError names the invalid field.
+"""Parse and validate the body of a change; InvalidConfigurationError names the invalid field.
 
-This module checks what the body alone shows. What depends on the rest of the configuration (known services,
-hosts and prefixes) is checked by `state`.
+This module checks the body by itself. Checks against the rest of the configuration (known services, hosts and
+prefixes) are in `state`.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 COMPLETE_FIELDS = frozenset({"version", "routes", "services", "limits"})
 PATCH_FIELDS = frozenset({"version", "upsert", "remove", "limits"})
-MAX_SHOWN_CHARS = 60  # characters of a wrong value in a message
+MAX_SHOWN_CHARS = 60  # of an invalid value, in an error message
 
 Named = TypeVar("Named", Route, Service)
 
 
 @dataclass(frozen=True, slots=True)
 class Item(Generic[Named]):
-    """A route or service: as the planes read it, as it was sent, and where it is in the body."""
+    """A route or service: parsed, as JSON, and its position in the body."""
 
     value: Named
     document: bytes
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CurrentItems(Generic[Named]):
-    """Items of the current configuration by name. One that is sent again unchanged is not parsed again."""
+    """Items of the current configuration by name; an item that is sent unchanged is not parsed again."""
 
     values: Mapping[str, Named]
     documents: Mapping[str, bytes]
@@ -170,7 +170,7 @@
         encoded = orjson.dumps(value)
     except orjson.JSONEncodeError as error:
         raise InvalidConfigurationError(path, f"can't be kept: {error}") from error
-    return memoryview(encoded).tobytes()  # a copy, as each result of orjson takes up 4 KB
+    return memoryview(encoded).tobytes()  # a copy: each bytes object of orjson occupies 4 KB
 
 
 def _read_object(body: bytes) -> dict[str, Any]:
@@ -268,7 +268,7 @@
 def _check_weights(route: Route, path: str) -> None:
     weights = [weighted.weight for weighted in route.weighted_services]
     for index, weight in enumerate(weights):
-        if not weight >= 0:  # neither is NaN
+        if not weight >= 0:  # also rejects NaN
             raise InvalidConfigurationError(
                 f"{path}.weighted-services[{index}].weight", f"{weight:g} is below 0"
             )
--- a/granitewell/controlplane/configuration/history.py
+++ b/granitewell/controlplane/configuration/history.py
@@ -1,9 +1,9 @@
-"""History of accepted changes, so that a change that is sent again is recognized.
+"""History of accepted changes, by which a change that is sent again is recognized.
 
 Accepted changes form a chain: each is based on the version that the previous one produced. The base version
 of a change therefore tells which accepted change it can be, if any, and the rest of its identity (operation
-and body) tells whether it is that one. Beyond MAX_TAKEN the oldest changes are forgotten. For a change based
-on a version from before the remembered ones, it is no longer known whether it was accepted.
+and body) tells whether it is that one. Beyond MAX_ACCEPTED_CHANGES the oldest changes are dropped. For a
+change based on a version older than the history, it is unknown whether it was accepted.
 """
 
 from __future__ import annotations
@@ -16,17 +16,11 @@
 from granitewell.controlplane.configuration.change import Change
 from granitewell.controlplane.configuration.errors import UnreadableSnapshotError
 
-MAX_ACCEPTED_CHANGES = (
-    10_000  # changes remembered: weeks at some hundred changes a day, in 400 KB of a snapshot
-)
+MAX_ACCEPTED_CHANGES = 10_000  # weeks at some hundred changes a day; 400 KB of a snapshot
 
 RECORD = struct.Struct("!32sq")  # digest, version
-UNKNOWN_DIGEST = bytes(
-    32
-)  # of the record, before all others, whose version is that of the last one forgotten
-LEGACY_FULL_RECORDS = (
-    10_000  # records from a program that left no such mark: as many as it remembered at most
-)
+UNKNOWN_DIGEST = bytes(32)  # of a first record that only tells the version of the last dropped change
+LEGACY_FULL_RECORDS = 10_000  # maximum in snapshots of older versions, which have no UNKNOWN_DIGEST
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,12 +57,12 @@
         self._append(AcceptedChange(change.digest(), version))
 
     def version_of(self, change: Change) -> int | None:
-        """Return the version that a change produced, or None if it was not accepted or is forgotten."""
+        """Return the version that a change produced, or None if it is not in the history."""
         accepted = self._accepted.get(change.base_version)
         return accepted.version if accepted is not None and accepted.digest == change.digest() else None
 
     def reaches(self, base_version: int) -> bool:
-        """Return whether all changes accepted on a version or on later ones are remembered."""
+        """Return whether the history has all accepted changes based on this version or a later one."""
         return base_version >= self._forgotten_version
 
     def records(self) -> list[bytes]:
--- a/granitewell/controlplane/configuration/state.py
+++ b/granitewell/controlplane/configuration/state.py
@@ -1,6 +1,6 @@
-"""One version of the configuration, with everything by which the next change is validated.
+"""One version of the configuration, with the data needed to validate the next change.
 
-States are immutable: a change produces a new state that shares what it did not touch.
+States are immutable: a change produces a new state that shares the unchanged parts.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class MatchKey(NamedTuple):
-    """What a request is matched by.
+    """Key by which requests are matched to routes.
 
     Attributes:
         host: Host name in lower case.
@@ -47,9 +47,9 @@
         configuration: The configuration as the planes read it.
         route_documents: JSON of the routes by name, in order.
         service_documents: JSON of the services by name, in order.
-        limits_document: JSON of the limits; None if none were ever sent.
+        limits_document: JSON of the limits; None if they were never sent.
         other: Unknown top-level fields, as JSON.
-        matches: Names of the routes by what they match.
+        matches: Names of the routes by match key.
     """
 
     configuration: Configuration
@@ -65,11 +65,11 @@
         return self.configuration.version
 
     def current_routes(self) -> CurrentItems[Route]:
-        """Return the routes, for parsing those that are sent again."""
+        """Return the routes, to reuse those that are sent unchanged."""
         return CurrentItems(self.configuration.routes, self.route_documents)
 
     def current_services(self) -> CurrentItems[Service]:
-        """Return the services, for parsing those that are sent again."""
+        """Return the services, to reuse those that are sent unchanged."""
         return CurrentItems(self.configuration.services, self.service_documents)
 
     def size(self) -> int:
@@ -105,9 +105,9 @@
 
 
 def complete_state(state: ConfigurationState, document: bytes) -> ConfigurationState:
-    """Return the state that a complete document gives.
+    """Return the state for a complete document.
 
-    Items that are sent as they are in force are not read again.
+    Items that are unchanged from `state` are not parsed again.
 
     Raises:
         InvalidConfigurationError: The document is not a valid configuration.
@@ -116,7 +116,7 @@
 
 
 def difference(before: ConfigurationState, after: ConfigurationState) -> bytes | None:
-    """Return the body of a PATCH that leads the planes from one state to another.
+    """Return the body of a PATCH that turns one state into another.
 
     None if limits or unknown fields differ, because a patch can only add to these.
     """
@@ -246,7 +246,7 @@
 def _patched_matches(state: ConfigurationState, patch: ConfigurationPatch) -> Mapping[MatchKey, str]:
     """Return the new index of routes.
 
-    All removed entries are deleted before any is added, so that routes may exchange what they match.
+    All removed entries are deleted before any is added, so that routes may swap their match keys.
     """
     if not patch.routes and not patch.removed_routes:
         return state.matches
--- a/granitewell/controlplane/configuration/store.py
+++ b/granitewell/controlplane/configuration/store.py
@@ -1,11 +1,12 @@
 """The configuration as a replicated state machine: compare-and-set by version.
 
 A change is identified by its operation, its base version, and the bytes of its body. If it is based on the
-current version, it is TAKEN or INVALID. If it is based on another version, it is REPEATED if the history (a
-part of the snapshot) contains that very change, even if later ones have followed; FORGOTTEN if the history
-does not reach back far enough to tell; otherwise STALE. STALE, INVALID and REPEATED are final, because a
-version that was left never returns. Only a change based by mistake on a version that does not exist yet is
-STALE too early. Nothing here reads a clock or anything else in which replicas differ.
+current version, it is ACCEPTED or INVALID. If it is based on another version, it is REPEATED if the history
+(a part of the snapshot) contains the same change, even if later ones have followed; FORGOTTEN if the history
+does not reach back far enough to tell; otherwise STALE. STALE, INVALID and REPEATED are final, because
+versions only increase. The exception is a change based by mistake on a version that does not exist yet: it is
+STALE now and might be valid later. The state machine is deterministic: it reads no clock and nothing else
+that differs between replicas.
 """
 
 from __future__ import annotations
@@ -33,13 +34,9 @@
 __all__ = ["Change", "ChangeResult", "ConfigurationDelta", "ConfigurationStore", "Operation", "Outcome"]
 
 SNAPSHOT_FORMAT = 1
-SNAPSHOT_HEADER = struct.Struct(
-    "!BIII"
-)  # format, checksum of the rest, length of the document, records of changes
-MAX_DOCUMENT_BYTES = (
-    24 * 1024 * 1024
-)  # bytes; patch by patch it may grow, and must fit into a snapshot and a reply
-MAX_PATCHES = 128  # patches kept for edges that lag; one further behind gets the complete configuration
+SNAPSHOT_HEADER = struct.Struct("!BIII")  # format, checksum, document length, history records
+MAX_DOCUMENT_BYTES = 24 * 1024 * 1024  # must fit into a snapshot and a reply, also if it has grown by patches
+MAX_PATCHES = 128  # kept for edges that lag; one further behind gets the complete configuration
 
 
 class Outcome(Enum):
@@ -58,9 +55,9 @@
 
     Attributes:
         outcome: Kind of outcome.
-        version: The version that it produced if TAKEN or REPEATED, otherwise the current one.
-        current_version: Version after it.
-        error: Why it is INVALID.
+        version: The version that it produced if ACCEPTED or REPEATED, otherwise the current one.
+        current_version: Current version after the change.
+        error: The reason if INVALID.
     """
 
     outcome: Outcome
@@ -71,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationDelta:
-    """What leads to a version: one complete configuration (JSON), or encoded patches (Change) in order.
+    """Update to a version: one complete configuration (JSON), or encoded patches (Change) in order.
 
     Attributes:
         version: The version.
@@ -86,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """A valid change on the current state, and the state that it produces."""
+    """Digest of a valid change on the current state, and the state that it produces."""
 
     digest: bytes
     after: ConfigurationState
@@ -109,7 +106,7 @@
     """One replica of the configuration.
 
     Args:
-        on_taken: Called after each change of the version.
+        on_change: Called after each change of the version.
     """
 
     def __init__(self, on_change: Callable[[], None] | None = None) -> None:
@@ -118,7 +115,7 @@
         self._patches: deque[_Patch] = deque(maxlen=MAX_PATCHES)
         self._document: bytes | None = None
         self._document_size = 0
-        self._checked: _Candidate | None = None  # the last that check passed, on the current state
+        self._checked: _Candidate | None = None  # result of the last successful check on the current state
         self._on_change = on_change
 
     @property
@@ -138,7 +135,7 @@
         return self._document
 
     def check(self, change: Change) -> ChangeResult | None:
-        """Return the outcome that a change would have now, None if it would be accepted. Changes no state."""
+        """Return the outcome that a change would have now, None if it would be accepted."""
         evaluation = self._evaluate(change)
         if isinstance(evaluation, ChangeResult):
             return evaluation
@@ -155,9 +152,9 @@
         return self._result(Outcome.ACCEPTED)
 
     def changes_since(self, version: int) -> ConfigurationDelta:
-        """Return what leads from a version to the current one.
+        """Return the update from a version to the current one.
 
-        These are patches if they are still stored, otherwise the complete configuration.
+        It consists of patches if they are still stored, otherwise of the complete configuration.
         """
         if version >= self.version:
             return ConfigurationDelta(self.version, False, ())
@@ -167,7 +164,7 @@
         return ConfigurationDelta(self.version, True, (self.document(),))
 
     def snapshot(self) -> bytes:
-        """Return everything that a replica needs to continue from here."""
+        """Return the state and the history, encoded for `restore`."""
         document = self.document() if self.version else b""
         records = self._history.records()
         rest = document + b"".join(records)
@@ -230,7 +227,7 @@
         self._set_state(after)
 
     def _drop_long_patches(self) -> None:
-        """Drop patches that are of no use: together they are shorter than the complete configuration."""
+        """Drop the oldest patches while all together are not shorter than the complete configuration."""
         size = sum(len(patch.data) for patch in self._patches)
         while self._patches and size >= self._document_size:
             size -= len(self._patches.popleft().data)
@@ -246,7 +243,7 @@
 
 
 def _bounded(state: ConfigurationState) -> ConfigurationState:
-    """Return a state if it is small enough to be stored; raises InvalidConfigurationError."""
+    """Return the state; raises InvalidConfigurationError if it is too large to be stored."""
     if state.size() > MAX_DOCUMENT_BYTES:
         raise InvalidConfigurationError(
             "body", f"the whole configuration would be above {MAX_DOCUMENT_BYTES} bytes"
--- a/granitewell/controlplane/configuration/view.py
+++ b/granitewell/controlplane/configuration/view.py
@@ -1,4 +1,4 @@
-"""The configuration as an edge sees it: built from what control nodes publish, with the store's own merge."""
+"""The configuration on an edge, built from the updates that control nodes publish."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ConfigurationView:
-    """The newest configuration that this edge has seen. Its version only rises."""
+    """The newest configuration that this edge has received; its version only increases."""
 
     def __init__(self) -> None:
         self._state = EMPTY
@@ -31,8 +31,8 @@
         """Apply an update; return the new configuration, or None if it is not newer.
 
         Raises:
-            DeltaMismatchError: The update does not fit; the view stays as it was. Request the complete
-                configuration (as from version 0).
+            DeltaMismatchError: The update does not apply; the view is unchanged. The caller should request
+                the complete configuration, as from version 0.
         """
         if version <= self.version:
             return None
@@ -47,15 +47,15 @@
 
 def _from_complete(state: ConfigurationState, documents: Sequence[bytes]) -> ConfigurationState:
     if len(documents) != 1:
-        raise DeltaMismatchError(f"{len(documents)} documents where one whole was expected")
+        raise DeltaMismatchError(f"{len(documents)} documents instead of one complete configuration")
     try:
         return complete_state(state, documents[0])
     except InvalidConfigurationError as error:
-        raise DeltaMismatchError(f"the whole can't be read: {error}") from error
+        raise DeltaMismatchError(f"the complete configuration can't be read: {error}") from error
 
 
 def _from_changes(state: ConfigurationState, documents: Sequence[bytes]) -> ConfigurationState:
-    """Return the state after changes on top of another."""
+    """Return the state after applying encoded changes."""
     for document in documents:
         try:
             state = _next(state, Change.decode(document))
@@ -66,7 +66,9 @@
 
 def _next(state: ConfigurationState, change: Change) -> ConfigurationState:
     if change.base_version < state.version:
-        return state  # there is one history: changes based on an older version are applied already
+        return state  # applied already: each version has one successor
     if change.base_version > state.version:
-        raise DeltaMismatchError(f"builds on version {change.base_version}, held is {state.version}")
+        raise DeltaMismatchError(
+            f"a change is based on version {change.base_version}, the current version is {state.version}"
+        )
     return changed(state, change)
--- a/granitewell/controlplane/ownership/__init__.py
+++ b/granitewell/controlplane/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Ownership of shards: leadership of a shard's replica group, committed to its log before it is used."""
+"""Ownership of shards: leadership of a shard's replica group, claimed in its log before the first order."""
--- a/granitewell/controlplane/ownership/owner.py
+++ b/granitewell/controlplane/ownership/owner.py
@@ -1,4 +1,4 @@
-"""Ownership of one shard by this node: gained with leadership, valid only within its lease."""
+"""Ownership of one shard by this node: gained with leadership, and valid only during the lease."""
 
 from __future__ import annotations
 
@@ -11,16 +11,12 @@
 from granitewell.controlplane.ownership.processes import KnownProcesses
 from granitewell.controlplane.ownership.record import NO_OWNER, OwnerClaimed
 
-MAX_ORDER_DELIVERY_S = (
-    1.0  # an order that has left has arrived, or its connection was reset, within this time
-)
-UNRESPONSIVE_AFTER_S = (
-    1.2  # longer than a process that is well may be busy with itself, by 0.2 s for what is on its way
-)
+MAX_ORDER_DELIVERY_S = 1.0  # after it was sent, an order has arrived or its connection was reset
+UNRESPONSIVE_AFTER_S = 1.2  # longest pause of a healthy process (1 s), and 0.2 s for messages in flight
 
 
 class LeasedGroup(Protocol):
-    """What ownership needs of a replica group."""
+    """Interface of the replica group that ownership uses."""
 
     @property
     def term(self) -> int:
@@ -30,7 +26,7 @@
         """Return whether this node leads and holds the lease."""
 
     def seconds_since_contact(self, address: str) -> float:
-        """Return the seconds since the member at an internal address was heard from; infinite if none."""
+        """Return the seconds since the last message of a member; infinite if there is no such member."""
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
         """Commit an entry; return the result of applying it."""
@@ -53,12 +49,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeoverRules:
-    """When two machines may send orders to the same server.
+    """When a new owner may send orders to servers that another machine has sent orders to.
 
     Attributes:
-        lease_s: Minimum time between their orders.
-        contact_s: How long a machine must be free of faults to count as in contact.
-        fencing: Whether servers refuse lower fencing tokens, so that only machines in contact matter.
+        lease_s: Minimum time between the orders of two machines, in seconds.
+        contact_s: How long a machine must be free of faults to count as in contact, in seconds.
+        fencing: Whether servers refuse lower fencing tokens. Then the minimum time applies only to machines
+            in contact.
     """
 
     lease_s: float
@@ -67,14 +64,14 @@
 
     @property
     def wait_s(self) -> float:
-        """Time from a claim to the first order if another machine sent its last order before the claim."""
+        """Time from a claim to the first order if another machine owned the shard before, in seconds."""
         return self.lease_s + MAX_ORDER_DELIVERY_S
 
     @property
     def fault_replaces_wait(self) -> bool:
-        """Whether no wait is needed after an owner that was lost to a fault.
+        """Whether no wait is needed after the previous owner was lost to a fault.
 
-        The fault also counts against this machine's contact, for at least as long as the wait.
+        After such a fault this machine does not count as in contact either, for at least as long as the wait.
         """
         return self.fencing and self.contact_s >= self.lease_s
 
@@ -82,14 +79,16 @@
 class ShardOwnership:
     """The right of this process to send orders to a shard's servers.
 
-    `holder` and `fencing_token` are part of each order. Two machines must not alternate within `lease-ms`, so
-    a claim that follows another machine's is followed by a wait. An owner whose replica and process this
-    leader has not heard from for a while is down, frozen or partitioned, and one that is heard from under
-    another incarnation has restarted. After these there is no wait if faults excuse it (`TurnRules`). An
-    owner that is no longer a member proves nothing: it may have been replaced while it ran.
+    `holder` and `fencing_token` are part of each order. Two machines must not send orders to a server within
+    `lease-ms` of each other, so the first order after a claim waits if another machine owned the shard. A
+    previous owner counts as lost to a fault if this leader has heard neither from its replica nor from its
+    process for some time (it is down, suspended or partitioned), or if its process announces another
+    incarnation (it has restarted). Then there is no wait if `TakeoverRules` permit that. A previous owner
+    that is no longer a member may have been replaced while it ran, so the wait applies.
 
-    An object lives as long as its process. A wait continues if this process loses leadership and claims
-    again. A claim of its own whose outcome it never learned hides the owner before it.
+    There is one object per shard for the lifetime of the process, so a wait continues if this process loses
+    leadership and claims again. If the process never learned the outcome of a claim of its own, that claim
+    may be the recorded predecessor, and hides the owner before it.
     """
 
     def __init__(
@@ -121,7 +120,7 @@
         return self._claimed_term == self._group.term and self._group.holds_lease()
 
     def may_order(self) -> bool:
-        """Return whether an order may be sent in this turn of the event loop."""
+        """Return whether an order may be sent in this iteration of the event loop."""
         return self.owns() and (self._clock() >= self._orders_allowed_at or self._predecessor_is_gone())
 
     async def claim(self) -> None:
@@ -141,7 +140,7 @@
             self._claimed_term = term
 
     def _start_wait(self, previous: OwnerClaimed) -> None:
-        """Begin the wait that must follow a claim."""
+        """Start the wait after a claim."""
         if previous == self._last_claim:
             return
         self._predecessor = NO_OWNER if self._is_own(previous) else previous
@@ -152,7 +151,7 @@
         return claim.address == own.address and claim.incarnation == own.incarnation
 
     def _predecessor_is_gone(self) -> bool:
-        """Return whether the previous owner's process is known to be out of contact."""
+        """End the wait if the previous owner was lost to a fault; return whether that is so."""
         if not self._rules.fault_replaces_wait or not self._predecessor.address:
             return False
         if not self._has_restarted() and not self._is_unresponsive():
@@ -170,10 +169,10 @@
         )
 
     def _is_unresponsive(self) -> bool:
-        """Return whether the previous owner is unresponsive.
+        """Return whether the previous owner's replica and process are both unresponsive.
 
-        Its replica alone may be unresponsive because of a stalled disk: a replica replies only once its term
-        is synced.
+        With a stalled disk, its replica is unresponsive while its process still runs: a replica replies only
+        once its term is synced.
         """
         address = self._predecessor.address
         return UNRESPONSIVE_AFTER_S <= self._group.seconds_since_contact(
--- a/granitewell/controlplane/ownership/processes.py
+++ b/granitewell/controlplane/ownership/processes.py
@@ -1,12 +1,12 @@
-"""Processes of other control nodes, as they announce themselves. No I/O."""
+"""Processes of other control nodes, known by their announcements. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-ANNOUNCEMENT_INTERVAL_S = 1.0  # by each process, to all others; no disk has a part in it
-PROCESS_UNRESPONSIVE_AFTER_S = 1.3  # longer than between two announcements, and than what a loss can hide
+ANNOUNCEMENT_INTERVAL_S = 1.0  # of each process, to all others; independent of its disk
+PROCESS_UNRESPONSIVE_AFTER_S = 1.3  # above the announcement interval plus the delay of a lost packet
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,7 +16,7 @@
 
 
 class KnownProcesses:
-    """The last announcement from each internal address."""
+    """Last announcement received from each internal address."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -28,12 +28,12 @@
         self._announcements[address] = _Announcement(incarnation, self._clock())
 
     def incarnation_at(self, address: str) -> str | None:
-        """Return the incarnation announced last from an address, None if there was none."""
+        """Return the last incarnation announced from an address, None if there was none."""
         announcement = self._announcements.get(address)
         return announcement.incarnation if announcement is not None else None
 
     def is_unresponsive(self, address: str) -> bool:
-        """Return whether an address has sent no announcement for longer than a running process would."""
+        """Return whether the announcements from an address have stopped."""
         announcement = self._announcements.get(address)
         announced_at = announcement.at if announcement is not None else self._since
         return self._clock() - announced_at >= PROCESS_UNRESPONSIVE_AFTER_S
--- a/granitewell/controlplane/ownership/record.py
+++ b/granitewell/controlplane/ownership/record.py
@@ -1,7 +1,7 @@
 """The replicated record of a shard's owners. No I/O.
 
 The fencing token of an owner is the term in which it was elected, so tokens only rise. The holder is the
-node's name. A claim is in the log before the first order, so that every later owner knows its predecessor.
+node's name. A claim is committed before the first order, so that every later owner knows its predecessor.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerClaimed:
-    """A node has become the owner of the shard in a term. The names of the fields are stored.
+    """A node has become the owner of the shard in a term. The field names are part of the stored format.
 
     Attributes:
         holder: Name of the node.
@@ -66,9 +66,9 @@
         return previous
 
     def snapshot(self) -> bytes:
-        """Return the state, for `restore`."""
+        """Return the state, encoded for `restore`."""
         return self.owner.encode()
 
     def restore(self, data: bytes) -> None:
-        """Load a snapshot."""
+        """Replace the state with a snapshot."""
         self.owner = OwnerClaimed.decode(data)
--- a/granitewell/controlplane/placement/__init__.py
+++ b/granitewell/controlplane/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: which engine server loads which models and adapters. Observe, plan, order.
+"""Placement of models and adapters on engine servers: observe, plan, order.
 
 observation: what is known of each server. demand: what is requested. limits: memory, and the rate of the
 weight store. planner: servers and demand in, orders out. reconciler: the loop around them without I/O, with
--- a/granitewell/controlplane/placement/confirmation.py
+++ b/granitewell/controlplane/placement/confirmation.py
@@ -13,33 +13,34 @@
 from granitewell.controlplane.placement.orders import Operation, Order, Report
 from granitewell.domain.servers import LoadedModel
 
-FIRST_CONFIRMATION_DELAY_S = (
-    0.02  # from the acceptance to the first confirmation; each further one waits twice as long
-)
-MAX_CONFIRMATIONS = 3  # after which reports are polled instead
-MIN_CONFIRMATION_SAMPLES = 6  # orders of an operation that are tried before it may be given up
-MIN_CONFIRMED_FRACTION = 0.2  # of an operation's orders; below it sending them again tells nothing
+FIRST_CONFIRMATION_DELAY_S = 0.02  # after the acceptance; doubles with each confirmation
+MAX_CONFIRMATIONS = 3  # per order; then reports are polled instead
+MIN_CONFIRMATION_SAMPLES = 6  # orders of an operation before its confirmations may be given up
+MIN_CONFIRMED_FRACTION = 0.2  # of an operation's orders; below it, confirmations are not worth sending
 
 
 def is_quick(order: Order) -> bool:
-    """Return whether an order takes so short a time that reports would show it late."""
+    """Return whether an order takes some ms only, far less than the age of a report."""
     return bool(order.ref.adapter) or order.operation is Operation.UNLOAD
 
 
 class ConfirmationRecord:
-    """Which operations the servers confirm; some servers have no clear answer to one that is done."""
+    """Statistics of which operations the servers confirm.
+
+    Some servers give no clear answer to an order that is done already.
+    """
 
     def __init__(self) -> None:
         self._orders: Counter[Operation] = Counter()
         self._confirmed: Counter[Operation] = Counter()
 
     def ended(self, order: Order, *, confirmed: bool) -> None:
-        """Record that an order was confirmed, or that a report had to show its end."""
+        """Record whether an order's end was learned by a confirmation or only from a report."""
         self._orders[order.operation] += 1
         self._confirmed[order.operation] += confirmed
 
     def is_useful(self, order: Order) -> bool:
-        """Return whether to send such an order again."""
+        """Return whether sending orders of this operation again has been useful so far."""
         tried = self._orders[order.operation]
         return (
             tried < MIN_CONFIRMATION_SAMPLES
@@ -48,7 +49,11 @@
 
 
 def confirmation_delay_s(confirmations: int) -> float:
-    """Return how long to wait before the next confirmation, in seconds, after some were sent."""
+    """Return the delay before the next confirmation, in seconds.
+
+    Args:
+        confirmations: Number of confirmations sent so far.
+    """
     return FIRST_CONFIRMATION_DELAY_S * 2.0**confirmations
 
 
@@ -56,9 +61,9 @@
     """Return the report that a server would give once an order is done.
 
     Args:
-        report: Its last report, of before the order.
+        report: Its last report before the order.
         order: The order.
-        sequence: Number of orders accepted, with this one.
+        sequence: Number of orders accepted, including this one.
     """
     models = dict(report.models)
     name, adapter = order.ref.model, order.ref.adapter
--- a/granitewell/controlplane/placement/controller.py
+++ b/granitewell/controlplane/placement/controller.py
@@ -1,8 +1,8 @@
 """Runs the reconciler on asyncio and makes the calls that it asks for.
 
-Contract with the reconciler: each step that it returns is begun at once and answered once. `may_order` is
-checked when steps are planned, and again in the very turn of the event loop in which an order's body is sent
-(orders.py).
+Contract with the reconciler: each step that it returns is started at once, and its result is passed back
+exactly once. `may_order` is checked when steps are planned, and again in the same iteration of the event loop
+in which an order's body is sent (orders.py).
 """
 
 from __future__ import annotations
--- a/granitewell/controlplane/placement/demand.py
+++ b/granitewell/controlplane/placement/demand.py
@@ -1,7 +1,7 @@
 """Demand for each model and adapter: decayed rates, and the requests that wait now. No I/O.
 
-A rate rises with the first report of a rising model and falls within seconds of inactivity, because demand
-moves to other models at once, while a model that is requested rarely keeps its small rate.
+A rate rises with the first report of a burst and falls within seconds of inactivity, because demand can move
+to other models abruptly. A model that is requested rarely keeps its low rate.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 from granitewell.domain.servers import ModelDemand, ModelRef
 
-FAST_TIME_CONSTANT_S = 2.0  # time constant of the rate that shows a rise
-SLOW_TIME_CONSTANT_S = 20.0  # time constant of the rate of models that are asked for rarely
-MIN_FAST_REQUESTS = 2.5  # within FAST_S, below which a rise may be chance
-INACTIVITY_SCALE_S = 10.0  # a rate is believed to be at most this / idle time squared
-MISS_TIME_CONSTANT_S = 5.0  # time constant of the rate of misses
-GAUGE_TTL_S = 2.0  # edges report every second at the latest; an older figure is taken for zero
-DEMAND_TTL_S = 90.0  # a model not asked for in this time is forgotten
+FAST_TIME_CONSTANT_S = 2.0  # of the decayed count that detects a burst
+SLOW_TIME_CONSTANT_S = 20.0  # of the decayed count for rarely requested models
+MIN_FAST_REQUESTS = 2.5  # decayed count below which a burst may be chance
+INACTIVITY_SCALE_S = 10.0  # upper bound of a rate: this / (idle time)^2
+MISS_TIME_CONSTANT_S = 5.0  # of the decayed count of misses
+GAUGE_TTL_S = 2.0  # edges report at least every second; an older value counts as zero
+DEMAND_TTL_S = 90.0  # after the last request, for a model or adapter
 NEVER = -math.inf
 
 
@@ -29,10 +29,10 @@
     Attributes:
         rate: Requests per second.
         idle_s: Seconds since the last request.
-        waiting: Requests that wait.
-        waiting_since: Time since which requests have waited, on the steady clock.
         in_flight: Requests in flight.
-        priority: Priority of the most urgent request.
+        waiting: Requests that wait.
+        waiting_since: Time at which requests began to wait, on the monotonic clock.
+        priority: Priority of the most urgent waiting request; 0 is the most urgent.
     """
 
     rate: float = 0.0
@@ -48,11 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandView:
-    """All demand at one moment, `at`.
+    """Demand at one point in time.
 
     Attributes:
-        misses_per_s: How often requests began to wait for a model, per second.
-        adapter_misses: How often requests began to wait for an adapter, per second, by model.
+        models: Demand by model, including its adapters.
+        adapters: Demand by adapter.
+        at: Time of the view, on the monotonic clock.
+        misses_per_s: Rate at which requests began to wait for a model.
+        adapter_misses: Rate at which requests began to wait for an adapter, per second, by model.
     """
 
     models: Mapping[str, RefDemand] = field(default_factory=dict)
@@ -69,7 +72,7 @@
 
 
 class _Gauge:
-    """A gauge with several reporters: the sum of the values they reported last."""
+    """Sum of the values that several edges reported last."""
 
     __slots__ = ("_parts",)
 
@@ -90,7 +93,7 @@
 
 
 class _Misses:
-    """Decayed count of misses."""
+    """Exponentially decayed count of misses."""
 
     __slots__ = ("_at", "_count")
 
@@ -112,7 +115,7 @@
 
 
 class _Arrivals:
-    """Two decayed counts of requests, and the time of the last."""
+    """Two exponentially decayed counts of requests, and the time of the last request."""
 
     __slots__ = ("_at", "_fast", "_slow", "last_at")
 
@@ -148,7 +151,7 @@
 
 
 class _Entry:
-    """What was reported about one model or adapter."""
+    """Reported demand for one model or adapter."""
 
     __slots__ = ("arrivals", "in_flight", "priority", "waiting", "waiting_since")
 
@@ -161,9 +164,9 @@
 
 
 class DemandTable:
-    """Collects the reports of edges and returns the demand at a moment.
+    """Aggregates the demand reports of all edges.
 
-    It stores only models that were requested recently.
+    Only models that were requested recently are stored.
     """
 
     def __init__(self) -> None:
@@ -173,9 +176,9 @@
         self._adapter_misses: dict[str, _Misses] = {}
 
     def add(self, now: float, demands: Iterable[ModelDemand], source: str = "") -> bool:
-        """Record the report of an edge, `source`.
+        """Record a report of the edge named `source`.
 
-        Returns whether requests have begun to wait for something.
+        Returns whether requests have begun to wait for a model or an adapter.
         """
         urgent = False
         for demand in demands:
@@ -212,7 +215,7 @@
         return True
 
     def view(self, now: float) -> DemandView:
-        """Return the demand at this moment."""
+        """Return the current demand, and drop entries that have expired."""
         adapters: dict[ModelRef, RefDemand] = {}
         by_model: dict[str, list[RefDemand]] = {}
         with_adapters: set[str] = set()
--- a/granitewell/controlplane/placement/fleet.py
+++ b/granitewell/controlplane/placement/fleet.py
@@ -1,4 +1,7 @@
-"""Models on the servers, desired replicas by demand, and the load of each server. No I/O."""
+"""Copies of models on the servers, desired copies by demand, and the load of each server. No I/O.
+
+A copy is a model (or adapter) that a server has loaded or is loading.
+"""
 
 from __future__ import annotations
 
@@ -12,21 +15,24 @@
 from granitewell.domain.configuration import Engine, Model
 from granitewell.domain.servers import ModelRef
 
-BUSY_RATE_PER_S = 0.4  # requests a second from which a model has two copies
-KEEP_RATE_PER_S = 0.25  # from here a lost last copy is loaded again before it is asked for
-ACTIVE_ADAPTER_RATE_PER_S = 0.04  # adapters requested this often are loaded ahead of need
-MAX_SLOTS_FRACTION = 0.2  # of a server's slots in use by one model, beyond which another copy is wanted
-MAX_FAIR_SHARE_RATIO = (
-    1.25  # of all requests over all servers: a model asked for more often a copy wants another copy
-)
-TARGET_SLOTS_FRACTION = 1 / 3  # of a server's slots; with more requests at once its tokens come too slowly
-MIN_COPY_RATE_PER_S = 1.0  # requests a second that one copy serves well anywhere: prompts are read one by one
-MAX_REPLICAS_FRACTION = 0.7  # of the servers, for one model
+BUSY_RATE_PER_S = 0.4  # from here a model gets at least two copies
+KEEP_RATE_PER_S = 0.25  # from here a lost last copy is loaded again before the next request
+ACTIVE_ADAPTER_RATE_PER_S = 0.04  # from here an adapter counts as active
+MAX_SLOTS_FRACTION = 0.2  # of a server's slots used by one model; above it another copy is desired
+MAX_FAIR_SHARE_RATIO = 1.25  # of an even share of all requests; above it a copy is overloaded
+TARGET_SLOTS_FRACTION = 1 / 3  # of a server's slots; with more concurrent requests, tokens come too slowly
+MIN_COPY_RATE_PER_S = 1.0  # that any copy can serve; higher rates queue, as prompts are read one by one
+MAX_REPLICAS_FRACTION = 0.7  # of the schedulable servers, for one model
 
 
 @dataclass(slots=True)
 class _Copies:
-    """Lasting replicas of a model: the servers that have or load it, and how many of them have loaded it."""
+    """Copies of a model on schedulable servers.
+
+    Attributes:
+        servers: Servers that have loaded the model or are loading it.
+        ready: How many of them have loaded it.
+    """
 
     servers: list[ServerView] = field(default_factory=list)
     ready: int = 0
@@ -40,7 +46,7 @@
 
 
 class FleetView:
-    """Servers and demand at the time of one plan. Only the replicas change, as the plan issues orders."""
+    """Servers and demand at the time of one plan. Only the copies change, as the plan issues orders."""
 
     def __init__(
         self, servers: Sequence[ServerView], demand: DemandView, engine: Engine, sizes: ModelSizes
@@ -51,7 +57,7 @@
         self.models: dict[str, Model] = {model.name: model for model in engine.models}
         self.servers = servers
         self.schedulable = [server for server in servers if server.schedulable]
-        self._dropped: set[tuple[str, ModelRef]] = set()  # adapters that this plan unloads
+        self._dropped: set[tuple[str, ModelRef]] = set()  # adapters that this plan unloads, by server
         self._copies = self._count_copies()
         self._active_adapters = self._count_active_adapters()
         self.adapter_hosts = {
@@ -79,25 +85,25 @@
         return copies
 
     def copies_of(self, model: str) -> _Copies:
-        """Return the lasting replicas of a model."""
+        """Return the copies of a model on schedulable servers."""
         return self._copies.get(model, _NO_COPIES)
 
     def adapter_copies(self, ref: ModelRef) -> int:
-        """Return the lasting servers that have or load an adapter and keep it."""
+        """Return the number of schedulable servers that keep an adapter or are loading it."""
         return sum(1 for server in self.schedulable if self._has_adapter(server, ref))
 
     def _has_adapter(self, server: ServerView, ref: ModelRef) -> bool:
         return (server.has(ref) and (server.id, ref) not in self._dropped) or server.loading == ref
 
     def is_adapter(self, ref: ModelRef) -> bool:
-        """Return whether the configuration has the adapter."""
+        """Return whether the adapter is configured: adapters are named a1 to aN."""
         model = self.models.get(ref.model)
         if model is None or not ref.adapter.startswith("a") or not ref.adapter[1:].isdecimal():
             return False
         return 1 <= int(ref.adapter[1:]) <= model.adapters
 
     def is_missed(self, name: str) -> bool:
-        """Return whether requests wait for a model that no lasting server has or loads."""
+        """Return whether requests wait for a model that no schedulable server has or is loading."""
         return self.demand.models[name].waiting > 0 and not self.copies_of(name).count
 
     def in_flight(self, name: str) -> bool:
@@ -117,10 +123,10 @@
         return mb if math.isfinite(mb) else 0.0
 
     def missing_sizes_mb(self) -> list[float]:
-        """Return the sizes of the models that no lasting server has, in order."""
+        """Return the sizes of the models without a copy on any schedulable server, in ascending order."""
         return sorted(model.weights_mb for name, model in self.models.items() if name not in self._copies)
 
-    # Desired replicas
+    # Desired copies
 
     def _count_active_adapters(self) -> dict[str, int]:
         active: dict[str, int] = {}
@@ -130,9 +136,9 @@
         return active
 
     def _max_copy_rate(self) -> float:
-        """Return the rate that a replica should serve at most, in requests per second.
+        """Return the rate that a copy should serve at most, in requests per second.
 
-        That is about an even fraction of all requests.
+        It is somewhat above an even share of all requests per schedulable server.
         """
         total_rate = sum(seen.rate for seen in self.demand.models.values())
         return max(MIN_COPY_RATE_PER_S, MAX_FAIR_SHARE_RATIO * total_rate / max(1, len(self.schedulable)))
@@ -154,7 +160,7 @@
         return min(desired, max_copies, len(self.schedulable))
 
     def excess_in_flight(self, name: str, copies: int) -> float:
-        """Return how many requests of a model are in flight beyond those that its copies run in time."""
+        """Return how many requests in flight exceed what a number of copies can serve in time."""
         seen = self.demand.models.get(name)
         if seen is None:
             return 0.0
@@ -171,11 +177,11 @@
     # Changes by this plan
 
     def record_load(self, server: ServerView, name: str) -> None:
-        """Record that the load of a model was ordered."""
+        """Record that this plan orders the load of a model."""
         self._copies.setdefault(name, _Copies()).servers.append(server)
 
     def record_unload(self, server: ServerView, ref: ModelRef) -> None:
-        """Record that an unload was ordered."""
+        """Record that this plan orders an unload."""
         if ref.adapter:
             self._dropped.add((server.id, ref))
             return
--- a/granitewell/controlplane/placement/issuing.py
+++ b/granitewell/controlplane/placement/issuing.py
@@ -1,8 +1,8 @@
-"""The last checks before an order is issued, and what its result teaches. No I/O.
+"""Issues the planner's orders after a last check, and learns from their results. No I/O.
 
-Whatever the planner says: one order at a time per server, conditional on the sequence reported last; no load
-beyond the remaining memory with everything that counts; no load from the weight store without a token of the
-bucket.
+Enforced independently of the planner: one order at a time per server, conditional on the sequence reported
+last; no load beyond the free memory, with loads in progress and of unknown outcome counted; no load from the
+weight store without a token of the bucket.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from granitewell.domain.configuration import Engine
 from granitewell.domain.servers import ModelRef
 
-REPORT_DELAY_S = 0.1  # how old a report usually is; learned from nothing, only a first look depends on it
+REPORT_DELAY_S = 0.1  # usual age of a report; it affects only when the first report after an order is polled
 UNLOAD_DURATION_S = 0.02
 ADAPTER_LOAD_DURATION_S = 0.02
 
@@ -54,7 +54,7 @@
         self._load_rate_fraction = 1.0
 
     def start(self, now: float) -> None:
-        """Begin without a token, because the loads that an earlier owner has just ordered count."""
+        """Start with an empty token bucket: loads just ordered by a previous owner count against the rate."""
         self.concurrency = LoadConcurrency()
         self.bucket = LoadBucket(now)
         self._set_rate(now)
@@ -111,7 +111,7 @@
             self.bucket.give_back()
 
     def done(self, done: PendingOrder, asked_at: float, report: Report) -> None:
-        """Record that a report requested at `asked_at` shows how an order ended."""
+        """Learn load times from an order whose end is shown by a report requested at `asked_at`."""
         if not done.order.loads_model or not shows(report, done.order):
             return
         if not done.order.from_store:
--- a/granitewell/controlplane/placement/limits.py
+++ b/granitewell/controlplane/placement/limits.py
@@ -1,4 +1,7 @@
-"""Limits that must never be exceeded: servers' memory and adapters, the weight store's rate. No I/O."""
+"""Hard limits: servers' memory and adapters, and the weight store's rate. No I/O.
+
+Within any window, the weight store permits 1.1 times its rate, plus 3 loads.
+"""
 
 from __future__ import annotations
 
@@ -9,23 +12,26 @@
 from granitewell.domain.configuration import Engine, Model
 from granitewell.domain.servers import LoadedModel, ModelRef
 
-STORE_RATE_FRACTION = 0.95  # of the permitted rate: the bound counts 1.1 times it, plus 3
-STORE_BURST_LOADS = 2.0  # loads at once after a pause; the bound allows 3
-MEMORY_SLACK_MB = 1.0  # for sums of rounded sizes
-INITIAL_CONCURRENT_LOADS = 4  # simultaneous loads that are tried before anything is known of the store
+STORE_RATE_FRACTION = 0.95  # of the permitted rate
+STORE_BURST_LOADS = 2.0  # capacity of the token bucket, in loads; the permitted burst is 3
+MEMORY_SLACK_MB = 1.0  # for rounding errors in sums of sizes
+INITIAL_CONCURRENT_LOADS = 4  # before the configuration is known
 MIN_CONCURRENT_LOADS = 2
 MAX_CONCURRENT_LOADS = 32
-MIN_SLOW_RATIO = 1.3  # a load that took this many times its usual time met too many others
-INITIAL_WARM_LOAD_FRACTION = (
-    0.4  # of its load time, for a model from the server's own disk, before any was measured
-)
-WARM_LOAD_WEIGHT = 0.2  # weight of the newest load from a server's own disk
-MAX_FULL_SPEED_RATIO = 1.15  # up to here loads at once were as fast as alone
+MIN_SLOW_RATIO = 1.3  # of the usual load time; from here there were too many concurrent loads
+INITIAL_WARM_LOAD_FRACTION = 0.4  # of the time from the store, until a warm load has completed
+WARM_LOAD_WEIGHT = 0.2  # of the newest sample in the moving average
+MAX_FULL_SPEED_RATIO = 1.15  # of the usual load time; up to here concurrent loads run at full speed
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Committed resources of a server. `mb` is infinite if a size is unknown."""
+    """Committed resources of a server.
+
+    Attributes:
+        mb: Memory in MB; infinite if a size is unknown.
+        adapters: Number of adapters.
+    """
 
     mb: float
     adapters: int
@@ -33,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """Resources of a server."""
+    """Total resources of a server: memory in MB, and number of adapters."""
 
     mb: float
     adapters: int
@@ -44,7 +50,7 @@
 
 
 class ModelSizes:
-    """Sizes of models, including those that a newer configuration no longer lists."""
+    """Sizes of all models ever configured, also of those that the configuration no longer lists."""
 
     def __init__(self) -> None:
         self._known: dict[str, Model] = {}
@@ -54,12 +60,12 @@
         self._known.update((model.name, model) for model in engine.models)
 
     def weights_mb(self, model: str) -> float:
-        """Return the size of a model alone, in MB; infinite if it was never known."""
+        """Return the size of a model alone, in MB; infinite if unknown."""
         known = self._known.get(model)
         return known.weights_mb if known else math.inf
 
     def adapter_mb(self, model: str) -> float:
-        """Return the size of an adapter of a model, in MB; infinite if the model was never known."""
+        """Return the size of an adapter of a model, in MB; infinite if unknown."""
         known = self._known.get(model)
         return known.adapter_mb if known else math.inf
 
@@ -98,7 +104,7 @@
 class LoadBucket:
     """Token bucket of loads from the weight store.
 
-    Empty at the start: the loads that an earlier owner has just ordered count in the same window.
+    Empty at the start, because loads just ordered by a previous owner count in the same window.
     """
 
     def __init__(self, now: float) -> None:
@@ -129,7 +135,7 @@
         return True
 
     def give_back(self) -> None:
-        """Return the token of a load that certainly did not begin."""
+        """Return the token of a load that is known not to have started."""
         self._tokens = min(STORE_BURST_LOADS, self._tokens + 1.0)
 
     def next_at(self, now: float) -> float:
@@ -142,9 +148,10 @@
 
 
 class LoadConcurrency:
-    """How many concurrent loads run at full speed, learned from how long loads take.
+    """Number of concurrent loads from the weight store that run at full speed.
 
-    Before any was measured, it is the number that the permitted rate keeps in progress.
+    It is learned from how long loads take. Until a load has completed, it is the number of loads that the
+    permitted rate keeps in progress.
     """
 
     def __init__(self) -> None:
@@ -154,14 +161,20 @@
     def expect(self, loads_per_s: float, load_time_s: float) -> None:
         """Record the permitted rate of loads and their mean duration.
 
-        Without effect once loads were measured.
+        Without effect once a load has completed.
         """
         if math.isinf(self._min_overhead_s):
             under_way = round(loads_per_s * load_time_s)  # Little's law
             self.concurrent_loads = max(MIN_CONCURRENT_LOADS, min(MAX_CONCURRENT_LOADS, under_way))
 
     def learn(self, concurrent_loads: int, took_s: float, nominal_s: float) -> None:
-        """Record how long a load took beside `at_once` concurrent loads (including itself)."""
+        """Record the duration of a load.
+
+        Args:
+            concurrent_loads: Loads in progress when it started, including itself.
+            took_s: Time from the order until a report showed the model, in seconds.
+            nominal_s: Configured load time, in seconds.
+        """
         overhead = took_s - nominal_s
         self._min_overhead_s = min(self._min_overhead_s, max(overhead, -0.5 * nominal_s))
         slowness = (took_s - self._min_overhead_s) / max(nominal_s, 0.05)
@@ -174,9 +187,9 @@
 
 
 class WarmLoadTime:
-    """How long a load from a server's own disk takes, learned from such loads.
+    """Moving average of the time of warm loads, which read the weights from the server's own disk.
 
-    It hardly depends on the model: the disk is read at one pace, and most of the time is fixed.
+    The time hardly depends on the model: the disk has one rate, and most of the time is fixed overhead.
     """
 
     def __init__(self) -> None:
@@ -193,7 +206,7 @@
         return min(self._mean_s, nominal_s)
 
     def learn(self, took_s: float) -> None:
-        """Record after how many seconds a report showed such a load."""
+        """Record the time from the order of a warm load until a report showed the model."""
         if math.isinf(self._mean_s):
             self._mean_s = took_s
         else:
--- a/granitewell/controlplane/placement/observation.py
+++ b/granitewell/controlplane/placement/observation.py
@@ -1,8 +1,8 @@
-"""What is known of each server, from the platform's list, its reports and the answers to orders. No I/O.
+"""State of each server, from the platform's list, its reports and the answers to orders. No I/O.
 
 A report is some hundred ms old when it arrives. An order therefore stays recorded until a report shows it:
 the sequence has advanced, nothing is in progress, and the result is visible. An order of unknown outcome
-stays recorded until a report requested well after it shows that it was executed or that it was not.
+stays recorded until a report requested long enough after it shows whether it was executed.
 
 An order that takes some ms is confirmed sooner by sending it again, conditional on the sequence that it left
 behind: 200 means that its result holds, 409 that it is still in progress (confirmation.py).
@@ -20,13 +20,13 @@
 from granitewell.controlplane.placement.orders import Operation, Order, Report, ReportFailure
 from granitewell.domain.servers import LoadedModel, ModelRef, ServerState
 
-MAX_REPORT_AGE_S = 0.6  # a report is surely not older than this ("some hundred ms")
-ORDER_OVERDUE_S = 3.0  # beyond its expected time, after which an order that left no trace is given up
-RESERVATION_TTL_S = 1.5  # for which freed capacity stays reserved
-PURPOSE_TTL_S = 0.5  # of an unload: one that takes longer waits for runs
-REPORT_TTL_S = 2.5  # an older report is no basis for an order
-UNREACHABLE_AFTER_S = 0.9  # without any answer, counted from the first failed call: two calls
-MAX_REFUSED_CONNECTIONS = 2  # connections refused one after the other: nobody listens there
+MAX_REPORT_AGE_S = 0.6  # maximum age of a report when it arrives (specified as "some hundred ms")
+ORDER_OVERDUE_S = 3.0  # beyond its expected time; then an accepted order that no report shows is given up
+RESERVATION_TTL_S = 1.5  # of freed capacity
+PURPOSE_TTL_S = 0.5  # of an unload; one that takes longer waits for running requests
+REPORT_TTL_S = 2.5  # no order is based on an older report
+UNREACHABLE_AFTER_S = 0.9  # since the first failed call, without an answer; long enough for two calls
+MAX_REFUSED_CONNECTIONS = 2  # in a row; then nothing listens there
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,9 +34,9 @@
     """A server in the platform's list.
 
     Attributes:
-        remaining_ms: Remaining lifetime in milliseconds, -1 for no end in sight.
-        models: Models according to the list, about a second old.
-        loaded_before: Models that it is known to have had loaded earlier.
+        remaining_ms: Remaining lifetime in milliseconds; -1 if unlimited.
+        models: Loaded models according to the list, which is about a second old.
+        loaded_before: Models that it has loaded at some time; their weights are on its own disk.
     """
 
     id: str
@@ -55,18 +55,18 @@
     SENDING = "sending"
     ACCEPTED = "taken"  # answered 202
     UNKNOWN = "unknown"  # no clear answer
-    SETTLING = "settling"  # answered 200: it changes nothing, but the report may be older than that
+    SETTLING = "settling"  # answered 200: nothing to do, but no report shows the result yet
 
 
 @dataclass(slots=True)
 class PendingOrder:
-    """An order that no report has shown as done.
+    """An order whose end no report has shown yet.
 
     Attributes:
         revision: Sequence that it was conditional on.
         fencing_token: Token that it was sent with.
         expected_s: Time that it should take, in seconds.
-        at_once: Loads in progress when it began.
+        concurrent_loads: Loads in progress when it was sent, including itself.
     """
 
     order: Order
@@ -78,12 +78,12 @@
     stage: OrderStage = OrderStage.SENDING
     answered_at: float = math.inf
     confirmations: int = 0
-    """How often it was sent again to learn whether it is done."""
+    """How often it was sent again to learn whether it is done (confirmation.py)."""
 
 
 @dataclass(frozen=True, slots=True)
 class Withdrawal:
-    """An unload that edges are being notified of before it is ordered at `at`."""
+    """An unload that is ordered at time `at`, once edges have stopped sending requests for the model."""
 
     order: Order
     at: float
@@ -91,26 +91,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Capacity that an unload freed for a model or adapter, reserved for it until then."""
+    """Capacity that an unload has freed for a model or adapter `ref`, reserved until time `until`."""
 
     ref: ModelRef
     until: float
 
 
 class ServerRecord:
-    """One server. There is one call at a time to it (`calling`), and one order (`pending`)."""
+    """State of one server, with at most one call (`calling`) and one order (`pending`) at a time."""
 
     def __init__(self, listed: ListedServer, now: float) -> None:
         self.listed = listed
         self.report: Report | None = None
         self.report_asked_at = -math.inf
-        self.confirmed_at = -math.inf  # when the report was last derived from a confirmed order
+        self.confirmed_at = -math.inf  # when `report` was last derived from a confirmed order
         self.calling = False
         self.next_poll_at = now
         self.pending: PendingOrder | None = None
         self.withdrawal: Withdrawal | None = None
         self.reservation: Reservation | None = None
-        self.loaded_at: dict[str, float] = {}  # when the loads of its models began that are known
+        self.loaded_at: dict[str, float] = {}  # start of the known loads, by model
         self.loaded_before = {model.name for model in listed.models} | listed.loaded_before
         self.misdirected = False
         self.no_orders_until = -math.inf
@@ -126,7 +126,7 @@
         self.loaded_before |= listed.loaded_before
 
     def reset(self, now: float) -> None:
-        """Drop the report and the order; the models that the server had loaded stay known."""
+        """Drop the report and the order; `loaded_before` is kept."""
         self.report = None
         self.report_asked_at = -math.inf
         self.confirmed_at = -math.inf
@@ -140,9 +140,9 @@
     # Reports
 
     def apply_report(self, asked_at: float, report: Report) -> PendingOrder | None:
-        """Apply a report.
+        """Apply a report that was requested at `asked_at`.
 
-        Returns the order that it shows as done or never begun, which is no longer recorded.
+        Returns the pending order if the report shows how it ended, and removes it from the record.
         """
         self._record_answer()
         if self._is_outdated(asked_at, report):
@@ -168,7 +168,7 @@
         return report.sequence < known.sequence or (report.sequence == known.sequence and report.busy)
 
     def confirm(self, now: float) -> None:
-        """Record that the pending order is done: the server says so, and no report shows it yet."""
+        """Record that the server has confirmed the pending order, ahead of any report."""
         pending, report = self.pending, self.report
         if pending is None or report is None:
             return
@@ -182,12 +182,12 @@
             self.reservation = Reservation(pending.order.purpose, now + RESERVATION_TTL_S)
 
     def reserved_for(self, now: float) -> ModelRef | None:
-        """Return what the free capacity is reserved for."""
+        """Return the model or adapter that free capacity is reserved for."""
         reservation = self.reservation
         return reservation.ref if reservation is not None and now < reservation.until else None
 
     def record_failure(self, asked_at: float, failure: ReportFailure) -> None:
-        """Record that a requested report did not arrive."""
+        """Record that a requested report failed."""
         if failure is ReportFailure.OTHER_SERVER:
             self.misdirected = True
             return
@@ -207,13 +207,13 @@
         return self._failures > 0
 
     def is_unreachable(self, now: float) -> bool:
-        """Whether the server has been unresponsive for so long that it counts as down."""
+        """Whether the server counts as unreachable."""
         if self.misdirected or self._refusals >= MAX_REFUSED_CONNECTIONS:
             return True
         return now - self._failing_since >= UNREACHABLE_AFTER_S
 
     def unreachable_at(self) -> float:
-        """Time at which it will count as down without an answer; infinite once that was noticed."""
+        """Time from which it counts as unreachable without an answer; infinite once that was noticed."""
         if self.unreachable_noticed:
             return math.inf
         return self._failing_since + UNREACHABLE_AFTER_S
@@ -221,7 +221,7 @@
     # Loaded models
 
     def loaded(self) -> Mapping[str, LoadedModel]:
-        """Return what the newest report shows, or the list if there is none yet."""
+        """Return the models of the newest report, or of the list if there is no report yet."""
         if self.report is not None:
             return self.report.models
         return {model.name: model for model in self.listed.models}
@@ -240,21 +240,21 @@
         return ready
 
     def unloading(self) -> ModelRef | None:
-        """Return what is being unloaded or is about to be."""
+        """Return the model or adapter that is being unloaded or is about to be."""
         order = self._unload()
         return order.ref if order else None
 
     def loading(self) -> ModelRef | None:
-        """Return what may be loading: in progress or of unknown outcome."""
+        """Return the model or adapter whose load is in progress or of unknown outcome."""
         pending = self.pending
         if pending is None or pending.order.operation is not Operation.LOAD:
             return None
         return pending.order.ref
 
     def purpose(self, now: float) -> ModelRef | None:
-        """Return what the current unload frees capacity for.
+        """Return the model or adapter that the current unload frees capacity for.
 
-        None if the unload takes long, because another server may be better.
+        None if the unload takes long, because another server may then be a better choice.
         """
         if self.pending is not None and now - self.pending.sent_at > PURPOSE_TTL_S:
             return None
@@ -269,7 +269,7 @@
         return None
 
     def usage(self, sizes: ModelSizes) -> Usage:
-        """Return the usage of the server, with everything that may be loading."""
+        """Return the usage of the server, including a load in progress or of unknown outcome."""
         loading = self.loading()
         return usage(self.loaded().values(), () if loading is None else (loading,), sizes)
 
@@ -277,7 +277,7 @@
 
     @property
     def schedulable(self) -> bool:
-        """Whether the server is to stay."""
+        """Whether the server may get new models: ready, without an end of life, and the one expected."""
         listed = self.listed
         return listed.state is ServerState.READY and listed.remaining_ms < 0 and not self.misdirected
 
@@ -317,7 +317,7 @@
 
 
 def too_many_unreachable(unreachable: int, all_servers: int) -> bool:
-    """Return whether so many servers are unresponsive at once that this node is probably partitioned."""
+    """Return whether so many servers are unreachable that this node itself is probably partitioned."""
     return all_servers >= 3 and unreachable > all_servers * 0.6
 
 
--- a/granitewell/controlplane/placement/orders.py
+++ b/granitewell/controlplane/placement/orders.py
@@ -1,4 +1,4 @@
-"""Wire format of engine servers: GET /report and POST /order. Names on the wire are here and nowhere else."""
+"""Client and wire format of engine servers: GET /report and POST /order."""
 
 from __future__ import annotations
 
@@ -14,14 +14,13 @@
 from granitewell.domain.servers import LoadedModel, ModelRef
 
 EXPECT_INSTANCE = "Granitewell-Expect-Instance"
-REPORT_TIMEOUT_S = 0.5  # a report takes some ms, with one packet lost some 200 ms more
-ORDER_TIMEOUT_S = 0.8  # the acceptance of an order takes some ms; the work itself is not waited for
-MAX_REPORT_BYTES = 256 * 1024  # far over a report with all models and adapters of a server
+REPORT_TIMEOUT_S = 0.5  # a report takes some ms, and some 200 ms more if a packet is lost
+ORDER_TIMEOUT_S = 0.8  # for the acceptance, which takes some ms; the work itself is not awaited
+MAX_REPORT_BYTES = 256 * 1024  # far above a report with all models and adapters of a server
 
 STATUS_MISDIRECTED = 421
 
-
-MAX_COUNT = 10**9  # of orders or requests; anything above it is no count
+MAX_COUNT = 10**9  # of orders or requests; a larger number is invalid
 
 
 class MalformedReportError(GranitewellError):
@@ -40,7 +39,7 @@
     """One order to one server.
 
     Attributes:
-        purpose: For an unload, what the capacity is for.
+        purpose: For an unload, the model or adapter that it frees capacity for.
         from_store: Whether the load counts against the weight store's rate.
     """
 
@@ -68,20 +67,20 @@
 class OrderResult(Enum):
     """What is known of an order after it was sent."""
 
-    ACCEPTED = "taken"  # 202: being done
-    ALREADY_DONE = "held"  # 200: nothing to do
-    CONFLICT = "conflict"  # 409: another order is under way, or the revision has moved
+    ACCEPTED = "taken"  # 202: in progress
+    ALREADY_DONE = "held"  # 200: the result holds already
+    CONFLICT = "conflict"  # 409: another order is in progress, or the revision has changed
     FENCED = "fenced"  # 412: the server has seen a higher fencing token
     INVALID = "invalid"  # 400 and every other refusal
     OTHER_SERVER = "other server"  # 421
-    NOT_SENT = "not sent"  # the body never left: no connection, or the lease had ended
-    UNKNOWN = "unknown"  # it may have been taken
+    NOT_SENT = "not sent"  # the body was not sent: no connection, or the lease had ended
+    UNKNOWN = "unknown"  # it may have been accepted
 
 
 class ReportFailure(Enum):
     """Why there is no report."""
 
-    REFUSED = "refused"  # no connection: nobody listens there
+    REFUSED = "refused"  # connection refused
     NO_ANSWER = "no answer"
     BAD_ANSWER = "bad answer"
     OTHER_SERVER = "other server"
@@ -105,7 +104,7 @@
 
 
 class ServerClient(Protocol):
-    """Calls to servers; replaced in tests."""
+    """Calls to servers."""
 
     async def report(self, server_id: str, address: str) -> Report | ReportFailure:
         """Return the server's report."""
@@ -113,7 +112,7 @@
     async def send(
         self, address: str, order: Order, ticket: OrderTicket, may_send: Callable[[], bool]
     ) -> OrderResult:
-        """Send an order; `may_send` is called in the turn of the event loop in which its body is sent."""
+        """Send an order; `may_send` is called in the event loop iteration in which its body is sent."""
 
 
 def parse_report(body: bytes) -> Report:
@@ -142,7 +141,7 @@
 
 
 def _count(value: Any) -> int:
-    """Return a number of requests; 0 for anything that is none, since nothing depends on it alone."""
+    """Return a number of requests, or 0 if it is invalid: it is informative only."""
     return int(value) if _is_count(value) else 0
 
 
@@ -167,19 +166,16 @@
 
 
 def order_result(status: int) -> OrderResult:
-    """Return what a status tells about an order.
-
-    After a failure of the server itself the outcome is unknown.
-    """
+    """Return the result of an order by HTTP status. After a 5xx the outcome is unknown."""
     if status >= 500:
         return OrderResult.UNKNOWN
     return _RESULTS.get(status, OrderResult.INVALID)
 
 
 class _GuardedBody:
-    """The body of an order that asks for permission at the moment when it is written.
+    """Body of an order that checks the lease at the moment when it is written.
 
-    If a connection had to be opened first, that is later than the call.
+    That is later than the call if a connection has to be opened first.
     """
 
     def __init__(self, body: bytes, may_send: Callable[[], bool]) -> None:
@@ -188,7 +184,7 @@
         self.was_sent = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body, or raise an error if it may no longer be sent."""
+        """Yield the body; raises OSError if it may no longer be sent."""
         if not self._may_send():
             raise OSError("the lease ended before the order left")
         self.was_sent = True
@@ -238,7 +234,7 @@
     async def send(
         self, address: str, order: Order, ticket: OrderTicket, may_send: Callable[[], bool]
     ) -> OrderResult:
-        """Send an order. Without a clear answer its outcome is unknown if its body was sent."""
+        """Send an order. Without an answer, its outcome is unknown if the body was sent."""
         body = encode_order(order, ticket)
         guarded = _GuardedBody(body, may_send)
         headers = {
--- a/granitewell/controlplane/placement/placement_pass.py
+++ b/granitewell/controlplane/placement/placement_pass.py
@@ -1,4 +1,8 @@
-"""Selection of the server for a model or an adapter, and of what is evicted first, for one plan. No I/O."""
+"""Selection of servers and of evictions within one plan. No I/O.
+
+A candidate server is rated by a cost in seconds: the expected wait until it can serve, and the waiting that
+its evictions and its other work cause.
+"""
 
 from __future__ import annotations
 
@@ -14,25 +18,27 @@
 from granitewell.domain.configuration import Model
 from granitewell.domain.servers import ModelRef
 
-# Cost of a candidate, in seconds of waiting
-UNLOAD_COST_S = 0.2  # until a report shows an unload
-BUSY_UNLOAD_COST_S = 1.5  # the same where runs must end first
-VALUE_COST_S = 10.0  # seconds for one miss a second
-STORE_LOAD_COST_S = 0.3  # beyond the load time: waiting for the store's rate and for other loads
-BUSY_SERVER_COST_S = 0.1  # for each request a second that the server already has of busy models
-SAME_ZONE_COST_S = 0.3
-ADAPTER_HOST_COST_S = 0.15  # a load holds up orders for adapters on this server
+# Costs of a candidate
+UNLOAD_COST_S = 0.2  # of an unload, until a report shows it
+BUSY_UNLOAD_COST_S = 1.5  # of an unload that waits for requests in flight to end
+VALUE_COST_S = 10.0  # of an evicted value of one miss per second
+STORE_LOAD_COST_S = (
+    0.3  # of a load from the store, beyond its load time: waiting for the rate and other loads
+)
+BUSY_SERVER_COST_S = 0.1  # per request per second that the server already serves for busy models
+SAME_ZONE_COST_S = 0.3  # of a zone that has a copy already
+ADAPTER_HOST_COST_S = 0.15  # of a server with active adapters: a load delays orders for adapters
 
-# A server takes no order for an adapter, which takes some ms, while it loads a model, which takes seconds.
-MIN_MISSES_PER_LOAD = 1.0  # adapters that requests begin to wait for during a load, from which that matters
-MIN_FREE_HOSTS_FRACTION = 0.5  # of a model's servers that then stay free for orders
+# A load of a model takes seconds. Meanwhile the server accepts no order for an adapter, which takes some ms.
+MIN_MISSES_PER_LOAD = 1.0  # expected misses of adapters during a load, from which free servers are kept
+MIN_FREE_HOSTS_FRACTION = 0.5  # of a model's servers that are kept free for orders
 
-MAX_EVICTIONS = 4  # unloads for a waiting load, at once, beyond the loads that may begin
+MAX_EVICTIONS = 4  # concurrent unloads that free capacity, and servers reserved for a load that has to wait
 
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """A server for a load, what must be evicted first, and the cost."""
+    """A server for a load, the models that must be evicted first, and the cost in seconds."""
 
     server: ServerView
     victims: tuple[ModelRef, ...]
@@ -40,7 +46,7 @@
 
 
 class PlacementPass:
-    """Places what the planner asks for, with at most one order per server."""
+    """Collects the orders of one plan, at most one per server."""
 
     def __init__(
         self,
@@ -61,15 +67,15 @@
         self.purposes = Counter(s.purpose for s in servers if s.purpose is not None)
         self.taken: set[str] = (
             set()
-        )  # servers ordered in this plan to load a model or to free capacity for one
-        self._reserved: set[str] = set()  # servers with capacity for a load that the store's rate delays
+        )  # servers that this plan orders to load a model or to free capacity for one
+        self._reserved: set[str] = set()  # servers kept for a load that waits for the store's rate
 
     def has_free_servers(self) -> bool:
         """Whether an order may still be sent to any server."""
         return bool(self.free)
 
     def loads_in_progress(self) -> int:
-        """Loads of models, and unloads that free capacity for them."""
+        """Return the number of loads of models, and of unloads that free capacity, in progress."""
         return self._loading + self.purposes.total()
 
     # A model
@@ -119,9 +125,8 @@
                 rate_limited = _cheaper(rate_limited, candidate)
         if rate_limited is None or (best is not None and not best.victims):
             return best
-        self._reserved.add(
-            rate_limited.server.id
-        )  # it has capacity: nothing need be unloaded while the store is busy
+        # The server has capacity, so nothing is evicted elsewhere while the load waits for the store's rate.
+        self._reserved.add(rate_limited.server.id)
         return None
 
     def _is_reserved_for_another(self, server: ServerView, name: str) -> bool:
@@ -161,7 +166,7 @@
         return _Candidate(server, victims, cost + self._server_cost(server, model))
 
     def _delays_adapters(self, server: ServerView, model: Model) -> bool:
-        """Return whether a load would leave too few servers that take orders for adapters in demand."""
+        """Return whether a load would leave too few servers free for orders of adapters in demand."""
         load_s = self._load_duration_s(server, model)
         for name in server.loaded:
             misses = self._fleet.demand.adapter_misses.get(name, 0.0)
@@ -174,7 +179,7 @@
         return False
 
     def _candidate_replacing_unknown(self, server: ServerView, model: Model) -> _Candidate | None:
-        """Return a candidate whose model of unknown size is evicted first, as it counts as all memory."""
+        """Return a candidate that first evicts a model of unknown size, which counts as all memory."""
         unknown = [loaded for loaded in server.loaded if math.isinf(self._sizes.weights_mb(loaded))]
         if not unknown:
             return None
--- a/granitewell/controlplane/placement/planner.py
+++ b/granitewell/controlplane/placement/planner.py
@@ -1,15 +1,16 @@
-"""Plans orders from servers and demand. Level-triggered, no I/O: each call plans from what is seen now.
+"""Plans orders from servers and demand. Level-triggered, no I/O: each call plans from the current state.
 
-In this order, with at most one order per server and call:
+Each call issues at most one order per server, in this order of priority:
 
-1. adapters that requests wait for, on a server that has their model: some ms, while a load takes seconds;
-2. models that requests wait for and no lasting server has, and those whose replicas are overloaded;
-3. models and adapters with fewer replicas than their demand needs;
-4. copies with an older version of the weights than another copy, one of each model at a time;
-5. capacity freed ahead of the next miss.
+1. Load adapters that requests wait for, on a server that has their model; this takes some ms, a model
+   seconds.
+2. Load models that requests wait for and no schedulable server has, and scale out overloaded models.
+3. Load models and adapters with fewer copies than their demand needs.
+4. Replace copies with an older version of the weights than another copy, one copy of a model at a time.
+5. Free capacity ahead of the next miss.
 
-If a load needs capacity, the replicas of the lowest value are evicted first. The value of a replica is
-roughly the rate of requests that would miss it. Nothing is evicted without need.
+If a load needs capacity, the copies of the lowest value are evicted first. The value of a copy is roughly the
+rate of requests that would miss it. Nothing is evicted without need.
 """
 
 from __future__ import annotations
@@ -29,33 +30,27 @@
 
 __all__ = ["BUSY_RATE_PER_S", "KEEP_RATE_PER_S", "ServerView", "StoreView", "plan"]
 
-BUSY_ADAPTER_RATE_PER_S = (
-    1.5  # requests a second from which an adapter has two copies: it comes back in some ms
-)
+BUSY_ADAPTER_RATE_PER_S = 1.5  # from here an adapter gets two copies; one is reloaded in some ms
 
-# Value that may be given up, in misses a second
-SCALE_OUT_VALUE = 0.3  # value that may be given up for each request a second taken off a copy
-MAX_VALUE_FOR_WAITING = 1.2  # value that may be given up for a request that waits
-MAX_VALUE_FOR_NEW_WAITING = 0.3  # the same when it has only begun to wait
-MAX_VALUE_FOR_SPARE = 0.25  # value that may be given up for a copy that nobody waits for
-MAX_VALUE_FOR_CAPACITY = 0.12  # value that may be evicted to free capacity ahead of need
+# Value that may be evicted, in misses per second
+SCALE_OUT_VALUE = 0.3  # per request per second that an additional copy takes off each existing one
+MAX_VALUE_FOR_WAITING = 1.2  # for a model or adapter that requests wait for
+MAX_VALUE_FOR_NEW_WAITING = 0.3  # for one that requests have only begun to wait for
+MAX_VALUE_FOR_SPARE = 0.25  # for a copy that no request waits for
+MAX_VALUE_FOR_CAPACITY = 0.12  # to free capacity ahead of need
 
 # Urgency
-PRIORITY_WEIGHTS = (3.0, 2.0, 1.0, 0.7, 0.5)  # of one request, by its priority
-WAIT_OFFSET_S = 0.5  # added to the time waited: what has waited long passes what is merely urgent
-SCALE_OUT_WEIGHT = 2.0  # of one request a second that another copy takes off each of those there are
-EXCESS_WEIGHT = 3.0  # of a request in flight beyond what the copies run in time: like one that waited 2.5 s
+PRIORITY_WEIGHTS = (3.0, 2.0, 1.0, 0.7, 0.5)  # of one request, by priority
+WAIT_OFFSET_S = 0.5  # added to the time waited, so that long waits outweigh higher priorities
+SCALE_OUT_WEIGHT = 2.0  # per request per second that an additional copy takes off each existing one
+EXCESS_WEIGHT = 3.0  # of a request in flight beyond those served in time; equals a wait of 2.5 s
 
 # Limits
-MAX_SCALE_OUT_FRACTION = (
-    1 / 6
-)  # of the servers that load further replicas at once while other models are missed
-MAX_SPARE_LOADS = 2  # loads that nobody waits for, at once
-MAX_FAILED_PLACEMENTS = (
-    12  # models that could not be placed, after which the rest of the queue is left for later
-)
-EVICTION_HORIZON_S = 0.9  # horizon of misses that find free capacity: about an unload, its report and a load
-MAX_SPARE_SERVERS_FRACTION = 0.34  # maximum fraction of servers on which capacity is freed ahead of need
+MAX_SCALE_OUT_FRACTION = 1 / 6  # of the servers that may add copies while other models are missed
+MAX_SPARE_LOADS = 2  # concurrent loads that no request waits for
+MAX_FAILED_PLACEMENTS = 12  # per plan; then the remaining urgent models are left for the next plan
+EVICTION_HORIZON_S = 0.9  # for expected misses; about the time of an unload, its report and a load
+MAX_SPARE_SERVERS_FRACTION = 0.34  # of the servers, on which capacity is freed ahead of need
 
 
 def plan(
@@ -119,9 +114,9 @@
     # 2. Models that requests wait for
 
     def load_urgent_models(self) -> None:
-        """Load models that requests wait for and no lasting server has, or whose replicas are overloaded.
+        """Load models that requests wait for and no schedulable server has, or whose copies are overloaded.
 
-        One more replica of one model at a time, the most urgent first.
+        Each step adds one copy of the most urgent model.
         """
         urgent = {name: urgency for name in self._fleet.desired if (urgency := self._urgency_of(name)) > 0}
         if any(self._fleet.is_missed(name) for name in urgent):
@@ -141,7 +136,7 @@
         self._blocked_waiting = failures > 0 or not self._placing.free
 
     def _urgency_of(self, name: str) -> float:
-        """Return how much is lost until a model has one more replica; 0 if that is not urgent."""
+        """Return the urgency of one more copy of a model; 0 if it is not urgent."""
         seen = self._demand.models[name]
         if self._fleet.is_missed(name):
             return 0.0 if ModelRef(name) in self._placing.purposes else _urgency(seen, self._demand.at)
@@ -154,12 +149,12 @@
         return SCALE_OUT_WEIGHT * self._scale_out_gain(name) + EXCESS_WEIGHT * excess_in_flight
 
     def _scale_out_gain(self, name: str) -> float:
-        """Return the rate that one more replica would take off each existing one, in requests per second."""
+        """Return the rate that an additional copy takes off each existing one, in requests per second."""
         copies = self._expected_copies(name)
         return self._demand.models[name].rate / (copies * (copies + 1))
 
     def _expected_copies(self, name: str) -> int:
-        """Return the number of replicas, including those for which capacity is being freed."""
+        """Return the number of copies, including those for which capacity is being freed; at least 1."""
         return max(1, self._fleet.copies_of(name).count + self._placing.purposes[ModelRef(name)])
 
     def _place_urgent(self, name: str) -> bool:
@@ -174,7 +169,7 @@
         return self._placing.place_model(name, max_value, self._concurrent_loads)
 
     def _scale_outs_in_progress(self) -> int:
-        """Return how many loads, and unloads for them, are for one more replica of a model that has some."""
+        """Return the number of loads, and unloads for them, that add a copy to a model with a ready copy."""
         loading = sum(1 for server in self._fleet.schedulable if self._is_scale_out(server.loading))
         freeing = sum(count for ref, count in self._placing.purposes.items() if self._is_scale_out(ref))
         ordered = sum(
@@ -186,14 +181,14 @@
         return ref is not None and not ref.adapter and self._fleet.copies_of(ref.model).ready > 0
 
     def _max_value_for_waiting(self, seen: RefDemand) -> float:
-        """Return the value that may be evicted: little at first, because a better server may be free soon."""
+        """Return the value that may be evicted: low at first, because a better server may soon be free."""
         waited = max(0.0, self._demand.at - seen.waiting_since)
         return min(MAX_VALUE_FOR_WAITING, MAX_VALUE_FOR_NEW_WAITING + round(waited, 1))
 
-    # 3. Replicas that demand needs
+    # 3. Copies that demand needs
 
     def load_spare_models(self) -> None:
-        """Load models with fewer lasting replicas than desired, the worst first."""
+        """Load models with fewer copies than desired, those with the fewest copies first."""
         short = [
             (name, self._demand.models[name])
             for name, desired in self._fleet.desired.items()
@@ -208,7 +203,7 @@
                 self._placing.place_model(name, MAX_VALUE_FOR_SPARE, max_loads)
 
     def load_spare_adapters(self) -> None:
-        """Load adapters in use that have too few replicas."""
+        """Load adapters in use that have too few copies."""
         for ref, seen in self._demand.adapters.items():
             if seen.waiting or seen.rate < KEEP_RATE_PER_S or not self._fleet.is_adapter(ref):
                 continue
@@ -220,10 +215,10 @@
     # 4. Newer versions
 
     def replace_outdated_models(self) -> None:
-        """Replace copies with older weights of models in demand, as a load brings the newest.
+        """Replace copies with older weights of models in demand; a load brings the newest version.
 
-        Never while another copy of the model comes or goes. A further copy is loaded before an older one is
-        unloaded; only where no server can take one, an older copy is unloaded first and loaded again.
+        At most one copy of a model changes at a time. A further copy is loaded before an older one is
+        unloaded. Only if no server can take one, an older copy is unloaded first and loaded again.
         """
         outdated = {name for server in self._fleet.schedulable for name in server.outdated}
         for name in sorted(outdated & self._fleet.desired.keys()):
@@ -231,7 +226,7 @@
                 self._replace_outdated(name)
 
     def _is_changing(self, name: str) -> bool:
-        """Return whether a copy of a model comes or goes."""
+        """Return whether a copy of a model is being loaded or unloaded, or capacity is being freed for it."""
         ref = ModelRef(name)
         if ref in self._placing.purposes or any(order.ref == ref for order in self.orders):
             return True
@@ -255,10 +250,7 @@
     # 5. Capacity ahead of need
 
     def evict_for_capacity(self) -> None:
-        """Evict the models of the lowest value on a few servers.
-
-        The next miss then needs no unload first.
-        """
+        """Evict the models of the lowest value on a few servers, so that the next miss needs no unload."""
         if self._blocked_waiting or not self._demand.misses_per_s:
             return
         most = int(len(self._fleet.schedulable) * MAX_SPARE_SERVERS_FRACTION)
@@ -273,12 +265,12 @@
                 return
 
     def _typical_mb(self) -> float:
-        """Return a size that fits most models that are on no server, in MB."""
+        """Return the 90th percentile of the sizes of models without a copy, in MB."""
         away = self._fleet.missing_sizes_mb()
         return away[int(len(away) * 0.9)] if away else math.inf
 
     def _has_spare_capacity(self, server: ServerView, size: float) -> bool:
-        """Return whether a server has or gets capacity that is not reserved."""
+        """Return whether a server has, or is freeing, capacity that is not reserved."""
         is_reserved = server.purpose or server.reserved_for or server.id in self._placing.taken
         return not is_reserved and self._has_capacity(server, size)
 
@@ -310,10 +302,7 @@
 
 
 def _urgency(seen: RefDemand, now: float) -> float:
-    """Return the urgency of waiting requests.
-
-    It depends on their number now and soon, their priority, and how long they have waited.
-    """
+    """Return the urgency of waiting requests, by number, rate, priority and time waited."""
     weight = PRIORITY_WEIGHTS[min(max(seen.priority, 0), len(PRIORITY_WEIGHTS) - 1)]
     waited = max(0.0, now - seen.waiting_since)
     return weight * (seen.waiting + seen.rate) * (WAIT_OFFSET_S + waited)
--- a/granitewell/controlplane/placement/polling.py
+++ b/granitewell/controlplane/placement/polling.py
@@ -1,4 +1,4 @@
-"""When each server is polled for its report. No I/O."""
+"""Schedule of the polls for the servers' reports. No I/O."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from granitewell.controlplane.placement.observation import ServerRecord
 from granitewell.controlplane.placement.orders import ReportFailure
 
-POLL_INTERVAL_S = 1.0  # between reports of a server without an order: each costs as much as a health probe
+POLL_INTERVAL_S = 1.0  # without an order; a report costs a server as much as a health probe
 REFUSED_POLL_INTERVAL_S = 0.25  # after a refused connection
-TIMEOUT_POLL_INTERVAL_S = 0.05  # after a poll that timed out, which has taken long enough
-UNREACHABLE_POLL_INTERVAL_S = 0.6  # while a server counts as down
-ORDER_POLL_INTERVAL_S = 0.07  # while an order is about to be done
-OVERDUE_POLL_INTERVAL_S = 0.2  # when it takes far longer than expected
-FIRST_POLL_SPREAD_S = 0.05  # over which the first reports of all servers are spread
-RESULT_POLL_FRACTION = 0.9  # of the expected time of an order
-MIN_FIRST_POLL_DELAY_S = 0.05
+TIMEOUT_POLL_INTERVAL_S = 0.05  # after a timeout, which was a long wait already
+UNREACHABLE_POLL_INTERVAL_S = 0.6  # while a server counts as unreachable
+ORDER_POLL_INTERVAL_S = 0.07  # while an order is about to complete
+OVERDUE_POLL_INTERVAL_S = 0.2  # while an order takes far longer than expected
+FIRST_POLL_SPREAD_S = 0.05  # over which the first polls of all servers are spread
+RESULT_POLL_FRACTION = 0.9  # of the expected time of an order, after which its result is polled
+MIN_FIRST_POLL_DELAY_S = 0.05  # after the acceptance of an order
 
 
 def after_report(now: float, record: ServerRecord, rng: Random) -> float:
@@ -31,7 +31,7 @@
 
 
 def after_miss(now: float, record: ServerRecord, failure: ReportFailure, rng: Random) -> float:
-    """Return when to poll again after a report that did not arrive."""
+    """Return when to poll again after a failed poll."""
     pause = TIMEOUT_POLL_INTERVAL_S if failure is ReportFailure.NO_ANSWER else REFUSED_POLL_INTERVAL_S
     if record.is_unreachable(now):
         pause = UNREACHABLE_POLL_INTERVAL_S
@@ -39,17 +39,17 @@
 
 
 def after_acceptance(now: float, expected_s: float) -> float:
-    """Return when to poll for the result of an order that a server has accepted."""
+    """Return when to poll for the result of an accepted order."""
     return now + max(MIN_FIRST_POLL_DELAY_S, RESULT_POLL_FRACTION * expected_s)
 
 
 def after_confirmation(now: float, rng: Random) -> float:
-    """Return when to poll after an order was confirmed: later than reports may be old."""
+    """Return when to poll after a confirmation: only once reports must be newer than it."""
     return now + POLL_INTERVAL_S * _jitter(rng)
 
 
 def first_poll(now: float, rng: Random) -> float:
-    """Return when to poll a server of which nothing is known."""
+    """Return when to poll a server for the first time."""
     return now + rng.random() * FIRST_POLL_SPREAD_S
 
 
--- a/granitewell/controlplane/placement/readiness.py
+++ b/granitewell/controlplane/placement/readiness.py
@@ -9,7 +9,10 @@
 
 
 class Readiness:
-    """Ready models by server. A server that counts as down has none, unless nearly all seem to be down."""
+    """Ready models by server.
+
+    An unreachable server has none, unless so many are unreachable that this node is probably partitioned.
+    """
 
     def __init__(self, records: Mapping[str, ServerRecord]) -> None:
         self._records = records
@@ -27,13 +30,16 @@
         return changed
 
     def unreachable(self, now: float) -> set[str]:
-        """Servers that count as down."""
+        """Return the ids of servers that count as unreachable.
+
+        If most do, these are only servers whose address belongs to another instance now.
+        """
         unreachable = {server_id for server_id, record in self._records.items() if record.is_unreachable(now)}
         certain = {server_id for server_id in unreachable if self._records[server_id].misdirected}
         return certain if too_many_unreachable(len(unreachable), len(self._records)) else unreachable
 
     def publish_all(self, now: float) -> None:
-        """Apply what all records show."""
+        """Update the ready models of all servers."""
         for gone in [known for known in self._published if known not in self._records]:
             del self._published[gone]
         unreachable = self.unreachable(now)
@@ -41,7 +47,7 @@
             self._set(server_id, {} if server_id in unreachable else record.ready())
 
     def publish(self, now: float, record: ServerRecord) -> None:
-        """Apply what one record shows, unless its server is no longer listed."""
+        """Update the ready models of one server, unless it is no longer listed."""
         server_id = record.listed.id
         if self._records.get(server_id) is not record:
             return
--- a/granitewell/controlplane/placement/reconciler.py
+++ b/granitewell/controlplane/placement/reconciler.py
@@ -1,14 +1,14 @@
 """The placement loop without I/O: events in, polls and orders out.
 
-Rules enforced here, whatever the planner says:
+Rules enforced here, independently of the planner:
 
-- one call at a time per server;
-- no order while the caller says that this node may not send orders;
-- nothing is sent with a fencing token once a server has refused it, or a higher one, for a higher token;
-- nothing is unloaded before every edge had time to report its demand;
-- a model for which requests are sent is unloaded only after the edges had time to be notified.
+- At most one call per server is in progress.
+- No order is sent while the caller reports that this node may not send orders.
+- Once a server has refused a fencing token for a higher one, nothing is sent with that token or a lower one.
+- Nothing is unloaded before every edge has had time to report its demand.
+- A model in use is unloaded only after edges have had time to learn of it.
 
-The conditions of an order itself are checked in issuing.py.
+The conditions of each order are checked in issuing.py.
 """
 
 from __future__ import annotations
@@ -44,21 +44,22 @@
 from granitewell.domain.configuration import Engine
 from granitewell.domain.servers import LoadedModel, ModelDemand, ModelRef
 
-WITHDRAWAL_DELAY_S = 0.2  # until edges have stopped sending for what was withdrawn
-RECENT_USE_S = 2.0  # without a request for this long, a model is unloaded without waiting for the edges
-PLAN_INTERVAL_S = 0.25  # between plans when nothing happens
+WITHDRAWAL_DELAY_S = 0.2  # from the withdrawal of a model until edges have stopped sending requests for it
+RECENT_USE_S = 2.0  # after the last request; later a model is unloaded without waiting for the edges
+PLAN_INTERVAL_S = 0.25  # between plans without an event
 MIN_PLAN_INTERVAL_S = 0.02
-FIRST_PLAN_DELAY_S = 0.1  # before the first plan, so that it knows all servers
-FIRST_UNLOAD_DELAY_S = (
-    1.2  # before the first unload: edges report every second, till then nothing seems in use
-)
-CONFLICT_BACKOFF_S = 0.25  # a report asked for earlier may not show why an order was refused
+FIRST_PLAN_DELAY_S = 0.1  # for the first reports of all servers
+FIRST_UNLOAD_DELAY_S = 1.2  # edges report every second; until then all models seem unused
+CONFLICT_BACKOFF_S = 0.25  # a report requested earlier may not show the cause of the conflict
 INVALID_BACKOFF_S = 2.0
 UNSENT_BACKOFF_S = 0.1
 
 
 class PlacementReconciler:
-    """Placement of one service. Call the event methods as things happen, and due() when next_at() says."""
+    """Placement of one service.
+
+    The caller passes events as they happen, and calls due() at the time that next_at() returns.
+    """
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
@@ -66,7 +67,7 @@
         self._records: dict[str, ServerRecord] = {}
         self._demand = DemandTable()
         self._running = False
-        self._refused_token = -1  # highest fencing token that a server has refused: another node has a higher
+        self._refused_token = -1  # highest fencing token refused by a server: another owner has a higher one
         self._plan_at = math.inf
         self._planned_at = -math.inf
         self._unload_from = math.inf
@@ -79,9 +80,9 @@
     # Events
 
     def start(self, now: float) -> None:
-        """Begin after ownership was gained.
+        """Start after ownership was gained.
 
-        Only the list and the models that servers had loaded are known.
+        Only the platform's list and the models that servers had loaded before are known.
         """
         self._running = True
         self._demand = DemandTable()
@@ -92,7 +93,7 @@
         self._unload_from = now + FIRST_UNLOAD_DELAY_S
 
     def stop(self, now: float) -> None:
-        """End after ownership was lost."""
+        """Stop after ownership was lost."""
         self._running = False
         self._plan_at = math.inf
         self._forget(now)
@@ -133,7 +134,7 @@
         self._readiness.publish_all(now)
 
     def add_demand(self, now: float, demands: Iterable[ModelDemand], source: str = "") -> None:
-        """Record the demand that an edge, `source`, has reported."""
+        """Record the demand reported by the edge named `source`."""
         if self._demand.add(now, demands, source):
             self._schedule_plan(now)
 
@@ -163,14 +164,14 @@
 
     def _miss_report(self, now: float, record: ServerRecord, asked_at: float, failure: ReportFailure) -> None:
         unreachable = record.is_unreachable(now)
-        asked_at = max(asked_at, now - REPORT_TIMEOUT_S)  # earlier only if this process did not run
+        asked_at = max(asked_at, now - REPORT_TIMEOUT_S)  # earlier only if this process was suspended
         record.record_failure(asked_at, failure)
         record.next_poll_at = polling.after_miss(now, record, failure, self._rng)
         if record.is_unreachable(now) and not unreachable:
             self._schedule_plan(now)
 
     def on_order(self, now: float, order: Order, fencing_token: int, result: OrderResult) -> None:
-        """Handle the answer to an order that was sent with a fencing token, or its timeout."""
+        """Handle the result of an order that was sent with a fencing token."""
         record = self._records.get(order.server_id)
         pending = record.pending if record is not None else None
         if result is OrderResult.FENCED:
@@ -213,7 +214,7 @@
             self._schedule_plan(now)
         elif result is OrderResult.CONFLICT:
             record.next_poll_at = now + confirmation.confirmation_delay_s(pending.confirmations)
-        elif result is OrderResult.ACCEPTED:  # something else has undone it
+        elif result is OrderResult.ACCEPTED:  # its result had been undone
             pending.stage = OrderStage.UNKNOWN
             pending.answered_at = now
             record.next_poll_at = now
@@ -222,7 +223,7 @@
             record.next_poll_at = now
 
     def _on_rejection(self, now: float, record: ServerRecord, result: OrderResult) -> None:
-        """Handle an order that did not and will not begin."""
+        """Handle an order that was not and will not be executed."""
         if result is OrderResult.OTHER_SERVER:
             record.misdirected = True
             self._readiness.publish_all(now)
@@ -238,7 +239,7 @@
     # Steps
 
     def next_at(self) -> float:
-        """Return when due() has something to do, unless an event arrives first."""
+        """Return the time at which due() has something to do, unless an event arrives first."""
         if not self._running:
             return math.inf
         times = [self._plan_at]
@@ -252,7 +253,7 @@
         return min(times)
 
     def due(self, now: float, holder: str, fencing_token: int, may_order: bool) -> list[Step]:
-        """Return the calls to begin now. Each must be answered by on_report or on_order."""
+        """Return the calls to start now; the result of each must be passed to on_report or on_order."""
         if not self._running:
             return []
         steps: list[Step] = []
@@ -269,7 +270,7 @@
         return steps
 
     def _notice_unreachable(self, now: float) -> None:
-        """Publish servers that have become unresponsive by the passing of time alone."""
+        """Publish servers that have become unreachable without an event, by their timeout."""
         turned = [record for record in self._records.values() if record.unreachable_at() <= now]
         for record in turned:
             record.unreachable_noticed = True
@@ -291,7 +292,7 @@
         return steps
 
     def _may_confirm(self, pending: PendingOrder) -> bool:
-        """Return whether an order's end may be learned by sending it again."""
+        """Return whether an order is to be confirmed by sending it again."""
         return (
             pending.stage is OrderStage.ACCEPTED
             and pending.confirmations < confirmation.MAX_CONFIRMATIONS
@@ -405,7 +406,7 @@
                 self._readiness.publish(now, record)
 
     def _wanted_again(self, now: float, record: ServerRecord, ref: ModelRef) -> bool:
-        """Return whether requests have begun to wait for a model whose last replica was to be unloaded."""
+        """Return whether requests wait for a model whose last copy is about to be unloaded."""
         if not self._demand.view(now).of(ref).waiting:
             return False
         others = (other for other in self._records.values() if other is not record and other.schedulable)
--- a/granitewell/controlplane/placement/server_session.py
+++ b/granitewell/controlplane/placement/server_session.py
@@ -1,10 +1,9 @@
-"""Connections to servers, for reports and orders, with two corrections of aiohttp's behavior.
+"""Connections to servers, for reports and orders, with two changes of aiohttp's behavior.
 
-- Bytes that arrive while no call is in progress belong to no call: the connection is closed at once. The
-  library would keep a late answer and return it to the next call.
-- Closing resets the connection. An order without an answer is thus removed from the network: what a partition
-  or a slow link still holds of it cannot arrive seconds later, when another machine sends orders to that
-  server.
+- If bytes arrive while no call is in progress, the connection is closed at once. aiohttp would keep a late
+  answer and return it to the next call.
+- Closing a connection sends a RST. An unanswered order that a partition or a slow link holds back can then no
+  longer arrive seconds later, when another machine sends orders to that server.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-ACK_TIMEOUT_MS = 800  # of bytes that a server's machine does not acknowledge: no order lasts longer
+ACK_TIMEOUT_MS = 800  # TCP_USER_TIMEOUT; unacknowledged bytes of an order are dropped after it
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -30,31 +29,31 @@
         self._call_in_progress = False
 
     def set_response_params(self, *args: object, **options: object) -> None:
-        """Begin a call; the library calls this before it writes anything."""
+        """Begin a call; aiohttp calls this before it writes a request."""
         super().set_response_params(*args, **options)  # type: ignore[arg-type]
         self._call_in_progress = True
 
     def data_received(self, data: bytes) -> None:
-        """Handle bytes of an answer, or of none."""
+        """Handle bytes of an answer; abort the connection if no call is in progress."""
         if data and not self._call_in_progress:
             self.abort()
             return
         super().data_received(data)
 
     def end_call(self) -> None:
-        """Record that the answer was read completely."""
+        """Record that the answer has been read completely."""
         self._call_in_progress = False
 
 
 class ServerConnector(aiohttp.TCPConnector):
-    """The pool of such connections."""
+    """Connection pool of `ServerConnection`."""
 
     def __init__(self) -> None:
         super().__init__(socket_factory=_open_socket, use_dns_cache=False)
         self._factory = functools.partial(ServerConnection, loop=self._loop)  # type: ignore[assignment]
 
     def _release(self, key: object, protocol: ResponseHandler, *, should_close: bool = False) -> None:
-        """End a call."""
+        """Return a connection to the pool at the end of its call."""
         if isinstance(protocol, ServerConnection):
             protocol.end_call()
         super()._release(key, protocol, should_close=should_close)  # type: ignore[arg-type]
--- a/granitewell/controlplane/placement/values.py
+++ b/granitewell/controlplane/placement/values.py
@@ -1,4 +1,4 @@
-"""Value of a replica, in misses per second if it were evicted, and what to evict for capacity. No I/O."""
+"""Value of a copy, in misses per second if it were evicted, and choice of evictions. No I/O."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from granitewell.controlplane.placement.views import ServerView
 from granitewell.domain.servers import ModelRef
 
-UNREQUESTED_VALUE = 0.02  # of a model not asked for yet: about the rate of one of many rare models
-SURPLUS_COPY_VALUE = 0.03  # of a copy beyond those wanted, while its model is in use
-SECOND_COPY_VALUE = 0.5  # of a wanted second copy: a crash or a hot spot away from being the only one
-RECENT_USE_VALUE = 0.5  # of the last copy of a model asked for just now, falling to 0 over RECENT_S
+UNREQUESTED_VALUE = 0.02  # of a model never requested; about the rate of one of many rare models
+SURPLUS_COPY_VALUE = 0.03  # of a copy beyond those desired, while its model is in use
+SECOND_COPY_VALUE = 0.5  # of a desired second copy, which protects from a crash or a hot spot
+RECENT_USE_VALUE = 0.5  # of the last copy of a model just requested; falls to 0 over RECENT_USE_TTL_S
 RECENT_USE_TTL_S = 2.0
-SURPLUS_IDLE_S = 3.0  # without a request for this long, a model's extra replicas have no value
+SURPLUS_IDLE_S = 3.0  # after the last request; then surplus copies have no value
 
 
 class CopyValues:
-    """Values of the replicas of one plan, each computed once."""
+    """Values of the copies within one plan, each computed once."""
 
     def __init__(self, fleet: FleetView) -> None:
         self._fleet = fleet
         self._values: dict[str, float] = {}
-        self._ranked: dict[str, list[tuple[float, str]]] = {}  # by server: its models, by value
-        self._reclaimable: dict[tuple[str, float], float] = {}  # by server and value: memory that may be had
+        self._ranked: dict[str, list[tuple[float, str]]] = {}  # by server: (value, model) in ascending order
+        self._reclaimable: dict[tuple[str, float], float] = {}  # by server and maximum value: MB
 
     def _value(self, server: ServerView, name: str) -> float:
-        """Return the value of a model's replica on a server; infinite if it must stay."""
+        """Return the value of a model's copy on a server; infinite if it must not be evicted."""
         value = self._values.get(name)
         if value is None:
             value = self._model_value(name)
@@ -52,7 +52,7 @@
         return seen.rate + recent
 
     def adapter_value(self, ref: ModelRef) -> float:
-        """Return the value of an adapter's replicas; infinite if it must stay."""
+        """Return the value of a copy of an adapter; infinite if it must not be evicted."""
         seen = self._fleet.demand.of(ref)
         if self._fleet.adapter_copies(ref) > 1:
             return seen.rate / 2
@@ -61,7 +61,7 @@
         return seen.rate + RECENT_USE_VALUE * max(0.0, 1.0 - seen.idle_s / RECENT_USE_TTL_S)
 
     def ranking(self, server: ServerView) -> list[tuple[float, str]]:
-        """Return the models of a server by value."""
+        """Return the models of a server with their values, in ascending order of value."""
         ranking = self._ranked.get(server.id)
         if ranking is None:
             ranking = sorted((self._value(server, name), name) for name in server.loaded)
@@ -69,7 +69,7 @@
         return ranking
 
     def reclaimable_mb(self, server: ServerView, max_value: float) -> float:
-        """Return the memory that a server has after evicting all replicas of at most that value, in MB."""
+        """Return the free memory of a server after evicting all copies of at most that value, in MB."""
         reclaimable = self._reclaimable.get((server.id, max_value))
         if reclaimable is None:
             reclaimable = server.free_mb
@@ -83,9 +83,9 @@
     def victims(
         self, server: ServerView, need_mb: float, max_value: float
     ) -> tuple[tuple[ModelRef, ...], float] | None:
-        """Return the models to evict for that much memory at the lowest value.
+        """Return the models to evict for that much memory, and their total value.
 
-        None if the value is too high.
+        None if the total would exceed `max_value`.
         """
         chosen: list[tuple[float, str, float]] = []
         freed = 0.0
@@ -107,7 +107,7 @@
         return tuple(ModelRef(name) for _, name, _ in chosen), total
 
     def forget(self, name: str) -> None:
-        """Record that a replica of a model is evicted, which makes the others more valuable."""
+        """Drop cached values after an eviction, which makes the other copies more valuable."""
         self._values.pop(name, None)
         self._ranked.clear()
         self._reclaimable.clear()
--- a/granitewell/controlplane/placement/versions.py
+++ b/granitewell/controlplane/placement/versions.py
@@ -1,8 +1,8 @@
-"""Versions of the weights that servers have loaded, and which copies are older than another. No I/O.
+"""Versions of the weights that servers have loaded, and which copies are outdated. No I/O.
 
-A load brings the newest version. A copy is outdated once another server has shown a newer version of its
-model, unless it was loaded after that: then a further load would bring nothing newer, whatever the other
-server says.
+A load brings the newest version. A copy is outdated once another server has reported a newer version of its
+model, unless the copy was loaded after that report: then a further load would bring nothing newer, even if
+the other server reports a wrong version.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _Newest:
-    """The newest version of a model, and when a server showed it first."""
+    """The newest version of a model, and when a server first reported it."""
 
     version: int
     since: float
 
 
 class ModelVersions:
-    """The newest version seen of each configured model. Versions only rise here."""
+    """The newest version reported of each configured model; it never decreases."""
 
     def __init__(self) -> None:
         self._newest: dict[str, _Newest] = {}
         self._configured: Collection[str] = frozenset()
 
     def set_models(self, names: Iterable[str]) -> None:
-        """Apply a new configuration; models that it does not have are forgotten."""
+        """Apply a new configuration; models that are no longer configured are dropped."""
         self._configured = frozenset(names)
         self._newest = {name: newest for name, newest in self._newest.items() if name in self._configured}
 
@@ -44,11 +44,11 @@
                 self._newest[model.name] = _Newest(model.version, now)
 
     def outdated(self, loaded: Mapping[str, LoadedModel], loaded_at: Mapping[str, float]) -> frozenset[str]:
-        """Return the models of which a server has an older version that a load would replace.
+        """Return the models of a server whose copy is outdated.
 
         Args:
             loaded: Its models by name.
-            loaded_at: When the loads of its models began, in seconds, as far as known.
+            loaded_at: Start times of the known loads of its models, in seconds.
         """
         return frozenset(
             name for name, model in loaded.items() if self._is_outdated(model, loaded_at.get(name, -math.inf))
--- a/granitewell/controlplane/placement/views.py
+++ b/granitewell/controlplane/placement/views.py
@@ -1,4 +1,4 @@
-"""What the planner sees of servers and of the weight store."""
+"""Input of the planner: servers and the weight store."""
 
 from __future__ import annotations
 
@@ -14,12 +14,16 @@
     """A server as the planner sees it.
 
     Attributes:
-        free_mb: Free memory in MB, with everything that may be loading counted.
-        free_adapters: Free adapters, counted likewise.
-        going: The current unload.
-        coming: The current load.
-        purpose: What the unload frees capacity for.
-        reserved_for: What the free capacity is reserved for.
+        schedulable: Whether it may get new models.
+        orderable: Whether an order may be sent to it now.
+        loaded: Loaded models by name.
+        free_mb: Free memory in MB, after loads in progress or of unknown outcome.
+        free_adapters: Number of adapters that it can still load, counted likewise.
+        unloading: Model or adapter of the current unload.
+        loading: Model or adapter of the current load.
+        purpose: Model or adapter that the current unload frees capacity for.
+        reserved_for: Model or adapter that the free capacity is reserved for.
+        loaded_before: Models whose weights are on its own disk.
         outdated: Models of which it has an older version than another server.
     """
 
@@ -39,7 +43,7 @@
     outdated: frozenset[str] = frozenset()
 
     def has(self, ref: ModelRef) -> bool:
-        """Return whether the server has a model or adapter and keeps it."""
+        """Return whether the server has loaded a model or adapter and is not unloading it."""
         loaded = self.loaded.get(ref.model)
         if loaded is None or self.unloading == ref or self.unloading == ModelRef(ref.model):
             return False
@@ -48,12 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreView:
-    """What the weight store allows now.
+    """Loads that the weight store permits now.
 
     Attributes:
         tokens: Loads that may begin.
-        at_once: Concurrent loads at full speed.
-        warm: How long a load from a server's own disk takes.
+        concurrent_loads: Number of concurrent loads that run at full speed.
+        warm: Expected time of a load from a server's own disk.
     """
 
     tokens: int
--- a/granitewell/controlplane/publication/publisher.py
+++ b/granitewell/controlplane/publication/publisher.py
@@ -1,7 +1,7 @@
-"""Answers long-polls: a watcher states what it has, and gets a reply once there is more or its time is up.
+"""Answers long-polls: a watcher states its versions, and gets a reply on a change or after the hold time.
 
-Every control node publishes: the configuration from its replica of the log, the tables of servers from its
-own shards or from its copies of the others'.
+Every control node publishes the configuration from its replica of the log, and the tables of servers from the
+shards that it owns or from its copies of the other shards' tables.
 """
 
 from __future__ import annotations
@@ -23,35 +23,35 @@
 from granitewell.rpc.translation import server_from_message, server_to_message
 
 MAX_HOLD_S = 2.0
-BATCH_DELAY_S = 0.015  # changes this close together are sent together
-EDGE_TTL_S = 4.0  # an edge that has not asked for so long is not counted
-PEAK_TTL_S = 120.0
-MAX_READ_STALENESS_S = 0.75  # what is published is no older; 0.3 s with all well, and two heartbeats may fail
+BATCH_DELAY_S = 0.015  # changes within this time are sent in one reply
+EDGE_TTL_S = 4.0  # after its last request; then an edge is no longer counted
+PEAK_TTL_S = 120.0  # of the recent maximum number of edges
+MAX_READ_STALENESS_S = 0.75  # of published data; 0.3 s normally, two lost heartbeats are tolerated
 
 
 class StaleReplicaError(GranitewellError):
-    """This control node may be behind; the watcher should ask another."""
+    """This control node's data may be outdated; the watcher should ask another node."""
 
 
 class ConfigurationSource(Protocol):
-    """The configuration and the updates that lead to it."""
+    """Source of configuration updates."""
 
     @property
     def version(self) -> int:
-        """Version in force, 0 for none."""
+        """Current version, 0 for none."""
 
     def changes_since(self, version: int) -> Any:
-        """Return the update from a version: (version, is_complete, documents)."""
+        """Return the update from a version, with version, is_complete and documents."""
 
 
 def members_digest(nodes: Sequence[str]) -> int:
-    """Return a number that distinguishes two lists of control nodes."""
+    """Return a digest of a list of control nodes, independent of its order."""
     text = ",".join(sorted(nodes)).encode()
     return int.from_bytes(hashlib.sha256(text).digest()[:7], "big")
 
 
 class EdgeCounter:
-    """Counts edges: those that ask this node, and those that other control nodes report."""
+    """Counts the edges that poll this node, and those that other control nodes report."""
 
     def __init__(self) -> None:
         self._asked_at: dict[str, float] = {}
@@ -68,17 +68,17 @@
         self._others[node] = (edges, now)
 
     def local_count(self, now: float) -> int:
-        """Return the number of edges that ask this node."""
+        """Return the number of edges that poll this node."""
         self._asked_at = {e: at for e, at in self._asked_at.items() if now - at < EDGE_TTL_S}
         return len(self._asked_at)
 
     def total(self, now: float) -> int:
-        """Return the number of edges that ask any node, at least one."""
+        """Return the number of edges that poll any node, at least 1."""
         others = sum(edges for edges, at in self._others.values() if now - at < EDGE_TTL_S)
         return max(self.local_count(now) + others, 1)
 
     def recent_maximum(self, now: float) -> int:
-        """Return the recent maximum, by which shared budgets are divided."""
+        """Return the recent maximum of the total; shared budgets are divided by it."""
         count = self.total(now)
         if count >= self._peak or now - self._peak_at > PEAK_TTL_S:
             self._peak, self._peak_at = count, now
@@ -86,7 +86,7 @@
 
 
 class Publisher:
-    """The long-polls of one control node."""
+    """Answers the long-polls of one control node."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
         self._changed = asyncio.Event()
 
     def changed(self) -> None:
-        """Answer the waiting watchers, because something that is published has changed."""
+        """Wake the waiting watchers, because published data has changed."""
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -131,7 +131,7 @@
             await asyncio.sleep(min(BATCH_DELAY_S, left))
 
     def _reply(self, request: Any, allow_empty: bool = False) -> Any | None:
-        """Return what the watcher lacks; None if that is nothing and `empty` is false."""
+        """Return the updates for a watcher; None if there are none and `allow_empty` is false."""
         configuration = self._configuration_update(request)
         updates = list(self._table_updates(request))
         members_wanted = request.edge or request.members_only
@@ -168,7 +168,7 @@
             if table is None or table.version == Version():
                 continue
             version = had.get(shard, Version())
-            if version > table.version:  # the watcher is ahead of this copy
+            if version > table.version:  # the watcher is newer than this copy
                 continue
             updates.append((self._table_update(shard, table, version), version != table.version))
         return updates
--- a/granitewell/controlplane/publication/table.py
+++ b/granitewell/controlplane/publication/table.py
@@ -1,8 +1,8 @@
 """Versioned table of the servers of one shard, with the changes since any version. No I/O.
 
 The owner of the shard writes the table under its term (the epoch). Every other control node keeps a copy by
-applying updates. Both give the same answers for the same version, so that a watcher can move from one control
-node to another.
+applying updates. All copies return the same changes for the same version, so that a watcher can move from one
+control node to another.
 """
 
 from __future__ import annotations
@@ -12,9 +12,7 @@
 
 from granitewell.domain.servers import Server
 
-MAX_REMEMBERED_REMOVALS = (
-    2_000  # removals remembered; a watcher with an older version gets the complete table
-)
+MAX_REMEMBERED_REMOVALS = 2_000  # a watcher with an older version gets the complete table
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -23,7 +21,7 @@
 
     Attributes:
         epoch: Term of the owner.
-        sequence: Number of the change within the epoch. (0, 0) is the version of a watcher that has nothing.
+        sequence: Number of the change within the epoch. A watcher without a table has version (0, 0).
     """
 
     epoch: int = 0
@@ -49,12 +47,12 @@
 
     def __init__(self) -> None:
         self.version = Version()
-        self.listed_at: float | None = None  # when the platform's list was read for this table
+        self.listed_at: float | None = None  # when the platform's list behind this table was read
         self._servers: dict[str, Server] = {}
         self._changed_at: dict[str, int] = {}
         self._removed_at: dict[str, int] = {}
-        self._models_before: dict[str, set[str]] = {}  # by server: models that it was ever seen with
-        self._complete_from = 0  # the sequence from which removals are all remembered
+        self._models_before: dict[str, set[str]] = {}  # by server: models that it has had loaded
+        self._complete_from = 0  # first sequence from which all removals are remembered
 
     @property
     def servers(self) -> Mapping[str, Server]:
@@ -62,17 +60,17 @@
         return self._servers
 
     def models_before(self, server_id: str) -> frozenset[str]:
-        """Return the models that a server was ever seen with; it has their weights on its own disk.
+        """Return the models that a server has had loaded; it has their weights on its own disk.
 
-        Every copy of the table collects them, so that a new owner knows what an earlier one has loaded.
+        Every copy of the table collects them, so that a new owner knows what previous owners have loaded.
         """
         return frozenset(self._models_before.get(server_id, ()))
 
     def begin(self, epoch: int) -> None:
         """Begin a new epoch with the known servers.
 
-        If the owner's lease has lapsed and returned within one term, the epoch continues: a copy would not
-        accept a lower version than its own.
+        If the owner's lease has ended and was renewed within one term, the epoch continues, because copies
+        reject a version lower than their own.
         """
         if epoch == self.version.epoch:
             return
--- a/granitewell/discovery/instances.py
+++ b/granitewell/discovery/instances.py
@@ -22,7 +22,7 @@
     """One server in the platform's list.
 
     Attributes:
-        remaining_ms: Remaining lifetime in milliseconds, -1 for no end in sight.
+        remaining_ms: Remaining lifetime in milliseconds; -1 if unlimited.
     """
 
     id: str
--- a/granitewell/discovery/reader.py
+++ b/granitewell/discovery/reader.py
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TimestampedList:
-    """The platform's list, with the time of its request.
+    """The platform's list, and the time of its request.
 
     Attributes:
-        asked_at: Time on the steady clock, in seconds.
+        asked_at: Time on the monotonic clock, in seconds.
     """
 
     instances: list[ListedInstance]
@@ -34,7 +34,7 @@
 
 
 class SharedReader:
-    """One list for all readers on a node: a list that was read less than `fresh_s` ago is reused."""
+    """Shares the list between all readers on a node: one younger than `max_age_s` is reused."""
 
     def __init__(self, reader: InstanceReader, max_age_s: float, clock: Callable[[], float]) -> None:
         self._reader = reader
--- a/granitewell/domain/__init__.py
+++ b/granitewell/domain/__init__.py
@@ -1,1 +1,1 @@
-"""Types that both planes share: settings, configuration, servers. They have no behavior beyond validation."""
+"""Types shared by both planes: settings, configuration, servers, and their validation."""
--- a/granitewell/domain/configuration.py
+++ b/granitewell/domain/configuration.py
@@ -1,7 +1,7 @@
-"""The operator's configuration, typed. Names of fields on the wire are aliases here and nowhere else.
+"""Types of the operator's configuration; aliases are the names of fields on the wire.
 
-The store keeps what the operator sent (plain JSON, including unknown fields); these types are what the planes
-read from it. Each field is read strictly: a number in quotes, or true for a 1, is not of its type.
+The store keeps the JSON that the operator sent, including unknown fields; the planes read these types from
+it. Parsing is strict: a number in quotes, or true in place of 1, is an error.
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
         if type(value) is not dict:
             raise WrongTypeError("not an object")
         return kind.from_dict(value)
-    except (ValueError, LookupError, GranitewellError) as error:  # mashumaro's errors are of the first two
+    except (ValueError, LookupError, GranitewellError) as error:  # mashumaro raises the first two
         raise WrongItemError(index) from error
 
 
@@ -89,7 +89,7 @@
     """Base of dataclasses that are read from JSON without converting between types."""
 
     class Config(BaseConfig):
-        """Functions with which mashumaro reads each plain type."""
+        """Strict parsers of the plain types, for mashumaro."""
 
         serialization_strategy = {  # noqa: RUF012  mashumaro declares it so
             str: {"deserialize": _string},
@@ -126,13 +126,13 @@
         kind: How its requests may be retried.
         timeout_ms: Time limit of a request, in milliseconds.
         target_ms: Latency target, in milliseconds; 0 for none.
-        priority: 0 to 9, the most urgent first.
+        priority: 0 (most urgent) to 9.
         service: The service, if there is only one.
         weighted_services: Several services, with weights.
         max_attempts: How often a request may be sent to servers.
         sticky: Whether requests of a client prefer the same server.
         resumable: Whether a stream may be resumed at another server.
-        gap_target_ms: Target for the time between two events of a stream, in milliseconds.
+        gap_target_ms: Target time between two events of a stream, in milliseconds.
     """
 
     name: str
@@ -225,7 +225,7 @@
 
 @dataclass(frozen=True)
 class Limits(StrictFields):
-    """Limits on what a client may send, and how long it may take or stay idle."""
+    """Limits on the size of requests, and on how long a client may take or stay idle."""
 
     max_header_bytes: int = field(default=16_384, metadata=field_options(alias="max-header-bytes"))
     max_body_bytes: int = field(default=4_194_304, metadata=field_options(alias="max-body-bytes"))
--- a/granitewell/domain/errors.py
+++ b/granitewell/domain/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the system: every failure that crosses a module boundary has a type here or in its package."""
+"""Errors shared by all packages; errors of one package are defined there."""
 
 from __future__ import annotations
 
 
 class GranitewellError(Exception):
-    """Base of all errors that this system raises on purpose."""
+    """Base of all errors defined by this system."""
 
 
 class InvalidFieldError(GranitewellError):
@@ -42,19 +42,19 @@
 
 
 class ProposalLostError(GranitewellError):
-    """A proposal has no known outcome: it may be committed or not."""
+    """The outcome of a proposal is unknown: it may have been committed."""
 
 
 class UnknownFormatError(GranitewellError):
-    """Bytes have a format that only a newer version knows."""
+    """Bytes have a format that only a newer version of the program knows."""
 
 
 class RpcError(GranitewellError):
-    """A call to another node has failed."""
+    """A call to another node failed."""
 
 
 class RpcTimeoutError(RpcError):
-    """There was no reply in time."""
+    """A call got no reply in time."""
 
 
 class PeerUnreachableError(RpcError):
--- a/granitewell/domain/servers.py
+++ b/granitewell/domain/servers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from enum import IntEnum
 
-MAX_VERSION = 2**53 - 1  # of a model's weights; anything above it is no version
+MAX_VERSION = 2**53 - 1  # of a model's weights; a larger number is invalid
 
 
 class ServerState(IntEnum):
@@ -23,7 +23,7 @@
     Attributes:
         name: Name of the model.
         adapters: Its adapters that are loaded too.
-        version: Version of its weights, 0 if it is not known.
+        version: Version of its weights; 0 if unknown.
     """
 
     name: str
@@ -42,7 +42,7 @@
     def parse(cls, entry: Mapping[str, object]) -> LoadedModel:
         """Parse an entry of a report or of the platform's list; raises KeyError and TypeError.
 
-        What is no version counts as not known: the model is there all the same.
+        An invalid version counts as unknown, because the model is loaded all the same.
         """
         name = entry["name"]
         adapters = entry.get("adapters") or ()
@@ -52,7 +52,7 @@
 
 
 def parse_version(value: object) -> int:
-    """Return a version of weights; 0 for anything that is none."""
+    """Return a version of weights, or 0 if it is invalid."""
     if isinstance(value, str) and value.isascii() and value.isdigit() and len(value) < 17:
         value = int(value)
     if not isinstance(value, int) or isinstance(value, bool):
@@ -71,7 +71,7 @@
         zone: Zone of its machine.
         slots: Concurrent requests.
         state: State in the platform's list.
-        remaining_ms: Remaining lifetime when it was listed, in milliseconds; -1 for no end in sight.
+        remaining_ms: Remaining lifetime when it was listed, in milliseconds; -1 if unlimited.
         models: Models by name for which requests may be sent.
     """
 
@@ -109,7 +109,7 @@
         requests: Number of requests that arrived.
         waiting: Number of requests in the queue because no server has the model.
         in_flight: Number of requests in flight.
-        priority: Priority of the most urgent waiting request, 0 first.
+        priority: Priority of the most urgent waiting request; 0 is the most urgent.
     """
 
     service: str
--- a/granitewell/domain/settings.py
+++ b/granitewell/domain/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process of the system, validated. Unknown fields are ignored."""
+"""The settings file of a process, and its validation. Unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 PATH_VARIABLE = "GRANITEWELL_NODE_FILE"
 DEFAULT_PATH = "/etc/granitewell/boot.json"
-LIST_FIELDS = ("seeds", "internal-ports", "contracts")  # a string would be read as a list of its characters
+LIST_FIELDS = ("seeds", "internal-ports", "contracts")  # mashumaro would read a string as a list
 
 
 class SettingsFields(DataClassDictMixin):
     """A part of the settings file."""
 
     class Config(BaseConfig):
-        """Makes mashumaro generate code only when it is used, which saves a third of the import time."""
+        """Lets mashumaro generate code only on first use, which saves a third of the import time."""
 
         lazy_compilation = True
 
 
 @dataclass(frozen=True)
 class Listen(SettingsFields):
-    """Addresses (`ip:port`) that the role serves; None for those that it does not."""
+    """Addresses (`ip:port`) that the role listens on; None for those that it does not use."""
 
     front: str | None = None
     ready: str | None = None
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class FaultTolerance(SettingsFields):
-    """What may be lost at the same time."""
+    """How many machines, zones and regions may fail at the same time."""
 
     machines: int = 1
     zones: int = 0
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Bounds(SettingsFields):
-    """Limits of the operators' rules that the programs use; the file contains more."""
+    """Limits set by the operators that the programs use; the file contains more."""
 
     seed_lag_s: float = field(default=3, metadata=field_options(alias="seed-lag-s"))
     reuse_after_s: float = field(default=2, metadata=field_options(alias="reuse-after-s"))
@@ -88,7 +88,7 @@
     Attributes:
         address: `ip:port`.
         rate_per_s: Rate limit for calls of all nodes together, per second.
-        lag_ms: How far the list may be behind, in milliseconds.
+        lag_ms: Maximum age of the list, in milliseconds.
     """
 
     address: str
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True)
 class Settings(SettingsFields):
-    """Everything that a process is configured with at its start, and again whenever the file changes."""
+    """Settings of a process, read at its start and whenever the file changes."""
 
     node_name: str = field(metadata=field_options(alias="node-name"))
     ip: str
@@ -128,11 +128,11 @@
 
     @property
     def may_vote(self) -> bool:
-        """Whether a control process here may hold replicas.
+        """Whether a control process on this machine may host replicas.
 
-        That takes a disk, on a machine whose loss `fault-tolerance` limits; one that does not count for the
-        quorum may be lost at any time, together with any number of others. A file without the field is one
-        of before the field was used.
+        That takes a disk, and a machine that counts for the quorum: others may be lost at any time, in any
+        number, beyond what `fault-tolerance` states. Files from before `counts-for-quorum` was introduced
+        lack the field; their machines count.
         """
         return self.data_dir is not None and self.counts_for_quorum is not False
 
--- a/granitewell/nodes/__init__.py
+++ b/granitewell/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""Processes of the system, assembled from the libraries of the planes; one module per role."""
+"""Processes of the system, assembled from the control plane and the data plane."""
--- a/granitewell/nodes/control.py
+++ b/granitewell/nodes/control.py
@@ -31,7 +31,9 @@
 from granitewell.rpc.messages import GroupMessage, encode
 from granitewell.rpc.transport import Method, RpcPeers, RpcServer
 
-TRANSFER_TIMEOUT_S = 1.5  # for handing leadership over, on SIGTERM; before it, at most `leave_s` for leaving
+TRANSFER_TIMEOUT_S = (
+    1.5  # for transferring leadership on SIGTERM, after at most `leave_s` for leaving the groups
+)
 
 
 class ControlNode:
@@ -110,19 +112,20 @@
         message = GroupMessage(group=group, sender_address=self.address, payload=payload)
         self.peers[address].send(Method.GROUP, encode(message))
 
-    # --- State that changes -------------------------------------------------------------------------------
+    # --- Changes
+
     def _group_changed(self) -> None:
         if hasattr(self, "publisher"):
             self.publisher.changed()
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply changed settings: other seeds may be named."""
+        """Apply changed settings: the seeds."""
         self.settings = settings
         for group in self.groups.values():
             group.set_seeds(self._internal(settings.seeds))
 
     # --- Lifecycle
-    # ---------------------------------------------------------------------------------------------
+
     async def start(self) -> None:
         """Listen and join the replica groups."""
         await self._server.start(self.settings.ip, self.settings.control_rpc_port)
@@ -150,7 +153,7 @@
         )
 
     async def stop(self) -> None:
-        """Shut down: let ready learners replace this node's voters, transfer leadership, and end."""
+        """Let ready learners replace this node's voters, transfer leadership, and shut down."""
         await asyncio.gather(*(group.leave() for group in self.groups.values()))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(TRANSFER_TIMEOUT_S):
--- a/granitewell/nodes/control_gateway.py
+++ b/granitewell/nodes/control_gateway.py
@@ -1,9 +1,9 @@
-"""The control role on a machine without replicas: no disk, or one whose loss nothing limits.
+"""The control role on a machine that may not vote: without a disk, or not counted for the quorum.
 
-It stores nothing and decides nothing, so it can neither acknowledge a change nor answer an old configuration.
-It knows the control nodes with replicas from the control plane, from its seeds and from their announcements,
-and refers its callers to them: operators by a redirect, edges by the list of nodes in an answer to their
-long-poll, replicas that join and reports of demand by passing the message on.
+A gateway stores and decides nothing, so it can neither acknowledge a change nor return an old configuration.
+It knows the control nodes with replicas from the control plane, from its seeds and from their announcements.
+It redirects operators to them, returns their list to edges that long-poll, and forwards the messages of
+replicas that join and reports of demand.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 )
 from granitewell.rpc.transport import Handler, Method, RpcPeers, RpcServer
 
-HOLD_S = 1.0  # of a long-poll; a voter that has gone is noticed after it
+HOLD_S = 1.0  # of a long-poll; a lost voter is noticed after it at the latest
 REPLY_SLACK_S = 0.4
 RETRY_S = 0.2
-CONTACT_TTL_S = 2.5  # a control node that replied within this time is taken to be there
+CONTACT_TTL_S = 2.5  # after a reply or an announcement, a control node counts as available
 NODE_WAIT_S = 0.8  # operators give up after a second without an answer
 NODE_POLL_S = 0.02
 BODY_CHUNK_BYTES = 65_536
@@ -76,13 +76,13 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply changed settings: other seeds may be named."""
+        """Apply changed settings: the seeds."""
         self._settings = settings
         port = settings.control_rpc_port
         seeds = [f"{seed.rpartition(':')[0]}:{port}" for seed in settings.seeds]
         self.nodes.set_seeds([seed for seed in seeds if seed != self._address])
 
-    # --- Who has replicas
+    # --- Control nodes with replicas
 
     async def run(self) -> None:
         """Keep the list of control nodes up to date, until cancelled."""
@@ -118,17 +118,17 @@
             self.nodes.set_known([address for address in reply.control_nodes if address != self._address])
 
     def current(self) -> str | None:
-        """Return the internal address of a control node with replicas that has replied lately, or None."""
+        """Return the internal address of a control node with replicas that has replied recently, or None."""
         if self._clock() - self._replied_at > CONTACT_TTL_S:
             return None
         node = self.nodes.current
         return node if node in self.nodes.known else None
 
     def advertised_nodes(self) -> list[str]:
-        """Return the control nodes that edges are referred to.
+        """Return the control nodes that are named to edges.
 
-        Before any of them has named all, these are the ones that have announced themselves lately: only nodes
-        with replicas do.
+        Until one of them has returned the complete list, these are the nodes that have announced themselves
+        recently; only nodes with replicas do.
         """
         if self.nodes.known:
             return self.nodes.known
@@ -138,7 +138,7 @@
     # --- Messages of other nodes
 
     async def _watch(self, payload: bytes, _peer: str) -> bytes:
-        """Name the control nodes; the watcher goes on to one of them."""
+        """Return the list of control nodes; the watcher then polls one of them."""
         request = decode(WatchRequest, payload)
         known = self.advertised_nodes()
         if not known:
@@ -159,7 +159,7 @@
         return b""
 
     async def _group_message(self, payload: bytes, _peer: str) -> bytes:
-        """Pass a message on; its answer goes straight to the sender that it names."""
+        """Forward a message; the reply goes directly to the sender that it names."""
         decode(GroupMessage, payload)
         node = self.current()
         if node is not None:
@@ -189,9 +189,9 @@
         app.middlewares.append(answers.typed_failures)
 
     async def redirect(self, request: web.Request) -> web.Response:
-        """Redirect to a control node with replicas; 503 where none is known in time."""
+        """Redirect to a control node with replicas, or return 503 if none is known in time."""
         async for _ in request.content.iter_chunked(BODY_CHUNK_BYTES):
-            pass  # read to its end, so that the connection stays in use; nothing is kept
+            pass  # discard the body, so that the connection can be reused
         deadline = self._clock() + NODE_WAIT_S
         while (node := self.current()) is None:
             if self._clock() >= deadline:
--- a/granitewell/nodes/control_messages.py
+++ b/granitewell/nodes/control_messages.py
@@ -1,4 +1,4 @@
-"""Messages that a control node accepts from other nodes, and those that it sends to them."""
+"""Handlers for messages of other nodes, and announcements to other control nodes."""
 
 from __future__ import annotations
 
@@ -26,19 +26,20 @@
 from granitewell.rpc.transport import Handler, Method, RpcPeers
 
 STARTUP_ANNOUNCEMENT_INTERVAL_S = 0.1
-"""Time between announcements of a process that has started.
+"""Announcement interval during STARTUP_PERIOD_S.
 
-After a loss of all power, gateways and through them edges learn of the replicas by these alone, and a gateway
-is there some time after the replicas.
+After a power loss of all machines, gateways, and through them edges, learn of the replicas only by these
+announcements, and a gateway may start later than the replicas.
 """
 STARTUP_PERIOD_S = 3.0
 
 
 class ControlMessages:
-    """Handlers by method.
+    """Message handlers of one control node.
 
     Attributes:
-        processes: Processes of other control nodes, as they announce themselves.
+        handlers: Handlers by method.
+        processes: Processes of other control nodes, known by their announcements.
     """
 
     def __init__(
@@ -102,11 +103,11 @@
             self._peers[leader].send(Method.DEMAND, encode(onward))
 
     async def announce(self, targets: Callable[[], Sequence[str]]) -> None:
-        """Report to the other control nodes how many edges ask this one, until cancelled.
+        """Announce this process and its number of edges to other control nodes, until cancelled.
 
         Args:
-            targets: Returns the internal addresses of the other control nodes, and of the seeds: one
-                without replicas learns from this who has some.
+            targets: Returns the internal addresses of the control nodes and of the seeds. A seed without
+                replicas learns by the announcement which nodes have some.
         """
         started_at = time.monotonic()
         while True:
--- a/granitewell/nodes/control_nodes.py
+++ b/granitewell/nodes/control_nodes.py
@@ -1,4 +1,4 @@
-"""Selection of the control node that an edge, or a control process without replicas, asks."""
+"""Selection of the control node that an edge or a gateway polls."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from granitewell.coordination.rendezvous import rank
 
 MAX_SEEDS = 32
-"""How many addresses are remembered beside those that the control plane names."""
+"""Maximum number of addresses from settings and announcements, beside those that the control plane names."""
 
 
 class ControlNodes:
-    """The control node that this process asks.
+    """The control node that this process polls.
 
-    A node that the control plane does not name (a seed without replicas) is left for one that it names. The
-    process does not know which control nodes are in its own zone, so it selects by rendezvous hashing, and
-    takes the next one after a failure.
+    Once the control plane names control nodes, these are preferred to seeds that it does not name, which have
+    no replicas. The process does not know which control nodes are in its own zone, so it selects by
+    rendezvous hashing, and moves to the next node after a failure.
     """
 
     def __init__(self, name: str) -> None:
@@ -63,7 +63,7 @@
 
     @property
     def current(self) -> str | None:
-        """Return the control node to ask."""
+        """Return the control node to poll."""
         return self._order[self._at % len(self._order)] if self._order else None
 
     def failed(self) -> None:
--- a/granitewell/nodes/control_role.py
+++ b/granitewell/nodes/control_role.py
@@ -1,4 +1,4 @@
-"""Start of the control role: with replicas where the machine may vote, as a gateway everywhere else."""
+"""Entry point of the control role: with replicas if the machine may vote, otherwise as a gateway."""
 
 from __future__ import annotations
 
--- a/granitewell/nodes/control_watch.py
+++ b/granitewell/nodes/control_watch.py
@@ -1,10 +1,10 @@
-"""What an edge learns: from the control plane by long-polls, and from the platform's list while that is old.
+"""Updates of an edge: long-polls to the control plane, and the platform's list while that data is old.
 
 A control node publishes nothing older than MAX_READ_STALENESS_S (publisher.py). A reply may be delayed for
-any time: at a process that was frozen after making it, on a slow link, at this edge. A reply therefore counts
-only if it arrives within `hold + REPLY_SLACK_S` of its request, by this edge's own clock. What an edge
-accepts contains everything that was committed `hold + REPLY_SLACK_S + MAX_READ_STALENESS_S` earlier, even
-right after its start. Once it has a configuration, its version never falls.
+any time: in a process that was suspended after making it, on a slow link, or at this edge. A reply is
+therefore accepted only if it arrives within `hold + REPLY_SLACK_S` of its request, by this edge's own clock.
+An accepted reply contains everything that was committed `hold + REPLY_SLACK_S + MAX_READ_STALENESS_S`
+earlier, even right after the edge's start. The version of its configuration never decreases.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
 from granitewell.rpc.transport import Method, RpcPeers
 
 MAX_HOLD_S = 1.0
-HOLD_FRACTION = 0.4  # fraction of config-apply-ms: time for an unresponsive control node and the next one
-REPLY_SLACK_S = 0.4  # beyond the hold, after which a control node is given up
+HOLD_FRACTION = 0.4  # of config-apply-ms; leaves time for an unresponsive control node and the next one
+REPLY_SLACK_S = 0.4  # beyond the hold time; then the poll fails
 RETRY_S = 0.1
-MAX_LIST_AGE_S = 1.5  # a list older than that is read from the platform itself
-MAX_LIST_AGE_FRACTION = 0.5  # of drain-ms: looking, reading and dropping servers fit in
-LIST_CHECK_FRACTION = 0.2  # of the age at which it is old: how often that is looked at
-LIST_READ_FRACTION = 0.57  # of that age: least time between two readings
-RATE_FRACTION = 0.5  # of the platform's rate, for all edges together
+MAX_LIST_AGE_S = 1.5  # older data is replaced by the platform's list
+MAX_LIST_AGE_FRACTION = 0.5  # of drain-ms; leaves time to check, read and remove servers
+LIST_CHECK_FRACTION = 0.2  # of the maximum age: interval of checks
+LIST_READ_FRACTION = 0.57  # of the maximum age: minimum time between two reads
+RATE_FRACTION = 0.5  # of the platform's rate limit, for all edges together
 
 log = Logger("granitewell.edge")
 
 
 class ControlWatch:
-    """Long-polls for everything that an edge needs."""
+    """Long-polls for the configuration and the tables of servers."""
 
     def __init__(
         self, settings: Settings, plane: DataPlane, clock: Callable[[], float] = time.monotonic
@@ -59,7 +59,7 @@
         self._view = ConfigurationView()
         self._versions: dict[int, Version] = {}
         self._servers: dict[int, dict[str, Server]] = {}  # by shard and id
-        self._fallback_servers: dict[int, list[Server]] = {}  # by shard, until its first table comes
+        self._fallback_servers: dict[int, list[Server]] = {}  # by shard, until its first table arrives
         self.listed_at: dict[int, float] = {}
         self.max_edges = 1
         self.peers = RpcPeers()
@@ -69,7 +69,7 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply changed settings: other seeds."""
+        """Apply changed settings: the seeds."""
         port = settings.control_rpc_port
         self.nodes.set_seeds([f"{seed.rpartition(':')[0]}:{port}" for seed in settings.seeds])
 
@@ -92,7 +92,7 @@
         reply_timeout_s = self._hold_s + REPLY_SLACK_S
         sent_at = self._clock()
         reply = await self.peers[node].call(Method.WATCH, encode(self._request()), reply_timeout_s)
-        if self._clock() - sent_at > reply_timeout_s:  # this process was frozen meanwhile
+        if self._clock() - sent_at > reply_timeout_s:  # this process was suspended meanwhile
             raise RpcTimeoutError(f"{node}: the reply came after {reply_timeout_s} s")
         return decode(WatchReply, reply)
 
@@ -117,7 +117,7 @@
             self._apply_configuration(reply.configuration)
         for message in reply.tables or ():
             self._apply_table(message)
-        # a control node that has just started knows few edges: shared budgets must not grow by that
+        # A control node that has just started knows few edges; shared budgets must not grow because of that.
         self.max_edges = max(reply.max_edges, self.max_edges)
         self._plane.set_edges(max(reply.edges, 1), self.max_edges)
 
@@ -161,8 +161,8 @@
     def apply_fallback_list(self, instances: Sequence[ListedInstance]) -> None:
         """Apply the platform's list as read by this edge.
 
-        Servers that drain or are removed are no longer used. The next update from the control plane takes
-        precedence again.
+        Servers that drain or are removed are no longer used. A later update from the control plane overrides
+        the list.
         """
         listed = {one.id: one for one in instances}
         now = self._clock()
@@ -184,7 +184,7 @@
                 self._plane.apply_servers(draining, gone)
 
     def _use_fallback_servers(self, instances: Sequence[ListedInstance]) -> None:
-        """Use the servers of shards whose table has never arrived, which is better than none."""
+        """Use the listed servers of shards whose table has never arrived."""
         self._fallback_servers = {}
         for one in instances:
             shard = shard_of(one.service, SHARD_COUNT)
@@ -207,9 +207,9 @@
 
 
 class FallbackListReader:
-    """Reads the platform's list while the control plane's copy is old.
+    """Reads the platform's list while the control plane's data is old.
 
-    It is used only for servers that drain or are removed, which must not wait.
+    Servers that drain or are removed then stop being used without the control plane.
     """
 
     def __init__(self, settings: Settings, watch: ControlWatch, plane: DataPlane, rng: Random) -> None:
@@ -235,7 +235,7 @@
             await asyncio.sleep(self._pause_s() * (0.85 + 0.3 * self._rng.random()))
 
     def _pause_s(self) -> float:
-        """Return the time between two reads; all edges together stay well below the platform's rate limit."""
+        """Return the time between two reads, such that all edges together stay below the rate limit."""
         return max(
             LIST_READ_FRACTION * self._max_age_s,
             self._watch.max_edges / (RATE_FRACTION * self._settings.cloud.rate_per_s),
--- a/granitewell/nodes/edge.py
+++ b/granitewell/nodes/edge.py
@@ -20,14 +20,14 @@
 
 
 class DemandReporter:
-    """Reports demand to the control plane: at once if a request waits, otherwise periodically."""
+    """Reports demand to the control plane: immediately if a request waits, otherwise periodically."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._urgent = asyncio.Event()
 
     def urgent(self) -> None:
-        """Report soon, because a request waits for a model."""
+        """Trigger a report, because a request waits for a model."""
         self._urgent.set()
 
     async def run(self, plane: DataPlane, watch: ControlWatch) -> None:
--- a/granitewell/nodes/layout.py
+++ b/granitewell/nodes/layout.py
@@ -1,8 +1,10 @@
 """Constants on which all nodes must agree."""
 
 SHARD_COUNT = 2
-"""Number of shards; a service belongs to one by the hash of its name. Changing it requires stopping all
-nodes. """
+"""Number of shards; a service belongs to one by the hash of its name.
+
+To change it, all nodes have to be stopped.
+"""
 
 CONFIGURATION_GROUP = "configuration"
 """Name of the replica group of the configuration."""
--- a/granitewell/nodes/operator_server.py
+++ b/granitewell/nodes/operator_server.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-MAX_REQUEST_BYTES = 32 * 1024 * 1024  # the library's bound; the API's own is lower
+MAX_REQUEST_BYTES = 32 * 1024 * 1024  # limit of aiohttp; the API's own limit is lower
 
 
 class OperatorRoutes(Protocol):
--- a/granitewell/nodes/process.py
+++ b/granitewell/nodes/process.py
@@ -1,4 +1,4 @@
-"""What both roles share as processes: event loop, signals, changing settings."""
+"""Common parts of the processes of all roles: event loop, signals, and reloading of settings."""
 
 from __future__ import annotations
 
@@ -16,16 +16,12 @@
 from granitewell.domain.settings import Settings, read_settings, settings_path
 
 SETTINGS_POLL_S = 1.0
-GC_THRESHOLDS = (
-    20_000,
-    20,
-    50,
-)  # infrequent collections: little here is cyclic, and pauses delay requests
-EXIT_INVALID_SETTINGS = 2  # exit code, as docs/operate/exit-codes.md has it
+GC_THRESHOLDS = (20_000, 20, 50)  # infrequent collections: few cycles are created, and pauses delay requests
+EXIT_INVALID_SETTINGS = 2  # exit code; see docs/operate/exit-codes.md
 
 
 class SettingsFile:
-    """The settings file, which is read again when it changes."""
+    """The settings file, reloaded when it changes."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -59,7 +55,7 @@
 
 
 class Signals:
-    """SIGTERM and SIGINT end the process; SIGHUP reads the settings again at once."""
+    """Signal handlers: SIGTERM and SIGINT stop the process, SIGHUP reloads the settings."""
 
     def __init__(self) -> None:
         self.stop = asyncio.Event()
@@ -74,7 +70,7 @@
 
 
 async def follow_settings(file: SettingsFile, signals: Signals, apply: Callable[[Settings], None]) -> None:
-    """Pass on new settings until cancelled."""
+    """Call `apply` with each new version of the settings, until cancelled."""
     while True:
         try:
             async with asyncio.timeout(SETTINGS_POLL_S):
@@ -103,11 +99,11 @@
         signals.install()
         await serve(file, signals)
 
-    gc.freeze()  # what is imported stays: no collection need look at it again
+    gc.freeze()  # imported objects are permanent; exclude them from collections
     gc.set_threshold(*GC_THRESHOLDS)
     try:
         uvloop.run(main())
-    except InvalidSettingsError as error:  # of a field that only this role needs
+    except InvalidSettingsError as error:  # a field that only this role needs
         print(f"granitewell: {error}", file=sys.stderr)
         return EXIT_INVALID_SETTINGS
     return 0
--- a/granitewell/nodes/shard_supervisor.py
+++ b/granitewell/nodes/shard_supervisor.py
@@ -15,7 +15,7 @@
 from granitewell.nodes.table_follower import TableFollower
 from granitewell.rpc.transport import RpcPeers
 
-LEADER_POLL_S = 0.1  # between two looks for a shard's owner, where none is known
+LEADER_POLL_S = 0.1  # while no leader of a shard is known
 
 
 class ShardSupervisor:
@@ -56,10 +56,10 @@
             await self._poll_until_leading(group, follower.poll(leader))
 
     def _ownership(self, group: ReplicatedGroup) -> ShardOwnership:
-        """Return the ownership object of a shard.
+        """Return the ownership of a shard.
 
-        There is one for the lifetime of the process, so that a wait after another owner continues if
-        leadership returns.
+        There is one object for the lifetime of the process, so that a wait after another owner continues if
+        this node loses leadership and regains it.
         """
         services = self._services
         bounds = services.settings().bounds
@@ -67,7 +67,7 @@
         return ShardOwnership(group, services.claimant, services.processes, rules)
 
     async def _own(self, shard: int, ownership: ShardOwnership) -> None:
-        """Own a shard until the lease is lost."""
+        """Run as the shard's owner until the lease is lost."""
         owned = OwnedShard(shard, ownership, self._tables[shard], self._services)
         self._owned[shard] = owned
         try:
@@ -76,10 +76,7 @@
             self._owned.pop(shard, None)
 
     async def _poll_until_leading(self, group: ReplicatedGroup, poll: Coroutine[None, None, None]) -> None:
-        """Poll the owner, but cancel the poll once this node leads.
-
-        The owner may be partitioned and never reply.
-        """
+        """Poll the owner, and cancel the poll once this node leads: a partitioned owner may never reply."""
         task = asyncio.create_task(poll)
         try:
             while not task.done() and not group.holds_lease():
--- a/granitewell/nodes/shards.py
+++ b/granitewell/nodes/shards.py
@@ -1,4 +1,4 @@
-"""What the owner of a shard does in a control process."""
+"""Work of a shard's owner in a control process."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from granitewell.nodes.layout import SHARD_COUNT
 
 MAX_LIST_INTERVAL_S = 0.5
-LIST_INTERVAL_FRACTION = 1 / 6  # of drain-ms: a reading that fails, and the way to every edge, fit in
-LIST_REUSE_FRACTION = 0.8  # of the time between two readings: so fresh, a list serves all shards of a node
-LEASE_POLL_S = 0.1  # between two looks whether this node leads a shard's group
+LIST_INTERVAL_FRACTION = 1 / 6  # of drain-ms; leaves time for a failed read and the publication to all edges
+LIST_REUSE_FRACTION = 0.8  # of the interval; a newer list is reused by all shards of a node
+LEASE_POLL_S = 0.1  # between checks whether this node leads a shard's group
 
 log = Logger("granitewell.shards")
 
@@ -58,7 +58,7 @@
 
 
 class OwnedShard:
-    """Work of a shard's owner: reads the platform's list, places models, writes the table."""
+    """A shard owned by this node: reads the platform's list, places models, and writes the table."""
 
     def __init__(
         self, shard: int, ownership: ShardOwnership, table: ServerTable, services: ShardServices
@@ -101,7 +101,8 @@
             if controller is not None:
                 controller.add_demand(of_service, source)
 
-    # --- The platform's list --------------------------------------------------------------------------------
+    # --- The platform's list
+
     async def _read_lists(self) -> None:
         while True:
             started = time.monotonic()
@@ -152,7 +153,7 @@
         self.publish()
 
     def publish(self) -> None:
-        """Write the table from what is known now."""
+        """Update the table from the newest list and the ready models."""
         if self._listed_at is None or not self.ownership.owns():
             return
         servers = [self._server(one) for one in self._instances]
