--- a/tests/controlplane/change_defects.py
+++ b/tests/controlplane/change_defects.py
@@ -1,4 +1,4 @@
-"""Guards of changes, taken out on purpose. Each plants one defect for the time of a test."""
+"""Defects in the handling of changes; each function plants one for the duration of a test."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def identity_without_base(patch: pytest.MonkeyPatch) -> None:
-    """A body that was taken is acknowledged under any If-Match."""
+    """An accepted body is acknowledged under any If-Match."""
     real = ConfigurationStore._evaluate
 
     def judge(self: ConfigurationStore, change: Change) -> object:
@@ -26,7 +26,7 @@
 
 
 def identity_without_body(patch: pytest.MonkeyPatch) -> None:
-    """All changes on one version count as the one that was taken there."""
+    """All changes based on one version count as the one that was accepted."""
 
     def version_of(self: ChangeHistory, change: Change) -> int | None:
         taken = self._accepted.get(change.base_version)
@@ -36,7 +36,7 @@
 
 
 def history_not_in_snapshot(patch: pytest.MonkeyPatch) -> None:
-    """A replica that was restored knows only the configuration."""
+    """A restored replica has the configuration without the history."""
 
     def read(data: bytes) -> ChangeHistory:
         if not data:
@@ -50,7 +50,7 @@
 
 
 def stale_before_repeated(patch: pytest.MonkeyPatch) -> None:
-    """What is built on another version is refused without a look at the history."""
+    """A change based on another version is rejected without checking the history."""
 
     def judge(self: ConfigurationStore, change: Change) -> ChangeResult:
         return self._result(Outcome.STALE)
@@ -59,7 +59,7 @@
 
 
 def repeat_gets_the_current_version(patch: pytest.MonkeyPatch) -> None:
-    """As it was once."""
+    """A repeated change is acknowledged with the current version, as a former release did."""
     real = ConfigurationStore._evaluate_on_another_version
 
     def judge(self: ConfigurationStore, change: Change) -> ChangeResult:
@@ -70,12 +70,12 @@
 
 
 def forgotten_is_refused(patch: pytest.MonkeyPatch) -> None:
-    """What the history does not reach counts as not taken."""
+    """A change older than the history counts as not accepted."""
     patch.setattr(ChangeHistory, "reaches", lambda self, base_version: True)
 
 
 def forgotten_version_not_in_snapshot(patch: pytest.MonkeyPatch) -> None:
-    """A replica that was restored takes its history for whole."""
+    """A restored replica treats its history as complete."""
     real = ChangeHistory.records
 
     def records(self: ChangeHistory) -> list[bytes]:
@@ -85,7 +85,7 @@
 
 
 def lease_not_checked(patch: pytest.MonkeyPatch) -> None:
-    """A node that led once judges changes by the state that it has."""
+    """A node checks changes against its own state without holding the lease."""
 
     async def judged(self: OperatorApi, change: Change, path: str) -> web.Response:
         result = self._store.check(change)
@@ -96,7 +96,7 @@
 
 
 def lost_proposal_is_refused(patch: pytest.MonkeyPatch) -> None:
-    """A proposal that was not committed in time counts as not taken."""
+    """A proposal that was not committed in time counts as not accepted."""
     real = OperatorApi._propose
 
     async def proposed(self: OperatorApi, change: Change, path: str) -> web.Response:
@@ -109,7 +109,7 @@
 
 
 def lost_proposal_is_confirmed(patch: pytest.MonkeyPatch) -> None:
-    """What passed the check is confirmed, whatever became of its entry."""
+    """A change that passed the check is acknowledged, even if its entry is lost."""
     real = OperatorApi._propose
 
     async def proposed(self: OperatorApi, change: Change, path: str) -> web.Response:
@@ -124,7 +124,7 @@
 
 
 def result_of_another_entry(patch: pytest.MonkeyPatch) -> None:
-    """The outcome of whichever entry took the place goes to who proposed one there."""
+    """A proposer gets the result of another leader's entry at the same index."""
 
     def tell(self: Node, waiter: Waiter, entry: Entry, result: object) -> None:
         waiter.future.set_result(result)
@@ -133,7 +133,7 @@
 
 
 def restore_keeps_waiters(patch: pytest.MonkeyPatch) -> None:
-    """A proposal that a snapshot has passed over is told what came last."""
+    """A proposal at an index covered by a restored snapshot is reported as accepted."""
 
     def lose_waiters(self: Node, up_to: int) -> None:
         for waiter in [waiter for waiter in self.waiters if waiter.index <= up_to]:
--- a/tests/controlplane/change_world.py
+++ b/tests/controlplane/change_world.py
@@ -1,12 +1,12 @@
-"""Operators, nodes and a replica group in small: every answer to a change is held against what was committed.
+"""Model of operators, nodes and a replica group; every answer to a change is checked against the commits.
 
-The stores and the API are the real ones. The group is a model: one committed sequence, the entries of the
-last leader that are not committed yet, one holder of the lease at most. What may happen next is a list of
-actions; a search picks among them. Operators send a change, unchanged and to any node, until it has a clear
-answer, and then build the next on the version that they were told. A call whose answer nobody hears is a lost
-answer.
+The stores and the API are the real ones. The group is a model: one sequence of committed entries, the
+uncommitted entries of the last leader, and at most one holder of the lease. The possible next events are a
+list of actions, among which a search chooses. Operators send a change, unchanged and to any node, until it
+has a definite answer, and then base the next one on the version in that answer. A call whose answer no
+operator receives is a lost answer.
 
-Not in the model: how a leader is elected and a lease kept (tests/coordination).
+Elections and leases are tested in tests/coordination.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 FIRST = Change(Operation.PUT, 0, b'{"version":1,"routes":[],"services":[]}')
 CLEAR = (200, 400, 412)
 UNCLEAR = (307, 503)
-MAX_ROUNDS = 40  # in which a healthy group must have answered all
+MAX_ROUNDS = 40  # within which a healthy group answers all changes
 
 
 class ViolationError(AssertionError):
@@ -40,9 +40,9 @@
     """A change that an operator plans.
 
     Attributes:
-        rise: Its version above the one that it builds on.
-        tag: What tells its body from others.
-        again: The body as of the first step, under whatever base is known by then.
+        rise: Increment of its version above its base version.
+        tag: Distinguishes its body from others.
+        again: Whether it has the body of a first step, under the base version known by then.
     """
 
     operation: Operation
@@ -51,7 +51,7 @@
     again: bool = False
 
     def change(self, known: int) -> Change:
-        """On top of the version that the operator knows."""
+        """Return the change, based on the version that the operator knows."""
         built_on = FIRST_VERSION if self.again else known
         document: dict[str, Any] = {"version": built_on + self.rise, "tag": self.tag}
         if self.operation is Operation.PUT:
@@ -61,21 +61,21 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """How often each trouble may come, and the size of the world."""
+    """Limits on the number of faults of each kind, and the size of the world."""
 
     nodes: int = 2
-    copies: int = 2  # of one change, sent and not heard of
+    copies: int = 2  # of one change, sent before its answer is received
     elections: int = 1
-    lapses: int = 0  # the leader's lease ends, and it leads on
+    lapses: int = 0  # the leader's lease ends, and it remains leader
     restores: int = 1  # of a follower, from the leader's snapshot
     restarts: int = 0  # of any node, from its own snapshot
     timeouts: int = 1  # of proposals that may still be committed
-    strays: int = 1  # calls of a node that is behind and leads no more
+    strays: int = 1  # calls to a node that is behind and not leading
     remembered: int = history.MAX_ACCEPTED_CHANGES
 
 
 class Reference:
-    """What was taken, told from the committed entries alone: the rules of the page, and none of the code."""
+    """Reference model: which changes are accepted, derived only from the committed entries."""
 
     def __init__(self) -> None:
         self.versions: list[int] = [0]
@@ -85,15 +85,15 @@
 
     @property
     def version(self) -> int:
-        """The current one."""
+        """The current version."""
         return self.versions[-1]
 
     def would_take(self, change: Change) -> bool:
-        """Whether a change is valid on the current version; all bodies here differ in their version alone."""
+        """Return whether a change would be accepted; of the bodies here only the version can be invalid."""
         return change.base_version == self.version and _version_in(change) > self.version
 
     def commit(self, change: Change) -> None:
-        """An entry is committed."""
+        """Record a committed entry."""
         if not self.would_take(change):
             return
         if change in self.refused:
@@ -102,7 +102,7 @@
         self.taken[change] = self.version
 
     def answer(self, change: Change, status: int, body: dict[str, Any]) -> None:
-        """A node has answered, whether or not anybody hears it."""
+        """Check an answer of a node, received or not."""
         if status == 200:
             self._confirm(change, body["version"])
         elif status in (400, 412):
@@ -132,13 +132,13 @@
         self.refused.add(change)
 
     def may_be_forgotten(self, change: Change, remembered: int) -> bool:
-        """Whether a change is from before those that are remembered."""
+        """Return whether a change is older than the remembered ones."""
         kept = self.versions[-1 - remembered :]
         return change.base_version < kept[0]
 
 
 class Entry(NamedTuple):
-    """Of the log."""
+    """Entry of the log."""
 
     term: int
     data: bytes
@@ -171,17 +171,17 @@
     # What the API sees of the group
 
     def holds_lease(self) -> bool:
-        """Whether it leads, and has applied all that is committed."""
+        """Return whether this node holds the lease and has applied all committed entries."""
         return self.world.lease is self and self.applied == len(self.world.committed)
 
     @property
     def leader_address(self) -> str | None:
-        """The leader that is known."""
+        """The known leader."""
         leader = self.world.leader
         return None if leader is None else leader.name
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
-        """As ReplicatedGroup.propose."""
+        """Propose an entry, like ReplicatedGroup.propose."""
         world = self.world
         if world.leader is not self:
             raise NotLeaderError
@@ -190,10 +190,10 @@
         self.waiters.append(Waiter(len(world.committed) + len(world.tail), world.term, future))
         return await future
 
-    # What the world does with it
+    # Events of the world
 
     def apply_committed(self) -> None:
-        """Take what is committed, and tell who waits for it."""
+        """Apply the committed entries, and notify the waiters."""
         for entry in self.world.committed[self.applied :]:
             self.applied += 1
             result = self.store.apply(self.applied, entry.data)
@@ -202,26 +202,26 @@
                 self.tell(waiter, entry, result)
 
     def tell(self, waiter: Waiter, entry: Entry, result: object) -> None:
-        """The outcome, where the entry that has come is the one that was proposed."""
+        """Notify a waiter: of the result if the applied entry is its own, otherwise of the loss."""
         if waiter.term == entry.term:
             waiter.future.set_result(result)
         else:
             waiter.future.set_exception(ProposalLostError())
 
     def lose_waiters(self, up_to: int) -> None:
-        """Their outcome is not known here."""
+        """Notify waiters up to an index that their outcome is unknown."""
         for waiter in [waiter for waiter in self.waiters if waiter.index <= up_to]:
             self.waiters.remove(waiter)
             waiter.future.set_exception(ProposalLostError())
 
     def restore(self, data: bytes, applied: int) -> None:
-        """Go on from another node's snapshot."""
+        """Restore another node's snapshot."""
         self.store.restore(data)
         self.applied = applied
         self.lose_waiters(applied)
 
     def restart(self) -> None:
-        """A new process, from its own snapshot."""
+        """Start a new process from its own snapshot."""
         data = self.store.snapshot()
         self.store = ConfigurationStore()
         self.store.restore(data)
@@ -231,7 +231,7 @@
 
 @dataclass(eq=False)
 class Call:
-    """One copy of a change, at one node."""
+    """One copy of a change, sent to one node."""
 
     operator: int
     step: int
@@ -244,7 +244,7 @@
 
 @dataclass
 class Operator:
-    """Sends its changes one after the other."""
+    """Sends its planned changes one after the other."""
 
     plan: Sequence[Step]
     known: int = FIRST_VERSION
@@ -253,15 +253,15 @@
 
     @property
     def done(self) -> bool:
-        """Whether all have a clear answer."""
+        """Whether all changes have a definite answer."""
         return self.step == len(self.plan)
 
     def change(self) -> Change:
-        """The one that is under way."""
+        """Return the change in progress."""
         return self.plan[self.step].change(self.known)
 
     def handle_answer(self, status: int, version: int) -> None:
-        """A clear answer."""
+        """Handle a definite answer."""
         if status in (200, 412):
             self.known = max(self.known, version)
         self.step += 1
@@ -269,9 +269,9 @@
 
 
 class Action(NamedTuple):
-    """Something that may happen next.
+    """A possible next event: the name of a method of World, and its arguments.
 
-    A method of World, and the places of operators and nodes that it is about, among other numbers.
+    Arguments are indexes of operators and nodes, among other numbers.
     """
 
     name: str
@@ -282,7 +282,7 @@
 
 
 class World:
-    """All of it. `actions` is what may happen, `act` makes it happen."""
+    """The complete model; `actions` returns the possible next events, and `act` executes one."""
 
     def __init__(
         self, plans: Sequence[Sequence[Step]], bounds: Bounds, api: type[OperatorApi], node: type[Node] = Node
@@ -301,10 +301,10 @@
         self.spent = dict.fromkeys(("elections", "lapses", "restores", "restarts", "timeouts", "strays"), 0)
         self.history: list[Action] = []
 
-    # What may happen
+    # Possible events
 
     def actions(self) -> list[Action]:
-        """All that may happen now, but for what makes no difference to anybody."""
+        """Return the events that may happen next, without those that change nothing."""
         return [*self._operator_actions(), *self._group_actions(), *self._node_actions()]
 
     def _operator_actions(self) -> Iterator[Action]:
@@ -319,7 +319,7 @@
                     yield Action("stray", (number, place))
 
     def _answered(self, number: int) -> set[tuple[int, int]]:
-        """The clear answers (status, version) that an operator may hear."""
+        """Return the definite answers (status, version) that an operator may receive."""
         step = self.operators[number].step
         return {
             (call.status, call.body.get("version", 0))
@@ -336,7 +336,7 @@
             yield Action("regain")
         if self._left("elections") or self.leader is None:
             for place, node in enumerate(self.nodes):
-                if node is not self.leader:  # with some of what the last leader has not committed
+                if node is not self.leader:  # with some of the last leader's uncommitted entries
                     yield from (Action("elect", (place, kept)) for kept in range(len(self.tail) + 1))
 
     def _node_actions(self) -> Iterator[Action]:
@@ -355,23 +355,23 @@
     def _left(self, trouble: str) -> bool:
         return self.spent[trouble] < cast(int, getattr(self.bounds, trouble))
 
-    # How it happens
+    # Execution of events
 
     async def act(self, action: Action) -> None:
-        """Let it happen, with all that follows at once, and look at what must hold."""
+        """Execute an action and its immediate consequences, and check the invariants."""
         self.history.append(action)
         getattr(self, f"_{action.name}")(*action.arguments)
         await self.settle()
         self._check()
 
     async def settle(self) -> None:
-        """Run all that can run."""
+        """Run the event loop until nothing is ready."""
         loop = cast(Any, asyncio.get_running_loop())
         while loop._ready:
             await asyncio.sleep(0)
 
     async def close(self) -> None:
-        """End the calls that are under way."""
+        """Cancel the calls in progress."""
         for call in self.calls:
             call.task.cancel()
         await self.settle()
@@ -384,7 +384,7 @@
         self.calls.append(Call(number, operator.step, change, node, task))
 
     def _stray(self, number: int, place: int) -> None:
-        """To a node that is behind, and does not lead."""
+        """Send a change to a node that is behind and does not lead."""
         self.spent["strays"] += 1
         self._send(number, place)
         self.operators[number].sent -= 1
@@ -411,12 +411,12 @@
         self.lease = self.leader
 
     def _elect(self, place: int, kept: int) -> None:
-        """The lease comes only once the entries that the new leader has kept are committed, and applied."""
+        """Elect a leader; it holds the lease once the entries that it kept are committed and applied."""
         self.spent["elections"] += 1
         self.term += 1
         for entry in self.tail[:kept]:
             self._add_committed(entry)
-        self.committed.append(Entry(self.term, FIRST.encode()))  # its own: takes a place, changes nothing
+        self.committed.append(Entry(self.term, FIRST.encode()))  # the leader's first entry; changes nothing
         self.tail = []
         self.leader = self.lease = self.nodes[place]
         self.leader.apply_committed()
@@ -443,7 +443,7 @@
             self.leader = self.lease = None
         node.restart()
 
-    # What must hold
+    # Invariants
 
     def _check(self) -> None:
         try:
@@ -454,7 +454,7 @@
             raise ViolationError(f"{violation}; after: {self.describe_history()}") from violation
 
     def describe_history(self) -> str:
-        """What has happened."""
+        """Return the executed actions as text."""
         return ", ".join(map(str, self.history))
 
     def _look_at(self, call: Call) -> None:
@@ -471,10 +471,10 @@
             if node.holds_lease() and node.store.version != self.reference.version:
                 raise ViolationError(f"{node.name} serves {node.store.version} of {self.reference.version}")
 
-    # For a search
+    # State, for the search
 
     def fingerprint(self) -> object:
-        """All that what comes next depends on."""
+        """Return the complete state on which later events depend."""
         reference = self.reference
         return (
             tuple((node.applied, crc32(node.store.snapshot())) for node in self.nodes),
@@ -492,7 +492,7 @@
         )
 
     def _calls_fingerprint(self) -> object:
-        """Those under way in the order in which they came; of the others, what an operator may still hear."""
+        """Return the calls in progress, in order, and the answers that operators may still receive."""
         running = [
             (call.operator, call.step, call.change, self.nodes.index(call.node))
             for call in self.calls
@@ -501,12 +501,12 @@
         heard = [frozenset(self._answered(number)) for number in range(len(self.operators))]
         return tuple(running), tuple(heard)
 
-    # The end
+    # Recovery
 
     async def heal(self) -> None:
-        """End all faults: from here on every change must get its clear answer.
+        """End all faults, and check that every change gets a definite answer.
 
-        Except a change that is older than what is remembered.
+        A change older than the remembered ones is excepted.
         """
         if self.lease is None:
             await self.act(Action("elect", (0, len(self.tail))))
@@ -524,7 +524,7 @@
         return actions
 
     def _catch_up(self, place: int) -> None:
-        """And wait no longer for entries that will never come."""
+        """Apply the committed entries, and fail waiters of entries that were never committed."""
         node = self.nodes[place]
         node.apply_committed()
         for waiter in [waiter for waiter in node.waiters if waiter.term < self.term]:
@@ -532,7 +532,7 @@
             waiter.future.set_exception(ProposalLostError())
 
     def _go_on(self, number: int) -> None:
-        """An operator hears an answer, or sends once more where none can come."""
+        """Let an operator receive an answer, or send again if none is outstanding."""
         assert self.lease is not None
         operator = self.operators[number]
         answers = self._answered(number)
--- a/tests/controlplane/owner_order_checker.py
+++ b/tests/controlplane/owner_order_checker.py
@@ -1,4 +1,4 @@
-"""What the operators' rules ask of orders to servers, held at each order of a simulated day."""
+"""Checks every order to a simulated server against the operators' rules."""
 
 from __future__ import annotations
 
@@ -24,18 +24,14 @@
 
 @dataclass
 class FaultSpan:
-    """A trouble; until: infinite while it lasts."""
+    """Time span of a fault; `until` is infinite while it lasts."""
 
     since: float
     until: float = float("inf")
 
 
 class FaultLog:
-    """When who was out of touch, by the operators' rules.
-
-    Attributes:
-        core: Of all machines, as each is of the core.
-    """
+    """Faults by machine, from which follows which machines count as in contact."""
 
     def __init__(self) -> None:
         self._core: list[FaultSpan] = []
@@ -43,28 +39,28 @@
         self._recoveries: dict[str, list[float]] = {}
 
     def core(self, at: float) -> FaultSpan:
-        """The bench does something to the core."""
+        """Record the start of a fault that makes the core unstable, and so affects all machines."""
         span = FaultSpan(at)
         self._core.append(span)
         return span
 
     def machine(self, name: str, at: float) -> FaultSpan:
-        """The bench does something to a machine that leaves the core stable."""
+        """Record the start of a fault of one machine that leaves the core stable."""
         span = FaultSpan(at)
         self._machines.setdefault(name, []).append(span)
         return span
 
     def record_recovery(self, name: str, at: float) -> None:
-        """A machine was thawed, or a link of it has healed."""
+        """Record that a machine was resumed, or that one of its links has healed."""
         self._recoveries.setdefault(name, []).append(at)
 
     def in_contact(self, name: str, at: float) -> bool:
-        """Whether nothing has happened to a machine and to the core for long enough."""
+        """Return whether a machine and the core have been free of faults for CONTACT_S."""
         spans = (*self._core, *self._machines.get(name, ()))
         return not any(span.since <= at <= span.until + CONTACT_S for span in spans)
 
     def is_recovering(self, name: str, at: float) -> bool:
-        """Whether an order that arrives now from a machine doesn't count."""
+        """Return whether an order that arrives now is exempt, because its machine has just recovered."""
         return any(0 <= at - healed <= RESUME_GRACE_S for healed in self._recoveries.get(name, ()))
 
 
@@ -78,7 +74,7 @@
 
 
 class OrderChecker:
-    """What must hold of all orders."""
+    """Checks orders when they are sent, arrive and are accepted, and counts them."""
 
     def __init__(self, world: OwnerWorld) -> None:
         self._world = world
@@ -92,7 +88,7 @@
         self.unloads = 0
 
     def sent(self, process: OwnerProcess, order: Order, fencing_token: int) -> None:
-        """An order leaves."""
+        """Check an order that is sent."""
         machine = process.machine.name
         if not process.group.holds_lease():
             raise ViolationError(f"{machine} orders under the fence {fencing_token} without its lease")
@@ -108,7 +104,7 @@
         self._world.on_order_sent(process)
 
     def arrived(self, server: str, machine: str, document: Mapping[str, Any], instance: str | None) -> None:
-        """An order has come to a server, whatever that says to it."""
+        """Check an order that arrives at a server, accepted or not."""
         at = self._world.now
         if instance is None or "if-revision" not in document:
             raise ViolationError(f"an order of {machine} without an instance or a revision: {document}")
@@ -140,7 +136,7 @@
             raise ViolationError(f"{server} gets the fence {now.fencing_token} after a higher one")
 
     def took(self, server: EngineServer, order: Mapping[str, Any], ref: ModelRef) -> None:
-        """A server begins an order."""
+        """Check an order that a server accepts."""
         self.taken += 1
         if order["operation"] == Operation.UNLOAD.value:
             self.unloads += 1
@@ -152,7 +148,7 @@
             raise ViolationError(f"{server.address} loads {ref} beyond its memory")
 
     def loaded_from_store(self) -> None:
-        """A load from the weight store begins."""
+        """Check the rate of loads from the weight store, at the start of one."""
         at = self._world.now
         self._loads.append(at)
         while self._loads[0] < at - LOAD_RATE_WINDOW_S:
--- a/tests/controlplane/owner_servers.py
+++ b/tests/controlplane/owner_servers.py
@@ -1,4 +1,4 @@
-"""Engine servers of a simulated day: what they hold, say of themselves, and do with orders."""
+"""Simulated engine servers: loaded models, reports, and execution of orders."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class EngineServer:
-    """A server's address, and the incarnation that serves there now."""
+    """A server address, and the incarnation that listens there now."""
 
     def __init__(self, world: OwnerWorld, number: int) -> None:
         self.world = world
@@ -41,7 +41,7 @@
         self.start()
 
     def start(self) -> None:
-        """A new incarnation: empty, and with no memory of sequences and fences."""
+        """Start a new incarnation: empty, and without sequence and fencing token."""
         self._starts += 1
         self.up = True
         self.id = f"i-{self.address}-{self._starts}"
@@ -53,23 +53,23 @@
         self._note()
 
     def stop(self) -> None:
-        """It is gone for a while."""
+        """Stop the server."""
         self.up = False
         self.order = None
 
     def usage(self) -> tuple[float, int]:
-        """Memory and adapters held."""
+        """Return the memory in MB and the number of adapters in use."""
         mb = sum(SIZES[name].weights_mb + ADAPTER_MB * len(adapters) for name, adapters in self.held.items())
         return mb, sum(len(adapters) for adapters in self.held.values())
 
     def hold(self, *names: str) -> None:
-        """It has held models since its start."""
+        """Set models that are loaded from its start on."""
         for name in names:
             self.held[name] = set()
         self._note()
 
     def models(self) -> tuple[LoadedModel, ...]:
-        """What it holds."""
+        """Return the loaded models."""
         return tuple(LoadedModel(name, frozenset(adapters)) for name, adapters in self.held.items())
 
     def _note(self) -> None:
@@ -77,7 +77,7 @@
         self._reports.append((self.world.now, Report(self.sequence, self.order is not None, models)))
 
     def report(self) -> Report:
-        """What it says of itself: some hundred ms old."""
+        """Return its report, which is some hundred ms old."""
         asked = self.world.now - self.world.rng.uniform(0.05, 0.4)
         newest = self._reports[0][1]
         for at, report in self._reports:
@@ -86,7 +86,7 @@
         return newest
 
     def take(self, machine: str, body: bytes, instance: str | None) -> int:
-        """An order has come; the status that it gets."""
+        """Handle an order; return its HTTP status."""
         document = json.loads(body)
         self.world.order_checker.arrived(self.address, machine, document, instance)
         fencing_token = document["fence-token"]
--- a/tests/controlplane/owner_wire.py
+++ b/tests/controlplane/owner_wire.py
@@ -1,4 +1,4 @@
-"""What lies between simulated control machines and servers, and the client that placement calls them by."""
+"""Simulated network between control machines and servers, and the client of placement on it."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     from tests.controlplane.owner_world import OwnerProcess, OwnerWorld
 
 NETWORK_S = 0.002
-CLOSED_FRACTION = 0.3  # of orders for which a connection must be opened first
-RETRANSMIT_S = 2.0  # within which TCP sends again what a cut has held up, once that has healed
+CLOSED_FRACTION = 0.3  # of orders that have to open a connection first
+RETRANSMIT_S = 2.0  # within which TCP retransmits after a partition has healed
 
 
 @dataclass
 class ServerLink:
-    """From a control machine to a server, or back."""
+    """One direction between a control machine and a server."""
 
     cut: bool = False
     slow_s: float = 0.0
@@ -40,7 +40,7 @@
 class Wire:
     """Connections between control machines and servers.
 
-    What a cut holds up arrives when it heals, unless its sender has reset the connection.
+    Bytes held back by a partition arrive after it has healed, unless the sender has reset the connection.
     """
 
     def __init__(self, world: OwnerWorld) -> None:
@@ -49,11 +49,11 @@
         self.resets = True
 
     def link(self, sender: str, receiver: str) -> ServerLink:
-        """One direction."""
+        """Return the link of one direction."""
         return self.links.setdefault((sender, receiver), ServerLink())
 
     def carry(self, sender: str, receiver: str, arrive: Callable[[], None]) -> None:
-        """Bring bytes over, later."""
+        """Deliver bytes after a delay, or hold them back while the link is cut."""
         link = self.link(sender, receiver)
         if link.cut:
             link.held.append(arrive)
@@ -61,7 +61,7 @@
         self._world.after(NETWORK_S + link.slow_s * self._world.rng.uniform(0.5, 1.0), arrive)
 
     def heal(self, ends: tuple[str, str]) -> None:
-        """A cut is over."""
+        """End a partition, and deliver what it held back."""
         link = self.links[ends]
         link.cut = False
         held, link.held = link.held, []
@@ -70,7 +70,7 @@
 
 
 class SimulatedClient:
-    """`ServerClient` of one process, over the wire."""
+    """`ServerClient` of one process, over the simulated network."""
 
     def __init__(self, process: OwnerProcess) -> None:
         self._process = process
@@ -78,7 +78,7 @@
         self._connected: set[str] = set()
 
     async def report(self, server_id: str, address: str) -> Report | ReportFailure:
-        """Ask for a report."""
+        """Request a report."""
         answer = await self._ask(address, lambda server: server.report(), REPORT_TIMEOUT_S, server_id)
         if answer is None:
             return ReportFailure.NO_ANSWER
@@ -119,7 +119,7 @@
     async def _ask(
         self, address: str, act: Callable[[EngineServer], object], timeout_s: float, instance: str = ""
     ) -> object:
-        """An answer; None where none comes in time, after which what is under way is reset."""
+        """Return the answer; None after a timeout, which resets the connection."""
         world, process = self._world, self._process
         machine = process.machine.address
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
--- a/tests/controlplane/owner_world.py
+++ b/tests/controlplane/owner_world.py
@@ -1,8 +1,8 @@
-"""Control nodes that order servers, simulated: real replicas, ownership and placement, and a judge.
+"""Simulation of control nodes that send orders to servers, with real replicas, ownership and placement.
 
 On top of the simulated group (tests/coordination/world.py) each process runs the real `ShardOwnership` and
 `PlacementController` on a loop of its own. The servers (owner_servers.py), the wire to them (owner_wire.py),
-the platform's list and the edges are simulated; `Judge` (owner_judge.py) holds what the rules ask of orders.
+the platform's list and the edges are simulated; `OrderChecker` (owner_order_checker.py) checks all orders.
 """
 
 from __future__ import annotations
@@ -41,36 +41,36 @@
 from tests.coordination.invariants import ViolationError
 from tests.coordination.world import SETTINGS, Machine, Process, World
 
-LEASE_POLL_S = 0.1  # as nodes look whether they lead a shard's group
+LEASE_POLL_S = 0.1  # between checks whether a node leads the shard's group
 LIST_S = 0.5
 LIST_LAG_S = 0.8
 EDGE_REPORT_S = 1.0
-URGENT_REPORT_S = 0.15  # between reports of an edge where a request has begun to wait
+URGENT_REPORT_S = 0.15  # between reports because a request has begun to wait
 
 
 class LeasedReplica:
-    """A replica as `LeasedGroup`."""
+    """`LeasedGroup` of a simulated replica."""
 
     def __init__(self, process: OwnerProcess) -> None:
         self._process = process
 
     @property
     def term(self) -> int:
-        """The replica's term."""
+        """Term of the replica."""
         return self._process.replica.term
 
     def holds_lease(self) -> bool:
-        """As the shell says it."""
+        """Return whether the replica leads, holds the lease, and has applied all committed entries."""
         process = self._process
         replica = process.replica
         return replica.holds_lease(process.now) and process.applied_index >= replica.commit_index
 
     def seconds_since_contact(self, address: str) -> float:
-        """Of a member."""
+        """Return the seconds since the last message of a member."""
         return self._process.replica.seconds_since_contact(address, self._process.now)
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
-        """A claim."""
+        """Commit a claim."""
         process = self._process
         position = process.replica.propose(data, process.now)
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
@@ -83,7 +83,7 @@
 
 
 class OwnerProcess(Process):
-    """A control process: a replica of the shard's group, and what owns and orders."""
+    """A control process: a replica of the shard's group, ownership and placement."""
 
     def __init__(self, world: OwnerWorld, machine: Machine, state: StoredState, fresh: bool) -> None:
         self.owner_world = world
@@ -134,7 +134,7 @@
             if not future.done():
                 future.set_exception(ProposalLostError("its outcome is not known here"))
 
-    # As the node does it
+    # The shard's owner, as in granitewell.nodes
 
     async def _run_shard(self) -> None:
         while True:
@@ -177,7 +177,7 @@
             await asyncio.sleep(ANNOUNCEMENT_INTERVAL_S)
 
     def add_demand(self, demands: list[ModelDemand], edge: str) -> None:
-        """An edge has reported."""
+        """Handle the report of an edge."""
         if self.controller is not None:
             self.reported.add(edge)
             self.controller.add_demand(demands, edge)
@@ -209,7 +209,7 @@
     """Three control machines, servers, edges and the platform.
 
     Attributes:
-        fencing: Whether servers check fences.
+        fencing: Whether servers check fencing tokens.
     """
 
     def __init__(self, seed: int, fencing: bool) -> None:
@@ -221,7 +221,7 @@
         self.owners: dict[int, OwnerClaimed] = {}
         self.all_processes: list[OwnerProcess] = []
         self.freeze_before_send = 0.0
-        self.on_order_sent: Callable[[OwnerProcess], None] = _nothing  # for days that strike at such a moment
+        self.on_order_sent: Callable[[OwnerProcess], None] = _nothing  # hook for faults at such a moment
         self.on_connecting: Callable[[OwnerProcess], None] = _nothing
         self._lists: deque[tuple[float, list[ListedServer]]] = deque(maxlen=16)
         self._events.clear()
@@ -241,11 +241,11 @@
         self._read_list()
 
     def owner_processes(self) -> list[OwnerProcess]:
-        """All processes, frozen or not."""
+        """Return all running processes, suspended or not."""
         return [cast(OwnerProcess, machine.process) for machine in self.machines if machine.process]
 
     def abandon(self) -> None:
-        """The day is over."""
+        """End the simulation."""
         for process in self.all_processes:
             process.loop.abandon()
 
@@ -261,7 +261,7 @@
         self.after(0.25, self._read_list)
 
     def listed(self) -> list[ListedServer]:
-        """The platform's list, as old as it is."""
+        """Return the platform's list with its usual lag."""
         seen = self._lists[0][1]
         for at, entries in self._lists:
             if at <= self.now - LIST_LAG_S:
@@ -271,13 +271,13 @@
     # Edges
 
     def _report_demand(self, edge: str) -> None:
-        """All that an edge knows, every second."""
+        """Send the periodic report of an edge."""
         busy = [ModelDemand(SERVICE, ModelRef(name), 5, 0, 2) for name in BUSY]
         self._send_demand(edge, [*busy, self._waiting()])
         self.after(EDGE_REPORT_S, partial(self._report_demand, edge))
 
     def _report_urgent(self) -> None:
-        """One edge where a request waits."""
+        """Send a report of an edge where a request waits."""
         edge = self.rng.choice(EDGES)
         busy = [ModelDemand(SERVICE, ModelRef(name), 1, 0, 2) for name in BUSY]
         self._send_demand(edge, [*busy, self._waiting()])
@@ -296,7 +296,7 @@
     # Between nodes
 
     def announce_incarnation(self, sender: OwnerProcess) -> None:
-        """To all other control nodes, where the links carry it."""
+        """Announce a process to the other control nodes, subject to the links."""
         address, incarnation = sender.machine.address, sender.incarnation
         for process in self.owner_processes():
             link = self.links.get((address, process.machine.address), self.quiet)
@@ -305,10 +305,10 @@
             told = partial(process.processes.announce, address, incarnation)
             self.after(NETWORK_S, partial(process.run, told))
 
-    # A freeze at the worst moment
+    # Suspension between the lease check and the send
 
     async def maybe_freeze_before_send(self, process: OwnerProcess) -> None:
-        """Now and then a process freezes between its last look at the lease and the bytes' leaving."""
+        """Suspend a process at random between its last check of the lease and the send."""
         if self.rng.random() >= self.freeze_before_send or process.frozen:
             return
         process.frozen = True
@@ -317,7 +317,7 @@
         await asyncio.sleep(0)
 
     def thaw(self, process: Process, span: FaultSpan) -> None:
-        """A frozen process goes on."""
+        """Resume a suspended process."""
         span.until = self.now
         self.faults.record_recovery(process.machine.name, self.now)
         if process.alive and process.frozen:
--- a/tests/controlplane/process_loop.py
+++ b/tests/controlplane/process_loop.py
@@ -1,7 +1,7 @@
 """An asyncio loop inside one process of a simulated world.
 
-Its callbacks run as events of that world, stop while the process is frozen, at whatever await it stands, and
-never run again once it is dead.
+Its callbacks run as events of that world, pause while the process is suspended, at any await, and never run
+again after the process has ended.
 """
 
 from __future__ import annotations
@@ -20,24 +20,26 @@
 
 
 class ProcessLoop(asyncio.AbstractEventLoop):
-    """Time is the machine's steady clock."""
+    """Event loop on the machine's monotonic clock."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
         self._ready: deque[asyncio.Handle] = deque()
         self._turn_scheduled = False
-        self._tasks: set[asyncio.Task[Any]] = set()  # kept, so that none is collected half done
+        self._tasks: set[asyncio.Task[Any]] = (
+            set()
+        )  # references, so that no running task is garbage-collected
 
-    # What asyncio asks of a loop
+    # Interface of an asyncio loop
 
     def time(self) -> float:
-        """The machine's steady clock."""
+        """Return the time of the machine's monotonic clock."""
         return self._process.now
 
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> asyncio.Handle:
-        """In the next turn."""
+        """Run a callback in the next iteration."""
         handle = asyncio.Handle(callback, args, self, context)
         self._ready.append(handle)
         self._schedule()
@@ -46,13 +48,13 @@
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> asyncio.TimerHandle:
-        """After a time on the machine's clock."""
+        """Run a callback after a delay on the machine's clock."""
         return self.call_at(self.time() + delay, callback, *args, context=context)
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> asyncio.TimerHandle:
-        """At a time of the machine's clock."""
+        """Run a callback at a time of the machine's clock."""
         handle = asyncio.TimerHandle(when, callback, args, self, context)
         machine = self._process.machine
         due_at = machine.true_time(when) + TIMER_LATE_S
@@ -60,18 +62,18 @@
         return handle
 
     def create_future(self) -> asyncio.Future[Any]:
-        """A future of this loop."""
+        """Create a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(self, coro: Coroutine[Any, Any, Any], **options: Any) -> asyncio.Task[Any]:  # type: ignore[override]
-        """A task of this loop."""
+        """Create a task of this loop."""
         task = asyncio.Task(coro, loop=self, **options)
         self._tasks.add(task)
         task.add_done_callback(self._ended)
         return task
 
     def abandon(self) -> None:
-        """The world has ended: nothing of this goes on."""
+        """Close all tasks at the end of the simulation."""
         for task in list(self._tasks):
             task.get_coro().close()
 
@@ -81,15 +83,15 @@
             raise error
 
     def get_debug(self) -> bool:
-        """Never."""
+        """Return False: debug mode is off."""
         return False
 
     def is_running(self) -> bool:
-        """Always, as far as its callbacks see."""
+        """Return True: it is only asked by callbacks."""
         return True
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """A callback has failed, as the end of a failed task does."""
+        """Raise the error of a failed callback."""
         error = context.get("exception")
         if isinstance(error, BaseException):
             raise error
@@ -97,7 +99,7 @@
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
         pass
 
-    # Turns
+    # Iterations
 
     def _due(self, handle: asyncio.Handle) -> None:
         self._ready.append(handle)
--- a/tests/controlplane/test_change_identity_search.py
+++ b/tests/controlplane/test_change_identity_search.py
@@ -1,7 +1,7 @@
-"""Every order of operators, repeats, lost answers, leader changes, snapshots and timeouts, in a small world.
+"""Exhaustive and random search over event orders: repeats, lost answers, elections, snapshots, timeouts.
 
-In CI: all orders of a few small worlds, and some hundred random days of a larger one. The long form searches
-larger worlds as well, and 10,000 days:
+In CI: all event orders of a few small models, and some hundred random ones of a larger model. The long form
+also searches larger models exhaustively, and 10,000 random event orders:
 
     GRANITEWELL_CHANGE_SEEDS=10000 python -m pytest tests/controlplane/test_change_identity_search.py
 """
@@ -28,7 +28,7 @@
 SHORT_SEEDS = 200
 SEEDS = int(os.environ.get("GRANITEWELL_CHANGE_SEEDS", SHORT_SEEDS))
 MAX_DEFECT_SEEDS = 400
-MAX_ACTIONS = 70  # of a day
+MAX_ACTIONS = 70  # of one random event order
 
 Plant = Callable[[pytest.MonkeyPatch], None]
 
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A small world.
+    """A small model that is searched exhaustively.
 
     Attributes:
-        states: How many it has, so that none is lost unseen.
+        states: Expected number of reachable states, which shows if the search loses some.
     """
 
     name: str
@@ -76,7 +76,7 @@
 
 
 async def search(new_world: Callable[[], World]) -> int:
-    """Every order of what may happen, each state once, and a good end to each; how many states there are."""
+    """Visit every reachable state once, check the recovery from it, and return the number of states."""
     seen: set[object] = set()
     paths: list[list[Action]] = [[]]
     while paths:
@@ -106,7 +106,7 @@
 
 
 def scenario_of(seed: int) -> tuple[Sequence[Sequence[Step]], Bounds]:
-    """Three operators with four changes each, which are alike at times."""
+    """Return the plans of three operators with four changes each, some equal, and the bounds."""
     rng = Random(seed)
 
     def step() -> Step:
@@ -122,7 +122,7 @@
 
 
 async def play(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A random day, at the end of which all is well again."""
+    """Play one random event order, and check the recovery."""
     plans, bounds = scenario_of(seed)
     monkeypatch.setattr(history_module, "MAX_ACCEPTED_CHANGES", bounds.remembered)
     rng = Random(seed)
@@ -142,7 +142,7 @@
 
 
 async def play_all(seeds: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Random days."""
+    """Play random event orders."""
     for seed in range(seeds):
         await play(seed, monkeypatch)
 
--- a/tests/controlplane/test_configuration_checks.py
+++ b/tests/controlplane/test_configuration_checks.py
@@ -1,4 +1,4 @@
-"""Every kind of configuration that can't be taken, by the field that is named, and odd ones that can."""
+"""Invalid configurations and the field that the error names, and unusual configurations that are valid."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
     ],
 )
 @pytest.mark.parametrize("operation", list(Operation))
-def test_what_cannot_be_read_whole_is_invalid(body: bytes, operation: Operation) -> None:
+def test_an_unreadable_body_is_invalid(body: bytes, operation: Operation) -> None:
     store = ConfigurationStore()
     assert store.apply(1, Change(operation, 0, body).encode()).outcome is Outcome.INVALID
     assert store.version == 0
@@ -121,7 +121,7 @@
         assert result is not None and result.outcome is Outcome.INVALID
 
 
-def test_not_a_number_is_no_weight() -> None:
+def test_nan_is_not_a_weight() -> None:
     body = orjson.dumps(whole(1, split_route("a", ("one", 7)))).replace(b'"weight":7', b'"weight":NaN')
     result = ConfigurationStore().check(Change(Operation.PUT, 0, body))
     assert result is not None and result.outcome is Outcome.INVALID
@@ -202,7 +202,7 @@
 
 
 @pytest.mark.parametrize("document", VALID_WHOLES)
-def test_what_the_page_does_not_forbid_is_taken(document: Json) -> None:
+def test_unusual_configurations_are_accepted(document: Json) -> None:
     store = store_of(put_change(0, document))
     sent = {name: value for name, value in document.items() if value is not None}
     assert orjson.loads(store.document()) == sent
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("document", VALID_PATCHES)
-def test_patches_that_the_page_does_not_forbid_are_taken(document: Json) -> None:
+def test_unusual_patches_are_accepted(document: Json) -> None:
     store = store_of(put_change(0, whole(5)), patch_change(5, document))
     assert store.version == 9
 
@@ -275,7 +275,7 @@
 
 
 def test_a_configuration_takes_little_memory() -> None:
-    """Each route about 1 KB, not the 4 KB that a result of the JSON library would keep."""
+    """A route takes about 1 KB, not the 4 KB of a result of orjson that is kept without a copy."""
     body = put_change(0, whole(5, *(route(f"r{number}") for number in range(1_000))))
     tracemalloc.start()
     store = store_of(body)
--- a/tests/controlplane/test_configuration_examples.py
+++ b/tests/controlplane/test_configuration_examples.py
@@ -1,4 +1,4 @@
-"""Small configurations that the tests of this package share, and tests that they are taken as they stand."""
+"""Small configurations shared by the tests of this package, and tests that they are valid."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def route(name: str, **fields: Any) -> Json:
-    """A route of service `one`; keyword names have underscores for the dashes of the wire."""
+    """Return a route of service `one`; keyword names have underscores in place of the wire's dashes."""
     base: Json = {
         "name": name,
         "host": "shop.example",
@@ -37,7 +37,7 @@
 
 
 def split_route(name: str, *shares: tuple[str, float]) -> Json:
-    """A route split over services."""
+    """Return a route with several weighted services."""
     document = route(name)
     del document["service"]
     document["weighted-services"] = [{"service": service, "weight": weight} for service, weight in shares]
@@ -45,13 +45,13 @@
 
 
 def service(name: str, **fields: Any) -> Json:
-    """A service."""
+    """Return a service."""
     base: Json = {"name": name, "health-path": "/health", "max-connections": 20, "protocol": "h1"}
     return base | {field.replace("_", "-"): value for field, value in fields.items()}
 
 
 def engine() -> Json:
-    """What the servers of a service of models have."""
+    """Return the engine of a service that runs models."""
     return {
         "slots": 96,
         "kv-capacity": 122651,
@@ -67,7 +67,7 @@
 
 
 def whole(version: Any, *listed: Json, **fields: Any) -> Json:
-    """A whole configuration with services `one` and `two`."""
+    """Return a complete configuration with services `one` and `two`."""
     base: Json = {
         "version": version,
         "routes": list(listed) or [route("a"), route("b", service="two")],
@@ -78,23 +78,23 @@
 
 
 def patch(version: Any, upsert: Any = None, remove: Any = None, **fields: Any) -> Json:
-    """A patch."""
+    """Return the body of a PATCH."""
     parts = {"version": version, "upsert": upsert, "remove": remove}
     return {name: value for name, value in parts.items() if value is not None} | fields
 
 
 def put_change(base_version: int, document: Any) -> Change:
-    """A PUT of a document."""
+    """Return a PUT change."""
     return Change(Operation.PUT, base_version, orjson.dumps(document))
 
 
 def patch_change(base_version: int, document: Any) -> Change:
-    """A PATCH of a document."""
+    """Return a PATCH change."""
     return Change(Operation.PATCH, base_version, orjson.dumps(document))
 
 
 def applied(store: ConfigurationStore, *changes: Change) -> list[ChangeResult]:
-    """Changes applied one after the other, each checked first: the check must tell what applying gives."""
+    """Check and apply changes one after the other; the check must agree with the result of applying."""
     results = []
     for change in changes:
         told = store.check(change)
@@ -108,12 +108,12 @@
 
 
 def outcomes(store: ConfigurationStore, *changes: Change) -> list[Outcome]:
-    """What became of changes."""
+    """Return the outcomes of changes."""
     return [result.outcome for result in applied(store, *changes)]
 
 
 def store_of(*changes: Change) -> ConfigurationStore:
-    """A store that has taken these changes."""
+    """Return a store that has accepted these changes."""
     store = ConfigurationStore()
     assert set(outcomes(store, *changes)) <= {Outcome.ACCEPTED}
     return store
--- a/tests/controlplane/test_configuration_faults.py
+++ b/tests/controlplane/test_configuration_faults.py
@@ -1,10 +1,10 @@
 """Operators against three control nodes on virtual time: real stores, API, replica groups and log format.
 
 Disks refuse all writes for a while (on one, on two, on all nodes), links are cut, processes are killed and
-machines lose power, snapshots are taken every few entries. Each answer is held against what was committed,
-and after the last trouble every change must get its clear answer. More seeds:
+machines lose power, snapshots are taken every few entries. Each answer is checked against the committed
+entries, and after the last fault every change must get a definite answer. More seeds:
 
-    GRANITEWELL_CHANGE_DAYS=500 python -m pytest tests/controlplane/test_changes_on_bad_days.py
+    GRANITEWELL_CHANGE_DAYS=500 python -m pytest tests/controlplane/test_configuration_faults.py
 """
 
 from __future__ import annotations
@@ -36,24 +36,24 @@
 ADDRESSES = ("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7")
 SEEDS = int(os.environ.get("GRANITEWELL_CHANGE_DAYS", "10"))
 MAX_DEFECT_SEEDS = 60
-QUICK_SEEDS = (10, 4)  # of the days that notice what the first day doesn't
-FAULT_COUNT = 6  # in a day
-ANSWER_TIMEOUT_S = 1.0  # an operator moves on then
-RECOVERY_S = 20.0  # after the last trouble; elections, a refused disk's retry, three proposals that time out
-LOST_ANSWERS_FRACTION = 0.2  # of the answers
-DISK_RECOVERY_S = 4.0  # until a change is taken: one proposal may time out, one leader may change
+QUICK_SEEDS = (10, 4)  # that reveal the defects which seed 0 does not
+FAULT_COUNT = 6  # per scenario
+ANSWER_TIMEOUT_S = 1.0  # then an operator sends the change again
+RECOVERY_S = 20.0  # after the last fault: elections, the retry of a full disk, three proposals that time out
+LOST_ANSWERS_FRACTION = 0.2  # of all answers
+DISK_RECOVERY_S = 4.0  # until a change is accepted: one proposal may time out, one leader may change
 MAX_PAUSE_S = 0.4  # between the changes of one operator
 
 
 class Committed:
-    """What the nodes apply: the same everywhere, and told to the reference in order."""
+    """Checks that all nodes apply the same entries, and passes them to the reference model in order."""
 
     def __init__(self) -> None:
         self.reference = Reference()
         self._entries: dict[int, bytes] = {}
 
     def applied(self, index: int, data: bytes) -> None:
-        """A node has applied an entry."""
+        """Record an entry that a node has applied."""
         if index not in self._entries:
             self._entries[index] = data
             self.reference.commit(Change.decode(data))
@@ -62,14 +62,14 @@
 
 
 class TracedStore(ConfigurationStore):
-    """Tells what it applies."""
+    """Store that reports the entries that it applies."""
 
     def __init__(self, committed: Committed) -> None:
         super().__init__()
         self._committed = committed
 
     def apply(self, index: int, data: bytes) -> ChangeResult:
-        """As the real one."""
+        """Apply an entry, and report it."""
         self._committed.applied(index, bytes(data))
         return super().apply(index, data)
 
@@ -83,7 +83,7 @@
         self.files = SimulatedFiles(scenario.rng)
         self.group: ReplicatedGroup | None = None
         self.api: OperatorApi | None = None
-        # in order, so that a day is the same each time
+        # a dict, whose order is deterministic
         self.calls: dict[asyncio.Task[web.Response], None] = {}
         self._executor: LoopExecutor | None = None
 
@@ -112,7 +112,7 @@
         self.api = OperatorApi(store, group, str, scenario.loop.time, own_address=self.address)
 
     async def stop_process(self, *, power: bool) -> None:
-        """The process is killed, or the machine loses power; its callers hear no more."""
+        """Kill the process, or cut the machine's power; its callers get no answer."""
         group, executor = self.group, self._executor
         if group is None or executor is None:
             return
@@ -126,7 +126,7 @@
 
 
 class Scenario:
-    """Three nodes, their network, two operators, troubles."""
+    """Three nodes, their network, two operators, and faults."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
@@ -139,7 +139,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def send(self, sender: str, to: str, payload: bytes) -> None:
-        """Bring a message, a moment later, where the link is there."""
+        """Deliver a message with a short delay, unless the link is cut."""
         if frozenset((sender, to)) not in self.cut:
             self.loop.call_later(0.001, self._deliver, sender, to, payload)
 
@@ -151,7 +151,7 @@
     # Operators
 
     async def operate(self, operator: Operator) -> None:
-        """Send the changes of a plan, each until it has a clear answer, until the day ends."""
+        """Send the changes of a plan, each until it has a definite answer, until the scenario ends."""
         address = self.rng.choice(ADDRESSES)
         while not operator.done and not (self.ending and operator.sent == 0):
             operator.sent += 1
@@ -169,7 +169,7 @@
             address = self.rng.choice(ADDRESSES)
 
     async def _call_node(self, address: str, change: Change) -> web.Response | None:
-        """One call; None where no answer was heard."""
+        """Call a node; return None if the answer is lost."""
         node = self.nodes[address]
         if node.api is None:
             return None
@@ -182,7 +182,7 @@
         return call.result()
 
     def _check_answer(self, node: ControlNode, change: Change, call: asyncio.Task[web.Response]) -> None:
-        """Every answer counts, heard or not."""
+        """Check an answer, received or not."""
         node.calls.pop(call, None)
         if call.cancelled():
             return
@@ -193,7 +193,7 @@
             self.violations.append(violation)
 
     async def read(self) -> None:
-        """Get the configuration again and again: an answer is the newest that was taken."""
+        """Read the configuration repeatedly, and check that it is the newest accepted one."""
         request = cast(web.Request, SimpleNamespace(path_qs="/config"))
         while True:
             await asyncio.sleep(self.rng.uniform(0, MAX_PAUSE_S))
@@ -207,10 +207,10 @@
             elif response.status not in (200, *UNCLEAR):
                 self.violations.append(ViolationError(f"{response.status} for a GET"))
 
-    # Troubles
+    # Faults
 
     async def full_disks(self) -> None:
-        """Writes are refused on one, two or all."""
+        """Refuse writes on one, two or all nodes."""
         nodes = self.rng.sample(list(self.nodes.values()), self.rng.randint(1, 3))
         for node in nodes:
             node.files.refusing = errno.ENOSPC
@@ -219,7 +219,7 @@
             node.files.refusing = None
 
     async def cut_off(self) -> None:
-        """One node from the others, or one link."""
+        """Cut one node off from the others, or one link."""
         first, *others = self.rng.sample(ADDRESSES, 3)
         links = {frozenset((first, other)) for other in others[: self.rng.randint(1, 2)]}
         self.cut |= links
@@ -227,7 +227,7 @@
         self.cut -= links
 
     async def restart(self) -> None:
-        """One node, or all at once."""
+        """Restart one node, or all at once."""
         nodes = self.rng.sample(list(self.nodes.values()), self.rng.choice((1, 1, 3)))
         for node in nodes:
             await node.stop_process(power=self.rng.random() < 0.5)
@@ -235,15 +235,15 @@
         await asyncio.gather(*(node.start() for node in nodes if node.group is None))
 
     async def transfer_leadership(self) -> None:
-        """The leader gives up leadership."""
+        """Make the leader transfer its leadership."""
         for node in self.nodes.values():
             if node.group is not None and node.group.is_leader:
                 await node.group.transfer()
 
-    # All of it
+    # The scenario
 
     async def play(self, faults: Sequence[Callable[[Scenario], Awaitable[None]]], plans: Plans) -> None:
-        """A day with its troubles, and the recovery."""
+        """Play the faults and the recovery."""
         await asyncio.gather(*(node.start() for node in self.nodes.values()))
         await self.operate(Operator([Step(Operation.PUT, 1, "first")], known=0))
         operators = [Operator(plan) for plan in plans]
@@ -263,7 +263,7 @@
         await self.read_back()
 
     async def stop(self) -> None:
-        """End all that runs."""
+        """Stop all tasks and nodes."""
         for task in self.tasks:
             task.cancel()
         for node in self.nodes.values():
@@ -271,12 +271,12 @@
         await asyncio.sleep(0)
 
     def check(self) -> None:
-        """No answer was wrong."""
+        """Raise the first violation, if any."""
         if self.violations:
             raise self.violations[0]
 
     async def read_back(self) -> None:
-        """All nodes come to the newest version."""
+        """Wait until all nodes have the newest version."""
         async with asyncio.timeout(RECOVERY_S):
             while {self._version(node) for node in self.nodes.values()} != {self.committed.reference.version}:
                 await asyncio.sleep(0.1)
@@ -294,7 +294,7 @@
 
 
 def plans_of(rng: Random) -> Plans:
-    """Two operators, whose changes are alike at times."""
+    """Return the plans of two operators; some of their changes are equal."""
 
     def step() -> Step:
         return Step(
@@ -314,7 +314,7 @@
 
 
 def play_seed(seed: int, faults: Sequence[Callable[[Scenario], Awaitable[None]]]) -> None:
-    """A day of one seed."""
+    """Play the scenario of one seed."""
     rng = Random(seed)
     chosen = [rng.choice(faults) for _ in range(FAULT_COUNT)]
 
@@ -362,7 +362,7 @@
 
 
 async def statuses(scenario: Scenario, change: Change, seconds: float) -> list[int]:
-    """The answers to a change that is sent to one node after the other, until it is taken."""
+    """Send a change to one node after the other until it is accepted; return the statuses."""
     found: list[int] = []
     deadline = scenario.loop.time() + seconds
     while scenario.loop.time() < deadline and 200 not in found:
@@ -378,9 +378,9 @@
     ("full", "taken"), [("follower", True), ("leader", True), ("two followers", False), ("all", False)]
 )
 def test_changes_while_disks_are_full(full: str, taken: bool) -> None:
-    """A majority that can write takes changes.
+    """Changes are accepted while a majority of disks can be written.
 
-    Without one, no change has a clear answer; one that is sent on is taken soon after there is room again.
+    Without a majority no change gets a definite answer; it is accepted soon after the disks have space again.
     """
 
     async def play() -> None:
--- a/tests/controlplane/test_configuration_store.py
+++ b/tests/controlplane/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""The store: compare-and-set, changes sent again, snapshots, deltas, and what edges make of them."""
+"""The store: compare-and-set, repeated changes, snapshots, deltas, and the view of edges."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def follow(view: ConfigurationView, delta: ConfigurationDelta) -> None:
-    """An edge takes what a control node says."""
+    """Apply a control node's update to an edge's view."""
     view.apply(delta.version, delta.is_complete, delta.documents)
 
 
@@ -77,7 +77,7 @@
     assert store.version == 5
 
 
-def test_the_first_change_builds_on_nothing() -> None:
+def test_the_first_change_is_based_on_version_0() -> None:
     assert outcomes(ConfigurationStore(), put_change(1, whole(5))) == [Outcome.STALE]
     assert outcomes(ConfigurationStore(), patch_change(0, patch(1, {"services": [service("one")]}))) == [
         Outcome.ACCEPTED
@@ -115,7 +115,7 @@
 
 
 def test_a_body_that_was_taken_is_another_change_under_another_if_match_or_operation() -> None:
-    """Else two changes on one version would both be confirmed: this one, and that which was taken there."""
+    """Otherwise two changes based on one version would both be acknowledged."""
     taken = patch_change(5, patch(7, {"routes": [route("c")]}))
     store = store_of(FIRST, taken, patch_change(7, patch(9)))
     for base in (0, 4, 6, 7, 8, 10):
@@ -126,7 +126,7 @@
 
 
 def test_a_repeat_with_any_byte_altered_is_no_repeat() -> None:
-    """Also where it reads as the same JSON, as with another blank."""
+    """This includes equal JSON with different whitespace."""
     taken = patch_change(5, patch(7, {"routes": [route("c")]}))
     store = store_of(FIRST, taken, patch_change(7, patch(9)))
     before = store.snapshot()
@@ -208,7 +208,7 @@
 
 
 def test_a_check_is_not_used_once_the_state_has_moved() -> None:
-    """The same change, checked on one state, must be judged anew on the next."""
+    """A change checked on one state must be checked again on the next."""
     store = store_of(FIRST)
     change = patch_change(5, patch(7, {"routes": [route("c", service="two")]}))
     assert store.check(change) is None
@@ -223,7 +223,7 @@
     assert store.configuration is not None and sorted(store.configuration.routes) == ["a", "b", "d"]
 
 
-def test_the_listener_hears_of_each_new_version_only() -> None:
+def test_the_callback_is_called_for_each_new_version_only() -> None:
     heard: list[int] = []
     store = ConfigurationStore(on_change=lambda: heard.append(store.version))
     outcomes(store, FIRST, FIRST, put_change(5, whole(4)), put_change(1, whole(9)), put_change(5, whole(9)))
@@ -276,12 +276,12 @@
 
 
 def snapshot_of(document: bytes, *records: tuple[bytes, int]) -> bytes:
-    """A snapshot with a right checksum, whatever is in it."""
+    """Return a snapshot with a valid checksum and any content."""
     rest = document + b"".join(struct.pack("!32sq", digest, version) for digest, version in records)
     return struct.pack("!BIII", 1, zlib.crc32(rest), len(document), len(records)) + rest
 
 
-def test_a_snapshot_from_before_changes_knew_their_base_is_read() -> None:
+def test_a_snapshot_without_base_versions_is_read() -> None:
     """It has the same bytes: the digest of operation and body, and the version.
 
     The bases follow from the order.
@@ -300,7 +300,7 @@
 def test_a_full_snapshot_that_names_no_forgotten_version_may_have_forgotten_some(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An older program left no mark: the base of its oldest record is not known."""
+    """Older versions stored no forgotten version, so the base version of their oldest record is unknown."""
     monkeypatch.setattr(history_module, "LEGACY_FULL_RECORDS", 3)
     records = [(change.digest(), version) for change, version in zip(CHAIN, range(5, 10), strict=True)][2:]
     store = ConfigurationStore()
@@ -345,7 +345,7 @@
 
 
 def big_store() -> ConfigurationStore:
-    """A store whose whole is long beside a patch."""
+    """Return a store whose complete configuration is much longer than a patch."""
     return store_of(put_change(0, whole(5, *(route(f"r{number}") for number in range(50)))))
 
 
@@ -418,7 +418,7 @@
 
 
 def test_patches_from_before_a_gap_are_forgotten() -> None:
-    """A whole that can't be told as a patch, or a snapshot, leaves a gap in the patches."""
+    """A PUT that can't be encoded as a patch, or a restored snapshot, leaves a gap in the patches."""
     store = store_of(FIRST, patch_change(5, patch(6)), put_change(6, whole(7, limits={})))
     store.apply(0, patch_change(7, patch(8)).encode())
     assert [store.changes_since(version).is_complete for version in (5, 6, 7)] == [True, True, False]
@@ -439,7 +439,7 @@
     assert view.version == 9 and view.configuration == store.configuration
 
 
-def test_a_view_passes_over_patches_that_it_holds() -> None:
+def test_a_view_skips_patches_that_it_has_applied() -> None:
     store = big_store()
     view = ConfigurationView()
     follow(view, store.changes_since(0))
@@ -460,11 +460,11 @@
     before = view.configuration
     wrong: list[tuple[int, bool, list[bytes]]] = [
         (9, False, [second]),  # a gap
-        (9, False, [first]),  # does not lead there
+        (9, False, [first]),  # does not lead to version 9
         (9, False, []),
         (9, False, [first, b"garbage"]),
         (9, False, [first, second[:-1]]),
-        (9, False, [first, orjson.dumps(patch(9))]),  # names no version that it builds on
+        (9, False, [first, orjson.dumps(patch(9))]),  # without a base version
         (9, True, []),
         (9, True, [store.document(), store.document()]),
         (9, True, [store.document()[:-1]]),
@@ -541,7 +541,7 @@
 
 
 def rebased(change: Change, store: ConfigurationStore, again: bool) -> Change:
-    """The change as it was drawn, or on top of what is current."""
+    """Return a change as it was generated, or based on the current version."""
     if again:
         return change
     document = orjson.loads(change.body)
@@ -594,7 +594,7 @@
 @settings(max_examples=60, deadline=None)
 @given(histories)
 def test_every_state_that_is_reached_is_valid_as_a_whole(history: list[tuple[Change, bool]]) -> None:
-    """A patch checks only what it alters; what comes out must pass the checks of a whole; versions rise."""
+    """A patch checks only its own items; the state after it must pass the checks of a PUT."""
     store = ConfigurationStore()
     reached = [0]
     for index, (drawn, again) in enumerate(history):
--- a/tests/controlplane/test_confirmation.py
+++ b/tests/controlplane/test_confirmation.py
@@ -1,4 +1,4 @@
-"""Confirmation of orders that take some ms: what the node knows after it, and which reports it ignores."""
+"""Confirmation of orders that take some ms: the state after it, and reports that are ignored."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def waiting_for_adapter(now: float = 10.0) -> tuple[PlacementReconciler, Send]:
-    """A reconciler that has just ordered the adapter for which a request waits."""
+    """Return a reconciler that has just ordered an adapter that a request waits for, and the order."""
     made = PlacementReconciler(Random(1))
     made.start(now)
     made.set_engine(now, ENGINE, 1.0)
@@ -39,7 +39,7 @@
 
 
 def confirming(now: float = 10.0) -> tuple[PlacementReconciler, Send, float]:
-    """The same once the order was accepted and is sent again."""
+    """Return the same once the order was accepted and is sent again, and the time of that."""
     made, first = waiting_for_adapter(now)
     made.on_order(now + 0.13, first.order, 7, OrderResult.ACCEPTED)
     at = now + 0.13 + confirmation.FIRST_CONFIRMATION_DELAY_S
@@ -50,7 +50,7 @@
     return made, again, at
 
 
-def test_an_accepted_adapter_is_ready_as_soon_as_the_server_says_that_it_holds() -> None:
+def test_an_adapter_is_ready_once_its_order_is_confirmed() -> None:
     made, again, at = confirming()
     assert not made.ready_models("i-1")["m0"].adapters
     made.on_order(at + 0.002, again.order, 7, OrderResult.ALREADY_DONE)
@@ -66,14 +66,14 @@
     assert made.ready_models("i-1")["m0"].adapters == {"a1"}
 
 
-def test_a_report_of_well_after_the_confirmation_counts() -> None:
+def test_a_report_from_after_the_confirmation_counts() -> None:
     made, again, at = confirming()
     made.on_order(at, again.order, 7, OrderResult.ALREADY_DONE)
     made.on_report(at + 1.0, "i-1", at + MAX_REPORT_AGE_S + 0.1, report(4))
     assert not made.ready_models("i-1")["m0"].adapters
 
 
-def test_while_the_order_is_in_progress_it_is_asked_again_more_rarely_and_then_reports_decide() -> None:
+def test_confirmations_back_off_and_then_reports_are_polled() -> None:
     made, again, at = confirming()
     for number in range(1, confirmation.MAX_CONFIRMATIONS):
         made.on_order(at, again.order, 7, OrderResult.CONFLICT)
@@ -89,7 +89,7 @@
     assert made.ready_models("i-1")["m0"].adapters == {"a1"}
 
 
-def test_without_a_clear_answer_reports_decide() -> None:
+def test_without_a_confirmation_reports_are_polled() -> None:
     made, again, at = confirming()
     made.on_order(at + 0.8, again.order, 7, OrderResult.UNKNOWN)
     (poll,) = made.due(at + 0.8, "node-1", 7, True)
@@ -97,7 +97,7 @@
     assert not made.ready_models("i-1")["m0"].adapters
 
 
-def test_one_that_is_accepted_again_was_undone_and_stays_recorded_until_a_later_report() -> None:
+def test_an_order_accepted_again_stays_pending_until_a_later_report() -> None:
     made, again, at = confirming()
     made.on_order(at, again.order, 7, OrderResult.ACCEPTED)
     made.on_report(at + 0.1, "i-1", at, report(5))
@@ -113,7 +113,7 @@
     assert not any(isinstance(step, Send) for step in steps)
 
 
-def test_only_orders_of_some_ms_are_confirmed() -> None:
+def test_only_quick_orders_are_confirmed() -> None:
     assert confirmation.is_quick(Order("i", Operation.LOAD, ADAPTER))
     assert confirmation.is_quick(Order("i", Operation.UNLOAD, ModelRef("m0")))
     assert not confirmation.is_quick(Order("i", Operation.LOAD, ModelRef("m0")))
@@ -129,7 +129,7 @@
         (Operation.UNLOAD, ModelRef("m7"), {"m0": {"a2"}}),
     ],
 )
-def test_the_state_after_an_order(operation: Operation, ref: ModelRef, after: dict[str, set[str]]) -> None:
+def test_predicted_report(operation: Operation, ref: ModelRef, after: dict[str, set[str]]) -> None:
     later = confirmation.predicted_report(report(4, "a2"), Order("i", operation, ref), 5)
     assert {name: set(model.adapters) for name, model in later.models.items()} == after
     assert later.sequence == 5 and not later.busy
--- a/tests/controlplane/test_fences.py
+++ b/tests/controlplane/test_fences.py
@@ -1,7 +1,7 @@
-"""After a refusal for a higher fencing token nothing more is sent with a lower one, on any way.
+"""Once a server has refused a fencing token, nothing more is sent with that token.
 
-Two owners of one service believe in their ownership at once, for any spans of time; each stops and starts
-again now and then with the token that it has. Servers check fences.
+Two nodes own one service alternately, with different tokens, and each believes that it still owns it. At
+random, one stops and starts again with its old token. Servers check fencing tokens.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 SECONDS = 12.0
 
 
-class Witness(PlacementReconciler):
-    """A reconciler that notes what is sent with a token after a server has refused it."""
+class RecordingReconciler(PlacementReconciler):
+    """A reconciler that records what is sent with a token after a server has refused it."""
 
     def __init__(self, rng: Random) -> None:
         super().__init__(rng)
@@ -46,12 +46,14 @@
         super().on_order(now, order, fencing_token, result)
 
 
-def two_owners(seed: int, lost_answers: float, spans_s: tuple[float, float]) -> tuple[Fleet, list[Witness]]:
-    """The usual traffic, with two owners that act in turn."""
+def two_owners(
+    seed: int, lost_answers: float, spans_s: tuple[float, float]
+) -> tuple[Fleet, list[RecordingReconciler]]:
+    """Play typical traffic with two owners that act alternately."""
     fleet = typical_fleet(seed)
     fleet.lose_answers = lost_answers
-    owners = [Witness(Random(seed + number)) for number in range(len(TOKENS))]
-    chance = Random(seed)
+    owners = [RecordingReconciler(Random(seed + number)) for number in range(len(TOKENS))]
+    rng = Random(seed)
     fleet.reconciler = owners[0]
     fleet.start()
     owners[1].set_engine(fleet.now, fleet.engine, 1.0)
@@ -59,16 +61,16 @@
     owners[1].start(fleet.now)
     play_typical(fleet, SECONDS, BUSY)
 
-    def turn() -> None:
-        number = chance.randrange(len(TOKENS))
+    def switch_owner() -> None:
+        number = rng.randrange(len(TOKENS))
         fleet.reconciler, fleet.fencing_token = owners[number], TOKENS[number]
         fleet.reconciler.set_servers(fleet.now, fleet.listed())
-        if chance.random() < 0.3:  # it has lost its lease for a while, and kept its token
+        if rng.random() < 0.3:  # it has lost its lease for a while, without a new token
             fleet.reconciler.stop(fleet.now)
             fleet.reconciler.start(fleet.now)
-        fleet.after(chance.uniform(*spans_s), turn)
+        fleet.after(rng.uniform(*spans_s), switch_owner)
 
-    fleet.after(2.0, turn)
+    fleet.after(2.0, switch_owner)
     fleet.run(SECONDS)
     return fleet, owners
 
@@ -87,17 +89,17 @@
     assert not owners[1].refused
 
 
-def test_the_lower_token_is_really_refused_in_these_plays() -> None:
+def test_the_lower_token_is_refused_in_some_scenario() -> None:
     refused = [two_owners(seed, 0.2, (0.3, 1.5))[1][0].refused for seed in range(4)]
     assert any(refused)
 
 
-def _forgets_at_each_start(made: PlacementReconciler, now: float) -> None:
+def _forgets_refusal_at_start(made: PlacementReconciler, now: float) -> None:
     made._refused_token = -1
     REAL_START(made, now)
 
 
-def _takes_no_refusal_of_a_confirmation(
+def _ignores_refused_confirmation(
     made: PlacementReconciler, now: float, order: Order, fencing_token: int, result: OrderResult
 ) -> None:
     hidden = OrderResult.INVALID if result is OrderResult.FENCED else result
@@ -109,12 +111,10 @@
 
 @pytest.mark.parametrize(
     ("name", "defect"),
-    [("start", _forgets_at_each_start), ("on_order", _takes_no_refusal_of_a_confirmation)],
+    [("start", _forgets_refusal_at_start), ("on_order", _ignores_refused_confirmation)],
     ids=["forgotten-at-a-start", "refusal-ignored"],
 )
-def test_planted_defects_are_caught(
-    name: str, defect: Callable[..., None], monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_defect_is_detected(name: str, defect: Callable[..., None], monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(PlacementReconciler, name, defect)
     plays = [two_owners(seed, 0.2, (0.3, 1.5))[1] for seed in range(8)]
     assert any(owner.sent_after_refusal for owners in plays for owner in owners)
--- a/tests/controlplane/test_model_versions.py
+++ b/tests/controlplane/test_model_versions.py
@@ -1,4 +1,4 @@
-"""Newer weights: which copies are outdated, and how they are renewed one after the other."""
+"""Versions of weights: which copies are outdated, and how they are replaced one after the other."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.controlplane.test_placement_planner import ENGINE, SIZES, STORE, server
 
 M = ModelRef("m0")
-BUSY = RefDemand(3.0, 0.0, 2, 0, 0.0, 1)  # two copies are wanted
+BUSY = RefDemand(3.0, 0.0, 2, 0, 0.0, 1)  # two copies are desired
 OLD, NEW = LoadedModel("m0", version=1), LoadedModel("m0", version=2)
 
 
@@ -45,7 +45,7 @@
 
 
 def test_a_copy_loaded_after_the_newer_version_was_seen_is_not_loaded_again() -> None:
-    """A server that claims a version which no load brings must not have all others load for ever."""
+    """A server that reports a version which no load brings must not make all others reload forever."""
     newer = versions_of((1.0, OLD), (2.0, NEW))
     assert newer.outdated({"m0": OLD}, {"m0": 1.9}) == {"m0"}
     assert not newer.outdated({"m0": OLD}, {"m0": 2.0})
@@ -71,7 +71,7 @@
     assert [model.version for model in message.models] == [2, None]
 
 
-# What the planner does
+# Planner
 
 
 def copy(number: int, model: LoadedModel, *, outdated: bool = False, **more: bool) -> ServerView:
@@ -112,11 +112,11 @@
     assert planned(copy(1, NEW), copy(2, OLD, outdated=True), demand=idle) == []
 
 
-# The whole loop
+# Reconciler
 
 
 def roll_out(servers: int, *, wrong_version: bool = False) -> tuple[Fleet, list[int]]:
-    """A new version comes in force; the first server has it. How many copies were ready at the worst."""
+    """Play a new version of the weights that the first server has; return the number of copies over time."""
     fleet = tiny_fleet(*[("m0", f"m{number + 1}") for number in range(servers)])
     for one in fleet.servers.values():
         one.versions["m0"] = 1
@@ -144,7 +144,7 @@
     fleet, ready = roll_out(servers)
     versions = {one.versions["m0"] for one in fleet.servers.values() if "m0" in one.held}
     assert versions == {2}
-    assert min(ready) >= min(servers - 1, 2)  # two are wanted
+    assert min(ready) >= min(servers - 1, 2)  # two are desired
     assert not fleet.observed.given_up and not fleet.observed.over_limit
 
 
--- a/tests/controlplane/test_order_wire.py
+++ b/tests/controlplane/test_order_wire.py
@@ -1,7 +1,7 @@
-"""Orders at the level of bytes: sent once at most, whole, conditional, and answered by their own answer only.
+"""Orders on the wire: sent at most once, complete, conditional, and matched only with their own answer.
 
-A stand-in for a server plays a script, one act a call: what it answers, whether it closes, resets or says
-nothing. Both event loops that nodes may run on are played.
+A scripted server defines for each call what it answers, and whether it closes or resets the connection or
+stays silent. The tests run on both event loops that nodes may use.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 ORDER = Order("i-1", Operation.LOAD, ModelRef("m1", "a2"))
 TICKET = OrderTicket("node-1", 7, 3)
 REPORT = json.dumps({"phase": "mixed", "models": [], "busy": False, "sequence": 3}).encode()
-SILENCE_S = 0.03  # time-out of an order that is never answered, in place of that in service
-ANSWERED_S = 2.0  # time-out where an answer comes: on a busy machine that may take a while
+SILENCE_S = 0.03  # timeout of an order that is never answered, shorter than in production
+ANSWERED_S = 2.0  # timeout if an answer arrives, which may take a while on a busy machine
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -45,11 +45,12 @@
 
 @dataclass(frozen=True)
 class Act:
-    """What the stand-in does with one call.
+    """What the scripted server does with one call.
 
     Attributes:
-        end: Stay, close or reset.
-        early: Before it has read the body.
+        reply: Bytes of the answer.
+        end: "stay", "close" or "reset" the connection afterwards.
+        early: Whether to answer before reading the body.
     """
 
     reply: bytes = b""
@@ -58,17 +59,17 @@
 
     @property
     def order_timeout_s(self) -> float:
-        """Time-out for the order: short only if nothing that ends it will ever come."""
+        """Timeout of the order: short only if the server stays silent."""
         silent = self.end == "stay" and self.reply in (b"", CONTINUE)
         return SILENCE_S if silent else ANSWERED_S
 
 
 @dataclass
 class Standin:
-    """A server by script.
+    """A scripted server.
 
     Attributes:
-        calls: Head and body of each call that came whole.
+        calls: Header and body of each call received completely.
     """
 
     script: list[Act]
@@ -157,7 +158,7 @@
 
 
 def assert_whole(calls: list[tuple[bytes, bytes]]) -> None:
-    """Each order carries its revision, its fence and whom it is for."""
+    """Assert that each order has its revision, its fencing token and the expected instance."""
     for head, body in calls:
         assert b"\r\nGranitewell-Expect-Instance: i-1\r\n" in head
         assert json.loads(body) == {
@@ -193,7 +194,9 @@
         if reused:
             assert isinstance(await client.report("i-1", address), Report)
         assert await client.send(address, ORDER, TICKET, yes) is result
-        assert isinstance(await client.report("i-1", address), Report)  # its own answer, whatever came before
+        assert isinstance(
+            await client.report("i-1", address), Report
+        )  # its own answer, independent of earlier ones
         assert len(standin.orders) == 1
         assert_whole(standin.orders)
 
@@ -205,7 +208,7 @@
 def test_a_connection_that_the_server_has_closed_carries_no_order_twice() -> None:
     async def scenario(standin: Standin, address: str, client: HttpServerClient) -> None:
         assert isinstance(await client.report("i-1", address), Report)
-        result = await client.send(address, ORDER, TICKET, yes)  # may cross the close
+        result = await client.send(address, ORDER, TICKET, yes)  # may be sent while the server closes
         assert result in (OrderResult.ACCEPTED, OrderResult.UNKNOWN)
         assert len(standin.orders) <= 1
         assert_whole(standin.orders)
@@ -214,11 +217,11 @@
 
 
 @pytest.mark.parametrize("stray", [answer(202), answer(200, REPORT), b"HTTP/1.1 2", b"x"])
-def test_bytes_that_come_while_nothing_is_asked_answer_nothing(stray: bytes) -> None:
+def test_bytes_between_two_calls_close_the_connection(stray: bytes) -> None:
     async def scenario(standin: Standin, address: str, client: HttpServerClient) -> None:
         assert isinstance(await client.report("i-1", address), Report)
         standin.writers[0].write(stray)
-        await until(lambda: standin.ends + standin.resets == 1)  # dropped at once, not when next wanted
+        await until(lambda: standin.ends + standin.resets == 1)  # closed at once, not on the next call
         assert await client.send(address, ORDER, TICKET, yes) is OrderResult.CONFLICT
         assert standin.connections == 2 and len(standin.orders) == 1
 
@@ -234,7 +237,7 @@
     play([Act(answer(200, REPORT) + answer(202)), Act(answer(409))], scenario)
 
 
-def test_an_order_without_an_answer_is_taken_off_the_wire_by_a_reset() -> None:
+def test_an_unanswered_order_resets_the_connection() -> None:
     async def scenario(standin: Standin, address: str, client: HttpServerClient) -> None:
         assert await client.send(address, ORDER, TICKET, yes) is OrderResult.UNKNOWN
         await until(lambda: standin.resets == 1)
@@ -243,7 +246,7 @@
     play([Act()], scenario, order_timeout_s=SILENCE_S)
 
 
-def test_an_order_that_is_given_up_with_the_ownership_is_taken_off_the_wire_too() -> None:
+def test_an_order_cancelled_with_the_ownership_resets_the_connection() -> None:
     async def scenario(standin: Standin, address: str, client: HttpServerClient) -> None:
         sending = asyncio.create_task(client.send(address, ORDER, TICKET, yes))
         await until(lambda: len(standin.orders) == 1)
@@ -255,7 +258,7 @@
     play([Act()], scenario)
 
 
-def test_permission_is_asked_in_the_very_turn_in_which_the_order_leaves(
+def test_permission_is_checked_in_the_loop_iteration_that_sends_the_order(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     events: list[str] = []
@@ -287,7 +290,7 @@
     play([Act(answer(202))], scenario, [asyncio.new_event_loop])
 
 
-def test_a_server_that_is_gone_gets_no_order() -> None:
+def test_a_closed_server_gets_no_order() -> None:
     async def scenario(standin: Standin, address: str, client: HttpServerClient) -> None:
         closed = "127.0.0.1:9"
         assert await client.report("i-1", closed) is ReportFailure.REFUSED
--- a/tests/controlplane/test_owner_defects.py
+++ b/tests/controlplane/test_owner_defects.py
@@ -1,4 +1,4 @@
-"""Guards of ownership and of orders taken out on purpose: the days of three control machines notice each."""
+"""Planted defects of ownership and orders, each detected by simulations of three control machines."""
 
 from __future__ import annotations
 
@@ -38,38 +38,38 @@
 
 
 def no_wait(patch: pytest.MonkeyPatch) -> None:
-    """Behind another machine, orders begin at once."""
+    """After another machine's claim, orders are sent at once."""
     patch.setattr(TakeoverRules, "wait_s", property(lambda self: 0.0))
 
 
 def short_wait(patch: pytest.MonkeyPatch) -> None:
-    """The wait does not count for how long an order lasts that has left."""
+    """The wait does not include the delivery time of an order."""
     patch.setattr(TakeoverRules, "wait_s", property(lambda self: self.lease_s + 0.1))
 
 
 def fault_always_replaces_wait(patch: pytest.MonkeyPatch) -> None:
-    """Behind a silent holder nothing is waited for, whether servers check fences or not."""
+    """After an unresponsive owner there is no wait, even if servers don't check fencing tokens."""
     patch.setattr(TakeoverRules, "fault_replaces_wait", property(lambda self: True))
 
 
 def stalled_disk_counts_as_crash(patch: pytest.MonkeyPatch) -> None:
-    """A holder whose replica waits for its disk counts as gone, though its process is heard."""
+    """An owner whose replica waits for its disk counts as lost, although its process still runs."""
     patch.setattr(KnownProcesses, "is_unresponsive", lambda self, address: True)
 
 
 def unresponsive_too_soon(patch: pytest.MonkeyPatch) -> None:
-    """A holder that is merely busy with itself for a while counts as gone."""
+    """An owner that is only paused for a short time counts as lost."""
     patch.setattr(owner, "UNRESPONSIVE_AFTER_S", 0.7)
     patch.setattr(processes, "PROCESS_UNRESPONSIVE_AFTER_S", 0.7)
 
 
 def contact_too_short(patch: pytest.MonkeyPatch) -> None:
-    """A fault excuses a turn for longer than machines are out of touch by it."""
+    """Machines count as in contact sooner after a fault than the wait lasts that it replaces."""
     patch.setattr(owner_order_checker, "CONTACT_S", 1.0)
 
 
 def wait_lost_on_own_claim(patch: pytest.MonkeyPatch) -> None:
-    """Behind a claim of this machine nothing is waited for, whatever that one had to wait for."""
+    """After a claim of this machine there is no wait, even if that claim had to wait."""
     real = ShardOwnership._start_wait
 
     def start_wait(self: ShardOwnership, previous: OwnerClaimed) -> None:
@@ -81,12 +81,12 @@
 
 
 def fencing_token_reused(patch: pytest.MonkeyPatch) -> None:
-    """The fence does not rise with each owner."""
+    """The fencing token does not increase with each owner."""
     patch.setattr(ShardOwnership, "fencing_token", property(lambda self: (self._claimed_term + 1) // 2))
 
 
 def lease_not_checked_before_send(patch: pytest.MonkeyPatch) -> None:
-    """An order leaves without a look whether this machine still owns the shard."""
+    """An order is sent without checking that this machine still owns the shard."""
     real = SimulatedClient.send
 
     async def send(
@@ -98,7 +98,7 @@
 
 
 def order_without_revision(patch: pytest.MonkeyPatch) -> None:
-    """Orders are not conditional."""
+    """Orders are sent without a revision."""
     real = orders.encode_order
 
     def encode(order: Order, ticket: OrderTicket) -> bytes:
@@ -110,7 +110,7 @@
 
 
 def no_reset(patch: pytest.MonkeyPatch) -> None:
-    """An order without an answer stays on the wire."""
+    """An unanswered order stays in the network."""
     real = Wire.__init__
 
     def init(self: Wire, world: OwnerWorld) -> None:
@@ -121,12 +121,12 @@
 
 
 def unloads_before_edges_report(patch: pytest.MonkeyPatch) -> None:
-    """A new owner unloads before it has heard the edges."""
+    """A new owner unloads before edges have reported their demand."""
     patch.setattr(reconciler, "FIRST_UNLOAD_DELAY_S", 0.0)
 
 
 def full_bucket(patch: pytest.MonkeyPatch) -> None:
-    """A new owner may load at once as much as after a long pause, and there is no bound to a pause."""
+    """A new owner starts with a full token bucket, whose capacity is too large."""
     real = LoadBucket.__init__
 
     def init(self: LoadBucket, now: float) -> None:
@@ -139,10 +139,9 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """A guard that is taken out, and the days that show it.
+    """A defect, the faults that reveal it, and the text of the violation.
 
-    It has the text of the violation, and a seed that is known to meet it soon; where that no longer does,
-    others are tried.
+    `seed` is known to reveal it soon; if it no longer does, others are tried.
     """
 
     plant: Callable[[pytest.MonkeyPatch], None]
@@ -153,22 +152,22 @@
     seed: int = 0
 
 
-# Days of their own, for what random troubles meet too rarely
+# Scenarios that random faults produce too rarely
 
 
 def lease_expires_during_wait(world: OwnerWorld) -> None:
-    """Leadership moves; soon after, the new leader stands still for a little longer than its lease."""
+    """Leadership moves; soon after, the new leader pauses for slightly longer than its lease."""
     transfer_leadership(world)
     world.after(1.0, partial(pause_leader, world, 0.51))
 
 
 def paused_owner(world: OwnerWorld) -> None:
-    """The owner is busy with itself until another leads, then goes on."""
+    """The owner pauses until another node leads, then resumes."""
     pause_leader(world, MAX_STALL_S)
 
 
 def owner_restarted(world: OwnerWorld) -> None:
-    """The owner is killed, and back at once."""
+    """The owner is killed, and restarts at once."""
     for process in world.owner_processes():
         if process.ownership.owns():
             span = world.faults.core(world.now)
@@ -178,7 +177,7 @@
 
 
 def owner_with_stalled_disk(world: OwnerWorld) -> None:
-    """The owner's disk hangs; leadership moves while its process is heard."""
+    """The owner's disk stalls; leadership moves while its process still announces itself."""
     for process in world.owner_processes():
         if process.ownership.owns():
             machine = process.machine
@@ -190,7 +189,7 @@
 
 
 def pause_leader(world: OwnerWorld, for_s: float) -> None:
-    """The leader is busy with itself."""
+    """Pause the leader."""
     for process in world.processes():
         if process.replica.role is Role.LEADER:
             process.frozen = True
@@ -198,13 +197,13 @@
 
 
 def thaw(process: Process) -> None:
-    """It goes on."""
+    """Resume a process."""
     if process.alive:
         process.thaw()
 
 
 def owner_cut_from_servers(world: OwnerWorld) -> None:
-    """The owner's orders get nowhere; then leadership moves; much later the links heal."""
+    """The owner is cut off from the servers; then leadership moves; much later the links heal."""
     owners = [process.machine for process in world.owner_processes() if process.ownership.owns()]
     ends = [(machine.address, server) for machine in owners for server in world.servers]
     for pair in ends:
@@ -221,7 +220,7 @@
 
 
 def leadership_moves_after_a_late_order(world: OwnerWorld) -> None:
-    """All that goes to servers is late; leadership moves as soon as an order has left, and all is well."""
+    """Links to servers are slow; leadership moves and the links recover as soon as an order was sent."""
     links = list(world.wire.links.values())
     for link in links:
         link.slow_s = 0.6
@@ -239,7 +238,7 @@
 
 
 def stalled_while_connecting(world: OwnerWorld) -> None:
-    """The owner stands still while it opens a connection, for longer than its lease."""
+    """The owner pauses while it opens a connection, for longer than its lease."""
 
     def stop(process: OwnerProcess) -> None:
         world.on_connecting = lambda process: None
--- a/tests/controlplane/test_owner_search.py
+++ b/tests/controlplane/test_owner_search.py
@@ -1,7 +1,7 @@
-"""Days of three control machines that order servers, each from its seed, under troubles of all sorts.
+"""Simulations of three control machines that send orders to servers, under random faults.
 
-`python -m tests.controlplane.test_owner_search FIRST LAST` plays more of them, each with and without fencing
-(`0 5000` are ten thousand days), and prints what was met.
+`python -m tests.controlplane.test_owner_search FIRST LAST` plays the seeds of a range, each with and without
+fencing (`0 5000` are ten thousand simulations), and prints totals.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 SEEDS = 1
 START_S = 3.0
 FAULTS_S = 11.0
-MAX_FAULT_S = 4.0  # which a trouble lasts at most
+MAX_FAULT_S = 4.0  # maximum duration of a fault
 RECOVERY_S = 7.0
-FAULT_INTERVAL_S = 0.9  # between troubles
-RARE_FAULT_INTERVAL_S = 4.0  # where machines are to be in touch in between
-MAX_STALL_S = 1.0  # a process that stands still of itself, with no fault: shorter than UNRESPONSIVE_AFTER_S
+FAULT_INTERVAL_S = 0.9  # mean time between faults
+RARE_FAULT_INTERVAL_S = 4.0  # the same, long enough for machines to be in contact in between
+MAX_STALL_S = 1.0  # pause of a healthy process: shorter than UNRESPONSIVE_AFTER_S
 
 Fault = Callable[[OwnerWorld], None]
 
 
 def pick_machine(world: OwnerWorld) -> Machine | None:
-    """A machine with a process, the leader's as often as not."""
+    """Return a machine with a process, often the leader's."""
     running = [machine for machine in world.machines if machine.process is not None]
     leading = [m for m in running if m.process is not None and m.process.replica.role is Role.LEADER]
     if leading and world.rng.random() < 0.6:
@@ -40,11 +40,11 @@
     return world.rng.choice(running) if running else None
 
 
-# What the bench does to the core
+# Faults of the core
 
 
 def kill(world: OwnerWorld) -> None:
-    """A process is killed or its machine loses power, and comes back."""
+    """Kill a process or cut its machine's power, and start it again."""
     machine = pick_machine(world)
     if machine is None:
         return
@@ -59,7 +59,7 @@
 
 
 def terminate(world: OwnerWorld) -> None:
-    """SIGTERM: leadership is handed over, then the process ends and starts again."""
+    """SIGTERM: a process transfers leadership, ends, and starts again."""
     machine = pick_machine(world)
     if machine is None or machine.process is None:
         return
@@ -81,7 +81,7 @@
 
 
 def freeze(world: OwnerWorld) -> None:
-    """A process stands still for seconds."""
+    """Suspend a process for some seconds."""
     machine = pick_machine(world)
     if machine is None or machine.process is None or machine.process.frozen:
         return
@@ -91,13 +91,13 @@
 
 
 def freeze_before_send(world: OwnerWorld) -> None:
-    """For a while, processes freeze right before an order leaves."""
+    """For 1 s, suspend processes at random right before they send an order."""
     world.freeze_before_send = 0.3
     world.after(1.0, lambda: setattr(world, "freeze_before_send", 0.0))
 
 
 def cut_core(world: OwnerWorld) -> None:
-    """A machine is cut off from one or all others of the core, in one direction or both."""
+    """Cut a machine off from one or all others of the core, in one direction or both."""
     machine = pick_machine(world)
     if machine is None:
         return
@@ -119,7 +119,7 @@
 
 
 def bad_links(world: OwnerWorld) -> None:
-    """Messages of the core are lost, late, out of order and twice."""
+    """Lose, delay, reorder and duplicate messages of the core."""
     world.quiet = Link(loss=world.rng.uniform(0, 0.4), slow_s=world.rng.uniform(0, 0.3), duplicate=0.2)
     span = world.faults.core(world.now)
 
@@ -130,11 +130,11 @@
     world.after(world.rng.uniform(0.5, 3.0), heal)
 
 
-# What the bench does to one machine, or to servers
+# Faults of one machine, or of servers
 
 
 def slow_disk(world: OwnerWorld) -> None:
-    """A disk is slow or hangs: the leader there hands over while it is heard."""
+    """Slow down or stall a disk: a leader there transfers leadership while its process still runs."""
     machine = pick_machine(world)
     if machine is None:
         return
@@ -149,7 +149,7 @@
 
 
 def cut_server(world: OwnerWorld) -> None:
-    """A server is cut off from a machine or from all, in one direction or both."""
+    """Cut a server off from one machine or all, in one direction or both."""
     server = world.rng.choice(list(world.servers))
     kind = world.rng.randrange(3)
     machines = world.machines if world.rng.random() < 0.5 else [world.rng.choice(world.machines)]
@@ -168,7 +168,7 @@
 
 
 def slow_server(world: OwnerWorld) -> None:
-    """All that goes to and from a server is late; nobody is out of touch by that."""
+    """Slow down the links of a server; machines still count as in contact."""
     server = world.rng.choice(list(world.servers))
     links = [link for ends, link in world.wire.links.items() if server in ends]
     for link in links:
@@ -182,25 +182,25 @@
 
 
 def restart_server(world: OwnerWorld) -> None:
-    """A server forgets what it holds, its sequence and its fences."""
+    """Restart a server, which loses its models, its sequence and its fencing token."""
     server = world.rng.choice(list(world.servers.values()))
     if server.up:
         server.stop()
         world.after(world.rng.uniform(0.05, 1.0), server.start)
 
 
-# What nobody did
+# Events without a fault
 
 
 def transfer_leadership(world: OwnerWorld) -> None:
-    """Leadership moves although nothing has happened."""
+    """Transfer leadership without a fault."""
     for process in world.processes():
         if process.replica.role is Role.LEADER:
             process.run(partial(_transfer, process))
 
 
 def stall(world: OwnerWorld) -> None:
-    """A process is busy with itself for longer than its lease lasts."""
+    """Pause a process, possibly for longer than its lease."""
     machine = pick_machine(world)
     if machine is None or machine.process is None or machine.process.frozen:
         return
@@ -225,13 +225,13 @@
     cut_server,
     restart_server,
 )
-"""What leaves the core stable: machines stay in touch, and every turn counts."""
+"""Faults that leave the core stable: machines stay in contact, and every change of owner is checked."""
 
 
 def play(
     seed: int, fencing: bool, faults: Sequence[Fault] = FAULTS, fault_interval_s: float = FAULT_INTERVAL_S
 ) -> OwnerWorld:
-    """One day; raises Violation, which names the seed."""
+    """Play one simulation; raises ViolationError with the seed."""
     world = OwnerWorld(seed, fencing)
     try:
         _play(world, faults, fault_interval_s)
@@ -281,11 +281,11 @@
     assert sum(order_checker.taken for order_checker in checkers) > 50 * SEEDS
     assert (
         sum(order_checker.owner_changes for order_checker in checkers) > 0
-    )  # else the rule was not put to the test
+    )  # otherwise the rule was not tested
 
 
 def search(first: int, last: int) -> bool:
-    """Days by the thousand; prints what was met, and whether no rule broke."""
+    """Play a range of seeds and print totals; return whether no rule was violated."""
     started = time.monotonic()
     totals = [0, 0, 0, 0]
     broken = 0
--- a/tests/controlplane/test_ownership.py
+++ b/tests/controlplane/test_ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of a shard: claimed in the log, used inside the lease, with a pause behind another holder."""
+"""Ownership of a shard: claimed in the log, valid within the lease, with a wait after another owner."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Group:
-    """A replica group that leads in `term` as long as `lease`."""
+    """A replica group that leads in `term` while `lease` is true."""
 
     def __init__(self, record: OwnerRecord) -> None:
         self.record, self.term, self.lease = record, 1, True
@@ -102,13 +102,13 @@
     assert not ownership.may_order()
     group.silent_s[OTHER_ADDRESS] = UNRESPONSIVE_AFTER_S
     assert ownership.may_order()
-    group.silent_s[OTHER_ADDRESS] = 0.0  # back: in touch only after contact-ms, and no holder any more
+    group.silent_s[OTHER_ADDRESS] = 0.0  # back, but no longer the owner, and in contact only after contact-ms
     assert ownership.may_order()
 
 
 def test_after_an_owner_with_a_stalled_disk_orders_wait() -> None:
     ownership, group, clock = claimed_after_another(fencing=True)
-    group.silent_s[OTHER_ADDRESS] = 2.0  # its replica answers once its term is on the disk
+    group.silent_s[OTHER_ADDRESS] = 2.0  # its replica replies only once its term is synced
     clock.now += 2.0
     processes_of(ownership).announce(OTHER_ADDRESS, "process-2")
     assert not ownership.may_order()
@@ -147,7 +147,7 @@
     group.silent_s[OTHER_ADDRESS] = 100.0
     assert not ownership.may_order()
     clock.now += 3.0
-    assert not ownership.may_order()  # an order that has left may still be on its way
+    assert not ownership.may_order()  # an order that was sent may still be in the network
     clock.now += MAX_ORDER_DELIVERY_S
     assert ownership.may_order()
 
@@ -200,7 +200,7 @@
     assert fenced.may_order()
 
     record.apply(2, OwnerClaimed("core-1", 6, OWN_ADDRESS, "process-0").encode())
-    unfenced, group, clock = owner(record, fencing=False)  # whom that process followed is not known
+    unfenced, group, clock = owner(record, fencing=False)  # the owner before that process is unknown
     group.term = 7
     asyncio.run(unfenced.claim())
     assert not unfenced.may_order()
--- a/tests/controlplane/test_placement_controller.py
+++ b/tests/controlplane/test_placement_controller.py
@@ -1,4 +1,4 @@
-"""The shell of placement in virtual time, and the HTTP client against a server on loopback."""
+"""The placement controller in virtual time, and the HTTP client against a server on loopback."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class _VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time passes at once when nothing is ready."""
+    """An event loop whose clock jumps to the next timer when nothing is ready."""
 
     def __init__(self) -> None:
         super().__init__(selectors.SelectSelector())
@@ -70,7 +70,7 @@
 
 
 class _Client:
-    """One server that takes orders, after a connection that takes a while."""
+    """Client of one server that accepts orders, with a connection delay."""
 
     def __init__(self) -> None:
         self.held: dict[str, LoadedModel] = {}
@@ -212,7 +212,7 @@
 
 
 class _Server:
-    """An engine server on loopback that answers as told."""
+    """An engine server on loopback with scripted answers."""
 
     def __init__(self) -> None:
         self.status = 202
--- a/tests/controlplane/test_placement_faults.py
+++ b/tests/controlplane/test_placement_faults.py
@@ -1,6 +1,6 @@
-"""Placement under faults: crashes, lost and late orders, dark servers, lost leases; and planted defects.
+"""Placement under faults: crashes, lost and late orders, unresponsive servers, lost leases; planted defects.
 
-Each run is judged by the fleet of test_placement_fleet.py; hypothesis picks seeds and faults.
+Each run is checked by the simulated fleet of test_placement_fleet.py; hypothesis picks seeds and faults.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 def fleet_under_faults(
     seed: int, lost_answers: float, lost_orders: float, late_orders: float, crashes: int
 ) -> Fleet:
-    """Ten seconds of the usual traffic with faults all the time."""
+    """Play ten seconds of typical traffic with permanent faults."""
     fleet = typical_fleet(seed)
     fleet.lose_answers = lost_answers
     fleet.lose_orders = lost_orders
@@ -141,7 +141,7 @@
         leaving = next(server for server in fleet.servers.values() if "m2" in server.held)
         leaving.state = ServerState.DRAINING
         leaving.remaining_ms = 4_000
-        fleet.run(1.6)  # the list lags
+        fleet.run(1.6)  # the lag of the list
         taken = leaving.sequence
         fleet.run(2.0)
         assert leaving.sequence == taken
@@ -168,7 +168,9 @@
 
 
 def test_a_new_owner_unloads_nothing_before_all_edges_have_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(test_placement_fleet, "DEMAND_S", 1.0)  # as edges where nobody waits
+    monkeypatch.setattr(
+        test_placement_fleet, "DEMAND_S", 1.0
+    )  # the interval of edges without waiting requests
     for seed in range(3):
         fleet = typical_fleet(seed)
         fleet.start()
@@ -187,7 +189,7 @@
 
 
 def change_owner(fleet: Fleet) -> None:
-    """Another node takes over, at once and with nothing but the list."""
+    """Let another node take over, which knows only the platform's list."""
     fleet.reconciler.stop(fleet.now)
     fleet.reconciler.take_changes()
     fleet.fencing_token += 1
@@ -251,7 +253,7 @@
     return record
 
 
-# Defects planted on purpose
+# Planted defects
 
 
 def unknown_orders_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -359,8 +361,8 @@
     caught = False
     for seed in range(12):
         fleet = typical_fleet(seed)
-        fleet.check_revision = False  # as a server does for an order without if-revision
-        fleet.delay_orders = 0.5  # with fewer, confirmations keep this node's view right by themselves
+        fleet.check_revision = False  # like a server for an order without if-revision
+        fleet.delay_orders = 0.5  # with fewer, confirmations alone keep this node's view correct
         fleet.start()
         play_typical(fleet, 10.0, BUSY)
         fleet.run(12.0)
@@ -376,7 +378,7 @@
     def send(step: Send) -> None:
         record = fleet.reconciler._records[step.order.server_id]
         assert record.report is not None and record.pending is not None
-        if record.pending.stage is OrderStage.ACCEPTED:  # sent again, to learn whether it is done
+        if record.pending.stage is OrderStage.ACCEPTED:  # a confirmation
             assert step.order is record.pending.order
             assert step.ticket.revision == record.pending.revision + 1
         else:
--- a/tests/controlplane/test_placement_fleet.py
+++ b/tests/controlplane/test_placement_fleet.py
@@ -1,7 +1,8 @@
-"""Placement against a small fleet of engine servers in virtual time; the fleet judges ONE, LIMIT, CEILING.
+"""Placement against a small simulated fleet of engine servers in virtual time.
 
-The fleet keeps its own truth: what is held, what loads, how old reports are, which answers are lost. The
-tests here and in test_placement_faults.py play demand and faults on it.
+The fleet simulates loaded models, loads, the age of reports, and lost answers. It checks the rules ONE
+(orders only with the lease), LIMIT (memory and adapters) and CEILING (rate of loads from the store). The
+tests here and in test_placement_faults.py apply demand and faults to it.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
 
 def typical_models(count: int = 66) -> list[Model]:
-    """Sizes as in the deployments: about 72.7, 65.5 and 34.3 GB."""
+    """Return models with the sizes of the deployments: about 72.7, 65.5 and 34.3 GB."""
     sizes = (65_100.0, 72_700.0, 72_700.0, 65_500.0, 72_700.0, 34_300.0)
     adapters = {0: 28, 2: 13, 4: 10, 6: 11}
     return [
@@ -55,10 +56,10 @@
 
 
 class EngineServer:
-    """One server's truth.
+    """State of one simulated server.
 
     Attributes:
-        snapshots: What it would report, by the time since when.
+        snapshots: Its reports, with the time from which each is valid.
     """
 
     def __init__(self, server_id: str, address: str, zone: str, now: float) -> None:
@@ -83,7 +84,7 @@
         for name in names:
             self.held[name] = set()
             self.on_disk.add(name)
-        self.snapshots.clear()  # it has held them since its start
+        self.snapshots.clear()  # they are loaded from its start on
         self.note(now)
 
     def models(self) -> tuple[LoadedModel, ...]:
@@ -106,13 +107,15 @@
 
 @dataclass
 class Observations:
-    """What the fleet saw."""
+    """Recorded events and rule violations."""
 
     store_loads: list[float] = field(default_factory=list)
     over_limit: list[str] = field(default_factory=list)
     orders: Counter[str] = field(default_factory=Counter)
     statuses: Counter[OrderResult] = field(default_factory=Counter)
-    served: list[tuple[float, ModelRef, float]] = field(default_factory=list)  # asked at, what, waited
+    served: list[tuple[float, ModelRef, float]] = field(
+        default_factory=list
+    )  # time of the request, model, time waited
     given_up: list[tuple[float, ModelRef]] = field(default_factory=list)
     misdirected: int = 0
     polls: int = 0
@@ -151,7 +154,7 @@
         self.check_revision = True
         self.may_order = True
         self.fencing_token = 7
-        self.newest: dict[str, int] = {}  # version that a load of a model brings
+        self.newest: dict[str, int] = {}  # by model: version that a load brings
         self.observed = Observations()
         self.servers: dict[str, EngineServer] = {}
         self._names = 0
@@ -221,7 +224,7 @@
         return server
 
     def crash(self, server_id: str, back_after: float | None = None) -> None:
-        """The server is gone at once, the list shows it for some seconds; a successor is empty."""
+        """Crash a server; the list still shows it for some seconds. Its successor starts empty."""
         server = self.servers[server_id]
         server.up = False
         self.after(3.0, partial(self._remove, server_id))
@@ -235,7 +238,7 @@
         self.add_server(address)
 
     def listed(self) -> list[ListedServer]:
-        """The platform's list as it shows now."""
+        """Return the platform's list with its usual lag."""
         entries = [
             ListedServer(s.id, s.address, s.zone, s.state, 64, s.remaining_ms, s.models())
             for s in self.servers.values()
@@ -251,7 +254,7 @@
         self.reconciler.set_servers(self.now, self.listed())
         self.after(LIST_S, self._read_list)
 
-    # The wire
+    # The network
 
     def _by_address(self, address: str) -> EngineServer | None:
         live = [s for s in self.servers.values() if s.address == address and s.up]
@@ -318,7 +321,7 @@
         asker, token = self.reconciler, step.ticket.fencing_token
         self.after(delay, lambda: asker.on_order(self.now, step.order, token, result))
 
-    # A server at work
+    # Execution of orders
 
     def _take(self, server: EngineServer, order: Order, ticket: OrderTicket) -> OrderResult:
         if server.id != order.server_id:
@@ -364,10 +367,10 @@
         self.after(nominal * slowness, done)
 
     def _check_limit(self, server: EngineServer, order: Order) -> None:
-        """With a load that is under way.
+        """Check the memory and the adapters of a server with this order and the load in progress.
 
-        Judged on arrival, whether the order is then taken or not; only where orders come late it is judged
-        when taken, as two of one revision may then both arrive.
+        An order is checked on arrival, accepted or not. With late orders it is checked only on acceptance,
+        because two orders with one revision may then both arrive.
         """
         loads = {
             found.ref
@@ -491,7 +494,7 @@
         self.after(DEMAND_S, self._report_demand)
 
     def poisson(self, rate: float, seconds: float, what: Callable[[], None]) -> None:
-        """Let something happen at random times."""
+        """Schedule an event at random times, as a Poisson process."""
         at = self.now + self.rng.expovariate(rate)
         end = self.now + seconds
         while at < end:
@@ -502,7 +505,7 @@
         return sum(1 for server in self.servers.values() if server.up and name in server.held)
 
     def assert_rules(self) -> None:
-        """The rules that placement must keep."""
+        """Assert the rules that placement must keep."""
         assert self.observed.over_limit == []
         window = 5.0
         assert self.observed.max_loads(window) <= self.engine.loads_per_s * window * 1.1 + 3
@@ -524,7 +527,7 @@
 
 
 def typical_fleet(seed: int = 1, servers: int = 9, models: int = 66) -> Fleet:
-    """Busy models on several servers, others on one each as far as there is room."""
+    """Return a fleet with busy models on two servers each, and others on one each as far as they fit."""
     fleet = Fleet(engine_of(typical_models(models)), servers, seed)
     spread = list(fleet.servers.values())
     room = {server.id: fleet.engine.weights_mb for server in spread}
@@ -540,7 +543,7 @@
 
 
 def play_typical(fleet: Fleet, seconds: float, busy: Sequence[str]) -> None:
-    """The traffic of the deployments: six busy models, half with adapters in one class; many rare ones."""
+    """Play traffic as in the deployments: six busy models, some with adapters, and many rare ones."""
     rng = fleet.rng
 
     def busy_request() -> None:
@@ -560,11 +563,11 @@
     fleet.poisson(2.87, seconds, rare_request)
 
 
-# A quiet fleet and the usual traffic
+# Idle fleet and typical traffic
 
 
 def tiny_fleet(*held: Sequence[str], models: int = 12, adapters: int = 0) -> Fleet:
-    """One server for each of held, with models of 60 GB, three to a server."""
+    """Return a fleet with one server per argument, with models of 60 GB, of which three fit on a server."""
     listed = [Model(f"m{i}", 60_000.0, 0.6, adapters, 40.0) for i in range(models)]
     fleet = Fleet(engine_of(listed), 0)
     for names in held:
--- a/tests/controlplane/test_placement_parts.py
+++ b/tests/controlplane/test_placement_parts.py
@@ -1,4 +1,4 @@
-"""The parts of placement by themselves: limits, demand, the wire, what a report settles."""
+"""Units of placement: limits, demand, the wire format, resolution of orders by reports."""
 
 from __future__ import annotations
 
@@ -131,7 +131,7 @@
     concurrency.learn(6, 0.15 + 0.6 * 2, 0.6)
     assert concurrency.concurrent_loads == 3
     concurrency.learn(1, 5.0, 0.6)
-    assert concurrency.concurrent_loads == 3  # alone and slow says nothing of the store
+    assert concurrency.concurrent_loads == 3  # a slow load without concurrent ones does not count
 
 
 @pytest.mark.parametrize(
@@ -233,7 +233,7 @@
     assert not table._models and not table._entries
 
 
-# The wire
+# Wire format
 
 REPORT = (
     b'{"phase":"mixed","models":[{"name":"daka510000","version":1,"adapters":["a3"]}],"busy":false,'
@@ -304,7 +304,7 @@
     assert order_result(status) is result
 
 
-# What a report settles
+# Resolution of orders by reports
 
 LOAD = Order("i-1", Operation.LOAD, M)
 UNLOAD = Order("i-1", Operation.UNLOAD, M)
--- a/tests/controlplane/test_placement_planner.py
+++ b/tests/controlplane/test_placement_planner.py
@@ -1,4 +1,4 @@
-"""The planner alone: limits and protection hold for any servers and any demand; choices by example."""
+"""The planner: limits for any servers and any demand, and its choices by example."""
 
 from __future__ import annotations
 
@@ -129,7 +129,7 @@
     servers = [server(1, "m0"), *(server(number, "m4") for number in range(2, 10))]
     asked = {"m0": RefDemand(12.0, 0.1, 8), "m4": RefDemand(1.0, 0.1, 1)}
     orders = planned(servers, asked, StoreView(4, 6))
-    assert [order.ref for order in orders] == [ModelRef("m0")] * 4  # nearly all requests on one
+    assert [order.ref for order in orders] == [ModelRef("m0")] * 4  # one model has nearly all requests
     assert len({order.server_id for order in orders}) == 4
 
 
@@ -257,7 +257,7 @@
 
 
 def _check_last_copies(orders: list[Order], servers: list[ServerView], models: dict[str, RefDemand]) -> None:
-    """The last lasting copy of what is in use or waited for stays."""
+    """Assert that the last schedulable copy of a model in use or waited for is not unloaded."""
     gone = {(order.server_id, order.ref.model) for order in orders
             if order.operation is Operation.UNLOAD and not order.ref.adapter}  # fmt: skip
     for _, name in gone:
@@ -271,7 +271,7 @@
 def _check_last_adapters(
     orders: list[Order], servers: list[ServerView], adapters: dict[ModelRef, RefDemand]
 ) -> None:
-    """The same for adapters that are unloaded by themselves."""
+    """Assert the same for adapters that are unloaded alone."""
     gone = {(order.server_id, order.ref) for order in orders
             if order.operation is Operation.UNLOAD and order.ref.adapter}  # fmt: skip
     for _, ref in gone:
@@ -342,7 +342,7 @@
     busy = {"m9": WAITING, "m0": RefDemand(5.0, 0.1, 1), "m1": RefDemand(5.0, 0.1, 1)}
     servers = [server(1, "m0", "m1", before=frozenset({"m9"})), server(2), server(3, "m0", "m1")]
     warm = WarmLoadTime()
-    warm.learn(0.6)  # as long as from the store, and i-1 has requests of its own
+    warm.learn(0.6)  # as long as from the store, and i-1 has other requests to serve
     assert [order.server_id for order in planned(servers, busy, StoreView(2, 4, warm))] == ["i-2"]
     quick = WarmLoadTime()
     quick.learn(0.1)
--- a/tests/controlplane/test_publication.py
+++ b/tests/controlplane/test_publication.py
@@ -1,4 +1,4 @@
-"""Versioned tables: what a watcher has after updates is what the owner has, however it got there."""
+"""Publication: tables of watchers converge to the owner's table, and long-polls."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Watcher:
-    """Keeps servers by updates, as an edge does."""
+    """Applies updates to its servers, like an edge."""
 
     def __init__(self) -> None:
         self.version = Version()
@@ -49,14 +49,14 @@
 
 
 def play(seed: int, max_removed: int = 2_000) -> None:
-    """Owner, a copy, and watchers that ask either of them now and then; owners change."""
+    """Play an owner, a copy, and watchers that poll either of them at random; owners change."""
     rng = Random(seed)
     owner, copy, watchers = ServerTable(), ServerTable(), [Watcher() for _ in range(3)]
     epoch = 1
     owner.begin(epoch)
     for step in range(120):
         if rng.random() < 0.05:
-            epoch += rng.random() < 0.5  # or its lease lapses and comes back within its term
+            epoch += rng.random() < 0.5  # otherwise the lease ends and is renewed within the term
             owner.begin(epoch)
         if rng.random() < 0.5:
             owner.replace(random_servers(rng), float(step))
@@ -71,12 +71,12 @@
 
 
 @pytest.mark.parametrize("block", range(8))
-def test_watchers_end_with_what_the_owner_has(block: int) -> None:
+def test_watchers_converge_to_the_owners_table(block: int) -> None:
     for seed in range(block * 50, block * 50 + 50):
         play(seed)
 
 
-def test_removals_are_bounded_and_a_watcher_from_before_gets_the_whole(
+def test_removals_are_bounded_and_an_older_watcher_gets_the_complete_table(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(table_module, "MAX_REMEMBERED_REMOVALS", 2)
@@ -84,7 +84,7 @@
         play(seed)
 
 
-def test_a_table_that_forgets_removals_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_table_that_forgets_removals_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     real = ServerTable.since
 
     def since(self: ServerTable, version: Version) -> Update:
@@ -97,7 +97,7 @@
             play(seed)
 
 
-def test_an_owner_whose_lease_lapses_and_comes_back_goes_on_counting() -> None:
+def test_an_owner_that_regains_its_lease_continues_the_epoch() -> None:
     owner, copy = ServerTable(), ServerTable()
     owner.begin(3)
     for number in range(5):
@@ -188,7 +188,7 @@
     assert reply.edges == 1
 
 
-def test_a_watcher_that_is_up_to_date_waits_until_there_is_news() -> None:
+def test_a_current_watcher_waits_for_a_change() -> None:
     made, _, table, _, clock = publisher()
     table.begin(2)
     table.replace([server("a")], clock.now)
@@ -208,7 +208,7 @@
     assert not reply.tables[0].is_complete
 
 
-def test_one_that_wants_members_only_gets_those_and_is_no_edge() -> None:
+def test_a_members_only_watcher_gets_members_and_is_not_counted_as_an_edge() -> None:
     made, store, table, edges, clock = publisher()
     store.version = 7
     table.begin(2)
@@ -219,7 +219,7 @@
     assert edges.local_count(clock.now) == 0
 
 
-def test_without_news_the_reply_after_the_hold_tells_the_age_of_the_list() -> None:
+def test_without_a_change_the_reply_after_the_hold_has_the_list_age() -> None:
     made, _, table, _, clock = publisher()
     table.begin(2)
     table.replace([server("a")], clock.now - 1.0)
@@ -229,7 +229,7 @@
     assert not reply.tables[0].changed and not reply.control_nodes
 
 
-def test_a_control_node_that_is_up_to_date_waits_too() -> None:
+def test_a_current_control_node_waits_too() -> None:
     made, _, table, _, clock = publisher()
     table.begin(2)
     table.replace([server("a")], clock.now)
@@ -247,13 +247,13 @@
     assert update_from_message(asyncio.run(play_it()).tables[0]).removed == ("a",)
 
 
-def test_out_of_touch_an_edge_is_sent_elsewhere() -> None:
+def test_a_stale_replica_sends_edges_elsewhere() -> None:
     made, *_ = publisher(contact=5.0)
     with pytest.raises(StaleReplicaError):
         asyncio.run(made.watch(request()))
 
 
-def test_a_copy_that_is_behind_its_watcher_says_nothing_of_the_shard() -> None:
+def test_a_copy_older_than_its_watcher_sends_no_update() -> None:
     made, _, table, _, clock = publisher()
     table.begin(2)
     table.replace([server("a")], clock.now)
@@ -261,7 +261,7 @@
     assert reply.tables == []
 
 
-def test_edges_are_counted_over_control_nodes_and_forgotten() -> None:
+def test_edges_are_counted_over_control_nodes_and_expire() -> None:
     edges = EdgeCounter()
     edges.record_request("e1", 0.0)
     edges.record_request("e2", 0.0)
--- a/tests/controlplane/test_slow_answers.py
+++ b/tests/controlplane/test_slow_answers.py
@@ -1,4 +1,4 @@
-"""Servers and owner that stand still for 90 ms ten times a second: nothing counts as down."""
+"""With pauses of 90 ms ten times a second, of servers and of the owner, no server counts as unreachable."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.controlplane.test_placement_fleet import play_typical, typical_fleet
 
 BUSY = [f"m{number}" for number in range(6)]
-ONE_WAY_S = 0.092  # a pause of the receiver, and the network
+ONE_WAY_S = 0.092  # a pause of the receiver, and the network latency
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -30,7 +30,7 @@
 
 
 def test_a_server_without_answers_is_unreachable() -> None:
-    """The test above can fail."""
+    """The check of the test above detects an unreachable server."""
     fleet = typical_fleet(1)
     fleet.start()
     fleet.run(2.0)
--- a/tests/discovery/test_instances.py
+++ b/tests/discovery/test_instances.py
@@ -1,4 +1,4 @@
-"""The platform's list: entries checked, pages followed."""
+"""The platform's list: parsing of entries, paging, and sharing."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert page.next_token is None
 
 
-def test_a_server_that_is_taken_away_says_how_long_it_stays() -> None:
+def test_a_draining_server_has_a_remaining_lifetime() -> None:
     entry = ENTRY | {"state": "draining", "remaining-ms": 1600}
     (one,) = parse_page({"instances": [entry]}).instances
     assert one.state is ServerState.DRAINING and one.remaining_ms == 1600
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     "document", [None, [], {}, {"instances": 3}, {"instances": [3]}, {"instances": [{}]}]
 )
-def test_what_is_no_list_is_refused(document: object) -> None:
+def test_malformed_lists_are_rejected(document: object) -> None:
     with pytest.raises(MalformedListError):
         parse_page(document)
 
@@ -62,7 +62,7 @@
     assert [one.id for one in read(handler)] == ["i-0", "i-2"]
 
 
-def test_a_fresh_list_serves_all_who_read_it() -> None:
+def test_a_fresh_list_is_shared_by_all_readers() -> None:
     class Reader:
         calls = 0
 
@@ -83,7 +83,7 @@
     asyncio.run(play())
 
 
-def test_over_the_rate_there_is_no_list() -> None:
+def test_above_the_rate_limit_there_is_no_list() -> None:
     async def handler(request: web.Request) -> web.Response:
         return web.Response(status=429)
 
@@ -91,7 +91,7 @@
         read(handler)
 
 
-def test_an_answer_that_is_not_json_is_a_bad_list() -> None:
+def test_an_answer_that_is_not_json_is_a_malformed_list() -> None:
     async def handler(request: web.Request) -> web.Response:
         return web.Response(body=b"{")
 
--- a/tests/nodes/cut_off_invariants.py
+++ b/tests/nodes/cut_off_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of all that leaves a control node, whatever is cut, frozen or killed.
+"""Invariants of the output of control nodes under partitions, suspensions and kills.
 
 With lease = ReplicaSettings.lease_s, age = MAX_READ_STALENESS_S, hold and slack those of the edge's watch,
 and clocks that drift by up to `drift`:
@@ -25,26 +25,22 @@
 
 SLACK_S = 1e-6
 MAX_DRIFT = 0.05
-"""Of the rate of a steady clock; a lease of 0.5 s under an election of 0.65 s bears 0.13."""
+"""Relative drift of clocks; a lease of 0.5 s under an election timeout of 0.65 s tolerates 0.13."""
 
 
 class ViolationError(AssertionError):
-    """Something left a process that must not."""
+    """An invariant does not hold."""
 
 
 class Invariants:
-    """Knows what was committed, confirmed and refused, and when.
-
-    Attributes:
-        world: Has `now`.
-    """
+    """Records commits, acknowledgements and rejections with their times, and checks the invariants."""
 
     def __init__(self, world: Any) -> None:
         self._world = world
         self._times: list[float] = []
         self._versions: list[int] = []
         self._indexes: dict[int, tuple[int, bytes]] = {}
-        self._bodies: dict[int, bytes] = {}  # what was taken, by version
+        self._bodies: dict[int, bytes] = {}  # accepted changes, by version
         self._confirmed: dict[int, bytes] = {}
         self._confirmed_at: list[tuple[float, int]] = []
         self._refused: list[tuple[bytes, int]] = []
@@ -53,7 +49,7 @@
     # History
 
     def taken(self, index: int, version: int, document: bytes) -> None:
-        """A node has applied a change."""
+        """Record a change that a node has applied."""
         known = self._indexes.setdefault(index, (version, document))
         if known != (version, document):
             raise ViolationError(f"entry {index} is version {version} here and {known[0]} there")
@@ -67,25 +63,25 @@
 
     @property
     def newest(self) -> int:
-        """The newest version that was taken."""
+        """The newest accepted version."""
         return self._versions[-1] if self._versions else 0
 
     def committed_before(self, time: float) -> int:
-        """The newest version that was known to be committed before a time."""
+        """Return the newest version known to be committed before a time."""
         count = bisect_left(self._times, time)
         return self._versions[count - 1] if count else 0
 
     # Operators
 
     def confirmed(self, version: int, body: bytes) -> None:
-        """A 200 to a change leaves."""
+        """Check an acknowledgement that is sent."""
         if version not in self._bodies or not _same(self._bodies[version], body):
             raise ViolationError(f"version {version} is confirmed, and not what was taken")
         self._confirmed[version] = body
         self._confirmed_at.append((self._world.now, version))
 
     def answered(self, node: Any, request: Any, response: Any, sent_at: float) -> None:
-        """An answer to an operator was made; its bytes leave now or after a freeze."""
+        """Check an answer to an operator when it is made; it may be sent later, after a suspension."""
         status = response.status
         kind = f"{request.method} {status}"
         self.answers[kind] = self.answers.get(kind, 0) + 1
@@ -131,28 +127,28 @@
             raise ViolationError(f"{host} publishes {version}, {least} is older than a contact may be")
 
     def took(self, host: str, version: int, reply_timeout_s: float, rate: float) -> None:
-        """An edge has taken a reply; version: what it has now."""
+        """Check the version of an edge after it has accepted a reply."""
         bound_s = reply_timeout_s / rate + MAX_READ_STALENESS_S / (1 - MAX_DRIFT)
         least = self.committed_before(self._world.now - bound_s - SLACK_S)
         if version < least:
             raise ViolationError(f"{host} takes {version}, {least} was committed {bound_s:.3f} s before")
 
     def in_force(self, host: str, before: int, version: int) -> None:
-        """An edge puts a configuration in force."""
+        """Check a configuration that an edge applies."""
         if version <= before:
             raise ViolationError(f"{host} goes back from {before} to {version}")
         if version not in self._bodies:
             raise ViolationError(f"{host} has {version}, which was not taken")
 
     def in_touch(self, host: str, version: int, confirmed: int) -> None:
-        """An edge that is in touch, config-apply-ms after a confirmation."""
+        """Check an edge in contact, config-apply-ms after an acknowledgement."""
         if version < confirmed:
             raise ViolationError(f"{host} in touch has {version}, {confirmed} was confirmed")
 
-    # The end
+    # End of the scenario
 
     def end(self) -> None:
-        """What all answers together must be."""
+        """Check all rejections and acknowledgements at the end."""
         for body, status in self._refused:
             version = orjson.loads(body)["version"]
             if version in self._bodies and _same(self._bodies[version], body):
@@ -163,11 +159,11 @@
 
     @property
     def confirmations(self) -> int:
-        """Changes that were confirmed."""
+        """Number of acknowledged changes."""
         return len(self._confirmed)
 
 
 def _same(document: bytes, body: bytes) -> bool:
-    """Whether a document in force is what a change brought."""
+    """Return whether a current document is the result of a change."""
     held, sent = orjson.loads(document), orjson.loads(body)
     return all(held[name] == sent[name] for name in ("version", "limits"))
--- a/tests/nodes/cut_off_scenarios.py
+++ b/tests/nodes/cut_off_scenarios.py
@@ -1,4 +1,4 @@
-"""Days on which control nodes are cut off for up to twenty seconds, drawn from a seed."""
+"""Random scenarios in which control nodes are partitioned for up to twenty seconds."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Scenario:
-    """A world and what is done to it."""
+    """A simulated world and the faults injected into it."""
 
     def __init__(self, seed: int) -> None:
         self.world = World(seed, controls=3 if seed % 4 else 5)
         self._ends_at = 0.0
 
     def play(self) -> World:
-        """The whole day."""
+        """Play the scenario."""
         world, rng = self.world, self.world.rng
         for process in world.processes:
             world.at(rng.uniform(0, 0.3), process.begin)
@@ -39,7 +39,7 @@
         return world
 
     def leader(self) -> ControlProcess | None:
-        """Who holds the lease."""
+        """Return the holder of the lease."""
         for control in self.world.controls:
             if control.running and not control.frozen and control.group.holds_lease():
                 return control
@@ -52,7 +52,7 @@
         return self.world.rng.choice(self.world.controls)
 
     def _cut(self) -> None:
-        """A control node reaches no other, or is not reached, or both; edges still reach it, or not."""
+        """Cut a control node off from the others, in one or both directions, with or without edges."""
         world, rng = self.world, self.world.rng
         target = self._someone()
         kind = rng.choice(("both", "both", "out", "in"))
@@ -97,14 +97,14 @@
             self.world.after(self.world.rng.uniform(0.2, 1.0), edge.begin)
 
     def _slow(self) -> None:
-        """Links of a control node are slow until the cut is healed."""
+        """Slow down the links of a control node until the partition heals."""
         target, world = self._someone(), self.world
         world.calm = False
         for other in world.processes:
             world.link(target.host, other.host).slow_s = world.rng.uniform(0.0, 0.5)
 
     def _heal(self) -> None:
-        """The cut ends, at times into an election: the leader is frozen, or cut off, at that moment."""
+        """End the partition, at times during an election: the leader is suspended at that moment."""
         world, rng = self.world, self.world.rng
         world.heal()
         world.disturb()
@@ -113,7 +113,7 @@
             world.freeze(leader, rng.uniform(0.5, 3.0))
 
     def _end(self) -> None:
-        """All is well: what was confirmed is read back, and all edges have it."""
+        """End all faults, and check that a read and all edges have the newest version."""
         world = self.world
         world.freezes_in_step = 0.0
         for process in world.processes:
@@ -137,14 +137,14 @@
 
 
 async def _read(read: Callable[[], Awaitable[int | None]]) -> None:
-    """Ask until there is an answer, a few times."""
+    """Retry a read a few times until it has an answer."""
     for _ in range(5):
         if await read() is not None:
             return
 
 
 def play(seed: int) -> World:
-    """One day; raises Violation, which names the seed."""
+    """Play one scenario; raises ViolationError with the seed."""
     day = Scenario(seed)
     try:
         return day.play()
--- a/tests/nodes/cut_off_world.py
+++ b/tests/nodes/cut_off_world.py
@@ -1,8 +1,8 @@
-"""Control nodes, edges and operators in simulated time, with what cuts, freezes and kills do to them.
+"""Simulation of control nodes, edges and operators, with partitions, suspensions and kills.
 
-The pieces are the real ones: replica groups with their log and codec, the operator API's logic, the
-publisher, the edge's watch. Each process has an event loop and a steady clock of its own, which drifts.
-Simulated are sockets, disks and time. What must hold is in `cut_off_invariants.py`.
+Replica groups with their log and codec, the operator API, the publisher and the edge's watch are the real
+ones. Each process has its own event loop and its own monotonic clock, which drifts. Sockets, disks and time
+are simulated. The invariants are in `cut_off_invariants.py`.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
 from tests.nodes.cut_off_invariants import MAX_DRIFT, Invariants
 from tests.nodes.stepped_loop import SteppedLoop
 
-ROUNDING_S = 1e-9  # a timer fires so much late: rounding could keep it from firing ever
+ROUNDING_S = 1e-9  # delay of timers; without it, rounding could keep a timer from ever firing
 RPC_PORT = 7660
 CONTROL_PORT = 8146
-RESET_S = 1.5  # what a cut holds up for longer is lost: TCP_USER_TIMEOUT of rpc/transport.py
+RESET_S = 1.5  # held-back bytes are lost after it, like by TCP_USER_TIMEOUT of rpc/transport.py
 LATENCY_S = (0.0005, 0.003)
 DISK_S = 0.002
 
 
 class Process:
-    """A process on a machine: an event loop on the machine's clock, and the host in the network."""
+    """A process with an event loop on its machine's clock, and a host in the network."""
 
     def __init__(self, world: World, host: str) -> None:
         self.world = world
@@ -64,11 +64,11 @@
         self.loop = SteppedLoop(self.clock)
 
     def clock(self) -> float:
-        """The steady clock here; it goes on while the process is frozen."""
+        """Return the monotonic clock, which also runs while the process is suspended."""
         return self._offset + self.world.now * self.rate
 
     def look(self) -> None:
-        """Work out anew when something is due here."""
+        """Update the time at which the process has something to do."""
         at = math.inf if self.frozen or not self.running else self.loop.wake_at()
         self.due_at = (at - self._offset) / self.rate + ROUNDING_S
 
@@ -89,7 +89,7 @@
         self.look()
 
     async def _guarded(self, work: Coroutine[Any, Any, None]) -> None:
-        """What fails here fails the day."""
+        """Await a coroutine; its failure fails the scenario."""
         try:
             await work
         except Exception as error:
@@ -98,25 +98,25 @@
             self._works.remove(work)
 
     def call(self, work: Callable[[], None]) -> None:
-        """Something comes to this process; it waits while the process is frozen."""
+        """Schedule a callback; it waits while the process is suspended."""
         if self.running:
             self.loop.call_soon(work)
             self.look()
 
     def leave(self, work: Callable[[], None]) -> None:
-        """Bytes leave this process; a frozen one's once it goes on."""
+        """Send bytes, or queue them while the process is suspended."""
         if self.frozen:
             self._outbox.append(work)
         else:
             work()
 
     def freeze(self) -> None:
-        """Stop at once, wherever the process is."""
+        """Suspend the process between two callbacks."""
         self.frozen = True
         self.look()
 
     def thaw(self) -> None:
-        """Go on."""
+        """Resume the process."""
         if not self.frozen:
             return
         self.frozen = False
@@ -132,7 +132,7 @@
         self.running = True
 
     def end(self) -> None:
-        """The process is killed."""
+        """Kill the process."""
         self.running = self.frozen = False
         self._outbox.clear()
         self.loop.forget()
@@ -148,19 +148,19 @@
 
     cut: bool = False
     slow_s: float = 0.0
-    free_at: float = 0.0  # bytes stay in order
+    free_at: float = 0.0  # keeps bytes in order
     held: list[tuple[float, Callable[[], None]]] = field(default_factory=list)
 
 
 class TracedStore(ConfigurationStore):
-    """Tells the world what is committed."""
+    """Store that reports committed changes to the invariants."""
 
     def __init__(self, world: World) -> None:
         super().__init__()
         self._world = world
 
     def apply(self, index: int, data: bytes) -> ChangeResult:
-        """As the real one."""
+        """Apply an entry, and report an accepted change."""
         result = super().apply(index, data)
         if result.outcome is Outcome.ACCEPTED:
             self._world.invariants.taken(index, self.version, self.document())
@@ -169,7 +169,7 @@
 
 @dataclass
 class FakeRequest:
-    """What the API's handlers look at."""
+    """The parts of a request that the API's handlers use."""
 
     method: str
     body: bytes = b""
@@ -178,7 +178,7 @@
 
     @property
     def content_length(self) -> int:
-        """Of the body."""
+        """Length of the body."""
         return len(self.body)
 
     @property
@@ -187,7 +187,7 @@
         return self
 
     async def iter_any(self) -> Any:
-        """The body in two parts."""
+        """Yield the body in two parts."""
         half = len(self.body) // 2
         yield self.body[:half]
         await asyncio.sleep(0)
@@ -206,7 +206,7 @@
         self.publisher: Publisher
 
     def begin(self) -> None:
-        """Start from what is on the disk."""
+        """Start the process with the state on its disk."""
         super().begin()
         world = self.world
         self._executor = LoopExecutor(self.loop)
@@ -249,11 +249,11 @@
         self.publisher.changed()
 
     def tables(self) -> dict[int, ServerTable]:
-        """No servers."""
+        """Return no tables."""
         return {}
 
     def end(self) -> None:
-        """The process is killed; its disk stays."""
+        """Kill the process; its disk is kept."""
         super().end()
         if self._executor is not None:
             self._executor.dead = True
@@ -269,13 +269,13 @@
         self.leave(lambda: self.world.send(self, target, arrive))
 
     def group_runs(self) -> bool:
-        """Whether there is a group to hand messages to."""
+        """Return whether the group can receive messages."""
         return self.running
 
     # Watches
 
     async def answer_watch(self, edge: EdgeProcess, payload: bytes, answered: Callable[[Any], None]) -> None:
-        """A long-poll has come."""
+        """Answer a long-poll."""
         reply: bytes | RpcError
         request = decode(WatchRequest, payload)
         try:
@@ -293,7 +293,7 @@
     async def answer_operator(
         self, operator: Process, request: FakeRequest, sent_at: float, answered: Callable[[Any], None]
     ) -> None:
-        """An operator's request has come."""
+        """Answer an operator's request."""
         handler = {"GET": self.api.get, "PUT": self.api.put}[request.method]
         response = await handler(request)  # type: ignore[arg-type]
         self.world.invariants.answered(self, request, response, sent_at)
@@ -309,18 +309,18 @@
 
 
 class SimulatedPeers:
-    """Stands for RpcPeers at an edge."""
+    """RpcPeers of an edge over the simulated network."""
 
     def __init__(self, edge: EdgeProcess, host: str = "") -> None:
         self._edge = edge
         self._host = host
 
     def __getitem__(self, address: str) -> SimulatedPeers:
-        """The client of a control node."""
+        """Return the client of a control node."""
         return SimulatedPeers(self._edge, address.partition(":")[0])
 
     async def call(self, method: Method, payload: bytes, timeout_s: float) -> bytes:
-        """A call and its reply."""
+        """Make a call; return its reply."""
         edge, world = self._edge, self._edge.world
         target = world.control_at(self._host)
         future: asyncio.Future[bytes] = edge.loop.create_future()
@@ -348,7 +348,7 @@
 
 
 class Plane:
-    """What an edge has in force."""
+    """Stand-in for the data plane: keeps the version of the configuration."""
 
     def __init__(self, world: World, edge: EdgeProcess) -> None:
         self.version = 0
@@ -356,19 +356,19 @@
         self._edge = edge
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """A newer configuration."""
+        """Apply a newer configuration."""
         self._world.invariants.in_force(self._edge.host, self.version, configuration.version)
         self.version = configuration.version
 
     def apply_servers(self, changed: Sequence[Server], removed: Sequence[str]) -> None:
-        """No servers here."""
+        """Ignore servers."""
 
     def set_edges(self, alive: int, most: int) -> None:
-        """Not looked at."""
+        """Ignore the number of edges."""
 
 
 class CheckedWatch(ControlWatch):
-    """Tells what an edge has each time that it takes a reply."""
+    """Watch that checks the edge's version after each accepted reply."""
 
     edge: EdgeProcess
 
@@ -385,7 +385,7 @@
         super().__init__(world, f"10.0.1.{number}")
 
     def begin(self) -> None:
-        """Start with nothing."""
+        """Start the process without a configuration."""
         super().begin()
         self.plane = Plane(self.world, self)
         settings = Settings.from_dict(self.world.edge_settings(self.host))
@@ -396,7 +396,7 @@
 
 
 class World:
-    """Hosts, links and time; one seed decides all."""
+    """Hosts, links and time; deterministic by seed."""
 
     reply_slack_s = 0.4
 
@@ -420,7 +420,7 @@
         self.calm = True
 
     def edge_settings(self, host: str) -> dict[str, Any]:
-        """The settings file of an edge."""
+        """Return the settings of an edge."""
         return {
             "node-name": f"edge-{host}",
             "ip": host,
@@ -434,7 +434,7 @@
         }
 
     def control_at(self, host: str) -> ControlProcess:
-        """The control node at a host."""
+        """Return the control node at a host."""
         return self._by_host[host]
 
     # Time
@@ -449,7 +449,7 @@
         self.at(self.now + delay_s, call)
 
     def run_until(self, end: float) -> None:
-        """Let things happen, one callback of one process at a time."""
+        """Run events until a time, one callback of one process at a time."""
         while True:
             process = min(self.processes, key=_due_at)
             due = process.due_at
@@ -477,7 +477,7 @@
         arrive: Callable[[], None],
         refused: Callable[[], None] | None = None,
     ) -> None:
-        """Bring bytes to a host, in order; a cut holds them up, and loses them where it lasts."""
+        """Deliver bytes to a host, in order; a partition holds them back, and drops them after RESET_S."""
         link = self.link(sender.host, receiver.host)
         incarnation = receiver.loop
 
@@ -495,11 +495,11 @@
         self.at(link.free_at, deliver)
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Nothing passes in one direction."""
+        """Cut a link in one direction."""
         self.link(sender, receiver).cut = True
 
     def heal(self) -> None:
-        """All links are well."""
+        """Heal all links."""
         for link in self.links.values():
             link.cut, link.slow_s = False, 0.0
             held, link.held = link.held, []
@@ -509,19 +509,19 @@
         for control in self.controls:
             control.cut_off_since = math.inf
 
-    # Troubles
+    # Faults
 
     def disturb(self) -> None:
-        """Something happens to the control nodes: their edges are in touch only contact-ms later."""
+        """Record a fault: edges count as in contact again only after contact-ms."""
         self.calm_since = self.now
 
     def maybe_freeze_in_step(self, process: Process) -> None:
-        """A process may be frozen between what it has looked at and the bytes that leave."""
+        """Suspend a process at random between a check and the send that depends on it."""
         if self.rng.random() < self.freezes_in_step:
             self.freeze(process, self.rng.uniform(0.05, 4.0))
 
     def freeze(self, process: Process, seconds: float) -> None:
-        """A process stands still."""
+        """Suspend a process for some seconds."""
         if process.frozen or not process.running:
             return
         self.disturb()
@@ -533,10 +533,10 @@
 
         self.after(seconds, thaw)
 
-    # What operators are told
+    # Acknowledgements
 
     def confirmed(self, body: bytes) -> None:
-        """A confirmation leaves a control node."""
+        """Record an acknowledgement that a control node sends."""
         version = orjson.loads(body)["version"]
         self.invariants.confirmed(version, body)
         at = self.now
@@ -544,7 +544,7 @@
         self.at(due, lambda: self._check_edges(version, at))
 
     def _check_edges(self, version: int, confirmed_at: float) -> None:
-        """Edges that were in touch all the time have the version in force."""
+        """Check that edges in contact all the time have applied the version."""
         if not self.calm or self.calm_since > confirmed_at - self.contact_s:
             return
         for edge in self.edges:
@@ -558,14 +558,14 @@
 
 @dataclass
 class Change:
-    """A change that an operator wants: sent until it has a clear outcome."""
+    """A change that an operator sends until it has a definite outcome."""
 
     base: int
     body: bytes
 
 
 class Operator(Process):
-    """Sends changes and reads them back, now to this control node, now to that one."""
+    """Sends changes and reads them back, at varying control nodes."""
 
     def __init__(self, world: World, number: int) -> None:
         super().__init__(world, f"10.0.2.{number}")
@@ -590,7 +590,7 @@
             await asyncio.sleep(self.pause_s * rng.uniform(0.2, 2.0))
 
     async def read(self) -> int | None:
-        """The newest version as a control node tells it."""
+        """Return the current version according to a control node."""
         status, body = await self._ask(FakeRequest("GET"))
         if status == 200:
             self.known = orjson.loads(body)["version"]
@@ -618,7 +618,7 @@
             await asyncio.sleep(rng.uniform(0.1, 0.5))
 
     async def _ask(self, request: FakeRequest) -> tuple[int, bytes]:
-        """The status and body that one control node gives, after redirects; 0 for none in a second."""
+        """Return status and body of one control node, after redirects; status 0 without an answer in 1 s."""
         target = self.world.rng.choice(self.world.controls)
         status, body = 0, b""
         for _ in range(3):
--- a/tests/nodes/stepped_loop.py
+++ b/tests/nodes/stepped_loop.py
@@ -1,7 +1,6 @@
 """An event loop of one simulated process: run callback by callback, on a clock of its own.
 
-Between two callbacks a process can be frozen, cut off or killed; an await is where one callback ends and
-another begins.
+Between two callbacks a process can be suspended, cut off or killed; an await ends a callback.
 """
 
 from __future__ import annotations
@@ -16,10 +15,10 @@
 
 
 class SteppedLoop(asyncio.BaseEventLoop):
-    """Runs nothing by itself: `step` runs one callback.
+    """Event loop that runs one callback per call of `step`.
 
     Attributes:
-        clock: What `time` gives.
+        clock: Clock of `time`.
     """
 
     _ready: deque[asyncio.Handle]
@@ -32,17 +31,17 @@
         self.set_exception_handler(lambda loop, context: self.failures.append(context))
 
     def time(self) -> float:
-        """The process's steady clock."""
+        """Return the time of the process's monotonic clock."""
         return self._clock()
 
     def call_soon_threadsafe(  # type: ignore[override]
         self, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.Handle:
-        """There is one thread."""
+        """Schedule a callback; there is only one thread."""
         return self.call_soon(callback, *args, context=context)
 
     def wake_at(self) -> float:
-        """When a callback is due on the process's clock; minus infinity for at once."""
+        """Return when a callback is due on the process's clock; minus infinity if now."""
         return -math.inf if self._ready else self.wake_at_timer()
 
     def step(self, *, timers_first: bool = False) -> None:
@@ -71,17 +70,17 @@
             self._ready.extend(due)
 
     def wake_at_timer(self) -> float:
-        """When the next timer is due."""
+        """Return when the next timer is due."""
         scheduled = self._scheduled
         while scheduled and scheduled[0].cancelled():
             heapq.heappop(scheduled)._scheduled = False  # type: ignore[attr-defined]
         return scheduled[0].when() if scheduled else math.inf
 
     def forget(self) -> None:
-        """The process ends: nothing of it ever runs again."""
+        """Drop all callbacks and tasks at the end of the process."""
         for task in asyncio.all_tasks(self):
             task._log_destroy_pending = False  # type: ignore[attr-defined]
-            with contextlib.suppress(RuntimeError):  # it waits in a block that waits again
+            with contextlib.suppress(RuntimeError):  # it awaits again while it is closed
                 task.get_coro().close()
         self._ready.clear()
         self._scheduled.clear()
--- a/tests/nodes/test_announcements.py
+++ b/tests/nodes/test_announcements.py
@@ -1,4 +1,4 @@
-"""How often a control node with replicas announces itself: edges wait for it after a loss of power."""
+"""Announcement interval of a control node with replicas; edges wait for it after a power loss."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def announced_at(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """When a gateway was told, in seconds since the start."""
+    """Return the times of announcements to a gateway, in seconds since the start."""
     told: list[float] = []
 
     async def play() -> None:
--- a/tests/nodes/test_clocks.py
+++ b/tests/nodes/test_clocks.py
@@ -1,4 +1,4 @@
-"""Nothing of the system reads the time of day: clocks that are set, jump or stand still change nothing."""
+"""The system reads only the monotonic clock, so changes of the wall clock have no effect."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def other_clocks(source: str) -> list[str]:
-    """What a module takes of `time` that isn't steady, and of `datetime`."""
+    """Return the names that a module uses of `datetime`, and of `time` beside the monotonic clock."""
     found: list[str] = []
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "time":
--- a/tests/nodes/test_control_gateway.py
+++ b/tests/nodes/test_control_gateway.py
@@ -1,4 +1,4 @@
-"""The control role without replicas: it refers its callers, and answers nothing itself."""
+"""The control role without replicas: it redirects its callers, and answers nothing itself."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class FakePeer:
-    """One peer."""
+    """A fake peer."""
 
     def __init__(self, peers: FakePeers, address: str) -> None:
         self._peers = peers
@@ -131,7 +131,7 @@
     assert edge.current == "10.0.0.7:7660"
 
 
-def test_a_watcher_is_sent_elsewhere_while_no_control_node_is_known() -> None:
+def test_a_watcher_gets_an_error_while_no_control_node_is_known() -> None:
     made, _, _ = gateway()
     with pytest.raises(NoControlNodeError):
         asyncio.run(made._watch(watch(members_digest=0), ""))
@@ -156,7 +156,7 @@
     assert address in VOTERS and (sent_method, sent) == (method, payload)
 
 
-def test_a_report_that_was_passed_on_once_goes_no_further() -> None:
+def test_a_forwarded_report_is_not_forwarded_again() -> None:
     made, peers, _ = gateway()
     asyncio.run(learn(made))
     report = encode(DemandReport(node="e", zone="z", demands=[], forwarded=True))
@@ -190,14 +190,16 @@
     return list(reply.control_nodes)
 
 
-def test_nodes_that_announced_themselves_lately_are_named_until_one_of_them_has_named_all() -> None:
-    """After a loss of all power edges wait for this: seeds may be gateways alone."""
+def test_announced_nodes_are_named_until_one_returns_the_complete_list() -> None:
+    """After a power loss of all machines edges depend on it, because all seeds may be gateways."""
     made, _, clock = gateway()
     announce(made, "10.0.0.1:7660")
     clock.now += 1.0
     announce(made, "10.0.0.2:7660")
     assert named(made) == ["10.0.0.1:7660", "10.0.0.2:7660"]
-    assert named(made, edge=False, hold_ms=60_000, members_digest=0) == named(made)  # it does not hold that
+    assert named(made, edge=False, hold_ms=60_000, members_digest=0) == named(
+        made
+    )  # the watcher lacks this list
     clock.now += CONTACT_TTL_S - 0.5
     assert named(made) == ["10.0.0.2:7660"]
     asyncio.run(learn(made))
@@ -251,7 +253,7 @@
     assert_operators_are_redirected()
 
 
-def test_a_gateway_that_answers_a_configuration_itself_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_gateway_that_answers_itself_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def answer_itself(_gateway: ControlGateway, _request: web.Request) -> web.Response:
         return answers.document(b'{"version": 1}')
 
@@ -303,5 +305,7 @@
         ({"data-dir": None, "counts-for-quorum": True}, False),
     ],
 )
-def test_a_vote_takes_a_disk_on_a_machine_that_counts(more: dict[str, object], may_vote: bool) -> None:
+def test_voting_takes_a_disk_and_a_machine_that_counts_for_the_quorum(
+    more: dict[str, object], may_vote: bool
+) -> None:
     assert Settings.from_dict(FIELDS | more).may_vote is may_vote
--- a/tests/nodes/test_control_settings.py
+++ b/tests/nodes/test_control_settings.py
@@ -1,4 +1,4 @@
-"""What the control role refuses to start without."""
+"""Settings that the control role requires at its start."""
 
 from __future__ import annotations
 
--- a/tests/nodes/test_control_watch.py
+++ b/tests/nodes/test_control_watch.py
@@ -1,4 +1,4 @@
-"""What an edge makes of the control plane's replies and of the platform's list."""
+"""How an edge applies the control plane's replies and the platform's list."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class FakePlane:
-    """Keeps what it is told."""
+    """Data plane that records what it is given."""
 
     def __init__(self) -> None:
         self.servers: dict[str, Server] = {}
@@ -99,20 +99,20 @@
     return ControlWatch(SETTINGS, plane)  # type: ignore[arg-type]
 
 
-def test_tables_are_taken_whole_and_by_changes(watch: ControlWatch, plane: FakePlane) -> None:
+def test_tables_are_updated_completely_and_by_changes(watch: ControlWatch, plane: FakePlane) -> None:
     watch._apply_reply(reply(table(0, 1, 5, server("a"), server("b"), is_complete=True)))
     watch._apply_reply(reply(table(0, 1, 6, server("c"), removed=["a"])))
     assert sorted(plane.servers) == ["b", "c"]
     assert plane.edges == (3, 8)
 
 
-def test_another_epoch_brings_the_whole_and_drops_the_rest(watch: ControlWatch, plane: FakePlane) -> None:
+def test_another_epoch_replaces_the_table(watch: ControlWatch, plane: FakePlane) -> None:
     watch._apply_reply(reply(table(0, 1, 5, server("a"), server("b"), is_complete=True)))
     watch._apply_reply(reply(table(0, 2, 1, server("b"), is_complete=True)))
     assert sorted(plane.servers) == ["b"]
 
 
-def test_what_is_older_than_what_is_known_changes_nothing(watch: ControlWatch, plane: FakePlane) -> None:
+def test_older_updates_change_nothing(watch: ControlWatch, plane: FakePlane) -> None:
     watch._apply_reply(reply(table(0, 2, 5, server("a"), is_complete=True)))
     watch._apply_reply(reply(table(0, 1, 9, server("z"), is_complete=True)))
     assert sorted(plane.servers) == ["a"]
@@ -127,7 +127,7 @@
     assert sorted(plane.servers) == ["a2", "b"]
 
 
-def test_a_server_that_drains_or_is_gone_by_the_own_list_is_used_no_more(
+def test_a_server_draining_or_missing_in_the_platforms_list_is_not_used(
     watch: ControlWatch, plane: FakePlane
 ) -> None:
     watch._apply_reply(reply(table(0, 1, 5, server("a"), server("b"), server("c"), is_complete=True)))
@@ -137,7 +137,9 @@
     assert watch.list_age_s() < 1.0
 
 
-def test_a_change_that_does_not_fit_asks_for_the_whole(watch: ControlWatch, plane: FakePlane) -> None:
+def test_after_a_mismatched_change_the_complete_configuration_is_requested(
+    watch: ControlWatch, plane: FakePlane
+) -> None:
     broken = ConfigurationUpdate(version=9, is_complete=False, documents=[b"garbage"])
     watch._apply_reply(reply(configuration=broken))
     assert plane.configurations == []
@@ -159,7 +161,7 @@
     assert sorted(seen, key=str) == ["a:1", "b:1", "c:1"]
 
 
-def test_news_of_control_nodes_keeps_the_one_that_answers() -> None:
+def test_a_new_list_of_control_nodes_keeps_the_current_one() -> None:
     nodes = ControlNodes("edge-1")
     nodes.set_seeds(["a:1", "b:1", "c:1"])
     nodes.failed()
@@ -169,7 +171,7 @@
     assert nodes.digest == members_digest(["a:1", "b:1", "c:1", "d:1"])
 
 
-def test_seeds_that_are_dead_do_not_hide_known_nodes() -> None:
+def test_unreachable_seeds_do_not_hide_known_nodes() -> None:
     nodes = ControlNodes("edge-1")
     nodes.set_seeds(["dead:1"])
     nodes.set_known(["a:1"])
@@ -188,7 +190,7 @@
     assert plane.edges == (1, 8)
 
 
-def test_waits_follow_from_the_bounds_of_the_deployment(plane: FakePlane) -> None:
+def test_intervals_follow_from_the_bounds_of_the_deployment(plane: FakePlane) -> None:
     tight = Settings.from_dict(FIELDS | {"bounds": {"config-apply-ms": 500, "drain-ms": 600}})
     watch = ControlWatch(tight, plane)  # type: ignore[arg-type]
     assert watch._request().hold_ms == 200
@@ -203,8 +205,8 @@
     assert 300 / own._pause_s() <= SETTINGS.cloud.rate_per_s / 2
 
 
-class LatePeers:
-    """Answers each call after the edge was frozen for a time."""
+class DelayedPeers:
+    """Answers each call after the edge was suspended for a time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -214,7 +216,7 @@
     def clock(self) -> float:
         return self.now
 
-    def __getitem__(self, address: str) -> LatePeers:
+    def __getitem__(self, address: str) -> DelayedPeers:
         return self
 
     async def call(self, method: object, payload: bytes, timeout_s: float) -> bytes:
@@ -231,10 +233,10 @@
 
 
 @pytest.mark.parametrize(("frozen_s", "taken"), [((0.1,), [1]), ((30.0,), []), ((30.0, 0.1), [2])])
-def test_a_reply_that_waited_at_a_frozen_edge_is_not_taken(
+def test_a_reply_delayed_at_a_suspended_edge_is_not_accepted(
     plane: FakePlane, frozen_s: Sequence[float], taken: list[int]
 ) -> None:
-    peers = LatePeers()
+    peers = DelayedPeers()
     peers.frozen_s = list(frozen_s)
     watch = ControlWatch(SETTINGS, plane, peers.clock)  # type: ignore[arg-type]
     watch.peers = peers  # type: ignore[assignment]
--- a/tests/nodes/test_edge.py
+++ b/tests/nodes/test_edge.py
@@ -1,4 +1,4 @@
-"""The edge role as a process runs it: its signals, and what they may not cut."""
+"""The edge role as a process: signals, and requests in flight during them."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @dataclass
 class File:
-    """Stands for the settings file, which changes when it is told to."""
+    """Fake settings file that changes on demand."""
 
     settings: Settings
     changed: Settings | None = None
 
     def reload(self, force: bool = False) -> Settings | None:
-        """The new settings, once."""
+        """Return the new settings once."""
         if not force or self.changed is None:
             return None
         self.settings, self.changed = self.changed, None
@@ -33,7 +33,7 @@
 
 
 async def readiness(port: int) -> int:
-    """What the platform is told; 0: nobody listens."""
+    """Return the readiness status; 0 if the connection is refused."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except ConnectionError:
@@ -68,7 +68,7 @@
         while not planes or not planes[0].ready_port:
             await asyncio.sleep(0)
         plane = planes[0]
-        assert await readiness(plane.ready_port) == 503  # it knows nothing yet
+        assert await readiness(plane.ready_port) == 503  # no configuration yet
         s = Scene(plane, [server])
         plane.apply_configuration(configuration())
         s.tell()
--- a/tests/nodes/test_serving_while_cut_off.py
+++ b/tests/nodes/test_serving_while_cut_off.py
@@ -1,7 +1,8 @@
-"""A control node that is cut off for up to twenty seconds hands out nothing old and refuses nothing.
+"""A control node that is partitioned for up to twenty seconds returns no old data and rejects no change.
 
-`GRANITEWELL_SEEDS=10000 python -m pytest tests/nodes/test_serving_while_cut_off.py -k days` is the long form;
-`GRANITEWELL_FIRST_SEED` says where it begins.
+Long form; `GRANITEWELL_FIRST_SEED` is the first seed:
+
+    GRANITEWELL_SEEDS=10000 python -m pytest tests/nodes/test_serving_while_cut_off.py -k scenarios
 """
 
 from __future__ import annotations
@@ -38,16 +39,16 @@
     assert {"GET 200", "GET 307", "GET 503", "PUT 200", "PUT 307", "PUT 412", "PUT 503"} <= set(given)
 
 
-# --- Guards taken out -------------------------------------------------------------------------------------
+# --- Planted defects
 
 
 def lease_not_checked_before_answers(patch: pytest.MonkeyPatch) -> None:
-    """The API answers while this node takes itself for the leader."""
+    """The API answers while this node believes itself to be the leader, without a lease."""
     patch.setattr(ReplicatedGroup, "holds_lease", lambda self: self.is_leader)
 
 
 def follower_reads(patch: pytest.MonkeyPatch) -> None:
-    """The API answers GET from what this node has."""
+    """The API answers GET from this node's state, on any node."""
 
     async def get(self: api.OperatorApi, request: Any) -> Any:
         return self._current_document()
@@ -56,7 +57,7 @@
 
 
 def lease_not_checked_before_refusals(patch: pytest.MonkeyPatch) -> None:
-    """A change is judged against the state here, whoever leads."""
+    """A change is checked against this node's state without the lease."""
 
     async def answer(self: api.OperatorApi, change: Change, path: str) -> Any:
         result = self._store.check(change)
@@ -66,7 +67,7 @@
 
 
 def read_staleness_not_checked(patch: pytest.MonkeyPatch) -> None:
-    """A control node answers edges however long it has heard nothing."""
+    """A control node answers edges however old its data is."""
     real = Publisher.__init__
 
     def init(self: Publisher, *given: Any) -> None:
@@ -77,7 +78,7 @@
 
 
 def late_reply_accepted(patch: pytest.MonkeyPatch) -> None:
-    """An edge takes replies that come seconds late."""
+    """An edge accepts replies that arrive seconds late."""
 
     async def ask(self: CheckedWatch, node: str) -> Any:
         reply = await self.peers[node].call(Method.WATCH, encode(self._request()), 5.0)
@@ -87,11 +88,11 @@
 
 
 def edge_stays(patch: pytest.MonkeyPatch) -> None:
-    """An edge goes on asking the control node that failed."""
+    """An edge keeps polling a control node that failed."""
     patch.setattr(ControlNodes, "failed", lambda self: None)
 
 
-# the guard, what the violation says, and a seed to begin with that shows it soon
+# defect, text of the violation, and a seed that reveals it soon
 PLANTS = (
     (lease_not_checked_before_answers, "reads|answers|refuses", 6),
     (follower_reads, "reads|answers", 0),
--- a/tests/recorded/test_recorded_inputs.py
+++ b/tests/recorded/test_recorded_inputs.py
@@ -21,7 +21,7 @@
 from granitewell.operator.load import load
 from granitewell.operator.registry import Operator
 from tests.controlplane.test_configuration_examples import patch, put_change, route, whole
-from tests.controlplane.test_operator_api import Rig, played
+from tests.controlplane.test_operator_api import ApiHarness, run_scenario
 from tests.recorded.samples import DATA
 
 SETTINGS = DATA / "settings.json"
@@ -106,10 +106,10 @@
     """Status, headers and body of the answer to each request, sent one after the other."""
     answers: list[Any] = []
 
-    async def story(rig: Rig) -> None:
+    async def scenario(harness: ApiHarness) -> None:
         for method, headers, document in REQUESTS:
             body = document if isinstance(document, bytes) else orjson.dumps(document)
-            response = await rig.client.request(
+            response = await harness.client.request(
                 method,
                 "/config",
                 data=None if document is None else body,
@@ -118,18 +118,18 @@
             )
             shown = {name: response.headers[name] for name in RECORDED_HEADERS if name in response.headers}
             answers.append([response.status, shown, (await response.read()).decode()])
-        missing = await rig.client.get("/other")
+        missing = await harness.client.get("/other")
         answers.append([missing.status, {}, (await missing.read()).decode()])
-        rig.group.leases, rig.group.lease, rig.group.leader = [], False, "10.0.0.2:7660"
-        moved = await rig.get()
+        harness.group.leases, harness.group.lease, harness.group.leader = [], False, "10.0.0.2:7660"
+        moved = await harness.get()
         answers.append([moved.status, {"Location": moved.headers["Location"]}, (await moved.read()).decode()])
-        rig.group.leader = None
-        absent = await rig.get()
+        harness.group.leader = None
+        absent = await harness.get()
         answers.append(
             [absent.status, {"Retry-After": absent.headers["Retry-After"]}, (await absent.read()).decode()]
         )
 
-    played(story, put_change(0, whole(5)))
+    run_scenario(scenario, put_change(0, whole(5)))
     return answers
 
 
