--- a/granitewell/controlplane/configuration/api.py
+++ b/granitewell/controlplane/configuration/api.py
@@ -29,7 +29,7 @@
 from granitewell.domain.errors import NotLeaderError, ProposalLostError
 
 PATH = "/config"
-PROPOSAL_TIMEOUT_S = 3.0  # below the time after which operators give up
+PROPOSAL_TIMEOUT_S = 3.0  # operators have given up before a later acknowledgement
 LEADER_WAIT_S = 0.8  # operators give up after a second without an answer
 LEADER_POLL_S = 0.02  # an election takes some hundred ms
 MAX_QUEUE_WAIT_S = 2.0  # a change that has waited longer for earlier ones gets a 503
--- a/granitewell/controlplane/configuration/store.py
+++ b/granitewell/controlplane/configuration/store.py
@@ -263,4 +263,4 @@
     try:
         return complete_state(EMPTY, document)
     except InvalidConfigurationError as error:
-        raise UnreadableSnapshotError(f"holds no configuration: {error}") from error
+        raise UnreadableSnapshotError(f"contains no valid configuration: {error}") from error
--- a/granitewell/controlplane/placement/fleet.py
+++ b/granitewell/controlplane/placement/fleet.py
@@ -21,8 +21,8 @@
 MAX_SLOTS_FRACTION = 0.2  # of a server's slots used by one model; above it another copy is desired
 MAX_FAIR_SHARE_RATIO = 1.25  # of an even share of all requests; above it a copy is overloaded
 TARGET_SLOTS_FRACTION = 1 / 3  # of a server's slots; with more concurrent requests, tokens come too slowly
-MIN_COPY_RATE_PER_S = 1.0  # that any copy can serve; higher rates queue, as prompts are read one by one
-MAX_REPLICAS_FRACTION = 0.7  # of the schedulable servers, for one model
+MIN_COPY_RATE_PER_S = 1.0  # that one copy serves well on any server; prompts are processed one by one
+MAX_COPIES_FRACTION = 0.7  # of the schedulable servers, for one model
 
 
 @dataclass(slots=True)
@@ -156,7 +156,7 @@
             adapter_slots = self._engine.max_adapters
             if adapter_slots:
                 desired = max(desired, math.ceil(self._active_adapters.get(name, 0) / adapter_slots))
-        max_copies = max(2, int(len(self.schedulable) * MAX_REPLICAS_FRACTION))
+        max_copies = max(2, int(len(self.schedulable) * MAX_COPIES_FRACTION))
         return min(desired, max_copies, len(self.schedulable))
 
     def excess_in_flight(self, name: str, copies: int) -> float:
--- a/granitewell/controlplane/placement/placement_pass.py
+++ b/granitewell/controlplane/placement/placement_pass.py
@@ -22,9 +22,7 @@
 UNLOAD_COST_S = 0.2  # of an unload, until a report shows it
 BUSY_UNLOAD_COST_S = 1.5  # of an unload that waits for requests in flight to end
 VALUE_COST_S = 10.0  # of an evicted value of one miss per second
-STORE_LOAD_COST_S = (
-    0.3  # of a load from the store, beyond its load time: waiting for the rate and other loads
-)
+STORE_LOAD_COST_S = 0.3  # of a load from the store beyond its load time: waiting for the rate and other loads
 BUSY_SERVER_COST_S = 0.1  # per request per second that the server already serves for busy models
 SAME_ZONE_COST_S = 0.3  # of a zone that has a copy already
 ADAPTER_HOST_COST_S = 0.15  # of a server with active adapters: a load delays orders for adapters
@@ -65,9 +63,8 @@
         self._warm = store.warm
         self._loading = sum(1 for s in servers if s.loading is not None and not s.loading.adapter)
         self.purposes = Counter(s.purpose for s in servers if s.purpose is not None)
-        self.taken: set[str] = (
-            set()
-        )  # servers that this plan orders to load a model or to free capacity for one
+        # Servers that this plan orders to load a model, or to free capacity for one.
+        self.allocated: set[str] = set()
         self._reserved: set[str] = set()  # servers kept for a load that waits for the store's rate
 
     def has_free_servers(self) -> bool:
@@ -100,10 +97,10 @@
         return self.purposes.total() + len(self._reserved) < MAX_EVICTIONS
 
     def _order_load(self, server: ServerView, name: str) -> None:
-        from_store_now = name not in server.loaded_before
+        from_store = name not in server.loaded_before
         self._loading += 1
-        self._tokens -= 1 if from_store_now else 0
-        self.order(server, Operation.LOAD, ModelRef(name), from_store=from_store_now)
+        self._tokens -= 1 if from_store else 0
+        self.order(server, Operation.LOAD, ModelRef(name), from_store=from_store)
 
     def _best_candidate(self, name: str, max_value: float, max_loads: int) -> _Candidate | None:
         best: _Candidate | None = None
@@ -267,7 +264,7 @@
         self.orders.append(Order(server.id, operation, ref, purpose, from_store))
         del self.free[server.id]
         if purpose is not None or not (ref.adapter or operation is Operation.UNLOAD):
-            self.taken.add(server.id)
+            self.allocated.add(server.id)
         if operation is Operation.LOAD and not ref.adapter:
             self._fleet.record_load(server, ref.model)
         if operation is Operation.UNLOAD:
--- a/granitewell/controlplane/placement/planner.py
+++ b/granitewell/controlplane/placement/planner.py
@@ -271,7 +271,7 @@
 
     def _has_spare_capacity(self, server: ServerView, size: float) -> bool:
         """Return whether a server has, or is freeing, capacity that is not reserved."""
-        is_reserved = server.purpose or server.reserved_for or server.id in self._placing.taken
+        is_reserved = server.purpose or server.reserved_for or server.id in self._placing.allocated
         return not is_reserved and self._has_capacity(server, size)
 
     def _has_capacity(self, server: ServerView, size: float) -> bool:
--- a/granitewell/domain/servers.py
+++ b/granitewell/domain/servers.py
@@ -1,4 +1,4 @@
-"""Servers, as both planes know them."""
+"""Servers, models and demand, shared by both planes."""
 
 from __future__ import annotations
 
--- a/granitewell/nodes/control.py
+++ b/granitewell/nodes/control.py
@@ -31,9 +31,7 @@
 from granitewell.rpc.messages import GroupMessage, encode
 from granitewell.rpc.transport import Method, RpcPeers, RpcServer
 
-TRANSFER_TIMEOUT_S = (
-    1.5  # for transferring leadership on SIGTERM, after at most `leave_s` for leaving the groups
-)
+TRANSFER_TIMEOUT_S = 1.5  # for leadership on SIGTERM, after at most `leave_s` for leaving the groups
 
 
 class ControlNode:
--- a/granitewell/nodes/control_gateway.py
+++ b/granitewell/nodes/control_gateway.py
@@ -34,7 +34,7 @@
 )
 from granitewell.rpc.transport import Handler, Method, RpcPeers, RpcServer
 
-HOLD_S = 1.0  # of a long-poll; a lost voter is noticed after it at the latest
+LONG_POLL_HOLD_S = 1.0  # of a long-poll; a lost voter is noticed after it at the latest
 REPLY_SLACK_S = 0.4
 RETRY_S = 0.2
 CONTACT_TTL_S = 2.5  # after a reply or an announcement, a control node counts as available
@@ -53,7 +53,7 @@
     """One process of the control role without replicas.
 
     Attributes:
-        nodes: The control nodes with replicas, and which of them is asked.
+        nodes: The control nodes with replicas, and which of them is polled.
     """
 
     def __init__(self, settings: Settings, clock: Callable[[], float] = time.monotonic) -> None:
@@ -92,13 +92,13 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             try:
-                await self._ask(node)
+                await self._poll(node)
             except RpcError as error:
                 log.debug("control node does not answer", node=node, error=str(error))
                 self.nodes.failed()
                 await asyncio.sleep(RETRY_S)
 
-    async def _ask(self, node: str) -> None:
+    async def _poll(self, node: str) -> None:
         """Long-poll one control node; raises RpcError."""
         request = WatchRequest(
             node=self._settings.node_name,
@@ -106,12 +106,13 @@
             edge=False,
             configuration_version=0,
             tables=[],
-            hold_ms=int(HOLD_S * 1000),
+            hold_ms=int(LONG_POLL_HOLD_S * 1000),
             members_digest=self.nodes.digest,
             members_only=True,
         )
         reply = decode(
-            WatchReply, await self.peers[node].call(Method.WATCH, encode(request), HOLD_S + REPLY_SLACK_S)
+            WatchReply,
+            await self.peers[node].call(Method.WATCH, encode(request), LONG_POLL_HOLD_S + REPLY_SLACK_S),
         )
         self._replied_at = self._clock()
         if reply.control_nodes:
@@ -144,7 +145,7 @@
         if not known:
             raise NoControlNodeError(self._settings.node_name)
         if not request.edge and request.members_digest == members_digest(known):
-            await asyncio.sleep(min(max(request.hold_ms, 0) / 1000.0, HOLD_S))
+            await asyncio.sleep(min(max(request.hold_ms, 0) / 1000.0, LONG_POLL_HOLD_S))
         return encode(
             WatchReply(
                 tables=[], control_nodes=known, members_digest=members_digest(known), edges=1, max_edges=1
--- a/granitewell/nodes/control_watch.py
+++ b/granitewell/nodes/control_watch.py
@@ -81,13 +81,13 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             try:
-                self._apply_reply(await self._ask(node))
+                self._apply_reply(await self._poll(node))
             except RpcError as error:
                 log.debug("control node does not answer", node=node, error=str(error))
                 self.nodes.failed()
                 await asyncio.sleep(RETRY_S)
 
-    async def _ask(self, node: str) -> Any:
+    async def _poll(self, node: str) -> Any:
         """Return a reply that is recent enough; raises RpcError."""
         reply_timeout_s = self._hold_s + REPLY_SLACK_S
         sent_at = self._clock()
--- a/tests/nodes/test_control_gateway.py
+++ b/tests/nodes/test_control_gateway.py
@@ -90,7 +90,7 @@
 async def learn(made: ControlGateway) -> None:
     node = made.nodes.current
     assert node is not None
-    await made._ask(node)
+    await made._poll(node)
 
 
 def watch(**more: Any) -> bytes:
--- a/tests/nodes/test_serving_while_cut_off.py
+++ b/tests/nodes/test_serving_while_cut_off.py
@@ -80,11 +80,11 @@
 def late_reply_accepted(patch: pytest.MonkeyPatch) -> None:
     """An edge accepts replies that arrive seconds late."""
 
-    async def ask(self: CheckedWatch, node: str) -> Any:
+    async def poll(self: CheckedWatch, node: str) -> Any:
         reply = await self.peers[node].call(Method.WATCH, encode(self._request()), 5.0)
         return decode(WatchReply, reply)
 
-    patch.setattr(CheckedWatch, "_ask", ask)
+    patch.setattr(CheckedWatch, "_poll", poll)
 
 
 def edge_stays(patch: pytest.MonkeyPatch) -> None:
