--- a/granitewell/controlplane/configuration/change.py
+++ b/granitewell/controlplane/configuration/change.py
@@ -1,4 +1,4 @@
-"""A change as an operator requests it, and its encoding in the replicated log."""
+"""A change requested by an operator, and its encoding in the replicated log."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from granitewell.controlplane.configuration.errors import UnknownChangeError, UnreadableChangeError
 
 FORMAT = 1
-HEAD = struct.Struct("!BBq")  # format, operation, base version
-MAX_VERSION = 2**63 - 1  # versions travel as signed 64-bit numbers
+HEADER = struct.Struct("!BBq")  # format, operation, base version
+MAX_VERSION = 2**63 - 1  # encoded as a signed 64-bit integer
 
 
 class Operation(Enum):
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change. Two changes are the same if all three fields are equal.
+    """One change; changes with equal fields are the same change.
 
     Attributes:
         operation: Replace or alter.
         base_version: Version that the change is based on (If-Match).
-        body: The bytes as they were sent.
+        body: The body as it was sent.
     """
 
     operation: Operation
@@ -41,19 +41,19 @@
 
     def encode(self) -> bytes:
         """Return the encoding used in the log and in updates to edges."""
-        return HEAD.pack(FORMAT, _CODES[self.operation], self.base_version) + self.body
+        return HEADER.pack(FORMAT, _CODES[self.operation], self.base_version) + self.body
 
     @classmethod
     def decode(cls, data: bytes) -> Change:
         """Decode a change.
 
         Raises:
-            UnknownChangeError: A newer version has written it.
+            UnknownChangeError: A newer version of the program has written it.
             UnreadableChangeError: The bytes cannot be read.
         """
-        if len(data) < HEAD.size:
+        if len(data) < HEADER.size:
             raise UnreadableChangeError(f"{len(data)} bytes are too few")
-        version, code, base_version = HEAD.unpack_from(data)
+        version, code, base_version = HEADER.unpack_from(data)
         if version != FORMAT:
             raise UnknownChangeError(f"format {version} is not known")
         operation = _OPERATIONS.get(code)
@@ -61,7 +61,7 @@
             raise UnknownChangeError(f"operation {code} is not known")
         if base_version < 0:
             raise UnreadableChangeError(f"base version {base_version} is below 0")
-        return cls(operation, base_version, bytes(data[HEAD.size :]))
+        return cls(operation, base_version, bytes(data[HEADER.size :]))
 
     def digest(self) -> bytes:
         """Return a digest of operation and body.
--- a/granitewell/controlplane/placement/limits.py
+++ b/granitewell/controlplane/placement/limits.py
@@ -1,4 +1,7 @@
-"""Limits that must never be exceeded: servers' memory and adapters, the weight store's rate. No I/O."""
+"""Hard limits: servers' memory and adapters, and the weight store's rate. No I/O.
+
+Within any window, the weight store permits 1.1 times its rate, plus 3 loads.
+"""
 
 from __future__ import annotations
 
@@ -9,21 +12,26 @@
 from granitewell.domain.configuration import Engine, Model
 from granitewell.domain.servers import LoadedModel, ModelRef
 
-STORE_RATE_FRACTION = 0.95  # of the permitted rate: the bound counts 1.1 times it, plus 3
-STORE_BURST = 2.0  # loads at once after a pause; the bound allows 3
-MEMORY_SLACK_MB = 1.0  # for sums of rounded sizes
-AT_ONCE_FIRST = 4  # simultaneous loads that are tried before anything is known of the store
-AT_ONCE_LEAST = 2
-AT_ONCE_MOST = 32
-SLOWED = 1.3  # a load that took this many times its usual time met too many others
-WARM_FIRST_FRACTION = 0.4  # of its load time, for a model from the server's own disk, before any was measured
-WARM_GAIN = 0.2  # weight of the newest load from a server's own disk
-UNSLOWED = 1.15  # up to here loads at once were as fast as alone
+STORE_RATE_FRACTION = 0.95  # of the permitted rate
+STORE_BURST_LOADS = 2.0  # capacity of the token bucket, in loads; the permitted burst is 3
+MEMORY_SLACK_MB = 1.0  # for rounding errors in sums of sizes
+INITIAL_CONCURRENT_LOADS = 4  # before the configuration is known
+MIN_CONCURRENT_LOADS = 2
+MAX_CONCURRENT_LOADS = 32
+MIN_SLOW_RATIO = 1.3  # of the usual load time; from here there were too many concurrent loads
+INITIAL_WARM_LOAD_FRACTION = 0.4  # of the time from the store, until a warm load has completed
+WARM_LOAD_WEIGHT = 0.2  # of the newest sample in the moving average
+MAX_FULL_SPEED_RATIO = 1.15  # of the usual load time; up to here concurrent loads run at full speed
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Committed resources of a server. `mb` is infinite if a size is unknown."""
+    """Committed resources of a server.
+
+    Attributes:
+        mb: Memory in MB; infinite if a size is unknown.
+        adapters: Number of adapters.
+    """
 
     mb: float
     adapters: int
@@ -31,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """Resources of a server."""
+    """Total resources of a server: memory in MB, and number of adapters."""
 
     mb: float
     adapters: int
@@ -42,7 +50,7 @@
 
 
 class ModelSizes:
-    """Sizes of models, including those that a newer configuration no longer lists."""
+    """Sizes of all models ever configured, also of those that the configuration no longer lists."""
 
     def __init__(self) -> None:
         self._known: dict[str, Model] = {}
@@ -52,12 +60,12 @@
         self._known.update((model.name, model) for model in engine.models)
 
     def weights_mb(self, model: str) -> float:
-        """Return the size of a model alone, in MB; infinite if it was never known."""
+        """Return the size of a model alone, in MB; infinite if unknown."""
         known = self._known.get(model)
         return known.weights_mb if known else math.inf
 
     def adapter_mb(self, model: str) -> float:
-        """Return the size of an adapter of a model, in MB; infinite if the model was never known."""
+        """Return the size of an adapter of a model, in MB; infinite if unknown."""
         known = self._known.get(model)
         return known.adapter_mb if known else math.inf
 
@@ -71,7 +79,7 @@
         return self.weights_mb(loaded.name) + adapters
 
 
-def usage(loaded: Iterable[LoadedModel], coming: Iterable[ModelRef], sizes: ModelSizes) -> Usage:
+def usage(loaded: Iterable[LoadedModel], loading: Iterable[ModelRef], sizes: ModelSizes) -> Usage:
     """Return the usage of loaded models together with loads in progress or of unknown outcome."""
     mb = 0.0
     adapters = 0
@@ -80,7 +88,7 @@
         present[model.name] = model
         mb += sizes.loaded_mb(model)
         adapters += len(model.adapters)
-    for ref in coming:
+    for ref in loading:
         if _holds(present, ref):
             continue
         mb += sizes.ref_mb(ref)
@@ -96,7 +104,7 @@
 class LoadBucket:
     """Token bucket of loads from the weight store.
 
-    Empty at the start: the loads that an earlier owner has just ordered count in the same window.
+    Empty at the start, because loads just ordered by a previous owner count in the same window.
     """
 
     def __init__(self, now: float) -> None:
@@ -111,7 +119,7 @@
 
     def _fill(self, now: float) -> None:
         passed = max(0.0, now - self._at)
-        self._tokens = min(STORE_BURST, self._tokens + passed * self._rate)
+        self._tokens = min(STORE_BURST_LOADS, self._tokens + passed * self._rate)
         self._at = now
 
     def available(self, now: float) -> int:
@@ -127,8 +135,8 @@
         return True
 
     def give_back(self) -> None:
-        """Return the token of a load that certainly did not begin."""
-        self._tokens = min(STORE_BURST, self._tokens + 1.0)
+        """Return the token of a load that is known not to have started."""
+        self._tokens = min(STORE_BURST_LOADS, self._tokens + 1.0)
 
     def next_at(self, now: float) -> float:
         """Return when the next load may begin."""
@@ -139,40 +147,49 @@
         return now + (1.0 - self._tokens) / self._rate
 
 
-class LoadPace:
-    """How many concurrent loads run at full speed, learned from how long loads take.
+class LoadConcurrency:
+    """Number of concurrent loads from the weight store that run at full speed.
 
-    Before any was measured, it is the number that the permitted rate keeps in progress.
+    It is learned from how long loads take. Until a load has completed, it is the number of loads that the
+    permitted rate keeps in progress.
     """
 
     def __init__(self) -> None:
-        self.at_once = AT_ONCE_FIRST
+        self.concurrent_loads = INITIAL_CONCURRENT_LOADS
         self._min_overhead_s = math.inf
 
     def expect(self, loads_per_s: float, load_time_s: float) -> None:
         """Record the permitted rate of loads and their mean duration.
 
-        Without effect once loads were measured.
+        Without effect once a load has completed.
         """
         if math.isinf(self._min_overhead_s):
             under_way = round(loads_per_s * load_time_s)  # Little's law
-            self.at_once = max(AT_ONCE_LEAST, min(AT_ONCE_MOST, under_way))
+            self.concurrent_loads = max(MIN_CONCURRENT_LOADS, min(MAX_CONCURRENT_LOADS, under_way))
 
-    def learn(self, at_once: int, took_s: float, nominal_s: float) -> None:
-        """Record how long a load took beside `at_once` concurrent loads (including itself)."""
+    def learn(self, concurrent_loads: int, took_s: float, nominal_s: float) -> None:
+        """Record the duration of a load.
+
+        Args:
+            concurrent_loads: Loads in progress when it started, including itself.
+            took_s: Time from the order until a report showed the model, in seconds.
+            nominal_s: Configured load time, in seconds.
+        """
         overhead = took_s - nominal_s
         self._min_overhead_s = min(self._min_overhead_s, max(overhead, -0.5 * nominal_s))
         slowness = (took_s - self._min_overhead_s) / max(nominal_s, 0.05)
-        if slowness >= SLOWED and at_once > AT_ONCE_LEAST:
-            self.at_once = max(AT_ONCE_LEAST, min(self.at_once, round(at_once / slowness)))
-        elif slowness <= UNSLOWED and at_once >= self.at_once:
-            self.at_once = min(AT_ONCE_MOST, at_once + 1)
+        if slowness >= MIN_SLOW_RATIO and concurrent_loads > MIN_CONCURRENT_LOADS:
+            self.concurrent_loads = max(
+                MIN_CONCURRENT_LOADS, min(self.concurrent_loads, round(concurrent_loads / slowness))
+            )
+        elif slowness <= MAX_FULL_SPEED_RATIO and concurrent_loads >= self.concurrent_loads:
+            self.concurrent_loads = min(MAX_CONCURRENT_LOADS, concurrent_loads + 1)
 
 
 class WarmLoadTime:
-    """How long a load from a server's own disk takes, learned from such loads.
+    """Moving average of the time of warm loads, which read the weights from the server's own disk.
 
-    It hardly depends on the model: the disk is read at one pace, and most of the time is fixed.
+    The time hardly depends on the model: the disk has one rate, and most of the time is fixed overhead.
     """
 
     def __init__(self) -> None:
@@ -185,12 +202,12 @@
             nominal_s: Time of a load from the weight store.
         """
         if math.isinf(self._mean_s):
-            return WARM_FIRST_FRACTION * nominal_s
+            return INITIAL_WARM_LOAD_FRACTION * nominal_s
         return min(self._mean_s, nominal_s)
 
     def learn(self, took_s: float) -> None:
-        """Record after how many seconds a report showed such a load."""
+        """Record the time from the order of a warm load until a report showed the model."""
         if math.isinf(self._mean_s):
             self._mean_s = took_s
         else:
-            self._mean_s += WARM_GAIN * (took_s - self._mean_s)
+            self._mean_s += WARM_LOAD_WEIGHT * (took_s - self._mean_s)
--- a/granitewell/controlplane/publication/table.py
+++ b/granitewell/controlplane/publication/table.py
@@ -1,8 +1,8 @@
 """Versioned table of the servers of one shard, with the changes since any version. No I/O.
 
 The owner of the shard writes the table under its term (the epoch). Every other control node keeps a copy by
-applying updates. Both give the same answers for the same version, so that a watcher can move from one control
-node to another.
+applying updates. All copies return the same changes for the same version, so that a watcher can move from one
+control node to another.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from granitewell.domain.servers import Server
 
-MAX_REMOVED = 2_000  # removals remembered; a watcher with an older version gets the complete table
+MAX_REMEMBERED_REMOVALS = 2_000  # a watcher with an older version gets the complete table
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -21,7 +21,7 @@
 
     Attributes:
         epoch: Term of the owner.
-        sequence: Number of the change within the epoch. (0, 0) is the version of a watcher that has nothing.
+        sequence: Number of the change within the epoch. A watcher without a table has version (0, 0).
     """
 
     epoch: int = 0
@@ -47,12 +47,12 @@
 
     def __init__(self) -> None:
         self.version = Version()
-        self.listed_at: float | None = None  # when the platform's list was read for this table
+        self.listed_at: float | None = None  # when the platform's list behind this table was read
         self._servers: dict[str, Server] = {}
         self._changed_at: dict[str, int] = {}
         self._removed_at: dict[str, int] = {}
-        self._models_before: dict[str, set[str]] = {}  # by server: models that it was ever seen with
-        self._complete_from = 0  # the sequence from which removals are all remembered
+        self._models_before: dict[str, set[str]] = {}  # by server: models that it has had loaded
+        self._complete_from = 0  # first sequence from which all removals are remembered
 
     @property
     def servers(self) -> Mapping[str, Server]:
@@ -60,17 +60,17 @@
         return self._servers
 
     def models_before(self, server_id: str) -> frozenset[str]:
-        """Return the models that a server was ever seen with; it has their weights on its own disk.
+        """Return the models that a server has had loaded; it has their weights on its own disk.
 
-        Every copy of the table collects them, so that a new owner knows what an earlier one has loaded.
+        Every copy of the table collects them, so that a new owner knows what previous owners have loaded.
         """
         return frozenset(self._models_before.get(server_id, ()))
 
     def begin(self, epoch: int) -> None:
         """Begin a new epoch with the known servers.
 
-        If the owner's lease has lapsed and returned within one term, the epoch continues: a copy would not
-        accept a lower version than its own.
+        If the owner's lease has ended and was renewed within one term, the epoch continues, because copies
+        reject a version lower than their own.
         """
         if epoch == self.version.epoch:
             return
@@ -91,7 +91,7 @@
         removed = [key for key in self._servers if key not in wanted]
         if not changed and not removed:
             return False
-        self._take(Version(self.version.epoch, self.version.sequence + 1), changed, removed)
+        self._apply(Version(self.version.epoch, self.version.sequence + 1), changed, removed)
         return True
 
     def update(self, update: Update, listed_at: float | None) -> None:
@@ -105,12 +105,12 @@
             removed = [key for key in self._servers if key not in kept]
             if update.version.epoch != self.version.epoch:
                 self._removed_at, self._changed_at = {}, {}
-            self._take(update.version, update.changed, removed)
+            self._apply(update.version, update.changed, removed)
             self._complete_from = update.version.sequence
             return
-        self._take(update.version, update.changed, update.removed)
+        self._apply(update.version, update.changed, update.removed)
 
-    def _take(self, version: Version, changed: Iterable[Server], removed: Iterable[str]) -> None:
+    def _apply(self, version: Version, changed: Iterable[Server], removed: Iterable[str]) -> None:
         self.version = version
         for server in changed:
             self._servers[server.id] = server
@@ -123,7 +123,7 @@
             self._changed_at.pop(key, None)
             self._removed_at.pop(key, None)
             self._removed_at[key] = version.sequence
-        while len(self._removed_at) > MAX_REMOVED:
+        while len(self._removed_at) > MAX_REMEMBERED_REMOVALS:
             self._complete_from = self._removed_at.pop(next(iter(self._removed_at))) + 1
 
     def since(self, version: Version) -> Update:
--- a/granitewell/nodes/control_gateway.py
+++ b/granitewell/nodes/control_gateway.py
@@ -1,9 +1,9 @@
-"""The control role on a machine without replicas: no disk, or one whose loss nothing limits.
+"""The control role on a machine that may not vote: without a disk, or not counted for the quorum.
 
-It stores nothing and decides nothing, so it can neither acknowledge a change nor answer an old configuration.
-It knows the control nodes with replicas from the control plane, from its seeds and from their announcements,
-and refers its callers to them: operators by a redirect, edges by the list of nodes in an answer to their
-long-poll, replicas that join and reports of demand by passing the message on.
+A gateway stores and decides nothing, so it can neither acknowledge a change nor return an old configuration.
+It knows the control nodes with replicas from the control plane, from its seeds and from their announcements.
+It redirects operators to them, returns their list to edges that long-poll, and forwards the messages of
+replicas that join and reports of demand.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 )
 from granitewell.rpc.transport import Handler, Method, RpcPeers, RpcServer
 
-HOLD_S = 1.0  # of a long-poll; a voter that has gone is noticed after it
+LONG_POLL_HOLD_S = 1.0  # of a long-poll; a lost voter is noticed after it at the latest
 REPLY_SLACK_S = 0.4
 RETRY_S = 0.2
-RECENT_S = 2.5  # a control node that replied within this time is taken to be there
+CONTACT_TTL_S = 2.5  # after a reply or an announcement, a control node counts as available
 NODE_WAIT_S = 0.8  # operators give up after a second without an answer
 NODE_POLL_S = 0.02
 BODY_CHUNK_BYTES = 65_536
@@ -53,7 +53,7 @@
     """One process of the control role without replicas.
 
     Attributes:
-        nodes: The control nodes with replicas, and which of them is asked.
+        nodes: The control nodes with replicas, and which of them is polled.
     """
 
     def __init__(self, settings: Settings, clock: Callable[[], float] = time.monotonic) -> None:
@@ -73,16 +73,16 @@
             Method.GROUP: self._group_message,
             Method.EDGES: self._announcement,
         }
-        self.take_settings(settings)
+        self.apply_settings(settings)
 
-    def take_settings(self, settings: Settings) -> None:
-        """Apply changed settings: other seeds may be named."""
+    def apply_settings(self, settings: Settings) -> None:
+        """Apply changed settings: the seeds."""
         self._settings = settings
         port = settings.control_rpc_port
         seeds = [f"{seed.rpartition(':')[0]}:{port}" for seed in settings.seeds]
         self.nodes.set_seeds([seed for seed in seeds if seed != self._address])
 
-    # --- Who has replicas
+    # --- Control nodes with replicas
 
     async def run(self) -> None:
         """Keep the list of control nodes up to date, until cancelled."""
@@ -92,13 +92,13 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             try:
-                await self._ask(node)
+                await self._poll(node)
             except RpcError as error:
                 log.debug("control node does not answer", node=node, error=str(error))
                 self.nodes.failed()
                 await asyncio.sleep(RETRY_S)
 
-    async def _ask(self, node: str) -> None:
+    async def _poll(self, node: str) -> None:
         """Long-poll one control node; raises RpcError."""
         request = WatchRequest(
             node=self._settings.node_name,
@@ -106,45 +106,46 @@
             edge=False,
             configuration_version=0,
             tables=[],
-            hold_ms=int(HOLD_S * 1000),
+            hold_ms=int(LONG_POLL_HOLD_S * 1000),
             members_digest=self.nodes.digest,
             members_only=True,
         )
         reply = decode(
-            WatchReply, await self.peers[node].call(Method.WATCH, encode(request), HOLD_S + REPLY_SLACK_S)
+            WatchReply,
+            await self.peers[node].call(Method.WATCH, encode(request), LONG_POLL_HOLD_S + REPLY_SLACK_S),
         )
         self._replied_at = self._clock()
         if reply.control_nodes:
             self.nodes.set_known([address for address in reply.control_nodes if address != self._address])
 
     def current(self) -> str | None:
-        """Return the internal address of a control node with replicas that has replied lately, or None."""
-        if self._clock() - self._replied_at > RECENT_S:
+        """Return the internal address of a control node with replicas that has replied recently, or None."""
+        if self._clock() - self._replied_at > CONTACT_TTL_S:
             return None
         node = self.nodes.current
         return node if node in self.nodes.known else None
 
-    def named_to_edges(self) -> list[str]:
-        """Return the control nodes that edges are referred to.
+    def advertised_nodes(self) -> list[str]:
+        """Return the control nodes that are named to edges.
 
-        Before any of them has named all, these are the ones that have announced themselves lately: only nodes
-        with replicas do.
+        Until one of them has returned the complete list, these are the nodes that have announced themselves
+        recently; only nodes with replicas do.
         """
         if self.nodes.known:
             return self.nodes.known
         now = self._clock()
-        return sorted(node for node, at in self._announced_at.items() if now - at <= RECENT_S)
+        return sorted(node for node, at in self._announced_at.items() if now - at <= CONTACT_TTL_S)
 
     # --- Messages of other nodes
 
     async def _watch(self, payload: bytes, _peer: str) -> bytes:
-        """Name the control nodes; the watcher goes on to one of them."""
+        """Return the list of control nodes; the watcher then polls one of them."""
         request = decode(WatchRequest, payload)
-        known = self.named_to_edges()
+        known = self.advertised_nodes()
         if not known:
             raise NoControlNodeError(self._settings.node_name)
         if not request.edge and request.members_digest == members_digest(known):
-            await asyncio.sleep(min(max(request.hold_ms, 0) / 1000.0, HOLD_S))
+            await asyncio.sleep(min(max(request.hold_ms, 0) / 1000.0, LONG_POLL_HOLD_S))
         return encode(
             WatchReply(
                 tables=[], control_nodes=known, members_digest=members_digest(known), edges=1, max_edges=1
@@ -159,7 +160,7 @@
         return b""
 
     async def _group_message(self, payload: bytes, _peer: str) -> bytes:
-        """Pass a message on; its answer goes straight to the sender that it names."""
+        """Forward a message; the reply goes directly to the sender that it names."""
         decode(GroupMessage, payload)
         node = self.current()
         if node is not None:
@@ -170,10 +171,10 @@
         count = decode(EdgeCount, payload)
         if count.address:
             self.nodes.add_seed(count.address)
-            self._note_announced(count.address)
+            self._record_announcement(count.address)
         return b""
 
-    def _note_announced(self, address: str) -> None:
+    def _record_announcement(self, address: str) -> None:
         self._announced_at.pop(address, None)
         self._announced_at[address] = self._clock()
         while len(self._announced_at) > MAX_SEEDS:
@@ -183,15 +184,15 @@
 
     def routes(self, app: web.Application) -> None:
         """Add the handlers, and typed responses for unknown paths and methods."""
-        app.router.add_get(PATH, self.refer)
-        app.router.add_put(PATH, self.refer)
-        app.router.add_patch(PATH, self.refer)
+        app.router.add_get(PATH, self.redirect)
+        app.router.add_put(PATH, self.redirect)
+        app.router.add_patch(PATH, self.redirect)
         app.middlewares.append(answers.typed_failures)
 
-    async def refer(self, request: web.Request) -> web.Response:
-        """Redirect to a control node with replicas; 503 where none is known in time."""
+    async def redirect(self, request: web.Request) -> web.Response:
+        """Redirect to a control node with replicas, or return 503 if none is known in time."""
         async for _ in request.content.iter_chunked(BODY_CHUNK_BYTES):
-            pass  # read to its end, so that the connection stays in use; nothing is kept
+            pass  # discard the body, so that the connection can be reused
         deadline = self._clock() + NODE_WAIT_S
         while (node := self.current()) is None:
             if self._clock() >= deadline:
@@ -216,7 +217,7 @@
     await operator_server.start()
     tasks = [
         asyncio.create_task(gateway.run()),
-        asyncio.create_task(follow_settings(file, signals, gateway.take_settings)),
+        asyncio.create_task(follow_settings(file, signals, gateway.apply_settings)),
     ]
     await signals.stop.wait()
     for task in tasks:
--- a/tests/controlplane/owner_wire.py
+++ b/tests/controlplane/owner_wire.py
@@ -1,4 +1,4 @@
-"""What lies between simulated control machines and servers, and the client that placement calls them by."""
+"""Simulated network between control machines and servers, and the client of placement on it."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     from tests.controlplane.owner_world import OwnerProcess, OwnerWorld
 
 NETWORK_S = 0.002
-CLOSED_SHARE = 0.3  # of orders for which a connection must be opened first
-RESENT_S = 2.0  # within which TCP sends again what a cut has held up, once that has healed
+CLOSED_FRACTION = 0.3  # of orders that have to open a connection first
+RETRANSMIT_S = 2.0  # within which TCP retransmits after a partition has healed
 
 
 @dataclass
 class ServerLink:
-    """From a control machine to a server, or back."""
+    """One direction between a control machine and a server."""
 
     cut: bool = False
     slow_s: float = 0.0
@@ -40,7 +40,7 @@
 class Wire:
     """Connections between control machines and servers.
 
-    What a cut holds up arrives when it heals, unless its sender has reset the connection.
+    Bytes held back by a partition arrive after it has healed, unless the sender has reset the connection.
     """
 
     def __init__(self, world: OwnerWorld) -> None:
@@ -49,11 +49,11 @@
         self.resets = True
 
     def link(self, sender: str, receiver: str) -> ServerLink:
-        """One direction."""
+        """Return the link of one direction."""
         return self.links.setdefault((sender, receiver), ServerLink())
 
     def carry(self, sender: str, receiver: str, arrive: Callable[[], None]) -> None:
-        """Bring bytes over, later."""
+        """Deliver bytes after a delay, or hold them back while the link is cut."""
         link = self.link(sender, receiver)
         if link.cut:
             link.held.append(arrive)
@@ -61,16 +61,16 @@
         self._world.after(NETWORK_S + link.slow_s * self._world.rng.uniform(0.5, 1.0), arrive)
 
     def heal(self, ends: tuple[str, str]) -> None:
-        """A cut is over."""
+        """End a partition, and deliver what it held back."""
         link = self.links[ends]
         link.cut = False
         held, link.held = link.held, []
         for arrive in held:
-            self._world.after(self._world.rng.uniform(0.0, RESENT_S), arrive)
+            self._world.after(self._world.rng.uniform(0.0, RETRANSMIT_S), arrive)
 
 
 class SimulatedClient:
-    """`ServerClient` of one process, over the wire."""
+    """`ServerClient` of one process, over the simulated network."""
 
     def __init__(self, process: OwnerProcess) -> None:
         self._process = process
@@ -78,7 +78,7 @@
         self._connected: set[str] = set()
 
     async def report(self, server_id: str, address: str) -> Report | ReportFailure:
-        """Ask for a report."""
+        """Request a report."""
         answer = await self._ask(address, lambda server: server.report(), REPORT_TIMEOUT_S, server_id)
         if answer is None:
             return ReportFailure.NO_ANSWER
@@ -89,15 +89,15 @@
     ) -> OrderResult:
         """Send an order, over a connection that may have to be opened first."""
         deadline = self._process.now + ORDER_TIMEOUT_S
-        if self._world.rng.random() < CLOSED_SHARE:
+        if self._world.rng.random() < CLOSED_FRACTION:
             self._connected.discard(address)
         if address not in self._connected and not await self._connect(address):
             return OrderResult.NOT_SENT
         if not may_send():
             return OrderResult.NOT_SENT
-        self._world.judge.sent(self._process, order, ticket.fencing_token)
+        self._world.order_checker.sent(self._process, order, ticket.fencing_token)
         body = orders.encode_order(order, ticket)
-        await self._world.stand_still_before_send(self._process)
+        await self._world.maybe_freeze_before_send(self._process)
         machine = self._process.machine.name
 
         def take(server: EngineServer) -> OrderResult:
@@ -110,7 +110,7 @@
         return OrderResult.UNKNOWN if answer is ReportFailure.REFUSED else cast(OrderResult, answer)
 
     async def _connect(self, address: str) -> bool:
-        self._world.connecting(self._process)
+        self._world.on_connecting(self._process)
         answer = await self._ask(address, lambda server: True, ORDER_TIMEOUT_S)
         if answer is True:
             self._connected.add(address)
@@ -119,7 +119,7 @@
     async def _ask(
         self, address: str, act: Callable[[EngineServer], object], timeout_s: float, instance: str = ""
     ) -> object:
-        """An answer; None where none comes in time, after which what is under way is reset."""
+        """Return the answer; None after a timeout, which resets the connection."""
         world, process = self._world, self._process
         machine = process.machine.address
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
--- a/tests/controlplane/owner_world.py
+++ b/tests/controlplane/owner_world.py
@@ -1,8 +1,8 @@
-"""Control nodes that order servers, simulated: real replicas, ownership and placement, and a judge.
+"""Simulation of control nodes that send orders to servers, with real replicas, ownership and placement.
 
 On top of the simulated group (tests/coordination/world.py) each process runs the real `ShardOwnership` and
 `PlacementController` on a loop of its own. The servers (owner_servers.py), the wire to them (owner_wire.py),
-the platform's list and the edges are simulated; `Judge` (owner_judge.py) holds what the rules ask of orders.
+the platform's list and the edges are simulated; `OrderChecker` (owner_order_checker.py) checks all orders.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from random import Random
 from typing import Any, cast
 
-from granitewell.controlplane.ownership.owner import Claimant, ShardOwnership, TurnRules
-from granitewell.controlplane.ownership.processes import ANNOUNCED_EVERY_S, KnownProcesses
-from granitewell.controlplane.ownership.record import NOBODY, OwnerClaimed, OwnerRecord
+from granitewell.controlplane.ownership.owner import Claimant, ShardOwnership, TakeoverRules
+from granitewell.controlplane.ownership.processes import ANNOUNCEMENT_INTERVAL_S, KnownProcesses
+from granitewell.controlplane.ownership.record import NO_OWNER, OwnerClaimed, OwnerRecord
 from granitewell.controlplane.placement.controller import PlacementController
 from granitewell.controlplane.placement.observation import ListedServer
 from granitewell.coordination.consensus.ready import Ready
@@ -25,14 +25,14 @@
 from granitewell.coordination.consensus.types import EntryKind, StoredState
 from granitewell.domain.errors import NotLeaderError, ProposalLostError
 from granitewell.domain.servers import ModelDemand, ModelRef, ServerState
-from tests.controlplane.owner_judge import CONTACT_S, LEASE_S, Judge, Span, Troubles
+from tests.controlplane.owner_order_checker import CONTACT_S, LEASE_S, FaultLog, FaultSpan, OrderChecker
 from tests.controlplane.owner_servers import (
-    ADAPTERS,
+    ADAPTER_COUNT,
     BUSY,
     EDGES,
     ENGINE,
     MODELS,
-    SERVERS,
+    SERVER_COUNT,
     SERVICE,
     EngineServer,
 )
@@ -41,36 +41,36 @@
 from tests.coordination.invariants import ViolationError
 from tests.coordination.world import SETTINGS, Machine, Process, World
 
-LOOK_S = 0.1  # as nodes look whether they lead a shard's group
+LEASE_POLL_S = 0.1  # between checks whether a node leads the shard's group
 LIST_S = 0.5
 LIST_LAG_S = 0.8
 EDGE_REPORT_S = 1.0
-URGENT_S = 0.15  # between reports of an edge where a request has begun to wait
+URGENT_REPORT_S = 0.15  # between reports because a request has begun to wait
 
 
 class LeasedReplica:
-    """A replica as `LeasedGroup`."""
+    """`LeasedGroup` of a simulated replica."""
 
     def __init__(self, process: OwnerProcess) -> None:
         self._process = process
 
     @property
     def term(self) -> int:
-        """The replica's term."""
+        """Term of the replica."""
         return self._process.replica.term
 
     def holds_lease(self) -> bool:
-        """As the shell says it."""
+        """Return whether the replica leads, holds the lease, and has applied all committed entries."""
         process = self._process
         replica = process.replica
         return replica.holds_lease(process.now) and process.applied_index >= replica.commit_index
 
     def seconds_since_contact(self, address: str) -> float:
-        """Of a member."""
+        """Return the seconds since the last message of a member."""
         return self._process.replica.seconds_since_contact(address, self._process.now)
 
     async def propose(self, data: bytes, timeout_s: float = 3.0) -> object:
-        """A claim."""
+        """Commit a claim."""
         process = self._process
         position = process.replica.propose(data, process.now)
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
@@ -83,7 +83,7 @@
 
 
 class OwnerProcess(Process):
-    """A control process: a replica of the shard's group, and what owns and orders."""
+    """A control process: a replica of the shard's group, ownership and placement."""
 
     def __init__(self, world: OwnerWorld, machine: Machine, state: StoredState, fresh: bool) -> None:
         self.owner_world = world
@@ -100,11 +100,11 @@
             self.group,
             Claimant(machine.name, machine.address, self.incarnation),
             self.processes,
-            TurnRules(LEASE_S, CONTACT_S, world.fencing),
+            TakeoverRules(LEASE_S, CONTACT_S, world.fencing),
             lambda: self.now,
         )
-        self.loop.create_task(self._keep())
-        self.loop.create_task(self._tell_incarnation())
+        self.loop.create_task(self._run_shard())
+        self.loop.create_task(self._announce_incarnation())
 
     # The replicated record
 
@@ -112,7 +112,7 @@
         super()._apply(ready)
         owners = self.owner_world.owners
         if ready.restore is not None:
-            self.record.owner = owners.get(ready.restore.index, NOBODY)
+            self.record.owner = owners.get(ready.restore.index, NO_OWNER)
             self._lose_claims(ready.restore.index)
         for entry in ready.committed:
             result: object = None
@@ -134,17 +134,17 @@
             if not future.done():
                 future.set_exception(ProposalLostError("its outcome is not known here"))
 
-    # As the node does it
+    # The shard's owner, as in granitewell.nodes
 
-    async def _keep(self) -> None:
+    async def _run_shard(self) -> None:
         while True:
             if not self.group.holds_lease():
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(LEASE_POLL_S)
                 continue
             try:
                 await self.ownership.claim()
             except (NotLeaderError, ProposalLostError):
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(LEASE_POLL_S)
                 continue
             await self._own()
 
@@ -162,7 +162,7 @@
         listed_at = self.now
         try:
             while self.ownership.owns():
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(LEASE_POLL_S)
                 if self.now - listed_at >= LIST_S:
                     listed_at = self.now
                     controller.set_servers(world.listed())
@@ -170,14 +170,14 @@
             self.controller = None
             running.cancel()
 
-    async def _tell_incarnation(self) -> None:
+    async def _announce_incarnation(self) -> None:
         await asyncio.sleep(0.3)
         while True:
-            self.owner_world.tell_incarnation(self)
-            await asyncio.sleep(ANNOUNCED_EVERY_S)
+            self.owner_world.announce_incarnation(self)
+            await asyncio.sleep(ANNOUNCEMENT_INTERVAL_S)
 
     def add_demand(self, demands: list[ModelDemand], edge: str) -> None:
-        """An edge has reported."""
+        """Handle the report of an edge."""
         if self.controller is not None:
             self.reported.add(edge)
             self.controller.add_demand(demands, edge)
@@ -197,7 +197,7 @@
             self.disk.synced = state_records(state)
         assert isinstance(self.world, OwnerWorld)
         self.process = OwnerProcess(self.world, self, state, fresh)
-        self.world.ever.append(self.process)
+        self.world.all_processes.append(self.process)
         self.process.run(lambda: None)
 
 
@@ -209,27 +209,27 @@
     """Three control machines, servers, edges and the platform.
 
     Attributes:
-        fencing: Whether servers check fences.
+        fencing: Whether servers check fencing tokens.
     """
 
     def __init__(self, seed: int, fencing: bool) -> None:
         super().__init__(seed, settings=replace(SETTINGS, compact_entries=12))
         self.fencing = fencing
-        self.troubles = Troubles()
-        self.judge = Judge(self)
+        self.faults = FaultLog()
+        self.order_checker = OrderChecker(self)
         self.wire = Wire(self)
         self.owners: dict[int, OwnerClaimed] = {}
-        self.ever: list[OwnerProcess] = []
+        self.all_processes: list[OwnerProcess] = []
         self.freeze_before_send = 0.0
-        self.order_left: Callable[[OwnerProcess], None] = _nothing  # for days that strike at such a moment
-        self.connecting: Callable[[OwnerProcess], None] = _nothing
+        self.on_order_sent: Callable[[OwnerProcess], None] = _nothing  # hook for faults at such a moment
+        self.on_connecting: Callable[[OwnerProcess], None] = _nothing
         self._lists: deque[tuple[float, list[ListedServer]]] = deque(maxlen=16)
         self._events.clear()
         self.machines = [
             OwnerMachine(self, f"core-{number}", address, self.seeds, first=True)
             for number, address in enumerate(self.seeds)
         ]
-        made = [EngineServer(self, number) for number in range(SERVERS)]
+        made = [EngineServer(self, number) for number in range(SERVER_COUNT)]
         self.servers = {server.address: server for server in made}
         for number, server in enumerate(made):
             server.hold(*(f"m{(2 * number + k) % 6}" for k in range(2)))
@@ -241,12 +241,12 @@
         self._read_list()
 
     def owner_processes(self) -> list[OwnerProcess]:
-        """All processes, frozen or not."""
+        """Return all running processes, suspended or not."""
         return [cast(OwnerProcess, machine.process) for machine in self.machines if machine.process]
 
     def abandon(self) -> None:
-        """The day is over."""
-        for process in self.ever:
+        """End the simulation."""
+        for process in self.all_processes:
             process.loop.abandon()
 
     # The platform
@@ -261,7 +261,7 @@
         self.after(0.25, self._read_list)
 
     def listed(self) -> list[ListedServer]:
-        """The platform's list, as old as it is."""
+        """Return the platform's list with its usual lag."""
         seen = self._lists[0][1]
         for at, entries in self._lists:
             if at <= self.now - LIST_LAG_S:
@@ -271,32 +271,32 @@
     # Edges
 
     def _report_demand(self, edge: str) -> None:
-        """All that an edge knows, every second."""
+        """Send the periodic report of an edge."""
         busy = [ModelDemand(SERVICE, ModelRef(name), 5, 0, 2) for name in BUSY]
-        self._tell_demand(edge, [*busy, self._waiting()])
+        self._send_demand(edge, [*busy, self._waiting()])
         self.after(EDGE_REPORT_S, partial(self._report_demand, edge))
 
     def _report_urgent(self) -> None:
-        """One edge where a request waits."""
+        """Send a report of an edge where a request waits."""
         edge = self.rng.choice(EDGES)
         busy = [ModelDemand(SERVICE, ModelRef(name), 1, 0, 2) for name in BUSY]
-        self._tell_demand(edge, [*busy, self._waiting()])
-        self.after(URGENT_S, self._report_urgent)
+        self._send_demand(edge, [*busy, self._waiting()])
+        self.after(URGENT_REPORT_S, self._report_urgent)
 
     def _waiting(self) -> ModelDemand:
         ref = ModelRef(f"m{self.rng.randrange(len(BUSY), len(MODELS))}")
         if self.rng.random() < 0.5:
-            ref = ModelRef(self.rng.choice(BUSY), f"a{self.rng.randint(1, ADAPTERS)}")
+            ref = ModelRef(self.rng.choice(BUSY), f"a{self.rng.randint(1, ADAPTER_COUNT)}")
         return ModelDemand(SERVICE, ref, 1, 1, 0)
 
-    def _tell_demand(self, edge: str, demands: list[ModelDemand]) -> None:
+    def _send_demand(self, edge: str, demands: list[ModelDemand]) -> None:
         for process in self.owner_processes():
             process.run(partial(process.add_demand, demands, edge))
 
     # Between nodes
 
-    def tell_incarnation(self, sender: OwnerProcess) -> None:
-        """To all other control nodes, where the links carry it."""
+    def announce_incarnation(self, sender: OwnerProcess) -> None:
+        """Announce a process to the other control nodes, subject to the links."""
         address, incarnation = sender.machine.address, sender.incarnation
         for process in self.owner_processes():
             link = self.links.get((address, process.machine.address), self.quiet)
@@ -305,20 +305,20 @@
             told = partial(process.processes.announce, address, incarnation)
             self.after(NETWORK_S, partial(process.run, told))
 
-    # A freeze at the worst moment
+    # Suspension between the lease check and the send
 
-    async def stand_still_before_send(self, process: OwnerProcess) -> None:
-        """Now and then a process freezes between its last look at the lease and the bytes' leaving."""
+    async def maybe_freeze_before_send(self, process: OwnerProcess) -> None:
+        """Suspend a process at random between its last check of the lease and the send."""
         if self.rng.random() >= self.freeze_before_send or process.frozen:
             return
         process.frozen = True
-        span = self.troubles.core(self.now)
+        span = self.faults.core(self.now)
         self.after(self.rng.uniform(0.1, 4.0), partial(self.thaw, process, span))
         await asyncio.sleep(0)
 
-    def thaw(self, process: Process, span: Span) -> None:
-        """A frozen process goes on."""
+    def thaw(self, process: Process, span: FaultSpan) -> None:
+        """Resume a suspended process."""
         span.until = self.now
-        self.troubles.excuse(process.machine.name, self.now)
+        self.faults.record_recovery(process.machine.name, self.now)
         if process.alive and process.frozen:
             process.thaw()
--- a/tests/controlplane/test_change_identity_search.py
+++ b/tests/controlplane/test_change_identity_search.py
@@ -1,7 +1,7 @@
-"""Every order of operators, repeats, lost answers, leader changes, snapshots and timeouts, in a small world.
+"""Exhaustive and random search over event orders: repeats, lost answers, elections, snapshots, timeouts.
 
-In CI: all orders of a few small worlds, and some hundred random days of a larger one. The long form searches
-larger worlds as well, and 10,000 days:
+In CI: all event orders of a few small models, and some hundred random ones of a larger model. The long form
+also searches larger models exhaustively, and 10,000 random event orders:
 
     GRANITEWELL_CHANGE_SEEDS=10000 python -m pytest tests/controlplane/test_change_identity_search.py
 """
@@ -28,7 +28,7 @@
 SHORT_SEEDS = 200
 SEEDS = int(os.environ.get("GRANITEWELL_CHANGE_SEEDS", SHORT_SEEDS))
 MAX_DEFECT_SEEDS = 400
-MAX_ACTS = 70  # of a day
+MAX_ACTIONS = 70  # of one random event order
 
 Plant = Callable[[pytest.MonkeyPatch], None]
 
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A small world.
+    """A small model that is searched exhaustively.
 
     Attributes:
-        states: How many it has, so that none is lost unseen.
+        states: Expected number of reachable states, which shows if the search loses some.
     """
 
     name: str
@@ -50,15 +50,15 @@
     states: int
 
 
-NO_TROUBLE = Bounds(elections=0, restores=0, timeouts=0, strays=0)
+NO_FAULTS = Bounds(elections=0, restores=0, timeouts=0, strays=0)
 SHORT_CASES = [
-    Case("race", [[X], [Y]], replace(NO_TROUBLE, elections=1, timeouts=1), 1600),
-    Case("lapse", [[X], [Y]], replace(NO_TROUBLE, lapses=1, elections=1, copies=1), 299),
-    Case("restored", [[X, Z]], replace(NO_TROUBLE, elections=1, restores=1, strays=1), 347),
-    Case("restarted", [[X], [Y]], replace(NO_TROUBLE, elections=1, restarts=1, copies=1), 562),
-    Case("same change", [[X], [X]], replace(NO_TROUBLE, elections=1, timeouts=1, copies=1), 155),
-    Case("other If-Match", [[X, X_AGAIN], [Y]], replace(NO_TROUBLE, elections=1), 719),
-    Case("forgotten", [[X, Z], [Y]], replace(NO_TROUBLE, timeouts=1, remembered=1), 408),
+    Case("race", [[X], [Y]], replace(NO_FAULTS, elections=1, timeouts=1), 1600),
+    Case("lapse", [[X], [Y]], replace(NO_FAULTS, lapses=1, elections=1, copies=1), 299),
+    Case("restored", [[X, Z]], replace(NO_FAULTS, elections=1, restores=1, strays=1), 347),
+    Case("restarted", [[X], [Y]], replace(NO_FAULTS, elections=1, restarts=1, copies=1), 562),
+    Case("same change", [[X], [X]], replace(NO_FAULTS, elections=1, timeouts=1, copies=1), 155),
+    Case("other If-Match", [[X, X_AGAIN], [Y]], replace(NO_FAULTS, elections=1), 719),
+    Case("forgotten", [[X, Z], [Y]], replace(NO_FAULTS, timeouts=1, remembered=1), 408),
 ]
 LONG_CASES = [
     Case("race, all troubles", [[X], [Y]], Bounds(lapses=1), 17651),
@@ -76,7 +76,7 @@
 
 
 async def search(new_world: Callable[[], World]) -> int:
-    """Every order of what may happen, each state once, and a good end to each; how many states there are."""
+    """Visit every reachable state once, check the recovery from it, and return the number of states."""
     seen: set[object] = set()
     paths: list[list[Action]] = [[]]
     while paths:
@@ -98,15 +98,15 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
-def test_all_orders(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(history_module, "MAX_TAKEN", case.bounds.remembered)
+def test_all_event_orders(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(history_module, "MAX_ACCEPTED_CHANGES", case.bounds.remembered)
     found = asyncio.run(search(lambda: World(case.plans, case.bounds, OperatorApi)))
     print(f"{case.name}: {found} states")
     assert found == case.states
 
 
-def day_of(seed: int) -> tuple[Sequence[Sequence[Step]], Bounds]:
-    """Three operators with four changes each, which are alike at times."""
+def scenario_of(seed: int) -> tuple[Sequence[Sequence[Step]], Bounds]:
+    """Return the plans of three operators with four changes each, some equal, and the bounds."""
     rng = Random(seed)
 
     def step() -> Step:
@@ -122,13 +122,13 @@
 
 
 async def play(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A random day, at the end of which all is well again."""
-    plans, bounds = day_of(seed)
-    monkeypatch.setattr(history_module, "MAX_TAKEN", bounds.remembered)
+    """Play one random event order, and check the recovery."""
+    plans, bounds = scenario_of(seed)
+    monkeypatch.setattr(history_module, "MAX_ACCEPTED_CHANGES", bounds.remembered)
     rng = Random(seed)
     world = World(plans, bounds, OperatorApi)
     try:
-        for _ in range(rng.randint(1, MAX_ACTS)):
+        for _ in range(rng.randint(1, MAX_ACTIONS)):
             actions = world.actions()
             if not actions:
                 break
@@ -142,12 +142,12 @@
 
 
 async def play_all(seeds: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Random days."""
+    """Play random event orders."""
     for seed in range(seeds):
         await play(seed, monkeypatch)
 
 
-def test_random_days(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_event_orders(monkeypatch: pytest.MonkeyPatch) -> None:
     asyncio.run(play_all(SEEDS, monkeypatch))
 
 
@@ -156,10 +156,10 @@
     defects.identity_without_body: "confirmed, and not in force",
     defects.history_not_in_snapshot: "412 for what was taken",
     defects.stale_before_repeated: "412 for what was taken",
-    defects.repeat_is_told_the_current_version: "confirmed as .*, taken as",
+    defects.repeat_gets_the_current_version: "confirmed as .*, taken as",
     defects.forgotten_is_refused: "412 for what was taken",
     defects.forgotten_version_not_in_snapshot: "412 for what was taken",
-    defects.lease_not_looked_at: "4.. for|refused, and then taken",
+    defects.lease_not_checked: "4.. for|refused, and then taken",
     defects.lost_proposal_is_refused: "412 for|refused, and then taken",
     defects.lost_proposal_is_confirmed: "confirmed, and not in force",
     defects.result_of_another_entry: "confirmed|412 for",
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize("plant", DEFECTS, ids=lambda plant: getattr(plant, "__name__", ""))
-def test_the_days_notice(plant: Plant, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_defect_is_detected(plant: Plant, monkeypatch: pytest.MonkeyPatch) -> None:
     plant(monkeypatch)
     with pytest.raises(ViolationError) as raised:
         asyncio.run(play_all(MAX_DEFECT_SEEDS, monkeypatch))
--- a/tests/controlplane/test_configuration_checks.py
+++ b/tests/controlplane/test_configuration_checks.py
@@ -1,4 +1,4 @@
-"""Every kind of configuration that can't be taken, by the field that is named, and odd ones that can."""
+"""Invalid configurations and the field that the error names, and unusual configurations that are valid."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
     ],
 )
 @pytest.mark.parametrize("operation", list(Operation))
-def test_what_cannot_be_read_whole_is_invalid(body: bytes, operation: Operation) -> None:
+def test_an_unreadable_body_is_invalid(body: bytes, operation: Operation) -> None:
     store = ConfigurationStore()
     assert store.apply(1, Change(operation, 0, body).encode()).outcome is Outcome.INVALID
     assert store.version == 0
@@ -121,7 +121,7 @@
         assert result is not None and result.outcome is Outcome.INVALID
 
 
-def test_not_a_number_is_no_weight() -> None:
+def test_nan_is_not_a_weight() -> None:
     body = orjson.dumps(whole(1, split_route("a", ("one", 7)))).replace(b'"weight":7', b'"weight":NaN')
     result = ConfigurationStore().check(Change(Operation.PUT, 0, body))
     assert result is not None and result.outcome is Outcome.INVALID
@@ -170,14 +170,14 @@
     store = store_of(put_change(0, whole(5, split_route("s", ("one", 1), ("two", 1)))))
     assert outcomes(store, patch_change(5, patch(9, remove={"services": ["two"]}))) == [Outcome.INVALID]
     unsplit = patch(9, {"routes": [route("s")]}, {"services": ["two"]})
-    assert outcomes(store, patch_change(5, unsplit)) == [Outcome.TAKEN]
+    assert outcomes(store, patch_change(5, unsplit)) == [Outcome.ACCEPTED]
 
 
 def test_a_version_must_rise_for_a_whole_too() -> None:
     store = store_of(put_change(0, whole(5)))
     same, lower = put_change(5, whole(5, owner="x")), put_change(5, whole(4))
     assert outcomes(store, same, lower) == [Outcome.INVALID, Outcome.INVALID]
-    assert outcomes(store, put_change(5, whole(6))) == [Outcome.TAKEN]
+    assert outcomes(store, put_change(5, whole(6))) == [Outcome.ACCEPTED]
 
 
 VALID_WHOLES: list[Json] = [
@@ -202,7 +202,7 @@
 
 
 @pytest.mark.parametrize("document", VALID_WHOLES)
-def test_what_the_page_does_not_forbid_is_taken(document: Json) -> None:
+def test_unusual_configurations_are_accepted(document: Json) -> None:
     store = store_of(put_change(0, document))
     sent = {name: value for name, value in document.items() if value is not None}
     assert orjson.loads(store.document()) == sent
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("document", VALID_PATCHES)
-def test_patches_that_the_page_does_not_forbid_are_taken(document: Json) -> None:
+def test_unusual_patches_are_accepted(document: Json) -> None:
     store = store_of(put_change(0, whole(5)), patch_change(5, document))
     assert store.version == 9
 
@@ -241,7 +241,7 @@
 def test_a_prefix_is_free_again_once_its_route_is_removed() -> None:
     store = store_of(put_change(0, whole(5)), patch_change(5, patch(6, remove={"routes": ["a"]})))
     again = patch_change(6, patch(7, {"routes": [route("z", prefix="/a/")]}))
-    assert outcomes(store, again) == [Outcome.TAKEN]
+    assert outcomes(store, again) == [Outcome.ACCEPTED]
     clash = patch_change(7, patch(8, {"routes": [route("y", prefix="/a/")]}))
     assert outcomes(store, clash) == [Outcome.INVALID]
 
@@ -249,8 +249,10 @@
 def test_limits_stay_or_are_altered_one_by_one() -> None:
     store = store_of(put_change(0, whole(5)), patch_change(5, patch(6, {"routes": [route("c")]})))
     assert store.configuration is not None and store.configuration.limits.max_header_bytes == 1000
-    assert outcomes(store, patch_change(6, patch(7, limits={"max-header-bytes": 5}))) == [Outcome.TAKEN]
-    assert outcomes(store, patch_change(7, patch(8, {"limits": {"idle-timeout-ms": 9}}))) == [Outcome.TAKEN]
+    assert outcomes(store, patch_change(6, patch(7, limits={"max-header-bytes": 5}))) == [Outcome.ACCEPTED]
+    assert outcomes(store, patch_change(7, patch(8, {"limits": {"idle-timeout-ms": 9}}))) == [
+        Outcome.ACCEPTED
+    ]
     assert orjson.loads(store.document())["limits"] == {
         "max-header-bytes": 5,
         "max-body-bytes": 2000,
@@ -273,7 +275,7 @@
 
 
 def test_a_configuration_takes_little_memory() -> None:
-    """Each route about 1 KB, not the 4 KB that a result of the JSON library would keep."""
+    """A route takes about 1 KB, not the 4 KB of a result of orjson that is kept without a copy."""
     body = put_change(0, whole(5, *(route(f"r{number}") for number in range(1_000))))
     tracemalloc.start()
     store = store_of(body)
@@ -287,7 +289,7 @@
     assert store.configuration is not None
     before = store.configuration.routes
     changed = put_change(5, whole(6, route("a"), route("b", service="two", timeout_ms=9)))
-    assert outcomes(store, changed) == [Outcome.TAKEN]
+    assert outcomes(store, changed) == [Outcome.ACCEPTED]
     after = store.configuration.routes
     assert after["a"] is before["a"]
     assert after["b"].timeout_ms == 9
--- a/tests/controlplane/test_placement_planner.py
+++ b/tests/controlplane/test_placement_planner.py
@@ -1,4 +1,4 @@
-"""The planner alone: limits and protection hold for any servers and any demand; choices by example."""
+"""The planner: limits for any servers and any demand, and its choices by example."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
     number: int,
     *held: LoadedModel | str,
     zone: str = "z",
-    coming: ModelRef | None = None,
-    going: ModelRef | None = None,
-    lasting: bool = True,
+    loading: ModelRef | None = None,
+    unloading: ModelRef | None = None,
+    schedulable: bool = True,
     orderable: bool = True,
     before: frozenset[str] = frozenset(),
     purpose: ModelRef | None = None,
@@ -39,10 +39,10 @@
     models = {
         model.name: model for model in (LoadedModel(one) if isinstance(one, str) else one for one in held)
     }
-    used = usage(models.values(), () if coming is None else (coming,), SIZES)
+    used = usage(models.values(), () if loading is None else (loading,), SIZES)
     return ServerView(
-        f"i-{number}", zone, 64, lasting, orderable and coming is None and going is None, models,
-        ENGINE.weights_mb - used.mb, ENGINE.max_adapters - used.adapters, going, coming, purpose,
+        f"i-{number}", zone, 64, schedulable, orderable and loading is None and unloading is None, models,
+        ENGINE.weights_mb - used.mb, ENGINE.max_adapters - used.adapters, unloading, loading, purpose,
         loaded_before=before | set(models),
     )  # fmt: skip
 
@@ -53,12 +53,12 @@
     return plan(servers, DemandView(models, {}, misses, 100.0), ENGINE, SIZES, store)
 
 
-def test_a_waiting_model_goes_where_there_is_room() -> None:
+def test_a_waiting_model_is_loaded_where_there_is_capacity() -> None:
     (order,) = planned([server(1, "m0", "m3", "m6"), server(2, "m1")], {"m9": WAITING})
     assert order == Order("i-2", Operation.LOAD, ModelRef("m9"), None, True)
 
 
-def test_a_server_that_has_held_it_before_is_preferred() -> None:
+def test_a_server_that_has_loaded_the_model_before_is_preferred() -> None:
     (order,) = planned([server(1), server(2, before=frozenset({"m9"}))], {"m9": WAITING})
     assert (order.server_id, order.from_store) == ("i-2", False)
 
@@ -76,30 +76,30 @@
     assert [order.operation for order in orders] == [Operation.LOAD, Operation.LOAD]
 
 
-def test_room_that_waits_for_the_store_lets_nothing_be_unloaded() -> None:
+def test_nothing_is_evicted_while_a_load_waits_for_the_store() -> None:
     servers = [server(1), server(2, "m0", "m3", "m6")]
     assert planned(servers, {"m9": WAITING}, StoreView(0, 4)) == []
 
 
 def test_a_model_that_is_loading_is_not_loaded_twice() -> None:
-    servers = [server(1, coming=ModelRef("m9")), server(2)]
+    servers = [server(1, loading=ModelRef("m9")), server(2)]
     assert planned(servers, {"m9": WAITING}) == []
 
 
-def test_room_being_made_for_a_model_is_not_made_twice() -> None:
+def test_capacity_for_a_model_is_freed_once() -> None:
     servers = [
-        server(1, "m0", "m3", "m6", going=ModelRef("m0"), purpose=ModelRef("m9")),
+        server(1, "m0", "m3", "m6", unloading=ModelRef("m0"), purpose=ModelRef("m9")),
         server(2, "m1", "m2", "m5"),
     ]
     assert planned(servers, {"m9": WAITING}) == []
 
 
-def test_a_copy_that_is_about_to_leave_does_not_count() -> None:
-    (order,) = planned([server(1, "m9", lasting=False, orderable=False), server(2)], {"m9": WAITING})
+def test_a_copy_on_a_draining_server_does_not_count() -> None:
+    (order,) = planned([server(1, "m9", schedulable=False, orderable=False), server(2)], {"m9": WAITING})
     assert order.server_id == "i-2"
 
 
-def test_what_waits_longer_and_for_more_comes_first() -> None:
+def test_longer_and_larger_waits_come_first() -> None:
     models = {
         "m6": RefDemand(0.0, 0.1, 0, 1, 99.9, 0),
         "m9": RefDemand(4.0, 0.1, 0, 10, 99.0, 1),
@@ -114,7 +114,7 @@
     assert (order.operation, order.ref) == (Operation.UNLOAD, ModelRef("unheard"))
 
 
-def test_room_is_made_ahead_of_misses() -> None:
+def test_capacity_is_freed_ahead_of_misses() -> None:
     servers = [server(number, "m0", "m3", "m6") for number in range(6)]
     orders = planned(servers, {"m0": RefDemand(3.0, 0.1, 2)}, misses=2.5)
     assert len(orders) == 2
@@ -129,7 +129,7 @@
     servers = [server(1, "m0"), *(server(number, "m4") for number in range(2, 10))]
     asked = {"m0": RefDemand(12.0, 0.1, 8), "m4": RefDemand(1.0, 0.1, 1)}
     orders = planned(servers, asked, StoreView(4, 6))
-    assert [order.ref for order in orders] == [ModelRef("m0")] * 4  # nearly all requests on one
+    assert [order.ref for order in orders] == [ModelRef("m0")] * 4  # one model has nearly all requests
     assert len({order.server_id for order in orders}) == 4
 
 
@@ -139,7 +139,7 @@
     assert not planned(servers, {name: RefDemand(3.3, 0.1, 2) for name in busy})
 
 
-def test_relief_of_an_overloaded_model_comes_before_a_rare_miss() -> None:
+def test_scale_out_of_an_overloaded_model_comes_before_a_rare_miss() -> None:
     servers = [server(1, "m0"), server(2, "m4")]
     servers.extend(server(number, orderable=False) for number in range(3, 10))
     asked = {"m0": RefDemand(25.0, 0.1, 8), "m9": WAITING}
@@ -155,7 +155,7 @@
     assert order.ref == ModelRef("m9")
 
 
-def test_room_made_for_one_more_copy_of_an_overloaded_model_is_kept_for_it() -> None:
+def test_capacity_freed_for_a_scale_out_is_reserved_for_it() -> None:
     kept = replace(server(2), reserved_for=ModelRef("m0"))
     servers = [server(1, "m0", "m3", "m6"), kept]
     asked = {"m0": RefDemand(25.0, 0.1, 8), "m9": WAITING}
@@ -181,14 +181,22 @@
             model = LoadedModel(name, adapters if name in _NAMES[:4] else frozenset())
             if Capacity(ENGINE.weights_mb, ENGINE.max_adapters).admits(usage([*held, model], (), SIZES)):
                 held.append(model)
-        coming = draw(st.none() | st.sampled_from([ModelRef(name) for name in _NAMES]))
-        if coming is not None and coming.model in {model.name for model in held}:
-            coming = None
+        loading = draw(st.none() | st.sampled_from([ModelRef(name) for name in _NAMES]))
+        if loading is not None and loading.model in {model.name for model in held}:
+            loading = None
         before = frozenset(draw(st.lists(st.sampled_from(_NAMES), max_size=3)))
         zone = draw(st.sampled_from(["za", "zb"]))
-        lasting = draw(st.booleans())
+        schedulable = draw(st.booleans())
         views.append(
-            server(number, *held, zone=zone, coming=coming, lasting=lasting, orderable=lasting, before=before)
+            server(
+                number,
+                *held,
+                zone=zone,
+                loading=loading,
+                schedulable=schedulable,
+                orderable=schedulable,
+                before=before,
+            )
         )
     return views
 
@@ -236,7 +244,7 @@
 
 
 def _check(order: Order, target: ServerView) -> None:
-    assert target.orderable and target.lasting
+    assert target.orderable and target.schedulable
     if order.operation is Operation.LOAD:
         assert not target.has(order.ref)
         assert not order.ref.adapter or target.has(ModelRef(order.ref.model))
@@ -249,28 +257,28 @@
 
 
 def _check_last_copies(orders: list[Order], servers: list[ServerView], models: dict[str, RefDemand]) -> None:
-    """The last lasting copy of what is in use or waited for stays."""
+    """Assert that the last schedulable copy of a model in use or waited for is not unloaded."""
     gone = {(order.server_id, order.ref.model) for order in orders
             if order.operation is Operation.UNLOAD and not order.ref.adapter}  # fmt: skip
     for _, name in gone:
         seen = models.get(name)
         if seen is None or not (seen.in_flight or seen.waiting):
             continue
-        left = [s for s in servers if s.lasting and name in s.loaded and (s.id, name) not in gone]
+        left = [s for s in servers if s.schedulable and name in s.loaded and (s.id, name) not in gone]
         assert left
 
 
 def _check_last_adapters(
     orders: list[Order], servers: list[ServerView], adapters: dict[ModelRef, RefDemand]
 ) -> None:
-    """The same for adapters that are unloaded by themselves."""
+    """Assert the same for adapters that are unloaded alone."""
     gone = {(order.server_id, order.ref) for order in orders
             if order.operation is Operation.UNLOAD and order.ref.adapter}  # fmt: skip
     for _, ref in gone:
         seen = adapters.get(ref)
         if seen is None or not (seen.in_flight or seen.waiting):
             continue
-        assert [s for s in servers if s.lasting and s.has(ref) and (s.id, ref) not in gone]
+        assert [s for s in servers if s.schedulable and s.has(ref) and (s.id, ref) not in gone]
 
 
 def test_a_plan_for_many_servers_and_models_is_quick() -> None:
@@ -300,7 +308,7 @@
     return plan(servers, view, ENGINE, SIZES, STORE)
 
 
-def test_a_load_does_not_hold_up_the_only_server_that_takes_orders_for_adapters_in_demand() -> None:
+def test_a_load_does_not_block_the_only_free_server_for_adapters_in_demand() -> None:
     only = [server(1, "m0")]
     assert with_adapter_misses(5.0, only) == []
     (order,) = with_adapter_misses(0.5, only)  # less than one miss during a load of 0.6 s
@@ -308,19 +316,19 @@
 
 
 def test_a_load_leaves_half_of_the_servers_of_a_model_free() -> None:
-    one_free = [server(1, "m0"), server(2, "m0", coming=ModelRef("m8"))]
+    one_free = [server(1, "m0"), server(2, "m0", loading=ModelRef("m8"))]
     assert with_adapter_misses(5.0, one_free) == []
     (order,) = with_adapter_misses(5.0, [server(1, "m0"), server(2, "m0")])
     assert order.ref == ModelRef("m9")
 
 
 def test_a_load_goes_to_a_server_without_adapters_in_demand() -> None:
-    servers = [server(1, "m0"), server(2, "m5"), server(3, "m0", coming=ModelRef("m8"))]
+    servers = [server(1, "m0"), server(2, "m5"), server(3, "m0", loading=ModelRef("m8"))]
     (order,) = with_adapter_misses(5.0, servers)
     assert order.server_id == "i-2"
 
 
-def test_requests_beyond_what_the_copies_run_in_time_come_before_a_miss_that_has_waited() -> None:
+def test_excess_requests_in_flight_come_before_a_long_miss() -> None:
     servers = [server(number, "m0") for number in range(1, 4)] + [server(4)]
     servers.extend(server(number, orderable=False) for number in range(5, 10))
     long_miss = RefDemand(0.1, 0.1, 0, 3, 95.0, 0)
@@ -334,7 +342,7 @@
     busy = {"m9": WAITING, "m0": RefDemand(5.0, 0.1, 1), "m1": RefDemand(5.0, 0.1, 1)}
     servers = [server(1, "m0", "m1", before=frozenset({"m9"})), server(2), server(3, "m0", "m1")]
     warm = WarmLoadTime()
-    warm.learn(0.6)  # as long as from the store, and i-1 has requests of its own
+    warm.learn(0.6)  # as long as from the store, and i-1 has other requests to serve
     assert [order.server_id for order in planned(servers, busy, StoreView(2, 4, warm))] == ["i-2"]
     quick = WarmLoadTime()
     quick.learn(0.1)
--- a/tests/nodes/test_control_gateway.py
+++ b/tests/nodes/test_control_gateway.py
@@ -1,4 +1,4 @@
-"""The control role without replicas: it refers its callers, and answers nothing itself."""
+"""The control role without replicas: it redirects its callers, and answers nothing itself."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from granitewell.domain.errors import InvalidSettingsError
 from granitewell.domain.settings import Settings
 from granitewell.nodes.control import ControlNode
-from granitewell.nodes.control_gateway import RECENT_S, ControlGateway, NoControlNodeError
+from granitewell.nodes.control_gateway import CONTACT_TTL_S, ControlGateway, NoControlNodeError
 from granitewell.nodes.control_nodes import MAX_SEEDS, ControlNodes
 from granitewell.rpc.messages import (
     DemandReport,
@@ -54,7 +54,7 @@
 
 
 class FakePeer:
-    """One peer."""
+    """A fake peer."""
 
     def __init__(self, peers: FakePeers, address: str) -> None:
         self._peers = peers
@@ -90,7 +90,7 @@
 async def learn(made: ControlGateway) -> None:
     node = made.nodes.current
     assert node is not None
-    await made._ask(node)
+    await made._poll(node)
 
 
 def watch(**more: Any) -> bytes:
@@ -131,7 +131,7 @@
     assert edge.current == "10.0.0.7:7660"
 
 
-def test_a_watcher_is_sent_elsewhere_while_no_control_node_is_known() -> None:
+def test_a_watcher_gets_an_error_while_no_control_node_is_known() -> None:
     made, _, _ = gateway()
     with pytest.raises(NoControlNodeError):
         asyncio.run(made._watch(watch(members_digest=0), ""))
@@ -156,7 +156,7 @@
     assert address in VOTERS and (sent_method, sent) == (method, payload)
 
 
-def test_a_report_that_was_passed_on_once_goes_no_further() -> None:
+def test_a_forwarded_report_is_not_forwarded_again() -> None:
     made, peers, _ = gateway()
     asyncio.run(learn(made))
     report = encode(DemandReport(node="e", zone="z", demands=[], forwarded=True))
@@ -190,15 +190,17 @@
     return list(reply.control_nodes)
 
 
-def test_nodes_that_announced_themselves_lately_are_named_until_one_of_them_has_named_all() -> None:
-    """After a loss of all power edges wait for this: seeds may be gateways alone."""
+def test_announced_nodes_are_named_until_one_returns_the_complete_list() -> None:
+    """After a power loss of all machines edges depend on it, because all seeds may be gateways."""
     made, _, clock = gateway()
     announce(made, "10.0.0.1:7660")
     clock.now += 1.0
     announce(made, "10.0.0.2:7660")
     assert named(made) == ["10.0.0.1:7660", "10.0.0.2:7660"]
-    assert named(made, edge=False, hold_ms=60_000, members_digest=0) == named(made)  # it does not hold that
-    clock.now += RECENT_S - 0.5
+    assert named(made, edge=False, hold_ms=60_000, members_digest=0) == named(
+        made
+    )  # the watcher lacks this list
+    clock.now += CONTACT_TTL_S - 0.5
     assert named(made) == ["10.0.0.2:7660"]
     asyncio.run(learn(made))
     assert named(made) == VOTERS
@@ -251,11 +253,11 @@
     assert_operators_are_redirected()
 
 
-def test_a_gateway_that_answers_a_configuration_itself_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_gateway_that_answers_itself_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def answer_itself(_gateway: ControlGateway, _request: web.Request) -> web.Response:
         return answers.document(b'{"version": 1}')
 
-    monkeypatch.setattr(ControlGateway, "refer", answer_itself)
+    monkeypatch.setattr(ControlGateway, "redirect", answer_itself)
     with pytest.raises(AssertionError):
         assert_operators_are_redirected()
 
@@ -274,7 +276,7 @@
 
     async def play() -> None:
         await learn(made)
-        clock.now += RECENT_S + 0.1
+        clock.now += CONTACT_TTL_S + 0.1
         ticks = iter(range(1000))
         made._clock = lambda: clock.now + next(ticks)
 
@@ -303,5 +305,7 @@
         ({"data-dir": None, "counts-for-quorum": True}, False),
     ],
 )
-def test_a_vote_takes_a_disk_on_a_machine_that_counts(more: dict[str, object], may_vote: bool) -> None:
+def test_voting_takes_a_disk_and_a_machine_that_counts_for_the_quorum(
+    more: dict[str, object], may_vote: bool
+) -> None:
     assert Settings.from_dict(FIELDS | more).may_vote is may_vote
--- a/tests/nodes/test_serving_while_cut_off.py
+++ b/tests/nodes/test_serving_while_cut_off.py
@@ -1,7 +1,8 @@
-"""A control node that is cut off for up to twenty seconds hands out nothing old and refuses nothing.
+"""A control node that is partitioned for up to twenty seconds returns no old data and rejects no change.
 
-`GRANITEWELL_SEEDS=10000 python -m pytest tests/nodes/test_serving_while_cut_off.py -k days` is the long form;
-`GRANITEWELL_FIRST_SEED` says where it begins.
+Long form; `GRANITEWELL_FIRST_SEED` is the first seed:
+
+    GRANITEWELL_SEEDS=10000 python -m pytest tests/nodes/test_serving_while_cut_off.py -k scenarios
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 from granitewell.rpc.messages import WatchReply, decode, encode
 from granitewell.rpc.transport import Method
 from tests.coordination import test_read_staleness
-from tests.nodes.cut_off_days import play
 from tests.nodes.cut_off_invariants import ViolationError
+from tests.nodes.cut_off_scenarios import play
 from tests.nodes.cut_off_world import CheckedWatch
 
 SEEDS = int(os.environ.get("GRANITEWELL_SEEDS", "8"))
@@ -30,7 +31,7 @@
 MAX_SEEDS = 60
 
 
-def test_days() -> None:
+def test_scenarios() -> None:
     given: Counter[str] = Counter()
     for seed in range(FIRST_SEED, FIRST_SEED + SEEDS):
         given.update(play(seed).invariants.answers)
@@ -38,35 +39,35 @@
     assert {"GET 200", "GET 307", "GET 503", "PUT 200", "PUT 307", "PUT 412", "PUT 503"} <= set(given)
 
 
-# --- Guards taken out -------------------------------------------------------------------------------------
+# --- Planted defects
 
 
-def lease_not_asked_before_answers(patch: pytest.MonkeyPatch) -> None:
-    """The API answers while this node takes itself for the leader."""
+def lease_not_checked_before_answers(patch: pytest.MonkeyPatch) -> None:
+    """The API answers while this node believes itself to be the leader, without a lease."""
     patch.setattr(ReplicatedGroup, "holds_lease", lambda self: self.is_leader)
 
 
 def follower_reads(patch: pytest.MonkeyPatch) -> None:
-    """The API answers GET from what this node has."""
+    """The API answers GET from this node's state, on any node."""
 
     async def get(self: api.OperatorApi, request: Any) -> Any:
-        return self._newest()
+        return self._current_document()
 
     patch.setattr(api.OperatorApi, "get", get)
 
 
-def lease_not_asked_before_refusals(patch: pytest.MonkeyPatch) -> None:
-    """A change is judged against the state here, whoever leads."""
+def lease_not_checked_before_refusals(patch: pytest.MonkeyPatch) -> None:
+    """A change is checked against this node's state without the lease."""
 
     async def answer(self: api.OperatorApi, change: Change, path: str) -> Any:
         result = self._store.check(change)
-        return await self._proposed(change, path) if result is None else answers.changed(result)
+        return await self._propose(change, path) if result is None else answers.changed(result)
 
     patch.setattr(api.OperatorApi, "answer", answer)
 
 
-def contact_age_not_asked(patch: pytest.MonkeyPatch) -> None:
-    """A control node answers edges however long it has heard nothing."""
+def read_staleness_not_checked(patch: pytest.MonkeyPatch) -> None:
+    """A control node answers edges however old its data is."""
     real = Publisher.__init__
 
     def init(self: Publisher, *given: Any) -> None:
@@ -76,29 +77,29 @@
     patch.setattr(Publisher, "__init__", init)
 
 
-def reply_that_is_late(patch: pytest.MonkeyPatch) -> None:
-    """An edge takes replies that come seconds late."""
+def late_reply_accepted(patch: pytest.MonkeyPatch) -> None:
+    """An edge accepts replies that arrive seconds late."""
 
-    async def ask(self: CheckedWatch, node: str) -> Any:
+    async def poll(self: CheckedWatch, node: str) -> Any:
         reply = await self.peers[node].call(Method.WATCH, encode(self._request()), 5.0)
         return decode(WatchReply, reply)
 
-    patch.setattr(CheckedWatch, "_ask", ask)
+    patch.setattr(CheckedWatch, "_poll", poll)
 
 
 def edge_stays(patch: pytest.MonkeyPatch) -> None:
-    """An edge goes on asking the control node that failed."""
+    """An edge keeps polling a control node that failed."""
     patch.setattr(ControlNodes, "failed", lambda self: None)
 
 
-# the guard, what the violation says, and a seed to begin with that shows it soon
+# defect, text of the violation, and a seed that reveals it soon
 PLANTS = (
-    (lease_not_asked_before_answers, "reads|answers|refuses", 6),
+    (lease_not_checked_before_answers, "reads|answers|refuses", 6),
     (follower_reads, "reads|answers", 0),
-    (lease_not_asked_before_refusals, "answers|refuses", 0),
-    (contact_age_not_asked, "publishes", 0),
+    (lease_not_checked_before_refusals, "answers|refuses", 0),
+    (read_staleness_not_checked, "publishes", 0),
     (test_read_staleness.counted_from_arrival, "publishes", 8),
-    (reply_that_is_late, "takes", 12),
+    (late_reply_accepted, "takes", 12),
     (edge_stays, "in touch", 0),
 )
 
@@ -106,7 +107,7 @@
 @pytest.mark.parametrize(
     ("plant", "shows", "first"), PLANTS, ids=lambda given: getattr(given, "__name__", "")
 )
-def test_a_guard_taken_out_shows(
+def test_defect_is_detected(
     plant: Callable[[pytest.MonkeyPatch], None], shows: str, first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
