--- a/granitewell/cluster/size_estimate.py
+++ b/granitewell/cluster/size_estimate.py
@@ -32,7 +32,7 @@
 from enum import Enum
 from math import exp
 
-from granitewell.state_machine import Line, Woken
+from granitewell.state_machine import LogLine, TimerFired
 
 STEP_US = 500_000  # between two steps of a fall
 FALL_US = 10_000_000  # in which a fall has done two thirds of its way
@@ -142,7 +142,7 @@
     # --- What others see --------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
-        """When Woken is wanted; -1 for never."""
+        """When TimerFired is wanted; -1 for never."""
         ends = [x.since_us + self.unheard_us for x in self._names.values() if x.place in GONE]
         away = [x for x in self._names.values() if x.place is Place.AWAY]
         if away and self._clear:
@@ -191,7 +191,7 @@
             self._put(event.name, Place.OUT)
         elif isinstance(event, Configured):
             self._configured = max(event.count, 1)
-        elif not isinstance(event, Woken):
+        elif not isinstance(event, TimerFired):
             raise TypeError(f"event: found {type(event).__name__}, allowed are those of census")
         self._expire(out)
         self._peak = max(self._peak, self._in(Place.UP) + self._in(Place.SILENT))
@@ -227,7 +227,9 @@
             if one.place in GONE and self._now_us - one.since_us >= self.unheard_us:
                 if one.place is Place.SILENT:
                     hours = self.unheard_us / 3.6e9
-                    out.append(Line("lost", f"{name} has been silent for {hours:.1f} h: it counts no more"))
+                    out.append(
+                        LogLine("lost", f"{name} has been silent for {hours:.1f} h: it counts no more")
+                    )
                 one.place, one.since_us = Place.OUT, self._now_us
             elif one.place is Place.AWAY and one.clear_us >= AWAY_US:
                 one.place, one.since_us = Place.OUT, self._now_us
--- a/granitewell/lab/cluster/leases_plants.py
+++ b/granitewell/lab/cluster/leases_plants.py
@@ -23,7 +23,7 @@
     voter,
     voter_recovery,
 )
-from granitewell.state_machine import Woken
+from granitewell.state_machine import TimerFired
 
 PLANTS = {
     "vote-unwritten": "a vote is said before it is on the disk",
@@ -104,7 +104,9 @@
 def _handle(self: Any, now_us: int, event: object, whole: Any = state_machine.Leases.handle) -> list[object]:
     """Only when its timer is due does it see what time it is."""
     participant = self.participant
-    late = now_us if isinstance(event, Woken) else min(now_us, max(self.until_us - 1, participant.now_us))
+    late = (
+        now_us if isinstance(event, TimerFired) else min(now_us, max(self.until_us - 1, participant.now_us))
+    )
     effects: list[object] = whole(self, late if self.until_us >= 0 else now_us, event)
     return effects
 
--- a/granitewell/lab/cluster/leases_rules.py
+++ b/granitewell/lab/cluster/leases_rules.py
@@ -24,7 +24,7 @@
 from granitewell.leases.types import Follows, Leads, Lost, Refuses
 from granitewell.protocols.peers.frames import HEAD, TAG
 from granitewell.protocols.peers.leases import LETTERS, Ask, Grant, Letter
-from granitewell.state_machine import Say
+from granitewell.state_machine import SendMessage
 
 QUIET_US = 20_000_000  # after the last trouble: a new disk waits 12.2 s on the slowest clock; then some tries
 SAMPLE_US = 20_000  # how often it is looked whether anybody leads
@@ -61,7 +61,7 @@
             return None
         text = self._fell(node, machine)
         for effect in effects:
-            if isinstance(effect, Say):
+            if isinstance(effect, SendMessage):
                 text = text or self._said(cluster, node, machine, effect)
             elif isinstance(effect, Leads):
                 text = text or self._leads(cluster, node, machine, effect)
@@ -111,7 +111,7 @@
             return f"outlived: {node.id} leads in term {machine.term} longer than {short} planners promise"
         return None
 
-    def _said(self, cluster: Cluster, node: Node, machine: Leases, say: Say) -> str | None:
+    def _said(self, cluster: Cluster, node: Node, machine: Leases, say: SendMessage) -> str | None:
         message = letter_of(say.data)
         if message is None:
             return None
--- a/granitewell/lab/cluster/leases_tables.py
+++ b/granitewell/lab/cluster/leases_tables.py
@@ -28,7 +28,7 @@
 from granitewell.leases.types import Leads, Settings, State
 from granitewell.protocols.peers.frames import Key, Keys
 from granitewell.protocols.peers.leases import Ask, Grant, Here, No, Oath, Probe, Said, Sworn, Would
-from granitewell.state_machine import Heard, Say, Store, Stored, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, Store, Stored, TimerFired
 
 LEASE_US = 10_000_000  # as long as there are, so that a new disk waits no longer than a lease
 STEP_US = 3_500_000
@@ -182,7 +182,9 @@
         key = (number, time, message)
         came = self._came.get(key)
         if came is None:
-            what: object = Woken() if message == WAKE else Heard("", self.letters[message].frame)
+            what: object = (
+                TimerFired() if message == WAKE else MessageReceived("", self.letters[message].frame)
+            )
             came = self._came[key] = self._handle(self.processes[number], time, what)
         return came
 
@@ -215,14 +217,14 @@
 
     def _campaign(self, process: Process, helper: Process, time: int) -> Came | None:
         machine, now = clone(process.machine), self.now(process.name, time)
-        probe = _say_to(machine.handle(now, Woken()), NAMES[helper.name])
+        probe = _say_to(machine.handle(now, TimerFired()), NAMES[helper.name])
         if machine.state is not State.PROBING or probe is None:
             return None
-        answers = clone(helper.machine).handle(self.now(helper.name, time), Heard("", probe))
+        answers = clone(helper.machine).handle(self.now(helper.name, time), MessageReceived("", probe))
         would = _say_to(answers, NAMES[process.name])
         if would is None:
             return None
-        came = self._handle(replace(process, machine=machine), time, Heard("", would))
+        came = self._handle(replace(process, machine=machine), time, MessageReceived("", would))
         heard = self.processes[came.process].machine
         term = heard.candidacy._heard_term
         if heard.state is State.PROBING and term > process.machine.candidacy._heard_term:
@@ -236,8 +238,8 @@
         """Numbers of the messages that were said, and the votes among them."""
         said, votes = [], 0
         for effect in effects:
-            message = letter_of(effect.data) if isinstance(effect, Say) else None
-            if message is None or not isinstance(effect, Say) or isinstance(message.said, _QUIET):
+            message = letter_of(effect.data) if isinstance(effect, SendMessage) else None
+            if message is None or not isinstance(effect, SendMessage) or isinstance(message.said, _QUIET):
                 continue
             if isinstance(message.said, No) and message.said.why not in _TELLING:
                 continue
@@ -252,7 +254,7 @@
         self._contests[whose] = self._contests.get(whose, 0) | vote
         return vote
 
-    def _letter(self, sender: int, say: Say, said: Said, boot: int) -> int:
+    def _letter(self, sender: int, say: SendMessage, said: Said, boot: int) -> int:
         number = self._known.setdefault((say.to, say.data), len(self.letters))
         if number == len(self.letters):
             self.letters.append(Letter(sender, say.data, words(said)))
@@ -314,7 +316,7 @@
 
 def _say_to(effects: list[object], name: str) -> bytes | None:
     """What is said to a planner that is no greeting to itself."""
-    return next((e.data for e in effects if isinstance(e, Say) and e.to == name), None)
+    return next((e.data for e in effects if isinstance(e, SendMessage) and e.to == name), None)
 
 
 def words(said: Said) -> str:
--- a/granitewell/lab/cluster/membership_watch.py
+++ b/granitewell/lab/cluster/membership_watch.py
@@ -21,7 +21,7 @@
 from granitewell.membership.state_machine import Membership
 from granitewell.membership.states import Phase
 from granitewell.membership.types import Changed, Died, Joined, Left, Member, Moved, Suspected, Twin
-from granitewell.state_machine import Line, Say
+from granitewell.state_machine import LogLine, SendMessage
 
 _TOLD = (Joined, Suspected, Died, Left, Changed)
 
@@ -73,7 +73,7 @@
                 return f"own-fell: {node.id} claimed {life.claimed} and claims {(own.gen, own.inc)}"
             life.claimed = (own.gen, own.inc)
         for effect in effects:
-            if type(effect) is Say or type(effect) is Line:
+            if type(effect) is SendMessage or type(effect) is LogLine:
                 continue
             if isinstance(effect, _TOLD):
                 text = self._told(cluster, node, effect, effect.member)
--- a/granitewell/lab/cluster/pings.py
+++ b/granitewell/lab/cluster/pings.py
@@ -10,7 +10,7 @@
 from granitewell.lab.cluster.links import Quality
 from granitewell.lab.cluster.world import Boot, Cluster, Spec
 from granitewell.lab.engine import stream
-from granitewell.state_machine import Heard, Say
+from granitewell.state_machine import MessageReceived, SendMessage
 
 PERIOD_US, DAY_US, LENGTH = 1_000_000, 60_000_000, 60
 MEMBERS = 500
@@ -28,10 +28,10 @@
 
     def handle(self, now_us: int, event: object) -> list[object]:
         """See the class."""
-        if isinstance(event, Heard):
-            return [Say(event.sender, _ACK)] if event.data == _PING else []
+        if isinstance(event, MessageReceived):
+            return [SendMessage(event.sender, _ACK)] if event.data == _PING else []
         self.wake_us = now_us + PERIOD_US
-        return [Say(self._names[int(self._rng.random() * len(self._names))], _PING)]
+        return [SendMessage(self._names[int(self._rng.random() * len(self._names))], _PING)]
 
 
 def play(case: Case) -> Outcome:
--- a/granitewell/lab/cluster/world.py
+++ b/granitewell/lab/cluster/world.py
@@ -5,8 +5,8 @@
 `other`, which joins subjects as a shell would. The same seed and the same calls give the same digest.
 
 Each node has a clock of its own, and only that is shown to its machines. A node is a process with a disk: it
-may be stalled (messages queue, `Woken` comes late), killed and started again with what its disk has kept, and
-two processes may sit at one address, where each message reaches one of them.
+may be stalled (messages queue, `TimerFired` comes late), killed and started again with what its disk has
+kept, and two processes may sit at one address, where each message reaches one of them.
 """
 
 from __future__ import annotations
@@ -20,7 +20,16 @@
 from granitewell.lab.cluster.disk import Disk, Fate
 from granitewell.lab.cluster.links import GIVE_UP_US, MAX_QUEUED, Links, Quality, Stream
 from granitewell.lab.engine import Engine, stream
-from granitewell.state_machine import Heard, Line, Machine, Road, Say, Store, Stored, Woken
+from granitewell.state_machine import (
+    LogLine,
+    MessageReceived,
+    SendMessage,
+    StateMachine,
+    Store,
+    Stored,
+    TimerFired,
+    Transport,
+)
 
 MAX_DATAGRAM = 1_200
 MAX_WAITING = 512  # datagrams that a stalled process's socket holds; more are dropped
@@ -45,7 +54,7 @@
     rng: Random
 
 
-Make = Callable[[Boot], Sequence[Machine]]
+Make = Callable[[Boot], Sequence[StateMachine]]
 Other = Callable[["Cluster", "Node", object], None]
 Watch = Callable[["Cluster", "Node", object, list[object]], str | None]
 
@@ -89,7 +98,7 @@
     spec: Spec
     clock: Clock
     disk: Disk
-    machines: list[Machine] = field(default_factory=list)
+    machines: list[StateMachine] = field(default_factory=list)
     wakes: list[int] = field(default_factory=list)  # by machine: the real time for which it is on the agenda
     up: bool = False
     stalled: bool = False
@@ -131,7 +140,7 @@
         self.at: dict[str, list[Node]] = {}
         self.watches: list[Watch] = []
         self.broken: Broken | None = None
-        self.lines: list[tuple[int, str, Line]] = []
+        self.lines: list[tuple[int, str, LogLine]] = []
         self.most_lines = 10_000
         self._rng = stream(seed, "world")
 
@@ -194,10 +203,10 @@
             return
         node.stalled = False
         waiting, node.waiting = node.waiting, []
-        timers = [(k, Woken()) for k in range(len(node.machines)) if 0 <= node.wakes[k] <= self.now_us]
+        timers = [(k, TimerFired()) for k in range(len(node.machines)) if 0 <= node.wakes[k] <= self.now_us]
         first = self._rng.random() < 0.5
         for index, event in (*timers, *waiting) if first else (*waiting, *timers):
-            if isinstance(event, Woken):
+            if isinstance(event, TimerFired):
                 node.wakes[index] = -1
             self.tell(node, event, index)
 
@@ -223,11 +232,11 @@
         self.engine.mark(node.id, type(event).__name__, len(effects))
         for effect in effects:
             kind = type(effect)
-            if kind is Say:
+            if kind is SendMessage:
                 self._say(node, effect)  # type: ignore[arg-type]
             elif kind is Store:
                 self._store(node, index, effect)  # type: ignore[arg-type]
-            elif kind is Line:
+            elif kind is LogLine:
                 self._line(node, effect)  # type: ignore[arg-type]
             elif node.spec.other is not None:
                 node.spec.other(self, node, effect)
@@ -265,12 +274,12 @@
         node.wakes[index] = -1
         wake = node.machines[index].wake_us
         if 0 <= wake <= node.clock.local(self.now_us):
-            self.tell(node, Woken(), index)
+            self.tell(node, TimerFired(), index)
         else:
             self._agenda(node, index)
 
     # --- Effects ----------------------------------------------------------------------------------------
-    def _line(self, node: Node, line: Line) -> None:
+    def _line(self, node: Node, line: LogLine) -> None:
         if len(self.lines) < self.most_lines:
             self.lines.append((self.now_us, node.id, line))
 
@@ -283,12 +292,12 @@
             store, ok = node.disk.done()
             self.tell(node, Stored(store.token, ok), index)
 
-    def _say(self, node: Node, say: Say) -> None:
+    def _say(self, node: Node, say: SendMessage) -> None:
         count, size = node.count, len(say.data)
         count.said += 1
         count.said_bytes += size
         source = node.spec.address
-        if say.road is Road.STREAM:
+        if say.transport is Transport.STREAM:
             self._stream(source, say)
             return
         if size > MAX_DATAGRAM:
@@ -297,7 +306,7 @@
         for takes in self.links.datagram(source, say.to):
             self.engine.at(now + takes, self._arrive, source, say.to, say.data)
 
-    def _arrive(self, source: str, to: str, data: bytes, road: Road = Road.DATAGRAM) -> None:
+    def _arrive(self, source: str, to: str, data: bytes, transport: Transport = Transport.DATAGRAM) -> None:
         there = self.at.get(to)
         if there is None:
             return
@@ -307,15 +316,15 @@
             if not up:
                 return
             node = up[int(self._rng.random() * len(up))]
-        full = node.stalled and road is Road.DATAGRAM and len(node.waiting) >= MAX_WAITING
+        full = node.stalled and transport is Transport.DATAGRAM and len(node.waiting) >= MAX_WAITING
         if full or not node.up:
             return
         node.count.heard += 1
         pick = node.spec.pick
-        self.tell(node, Heard(source, data, road), pick(data) if pick is not None else 0)
+        self.tell(node, MessageReceived(source, data, transport), pick(data) if pick is not None else 0)
 
     # --- Streams ----------------------------------------------------------------------------------------
-    def _stream(self, source: str, say: Say) -> None:
+    def _stream(self, source: str, say: SendMessage) -> None:
         one = self.links.streams.get((source, say.to))
         if one is None:
             one = self.links.streams[source, say.to] = Stream()
@@ -327,7 +336,7 @@
         one.last_us = max(one.last_us, self.now_us + self.links.stream(source, say.to))
         self.engine.at(one.last_us, self._passes, one, one.turn, source, say)
 
-    def _held(self, one: Stream, source: str, say: Say) -> None:
+    def _held(self, one: Stream, source: str, say: SendMessage) -> None:
         """A cut is in the way: wait for its end, for a while."""
         if one.stopped_us < 0:
             one.stopped_us = self.now_us
@@ -351,8 +360,8 @@
             return
         one.stopped_us, queued, one.queued = -1, one.queued, []
         for data in queued:
-            self._stream(source, Say(to, data, Road.STREAM))
+            self._stream(source, SendMessage(to, data, Transport.STREAM))
 
-    def _passes(self, one: Stream, turn: int, source: str, say: Say) -> None:
+    def _passes(self, one: Stream, turn: int, source: str, say: SendMessage) -> None:
         if one.turn == turn:
-            self._arrive(source, say.to, say.data, Road.STREAM)
+            self._arrive(source, say.to, say.data, Transport.STREAM)
--- a/granitewell/lab/fleet/observations.py
+++ b/granitewell/lab/fleet/observations.py
@@ -12,7 +12,7 @@
 
 from granitewell.protocols.peers.frames import MAX_DATAGRAM, MAX_STREAM, Frame, Key, Keys, Kind, open_
 from granitewell.protocols.peers.gossip import LETTERS, Letter
-from granitewell.state_machine import Road
+from granitewell.state_machine import Transport
 
 KEPT = 8_192  # numbers of a process that are told apart
 MAX_BIRTHS = 2_000
@@ -36,10 +36,10 @@
         self._numbers: dict[int, dict[int, bytes]] = {}
         self._gone: set[int] = set()
 
-    def frame(self, now_us: int, node: str, data: bytes, road: Road) -> None:
+    def frame(self, now_us: int, node: str, data: bytes, transport: Transport) -> None:
         """A whole frame that a node has sent."""
-        self.counts[f"{node} {road.value}s"] += 1
-        letter = self._opened(data, MAX_DATAGRAM if road is Road.DATAGRAM else MAX_STREAM)
+        self.counts[f"{node} {transport.value}s"] += 1
+        letter = self._opened(data, MAX_DATAGRAM if transport is Transport.DATAGRAM else MAX_STREAM)
         if letter is None:
             self.counts[f"{node} unread"] += 1
             return
--- a/granitewell/lab/fleet/switch.py
+++ b/granitewell/lab/fleet/switch.py
@@ -40,7 +40,7 @@
 from granitewell.lab.fleet.plan import Door, FleetPlan, load
 from granitewell.lab.loopback.standin import DirectorChannel, Words, main
 from granitewell.protocols.peers.frames import Splitter
-from granitewell.state_machine import Road
+from granitewell.state_machine import Transport
 
 PIECE = 64 * 1024
 BATCH = 64  # datagrams of one socket in one turn of the loop
@@ -273,7 +273,7 @@
     def _datagram(self, source: str, to: str, data: bytes, came_us: int) -> None:
         seen, node, other = self._seen, node_of(source), node_of(to)
         seen.counts[f"{node} bytes"] += len(data)
-        seen.frame(came_us, node, data, Road.DATAGRAM)
+        seen.frame(came_us, node, data, Transport.DATAGRAM)
         self._kept.setdefault(other, deque(maxlen=KEPT)).append(data)
         if self._mute[node] > 0 or self._deaf[other] > 0:
             return
@@ -371,7 +371,7 @@
                     return
                 self._seen.counts[f"{node} bytes"] += len(data)
                 for frame in splitter.feed(data):
-                    self._seen.frame(self._channel.agenda.clock.now(), node, frame, Road.STREAM)
+                    self._seen.frame(self._channel.agenda.clock.now(), node, frame, Transport.STREAM)
                 if splitter.broken is not None:
                     self._seen.spoilt(node, splitter.broken.text)
                     return
--- a/granitewell/leases/candidacy.py
+++ b/granitewell/leases/candidacy.py
@@ -16,7 +16,7 @@
 from granitewell.leases.types import TABLE, Cause, Leads, Lost, State
 from granitewell.leases.voter import Promise
 from granitewell.protocols.peers.leases import Ask, Grant, No, Probe, Release, Would
-from granitewell.state_machine import Line, Road
+from granitewell.state_machine import LogLine, Transport
 
 ROUNDS_A_LEASE = 8
 PROBES_A_LEASE = 16
@@ -83,7 +83,7 @@
         now = self._participant.now_us
         if self.state is State.HOLDER and now >= self.until_us:
             self._participant.out.append(
-                Line("lease", f"the lease of term {self._participant.record.term} is over")
+                LogLine("lease", f"the lease of term {self._participant.record.term} is over")
             )
             self._leave(Cause.LAPSED)
         elif self.state in (State.PROBING, State.CANDIDATE) and now >= self._end_us:
@@ -135,8 +135,8 @@
         participant = self._participant
         if participant.promise.to == participant.who:
             participant.promise = Promise(None, participant.now_us)
-        for road in Road:  # at once, and surely
-            participant.say_all(Release(participant.record.term, heir), road)
+        for transport in Transport:  # at once, and surely
+            participant.say_all(Release(participant.record.term, heir), transport)
 
     # --- Asking -----------------------------------------------------------------------------------------
     def due(self) -> None:
--- a/granitewell/leases/duplicate_identity.py
+++ b/granitewell/leases/duplicate_identity.py
@@ -14,7 +14,7 @@
 
 from granitewell.leases.participant import Participant
 from granitewell.protocols.peers.leases import Here
-from granitewell.state_machine import Line
+from granitewell.state_machine import LogLine
 
 TIE_US = 1_000_000  # two that started this close together are distinguished by their boot ids
 HERES_A_LEASE = 32  # while it waits after its start; one a lease later
@@ -63,7 +63,7 @@
         if younger(body, boot, participant.boot, self._up_us):
             return f"a process that has been up for longer goes by our name, {participant.settings.name}"
         participant.out.append(
-            Line("twin", f"a younger process goes by our name, {participant.settings.name}")
+            LogLine("twin", f"a younger process goes by our name, {participant.settings.name}")
         )
         if now >= self._answer_us:
             self._answer_us = now + self._often_us
--- a/granitewell/leases/participant.py
+++ b/granitewell/leases/participant.py
@@ -13,7 +13,7 @@
 from granitewell.leases.voter import Promise, Who
 from granitewell.protocols.peers.frames import Kind, Refused, Why, open_, refusal, seal
 from granitewell.protocols.peers.leases import LETTERS, Letter, Said
-from granitewell.state_machine import Heard, Line, Road, Say
+from granitewell.state_machine import LogLine, MessageReceived, SendMessage, Transport
 
 REFUSALS_US = 1_000_000  # at most one answer to an unknown version in so long
 
@@ -103,23 +103,25 @@
 
     def say(self, name: str, said: Said) -> None:
         """Send a message to another planner."""
-        self.send(self._address[name], said, Road.DATAGRAM)
+        self.send(self._address[name], said, Transport.DATAGRAM)
 
-    def say_all(self, said: Said, road: Road = Road.DATAGRAM) -> None:
+    def say_all(self, said: Said, transport: Transport = Transport.DATAGRAM) -> None:
         """Send a message to all other planners."""
         for name in self.others:
-            self.send(self._address[name], said, road)
+            self.send(self._address[name], said, transport)
 
     def say_here(self, said: Said, address: str = "") -> None:
         """Announce this process at its own address, or at another one."""
-        self.send(address or self._address[self.settings.name], said, Road.STREAM)
+        self.send(address or self._address[self.settings.name], said, Transport.STREAM)
 
-    def send(self, address: str, said: Said, road: Road) -> None:
+    def send(self, address: str, said: Said, transport: Transport) -> None:
         """Send a message to an address."""
         message = LETTERS.write(Letter(self.settings.fleet, self.boot, said))
-        self.out.append(Say(address, seal(Kind.LEASE, message, self.settings.keys, self.settings.name), road))
+        self.out.append(
+            SendMessage(address, seal(Kind.LEASE, message, self.settings.keys, self.settings.name), transport)
+        )
 
-    def open(self, heard: Heard) -> tuple[str, int, Said] | None:
+    def open(self, heard: MessageReceived) -> tuple[str, int, Said] | None:
         """Return the name and boot id of a message's sender, if it is a planner of this fleet."""
         frame = open_(heard.data, self.settings.keys)
         if isinstance(frame, Refused):
@@ -131,13 +133,17 @@
         if message is None:
             return None
         if message.fleet != self.settings.fleet:
-            self.out.append(Line("fleet", f"{frame.sender} has another list of planners, or another epoch"))
+            self.out.append(
+                LogLine("fleet", f"{frame.sender} has another list of planners, or another epoch")
+            )
             return None
         return frame.sender, message.boot, message.said
 
-    def _unread(self, heard: Heard, refused: Refused) -> None:
+    def _unread(self, heard: MessageReceived, refused: Refused) -> None:
         self.refused += 1
         if refused.why is Why.VERSION and self.now_us >= self._refusal_us:
             self._refusal_us = self.now_us + REFUSALS_US
-            self.out.append(Say(heard.sender, refusal(self.settings.keys, self.settings.name), heard.road))
-            self.out.append(Line("version", f"{heard.sender}: {refused.text}"))
+            self.out.append(
+                SendMessage(heard.sender, refusal(self.settings.keys, self.settings.name), heard.transport)
+            )
+            self.out.append(LogLine("version", f"{heard.sender}: {refused.text}"))
--- a/granitewell/leases/state_machine.py
+++ b/granitewell/leases/state_machine.py
@@ -44,7 +44,7 @@
     Sworn,
     Would,
 )
-from granitewell.state_machine import Heard, Line, Stored, Woken
+from granitewell.state_machine import LogLine, MessageReceived, Stored, TimerFired
 
 OATHS_A_LEASE = 8
 _DONE = (State.REFUSED, State.STOPPED)
@@ -81,7 +81,7 @@
     # --- What others see --------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
-        """When a Woken event is wanted, in microseconds; -1 for never."""
+        """When a TimerFired event is wanted, in microseconds; -1 for never."""
         return -1 if self.state in _DONE else min(self.candidacy.next_us, self.duplicate_identity.next_us)
 
     @property
@@ -119,11 +119,11 @@
         return self.participant.out
 
     def _event(self, event: object) -> None:
-        if isinstance(event, Heard):
+        if isinstance(event, MessageReceived):
             message = self.participant.open(event)
             if message is not None:
                 self._heard(event.sender, *message)
-        elif isinstance(event, Woken):
+        elif isinstance(event, TimerFired):
             self._due()
         elif isinstance(event, Stored):
             self._stored(event)
@@ -144,7 +144,7 @@
     def _stored(self, event: Stored) -> None:
         if not event.ok:
             self.participant.out.append(
-                Line("disk", "the disk has refused the lease record: no vote without it")
+                LogLine("disk", "the disk has refused the lease record: no vote without it")
             )
         then = self.participant.persistence.stored(event)
         if then is not None:
@@ -182,7 +182,7 @@
         if participant.record.sworn != BLANK:
             self.candidacy.sworn()
             text = f"the new disk may vote ({participant.record.sworn}), above term {participant.record.term}"
-            participant.out.append(Line("sworn", text))
+            participant.out.append(LogLine("sworn", text))
 
     # --- Messages ---------------------------------------------------------------------------------------
     def _heard(self, sender: str, name: str, boot: int, said: Said) -> None:
@@ -211,7 +211,7 @@
         """Do nothing more, because another process uses this planner's name."""
         if reason:
             self.candidacy.end(Cause.TWIN)
-            self.participant.out += [Line("twin", reason), Refuses(reason)]
+            self.participant.out += [LogLine("twin", reason), Refuses(reason)]
 
     def _said(self, name: str, boot: int, said: Said) -> None:
         match said:
--- a/granitewell/membership/anti_entropy.py
+++ b/granitewell/membership/anti_entropy.py
@@ -19,7 +19,7 @@
 from granitewell.membership.states import Phase
 from granitewell.protocols.peers.gossip import MAX_PAGE, Hello, Page, Push, Welcome, packed
 from granitewell.protocols.peers.limits import Bucket, Window
-from granitewell.state_machine import Road
+from granitewell.state_machine import Transport
 
 TALK_US = 10_000_000  # a conversation that takes longer is over
 MAX_ASKED, MAX_GUESTS = 8, 64
@@ -139,7 +139,7 @@
         while len(self._asked) >= MAX_ASKED:
             del self._asked[next(iter(self._asked))]
         self._asked[number] = Asked(address, seat.now_us + TALK_US)
-        seat.send(address, 0, Hello(number, seat.config.address), road=Road.STREAM)
+        seat.send(address, 0, Hello(number, seat.config.address), transport=Transport.STREAM)
 
     def soon(self, address: str) -> None:
         """Ask, but not too often: for those whom somebody else makes us ask."""
@@ -160,7 +160,7 @@
         birth = opened.letter.birth
         self._guests[token] = Guest(opened.sender, birth, said.address, end, said.number, Window())
         seat.send(said.address, birth, Welcome(said.number, token, seat.table.digest_bytes()), opened.sender,
-                  Road.STREAM)  # fmt: skip
+                  Transport.STREAM)  # fmt: skip
 
     def push_heard(self, opened: Opened, said: Push) -> bool:
         """Whether its claims may be believed; answers with ours."""
--- a/granitewell/membership/assertions.py
+++ b/granitewell/membership/assertions.py
@@ -15,7 +15,7 @@
 from granitewell.membership.table import Change, Record, bare, said
 from granitewell.membership.types import Changed, Died, Joined, Left, Member, Suspected
 from granitewell.protocols.peers.gossip import Claim, Ping, packed, sound
-from granitewell.state_machine import Road
+from granitewell.state_machine import Transport
 
 _EFFECTS = {News.JOINED: Joined, News.SUSPECTED: Suspected, News.DIED: Died, News.LEFT: Left,
             News.CHANGED: Changed}  # fmt: skip
@@ -46,7 +46,7 @@
             if record.standing.state is State.SUSPECT:
                 self.doubt(record.name, record.standing, record.by, False)
 
-    def hear(self, claim: Claim, teller: str, road: Road = Road.DATAGRAM) -> None:
+    def hear(self, claim: Claim, teller: str, transport: Transport = Transport.DATAGRAM) -> None:
         """What is said of a name, by somebody who may be wrong."""
         record = self._seat.table.records.get(claim.name)
         if record is not None and _stale(record, claim):
@@ -59,7 +59,7 @@
         if sure:
             gen, birth, inc = claim.gen, claim.birth, claim.inc
             claim = Claim(claim.name, gen, birth, inc, State.SUSPECT, by=claim.by or teller)
-        self._teller = teller, road.value
+        self._teller = teller, transport.value
         self.merge(claim, sure)
         self._teller = "", ""
 
--- a/granitewell/membership/history.py
+++ b/granitewell/membership/history.py
@@ -27,7 +27,7 @@
 
     at_us: int
     teller: str
-    road: str
+    transport: str
     by: str
     standing: Standing
 
--- a/granitewell/membership/local_member.py
+++ b/granitewell/membership/local_member.py
@@ -29,7 +29,7 @@
 )
 from granitewell.protocols.peers.gossip import LETTERS, Hello, Letter, Said, packed
 from granitewell.protocols.peers.limits import Bucket, Window
-from granitewell.state_machine import Heard, Line, Road, Say
+from granitewell.state_machine import LogLine, MessageReceived, SendMessage, Transport
 
 LOUD = 1  # lines and refusals a second, of each sort
 
@@ -45,7 +45,7 @@
 
     sender: str
     address: str
-    road: Road
+    transport: Transport
     letter: Letter
     known: bool
 
@@ -105,7 +105,7 @@
         if bucket is None:
             bucket = self._loud[topic] = Bucket(LOUD, self.now_us)
         if bucket.take(self.now_us):
-            self.out.append(Line(f"membership-{topic}", text))
+            self.out.append(LogLine(f"membership-{topic}", text))
 
     def number(self) -> int:
         """For a question: higher each time."""
@@ -123,11 +123,13 @@
         return [member for member in map(table.member, names) if member is not None]
 
     # --- Out --------------------------------------------------------------------------------------------
-    def tell(self, member: Member, said: Said, road: Road = Road.DATAGRAM) -> None:
+    def tell(self, member: Member, said: Said, transport: Transport = Transport.DATAGRAM) -> None:
         """A letter to a member, with what there is to pass on."""
-        self.send(member.about.address, member.birth, said, member.name, road)
+        self.send(member.about.address, member.birth, said, member.name, transport)
 
-    def send(self, address: str, to: int, said: Said, name: str = "", road: Road = Road.DATAGRAM) -> None:
+    def send(
+        self, address: str, to: int, said: Said, name: str = "", transport: Transport = Transport.DATAGRAM
+    ) -> None:
         """A letter to a process at an address.
 
         What we hold against whoever gets it goes first, so that it can refute it (Lifeguard's buddy system);
@@ -140,11 +142,11 @@
         room -= sum(map(len, claims))
         if to and len(self.spread):
             claims += self.spread.pick(room, self.members, name if claims else "")
-        self._seal(address, gossip.write(letter, claims) if claims else body, road, name)
+        self._seal(address, gossip.write(letter, claims) if claims else body, transport, name)
 
     def send_page(self, address: str, to: int, said: Said, claims: list[bytes]) -> None:
         """A letter on a stream with these claims."""
-        self._seal(address, gossip.write(self._letter(to, said), claims), Road.STREAM, "")
+        self._seal(address, gossip.write(self._letter(to, said), claims), Transport.STREAM, "")
 
     def _letter(self, to: int, said: Said) -> Letter:
         self._seq += 1
@@ -163,16 +165,16 @@
             return []
         return [packed(bare(record, self.now_us))]
 
-    def _seal(self, address: str, body: bytes, road: Road, name: str) -> None:
-        limit = MAX_DATAGRAM if road is Road.DATAGRAM else MAX_STREAM
+    def _seal(self, address: str, body: bytes, transport: Transport, name: str) -> None:
+        limit = MAX_DATAGRAM if transport is Transport.DATAGRAM else MAX_STREAM
         member = self.table.member(name)
         version = version_for(member.about.versions if member is not None else VERSIONS)
         config = self.config
         frame = seal(Kind.GOSSIP, body, config.keys, config.name, limit=limit, version=version)
-        self.out.append(Say(address, frame, road))
+        self.out.append(SendMessage(address, frame, transport))
 
     # --- In ---------------------------------------------------------------------------------------------
-    def open(self, heard: Heard) -> Opened | None:
+    def open(self, heard: MessageReceived) -> Opened | None:
         """The letter, if it verifies, is for us, is new and not too much; nothing else has changed."""
         found = self._opened(heard)
         if isinstance(found, Opened):
@@ -181,11 +183,11 @@
         self.count(found)
         return None
 
-    def _opened(self, heard: Heard) -> Opened | str:
+    def _opened(self, heard: MessageReceived) -> Opened | str:
         """The letter, or the reason why it is dropped."""
         if not self._raw.take(self.now_us):
             return "raw"
-        limit = MAX_DATAGRAM if heard.road is Road.DATAGRAM else MAX_STREAM
+        limit = MAX_DATAGRAM if heard.transport is Transport.DATAGRAM else MAX_STREAM
         frame = open_(heard.data, self.config.keys, limit=limit)
         if isinstance(frame, Refused):
             self._unread(heard, frame)
@@ -202,7 +204,7 @@
             return "misaddressed"
         return self._passed(heard, frame.sender, letter)
 
-    def _passed(self, heard: Heard, sender: str, letter: Letter) -> Opened | str:
+    def _passed(self, heard: MessageReceived, sender: str, letter: Letter) -> Opened | str:
         record = self.table.records.get(sender)
         if record is not None and record.standing.birth != letter.birth:
             record = None
@@ -211,25 +213,27 @@
         if not self._total.take(self.now_us):
             return "in_all"
         if record is None:
-            return Opened(sender, heard.sender, heard.road, letter, False)
+            return Opened(sender, heard.sender, heard.transport, letter, False)
         if record.window is None:
             record.window = Window()
         if not record.window.fresh(letter.seq):
             return "replayed"
         address = record.about.address if record.about is not None else heard.sender
-        return Opened(sender, address, heard.road, letter, True)
+        return Opened(sender, address, heard.transport, letter, True)
 
     def _bucket(self, record: Record) -> Bucket:
         if record.bucket is None:
             record.bucket = Bucket(self.figures.per_sender, self.now_us)
         return record.bucket
 
-    def _unread(self, heard: Heard, refused: Refused) -> None:
+    def _unread(self, heard: MessageReceived, refused: Refused) -> None:
         self.line("refused", f"{heard.sender}: {refused.text}")
         if refused.why is Why.VERSION and self._refusals.take(self.now_us):
-            self.out.append(Say(heard.sender, refusal(self.config.keys, self.config.name), heard.road))
+            self.out.append(
+                SendMessage(heard.sender, refusal(self.config.keys, self.config.name), heard.transport)
+            )
 
-    def _other(self, heard: Heard, frame: Frame) -> None:
+    def _other(self, heard: MessageReceived, frame: Frame) -> None:
         if frame.kind == Kind.REFUSAL:
             versions = ", ".join(map(str, frame.body[: gossip.MAX_VERSIONS]))
             self.line("version", f"{heard.sender} reads versions {versions} of the wire alone")
--- a/granitewell/membership/refutation.py
+++ b/granitewell/membership/refutation.py
@@ -22,7 +22,7 @@
 from granitewell.membership.table import Record
 from granitewell.membership.types import Member, Moved, Twin
 from granitewell.protocols.peers.gossip import MAX_GEN, MAX_INC, Claim, Ping, Relay, packed
-from granitewell.state_machine import Road
+from granitewell.state_machine import Transport
 
 ROUND_US = 500_000  # between two questions to the holder of our name
 ROUNDS = 3  # unanswered, and it is gone if its address is ours
@@ -202,8 +202,8 @@
         self._rounds += 1
         number = seat.number()
         self._numbers = [*self._numbers[-ROUNDS:], number]
-        for road in Road:
-            seat.tell(holder, Ping(number), road)
+        for transport in Transport:
+            seat.tell(holder, Ping(number), transport)
         relay = Relay(number, holder.name, holder.birth, holder.about.address)
         for member in seat.draw(seat.figures.helpers):
             seat.tell(member, relay)
--- a/granitewell/membership/state_machine.py
+++ b/granitewell/membership/state_machine.py
@@ -49,7 +49,7 @@
     Rumour,
     Welcome,
 )
-from granitewell.state_machine import Heard, Woken
+from granitewell.state_machine import MessageReceived, TimerFired
 
 HEART_US = 500_000  # woken so often at least, so that standing still shows
 APART_US = 750_000  # between two looks at a digest that is not ours, after which tables are compared
@@ -83,7 +83,7 @@
     # --- What others see --------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
-        """When Woken is wanted, by the clock: at once before the first event; -1 for never."""
+        """When TimerFired is wanted, by the clock: at once before the first event; -1 for never."""
         return self._time.wanted_us if self._begun else 0
 
     @property
@@ -143,7 +143,7 @@
             self._begin()
         elif stood:
             self._stood(stood)
-        if isinstance(event, Heard):
+        if isinstance(event, MessageReceived):
             self._heard(event)
         elif isinstance(event, Leave):
             self._leave()
@@ -156,7 +156,7 @@
             seat.config = replace(seat.config, keys=event.keys)
         elif isinstance(event, Reseed):
             seat.config = replace(seat.config, seeds=event.seeds)
-        elif not isinstance(event, Woken):
+        elif not isinstance(event, TimerFired):
             raise TypeError(f"event: found {type(event).__name__}, allowed are those of terms and machine")
         self._due()
         if any(isinstance(effect, Died) for effect in out):
@@ -249,7 +249,7 @@
             self._sync.within(SOON_US)
 
     # --- Letters ----------------------------------------------------------------------------------------
-    def _heard(self, heard: Heard) -> None:
+    def _heard(self, heard: MessageReceived) -> None:
         opened = self.seat.open(heard)
         if opened is None:
             return
@@ -257,7 +257,7 @@
         believed, whole = self._compare(opened)
         if opened.letter.to and (opened.known or believed):
             for claim in opened.letter.claims:
-                self._claims.hear(claim, opened.sender, opened.road)
+                self._claims.hear(claim, opened.sender, opened.transport)
             self._missed(opened)
         if whole:
             self.own.compared()
@@ -295,7 +295,7 @@
         said, seat = opened.letter.said, self.seat
         if isinstance(said, Ping):
             ack = Ack(said.number, seat.table.up_digest)
-            seat.send(opened.address, opened.letter.birth, ack, opened.sender, opened.road)
+            seat.send(opened.address, opened.letter.birth, ack, opened.sender, opened.transport)
             self.own.asked(opened)
             self._differs(opened, said.seen)
             if not opened.known and opened.sender != seat.config.name:
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -61,7 +61,7 @@
 from granitewell.net.peers import Roads
 from granitewell.protocols.peers.frames import Keys, Kind, kind_of
 from granitewell.protocols.peers.limits import Bucket
-from granitewell.state_machine import Heard, Line, Say, Woken
+from granitewell.state_machine import LogLine, MessageReceived, SendMessage, TimerFired
 
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
@@ -194,7 +194,7 @@
             self._tell(Reseed(self._settings.seeds))
         if self.shared is not None and self.roads is not None:
             self.shared.begin(machine.own.gen, self.roads.say)
-        self._tell(Woken())
+        self._tell(TimerFired())
         self._count()
 
     def _read(self) -> persisted_record.Note | None:
@@ -350,7 +350,7 @@
             self._node.say(topic, line)
 
     # --- Events and effects -----------------------------------------------------------------------------
-    def _heard(self, heard: Heard) -> None:
+    def _heard(self, heard: MessageReceived) -> None:
         """Which machine is to open it, by a head that nothing has proved yet."""
         if self.shared is not None and kind_of(heard.data) == Kind.COUNT:
             self.shared.heard(heard)
@@ -363,9 +363,9 @@
         if machine is None or roads is None:
             return
         for effect in machine.handle(self._clock.now(), event):
-            if isinstance(effect, Say):
+            if isinstance(effect, SendMessage):
                 roads.say(effect)
-            elif isinstance(effect, Line):
+            elif isinstance(effect, LogLine):
                 self._line(effect)
             else:
                 self._news(effect)
@@ -373,7 +373,7 @@
             self._note(always=True)
         self._arm()
 
-    def _line(self, line: Line) -> None:
+    def _line(self, line: LogLine) -> None:
         if line.topic in ("membership-twin", "membership-name"):
             self.say("twin", line.text)
         elif line.topic == "lost":
@@ -453,7 +453,7 @@
             if isinstance(effect, Count):
                 self._dirty = True
                 self._node.dispatch(c.Acting(effect.most, effect.up))
-            elif isinstance(effect, Line):
+            elif isinstance(effect, LogLine):
                 self._line(effect)
         self._arm()
 
@@ -477,9 +477,9 @@
         if machine is None or census is None:
             return
         if 0 <= machine.wake_us <= now:
-            self._tell(Woken())
+            self._tell(TimerFired())
         if 0 <= census.wake_us <= now:
-            self._ask(Woken())
+            self._ask(TimerFired())
         if self._dirty:
             self._note()
         self._arm()
@@ -565,7 +565,7 @@
                 rows.append({
                     "ago_s": max(machine.seat.now_us - told.at_us, 0) / 1e6, "state": state.name.lower(),
                     "life": gen, "birth": f"{birth:016x}", "incarnation": inc, "by": told.by,
-                    "told_by": told.teller or self._settings.name, "road": told.road or "own",
+                    "told_by": told.teller or self._settings.name, "road": told.transport or "own",
                 })  # fmt: skip
         places = {p.value: census.names(p) for p in Place} if census is not None else {}
         counted = next((p for p, there in places.items() if name in there), None)
--- a/granitewell/net/peers.py
+++ b/granitewell/net/peers.py
@@ -31,7 +31,7 @@
 from granitewell.net.clock import Clock
 from granitewell.net.sockets import bound, end, tcp
 from granitewell.protocols.peers.frames import MAX_DATAGRAM, Splitter
-from granitewell.state_machine import Heard, Road, Say
+from granitewell.state_machine import MessageReceived, SendMessage, Transport
 
 BATCH_US = 1_000  # of one turn of the loop, that datagrams of others may take,
 REST = 3  # and so many times what they took until they may again: a quarter of the time at most
@@ -51,7 +51,7 @@
 SWEEP_S = 0.5
 MARK = "~"  # begins the name of a connection of another's, at which no address does
 
-Hear = Callable[[Heard], None]
+Hear = Callable[[MessageReceived], None]
 Say_ = Callable[[str, str], None]
 Spawn = Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]]
 
@@ -177,11 +177,11 @@
         self._answers.clear()
 
     # --- Saying -----------------------------------------------------------------------------------------
-    def say(self, say: Say) -> None:
+    def say(self, say: SendMessage) -> None:
         """Send a message, now or when its road is there; what can't be sent is counted, and lost."""
         if self._datagrams is None:
             self.counts["closed"] += 1
-        elif say.road is Road.DATAGRAM:
+        elif say.transport is Transport.DATAGRAM:
             self._throw(say)
         elif say.to.startswith(MARK):
             queue = self._answers.get(say.to)
@@ -192,7 +192,7 @@
         else:
             self._stream(say)
 
-    def _throw(self, say: Say) -> None:
+    def _throw(self, say: SendMessage) -> None:
         address = parsed(say.to)
         if address is None:
             self.counts["address"] += 1
@@ -206,7 +206,7 @@
         self.counts["said"] += 1
         self.counts["said_bytes"] += len(say.data)
 
-    def _stream(self, say: Say) -> None:
+    def _stream(self, say: SendMessage) -> None:
         address = parsed(say.to)
         if address is None:
             self.counts["address"] += 1
@@ -368,14 +368,14 @@
         if len(data) > MAX_DATAGRAM:
             self.counts["oversized"] += 1
         else:
-            self._heard(spelt(sender[0], sender[1]), data, Road.DATAGRAM)
+            self._heard(spelt(sender[0], sender[1]), data, Transport.DATAGRAM)
         return True
 
-    def _heard(self, sender: str, data: bytes, road: Road) -> None:
+    def _heard(self, sender: str, data: bytes, transport: Transport) -> None:
         self.counts["heard"] += 1
         self.counts["heard_bytes"] += len(data)
         try:
-            self._hear(Heard(sender, data, road))
+            self._hear(MessageReceived(sender, data, transport))
         except Exception as error:  # a defect costs its own message
             self._say("fault", f"a message failed: {type(error).__name__}: {error}")
 
@@ -421,7 +421,7 @@
             began_us = self._clock.fresh()
             for frame in splitter.feed(bytes(buffer[:n])):
                 if stands():  # one of them may have been the end of all
-                    self._heard(sender, frame, Road.STREAM)
+                    self._heard(sender, frame, Transport.STREAM)
             if splitter.broken is not None:
                 self.counts["unframed"] += 1
                 return
--- a/granitewell/net/shared_counters.py
+++ b/granitewell/net/shared_counters.py
@@ -17,7 +17,7 @@
 from granitewell.protocols.peers.frames import Keys
 from granitewell.shared_counters.state_machine import Counts
 from granitewell.shared_counters.types import Figures, Part, Peer, Peers, Rekey, Took
-from granitewell.state_machine import Heard, Say, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
 
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
@@ -35,7 +35,7 @@
         birth = 1 + int(rng.random() * (1 << 60))
         self.counts = Counts(name, 0, birth, keys, figures, rng, node.clock.now())
         self._loop = asyncio.get_running_loop()
-        self._say: Callable[[Say], None] | None = None
+        self._say: Callable[[SendMessage], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._timer_us = -1
         node.clients.limit = self._taken
@@ -48,7 +48,7 @@
         return -1
 
     # --- The fleet --------------------------------------------------------------------------------------
-    def begin(self, life: int, say: Callable[[Say], None]) -> None:
+    def begin(self, life: int, say: Callable[[SendMessage], None]) -> None:
         """This process is the member now."""
         self.counts.life, self._say = life, say
         self._arm()
@@ -72,13 +72,13 @@
         """Other keys count."""
         self._tell(Rekey(keys))
 
-    def heard(self, heard: Heard) -> None:
+    def heard(self, heard: MessageReceived) -> None:
         """A letter of ours has come."""
         self._tell(heard)
 
     def _tell(self, event: object) -> None:
         for effect in self.counts.handle(self._clock.now(), event):
-            if isinstance(effect, Say) and self._say is not None:
+            if isinstance(effect, SendMessage) and self._say is not None:
                 self._say(effect)
         self._arm()
 
@@ -94,7 +94,7 @@
 
     def _woken(self) -> None:
         self._timer = None
-        self._tell(Woken())
+        self._tell(TimerFired())
 
     # --- For whoever asks -------------------------------------------------------------------------------
     def view(self, key: str) -> dict[str, Any]:
--- a/granitewell/quotas/state_machine.py
+++ b/granitewell/quotas/state_machine.py
@@ -19,7 +19,7 @@
 from granitewell.quotas.budget import Budget
 from granitewell.quotas.quota_transfer import Quota
 from granitewell.quotas.types import MILLI, ActiveNodes, BudgetTotals, KeysChanged, QuotaSettings
-from granitewell.state_machine import Heard, Say, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
 
 MAX_PEERS_PER_ROUND = 3
 MAX_PENDING_REQUESTS_PER_BUDGET = 64
@@ -83,7 +83,7 @@
 
     @property
     def wake_us(self) -> int:
-        """When Woken is due, in microseconds; -1 for never."""
+        """When TimerFired is due, in microseconds; -1 for never."""
         return self._round_us if self.budgets else -1
 
     def try_acquire(self, now_us: int, key: str) -> int:
@@ -102,21 +102,21 @@
 
         Args:
             now_us: Time now, in microseconds.
-            event: Heard, Woken, ActiveNodes, BudgetTotals or KeysChanged.
+            event: MessageReceived, TimerFired, ActiveNodes, BudgetTotals or KeysChanged.
 
         Returns:
-            Messages to send, as Say.
+            Messages to send, as SendMessage.
 
         Raises:
             TypeError: The event is of another type.
         """
         effects = self._effects = []
         self._now_us = max(now_us, self._now_us)
-        if isinstance(event, Heard):
+        if isinstance(event, MessageReceived):
             cause = self._handle_message(event)
             if cause:
                 self.counts[f"dropped {cause}"] += 1
-        elif isinstance(event, Woken):
+        elif isinstance(event, TimerFired):
             if self._now_us >= self._round_us:
                 self._run_round()
         elif isinstance(event, ActiveNodes):
@@ -223,10 +223,10 @@
         """Send a message, to the address of a request if one is given."""
         data = seal(Kind.RIGHT, LETTERS.write(body), self._keys, self.name)
         self.counts[f"{type(body).__name__.lower()} sent"] += 1
-        self._effects.append(Say(address or self._peers[name], data))
+        self._effects.append(SendMessage(address or self._peers[name], data))
 
     # --- Messages ---------------------------------------------------------------------------------------
-    def _handle_message(self, heard: Heard) -> str:
+    def _handle_message(self, heard: MessageReceived) -> str:
         """Handle a message; return why it was dropped, or ""."""
         if not self._total_limit.take(self._now_us):
             return "total_rate"
--- a/granitewell/shared_counters/state_machine.py
+++ b/granitewell/shared_counters/state_machine.py
@@ -21,7 +21,7 @@
 from granitewell.shared_counters.local_counts import Own
 from granitewell.shared_counters.remote_counts import Node
 from granitewell.shared_counters.types import Figure, Figures, Part, Peer, Peers, Rekey, Took
-from granitewell.state_machine import Heard, Say, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
 
 ROOM = MAX_DATAGRAM - OVERHEAD
 FIXED = 96  # bytes of a word without slots and slices, at the most
@@ -103,7 +103,7 @@
     # --- What others see --------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
-        """When Woken is wanted; -1 for never."""
+        """When TimerFired is wanted; -1 for never."""
         due = min((self._asked[n].due_us for n, p in self._peers.items() if p.up), default=-1)
         return max(due, self._turned_us + TICK_US) if due >= 0 else -1
 
@@ -156,9 +156,9 @@
         now_us = self._now_us = max(now_us, self._now_us)
         if isinstance(event, Took):
             self.own.took(now_us, event.key, event.count)
-        elif isinstance(event, Heard):
+        elif isinstance(event, MessageReceived):
             self._heard(event)
-        elif isinstance(event, Woken):
+        elif isinstance(event, TimerFired):
             self._turn()
         elif isinstance(event, Peers):
             self._take(event)
@@ -261,7 +261,7 @@
         self._spare -= len(data)
         self.counts[f"{type(letter).__name__.lower()} said"] += 1
         self.counts["said_bytes"] += len(data)
-        self._out.append(Say(address, data))
+        self._out.append(SendMessage(address, data))
 
     def _save(self) -> None:
         per_s, passed_us = self.figures.bytes_per_s, self._now_us - self._spare_us
@@ -269,12 +269,12 @@
         self._spare_us = self._now_us
 
     # --- Hearing ----------------------------------------------------------------------------------------
-    def _heard(self, heard: Heard) -> None:
+    def _heard(self, heard: MessageReceived) -> None:
         wrong = self._looked_at(heard)
         if wrong:
             self.counts[f"dropped {wrong}"] += 1
 
-    def _looked_at(self, heard: Heard) -> str:
+    def _looked_at(self, heard: MessageReceived) -> str:
         """Take a letter up; why not, or nothing."""
         if not self._total.take(self._now_us):
             return "in_all"
--- a/granitewell/state_machine.py
+++ b/granitewell/state_machine.py
@@ -6,9 +6,9 @@
 microseconds on the node's own monotonic clock, which starts anywhere and may run a little fast or slow;
 nothing may depend on two nodes' clocks agreeing.
 
-A machine is an object with `handle(now_us, event) -> list of effects` and `wake_us` (when it wants `Woken`;
--1 for never). Besides these it has events and effects of its own, which the shell that joins subjects passes
-on.
+A machine is an object with `handle(now_us, event) -> list of effects` and `wake_us` (when it wants
+`TimerFired`; -1 for never). Besides these it has events and effects of its own, which the shell that joins
+subjects passes on.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from typing import Protocol
 
 
-class Road(Enum):
+class Transport(Enum):
     """How a message goes."""
 
     DATAGRAM = "datagram"  # may be lost, doubled, reordered; 1,200 bytes at most
@@ -26,16 +26,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MessageReceived:
     """A message has come. sender is what the road tells of it (an address or a name), proved by nothing."""
 
     sender: str
     data: bytes
-    road: Road = Road.DATAGRAM
+    transport: Transport = Transport.DATAGRAM
 
 
 @dataclass(frozen=True, slots=True)
-class Woken:
+class TimerFired:
     """The time of wake_us has come, or has passed: a process that was stopped hears of it late."""
 
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     """Send a message.
 
     Attributes:
@@ -60,7 +60,7 @@
 
     to: str
     data: bytes
-    road: Road = Road.DATAGRAM
+    transport: Transport = Transport.DATAGRAM
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,19 +76,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """A log line; topic limits how often such a line is written."""
 
     topic: str
     text: str
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """What a shell runs."""
 
     @property
     def wake_us(self) -> int:
-        """When Woken is wanted; -1 for never."""
+        """When TimerFired is wanted; -1 for never."""
 
     def handle(self, now_us: int, event: object) -> list[object]:
         """Apply one event; the effects, in order."""
--- a/tests/fleet/test_size_estimate.py
+++ b/tests/fleet/test_size_estimate.py
@@ -23,7 +23,7 @@
     Place,
     Seen,
 )
-from granitewell.state_machine import Line, Woken
+from granitewell.state_machine import LogLine, TimerFired
 
 S = 1_000_000
 HOUR = 3_600 * S
@@ -33,7 +33,7 @@
 
 def census(configured: int = 3, known: tuple[Known, ...] = ()) -> Census:
     made = Census("me", configured, HOUR, known)
-    made.handle(0, Woken())
+    made.handle(0, TimerFired())
     return made
 
 
@@ -43,30 +43,31 @@
 
 # what happens, at which second: most and up afterwards
 CASES: dict[str, tuple[int, list[tuple[float, Any, tuple[int, float]]]]] = {
-    "alone, the others never named": (3, [(0, Woken(), (3, 3.0)), (9_000, Woken(), (3, 3.0))]),
+    "alone, the others never named": (3, [(0, TimerFired(), (3, 3.0)), (9_000, TimerFired(), (3, 3.0))]),
     "more than the settings say": (2, [(1, seen(a=UP, b=UP, c=UP), (4, 4.0))]),
     "one dies: it counts for budgets, and falls slowly in the forecast": (
-        3, [(1, seen(a=UP, b=UP), (3, 3.0)), (2, seen(a=SILENT, b=UP), (3, 3.0)), (500, Woken(), (3, 2.0))]),
+        3, [(1, seen(a=UP, b=UP), (3, 3.0)), (2, seen(a=SILENT, b=UP), (3, 3.0)),
+            (500, TimerFired(), (3, 2.0))]),
     "one leaves by its own word: it may come back, for some minutes": (
-        3, [(1, seen(a=UP, b=UP), (3, 3.0)), (2, seen(a=AWAY), (3, 3.0)), (301, Woken(), (3, 2.0)),
-            (302, Woken(), (2, 2.0)), (303, seen(a=UP), (3, 3.0))]),
+        3, [(1, seen(a=UP, b=UP), (3, 3.0)), (2, seen(a=AWAY), (3, 3.0)), (301, TimerFired(), (3, 2.0)),
+            (302, TimerFired(), (2, 2.0)), (303, seen(a=UP), (3, 3.0))]),
     "minutes in which others are not in sight do not count": (
         1, [(1, seen(a=UP, b=UP, c=UP), (4, 4.0)), (2, seen(a=AWAY, b=SILENT), (4, 4.0)),
-            (1_000, seen(b=UP), (4, 3.0)), (1_299, Woken(), (4, 3.0)), (1_300, Woken(), (3, 3.0))]),
+            (1_000, seen(b=UP), (4, 3.0)), (1_299, TimerFired(), (4, 3.0)), (1_300, TimerFired(), (3, 3.0))]),
     "all have left: they count as long as the silent do": (
-        1, [(1, seen(a=UP, b=UP), (3, 3.0)), (2, seen(a=AWAY, b=AWAY), (3, 3.0)), (3_601, Woken(), (3, 1.0)),
-            (3_602, Woken(), (1, 1.0))]),
+        1, [(1, seen(a=UP, b=UP), (3, 3.0)), (2, seen(a=AWAY, b=AWAY), (3, 3.0)),
+            (3_601, TimerFired(), (3, 1.0)), (3_602, TimerFired(), (1, 1.0))]),
     "one leaves while another is silent: never fewer than the settings": (
         3, [(1, seen(a=UP, b=UP), (3, 3.0)), (2, Out("a"), (2, 3.0)), (3, seen(b=SILENT), (3, 2.81))]),
     "a silent one comes back": (
-        1, [(1, seen(a=UP), (2, 2.0)), (2, seen(a=SILENT), (2, 2.0)), (90, Woken(), (2, 1.0)),
+        1, [(1, seen(a=UP), (2, 2.0)), (2, seen(a=SILENT), (2, 2.0)), (90, TimerFired(), (2, 1.0)),
             (91, seen(a=UP), (2, 2.0))]),
     "an operator says that it is gone": (
         1, [(1, seen(a=UP), (2, 2.0)), (2, seen(a=SILENT), (2, 2.0)), (3, Out("a"), (1, 1.91))]),
     "who went does not come back silent": (
         1, [(1, seen(a=UP), (2, 2.0)), (2, Out("a"), (1, 2.0)), (90, seen(a=SILENT), (1, 1.0))]),
     "who was dead before we came counts": (1, [(1, seen(a=SILENT, b=SILENT), (3, 1.0))]),
-    "silent for too long": (1, [(1, seen(a=SILENT), (2, 1.0)), (3_602, Woken(), (1, 1.0))]),
+    "silent for too long": (1, [(1, seen(a=SILENT), (2, 1.0)), (3_602, TimerFired(), (1, 1.0))]),
     "a name that went hides nobody who was never seen": (
         4, [(1, seen(a=UP), (4, 4.0)), (2, seen(a=OUT), (4, 4.0)), (3, seen(b=UP), (4, 4.0))]),
     "the settings change": (
@@ -90,7 +91,7 @@
     falls, now = [made.count.up], 2 * S
     while made.wake_us < 2 * S + HOUR:
         now = made.wake_us
-        made.handle(now, Woken())
+        made.handle(now, TimerFired())
         falls.append(made.count.up)
     assert falls == sorted(falls, reverse=True) and falls[0] == 9.0 and falls[-1] == 5.0
     assert all(a - b < 0.25 for a, b in pairwise(falls)) and now > 2 * S + FALL_US
@@ -102,8 +103,8 @@
     made = census(1)
     assert [type(x) for x in made.handle(S, seen(a=SILENT))] == [Count]
     assert made.handle(2 * S, seen(a=SILENT)) == []
-    (line, count) = made.handle(HOUR + S, Woken())
-    assert isinstance(line, Line) and "a has been silent" in line.text and count == Count(1, 1.0)
+    (line, count) = made.handle(HOUR + S, TimerFired())
+    assert isinstance(line, LogLine) and "a has been silent" in line.text and count == Count(1, 1.0)
 
 
 def test_names_are_bounded_and_those_that_went_make_room() -> None:
@@ -140,12 +141,12 @@
     before = census(1)
     before.handle(S, seen(a=UP, b=UP))
     before.handle(2 * S, seen(b=SILENT))
-    before.handle(1_000 * S, Woken())
+    before.handle(1_000 * S, TimerFired())
     kept = tuple(before.known())
     assert kept == (Known("a", -1), Known("b", 998 * S))
     after = census(1, kept)
     assert after.count.most == 3 and after.names(SILENT) == ["a", "b"]
-    after.handle(2_602 * S + 1, Woken())
+    after.handle(2_602 * S + 1, TimerFired())
     assert after.names(OUT) == ["b"] and after.count.most == 2
 
 
--- a/tests/lab/cluster/test_virtual.py
+++ b/tests/lab/cluster/test_virtual.py
@@ -19,7 +19,7 @@
 from granitewell.lab.cluster.search import search
 from granitewell.lab.cluster.world import Boot, Cluster, Node, Spec
 from granitewell.lab.engine import stream
-from granitewell.state_machine import Heard, Road, Say, Store, Stored, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, Store, Stored, TimerFired, Transport
 
 SECOND = 1_000_000
 STILL = Quality(delay_us=1_000, jitter_us=0)
@@ -41,7 +41,7 @@
     def handle(self, now_us: int, event: object) -> list[object]:
         self.seen.append((now_us, event))
         effects: list[object] = []
-        while isinstance(event, Woken) and self.script and self.script[0][0] <= now_us:
+        while isinstance(event, TimerFired) and self.script and self.script[0][0] <= now_us:
             effects.append(self.script.pop(0)[1])
         return effects
 
@@ -62,7 +62,7 @@
 
 
 def heard(node: Node) -> list[bytes]:
-    return [e.data for _, e in seen(node) if isinstance(e, Heard)]
+    return [e.data for _, e in seen(node) if isinstance(e, MessageReceived)]
 
 
 def seen(node: Node) -> list[tuple[int, object]]:
@@ -85,16 +85,16 @@
 
 
 def test_a_machine_is_woken_by_its_own_clock() -> None:
-    cluster, (a,) = world([(SECOND, Say("b", b""))], offset_us=5, ppm=100_000)
+    cluster, (a,) = world([(SECOND, SendMessage("b", b""))], offset_us=5, ppm=100_000)
     cluster.run(2 * SECOND)
     [(now, event)] = seen(a)
-    assert isinstance(event, Woken) and now >= 5 + SECOND and now - 5 - SECOND <= 1
+    assert isinstance(event, TimerFired) and now >= 5 + SECOND and now - 5 - SECOND <= 1
     assert a.count.said == 1 and cluster.engine.now_us < SECOND  # a fast clock: it is there early
 
 
 # --- Roads ----------------------------------------------------------------------------------------------
-def many(count: int, to: str, road: Road = Road.DATAGRAM) -> list[tuple[int, object]]:
-    return [(1_000 * (k + 1), Say(to, b"%d" % k, road)) for k in range(count)]
+def many(count: int, to: str, transport: Transport = Transport.DATAGRAM) -> list[tuple[int, object]]:
+    return [(1_000 * (k + 1), SendMessage(to, b"%d" % k, transport)) for k in range(count)]
 
 
 def test_datagrams_are_lost_doubled_and_overtaken_as_often_as_asked() -> None:
@@ -107,7 +107,7 @@
 
 def test_a_stream_keeps_its_order_under_loss_and_loses_what_is_under_way_when_it_breaks() -> None:
     bad = replace(STILL, loss=0.3, jitter_us=5_000)
-    cluster, (_, b) = world(many(200, "b", Road.STREAM), [], quality=bad)
+    cluster, (_, b) = world(many(200, "b", Transport.STREAM), [], quality=bad)
     cluster.run(100_000)
     early = len(heard(b))
     cluster.snap("a")
@@ -117,21 +117,31 @@
 
 
 def test_cuts_are_one_way_if_asked_and_streams_wait_for_a_while() -> None:
-    says = [(k * SECOND, Say("b", b"%d" % k, road)) for k in range(1, 12) for road in Road]
-    back = [(k * SECOND, Say("a", b"%d" % k)) for k in range(1, 12)]
+    says = [
+        (k * SECOND, SendMessage("b", b"%d" % k, transport)) for k in range(1, 12) for transport in Transport
+    ]
+    back = [(k * SECOND, SendMessage("a", b"%d" % k)) for k in range(1, 12)]
     cluster, (a, b) = world(says, back)
     cut = Cut((("a",), ("b",)), oneway=True)
     cluster.engine.at(2_500_000, cluster.links.cut, cut)
     cluster.engine.at(4_500_000, cluster.links.heal, cut)
     cluster.run(20 * SECOND)
     assert [int(x) for x in heard(a)] == list(range(1, 12))
-    streams = [int(e.data) for _, e in seen(b) if isinstance(e, Heard) and e.road is Road.STREAM]
-    datagrams = [int(e.data) for _, e in seen(b) if isinstance(e, Heard) and e.road is Road.DATAGRAM]
+    streams = [
+        int(e.data) for _, e in seen(b) if isinstance(e, MessageReceived) and e.transport is Transport.STREAM
+    ]
+    datagrams = [
+        int(e.data)
+        for _, e in seen(b)
+        if isinstance(e, MessageReceived) and e.transport is Transport.DATAGRAM
+    ]
     assert streams == list(range(1, 12)) and datagrams == [1, 2, *range(5, 12)]
 
 
 def test_a_stream_gives_up_under_a_long_cut() -> None:
-    cluster, (_, b) = world([(k * SECOND, Say("b", b"%d" % k, Road.STREAM)) for k in range(1, 20)], [])
+    cluster, (_, b) = world(
+        [(k * SECOND, SendMessage("b", b"%d" % k, Transport.STREAM)) for k in range(1, 20)], []
+    )
     cut = Cut((("a",), ("b",)))
     cluster.engine.at(2_500_000, cluster.links.cut, cut)
     cluster.engine.at(12_500_000, cluster.links.heal, cut)
@@ -154,7 +164,7 @@
 
 
 def test_a_datagram_that_is_too_long_is_the_subjects_fault() -> None:
-    cluster, _ = world([(1, Say("b", bytes(1_201)))])
+    cluster, _ = world([(1, SendMessage("b", bytes(1_201)))])
     with pytest.raises(ValueError, match="found 1201 bytes, allowed are 1200"):
         cluster.run(SECOND)
 
@@ -165,7 +175,7 @@
     cluster.engine.at(25_000, cluster.stall, b)
     cluster.engine.at(3 * SECOND, cluster.go_on, b)
     cluster.run(5 * SECOND)
-    late = [now for now, event in seen(b) if isinstance(event, Woken)]
+    late = [now for now, event in seen(b) if isinstance(event, TimerFired)]
     assert late == [20_000, 3 * SECOND] and len(heard(b)) == 50
     assert all(now <= 25_000 or now >= 3 * SECOND for now, _ in seen(b))
 
@@ -214,7 +224,7 @@
 
 # --- Days -----------------------------------------------------------------------------------------------
 def chaotic(seed: int) -> Cluster:
-    says = [many(300, to) + many(300, to, Road.STREAM) for to in "bcda"]
+    says = [many(300, to) + many(300, to, Transport.STREAM) for to in "bcda"]
     cluster, nodes = world(*(sorted(s, key=lambda x: x[0]) for s in says))
     rules = Rules(may_lose=("a",), from_us=0, until_us=30 * SECOND)
     Chaos(cluster, draw(stream(seed, "t"), [n.id for n in nodes], 1.0, rules))
--- a/tests/leases/planner.py
+++ b/tests/leases/planner.py
@@ -24,7 +24,7 @@
     Said,
     Would,
 )
-from granitewell.state_machine import Heard, Say, Store, Stored, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, Store, Stored, TimerFired
 
 SECOND = 1_000_000
 FLEET = Settings("p1", planners(3), KEYS)
@@ -58,7 +58,7 @@
 
     def hear(self, name: str, boot: int, body: Said) -> list[object]:
         frame = seal(Kind.LEASE, LETTERS.write(Letter(self.settings.fleet, boot, body)), KEYS, name)
-        return self.event(Heard(name, frame))
+        return self.event(MessageReceived(name, frame))
 
     def stored(self, effects: list[object], ok: bool = True) -> list[object]:
         """Acknowledge what was to be stored, or refuse it."""
@@ -79,7 +79,7 @@
 
 def sent_bodies(effects: list[object]) -> list[Said]:
     """Return the bodies of the messages to others, without announcements."""
-    letters = [letter_of(e.data) for e in effects if isinstance(e, Say)]
+    letters = [letter_of(e.data) for e in effects if isinstance(e, SendMessage)]
     return [x.said for x in letters if x is not None and not isinstance(x.said, Here)]
 
 
@@ -92,7 +92,7 @@
 def start_candidacy(planner: SteppedPlanner) -> list[object]:
     """Let the planner probe and become a candidate in term 1; return what it asks of its disk."""
     planner.wait(20 * SECOND)
-    planner.event(Woken())
+    planner.event(TimerFired())
     number = planner.machine.candidacy._probed[0]
     return planner.hear("p1", 11, Would(number, planner.machine.participant.boot, INCARNATIONS[0], FIRST))
 
--- a/tests/leases/test_state_machine.py
+++ b/tests/leases/test_state_machine.py
@@ -22,7 +22,7 @@
     Letter,
     Release,
 )
-from granitewell.state_machine import Heard, Line, Say, Store, Woken
+from granitewell.state_machine import LogLine, MessageReceived, SendMessage, Store, TimerFired
 from tests.leases.planner import (
     FIRST,
     FLEET,
@@ -53,7 +53,7 @@
     planner = SteppedPlanner()
     planner.wait(10 * SECOND)
     refused = planner.stored(planner.ask("p1", 11, 1), ok=False)
-    assert sent_bodies(refused) == [] and any(isinstance(e, Line) and e.topic == "disk" for e in refused)
+    assert sent_bodies(refused) == [] and any(isinstance(e, LogLine) and e.topic == "disk" for e in refused)
     assert refusal_reason(planner.ask("p3", 33, 1)) == "voted"  # it may be on the disk
     again = planner.ask("p1", 11, 1, 2)
     assert sent_bodies(again) == [] and sent_bodies(planner.stored(again)) == [
@@ -125,7 +125,7 @@
     assert sent_bodies(effects) == [] and planner.state() == "candidate"
     assert sent_bodies(planner.stored(effects, ok=False)) == []
     planner.wait(3 * SECOND)
-    planner.event(Woken())
+    planner.event(TimerFired())
     assert planner.state() == "follower"
 
 
@@ -203,18 +203,21 @@
         seal(Kind.LEASE, message[:-1], KEYS, "p1"), seal(Kind.GOSSIP, message, KEYS, "p1"), b"", b"GW",
         seal(Kind.LEASE, LETTERS.write(long), KEYS, "p1"),
     ):  # fmt: skip
-        assert planner.event(Heard("x", frame)) == []
-    [line] = planner.event(Heard("x", seal(Kind.LEASE, other, KEYS, "p1")))
-    assert isinstance(line, Line) and line.topic == "fleet"
+        assert planner.event(MessageReceived("x", frame)) == []
+    [line] = planner.event(MessageReceived("x", seal(Kind.LEASE, other, KEYS, "p1")))
+    assert isinstance(line, LogLine) and line.topic == "fleet"
     assert planner.machine.term == FIRST and planner.machine.participant.refused == 3
 
 
 def test_an_unknown_version_is_answered_once_a_second() -> None:
     planner = SteppedPlanner()
     frame = seal(Kind.LEASE, b"", KEYS, "p1", version=9)
-    answers = [len([e for e in planner.event(Heard("x", frame)) if isinstance(e, Say)]) for _ in range(5)]
+    answers = [
+        len([e for e in planner.event(MessageReceived("x", frame)) if isinstance(e, SendMessage)])
+        for _ in range(5)
+    ]
     planner.wait(SECOND)
-    answers += [len([e for e in planner.event(Heard("x", frame)) if isinstance(e, Say)])]
+    answers += [len([e for e in planner.event(MessageReceived("x", frame)) if isinstance(e, SendMessage)])]
     assert answers == [1, 0, 0, 0, 0, 1]
 
 
--- a/tests/membership/test_state_machine.py
+++ b/tests/membership/test_state_machine.py
@@ -58,7 +58,7 @@
     write,
 )
 from granitewell.protocols.peers.limits import WINDOW, Window
-from granitewell.state_machine import Heard, Line, Road, Say, Woken
+from granitewell.state_machine import LogLine, MessageReceived, SendMessage, TimerFired, Transport
 
 S = 1_000_000
 ALIVE, SUSPECT, DEAD, LEFT = State
@@ -98,7 +98,7 @@
         self.now, self.told = 10**12, list[Any]()
         self.m = Membership(Config("me", "me", KEYS, figures=Figures(**figures)), stream(seed, "me"))
         self.peers = {peer.name: peer for peer in peers}
-        self.at(Woken())
+        self.at(TimerFired())
         for peer in peers:
             self.meet(peer)
 
@@ -106,11 +106,13 @@
         """Give it an event; what it tells, without what it says."""
         told, to_answer = [], []
         for effect in self.m.handle(self.now, event):
-            if not isinstance(effect, Say):
+            if not isinstance(effect, SendMessage):
                 told.append(effect)
             elif (peer := self.peers.get(effect.to)) is not None:
                 frame = open_(effect.data, KEYS, limit=1 << 20)
-                assert isinstance(frame, Frame) and (effect.road is Road.STREAM or len(effect.data) <= 1_200)
+                assert isinstance(frame, Frame) and (
+                    effect.transport is Transport.STREAM or len(effect.data) <= 1_200
+                )
                 letter = LETTERS.read(frame.body)
                 if letter is None:  # a refusal
                     continue
@@ -123,10 +125,10 @@
         return told
 
     def hear(self, peer: Peer, said: Said, *claims: Claim) -> list[Any]:
-        return self.at(Heard(peer.name, peer.letter(self.m.seat.birth, said, *claims)))
+        return self.at(MessageReceived(peer.name, peer.letter(self.m.seat.birth, said, *claims)))
 
     def meet(self, peer: Peer, *claims: Claim) -> None:
-        self.at(Heard(peer.name, peer.letter(0, Hello(9, peer.name)), Road.STREAM))
+        self.at(MessageReceived(peer.name, peer.letter(0, Hello(9, peer.name)), Transport.STREAM))
         welcome = [x.said for x in peer.heard if isinstance(x.said, Welcome)][-1]
         self.hear(peer, Push(9, welcome.token), *(claims or (peer.claim(),)))
 
@@ -134,7 +136,7 @@
         end, before = self.now + length_us, len(self.told)
         while 0 <= self.m.wake_us <= end:
             self.now = max(self.now, self.m.wake_us)
-            self.at(Woken())
+            self.at(TimerFired())
         self.now = end
         return self.told[before:]
 
@@ -336,8 +338,8 @@
     while not any(isinstance(x.said, Ping) for peer in peers for x in peer.heard):
         lone.wait(10_000)
     lone.now += 300 * S
-    told = lone.at(Woken())  # the timers come first; the answers still wait in the socket
-    assert not kinds(told, Suspected, Died) and [x for x in kinds(told, Line) if "stood still" in x.text]
+    told = lone.at(TimerFired())  # the timers come first; the answers still wait in the socket
+    assert not kinds(told, Suspected, Died) and [x for x in kinds(told, LogLine) if "stood still" in x.text]
     for peer in peers:
         peer.answers = True
     assert not kinds(lone.wait(2 * S), Died, Suspected) and lone.m.stood_us > 299 * S
@@ -348,15 +350,15 @@
     a, c = Peer("a", 5), Peer("c", 7)
     lone = Lone(a, forget_us=10 * S)
     kept = a.letter(lone.m.seat.birth, Rumour(), c.claim())
-    lone.at(Heard("a", kept))
+    lone.at(MessageReceived("a", kept))
     assert lone.m.alive("c")
     lone.hear(a, Rumour(), c.claim(1, DEAD, "a"))
     lone.wait(100 * S)
     assert lone.m.member("c") is None  # dead, and forgotten
-    lone.at(Heard("a", kept))
+    lone.at(MessageReceived("a", kept))
     assert lone.m.member("c") is None and lone.m.counts["replayed"] == 1
     new = Lone(a, seed=2)
-    new.at(Heard("a", kept))  # to a process that is not the one it was for
+    new.at(MessageReceived("a", kept))  # to a process that is not the one it was for
     assert not new.m.alive("c")
 
 
@@ -378,10 +380,10 @@
 
     before = state()
     for k in range(len(good)):
-        lone.at(Heard("a", good[:k] + bytes([good[k] ^ 1]) + good[k + 1 :]))
-        lone.at(Heard("a", good[:k]))
+        lone.at(MessageReceived("a", good[:k] + bytes([good[k] ^ 1]) + good[k + 1 :]))
+        lone.at(MessageReceived("a", good[:k]))
         assert state() == before
-    lone.at(Heard("a", good))
+    lone.at(MessageReceived("a", good))
     assert lone.m.own.inc == 2 and state() != before
 
 
@@ -446,7 +448,7 @@
     assert lone.m.phase is Phase.DISPUTED and not lone.wait(60 * S)  # a is up: silence proves nothing
     relays = [x.said.number for x in a.heard if isinstance(x.said, Relay)]
     lone.hear(a, Ack(relays[-1]))
-    assert [type(x) for x in lone.told[-2:]] == [Line, Twin] and lone.m.phase.value == "taken"
+    assert [type(x) for x in lone.told[-2:]] == [LogLine, Twin] and lone.m.phase.value == "taken"
 
 
 def test_too_much_is_dropped_and_counted_and_others_are_still_heard() -> None:
@@ -471,14 +473,14 @@
     lone = Lone(peers[0], in_all=10**6, per_sender=10**6)
     for number in range(300):
         lone.hear(peers[0], Relay(number, "x", 99, "x"))
-        lone.at(Heard("p0", peers[0].letter(0, Hello(number, "p0")), Road.STREAM))
+        lone.at(MessageReceived("p0", peers[0].letter(0, Hello(number, "p0")), Transport.STREAM))
     assert lone.m.counts["relays"] == 300 - 256 and lone.m.counts["syncs"] == 300 - 99
 
 
 def test_an_unknown_version_is_refused_but_not_each_time() -> None:
     lone = Lone()
-    frames = [lone.m.handle(lone.now, Heard("x", b"GW\x09\x10" + bytes(30))) for _ in range(50)]
-    answers = [x for out in frames for x in out if isinstance(x, Say)]
+    frames = [lone.m.handle(lone.now, MessageReceived("x", b"GW\x09\x10" + bytes(30))) for _ in range(50)]
+    answers = [x for out in frames for x in out if isinstance(x, SendMessage)]
     assert 1 <= len(answers) <= 2 and lone.m.counts["version"] == 50
 
 
@@ -549,7 +551,7 @@
     cluster, told = Site(7, count, figures=Figures(**figures)).cluster(), list[tuple[str, object]]()
     watch = Watch()
     cluster.watches += [watch.watch, lambda c, node, event, effects: told.extend(
-        (node.id, x) for x in effects if not isinstance(x, Say)
+        (node.id, x) for x in effects if not isinstance(x, SendMessage)
     )]  # fmt: skip
     cluster.run(10 * S)
     assert agreed(cluster) is None and cluster.broken is None
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -17,7 +17,7 @@
 from granitewell.quotas.quota_transfer import Quota
 from granitewell.quotas.state_machine import QuotaManager
 from granitewell.quotas.types import MILLI, ActiveNodes, BudgetTotals, KeysChanged, QuotaSettings
-from granitewell.state_machine import Heard, Say, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
 
 S = 1_000_000
 DAYS = ("loan-from-answer", "lent-short", "doubled-counts", "begins-free")  # that days catch
@@ -30,15 +30,15 @@
     return made
 
 
-def talk(now: int, *nodes: QuotaManager) -> list[Say]:
+def talk(now: int, *nodes: QuotaManager) -> list[SendMessage]:
     """All wake; what they say is delivered at once, and what comes of that, too."""
-    by_name, heard = {n.name: n for n in nodes}, list[Say]()
-    said = [(n.name, e) for n in nodes for e in n.handle(now, Woken())]
+    by_name, heard = {n.name: n for n in nodes}, list[SendMessage]()
+    said = [(n.name, e) for n in nodes for e in n.handle(now, TimerFired())]
     while said:
         source, say = said.pop(0)
-        assert isinstance(say, Say)
+        assert isinstance(say, SendMessage)
         heard.append(say)
-        said += [(say.to, e) for e in by_name[say.to].handle(now, Heard(source, say.data))]
+        said += [(say.to, e) for e in by_name[say.to].handle(now, MessageReceived(source, say.data))]
     return heard
 
 
@@ -153,13 +153,13 @@
     a, b = node("a"), node("b")
     for k in range(400):
         a.try_acquire(k * 1_000, KEY)
-    (want,) = (e for e in a.handle(S, Woken()) if isinstance(e, Say))
-    (lend,) = (e for e in b.handle(S, Heard("a", want.data)) if isinstance(e, Say))
-    a.handle(S, Heard("b", lend.data))
+    (want,) = (e for e in a.handle(S, TimerFired()) if isinstance(e, SendMessage))
+    (lend,) = (e for e in b.handle(S, MessageReceived("a", want.data)) if isinstance(e, SendMessage))
+    a.handle(S, MessageReceived("b", lend.data))
     once = right(a, S)
-    a.handle(S, Heard("b", lend.data))
+    a.handle(S, MessageReceived("b", lend.data))
     assert right(a, S) == once > 50.0
-    a.handle(3_600 * S, Heard("b", lend.data))
+    a.handle(3_600 * S, MessageReceived("b", lend.data))
     assert right(a, 3_600 * S) == 50.0
 
 
@@ -211,13 +211,17 @@
 )  # fmt: skip
 def test_what_is_no_letter_for_us_is_counted_and_gives_nothing(data: bytes, why: str) -> None:
     a = node("a")
-    assert a.handle(S, Heard("b", data)) == [] and a.counts[f"dropped {why}"] == 1 and right(a, S) == 50.0
+    assert (
+        a.handle(S, MessageReceived("b", data)) == []
+        and a.counts[f"dropped {why}"] == 1
+        and right(a, S) == 50.0
+    )
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.binary(max_size=200))
 def test_bytes_from_a_holder_of_the_key_raise_nothing(body: bytes) -> None:
-    node("a").handle(S, Heard("b", seal(Kind.RIGHT, body, KEYS, "b")))
+    node("a").handle(S, MessageReceived("b", seal(Kind.RIGHT, body, KEYS, "b")))
 
 
 def test_other_keys_are_taken_up_and_every_defect_is_caught_somewhere() -> None:
@@ -226,6 +230,8 @@
     a.handle(0, KeysChanged(other))
     for k in range(400):
         a.try_acquire(k * 1_000, KEY)
-    assert isinstance(open_(next(e for e in a.handle(S, Woken()) if isinstance(e, Say)).data, other), Frame)
+    assert isinstance(
+        open_(next(e for e in a.handle(S, TimerFired()) if isinstance(e, SendMessage)).data, other), Frame
+    )
     assert set(PLANTS) == {*DAYS, "back-forgotten", "stall-spends", "floor-lent"}
     assert LETTERS.read(LETTERS.write(Back(KEY, 1, [2]))) == Back(KEY, 1, [2])
--- a/tests/shared_counters/test_shared_counters.py
+++ b/tests/shared_counters/test_shared_counters.py
@@ -21,7 +21,7 @@
 from granitewell.shared_counters.remote_counts import Life
 from granitewell.shared_counters.state_machine import WORDS, Counts
 from granitewell.shared_counters.types import OTHERS, Figures, Peer, Peers, Rekey, Took
-from granitewell.state_machine import Heard, Say, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
 from granitewell.status import shared
 
 S = 1_000_000
@@ -35,18 +35,18 @@
     return made
 
 
-def said(effects: list[object], to: str = "") -> list[Say]:
-    return [e for e in effects if isinstance(e, Say) and to in ("", e.to)]
+def said(effects: list[object], to: str = "") -> list[SendMessage]:
+    return [e for e in effects if isinstance(e, SendMessage) and to in ("", e.to)]
 
 
 def exchange(now: int, asks: Counts, answers: Counts, lose: tuple[int, ...] = ()) -> int:
     """Asks wakes, and its question to answers is answered; how many letters came back."""
     back = 0
-    for say in said(asks.handle(now, Woken()), answers.name):
-        for k, word in enumerate(said(answers.handle(now, Heard(asks.name, say.data)))):
+    for say in said(asks.handle(now, TimerFired()), answers.name):
+        for k, word in enumerate(said(answers.handle(now, MessageReceived(asks.name, say.data)))):
             back += 1
             if k not in lose:
-                asks.handle(now, Heard(answers.name, word.data))
+                asks.handle(now, MessageReceived(answers.name, word.data))
     return back
 
 
@@ -155,7 +155,7 @@
         now += 2_000
         a.handle(now, Took(f"a-rather-long-name-of-a-tenant-{k % 50}"))
     came = exchange(now, b, a)
-    assert 1 < came <= WORDS and all(len(x.data) <= MAX_DATAGRAM for x in said(a.handle(now, Woken())))
+    assert 1 < came <= WORDS and all(len(x.data) <= MAX_DATAGRAM for x in said(a.handle(now, TimerFired())))
     for _ in range(12):
         now += 250_000
         exchange(now, b, a)
@@ -230,14 +230,14 @@
     a, b = node("a", others=("b",)), node("b", others=("a",))
     a.handle(S, Took("k", 5))
     exchange(2 * S, b, a)
-    ask = said(b.handle(3 * S, Woken()))[0]
-    late = said(a.handle(3 * S, Heard("b", ask.data)))[0]
+    ask = said(b.handle(3 * S, TimerFired()))[0]
+    late = said(a.handle(3 * S, MessageReceived("b", ask.data)))[0]
     b.handle(4 * S, Peers({"a": Peer("a", False, True)}))
     assert b.figure(4 * S).low == 5
     b.handle(13 * S, Peers({"a": Peer("a", False, True)}))
     assert not b.nodes and b.figure(13 * S).high == 0
     b.handle(14 * S, Peers({}))
-    b.handle(14 * S, Heard("a", late.data))
+    b.handle(14 * S, MessageReceived("a", late.data))
     assert not b.nodes and b.figure(14 * S).high == 0
 
 
@@ -280,7 +280,7 @@
         now += 1_000
         a.handle(now, Took("k"))
         if a.wake_us <= now:
-            a.handle(now, Woken())
+            a.handle(now, TimerFired())
     assert a.counts["ask said"] >= 3 * 7  # of each of three, every 250 ms
 
 
@@ -289,7 +289,7 @@
     others = tuple(f"n{k}" for k in range(100))
     a = node("a", 0, figures, others)
     for now in range(0, 20 * S, 20_000):
-        a.handle(now, Woken())
+        a.handle(now, TimerFired())
     assert a.counts["said_bytes"] <= 2_000 * 20 + 2_000 and a.counts["slowed"] > 0
 
 
@@ -305,7 +305,7 @@
 )  # fmt: skip
 def test_what_is_no_letter_for_us_is_counted_and_changes_nothing(data: bytes, why: str) -> None:
     a = node("a")
-    assert a.handle(S, Heard("b", data)) == [] and a.counts[f"dropped {why}"] == 1
+    assert a.handle(S, MessageReceived("b", data)) == [] and a.counts[f"dropped {why}"] == 1
     assert not any(n.lives for n in a.nodes.values())
 
 
@@ -321,13 +321,13 @@
     from msgspec.structs import replace
 
     a = node("a", others=("b",))
-    (ask,) = said(a.handle(S, Woken()), "b")[:1]
+    (ask,) = said(a.handle(S, TimerFired()), "b")[:1]
     frame = open_(ask.data, KEYS)
     assert isinstance(frame, Frame)
     asked = LETTERS.read(frame.body)
     assert isinstance(asked, Ask)
     body = LETTERS.write(replace(word, number=asked.number))
-    a.handle(S, Heard("b", seal(Kind.COUNT, body, KEYS, "b")))
+    a.handle(S, MessageReceived("b", seal(Kind.COUNT, body, KEYS, "b")))
     assert not a.nodes["b"].lives and sum(n for k, n in a.counts.items() if k.startswith("dropped")) == 1
 
 
@@ -335,15 +335,15 @@
 @given(st.binary(max_size=200))
 def test_bytes_from_a_holder_of_the_key_raise_nothing(body: bytes) -> None:
     a = node("a")
-    a.handle(S, Woken())
-    a.handle(S, Heard("b", seal(Kind.COUNT, body, KEYS, "b")))
+    a.handle(S, TimerFired())
+    a.handle(S, MessageReceived("b", seal(Kind.COUNT, body, KEYS, "b")))
 
 
 def test_other_keys_are_taken_up() -> None:
     a = node("a")
     other = Keys(Key(b"another key altogether"))
     a.handle(S, Rekey(other))
-    assert isinstance(open_(said(a.handle(2 * S, Woken()))[0].data, other), Frame)
+    assert isinstance(open_(said(a.handle(2 * S, TimerFired()))[0].data, other), Frame)
 
 
 # --- The judge and the words -----------------------------------------------------------------------------
