--- a/granitewell/cluster/persisted_record.py
+++ b/granitewell/cluster/persisted_record.py
@@ -13,8 +13,8 @@
 
 from granitewell.cluster.size_estimate import MAX_NAMES, Known
 from granitewell.cluster.types import address
-from granitewell.protocols.peers.frames import MAX_NAME
-from granitewell.protocols.peers.gossip import MAX_GEN, MAX_INC, word
+from granitewell.protocols.peers.frames import MAX_NAME_BYTES
+from granitewell.protocols.peers.gossip import MAX_GEN, MAX_INC, is_printable
 
 VERSION = 1
 MAX_BYTES = 4 * 1024 * 1024
@@ -113,7 +113,7 @@
 
 
 def _named(value: object) -> bool:
-    return isinstance(value, str) and 1 <= len(value) <= MAX_NAME and word(value)
+    return isinstance(value, str) and 1 <= len(value) <= MAX_NAME_BYTES and is_printable(value)
 
 
 def _known(value: object) -> Known:
--- a/granitewell/cluster/types.py
+++ b/granitewell/cluster/types.py
@@ -10,17 +10,19 @@
 from dataclasses import dataclass, field
 from ipaddress import ip_address
 
-from granitewell.protocols.peers.frames import MAX_NAME, MAX_SECRET, MIN_SECRET, Key, Keys
-from granitewell.protocols.peers.gossip import MAX_ROLE, MAX_ZONE, word
+from granitewell.protocols.peers.frames import MAX_NAME_BYTES, MAX_SECRET_BYTES, MIN_SECRET_BYTES, Key, Keys
+from granitewell.protocols.peers.gossip import MAX_ROLE_BYTES, MAX_ZONE_BYTES, is_printable
 
 MAX_SEEDS = 64
 MAX_KEYS_FILE = 4_096  # bytes
 MIN_STREAMS, MAX_STREAMS = 2, 256  # each way
 MIN_UNHEARD_S, MAX_UNHEARD_S = 60.0, 30 * 86_400.0
 ROLE = "forwarder"
-ALLOWED_NAME = f"1 to {MAX_NAME} of a-z, 0-9, - and ., a letter or figure first"
+ALLOWED_NAME = f"1 to {MAX_NAME_BYTES} of a-z, 0-9, - and ., a letter or figure first"
 ALLOWED_ADDRESS = "HOST:PORT, HOST an address in figures, PORT from 1 to 65535"
-ALLOWED_KEYS = f"a file with one or two lines, each a key of {MIN_SECRET} to {MAX_SECRET} bytes in hex"
+ALLOWED_KEYS = (
+    f"a file with one or two lines, each a key of {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES} bytes in hex"
+)
 _NAME = re.compile(r"[a-z0-9][a-z0-9.-]{0,62}\Z")
 
 
@@ -60,17 +62,17 @@
 
 def word_fits(text: str, most: int) -> bool:
     """Whether it is a role or zone of at most so many bytes."""
-    return len(text) <= most and word(text)
+    return len(text) <= most and is_printable(text)
 
 
 def role_fits(role: str) -> bool:
     """Whether a member may say this of itself."""
-    return bool(role) and word_fits(role, MAX_ROLE)
+    return bool(role) and word_fits(role, MAX_ROLE_BYTES)
 
 
 def zone_fits(zone: str) -> bool:
     """As role_fits, and it may be empty."""
-    return word_fits(zone, MAX_ZONE)
+    return word_fits(zone, MAX_ZONE_BYTES)
 
 
 def address(text: str) -> tuple[str, int]:
@@ -116,7 +118,7 @@
         if not re.fullmatch("(?:[0-9a-fA-F]{2})+", line):
             raise ValueError(f"found a key (number {k + 1}) that is not hex, allowed: {ALLOWED_KEYS}")
         size = len(line) // 2
-        if not MIN_SECRET <= size <= MAX_SECRET:
+        if not MIN_SECRET_BYTES <= size <= MAX_SECRET_BYTES:
             raise ValueError(f"found a key (number {k + 1}) of {size} bytes, allowed: {ALLOWED_KEYS}")
         made.append(Key(bytes.fromhex(line)))
     if len(made) == 2 and made[0].id == made[1].id:
--- a/granitewell/lab/cluster/budgets_search.py
+++ b/granitewell/lab/cluster/budgets_search.py
@@ -35,7 +35,7 @@
     borrowed: frozenset[tuple[str, int, int, int, int]]
 
 
-class Letter(NamedTuple):
+class Envelope(NamedTuple):
     """kind: want, again, lend, back.
 
     Attributes:
@@ -61,7 +61,7 @@
     """
 
     processes: tuple[Process, ...]
-    letters: frozenset[Letter]
+    letters: frozenset[Envelope]
     wants: int
     ends: int
 
@@ -107,18 +107,18 @@
         if state.wants:
             for to in NAMES:
                 if to != name:
-                    letter = Letter("want", name, to, one.birth, 0)
+                    letter = Envelope("want", name, to, one.birth, 0)
                     yield f"{name} asks {to}", _said(state, letter)._replace(wants=state.wants - 1)
         for lender, birth, number, amount, _ in sorted(one.borrowed):
             if not amount:
                 continue
             rights = rights_of(one)
             rights.give_back(NOW, (lender, birth, number))
-            back = Letter("back", name, lender, one.birth, DEAD, birth, number)
+            back = Envelope("back", name, lender, one.birth, DEAD, birth, number)
             put = _put(state, k, process_of(rights, one.birth))
             yield f"{name} gives {number} back to {lender}", _said(put, back)
             if state.wants:
-                again = Letter("again", name, lender, one.birth, 0, birth, number)
+                again = Envelope("again", name, lender, one.birth, 0, birth, number)
                 yield (
                     f"{name} asks {lender} for {number} again",
                     _said(state, again)._replace(wants=state.wants - 1),
@@ -142,7 +142,7 @@
     return state._replace(processes=tuple(made), letters=frozenset(x for x in letters if not _spent(x, made)))
 
 
-def _spent(letter: Letter, processes: list[Process]) -> bool:
+def _spent(letter: Envelope, processes: list[Process]) -> bool:
     if letter.kind in ("lend", "want"):  # an answer to what was asked so long ago is no answer
         return letter.asked == DEAD
     if letter.kind in ("back", "again"):
@@ -151,7 +151,7 @@
     return False
 
 
-def _heard(state: State, letter: Letter) -> State:
+def _heard(state: State, letter: Envelope) -> State:
     k = NAMES.index(letter.to)
     one = state.processes[k]
     rights = rights_of(one)
@@ -161,7 +161,7 @@
         number, amount = rights.lend(NOW, letter.source, 2)
         if not number:
             return state
-        answer = Letter(
+        answer = Envelope(
             "lend", letter.to, letter.source, letter.asker, letter.asked, one.birth, number, amount
         )
         return _said(_put(state, k, process_of(rights, one.birth)), answer)
@@ -179,10 +179,10 @@
     return _put(state, k, process_of(rights, one.birth))
 
 
-def _lent(state: State, k: int, rights: Quota, asked: Letter, number: int, amount: int) -> State:
+def _lent(state: State, k: int, rights: Quota, asked: Envelope, number: int, amount: int) -> State:
     """The lender writes it down, and answers."""
     birth = state.processes[k].birth
-    answer = Letter("lend", asked.to, asked.source, asked.asker, asked.asked, birth, number, amount)
+    answer = Envelope("lend", asked.to, asked.source, asked.asker, asked.asked, birth, number, amount)
     return _said(_put(state, k, process_of(rights, birth)), answer)
 
 
@@ -190,7 +190,7 @@
     return state._replace(processes=(*state.processes[:k], one, *state.processes[k + 1 :]))
 
 
-def _said(state: State, letter: Letter) -> State:
+def _said(state: State, letter: Envelope) -> State:
     return state._replace(letters=state.letters | {letter})
 
 
--- a/granitewell/lab/cluster/leases_rules.py
+++ b/granitewell/lab/cluster/leases_rules.py
@@ -22,8 +22,8 @@
 from granitewell.leases.record import KEY, read
 from granitewell.leases.state_machine import Leases
 from granitewell.leases.types import Follows, Leads, Lost, Refuses
-from granitewell.protocols.peers.frames import HEAD, TAG
-from granitewell.protocols.peers.leases import LETTERS, Ask, Grant, Letter
+from granitewell.protocols.peers.frames import HEADER_BYTES, TAG_BYTES
+from granitewell.protocols.peers.leases import CODEC, Ask, Envelope, Grant
 from granitewell.state_machine import SendMessage
 
 QUIET_US = 20_000_000  # after the last trouble: a new disk waits 12.2 s on the slowest clock; then some tries
@@ -153,9 +153,9 @@
     return f"unwritten: {node.id} says that it has granted term {said.term} to {to}; the disk has {record}"
 
 
-def letter_of(frame: bytes) -> Letter | None:
+def letter_of(frame: bytes) -> Envelope | None:
     """What a sealed letter says, unverified."""
-    return LETTERS.read(frame[HEAD + frame[HEAD - 1] : -TAG])
+    return CODEC.decode(frame[HEADER_BYTES + frame[HEADER_BYTES - 1] : -TAG_BYTES])
 
 
 def planner_of(node: Node) -> Leases | None:
--- a/granitewell/lab/cluster/leases_tables.py
+++ b/granitewell/lab/cluster/leases_tables.py
@@ -27,7 +27,7 @@
 from granitewell.leases.state_machine import Leases
 from granitewell.leases.types import Leads, Settings, State
 from granitewell.protocols.peers.frames import Key, Keys
-from granitewell.protocols.peers.leases import Ask, Grant, Here, No, Oath, Probe, Said, Sworn, Would
+from granitewell.protocols.peers.leases import Ask, Grant, Here, Message, No, Oath, Probe, Sworn, Would
 from granitewell.state_machine import MessageReceived, SendMessage, Store, Stored, TimerFired
 
 LEASE_US = 10_000_000  # as long as there are, so that a new disk waits no longer than a lease
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Letter:
+class Envelope:
     """A message that was said."""
 
     sender: int
@@ -129,7 +129,7 @@
     def __init__(self, ppm: tuple[int, int, int]) -> None:
         self._clocks = tuple(Clock(START_US, one) for one in ppm)
         self.processes: list[Process] = []
-        self.letters: list[Letter] = []
+        self.letters: list[Envelope] = []
         self.to = [0, 0, 0]  # by place: the messages to that planner
         self._numbers: dict[Hashable, int] = {}
         self._known: dict[tuple[str, bytes], int] = {}
@@ -254,10 +254,10 @@
         self._contests[whose] = self._contests.get(whose, 0) | vote
         return vote
 
-    def _letter(self, sender: int, say: SendMessage, said: Said, boot: int) -> int:
+    def _letter(self, sender: int, say: SendMessage, said: Message, boot: int) -> int:
         number = self._known.setdefault((say.to, say.data), len(self.letters))
         if number == len(self.letters):
-            self.letters.append(Letter(sender, say.data, words(said)))
+            self.letters.append(Envelope(sender, say.data, words(said)))
             self.to[NAMES.index(say.to)] |= 1 << number
             if isinstance(said, Grant):
                 self._grants |= 1 << number
@@ -304,7 +304,7 @@
         return any((votes & all_of).bit_count() > 1 for all_of in self._contests.values())
 
 
-def _slot(said: Said, number: int) -> tuple[Hashable, ...]:
+def _slot(said: Message, number: int) -> tuple[Hashable, ...]:
     if isinstance(said, Ask):
         return "ask", said.term
     if isinstance(said, Grant):
@@ -319,7 +319,7 @@
     return next((e.data for e in effects if isinstance(e, SendMessage) and e.to == name), None)
 
 
-def words(said: Said) -> str:
+def words(said: Message) -> str:
     """A message in few words; terms without the epoch."""
     term = getattr(said, "term", 0) & 0xFFFF
     if isinstance(said, Ask):
--- a/granitewell/lab/cluster/membership.py
+++ b/granitewell/lab/cluster/membership.py
@@ -18,7 +18,7 @@
 from granitewell.lab.cluster.world import Boot, Broken, Cluster, Make, Spec
 from granitewell.lab.engine import stream
 from granitewell.membership.state_machine import Membership
-from granitewell.membership.types import Config, Figures
+from granitewell.membership.types import Config, Parameters
 from granitewell.protocols.peers.frames import Key, Keys
 
 KEYS = Keys(Key(b"a key for virtual time alone"))
@@ -40,7 +40,7 @@
     seed: int
     count: int
     quality: Quality = field(default_factory=lambda: Quality(delay_us=300, jitter_us=1_500))
-    figures: Figures = field(default_factory=Figures)
+    parameters: Parameters = field(default_factory=Parameters)
     joins_us: int = 0
 
     @property
@@ -60,7 +60,7 @@
         return cluster
 
     def _make(self, name: str) -> Make:
-        config = Config(name, name, KEYS, seeds=tuple(self.names[:SEEDS]), figures=self.figures)
+        config = Config(name, name, KEYS, seeds=tuple(self.names[:SEEDS]), parameters=self.parameters)
 
         def make(boot: Boot) -> list[Membership]:
             return [Membership(config, boot.rng)]
--- a/granitewell/lab/cluster/membership_measure.py
+++ b/granitewell/lab/cluster/membership_measure.py
@@ -27,7 +27,7 @@
 from granitewell.lab.cluster.world import Node
 from granitewell.lab.engine import stream
 from granitewell.membership.states import Phase
-from granitewell.membership.types import Figures, Leave
+from granitewell.membership.types import Leave, Parameters
 
 SCENARIOS = ("cold", "idle", "deaths", "stalls", "slow", "partition", "restart", "leave")
 JOIN_US = 20_000  # between two that start
@@ -53,7 +53,7 @@
     seconds: int = 60
     seed: int = 1
     deaths: int = 10
-    figures: Figures = field(default_factory=Figures)
+    figures: Parameters = field(default_factory=Parameters)
 
 
 class Run:
@@ -62,7 +62,7 @@
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         joins = JOIN_US * plan.members if plan.scenario != "cold" else 0
-        site = Site(plan.seed, plan.members, figures=plan.figures, joins_us=joins)
+        site = Site(plan.seed, plan.members, parameters=plan.figures, joins_us=joins)
         self.site, self.cluster, self.watch = site, site.cluster(), Watch()
         self.cluster.watches.append(self.watch.watch)
         self.rng = stream(plan.seed, "measure")
@@ -151,7 +151,7 @@
         cut = Cut((tuple(names[: len(names) // 2]), tuple(names[len(names) // 2 :])))
         self.cluster.links.cut(cut)
         self.cluster.run(start + self.plan.seconds * _S)
-        self.found["seen_while_cut"] = spread([float(m.seat.members) for _, m in running(self.cluster)])
+        self.found["seen_while_cut"] = spread([float(m.local.member_count) for _, m in running(self.cluster)])
         self.cluster.links.heal(cut)
         self.watch.clear()
         self._until_agreed()
@@ -216,7 +216,7 @@
         machine = member_of(node)
         if machine is None or node.boots != boot:
             return
-        if machine.phase is Phase.IN:
+        if machine.phase is Phase.ACTIVE:
             self.backs_s.append((self.cluster.now_us - since) / _S)
         else:
             self.cluster.engine.at(self.cluster.now_us + LOOK_US // 2, self._back, node, since, boot)
@@ -253,7 +253,7 @@
             self.found[f"{name}suspicions"], self.found[f"{name}deaths"] = suspected, died
             self.found[f"{name}deaths_told"] = sum(sum(x.died.values()) for x in lives)
             self.found[f"{name}suspicions_h"], self.found[f"{name}deaths_h"] = suspected / hours, died / hours
-        stood = [m.stood_us / _S for _, m in running(self.cluster)]
+        stood = [m.stalled_us / _S for _, m in running(self.cluster)]
         self.found["health_worst"] = max(m.health for _, m in running(self.cluster))
         self.found["stood_s"] = sum(stood)
 
@@ -272,12 +272,12 @@
     return Run(plan).play()
 
 
-def swim(figures: Figures) -> Figures:
+def swim(figures: Parameters) -> Parameters:
     """Plain SWIM: a question once, helpers once, a fixed time for suspects, hearsay believed."""
     return replace(lifeguard(figures), lifeguard=False)
 
 
-def lifeguard(figures: Figures) -> Figures:
+def lifeguard(figures: Parameters) -> Parameters:
     """SWIM with Lifeguard, and nothing of ours.
 
     No repeated questions, no last call, no noticing that it stood still.
--- a/granitewell/lab/cluster/membership_plants.py
+++ b/granitewell/lab/cluster/membership_plants.py
@@ -13,8 +13,8 @@
 from granitewell.membership import (
     assertions,
     dissemination,
-    limits,
     local_member,
+    process_clock,
     refutation,
     states,
     suspicion,
@@ -54,18 +54,18 @@
     return bool((new.inc, new.state) > (old.inc, old.state))
 
 
-def _ageless(record: Any, now_us: int, whole: Any = table.bare) -> Any:
+def _ageless(record: Any, now_us: int, whole: Any = table.not_alive_assertion) -> Any:
     claim = whole(record, now_us)
     return type(claim)(claim.name, claim.gen, claim.birth, claim.inc, claim.state, by=claim.by)
 
 
-def _kept(self: dissemination.Spread, members: int) -> int:
+def _kept(self: dissemination.DisseminationQueue, members: int) -> int:
     return 1 << 30
 
 
-def _unasked(self: refutation.Own, whole: Any = refutation.Own.dispute) -> None:
+def _unasked(self: refutation.LocalIdentity, whole: Any = refutation.LocalIdentity.dispute_name) -> None:
     if self.phase is states.Phase.JOINING:
-        self.enter()
+        self.join()
     else:
         whole(self)
 
@@ -73,17 +73,17 @@
 _PATCHES: dict[str, tuple[tuple[Any, str, Any], ...]] = {
     "refutation-ignored": ((table, "overrides", _unrefuted),),
     "inc-ge": ((table, "overrides", _overrides),),
-    "timeout-unscaled": ((suspicion, "scale", lambda members: 1.0),),
+    "timeout-unscaled": ((suspicion, "timeout_scale", lambda members: 1.0),),
     "former-self": ((table, "overrides", _birthless),),
-    "gossip-unbounded": ((dissemination.Spread, "most", _kept),),
-    "replay-heard": ((letters.Window, "fresh", lambda self, number: True),),
-    "hearsay-kills": ((assertions.Claims, "_second_hand", lambda self, claim: False),),
-    "stall-unseen": ((limits.OwnTime, "read", lambda self, clock: (clock, 0)),),
-    "twin-unasked": ((refutation.Own, "dispute", _unasked),),
+    "gossip-unbounded": ((dissemination.DisseminationQueue, "max_transmissions", _kept),),
+    "replay-heard": ((letters.ReplayWindow, "accept", lambda self, number: True),),
+    "hearsay-kills": ((assertions.AssertionHandler, "_is_hearsay_death", lambda self, claim: False),),
+    "stall-unseen": ((process_clock.ProcessClock, "read", lambda self, clock: (clock, 0)),),
+    "twin-unasked": ((refutation.LocalIdentity, "dispute_name", _unasked),),
     "ages-lost": (
-        (table, "bare", _ageless),
-        (assertions, "bare", _ageless),
-        (local_member, "bare", _ageless),
+        (table, "not_alive_assertion", _ageless),
+        (assertions, "not_alive_assertion", _ageless),
+        (local_member, "not_alive_assertion", _ageless),
     ),
 }
 
--- a/granitewell/lab/cluster/membership_watch.py
+++ b/granitewell/lab/cluster/membership_watch.py
@@ -20,7 +20,16 @@
 from granitewell.lab.cluster.world import Cluster, Node
 from granitewell.membership.state_machine import Membership
 from granitewell.membership.states import Phase
-from granitewell.membership.types import Changed, Died, Joined, Left, Member, Moved, Suspected, Twin
+from granitewell.membership.types import (
+    Changed,
+    Died,
+    DuplicateIdentity,
+    Joined,
+    Left,
+    Member,
+    PhaseChanged,
+    Suspected,
+)
 from granitewell.state_machine import LogLine, SendMessage
 
 _TOLD = (Joined, Suspected, Died, Left, Changed)
@@ -67,7 +76,7 @@
         if machine is None:
             return None
         life = self._life(cluster, node, machine)
-        own = machine.own
+        own = machine.identity
         if (own.gen, own.inc) != life.claimed:
             if (own.gen, own.inc) < life.claimed:
                 return f"own-fell: {node.id} claimed {life.claimed} and claims {(own.gen, own.inc)}"
@@ -79,16 +88,16 @@
                 text = self._told(cluster, node, effect, effect.member)
                 if text is not None:
                     return text
-            elif isinstance(effect, Moved):
+            elif isinstance(effect, PhaseChanged):
                 life.ended_us = cluster.now_us if effect.phase is Phase.LEAVING else life.ended_us
-            self.twins += isinstance(effect, Twin)
+            self.twins += isinstance(effect, DuplicateIdentity)
         return None
 
     def _life(self, cluster: Cluster, node: Node, machine: Membership) -> Life:
-        birth = machine.seat.birth
+        birth = machine.local.birth
         life = self.lives.get(birth)
         if life is None:
-            life = self.lives[birth] = Life(machine.seat.config.name, node, cluster.now_us, node.boots)
+            life = self.lives[birth] = Life(machine.local.config.name, node, cluster.now_us, node.boots)
         return life
 
     def _told(self, cluster: Cluster, node: Node, effect: object, member: Member) -> str | None:
@@ -113,7 +122,7 @@
     def life_of(self, node: Node) -> Life | None:
         """Of the process that runs there now."""
         machine = member_of(node)
-        return self.lives.get(machine.seat.birth) if machine is not None else None
+        return self.lives.get(machine.local.birth) if machine is not None else None
 
     def ended(self, cluster: Cluster, node: Node) -> None:
         """It is about to be killed."""
@@ -145,23 +154,23 @@
     """What keeps the members from seeing the same, if anything does."""
     there: dict[str, int] = {}
     for node, machine in running(cluster):
-        name = machine.seat.config.name
-        if machine.phase is Phase.IN:
+        name = machine.local.config.name
+        if machine.phase is Phase.ACTIVE:
             if name in there:
                 return f"name-twice: {name} is a member twice, one of them {node.id}"
-            there[name] = machine.seat.birth
+            there[name] = machine.local.birth
     for node, machine in running(cluster):
-        if machine.phase is not Phase.IN and machine.seat.config.name not in there:
+        if machine.phase is not Phase.ACTIVE and machine.local.config.name not in there:
             return f"apart: {node.id} is {machine.phase.value}, and nobody has its name"
-        if machine.phase is Phase.IN and len(machine.seat.table.up) != len(there):
-            return f"apart: {node.id} sees {len(machine.seat.table.up)} of {len(there)}"
+        if machine.phase is Phase.ACTIVE and len(machine.local.table.up) != len(there):
+            return f"apart: {node.id} sees {len(machine.local.table.up)} of {len(there)}"
     return _same(cluster, there)
 
 
 def _same(cluster: Cluster, there: dict[str, int]) -> str | None:
     for node, machine in running(cluster):
-        table = machine.seat.table
-        for name in table.up.names if machine.phase is Phase.IN else ():
+        table = machine.local.table
+        for name in table.up.names if machine.phase is Phase.ACTIVE else ():
             if table.records[name].standing.birth != there.get(name):
                 return f"apart: {node.id} sees another life of {name}"
     return None
--- a/granitewell/lab/cluster/world.py
+++ b/granitewell/lab/cluster/world.py
@@ -31,7 +31,7 @@
     Transport,
 )
 
-MAX_DATAGRAM = 1_200
+MAX_DATAGRAM_BYTES = 1_200
 MAX_WAITING = 512  # datagrams that a stalled process's socket holds; more are dropped
 
 
@@ -300,8 +300,8 @@
         if say.transport is Transport.STREAM:
             self._stream(source, say)
             return
-        if size > MAX_DATAGRAM:
-            raise ValueError(f"datagram: found {size} bytes, allowed are {MAX_DATAGRAM}")
+        if size > MAX_DATAGRAM_BYTES:
+            raise ValueError(f"datagram: found {size} bytes, allowed are {MAX_DATAGRAM_BYTES}")
         now = self.engine.now_us
         for takes in self.links.datagram(source, say.to):
             self.engine.at(now + takes, self._arrive, source, say.to, say.data)
--- a/granitewell/lab/fleet/observations.py
+++ b/granitewell/lab/fleet/observations.py
@@ -10,8 +10,16 @@
 from collections import Counter
 from hashlib import blake2b
 
-from granitewell.protocols.peers.frames import MAX_DATAGRAM, MAX_STREAM, Frame, Key, Keys, Kind, open_
-from granitewell.protocols.peers.gossip import LETTERS, Letter
+from granitewell.protocols.peers.frames import (
+    MAX_DATAGRAM_BYTES,
+    MAX_STREAM_FRAME_BYTES,
+    Frame,
+    Key,
+    Keys,
+    Kind,
+    open_,
+)
+from granitewell.protocols.peers.gossip import CODEC, Envelope
 from granitewell.state_machine import Transport
 
 KEPT = 8_192  # numbers of a process that are told apart
@@ -39,13 +47,15 @@
     def frame(self, now_us: int, node: str, data: bytes, transport: Transport) -> None:
         """A whole frame that a node has sent."""
         self.counts[f"{node} {transport.value}s"] += 1
-        letter = self._opened(data, MAX_DATAGRAM if transport is Transport.DATAGRAM else MAX_STREAM)
+        letter = self._opened(
+            data, MAX_DATAGRAM_BYTES if transport is Transport.DATAGRAM else MAX_STREAM_FRAME_BYTES
+        )
         if letter is None:
             self.counts[f"{node} unread"] += 1
             return
-        self.counts[f"{node} {type(letter.said).__name__.lower()}"] += 1
+        self.counts[f"{node} {type(letter.message).__name__.lower()}"] += 1
         self._number(node, letter, data)
-        for claim in letter.claims:
+        for claim in letter.assertions:
             own = claim.birth == letter.birth and claim.state == LEFT
             if own and letter.birth not in self._gone:
                 self._gone.add(letter.birth)
@@ -60,14 +70,14 @@
         if len(self.offences) < MAX_OFFENCES:
             self.offences.append(text)
 
-    def _opened(self, data: bytes, limit: int) -> Letter | None:
+    def _opened(self, data: bytes, limit: int) -> Envelope | None:
         for keys in self._keys:
             frame = open_(data, keys, limit=limit)
             if isinstance(frame, Frame):
-                return LETTERS.read(frame.body) if frame.kind == Kind.GOSSIP else None
+                return CODEC.decode(frame.body) if frame.kind == Kind.GOSSIP else None
         return None
 
-    def _number(self, node: str, letter: Letter, data: bytes) -> None:
+    def _number(self, node: str, letter: Envelope, data: bytes) -> None:
         numbers = self._numbers.pop(letter.birth, None)
         if numbers is None:
             numbers = {}
--- a/granitewell/lab/fleet/planted.py
+++ b/granitewell/lab/fleet/planted.py
@@ -45,8 +45,8 @@
 def _former(goes_on: bool) -> Callable[[], None]:
     def plant() -> None:
         shell = _cluster()
-        right = shell.Former
-        shell.Former = lambda gen, birth, inc, seq, _: right(gen, birth, inc, seq, goes_on)
+        right = shell.PreviousProcess
+        shell.PreviousProcess = lambda gen, birth, inc, seq, _: right(gen, birth, inc, seq, goes_on)
 
     return plant
 
--- a/granitewell/lab/fleet/switch.py
+++ b/granitewell/lab/fleet/switch.py
@@ -39,7 +39,7 @@
 from granitewell.lab.fleet.observations import Seen
 from granitewell.lab.fleet.plan import Door, FleetPlan, load
 from granitewell.lab.loopback.standin import DirectorChannel, Words, main
-from granitewell.protocols.peers.frames import Splitter
+from granitewell.protocols.peers.frames import FrameSplitter
 from granitewell.state_machine import Transport
 
 PIECE = 64 * 1024
@@ -362,7 +362,7 @@
             self._pipes.discard(pipe)
 
     async def _pump(self, pipe: Pipe, sock: socket.socket, source: str, to: str) -> None:
-        splitter, node = Splitter(), node_of(source)
+        splitter, node = FrameSplitter(), node_of(source)
         own = sock is pipe.near
         try:
             while True:
@@ -372,8 +372,8 @@
                 self._seen.counts[f"{node} bytes"] += len(data)
                 for frame in splitter.feed(data):
                     self._seen.frame(self._channel.agenda.clock.now(), node, frame, Transport.STREAM)
-                if splitter.broken is not None:
-                    self._seen.spoilt(node, splitter.broken.text)
+                if splitter.error is not None:
+                    self._seen.spoilt(node, splitter.error.text)
                     return
                 if pipe.dead:
                     continue  # it goes nowhere
--- a/granitewell/lab/fleet/virtual.py
+++ b/granitewell/lab/fleet/virtual.py
@@ -23,7 +23,7 @@
 from granitewell.lab.judge.view import ViewJudge
 from granitewell.membership.state_machine import Membership
 from granitewell.membership.states import UP, Phase
-from granitewell.membership.types import Config, Figures, Former, Leave
+from granitewell.membership.types import Config, Leave, Parameters, PreviousProcess
 
 EVERY_US = 250_000  # between two looks, as at processes
 LEAD_US = 2_000_000  # before the day, in which all start
@@ -42,7 +42,9 @@
         self.cluster = Cluster(schedule.seed, Quality(**given))  # type: ignore[arg-type]
         self._census: dict[str, Census] = {}
         self._count: dict[str, Count] = {}
-        self._kept: dict[str, tuple[Former | None, list[Known], tuple[str, ...]]] = {}  # as notes have it
+        self._kept: dict[
+            str, tuple[PreviousProcess | None, list[Known], tuple[str, ...]]
+        ] = {}  # as notes have it
         self._skipped: list[str] = []
         self._cuts: dict[Trouble, Cut] = {}
         for k, name in enumerate(schedule.names):
@@ -61,10 +63,10 @@
     def _make(self, boot: Boot) -> list[Membership]:
         """What the program's shell does at a start."""
         schedule, name = self.schedule, boot.id
-        nothing: tuple[Former | None, list[Known], tuple[str, ...]] = (None, [], ())
+        nothing: tuple[PreviousProcess | None, list[Known], tuple[str, ...]] = (None, [], ())
         former, known, there = self._kept.get(name, nothing) if schedule.lasting else nothing
         seeds = tuple(dict.fromkeys((*schedule.names[: schedule.seeds], *there)))
-        config = Config(name, name, KEYS, seeds=seeds, figures=Figures(), former=former)
+        config = Config(name, name, KEYS, seeds=seeds, parameters=Parameters(), previous=former)
         self._census[name] = Census(name, schedule.configured, 86_400_000_000, known)
         self._count[name] = self._census[name].count
         return [Membership(config, boot.rng)]
@@ -74,10 +76,10 @@
         machine = member_of(node)
         if machine is None:
             return
-        there = {e.name: stands(e.standing.state.name.lower(), e.by) for e in machine.everyone()}
+        there = {e.name: stands(e.standing.state.name.lower(), e.by) for e in machine.entries()}
         self._counted(node, Seen(there))
-        own = machine.own
-        former = Former(own.gen, machine.seat.birth, own.inc, machine.seat.seq)
+        own = machine.identity
+        former = PreviousProcess(own.gen, machine.local.birth, own.inc, machine.local.seq)
         near = tuple(m.about.address for m in machine.members() if m.name != node.id)
         self._kept[node.id] = former, self._census[node.id].known(), near[:MAX_ADDRESSES]
 
@@ -124,7 +126,7 @@
             elif t.kind == "term" and on and node.up:
                 self.judge.asked(now, name)
                 self.cluster.tell(node, Leave())
-                self._at(now + Figures().leave_us, self._end, node)
+                self._at(now + Parameters().leave_us, self._end, node)
             elif t.kind == "term" and not on:
                 self._again(node)
         if t.kind in ("mute", "deaf"):
@@ -159,11 +161,11 @@
             census = self._census[name]
             if 0 <= census.wake_us <= node.clock.local(self.cluster.now_us):
                 self._counted(node, Seen({}))
-            everyone = machine.everyone()
+            everyone = machine.entries()
             up = {e.name: f"{e.standing.birth:016x}" for e in everyone if e.standing.state in UP and e.about}
             gone = {e.name: e.standing.state.name.lower() for e in everyone if e.standing.state not in UP}
-            whole = machine.phase is Phase.IN
-            self.judge.look(now, name, whole, up, gone, self._count[name].most, machine.own.gen)
+            whole = machine.phase is Phase.ACTIVE
+            self.judge.look(now, name, whole, up, gone, self._count[name].most, machine.identity.gen)
 
     def run(self) -> None:
         """The whole schedule, and then until all agree or have had their time."""
--- a/granitewell/leases/participant.py
+++ b/granitewell/leases/participant.py
@@ -11,8 +11,8 @@
 from granitewell.leases.record import Record
 from granitewell.leases.types import Settings
 from granitewell.leases.voter import Promise, Who
-from granitewell.protocols.peers.frames import Kind, Refused, Why, open_, refusal, seal
-from granitewell.protocols.peers.leases import LETTERS, Letter, Said
+from granitewell.protocols.peers.frames import Kind, RefusalReason, Refused, open_, refusal, seal
+from granitewell.protocols.peers.leases import CODEC, Envelope, Message
 from granitewell.state_machine import LogLine, MessageReceived, SendMessage, Transport
 
 REFUSALS_US = 1_000_000  # at most one answer to an unknown version in so long
@@ -101,27 +101,27 @@
             self.write(record, then)
         return None
 
-    def say(self, name: str, said: Said) -> None:
+    def say(self, name: str, said: Message) -> None:
         """Send a message to another planner."""
         self.send(self._address[name], said, Transport.DATAGRAM)
 
-    def say_all(self, said: Said, transport: Transport = Transport.DATAGRAM) -> None:
+    def say_all(self, said: Message, transport: Transport = Transport.DATAGRAM) -> None:
         """Send a message to all other planners."""
         for name in self.others:
             self.send(self._address[name], said, transport)
 
-    def say_here(self, said: Said, address: str = "") -> None:
+    def say_here(self, said: Message, address: str = "") -> None:
         """Announce this process at its own address, or at another one."""
         self.send(address or self._address[self.settings.name], said, Transport.STREAM)
 
-    def send(self, address: str, said: Said, transport: Transport) -> None:
+    def send(self, address: str, said: Message, transport: Transport) -> None:
         """Send a message to an address."""
-        message = LETTERS.write(Letter(self.settings.fleet, self.boot, said))
+        message = CODEC.encode(Envelope(self.settings.fleet, self.boot, said))
         self.out.append(
             SendMessage(address, seal(Kind.LEASE, message, self.settings.keys, self.settings.name), transport)
         )
 
-    def open(self, heard: MessageReceived) -> tuple[str, int, Said] | None:
+    def open(self, heard: MessageReceived) -> tuple[str, int, Message] | None:
         """Return the name and boot id of a message's sender, if it is a planner of this fleet."""
         frame = open_(heard.data, self.settings.keys)
         if isinstance(frame, Refused):
@@ -129,7 +129,7 @@
             return None
         if frame.kind != Kind.LEASE or frame.sender not in self._address:
             return None
-        message = LETTERS.read(frame.body)
+        message = CODEC.decode(frame.body)
         if message is None:
             return None
         if message.fleet != self.settings.fleet:
@@ -141,7 +141,7 @@
 
     def _unread(self, heard: MessageReceived, refused: Refused) -> None:
         self.refused += 1
-        if refused.why is Why.VERSION and self.now_us >= self._refusal_us:
+        if refused.why is RefusalReason.VERSION and self.now_us >= self._refusal_us:
             self._refusal_us = self.now_us + REFUSALS_US
             self.out.append(
                 SendMessage(heard.sender, refusal(self.settings.keys, self.settings.name), heard.transport)
--- a/granitewell/leases/persistence.py
+++ b/granitewell/leases/persistence.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from granitewell.leases.record import KEY, Record
-from granitewell.protocols.peers.leases import Said
+from granitewell.protocols.peers.leases import Message
 from granitewell.state_machine import Store, Stored
 
 
@@ -18,7 +18,7 @@
     """Send a message to a planner, unless the record has changed in the meantime."""
 
     to: str
-    body: Said
+    body: Message
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/leases/state_machine.py
+++ b/granitewell/leases/state_machine.py
@@ -36,11 +36,11 @@
     Ask,
     Grant,
     Here,
+    Message,
     No,
     Oath,
     Probe,
     Release,
-    Said,
     Sworn,
     Would,
 )
@@ -185,14 +185,14 @@
             participant.out.append(LogLine("sworn", text))
 
     # --- Messages ---------------------------------------------------------------------------------------
-    def _heard(self, sender: str, name: str, boot: int, said: Said) -> None:
+    def _heard(self, sender: str, name: str, boot: int, said: Message) -> None:
         if name != self.participant.settings.name:
             if self._incarnations_are_possible(said):
                 self._said(name, boot, said)
         elif isinstance(said, Here) and boot != self.participant.boot:
             self._refuse(self.duplicate_identity.heard(sender, boot, said))
 
-    def _incarnations_are_possible(self, said: Said) -> bool:
+    def _incarnations_are_possible(self, said: Message) -> bool:
         """Return whether the incarnations in a message are possible.
 
         This planner refuses to work if the message shows that its own disk is an old one.
@@ -213,7 +213,7 @@
             self.candidacy.end(Cause.TWIN)
             self.participant.out += [LogLine("twin", reason), Refuses(reason)]
 
-    def _said(self, name: str, boot: int, said: Said) -> None:
+    def _said(self, name: str, boot: int, said: Message) -> None:
         match said:
             case Oath():
                 self.voter_recovery.asked(name, said)
--- a/granitewell/membership/assertions.py
+++ b/granitewell/membership/assertions.py
@@ -6,184 +6,215 @@
 
 from __future__ import annotations
 
-from granitewell.membership.history import History, Told
-from granitewell.membership.local_member import Seat
-from granitewell.membership.probes import Rounds
-from granitewell.membership.refutation import Own
-from granitewell.membership.states import TELLS, UP, News, Phase, Standing, State
+from granitewell.membership.history import History, HistoryEntry
+from granitewell.membership.local_member import LocalMember
+from granitewell.membership.probes import RoundRobin
+from granitewell.membership.refutation import LocalIdentity
+from granitewell.membership.states import MEMBER_EVENTS, UP, MemberEvent, Phase, Standing, State
 from granitewell.membership.suspicion import Suspicions
-from granitewell.membership.table import Change, Record, bare, said
+from granitewell.membership.table import Change, Record, assertions_for, not_alive_assertion
 from granitewell.membership.types import Changed, Died, Joined, Left, Member, Suspected
-from granitewell.protocols.peers.gossip import Claim, Ping, packed, sound
+from granitewell.protocols.peers.gossip import Assertion, Ping, is_valid, pack
 from granitewell.state_machine import Transport
 
-_EFFECTS = {News.JOINED: Joined, News.SUSPECTED: Suspected, News.DIED: Died, News.LEFT: Left,
-            News.CHANGED: Changed}  # fmt: skip
+_EFFECTS = {
+    MemberEvent.JOINED: Joined,
+    MemberEvent.SUSPECTED: Suspected,
+    MemberEvent.DIED: Died,
+    MemberEvent.LEFT: Left,
+    MemberEvent.CHANGED: Changed,
+}
 
 
-LOOKERS, FEW = 8, 3  # members that ask a suspect at once, on average; suspects at a time, at most
+EXPECTED_CHECKERS, MAX_CHECKED_SUSPECTS = (
+    8,
+    3,
+)  # members that ask a suspect at once, on average; suspects at a time, at most
 
 
-class Claims:
+class AssertionHandler:
     """suspicions: of those who are suspected now.
 
     Attributes:
         history: What has changed, by whose word.
     """
 
-    __slots__ = ("_own", "_rounds", "_seat", "_teller", "_turns", "history", "suspicions")
+    __slots__ = ("_identity", "_probe_order", "_local", "_source", "_gossip_order", "history", "suspicions")
 
-    def __init__(self, seat: Seat, own: Own, rounds: Rounds, turns: Rounds) -> None:
+    def __init__(
+        self, local: LocalMember, identity: LocalIdentity, probe_order: RoundRobin, gossip_order: RoundRobin
+    ) -> None:
         """rounds, turns: who is probed next, and who is told news next."""
-        self._seat, self._own, self._rounds, self._turns = seat, own, rounds, turns
-        self.suspicions = Suspicions(seat.figures)
+        self._local, self._identity, self._probe_order, self._gossip_order = (
+            local,
+            identity,
+            probe_order,
+            gossip_order,
+        )
+        self.suspicions = Suspicions(local.parameters)
         self.history = History()
-        self._teller: tuple[str, str] = ("", "")  # whose word is being taken in, by what road; ours: nobody's
+        self._source: tuple[str, str] = ("", "")  # whose word is being taken in, by what road; ours: nobody's
 
     def start(self) -> None:
         """We are a member: those whom we know as suspects have their time from now on."""
-        for record in self._seat.table.records.values():
+        for record in self._local.table.records.values():
             if record.standing.state is State.SUSPECT:
-                self.doubt(record.name, record.standing, record.by, False)
+                self.suspect(record.name, record.standing, record.by, False)
 
-    def hear(self, claim: Claim, teller: str, transport: Transport = Transport.DATAGRAM) -> None:
+    def receive(self, assertion: Assertion, source: str, transport: Transport = Transport.DATAGRAM) -> None:
         """What is said of a name, by somebody who may be wrong."""
-        record = self._seat.table.records.get(claim.name)
-        if record is not None and _stale(record, claim):
-            self._behind(record, claim)
+        record = self._local.table.records.get(assertion.name)
+        if record is not None and _changes_nothing(record, assertion):
+            self._repeat_missed_refutation(record, assertion)
             return
-        if not sound(claim):
-            self._seat.count("unsound")
+        if not is_valid(assertion):
+            self._local.count_drop("unsound")
             return
-        sure = self._second_hand(claim)
-        if sure:
-            gen, birth, inc = claim.gen, claim.birth, claim.inc
-            claim = Claim(claim.name, gen, birth, inc, State.SUSPECT, by=claim.by or teller)
-        self._teller = teller, transport.value
-        self.merge(claim, sure)
-        self._teller = "", ""
-
-    def _behind(self, record: Record, claim: Claim) -> None:
+        expired_elsewhere = self._is_hearsay_death(assertion)
+        if expired_elsewhere:
+            gen, birth, inc = assertion.gen, assertion.birth, assertion.inc
+            assertion = Assertion(assertion.name, gen, birth, inc, State.SUSPECT, by=assertion.by or source)
+        self._source = source, transport.value
+        self.merge(assertion, expired_elsewhere)
+        self._source = "", ""
+
+    def _repeat_missed_refutation(self, record: Record, assertion: Assertion) -> None:
         """Whoever still doubts an incarnation that has been left behind has missed the refutation.
 
         The answer carries it.
         """
         gen, birth, inc, state = record.standing
-        doubted = claim.state in (State.SUSPECT, State.DEAD) and state is State.ALIVE
-        older = (claim.gen, claim.birth) == (gen, birth) and claim.inc < inc
-        if doubted and older and record.about is not None:
-            self._seat.spread.put(record.name, packed(said(record, self._seat.now_us)[0]))
+        suspected = assertion.state in (State.SUSPECT, State.DEAD) and state is State.ALIVE
+        older = (assertion.gen, assertion.birth) == (gen, birth) and assertion.inc < inc
+        if suspected and older and record.about is not None:
+            self._local.dissemination.add(record.name, pack(assertions_for(record, self._local.now_us)[0]))
 
-    def ask_round(self, name: str) -> None:
+    def ask_others(self, name: str) -> None:
         """The time of a suspect of ours is nearly over: has anybody heard from it?"""
-        seat, record = self._seat, self._seat.table.records.get(name)
+        local, record = self._local, self._local.table.records.get(name)
         if record is not None and record.standing.state is State.SUSPECT:
-            seat.spread.put(name, packed(bare(record, seat.now_us)))
-            for member in seat.draw(1, name):
-                seat.tell(member, Ping(seat.number()))
+            local.dissemination.add(name, pack(not_alive_assertion(record, local.now_us)))
+            for member in local.random_members(1, name):
+                local.send_to(member, Ping(local.next_number()))
 
-    def forget(self, name: str) -> None:
+    def force_leave(self, name: str) -> None:
         """An operator knows that it is gone for good; only of the dead."""
-        record = self._seat.table.records.get(name)
+        record = self._local.table.records.get(name)
         if record is not None and record.standing.state is State.DEAD:
             gen, birth, inc, _ = record.standing
-            self._teller = "an operator", ""
-            self.merge(Claim(name, gen, birth, inc, State.LEFT, by=self._seat.config.name))
-            self._teller = "", ""
+            self._source = "an operator", ""
+            self.merge(Assertion(name, gen, birth, inc, State.LEFT, by=self._local.config.name))
+            self._source = "", ""
 
-    def _second_hand(self, claim: Claim) -> bool:
+    def _is_hearsay_death(self, assertion: Assertion) -> bool:
         """Whether it says of somebody we have up, in that life, that it is dead."""
-        seat = self._seat
-        if claim.state != State.DEAD or self._own.phase is not Phase.IN or claim.name == seat.config.name:
+        local = self._local
+        if (
+            assertion.state != State.DEAD
+            or self._identity.phase is not Phase.ACTIVE
+            or assertion.name == local.config.name
+        ):
             return False
-        if not seat.figures.soften:
+        if not local.parameters.soften:
             return False
-        record = seat.table.records.get(claim.name)
-        if record is None or record.standing.state not in UP or claim.inc < record.standing.inc:
+        record = local.table.records.get(assertion.name)
+        if record is None or record.standing.state not in UP or assertion.inc < record.standing.inc:
             return False
-        return (claim.gen, claim.birth) == record.standing[:2]
+        return (assertion.gen, assertion.birth) == record.standing[:2]
 
-    def merge(self, claim: Claim, sure: bool = False) -> None:
+    def merge(self, assertion: Assertion, expired_elsewhere: bool = False) -> None:
         """Take a claim in, as true.
 
         Args:
             sure: A suspicion whose time somebody has waited out.
         """
-        seat, refused = self._seat, self._seat.table.refused
-        change = seat.table.merge(claim, seat.now_us)
+        local, refused = self._local, self._local.table.refused
+        change = local.table.merge(assertion, local.now_us)
         if change is not None:
-            self._changed(change, sure)
+            self._apply_change(change, expired_elsewhere)
             return
-        if seat.table.refused > refused:
-            seat.line("full", f"no room for {claim.name}: there are {seat.figures.most} members")
-        record = seat.table.records.get(claim.name)
-        if record is None or claim.state != State.SUSPECT or self._own.phase is not Phase.IN:
+        if local.table.refused > refused:
+            local.log("full", f"no room for {assertion.name}: there are {local.parameters.most} members")
+        record = local.table.records.get(assertion.name)
+        if record is None or assertion.state != State.SUSPECT or self._identity.phase is not Phase.ACTIVE:
             return
-        same = record.standing == (claim.gen, claim.birth, claim.inc, State.SUSPECT)
-        if same and self.doubt(claim.name, record.standing, claim.by, sure):
-            seat.spread.put(claim.name, packed(claim))
+        same = record.standing == (assertion.gen, assertion.birth, assertion.inc, State.SUSPECT)
+        if same and self.suspect(assertion.name, record.standing, assertion.by, expired_elsewhere):
+            local.dissemination.add(assertion.name, pack(assertion))
 
-    def doubt(self, name: str, standing: Standing, by: str, sure: bool) -> bool:
+    def suspect(self, name: str, standing: Standing, by: str, expired_elsewhere: bool) -> bool:
         """Start or shorten a suspect's time; whether that is news."""
-        seat = self._seat
-        return self.suspicions.doubt(name, standing, by, seat.members, seat.now_us, sure)
-
-    def _changed(self, change: Change, sure: bool) -> None:
-        seat, record = self._seat, change.record
-        if change.stands:
-            self.history.put(record.name, Told(seat.now_us, *self._teller, record.by, record.standing))
-        if record.name == seat.config.name:
-            self._own.look()
-            if record.standing.birth == seat.birth:
+        local = self._local
+        return self.suspicions.suspect(
+            name, standing, by, local.member_count, local.now_us, expired_elsewhere
+        )
+
+    def _apply_change(self, change: Change, expired_elsewhere: bool) -> None:
+        local, record = self._local, change.record
+        if change.standing_changed:
+            self.history.add(
+                record.name, HistoryEntry(local.now_us, *self._source, record.by, record.standing)
+            )
+        if record.name == local.config.name:
+            self._identity.check_record()
+            if record.standing.birth == local.birth:
                 return
-        self._tell(change.before, change.now)
-        if self._own.phase is not Phase.IN:
+        self._emit_events(change.before, change.now)
+        if self._identity.phase is not Phase.ACTIVE:
             return
-        if record.standing.state is State.SUSPECT and record.name != seat.config.name:
-            self.doubt(record.name, record.standing, record.by, sure)
-            self._look(record)
+        if record.standing.state is State.SUSPECT and record.name != local.config.name:
+            self.suspect(record.name, record.standing, record.by, expired_elsewhere)
+            self._check_soon(record)
         else:
             self.suspicions.clear(record.name)
-        self._pass_on(change)
+        self._disseminate(change)
 
-    def _look(self, record: Record) -> None:
+    def _check_soon(self, record: Record) -> None:
         """Somebody else suspects it: some of us, a few in all, ask it next, so that it has the shortest time
         if nobody reaches it (its time shrinks with each who says so), and a living one hears of it soon.
         """
-        seat = self._seat
-        few = len(self.suspicions) <= FEW  # of many at once each would wait for all those before it
-        if few and record.by != seat.config.name and seat.rng.random() * seat.members < LOOKERS:
-            self._rounds.ahead(record.name)
-
-    def _pass_on(self, change: Change) -> None:
-        record, seat = change.record, self._seat
+        local = self._local
+        few = (
+            len(self.suspicions) <= MAX_CHECKED_SUSPECTS
+        )  # of many at once each would wait for all those before it
+        if (
+            few
+            and record.by != local.config.name
+            and local.rng.random() * local.member_count < EXPECTED_CHECKERS
+        ):
+            self._probe_order.insert_next(record.name)
+
+    def _disseminate(self, change: Change) -> None:
+        record, local = change.record, self._local
         if record.standing.state is not State.ALIVE:
-            if change.stands:
-                seat.spread.put(record.name, packed(bare(record, seat.now_us)))
+            if change.standing_changed:
+                local.dissemination.add(record.name, pack(not_alive_assertion(record, local.now_us)))
         elif record.about is not None:
-            seat.spread.put(record.name, packed(said(record, seat.now_us)[0]))
+            local.dissemination.add(record.name, pack(assertions_for(record, local.now_us)[0]))
 
-    def _tell(self, before: Member | None, now: Member | None) -> None:
+    def _emit_events(self, before: Member | None, now: Member | None) -> None:
         """The effects of a change."""
-        out = self._seat.out
+        out = self._local.effects
         if before is not None and (now is None or now.birth != before.birth or now.gen != before.gen):
             if before.up:
                 out.append(Died(before))
             before = None
         if now is None:
             return
-        for news in TELLS[before.state if before is not None else None][now.state]:
+        for event in MEMBER_EVENTS[before.state if before is not None else None][now.state]:
             same = before is not None and (before.about, before.state) == (now.about, now.state)
-            if news is not News.CHANGED or not same:
-                out.append(_EFFECTS[news](now))
+            if event is not MemberEvent.CHANGED or not same:
+                out.append(_EFFECTS[event](now))
         if now.up and (before is None or not before.up):
-            self._rounds.joined(now.name)
-            self._turns.joined(now.name)
+            self._probe_order.insert(now.name)
+            self._gossip_order.insert(now.name)
 
 
-def _stale(record: Record, claim: Claim) -> bool:
+def _changes_nothing(record: Record, assertion: Assertion) -> bool:
     """Whether a claim can't change anything: most can't, and are not looked at further."""
-    key, known = (claim.gen, claim.birth, claim.inc), record.standing[:3]
+    key, known = (assertion.gen, assertion.birth, assertion.inc), record.standing[:3]
     if key == known:
-        return claim.state == record.standing.state == State.ALIVE and claim.about == record.about
-    return key < known and (claim.about is None or key[:2] < known[:2] or claim.inc <= record.about_inc)
+        return assertion.state == record.standing.state == State.ALIVE and assertion.about == record.about
+    return key < known and (
+        assertion.about is None or key[:2] < known[:2] or assertion.inc <= record.about_inc
+    )
--- a/granitewell/membership/dissemination.py
+++ b/granitewell/membership/dissemination.py
@@ -9,11 +9,11 @@
 
 from math import ceil, log10
 
-LOOKS = 64  # entries looked at for one message, whether they fit or not
-LEAST = 24  # bytes; less room than that is not filled
+MAX_ENTRIES_EXAMINED = 64  # entries looked at for one message, whether they fit or not
+MIN_ROOM_BYTES = 24  # bytes; less room than that is not filled
 
 
-class Spread:
+class DisseminationQueue:
     """The queue.
 
     Attributes:
@@ -21,65 +21,65 @@
         longest: Claims that it holds.
     """
 
-    __slots__ = ("_by_sent", "_factor", "_longest", "_where")
+    __slots__ = ("_by_transmissions", "_retransmit_multiplier", "_max_length", "_transmissions")
 
-    def __init__(self, factor: int, longest: int) -> None:
-        self._factor, self._longest = factor, longest
-        self._by_sent: list[dict[str, bytes]] = []  # at place k what was sent k times, oldest first
-        self._where: dict[str, int] = {}
+    def __init__(self, retransmit_multiplier: int, max_length: int) -> None:
+        self._retransmit_multiplier, self._max_length = retransmit_multiplier, max_length
+        self._by_transmissions: list[dict[str, bytes]] = []  # at place k what was sent k times, oldest first
+        self._transmissions: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._where)
+        return len(self._transmissions)
 
-    def most(self, members: int) -> int:
+    def max_transmissions(self, members: int) -> int:
         """How often a claim is sent."""
-        return self._factor * max(ceil(log10(members + 1)), 1)
+        return self._retransmit_multiplier * max(ceil(log10(members + 1)), 1)
 
-    def put(self, name: str, packed: bytes) -> None:
+    def add(self, name: str, encoded: bytes) -> None:
         """A new claim."""
-        self.drop(name)
-        if len(self._where) >= self._longest:
-            self.drop(next(next(iter(those)) for those in reversed(self._by_sent) if those))
-        self._place(0)[name] = packed
-        self._where[name] = 0
+        self.remove(name)
+        if len(self._transmissions) >= self._max_length:
+            self.remove(next(next(iter(entries)) for entries in reversed(self._by_transmissions) if entries))
+        self._level(0)[name] = encoded
+        self._transmissions[name] = 0
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """What waits of that name waits no more."""
-        sent = self._where.pop(name, None)
-        if sent is not None:
-            del self._by_sent[sent][name]
+        transmissions = self._transmissions.pop(name, None)
+        if transmissions is not None:
+            del self._by_transmissions[transmissions][name]
 
-    def pick(self, room: int, members: int, but: str = "") -> list[bytes]:
+    def take(self, room: int, members: int, excluded: str = "") -> list[bytes]:
         """Claims for one message of that room, which count as sent.
 
         Args:
             but: A name that is not picked.
         """
-        chosen = self._choose(room, but)
-        most = self.most(members)
-        for sent, name, packed in reversed(chosen):  # the newest last, as it was
-            del self._by_sent[sent][name]
-            if sent + 1 < most:
-                self._place(sent + 1)[name] = packed
-                self._where[name] = sent + 1
+        selected = self._select(room, excluded)
+        max_transmissions = self.max_transmissions(members)
+        for transmissions, name, encoded in reversed(selected):  # the newest last, as it was
+            del self._by_transmissions[transmissions][name]
+            if transmissions + 1 < max_transmissions:
+                self._level(transmissions + 1)[name] = encoded
+                self._transmissions[name] = transmissions + 1
             else:
-                del self._where[name]
-        return [packed for _, _, packed in chosen]
-
-    def _choose(self, room: int, but: str) -> list[tuple[int, str, bytes]]:
-        chosen: list[tuple[int, str, bytes]] = []
-        looks = 0
-        for sent, those in enumerate(self._by_sent):
-            for name, packed in reversed(those.items()):
-                looks += 1
-                if room < LEAST or looks > LOOKS:
-                    return chosen
-                if len(packed) <= room and name != but:
-                    chosen.append((sent, name, packed))
-                    room -= len(packed)
-        return chosen
-
-    def _place(self, sent: int) -> dict[str, bytes]:
-        while len(self._by_sent) <= sent:
-            self._by_sent.append({})
-        return self._by_sent[sent]
+                del self._transmissions[name]
+        return [encoded for _, _, encoded in selected]
+
+    def _select(self, room: int, excluded: str) -> list[tuple[int, str, bytes]]:
+        selected: list[tuple[int, str, bytes]] = []
+        examined = 0
+        for transmissions, entries in enumerate(self._by_transmissions):
+            for name, encoded in reversed(entries.items()):
+                examined += 1
+                if room < MIN_ROOM_BYTES or examined > MAX_ENTRIES_EXAMINED:
+                    return selected
+                if len(encoded) <= room and name != excluded:
+                    selected.append((transmissions, name, encoded))
+                    room -= len(encoded)
+        return selected
+
+    def _level(self, transmissions: int) -> dict[str, bytes]:
+        while len(self._by_transmissions) <= transmissions:
+            self._by_transmissions.append({})
+        return self._by_transmissions[transmissions]
--- a/granitewell/membership/health.py
+++ b/granitewell/membership/health.py
@@ -6,13 +6,13 @@
 
 from __future__ import annotations
 
-MOST = 8  # the paper's S
+MAX_SCORE = 8  # the paper's S
 
-ANSWERED = -1  # a probe was
-UNANSWERED = 1  # a probe was not, and no helper could be asked
+PROBE_ANSWERED = -1  # a probe was
+PROBE_FAILED = 1  # a probe was not, and no helper could be asked
 NACK_MISSED = 1  # of a helper: what we ask for does not even get as far as to those who are well
-REFUTED = 1  # we were suspected: our answers come late
-STOOD = 1  # we stood still
+SUSPICION_REFUTED = 1  # we were suspected: our answers come late
+PROCESS_STALLED = 1  # we stood still
 
 
 class Health:
@@ -22,16 +22,16 @@
         on: Off keeps it at 0.
     """
 
-    __slots__ = ("_on", "score")
+    __slots__ = ("_enabled", "score")
 
-    def __init__(self, on: bool) -> None:
-        self._on, self.score = on, 0
+    def __init__(self, enabled: bool) -> None:
+        self._enabled, self.score = enabled, 0
 
-    def note(self, step: int) -> None:
+    def adjust(self, step: int) -> None:
         """Something above has happened, that often."""
-        if self._on:
-            self.score = min(max(self.score + step, 0), MOST)
+        if self._enabled:
+            self.score = min(max(self.score + step, 0), MAX_SCORE)
 
-    def times(self, length_us: int) -> int:
+    def scale(self, length_us: int) -> int:
         """That time, lengthened by how ill we are."""
         return length_us * (self.score + 1)
--- a/granitewell/membership/history.py
+++ b/granitewell/membership/history.py
@@ -10,12 +10,12 @@
 
 from granitewell.membership.states import Standing
 
-EACH = 12  # notes of a name, the newest,
-NAMES = 2_000  # of so many names, those that changed last
+MAX_ENTRIES_PER_NAME = 12  # notes of a name, the newest,
+MAX_NAMES = 2_000  # of so many names, those that changed last
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class HistoryEntry:
     """One change.
 
     Attributes:
@@ -26,7 +26,7 @@
     """
 
     at_us: int
-    teller: str
+    source: str
     transport: str
     by: str
     standing: Standing
@@ -35,21 +35,21 @@
 class History:
     """Notes by name."""
 
-    __slots__ = ("_notes",)
+    __slots__ = ("_entries",)
 
     def __init__(self) -> None:
-        self._notes: dict[str, deque[Told]] = {}
+        self._entries: dict[str, deque[HistoryEntry]] = {}
 
-    def put(self, name: str, told: Told) -> None:
+    def add(self, name: str, entry: HistoryEntry) -> None:
         """One more; the oldest of many goes."""
-        notes = self._notes.pop(name, None)
-        if notes is None:
-            notes = deque(maxlen=EACH)
-            while len(self._notes) >= NAMES:
-                del self._notes[next(iter(self._notes))]
-        notes.append(told)
-        self._notes[name] = notes
-
-    def of(self, name: str) -> tuple[Told, ...]:
+        entries = self._entries.pop(name, None)
+        if entries is None:
+            entries = deque(maxlen=MAX_ENTRIES_PER_NAME)
+            while len(self._entries) >= MAX_NAMES:
+                del self._entries[next(iter(self._entries))]
+        entries.append(entry)
+        self._entries[name] = entries
+
+    def entries(self, name: str) -> tuple[HistoryEntry, ...]:
         """Its notes, the newest last."""
-        return tuple(self._notes.get(name, ()))
+        return tuple(self._entries.get(name, ()))
--- a/granitewell/membership/local_member.py
+++ b/granitewell/membership/local_member.py
@@ -9,33 +9,33 @@
 from dataclasses import dataclass
 from random import Random
 
-from granitewell.membership.dissemination import Spread
+from granitewell.membership.dissemination import DisseminationQueue
 from granitewell.membership.health import Health
 from granitewell.membership.states import State
-from granitewell.membership.table import Record, Table, bare
+from granitewell.membership.table import Record, Table, not_alive_assertion
 from granitewell.membership.types import Config, Member
 from granitewell.protocols.peers import gossip
 from granitewell.protocols.peers.frames import (
-    MAX_DATAGRAM,
-    MAX_STREAM,
+    MAX_DATAGRAM_BYTES,
+    MAX_STREAM_FRAME_BYTES,
     VERSIONS,
     Frame,
     Kind,
+    RefusalReason,
     Refused,
-    Why,
     open_,
     refusal,
     seal,
 )
-from granitewell.protocols.peers.gossip import LETTERS, Hello, Letter, Said, packed
-from granitewell.protocols.peers.limits import Bucket, Window
+from granitewell.protocols.peers.gossip import CODEC, Envelope, Hello, Message, pack
+from granitewell.protocols.peers.limits import ReplayWindow, TokenBucket
 from granitewell.state_machine import LogLine, MessageReceived, SendMessage, Transport
 
-LOUD = 1  # lines and refusals a second, of each sort
+MAX_LINES_PER_S = 1  # lines and refusals a second, of each sort
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class ReceivedMessage:
     """A letter that has passed.
 
     Attributes:
@@ -46,199 +46,229 @@
     sender: str
     address: str
     transport: Transport
-    letter: Letter
+    envelope: Envelope
     known: bool
 
 
-class Seat:
+class LocalMember:
     """counts: of what was dropped, by reason."""
 
-    __slots__ = ("_loud", "_number", "_raw", "_refusals", "_seq", "_strangers", "_total", "birth", "config",
-                 "counts", "figures", "goes_on", "health", "letters", "now_us", "out", "rng", "spread",
-                 "table")  # fmt: skip
+    __slots__ = (
+        "_line_limits",
+        "_last_number",
+        "_unverified_limit",
+        "_refusal_limit",
+        "_seq",
+        "_unknown_limit",
+        "_total_limit",
+        "birth",
+        "config",
+        "drop_counts",
+        "parameters",
+        "continues_previous",
+        "health",
+        "message_counts",
+        "now_us",
+        "effects",
+        "rng",
+        "dissemination",
+        "table",
+    )
 
     def __init__(self, config: Config, rng: Random) -> None:
-        self.config, self.figures, self.rng = config, config.figures, rng
-        former = config.former
-        self.goes_on = former is not None and former.goes_on
+        self.config, self.parameters, self.rng = config, config.parameters, rng
+        previous = config.previous
+        self.continues_previous = previous is not None and previous.handed_over
         self.birth = 1 + (int(rng.random() * (1 << 31)) << 31 | int(rng.random() * (1 << 31)))
-        if former is not None and former.goes_on:
-            self.birth = former.birth
+        if previous is not None and previous.handed_over:
+            self.birth = previous.birth
         self.now_us = 0
-        self.out: list[object] = []
-        self.table = Table(config.figures)
-        self.spread = Spread(config.figures.spread, 2 * config.figures.most)
-        self.health = Health(config.figures.lifeguard)
-        self.counts: dict[str, int] = {}
-        self.letters: dict[tuple[str, str], int] = {}  # heard and said, by kind
+        self.effects: list[object] = []
+        self.table = Table(config.parameters)
+        self.dissemination = DisseminationQueue(config.parameters.spread, 2 * config.parameters.most)
+        self.health = Health(config.parameters.lifeguard)
+        self.drop_counts: dict[str, int] = {}
+        self.message_counts: dict[tuple[str, str], int] = {}  # heard and message, by kind
         # a life that goes on never uses a number again: others would take its letters for old ones
-        self._seq = self._number = former.seq if former is not None and former.goes_on else 0
-        self.begin(0)
+        self._seq = self._last_number = previous.seq if previous is not None and previous.handed_over else 0
+        self.start(0)
 
-    def begin(self, now_us: int) -> None:
+    def start(self, now_us: int) -> None:
         """The time is known for the first time."""
         self.now_us = now_us
-        figures = self.figures
-        self._raw, self._total = Bucket(figures.raw, now_us), Bucket(figures.in_all, now_us)
-        self._strangers = Bucket(max(figures.in_all // 4, 1), now_us)
-        self._refusals = Bucket(LOUD, now_us)
-        self._loud: dict[str, Bucket] = {}
+        parameters = self.parameters
+        self._unverified_limit, self._total_limit = (
+            TokenBucket(parameters.raw, now_us),
+            TokenBucket(parameters.in_all, now_us),
+        )
+        self._unknown_limit = TokenBucket(max(parameters.in_all // 4, 1), now_us)
+        self._refusal_limit = TokenBucket(MAX_LINES_PER_S, now_us)
+        self._line_limits: dict[str, TokenBucket] = {}
 
     # --- Small things -----------------------------------------------------------------------------------
     @property
-    def members(self) -> int:
+    def member_count(self) -> int:
         """Up, ourselves included."""
         return len(self.table.up)
 
     @property
     def seq(self) -> int:
         """Above every number used so far, of letters and of questions."""
-        return max(self._seq, self._number) + 1
+        return max(self._seq, self._last_number) + 1
 
-    def count(self, reason: str) -> None:
+    def count_drop(self, reason: str) -> None:
         """Something was dropped."""
-        self.counts[reason] = self.counts.get(reason, 0) + 1
+        self.drop_counts[reason] = self.drop_counts.get(reason, 0) + 1
 
-    def line(self, topic: str, text: str) -> None:
+    def log(self, topic: str, text: str) -> None:
         """A log line, if there were not too many of that topic."""
-        bucket = self._loud.get(topic)
+        bucket = self._line_limits.get(topic)
         if bucket is None:
-            bucket = self._loud[topic] = Bucket(LOUD, self.now_us)
+            bucket = self._line_limits[topic] = TokenBucket(MAX_LINES_PER_S, self.now_us)
         if bucket.take(self.now_us):
-            self.out.append(LogLine(f"membership-{topic}", text))
+            self.effects.append(LogLine(f"membership-{topic}", text))
 
-    def number(self) -> int:
+    def next_number(self) -> int:
         """For a question: higher each time."""
-        self._number += 1
-        return self._number
+        self._last_number += 1
+        return self._last_number
 
-    def some(self, length_us: int) -> int:
+    def random_part(self, length_us: int) -> int:
         """A random part of that time."""
         return int(self.rng.random() * length_us)
 
-    def draw(self, count: int, *but: str) -> list[Member]:
+    def random_members(self, count: int, *excluded: str) -> list[Member]:
         """Up to so many other members at random."""
         table = self.table
-        names = table.up.draw(self.rng, count, (self.config.name, *but))
+        names = table.up.sample(self.rng, count, (self.config.name, *excluded))
         return [member for member in map(table.member, names) if member is not None]
 
     # --- Out --------------------------------------------------------------------------------------------
-    def tell(self, member: Member, said: Said, transport: Transport = Transport.DATAGRAM) -> None:
+    def send_to(self, member: Member, message: Message, transport: Transport = Transport.DATAGRAM) -> None:
         """A letter to a member, with what there is to pass on."""
-        self.send(member.about.address, member.birth, said, member.name, transport)
+        self.send(member.about.address, member.birth, message, member.name, transport)
 
     def send(
-        self, address: str, to: int, said: Said, name: str = "", transport: Transport = Transport.DATAGRAM
+        self,
+        address: str,
+        to: int,
+        message: Message,
+        name: str = "",
+        transport: Transport = Transport.DATAGRAM,
     ) -> None:
         """A letter to a process at an address.
 
         What we hold against whoever gets it goes first, so that it can refute it (Lifeguard's buddy system);
         the rest of the room is for other news.
         """
-        letter = self._letter(to, said)
-        body = gossip.write(letter)
-        room = gossip.room(body, self.config.name)
-        claims = [] if to == 0 else self._against(name, to)
-        room -= sum(map(len, claims))
-        if to and len(self.spread):
-            claims += self.spread.pick(room, self.members, name if claims else "")
-        self._seal(address, gossip.write(letter, claims) if claims else body, transport, name)
-
-    def send_page(self, address: str, to: int, said: Said, claims: list[bytes]) -> None:
+        envelope = self._envelope(to, message)
+        body = gossip.encode_envelope(envelope)
+        room = gossip.free_bytes(body, self.config.name)
+        assertions = [] if to == 0 else self._suspicion_of(name, to)
+        room -= sum(map(len, assertions))
+        if to and len(self.dissemination):
+            assertions += self.dissemination.take(room, self.member_count, name if assertions else "")
+        self._seal(
+            address, gossip.encode_envelope(envelope, assertions) if assertions else body, transport, name
+        )
+
+    def send_page(self, address: str, to: int, message: Message, assertions: list[bytes]) -> None:
         """A letter on a stream with these claims."""
-        self._seal(address, gossip.write(self._letter(to, said), claims), Transport.STREAM, "")
+        self._seal(
+            address, gossip.encode_envelope(self._envelope(to, message), assertions), Transport.STREAM, ""
+        )
 
-    def _letter(self, to: int, said: Said) -> Letter:
+    def _envelope(self, to: int, message: Message) -> Envelope:
         self._seq += 1
-        self._letter_of("said", said)
-        return Letter(self.birth, to, self._seq, said)
+        self._count_message("said", message)
+        return Envelope(self.birth, to, self._seq, message)
 
-    def _letter_of(self, way: str, said: Said) -> None:
-        key = way, type(said).__name__.lower()
-        self.letters[key] = self.letters.get(key, 0) + 1
+    def _count_message(self, direction: str, message: Message) -> None:
+        key = direction, type(message).__name__.lower()
+        self.message_counts[key] = self.message_counts.get(key, 0) + 1
 
-    def _against(self, name: str, to: int) -> list[bytes]:
+    def _suspicion_of(self, name: str, to: int) -> list[bytes]:
         record = self.table.records.get(name)
         if record is None or record.standing.birth != to or record.standing.state is State.ALIVE:
             return []
-        if record.standing.state is State.SUSPECT and not self.figures.lifeguard:
+        if record.standing.state is State.SUSPECT and not self.parameters.lifeguard:
             return []
-        return [packed(bare(record, self.now_us))]
+        return [pack(not_alive_assertion(record, self.now_us))]
 
     def _seal(self, address: str, body: bytes, transport: Transport, name: str) -> None:
-        limit = MAX_DATAGRAM if transport is Transport.DATAGRAM else MAX_STREAM
+        limit = MAX_DATAGRAM_BYTES if transport is Transport.DATAGRAM else MAX_STREAM_FRAME_BYTES
         member = self.table.member(name)
-        version = version_for(member.about.versions if member is not None else VERSIONS)
+        version = common_version(member.about.versions if member is not None else VERSIONS)
         config = self.config
         frame = seal(Kind.GOSSIP, body, config.keys, config.name, limit=limit, version=version)
-        self.out.append(SendMessage(address, frame, transport))
+        self.effects.append(SendMessage(address, frame, transport))
 
     # --- In ---------------------------------------------------------------------------------------------
-    def open(self, heard: MessageReceived) -> Opened | None:
+    def receive(self, incoming: MessageReceived) -> ReceivedMessage | None:
         """The letter, if it verifies, is for us, is new and not too much; nothing else has changed."""
-        found = self._opened(heard)
-        if isinstance(found, Opened):
-            self._letter_of("heard", found.letter.said)
-            return found
-        self.count(found)
+        outcome = self._verify(incoming)
+        if isinstance(outcome, ReceivedMessage):
+            self._count_message("heard", outcome.envelope.message)
+            return outcome
+        self.count_drop(outcome)
         return None
 
-    def _opened(self, heard: MessageReceived) -> Opened | str:
+    def _verify(self, incoming: MessageReceived) -> ReceivedMessage | str:
         """The letter, or the reason why it is dropped."""
-        if not self._raw.take(self.now_us):
+        if not self._unverified_limit.take(self.now_us):
             return "raw"
-        limit = MAX_DATAGRAM if heard.transport is Transport.DATAGRAM else MAX_STREAM
-        frame = open_(heard.data, self.config.keys, limit=limit)
+        limit = MAX_DATAGRAM_BYTES if incoming.transport is Transport.DATAGRAM else MAX_STREAM_FRAME_BYTES
+        frame = open_(incoming.data, self.config.keys, limit=limit)
         if isinstance(frame, Refused):
-            self._unread(heard, frame)
+            self._report_refused(incoming, frame)
             return frame.why.value
         if frame.kind != Kind.GOSSIP:
-            self._other(heard, frame)
+            self._report_other_kind(incoming, frame)
             return "kind"
-        letter = LETTERS.read(frame.body)
-        if letter is None:
+        envelope = CODEC.decode(frame.body)
+        if envelope is None:
             return "malformed"
-        if letter.birth == self.birth:
+        if envelope.birth == self.birth:
             return "own"
-        if letter.to != self.birth and not (letter.to == 0 and isinstance(letter.said, Hello)):
+        if envelope.to != self.birth and not (envelope.to == 0 and isinstance(envelope.message, Hello)):
             return "misaddressed"
-        return self._passed(heard, frame.sender, letter)
+        return self._admit(incoming, frame.sender, envelope)
 
-    def _passed(self, heard: MessageReceived, sender: str, letter: Letter) -> Opened | str:
+    def _admit(self, incoming: MessageReceived, sender: str, envelope: Envelope) -> ReceivedMessage | str:
         record = self.table.records.get(sender)
-        if record is not None and record.standing.birth != letter.birth:
+        if record is not None and record.standing.birth != envelope.birth:
             record = None
-        if not (self._bucket(record) if record is not None else self._strangers).take(self.now_us):
+        if not (self._sender_limit(record) if record is not None else self._unknown_limit).take(self.now_us):
             return "sender"
-        if not self._total.take(self.now_us):
+        if not self._total_limit.take(self.now_us):
             return "in_all"
         if record is None:
-            return Opened(sender, heard.sender, heard.transport, letter, False)
-        if record.window is None:
-            record.window = Window()
-        if not record.window.fresh(letter.seq):
+            return ReceivedMessage(sender, incoming.sender, incoming.transport, envelope, False)
+        if record.replay_window is None:
+            record.replay_window = ReplayWindow()
+        if not record.replay_window.accept(envelope.seq):
             return "replayed"
-        address = record.about.address if record.about is not None else heard.sender
-        return Opened(sender, address, heard.transport, letter, True)
-
-    def _bucket(self, record: Record) -> Bucket:
-        if record.bucket is None:
-            record.bucket = Bucket(self.figures.per_sender, self.now_us)
-        return record.bucket
-
-    def _unread(self, heard: MessageReceived, refused: Refused) -> None:
-        self.line("refused", f"{heard.sender}: {refused.text}")
-        if refused.why is Why.VERSION and self._refusals.take(self.now_us):
-            self.out.append(
-                SendMessage(heard.sender, refusal(self.config.keys, self.config.name), heard.transport)
+        address = record.about.address if record.about is not None else incoming.sender
+        return ReceivedMessage(sender, address, incoming.transport, envelope, True)
+
+    def _sender_limit(self, record: Record) -> TokenBucket:
+        if record.rate_limit is None:
+            record.rate_limit = TokenBucket(self.parameters.per_sender, self.now_us)
+        return record.rate_limit
+
+    def _report_refused(self, incoming: MessageReceived, refused: Refused) -> None:
+        self.log("refused", f"{incoming.sender}: {refused.text}")
+        if refused.why is RefusalReason.VERSION and self._refusal_limit.take(self.now_us):
+            self.effects.append(
+                SendMessage(incoming.sender, refusal(self.config.keys, self.config.name), incoming.transport)
             )
 
-    def _other(self, heard: MessageReceived, frame: Frame) -> None:
+    def _report_other_kind(self, incoming: MessageReceived, frame: Frame) -> None:
         if frame.kind == Kind.REFUSAL:
             versions = ", ".join(map(str, frame.body[: gossip.MAX_VERSIONS]))
-            self.line("version", f"{heard.sender} reads versions {versions} of the wire alone")
+            self.log("version", f"{incoming.sender} reads versions {versions} of the wire alone")
 
 
-def version_for(theirs: tuple[int, ...]) -> int:
+def common_version(their_versions: tuple[int, ...]) -> int:
     """The highest version of the wire that both read; ours where there is none, which they refuse."""
-    return max((v for v in theirs if v in VERSIONS), default=VERSIONS[-1])
+    return max((v for v in their_versions if v in VERSIONS), default=VERSIONS[-1])
--- a/granitewell/membership/refutation.py
+++ b/granitewell/membership/refutation.py
@@ -16,38 +16,48 @@
 from __future__ import annotations
 
 from granitewell.membership import health
-from granitewell.membership.local_member import Opened, Seat
-from granitewell.membership.states import GONE, PHASES, Cause, Phase, Standing, State
+from granitewell.membership.local_member import LocalMember, ReceivedMessage
+from granitewell.membership.states import DOWN, TRANSITIONS, Cause, Phase, Standing, State
 from granitewell.membership.suspicion import timeout_us
 from granitewell.membership.table import Record
-from granitewell.membership.types import Member, Moved, Twin
-from granitewell.protocols.peers.gossip import MAX_GEN, MAX_INC, Claim, Ping, Relay, packed
+from granitewell.membership.types import DuplicateIdentity, Member, PhaseChanged
+from granitewell.protocols.peers.gossip import MAX_GEN, MAX_INC, Assertion, Ping, Relay, pack
 from granitewell.state_machine import Transport
 
-ROUND_US = 500_000  # between two questions to the holder of our name
-ROUNDS = 3  # unanswered, and it is gone if its address is ours
-SLOW_US = 2_000_000  # between questions after that
-MAX_TWINS = 64  # told of, each once
+HOLDER_PROBE_US = 500_000  # between two questions to the holder of our name
+MAX_UNANSWERED_PROBES = 3  # unanswered, and it is gone if its address is ours
+SLOW_HOLDER_PROBE_US = 2_000_000  # between questions after that
+MAX_DUPLICATES = 64  # told of, each once
 
 
-class Own:
+class LocalIdentity:
     """gen, inc: of the claim that we make; before the first, the least that it may have."""
 
-    __slots__ = ("_about", "_due_us", "_numbers", "_quiet_us", "_rounds", "_seat", "_twins", "gen", "inc",
-                 "phase")  # fmt: skip
-
-    def __init__(self, seat: Seat) -> None:
-        self._seat, self._about = seat, seat.config.about
+    __slots__ = (
+        "_about",
+        "_due_us",
+        "_probe_numbers",
+        "_last_answer_us",
+        "_unanswered_probes",
+        "_local",
+        "_reported_duplicates",
+        "gen",
+        "inc",
+        "phase",
+    )
+
+    def __init__(self, local: LocalMember) -> None:
+        self._local, self._about = local, local.config.about
         self.phase = Phase.JOINING
-        former = seat.config.former
+        previous = local.config.previous
         self.gen = self.inc = 0
-        if former is not None:
-            self.gen = former.gen if former.goes_on else min(former.gen + 1, MAX_GEN)
-            self.inc = former.inc if former.goes_on else 0
-        self._due_us = self._quiet_us = -1
-        self._rounds = 0  # unanswered
-        self._numbers: list[int] = []
-        self._twins: list[int] = []
+        if previous is not None:
+            self.gen = previous.gen if previous.handed_over else min(previous.gen + 1, MAX_GEN)
+            self.inc = previous.inc if previous.handed_over else 0
+        self._due_us = self._last_answer_us = -1
+        self._unanswered_probes = 0  # unanswered
+        self._probe_numbers: list[int] = []
+        self._reported_duplicates: list[int] = []
 
     @property
     def due_us(self) -> int:
@@ -57,90 +67,92 @@
     @property
     def standing(self) -> Standing:
         """What we say of ourselves."""
-        state = State.LEFT if self.phase in (Phase.LEAVING, Phase.OUT) else State.ALIVE
-        return Standing(self.gen, self._seat.birth, self.inc, state)
+        state = State.LEFT if self.phase in (Phase.LEAVING, Phase.STOPPED) else State.ALIVE
+        return Standing(self.gen, self._local.birth, self.inc, state)
 
     @property
     def record(self) -> Record | None:
         """What is known of our name, whoever holds it."""
-        return self._seat.table.records.get(self._seat.config.name)
+        return self._local.table.records.get(self._local.config.name)
 
     @property
     def holder(self) -> Member | None:
         """The other process that holds our name, if one does that is not known to be gone."""
         record = self.record
-        if record is None or record.standing.birth == self._seat.birth or record.standing.state in GONE:
+        if record is None or record.standing.birth == self._local.birth or record.standing.state in DOWN:
             return None
         return record.member
 
-    def _move(self, cause: Cause) -> None:
-        before, self.phase = self.phase, PHASES[self.phase, cause]
+    def _transition(self, cause: Cause) -> None:
+        before, self.phase = self.phase, TRANSITIONS[self.phase, cause]
         if self.phase is not before:
-            self._seat.out.append(Moved(self.phase))
+            self._local.effects.append(PhaseChanged(self.phase))
 
     # --- Saying -----------------------------------------------------------------------------------------
-    def say(self) -> None:
+    def announce(self) -> None:
         """Our claim, to ourselves and to be passed on."""
-        seat, standing = self._seat, self.standing
+        local, standing = self._local, self.standing
         about = self._about if standing.state is State.ALIVE else None
-        claim = Claim(seat.config.name, *standing, about=about)
-        seat.table.merge(claim, seat.now_us)
-        seat.spread.put(seat.config.name, packed(claim))
+        assertion = Assertion(local.config.name, *standing, about=about)
+        local.table.merge(assertion, local.now_us)
+        local.dissemination.add(local.config.name, pack(assertion))
 
-    def describe(self, payload: bytes) -> None:
+    def update_payload(self, payload: bytes) -> None:
         """Say something else of ourselves."""
         about = self._about
         self._about = type(about)(about.role, about.address, about.zone, about.versions, payload)
-        if self.phase is Phase.IN:
-            self._above(self.gen, self.inc)
+        if self.phase is Phase.ACTIVE:
+            self._raise_incarnation(self.gen, self.inc)
 
-    def _above(self, gen: int, inc: int) -> None:
+    def _raise_incarnation(self, gen: int, inc: int) -> None:
         """Claim more than that."""
         if inc < MAX_INC:
             self.gen, self.inc = gen, inc + 1
         else:  # said by somebody who means us ill: no incarnation is left in this life
             self.gen, self.inc = min(gen + 1, MAX_GEN), 0
-        self.say()
+        self.announce()
 
-    def enter(self) -> None:
+    def join(self) -> None:
         """Our name is free: be a member, in a life above any that is known of it."""
-        self._move(Cause.FREE)
+        self._transition(Cause.NAME_FREE)
         record, self._due_us = self.record, -1
         known = record.standing.gen if record is not None else 0
-        mine = record is not None and record.standing.birth == self._seat.birth
+        mine = record is not None and record.standing.birth == self._local.birth
         self.gen = max(self.gen, known if mine else min(known + 1, MAX_GEN))
-        self._above(self.gen, max(self.inc, record.standing.inc if record is not None and mine else 0))
+        self._raise_incarnation(
+            self.gen, max(self.inc, record.standing.inc if record is not None and mine else 0)
+        )
 
     def leave(self) -> None:
         """Say that we go."""
         before = self.phase
-        self._move(Cause.LEAVE)
+        self._transition(Cause.LEAVE_REQUESTED)
         if self.phase is Phase.LEAVING is not before:
-            self.say()
-            self._due_us = self._seat.now_us + self._seat.figures.leave_us
+            self.announce()
+            self._due_us = self._local.now_us + self._local.parameters.leave_us
 
     # --- Hearing ----------------------------------------------------------------------------------------
-    def look(self) -> None:
+    def check_record(self) -> None:
         """What is known of our name has changed: refute it, take the name back, or find that it is
         another's.
         """
         record = self.record
         if record is None or record.standing == self.standing and record.about in (None, self._about):
             return
-        standing, mine = record.standing, record.standing.birth == self._seat.birth
+        standing, mine = record.standing, record.standing.birth == self._local.birth
         if self.phase is Phase.LEAVING and mine:
-            self._above(standing.gen, standing.inc)
-        elif self.phase is Phase.IN and mine:
-            self._seat.health.note(health.REFUTED)
-            self._above(standing.gen, standing.inc)
-        elif self.phase is Phase.IN and standing.state in GONE:
-            self._above(min(standing.gen + 1, MAX_GEN), self.inc)
-        elif self.phase is Phase.IN:
-            self.dispute()
-        elif self.phase in (Phase.DISPUTED, Phase.TAKEN) and (mine or standing.state in GONE):
-            self.enter()
-
-    def compared(self) -> None:
+            self._raise_incarnation(standing.gen, standing.inc)
+        elif self.phase is Phase.ACTIVE and mine:
+            self._local.health.adjust(health.SUSPICION_REFUTED)
+            self._raise_incarnation(standing.gen, standing.inc)
+        elif self.phase is Phase.ACTIVE and standing.state in DOWN:
+            self._raise_incarnation(min(standing.gen + 1, MAX_GEN), self.inc)
+        elif self.phase is Phase.ACTIVE:
+            self.dispute_name()
+        elif self.phase in (Phase.NAME_DISPUTED, Phase.NAME_TAKEN) and (mine or standing.state in DOWN):
+            self.join()
+
+    def table_compared(self) -> None:
         """We have another's whole table, or wait for none any more.
 
         While we join, that says whether our name is free.
@@ -148,88 +160,92 @@
         if self.phase is not Phase.JOINING:
             return
         record = self.record
-        mine = record is not None and record.standing.birth == self._seat.birth
-        if record is None or mine or record.standing.state in GONE:
-            self.enter()
+        mine = record is not None and record.standing.birth == self._local.birth
+        if record is None or mine or record.standing.state in DOWN:
+            self.join()
         else:
-            self.dispute()
+            self.dispute_name()
 
     # --- Whose name it is -------------------------------------------------------------------------------
-    def dispute(self) -> None:
+    def dispute_name(self) -> None:
         """Another process holds our name: ask it."""
-        self._move(Cause.HELD)
-        seat = self._seat
-        self._rounds, self._numbers = 0, []
-        self._due_us = self._quiet_us = seat.now_us
+        self._transition(Cause.NAME_HELD)
+        local = self._local
+        self._unanswered_probes, self._probe_numbers = 0, []
+        self._due_us = self._last_answer_us = local.now_us
         holder = self.holder
         at = holder.about.address if holder is not None else "an unknown address"
-        seat.line("name", f"{seat.config.name} is held by another process, at {at}: asking it")
+        local.log("name", f"{local.config.name} is held by another process, at {at}: asking it")
 
     def run(self) -> None:
         """Ask again, if it is time; take the name, if the holder is gone; end a leave."""
-        if not 0 <= self._due_us <= self._seat.now_us:
+        if not 0 <= self._due_us <= self._local.now_us:
             return
         if self.phase is Phase.LEAVING:
-            self._move(Cause.OVER)
+            self._transition(Cause.LEAVE_COMPLETED)
         elif self.phase is Phase.JOINING:
-            self.compared()  # nobody has answered: we are the first, or alone
-        elif self.phase in (Phase.DISPUTED, Phase.TAKEN):
-            if self._gone():
-                self.enter()
+            self.table_compared()  # nobody has answered: we are the first, or alone
+        elif self.phase in (Phase.NAME_DISPUTED, Phase.NAME_TAKEN):
+            if self._holder_is_gone():
+                self.join()
             else:
-                self._ask()
+                self._probe_holder()
 
-    def alone_after(self, length_us: int) -> None:
+    def join_alone_after(self, length_us: int) -> None:
         """Be a member without an answer after so long."""
-        self._due_us = self._seat.now_us + length_us
+        self._due_us = self._local.now_us + length_us
 
-    def _gone(self) -> bool:
+    def _holder_is_gone(self) -> bool:
         """Whether the holder is, for all that we can tell."""
-        seat, holder = self._seat, self.holder
-        if holder is None or self._rounds < ROUNDS:
+        local, holder = self._local, self.holder
+        if holder is None or self._unanswered_probes < MAX_UNANSWERED_PROBES:
             return False
-        if holder.about.address == seat.config.address:
+        if holder.about.address == local.config.address:
             return True
-        nobody = seat.members <= 1  # but the holder, so that nobody else can call it dead
-        return nobody and seat.now_us - self._quiet_us >= timeout_us(seat.figures, 2, 0)
+        no_other_member = local.member_count <= 1  # but the holder, so that nobody else can call it dead
+        return no_other_member and local.now_us - self._last_answer_us >= timeout_us(local.parameters, 2, 0)
 
-    def _ask(self) -> None:
-        seat, holder = self._seat, self.holder
-        slow = self.phase is Phase.TAKEN or self._rounds >= ROUNDS
-        self._due_us = seat.now_us + (SLOW_US if slow else ROUND_US)
+    def _probe_holder(self) -> None:
+        local, holder = self._local, self.holder
+        slowly = self.phase is Phase.NAME_TAKEN or self._unanswered_probes >= MAX_UNANSWERED_PROBES
+        self._due_us = local.now_us + (SLOW_HOLDER_PROBE_US if slowly else HOLDER_PROBE_US)
         if holder is None:
             return
-        self._rounds += 1
-        number = seat.number()
-        self._numbers = [*self._numbers[-ROUNDS:], number]
+        self._unanswered_probes += 1
+        number = local.next_number()
+        self._probe_numbers = [*self._probe_numbers[-MAX_UNANSWERED_PROBES:], number]
         for transport in Transport:
-            seat.tell(holder, Ping(number), transport)
+            local.send_to(holder, Ping(number), transport)
         relay = Relay(number, holder.name, holder.birth, holder.about.address)
-        for member in seat.draw(seat.figures.helpers):
-            seat.tell(member, relay)
+        for member in local.random_members(local.parameters.helpers):
+            local.send_to(member, relay)
 
-    def ack(self, opened: Opened, number: int) -> None:
+    def ack(self, received: ReceivedMessage, number: int) -> None:
         """The holder lives: it has answered us, or a helper."""
-        seat, holder = self._seat, self.holder
-        if self.phase not in (Phase.DISPUTED, Phase.TAKEN) or number not in self._numbers or holder is None:
+        local, holder = self._local, self.holder
+        if (
+            self.phase not in (Phase.NAME_DISPUTED, Phase.NAME_TAKEN)
+            or number not in self._probe_numbers
+            or holder is None
+        ):
             return
-        itself = (opened.sender, opened.letter.birth) == (holder.name, holder.birth)
-        if not itself and not opened.known:
+        from_holder = (received.sender, received.envelope.birth) == (holder.name, holder.birth)
+        if not from_holder and not received.known:
             return
-        self._rounds, self._quiet_us = 0, seat.now_us
-        self._due_us = max(self._due_us, seat.now_us + ROUND_US)
-        self._move(Cause.ANSWERED)
-        self._twin(holder.birth, holder.about.address, holds=False)
+        self._unanswered_probes, self._last_answer_us = 0, local.now_us
+        self._due_us = max(self._due_us, local.now_us + HOLDER_PROBE_US)
+        self._transition(Cause.HOLDER_ANSWERED)
+        self._report_duplicate(holder.birth, holder.about.address, owns_name=False)
 
-    def asked(self, opened: Opened) -> None:
+    def ping_received(self, received: ReceivedMessage) -> None:
         """Another process goes by our name, and has asked whether we live."""
-        if opened.sender == self._seat.config.name and self.phase is Phase.IN:
-            self._twin(opened.letter.birth, opened.address, holds=True)
-
-    def _twin(self, birth: int, address: str, holds: bool) -> None:
-        seat = self._seat
-        what = "holds our name: we wait until it is gone" if not holds else "goes by our name, and waits"
-        seat.line("twin", f"another living process, at {address}, {what} ({seat.config.name})")
-        if birth not in self._twins:
-            self._twins = [*self._twins[-MAX_TWINS:], birth]
-            seat.out.append(Twin(birth, address, holds))
+        if received.sender == self._local.config.name and self.phase is Phase.ACTIVE:
+            self._report_duplicate(received.envelope.birth, received.address, owns_name=True)
+
+    def _report_duplicate(self, birth: int, address: str, owns_name: bool) -> None:
+        local = self._local
+        what = "holds our name: we wait until it is gone" if not owns_name else "goes by our name, and waits"
+        local.log("twin", f"another living process, at {address}, {what} ({local.config.name})")
+        if birth not in self._reported_duplicates:
+            self._reported_duplicates = [*self._reported_duplicates[-MAX_DUPLICATES:], birth]
+            local.effects.append(DuplicateIdentity(birth, address, owns_name))
--- a/granitewell/membership/states.py
+++ b/granitewell/membership/states.py
@@ -40,14 +40,14 @@
 
 
 _A, _S, _D, _L = State
-MORE, AS_MUCH = ">", ">="  # what the incarnation of a new claim must be beside the old one's
+GREATER, GREATER_OR_EQUAL = ">", ">="  # what the incarnation of a new claim must be beside the old one's
 
 # new claim: by the state of the old one
 OVERRIDES: dict[State, dict[State, str]] = {
-    _A: {_A: MORE, _S: MORE, _D: MORE, _L: MORE},
-    _S: {_A: AS_MUCH, _S: MORE, _D: MORE, _L: MORE},
-    _D: {_A: AS_MUCH, _S: AS_MUCH, _D: MORE, _L: MORE},
-    _L: {_A: AS_MUCH, _S: AS_MUCH, _D: AS_MUCH, _L: MORE},
+    _A: {_A: GREATER, _S: GREATER, _D: GREATER, _L: GREATER},
+    _S: {_A: GREATER_OR_EQUAL, _S: GREATER, _D: GREATER, _L: GREATER},
+    _D: {_A: GREATER_OR_EQUAL, _S: GREATER_OR_EQUAL, _D: GREATER, _L: GREATER},
+    _L: {_A: GREATER_OR_EQUAL, _S: GREATER_OR_EQUAL, _D: GREATER_OR_EQUAL, _L: GREATER},
 }
 
 
@@ -55,7 +55,7 @@
     """Whether the new claim takes the old one's place."""
     if new[:2] != old[:2]:
         return new[:2] > old[:2]
-    if OVERRIDES[new.state][old.state] is AS_MUCH:
+    if OVERRIDES[new.state][old.state] is GREATER_OR_EQUAL:
         return new.inc >= old.inc
     return new.inc > old.inc
 
@@ -65,7 +65,7 @@
     return b if overrides(b, a) else a
 
 
-class News(Enum):
+class MemberEvent(Enum):
     """What a change of a member is told as."""
 
     JOINED = "joined"
@@ -76,50 +76,60 @@
 
 
 # state before, None for not there: by the state now
-TELLS: dict[State | None, dict[State, tuple[News, ...]]] = {
-    None: {_A: (News.JOINED,), _S: (News.JOINED, News.SUSPECTED), _D: (), _L: ()},
-    _A: {_A: (News.CHANGED,), _S: (News.SUSPECTED,), _D: (News.DIED,), _L: (News.LEFT,)},
-    _S: {_A: (News.CHANGED,), _S: (), _D: (News.DIED,), _L: (News.LEFT,)},
-    _D: {_A: (News.JOINED,), _S: (News.JOINED, News.SUSPECTED), _D: (), _L: (News.LEFT,)},
-    _L: {_A: (News.JOINED,), _S: (News.JOINED, News.SUSPECTED), _D: (), _L: ()},
+MEMBER_EVENTS: dict[State | None, dict[State, tuple[MemberEvent, ...]]] = {
+    None: {_A: (MemberEvent.JOINED,), _S: (MemberEvent.JOINED, MemberEvent.SUSPECTED), _D: (), _L: ()},
+    _A: {
+        _A: (MemberEvent.CHANGED,),
+        _S: (MemberEvent.SUSPECTED,),
+        _D: (MemberEvent.DIED,),
+        _L: (MemberEvent.LEFT,),
+    },
+    _S: {_A: (MemberEvent.CHANGED,), _S: (), _D: (MemberEvent.DIED,), _L: (MemberEvent.LEFT,)},
+    _D: {
+        _A: (MemberEvent.JOINED,),
+        _S: (MemberEvent.JOINED, MemberEvent.SUSPECTED),
+        _D: (),
+        _L: (MemberEvent.LEFT,),
+    },
+    _L: {_A: (MemberEvent.JOINED,), _S: (MemberEvent.JOINED, MemberEvent.SUSPECTED), _D: (), _L: ()},
 }
 UP = (_A, _S)
-GONE = (_D, _L)
+DOWN = (_D, _L)
 
 
 class Phase(Enum):
     """Where a process itself stands."""
 
     JOINING = "joining"  # asks the seeds who is there
-    IN = "in"  # a member
-    DISPUTED = "disputed"  # its name is another process's, which may be its former self
-    TAKEN = "taken"  # its name is held by another that lives: it waits
+    ACTIVE = "in"  # a member
+    NAME_DISPUTED = "disputed"  # its name is another process's, which may be its former self
+    NAME_TAKEN = "taken"  # its name is held by another that lives: it waits
     LEAVING = "leaving"
-    OUT = "out"  # for good
+    STOPPED = "out"  # for good
 
 
 class Cause(Enum):
     """What moves it."""
 
-    FREE = "free"  # nobody holds its name, or nobody any more
-    HELD = "held"  # another process does
-    ANSWERED = "answered"  # and lives
-    LEAVE = "leave"
-    OVER = "over"
-
-
-PHASES: dict[tuple[Phase, Cause], Phase] = {
-    (Phase.JOINING, Cause.FREE): Phase.IN,
-    (Phase.JOINING, Cause.HELD): Phase.DISPUTED,
-    (Phase.DISPUTED, Cause.FREE): Phase.IN,
-    (Phase.DISPUTED, Cause.ANSWERED): Phase.TAKEN,
-    (Phase.TAKEN, Cause.FREE): Phase.IN,
-    (Phase.TAKEN, Cause.ANSWERED): Phase.TAKEN,
-    (Phase.IN, Cause.HELD): Phase.DISPUTED,
-    (Phase.IN, Cause.LEAVE): Phase.LEAVING,
-    (Phase.JOINING, Cause.LEAVE): Phase.OUT,
-    (Phase.DISPUTED, Cause.LEAVE): Phase.OUT,
-    (Phase.TAKEN, Cause.LEAVE): Phase.OUT,
-    (Phase.LEAVING, Cause.LEAVE): Phase.LEAVING,
-    (Phase.LEAVING, Cause.OVER): Phase.OUT,
+    NAME_FREE = "free"  # nobody holds its name, or nobody any more
+    NAME_HELD = "held"  # another process does
+    HOLDER_ANSWERED = "answered"  # and lives
+    LEAVE_REQUESTED = "leave"
+    LEAVE_COMPLETED = "over"
+
+
+TRANSITIONS: dict[tuple[Phase, Cause], Phase] = {
+    (Phase.JOINING, Cause.NAME_FREE): Phase.ACTIVE,
+    (Phase.JOINING, Cause.NAME_HELD): Phase.NAME_DISPUTED,
+    (Phase.NAME_DISPUTED, Cause.NAME_FREE): Phase.ACTIVE,
+    (Phase.NAME_DISPUTED, Cause.HOLDER_ANSWERED): Phase.NAME_TAKEN,
+    (Phase.NAME_TAKEN, Cause.NAME_FREE): Phase.ACTIVE,
+    (Phase.NAME_TAKEN, Cause.HOLDER_ANSWERED): Phase.NAME_TAKEN,
+    (Phase.ACTIVE, Cause.NAME_HELD): Phase.NAME_DISPUTED,
+    (Phase.ACTIVE, Cause.LEAVE_REQUESTED): Phase.LEAVING,
+    (Phase.JOINING, Cause.LEAVE_REQUESTED): Phase.STOPPED,
+    (Phase.NAME_DISPUTED, Cause.LEAVE_REQUESTED): Phase.STOPPED,
+    (Phase.NAME_TAKEN, Cause.LEAVE_REQUESTED): Phase.STOPPED,
+    (Phase.LEAVING, Cause.LEAVE_REQUESTED): Phase.LEAVING,
+    (Phase.LEAVING, Cause.LEAVE_COMPLETED): Phase.STOPPED,
 }
--- a/granitewell/membership/types.py
+++ b/granitewell/membership/types.py
@@ -9,8 +9,8 @@
 
 from granitewell.membership.states import UP, Phase, Standing, State
 from granitewell.protocols.peers import gossip
-from granitewell.protocols.peers.frames import MAX_NAME, VERSIONS, Keys
-from granitewell.protocols.peers.gossip import About, word
+from granitewell.protocols.peers.frames import MAX_NAME_BYTES, VERSIONS, Keys
+from granitewell.protocols.peers.gossip import About, is_printable
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class TableEntry:
     """A name as the table has it.
 
     Attributes:
@@ -44,7 +44,7 @@
     standing: Standing
     about: About | None
     by: str
-    gone_us: int
+    down_since_us: int
 
 
 # --- Events ---------------------------------------------------------------------------------------------
@@ -57,14 +57,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Describe:
+class UpdatePayload:
     """Say this of ourselves from now on."""
 
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
+class ForceLeave:
     """An operator says that the process of this name is gone for good: as if it had said so itself.
 
     Taken of the dead alone; one that lives all the same refutes it.
@@ -74,14 +74,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rekey:
+class ReplaceKeys:
     """Other keys count from now on."""
 
     keys: Keys
 
 
 @dataclass(frozen=True, slots=True)
-class Reseed:
+class ReplaceSeeds:
     """Other seeds count from now on. Raises ValueError where one is no word."""
 
     seeds: tuple[str, ...]
@@ -124,14 +124,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
+class PhaseChanged:
     """Where we stand ourselves."""
 
     phase: Phase
 
 
 @dataclass(frozen=True, slots=True)
-class Twin:
+class DuplicateIdentity:
     """Another living process goes by our name, at that address: an operator has to look.
 
     Attributes:
@@ -140,12 +140,12 @@
 
     birth: int
     address: str
-    holds: bool
+    owns_name: bool
 
 
 # --- Settings -------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Figures:
+class Parameters:
     """How often, how long, how many. Raises ValueError naming the field.
 
     probe_us: a probe of one member each; timeout_us: how long it may take to answer before helpers are asked,
@@ -193,25 +193,26 @@
     syncs: int = 50
 
     def __post_init__(self) -> None:
-        for name, least, most in _BOUNDS:
+        for name, least, most in _PARAMETER_BOUNDS:
             _held(name, getattr(self, name), least, most)
         if self.timeout_us >= self.probe_us:
             raise ValueError(f"timeout_us: found {self.timeout_us}, allowed is less than probe_us")
 
 
-_HOUR = 3_600_000_000
-_BOUNDS = (
-    ("probe_us", 10_000, _HOUR), ("timeout_us", 5_000, _HOUR), ("pings", 1, 10), ("asks", 1, 10),
-    ("helpers", 0, 20), ("gossip_us", 10_000, _HOUR), ("fanout", 1, 20), ("spread", 1, 20), ("alpha", 1, 20),
-    ("beta", 1, 20), ("confirmations", 0, 20), ("calls", 0, 10), ("call_us", 1_000, _HOUR),
-    ("sync_us", 100_000, _HOUR), ("revive_us", 100_000, _HOUR), ("forget_us", 1_000_000, 48 * _HOUR),
-    ("leave_us", 0, 60_000_000), ("alone_us", 0, _HOUR), ("stall_us", 0, _HOUR), ("most", 2, 10_000),
+_HOUR_US = 3_600_000_000
+_PARAMETER_BOUNDS = (
+    ("probe_us", 10_000, _HOUR_US), ("timeout_us", 5_000, _HOUR_US), ("pings", 1, 10), ("asks", 1, 10),
+    ("helpers", 0, 20), ("gossip_us", 10_000, _HOUR_US), ("fanout", 1, 20), ("spread", 1, 20),
+    ("alpha", 1, 20),
+    ("beta", 1, 20), ("confirmations", 0, 20), ("calls", 0, 10), ("call_us", 1_000, _HOUR_US),
+    ("sync_us", 100_000, _HOUR_US), ("revive_us", 100_000, _HOUR_US), ("forget_us", 1_000_000, 48 * _HOUR_US),
+    ("leave_us", 0, 60_000_000), ("alone_us", 0, _HOUR_US), ("stall_us", 0, _HOUR_US), ("most", 2, 10_000),
     ("per_sender", 1, 1_000_000), ("in_all", 1, 1_000_000), ("raw", 1, 1_000_000), ("syncs", 1, 10_000),
 )  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
-class Former:
+class PreviousProcess:
     """The process that had the name before, as it was written down.
 
     Attributes:
@@ -225,7 +226,7 @@
     birth: int
     inc: int
     seq: int
-    goes_on: bool = False
+    handed_over: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -246,16 +247,16 @@
     versions: tuple[int, ...] = VERSIONS
     payload: bytes = b""
     seeds: tuple[str, ...] = ()
-    figures: Figures = field(default_factory=Figures)
-    former: Former | None = None
+    parameters: Parameters = field(default_factory=Parameters)
+    previous: PreviousProcess | None = None
 
     def __post_init__(self) -> None:
-        _word("name", self.name, 1, MAX_NAME)
-        _word("address", self.address, 1, gossip.MAX_ADDRESS)
-        _word("role", self.role, 1, gossip.MAX_ROLE)
-        _word("zone", self.zone, 0, gossip.MAX_ZONE)
+        _word("name", self.name, 1, MAX_NAME_BYTES)
+        _word("address", self.address, 1, gossip.MAX_ADDRESS_BYTES)
+        _word("role", self.role, 1, gossip.MAX_ROLE_BYTES)
+        _word("zone", self.zone, 0, gossip.MAX_ZONE_BYTES)
         for seed in self.seeds:
-            _word("seeds", seed, 1, gossip.MAX_ADDRESS)
+            _word("seeds", seed, 1, gossip.MAX_ADDRESS_BYTES)
         _held("versions", len(self.versions), 1, gossip.MAX_VERSIONS)
         check_payload(self.payload)
 
@@ -267,11 +268,11 @@
 
 def check_payload(payload: bytes) -> None:
     """Raises ValueError where it is too long."""
-    _held("payload", len(payload), 0, gossip.MAX_PAYLOAD)
+    _held("payload", len(payload), 0, gossip.MAX_PAYLOAD_BYTES)
 
 
 def _word(name: str, text: str, least: int, most: int) -> None:
-    if not (least <= len(text) <= most and word(text)):
+    if not (least <= len(text) <= most and is_printable(text)):
         raise ValueError(f"{name}: found {text!r}, allowed are {least} to {most} bytes of printable ASCII")
 
 
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -44,23 +44,23 @@
     Changed,
     Config,
     Died,
-    Entry,
-    Forget,
-    Former,
+    DuplicateIdentity,
+    ForceLeave,
     Joined,
     Leave,
     Left,
     Member,
-    Moved,
-    Rekey,
-    Reseed,
+    PhaseChanged,
+    PreviousProcess,
+    ReplaceKeys,
+    ReplaceSeeds,
     Suspected,
-    Twin,
+    TableEntry,
 )
 from granitewell.net.disk_writer import Notebook
 from granitewell.net.peers import Roads
 from granitewell.protocols.peers.frames import Keys, Kind, kind_of
-from granitewell.protocols.peers.limits import Bucket
+from granitewell.protocols.peers.limits import TokenBucket
 from granitewell.state_machine import LogLine, MessageReceived, SendMessage, TimerFired
 
 if TYPE_CHECKING:
@@ -76,7 +76,7 @@
 PART_OF_SOCKETS = 16  # one descriptor in so many may be a stream, each way
 MANY_PART, MANY_US, MANY_LEAST = 3, 12_000_000, 2  # one in so many members lost within that time
 LINES = 3  # lines of a topic a second, twice that at once
-FIGURES = membership.Figures()
+FIGURES = membership.Parameters()
 MAX_ROWS = 1_000  # members in an answer, those first who are not well: a look is made in one turn
 ORDER = {State.SUSPECT: 0, State.DEAD: 1, State.ALIVE: 2, State.LEFT: 3}
 
@@ -107,7 +107,7 @@
         self._streams = max(min(settings.streams, node._sockets // PART_OF_SOCKETS), 1)
         node._sockets = max(node._sockets - 2 * self._streams - 2, 1)
         node._divide(node._sockets)
-        self._lines: dict[str, Bucket] = {}  # topics are the program's own
+        self._lines: dict[str, TokenBucket] = {}  # topics are the program's own
         self.turn = Turn.WAITING
         self.machine: Membership | None = None
         self.census: Census | None = None
@@ -163,12 +163,12 @@
         former = None
         if note is not None and note.life.gen:
             life = note.life
-            former = Former(life.gen, max(life.birth, 1), life.inc, life.seq, self._waited)
+            former = PreviousProcess(life.gen, max(life.birth, 1), life.inc, life.seq, self._waited)
         known = note.known if note is not None else ()
         seeds = tuple(dict.fromkeys((*settings.seeds, *(note.addresses if note is not None else ()))))
         config = Config(
             settings.name, settings.address, self._keys, settings.role, settings.zone, seeds=seeds,
-            figures=FIGURES, former=former,
+            parameters=FIGURES, previous=former,
         )  # fmt: skip
         configured = self._node._config.settings.proxies
         self.census = Census(settings.name, configured, int(settings.unheard_s * 1e6), known)
@@ -189,11 +189,11 @@
             return
         self.machine = machine
         if self._keys != keys:
-            self._tell(Rekey(self._keys))
+            self._tell(ReplaceKeys(self._keys))
         if self._settings.seeds != settings.seeds:
-            self._tell(Reseed(self._settings.seeds))
+            self._tell(ReplaceSeeds(self._settings.seeds))
         if self.shared is not None and self.roads is not None:
-            self.shared.begin(machine.own.gen, self.roads.say)
+            self.shared.begin(machine.identity.gen, self.roads.say)
         self._tell(TimerFired())
         self._count()
 
@@ -317,7 +317,7 @@
             elif settings.keys != self._keys:
                 self._rekey(settings.keys)
             if self.machine is not None and settings.seeds != self._settings.seeds:
-                self._tell(Reseed(settings.seeds))
+                self._tell(ReplaceSeeds(settings.seeds))
             self._settings = settings
         if self.census is not None:
             self.census.unheard_us = int(self._settings.unheard_s * 1e6)
@@ -328,7 +328,7 @@
         ids = ", ".join(k.id.hex() for k in (keys.current, keys.other) if k is not None)
         self.say("member", f"keys are taken up: {ids}, the first seals")
         if self.machine is not None:
-            self._tell(Rekey(keys))
+            self._tell(ReplaceKeys(keys))
         if self.shared is not None:
             self.shared.rekey(keys)
 
@@ -343,7 +343,7 @@
         Members come and go several at a time, and each of those lines is wanted: some of a topic are written
         at once, further ones as often as those of other topics.
         """
-        bucket = self._lines.setdefault(topic, Bucket(LINES, self._clock.now()))
+        bucket = self._lines.setdefault(topic, TokenBucket(LINES, self._clock.now()))
         if bucket.take(self._clock.now()):
             self._node.log.write(self._clock.now(), topic, line, always=True)
         else:
@@ -369,7 +369,7 @@
                 self._line(effect)
             else:
                 self._news(effect)
-        if machine.seat.seq > self._reserved - SPARE // 2:
+        if machine.local.seq > self._reserved - SPARE // 2:
             self._note(always=True)
         self._arm()
 
@@ -382,11 +382,11 @@
             self.say("cluster", line.text)
 
     def _news(self, effect: object) -> None:
-        if isinstance(effect, Moved):
+        if isinstance(effect, PhaseChanged):
             self.say("member", f"{self._settings.name} is {effect.phase.value}")
-            if effect.phase is Phase.OUT:
+            if effect.phase is Phase.STOPPED:
                 self._out.set()
-        elif isinstance(effect, Twin):
+        elif isinstance(effect, DuplicateIdentity):
             self.twins += 1
         elif isinstance(effect, Joined | Suspected | Died | Left | Changed):
             self._changed_us = self._clock.now()
@@ -426,11 +426,11 @@
             return
         # of one who was gone before we came it is not known what it was: it may act, so it counts
         role = self._settings.role
-        ours = [e for e in machine.everyone() if e.about is None or e.about.role == role]
+        ours = [e for e in machine.entries() if e.about is None or e.about.role == role]
         self._ask(Seen({e.name: stands(e.standing.state.name.lower(), e.by) for e in ours}))
         self._share(ours)
 
-    def _share(self, ours: list[Entry]) -> None:
+    def _share(self, ours: list[TableEntry]) -> None:
         """Tell what is shared with whom: all who may act, those that nobody hears among them."""
         shared, census = self.shared, self.census
         if shared is None or census is None:
@@ -499,7 +499,7 @@
         """Form the note, and have it written if it says anything new."""
         if not self._kept.lasting:
             return
-        seat, own = machine.seat, machine.own
+        seat, own = machine.local, machine.identity
         life = persisted_record.Life(own.gen, seat.birth, own.inc, seat.seq + SPARE)
         there = [m.about.address for m in machine.members() if m.name != self._settings.name]
         known, wanted = tuple(census.known()), {a for a in there if _fits(a)}
@@ -530,16 +530,17 @@
         }  # fmt: skip
         if machine is None or census is None or self.roads is None:
             return made
-        own, seat, count = machine.own, machine.seat, census.count
+        own, seat, count = machine.identity, machine.local, census.count
         made |= {
             "phase": machine.phase.value, "life": own.gen, "incarnation": own.inc, "health": machine.health,
-            "stood_s": machine.stood_us / 1e6, "most": count.most, "up": count.up, "unseen": census.unseen,
+            "stood_s": machine.stalled_us / 1e6, "most": count.most, "up": count.up, "unseen": census.unseen,
             "silent": census.names(Place.SILENT), "away": census.names(Place.AWAY),
-            "letters": {f"{kind} {way}": n for (way, kind), n in sorted(seat.letters.items())},
-            "dropped": dict(sorted(machine.counts.items())), "roads": dict(sorted(self.roads.counts.items())),
+            "letters": {f"{kind} {way}": n for (way, kind), n in sorted(seat.message_counts.items())},
+            "dropped": dict(sorted(machine.drop_counts.items())),
+            "roads": dict(sorted(self.roads.counts.items())),
             "streams": dict(zip(("ours", "theirs"), self.roads.streams, strict=True)),
         }  # fmt: skip
-        everyone = sorted(machine.everyone(), key=lambda e: ORDER[e.standing.state])
+        everyone = sorted(machine.entries(), key=lambda e: ORDER[e.standing.state])
         made["cut"] = len(everyone) > MAX_ROWS
         for e in everyone[:MAX_ROWS]:
             gen, birth, inc, state = e.standing
@@ -549,7 +550,7 @@
                 "incarnation": inc, "by": e.by,
                 "role": about.role if about else None, "zone": about.zone if about else None,
                 "address": about.address if about else None,
-                "gone_s": max(seat.now_us - e.gone_us, 0) / 1e6 if e.gone_us >= 0 else None,
+                "gone_s": max(seat.now_us - e.down_since_us, 0) / 1e6 if e.down_since_us >= 0 else None,
             })  # fmt: skip
         return made
 
@@ -563,9 +564,9 @@
             for told in machine.history(name):
                 gen, birth, inc, state = told.standing
                 rows.append({
-                    "ago_s": max(machine.seat.now_us - told.at_us, 0) / 1e6, "state": state.name.lower(),
+                    "ago_s": max(machine.local.now_us - told.at_us, 0) / 1e6, "state": state.name.lower(),
                     "life": gen, "birth": f"{birth:016x}", "incarnation": inc, "by": told.by,
-                    "told_by": told.teller or self._settings.name, "road": told.transport or "own",
+                    "told_by": told.source or self._settings.name, "road": told.transport or "own",
                 })  # fmt: skip
         places = {p.value: census.names(p) for p in Place} if census is not None else {}
         counted = next((p for p, there in places.items() if name in there), None)
@@ -583,7 +584,7 @@
         if name not in (*self.census.names(Place.SILENT), *self.census.names(Place.AWAY)):
             return f"{name} is neither silent nor away here: only who is dead or has left can be called gone"
         self.say("member", f"{name} is called gone by an operator")
-        self._tell(Forget(name))
+        self._tell(ForceLeave(name))
         self._ask(Out(name))
         self._note(always=True)
         return ""
--- a/granitewell/net/peers.py
+++ b/granitewell/net/peers.py
@@ -30,7 +30,7 @@
 from granitewell.cluster.types import spelt
 from granitewell.net.clock import Clock
 from granitewell.net.sockets import bound, end, tcp
-from granitewell.protocols.peers.frames import MAX_DATAGRAM, Splitter
+from granitewell.protocols.peers.frames import MAX_DATAGRAM_BYTES, FrameSplitter
 from granitewell.state_machine import MessageReceived, SendMessage, Transport
 
 BATCH_US = 1_000  # of one turn of the loop, that datagrams of others may take,
@@ -360,12 +360,12 @@
     def _take(self) -> bool:
         assert self._datagrams is not None
         try:
-            data, sender = self._datagrams.recvfrom(MAX_DATAGRAM + 1)
+            data, sender = self._datagrams.recvfrom(MAX_DATAGRAM_BYTES + 1)
         except BlockingIOError:
             return False
         except OSError:  # what a datagram of ours met on its way (ECONNREFUSED) is told here
             return True
-        if len(data) > MAX_DATAGRAM:
+        if len(data) > MAX_DATAGRAM_BYTES:
             self.counts["oversized"] += 1
         else:
             self._heard(spelt(sender[0], sender[1]), data, Transport.DATAGRAM)
@@ -411,10 +411,10 @@
         self, sender: str, sock: socket.socket, stands: Callable[[], bool], patience_s: float | None
     ) -> None:
         """Hear the frames of a stream until it ends, is spoilt, or says nothing for too long."""
-        splitter = Splitter()
+        splitter = FrameSplitter()
         buffer = bytearray(PIECE)
         while stands():
-            async with asyncio.timeout(PART_S if splitter.held else patience_s):
+            async with asyncio.timeout(PART_S if splitter.buffered_bytes else patience_s):
                 n = await self._loop.sock_recv_into(sock, buffer)
             if not n:
                 return
@@ -422,7 +422,7 @@
             for frame in splitter.feed(bytes(buffer[:n])):
                 if stands():  # one of them may have been the end of all
                     self._heard(sender, frame, Transport.STREAM)
-            if splitter.broken is not None:
+            if splitter.error is not None:
                 self.counts["unframed"] += 1
                 return
             took_us = self._clock.fresh() - began_us
--- a/granitewell/operator/cluster.py
+++ b/granitewell/operator/cluster.py
@@ -34,7 +34,7 @@
 from granitewell.operator.problem import Problem, shown
 from granitewell.operator.table import Table
 from granitewell.protocols.peers.frames import Keys
-from granitewell.protocols.peers.gossip import MAX_ROLE, MAX_ZONE
+from granitewell.protocols.peers.gossip import MAX_ROLE_BYTES, MAX_ZONE_BYTES
 
 PLAIN = ClusterSettings()
 OTHERS = stat.S_IRWXG | stat.S_IRWXO  # of a mode: what anybody but the owner may do
@@ -71,12 +71,13 @@
         extra={"allowed": "the path of a file, or empty"},
     )] = ""  # fmt: skip
     role: Annotated[str, Meta(
-        max_length=MAX_ROLE, description="Nodes of one role share budgets.",
-        extra={"restart": True, "allowed": f"1 to {MAX_ROLE} bytes of printable ASCII without blanks"},
+        max_length=MAX_ROLE_BYTES, description="Nodes of one role share budgets.",
+        extra={"restart": True, "allowed": f"1 to {MAX_ROLE_BYTES} bytes of printable ASCII without blanks"},
     )] = PLAIN.role  # fmt: skip
     zone: Annotated[str, Meta(
-        max_length=MAX_ZONE, description="Shown to operators.",
-        extra={"restart": True, "allowed": f"at most {MAX_ZONE} bytes of printable ASCII without blanks"},
+        max_length=MAX_ZONE_BYTES, description="Shown to operators.",
+        extra={"restart": True,
+               "allowed": f"at most {MAX_ZONE_BYTES} bytes of printable ASCII without blanks"},
     )] = PLAIN.zone  # fmt: skip
     folder: Annotated[str, Meta(
         max_length=4096, description="A folder on a disk that lasts, of this node alone, for its life's "
@@ -125,9 +126,9 @@
             if why := _address(seed):
                 yield Problem(("seeds", k), why, ALLOWED_ADDRESS)
         if not role_fits(self.role):
-            yield Problem(("role",), shown(self.role), f"1 to {MAX_ROLE} bytes of printable ASCII")
+            yield Problem(("role",), shown(self.role), f"1 to {MAX_ROLE_BYTES} bytes of printable ASCII")
         if not zone_fits(self.zone):
-            yield Problem(("zone",), shown(self.zone), f"at most {MAX_ZONE} bytes of printable ASCII")
+            yield Problem(("zone",), shown(self.zone), f"at most {MAX_ZONE_BYTES} bytes of printable ASCII")
         try:
             read_keys(self.keys)
         except ValueError as error:
--- a/granitewell/protocols/peers/bodies.py
+++ b/granitewell/protocols/peers/bodies.py
@@ -24,7 +24,7 @@
 T = TypeVar("T", bound=Body)
 
 
-class Bodies(Generic[T]):
+class BodyCodec(Generic[T]):
     """The messages of one kind of frame. Annotate it with their union: `X: Bodies[A | B] = Bodies(A, B)`."""
 
     __slots__ = ("_decoder", "_encoder")
@@ -33,11 +33,11 @@
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Union[types])
 
-    def write(self, message: T) -> bytes:
+    def encode(self, message: T) -> bytes:
         """The body of a message."""
         return self._encoder.encode(message)
 
-    def read(self, body: bytes) -> T | None:
+    def decode(self, body: bytes) -> T | None:
         """The message, or None where it is not one of ours or not as it has to be."""
         try:
             message: T = self._decoder.decode(body)
--- a/granitewell/protocols/peers/counts.py
+++ b/granitewell/protocols/peers/counts.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from granitewell.protocols.peers.bodies import Bodies, Body, Count, Time
+from granitewell.protocols.peers.bodies import Body, BodyCodec, Count, Time
 
 MAX_KEY = 96  # bytes of a key
 MAX_SLOTS, MAX_SLICES = 256, 512  # in one letter
@@ -93,4 +93,4 @@
     slices: Annotated[list[Slice], msgspec.Meta(max_length=MAX_SLICES)] = msgspec.field(default_factory=list)
 
 
-LETTERS: Bodies[Ask | Word] = Bodies(Ask, Word)
+CODEC: BodyCodec[Ask | Word] = BodyCodec(Ask, Word)
--- a/granitewell/protocols/peers/frames.py
+++ b/granitewell/protocols/peers/frames.py
@@ -35,18 +35,20 @@
 
 MAGIC = b"GW"
 VERSIONS = (1,)  # that this node reads, ascending; it writes the last unless told otherwise
-MAX_DATAGRAM = 1_200  # bytes of a whole frame: fits any path's MTU (RFC 9000, section 14, takes the same)
-MAX_STREAM = 1 << 20
-MAX_NAME = 63
-TAG = 16
-MIN_SECRET, MAX_SECRET = 16, 64  # bytes; BLAKE2b takes a key of up to 64
-
-_HEAD = Struct(">2sBBI4sB")
+MAX_DATAGRAM_BYTES = (
+    1_200  # bytes of a whole frame: fits any path's MTU (RFC 9000, section 14, takes the same)
+)
+MAX_STREAM_FRAME_BYTES = 1 << 20
+MAX_NAME_BYTES = 63
+TAG_BYTES = 16
+MIN_SECRET_BYTES, MAX_SECRET_BYTES = 16, 64  # bytes; BLAKE2b takes a key of up to 64
+
+_HEADER = Struct(">2sBBI4sB")
 _TAG_PERSON = b"granitewell peer"  # BLAKE2b's personalisation: the key serves no other purpose by accident
 _KEY_PERSON = b"granitewell k-id"
 
-HEAD = _HEAD.size
-OVERHEAD = HEAD + MAX_NAME + TAG  # the most that a frame adds to its body
+HEADER_BYTES = _HEADER.size
+MAX_OVERHEAD_BYTES = HEADER_BYTES + MAX_NAME_BYTES + TAG_BYTES  # the most that a frame adds to its body
 
 
 class Kind(IntEnum):
@@ -64,7 +66,7 @@
 _REFUSAL = bytes((1, Kind.REFUSAL))  # version and kind
 
 
-class Why(Enum):
+class RefusalReason(Enum):
     """Why bytes were refused."""
 
     SHORT = "short"  # fewer bytes than the frame says
@@ -73,7 +75,7 @@
     VERSION = "version"
     NAME = "name"
     KEY = "key"
-    TAG = "tag"
+    TAG_BYTES = "tag"
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +102,7 @@
         versions: Those that this node reads, where that is the reason.
     """
 
-    why: Why
+    why: RefusalReason
     text: str
     versions: tuple[int, ...] = ()
 
@@ -114,13 +116,13 @@
 
     def __post_init__(self) -> None:
         size = len(self.secret)
-        if not MIN_SECRET <= size <= MAX_SECRET:
-            raise ValueError(f"key: found {size} bytes, allowed are {MIN_SECRET} to {MAX_SECRET}")
+        if not MIN_SECRET_BYTES <= size <= MAX_SECRET_BYTES:
+            raise ValueError(f"key: found {size} bytes, allowed are {MIN_SECRET_BYTES} to {MAX_SECRET_BYTES}")
         object.__setattr__(self, "id", blake2b(self.secret, digest_size=4, person=_KEY_PERSON).digest())
 
     def tag(self, data: bytes) -> bytes:
         """Of everything before the tag."""
-        return blake2b(data, digest_size=TAG, key=self.secret, person=_TAG_PERSON).digest()
+        return blake2b(data, digest_size=TAG_BYTES, key=self.secret, person=_TAG_PERSON).digest()
 
 
 @dataclass(frozen=True, slots=True)
@@ -143,44 +145,54 @@
 
 def kind_of(data: bytes) -> int:
     """The kind that a frame's head names, proved by nothing: whose machine is to open it. 0 for no head."""
-    return data[3] if len(data) >= HEAD else 0
+    return data[3] if len(data) >= HEADER_BYTES else 0
 
 
 def seal(
-    kind: int, body: bytes, keys: Keys, sender: str, *, limit: int = MAX_DATAGRAM, version: int = VERSIONS[-1]
+    kind: int,
+    body: bytes,
+    keys: Keys,
+    sender: str,
+    *,
+    limit: int = MAX_DATAGRAM_BYTES,
+    version: int = VERSIONS[-1],
 ) -> bytes:
     """A frame. Raises ValueError where the name or the size is not allowed: the sender's own mistake."""
     name = sender.encode("ascii", "replace")
-    if not _named(name) or name.decode() != sender:
-        raise ValueError(f"sender: found {sender!r}, allowed are 1 to {MAX_NAME} bytes of printable ASCII")
-    size = HEAD + len(name) + len(body) + TAG
+    if not _is_valid_name(name) or name.decode() != sender:
+        raise ValueError(
+            f"sender: found {sender!r}, allowed are 1 to {MAX_NAME_BYTES} bytes of printable ASCII"
+        )
+    size = HEADER_BYTES + len(name) + len(body) + TAG_BYTES
     if size > limit:
         raise ValueError(f"frame: found {size} bytes, allowed are {limit}")
-    head = _HEAD.pack(MAGIC, version, kind, len(body), keys.current.id, len(name))
+    head = _HEADER.pack(MAGIC, version, kind, len(body), keys.current.id, len(name))
     data = head + name + body
     return data + keys.current.tag(data)
 
 
 def open_(
-    data: bytes, keys: Keys, *, limit: int = MAX_DATAGRAM, versions: Sequence[int] = VERSIONS
+    data: bytes, keys: Keys, *, limit: int = MAX_DATAGRAM_BYTES, versions: Sequence[int] = VERSIONS
 ) -> Frame | Refused:
     """The frame that these bytes are, whole and alone, or why not. Never raises."""
-    size = _size(data, limit, versions)
+    size = _frame_size(data, limit, versions)
     if isinstance(size, Refused):
         return size
     if size != len(data):
-        why = Why.SHORT if size > len(data) else Why.LONG
+        why = RefusalReason.SHORT if size > len(data) else RefusalReason.LONG
         return Refused(why, f"found {len(data)} bytes of a frame of {size}")
-    _, version, kind, length, key_id, named = _HEAD.unpack_from(data)
+    _, version, kind, length, key_id, name_bytes = _HEADER.unpack_from(data)
     key = keys.by_id(key_id)
     if key is None:
-        return Refused(Why.KEY, f"sealed with the key {key_id.hex()}, which is not ours")
-    if not compare_digest(key.tag(data[:-TAG]), data[-TAG:]):
-        return Refused(Why.TAG, "the tag does not fit")
-    name = data[HEAD : HEAD + named]
-    if not _named(name):
-        return Refused(Why.NAME, f"the sender's name is {name!r}")
-    return Frame(kind, name.decode("ascii"), data[HEAD + named : size - TAG], version, key_id)
+        return Refused(RefusalReason.KEY, f"sealed with the key {key_id.hex()}, which is not ours")
+    if not compare_digest(key.tag(data[:-TAG_BYTES]), data[-TAG_BYTES:]):
+        return Refused(RefusalReason.TAG_BYTES, "the tag does not fit")
+    name = data[HEADER_BYTES : HEADER_BYTES + name_bytes]
+    if not _is_valid_name(name):
+        return Refused(RefusalReason.NAME, f"the sender's name is {name!r}")
+    return Frame(
+        kind, name.decode("ascii"), data[HEADER_BYTES + name_bytes : size - TAG_BYTES], version, key_id
+    )
 
 
 def refusal(keys: Keys, sender: str, versions: Sequence[int] = VERSIONS) -> bytes:
@@ -190,27 +202,27 @@
     return seal(Kind.REFUSAL, bytes(versions), keys, sender, version=1)
 
 
-class Splitter:
+class FrameSplitter:
     """Cuts a stream into frames.
 
     It holds at most one frame that is not whole, `limit` bytes of it; after bytes that can't be a frame it
     takes nothing more, since where the next one starts can't be known: the stream is then to be closed.
     """
 
-    __slots__ = ("_held", "_limit", "_refused", "_versions")
+    __slots__ = ("_buffer", "_limit", "_refused", "_versions")
 
-    def __init__(self, limit: int = MAX_STREAM, versions: Sequence[int] = VERSIONS) -> None:
-        self._held = bytearray()
+    def __init__(self, limit: int = MAX_STREAM_FRAME_BYTES, versions: Sequence[int] = VERSIONS) -> None:
+        self._buffer = bytearray()
         self._limit, self._versions = limit, tuple(versions)
         self._refused: Refused | None = None
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes kept until the rest comes."""
-        return len(self._held)
+        return len(self._buffer)
 
     @property
-    def broken(self) -> Refused | None:
+    def error(self) -> Refused | None:
         """Why the stream is to be closed, if it is."""
         return self._refused
 
@@ -219,41 +231,43 @@
         frames: list[bytes] = []
         if self._refused is not None:
             return frames
-        held, start = self._held, 0
-        held += data
-        while len(held) - start >= HEAD:
-            size = _size(held[start : start + HEAD], self._limit, self._versions)
+        buffered_bytes, start = self._buffer, 0
+        buffered_bytes += data
+        while len(buffered_bytes) - start >= HEADER_BYTES:
+            size = _frame_size(buffered_bytes[start : start + HEADER_BYTES], self._limit, self._versions)
             if isinstance(size, Refused):
                 self._refused = size
-                held.clear()
+                buffered_bytes.clear()
                 return frames
-            if len(held) - start < size:
+            if len(buffered_bytes) - start < size:
                 break
-            frames.append(bytes(held[start : start + size]))
+            frames.append(bytes(buffered_bytes[start : start + size]))
             start += size
-        del held[:start]
+        del buffered_bytes[:start]
         return frames
 
 
-def _size(data: bytes | bytearray, limit: int, versions: Sequence[int]) -> int | Refused:
+def _frame_size(data: bytes | bytearray, limit: int, versions: Sequence[int]) -> int | Refused:
     """Bytes of the whole frame by its head; a refusal has one in every version."""
     if data[:2] != MAGIC[: len(data)]:
-        return Refused(Why.MAGIC, f"starts with {bytes(data[:2])!r}, not {MAGIC!r}")
+        return Refused(RefusalReason.MAGIC, f"starts with {bytes(data[:2])!r}, not {MAGIC!r}")
     if len(data) > 2 and data[2] not in versions and bytes(data[2:4]) != _REFUSAL:
         known = ", ".join(map(str, versions))
-        return Refused(Why.VERSION, f"found version {data[2]}, known are {known}", tuple(versions))
-    if len(data) < HEAD:
-        return Refused(Why.SHORT, f"found {len(data)} bytes, a head has {HEAD}")
+        return Refused(RefusalReason.VERSION, f"found version {data[2]}, known are {known}", tuple(versions))
+    if len(data) < HEADER_BYTES:
+        return Refused(RefusalReason.SHORT, f"found {len(data)} bytes, a head has {HEADER_BYTES}")
     length: int
-    named: int
-    _, _, _, length, _, named = _HEAD.unpack_from(data)
-    if not 1 <= named <= MAX_NAME:
-        return Refused(Why.NAME, f"the sender's name has {named} bytes, allowed are 1 to {MAX_NAME}")
-    size = HEAD + named + length + TAG
+    name_bytes: int
+    _, _, _, length, _, name_bytes = _HEADER.unpack_from(data)
+    if not 1 <= name_bytes <= MAX_NAME_BYTES:
+        return Refused(
+            RefusalReason.NAME, f"the sender's name has {name_bytes} bytes, allowed are 1 to {MAX_NAME_BYTES}"
+        )
+    size = HEADER_BYTES + name_bytes + length + TAG_BYTES
     if size > limit:
-        return Refused(Why.LONG, f"a frame of {size} bytes, allowed are {limit}")
+        return Refused(RefusalReason.LONG, f"a frame of {size} bytes, allowed are {limit}")
     return size
 
 
-def _named(name: bytes) -> bool:
-    return 1 <= len(name) <= MAX_NAME and all(0x21 <= c <= 0x7E for c in name)
+def _is_valid_name(name: bytes) -> bool:
+    return 1 <= len(name) <= MAX_NAME_BYTES and all(0x21 <= c <= 0x7E for c in name)
--- a/granitewell/protocols/peers/gossip.py
+++ b/granitewell/protocols/peers/gossip.py
@@ -15,32 +15,35 @@
 
 import msgspec
 
-from granitewell.protocols.peers.bodies import Bodies, Body, Count
-from granitewell.protocols.peers.frames import HEAD, MAX_DATAGRAM, MAX_NAME, TAG
+from granitewell.protocols.peers.bodies import Body, BodyCodec, Count
+from granitewell.protocols.peers.frames import HEADER_BYTES, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, TAG_BYTES
 
 MAX_INC = 1 << 40  # an incarnation above it is not believed: nobody changes so often
 MAX_GEN = 1 << 32
-MAX_ROLE, MAX_ADDRESS, MAX_ZONE, MAX_PAYLOAD, MAX_VERSIONS = 16, 64, 32, 128, 8
-BUCKETS = 32  # parts of a table that are compared by a digest each
-DIGEST = 8  # bytes of one
-MAX_PAGE = 32_768  # bytes of claims in one letter on a stream
+MAX_ROLE_BYTES, MAX_ADDRESS_BYTES, MAX_ZONE_BYTES, MAX_PAYLOAD_BYTES, MAX_VERSIONS = 16, 64, 32, 128, 8
+TABLE_PARTITIONS = 32  # parts of a table that are compared by a digest each
+DIGEST_BYTES = 8  # bytes of one
+MAX_PAGE_BYTES = 32_768  # bytes of claims in one letter on a stream
 
 Birth = Annotated[int, msgspec.Meta(ge=1, le=(1 << 63) - 1)]
-To = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
+ReceiverBirth = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Inc = Annotated[int, msgspec.Meta(ge=0, le=MAX_INC)]
 Gen = Annotated[int, msgspec.Meta(ge=1, le=MAX_GEN)]
 Age = Annotated[int, msgspec.Meta(ge=0, le=1 << 32)]
 State = Annotated[int, msgspec.Meta(ge=0, le=3)]  # alive, suspect, dead, left
-Named = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
-By = Annotated[str, msgspec.Meta(max_length=MAX_NAME)]
-Address = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ADDRESS)]
-Role = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ROLE)]
-Zone = Annotated[str, msgspec.Meta(max_length=MAX_ZONE)]
-Payload = Annotated[bytes, msgspec.Meta(max_length=MAX_PAYLOAD)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_BYTES)]
+Reporter = Annotated[str, msgspec.Meta(max_length=MAX_NAME_BYTES)]
+Address = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ADDRESS_BYTES)]
+Role = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ROLE_BYTES)]
+Zone = Annotated[str, msgspec.Meta(max_length=MAX_ZONE_BYTES)]
+Payload = Annotated[bytes, msgspec.Meta(max_length=MAX_PAYLOAD_BYTES)]
 Version = Annotated[int, msgspec.Meta(ge=0, le=255)]
 Versions = Annotated[tuple[Version, ...], msgspec.Meta(min_length=1, max_length=MAX_VERSIONS)]
-Digests = Annotated[bytes, msgspec.Meta(min_length=BUCKETS * DIGEST, max_length=BUCKETS * DIGEST)]
-Mask = Annotated[int, msgspec.Meta(ge=0, le=(1 << BUCKETS) - 1)]
+Digests = Annotated[
+    bytes,
+    msgspec.Meta(min_length=TABLE_PARTITIONS * DIGEST_BYTES, max_length=TABLE_PARTITIONS * DIGEST_BYTES),
+]
+Mask = Annotated[int, msgspec.Meta(ge=0, le=(1 << TABLE_PARTITIONS) - 1)]
 
 
 class About(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -58,19 +61,19 @@
     payload: Payload = b""
 
 
-class Claim(msgspec.Struct, frozen=True, array_like=True):
+class Assertion(msgspec.Struct, frozen=True, array_like=True):
     """What is said of a member: the process `birth`, which is the gen-th life of that name, is in that state
     at that incarnation. age_s: of dead and left, since when. by: who suspects it or calls it dead. about:
     with alive alone, from the member itself. Fields are sent by place: later versions add at the end.
     """
 
-    name: Named
+    name: Name
     gen: Gen
     birth: Birth
     inc: Inc
     state: State
     age_s: Age = 0
-    by: By = ""
+    by: Reporter = ""
     about: About | None = None
 
 
@@ -106,7 +109,7 @@
     """Ping that process for me."""
 
     number: Count
-    name: Named
+    name: Name
     birth: Birth
     address: Address
 
@@ -162,11 +165,11 @@
     more: bool = False
 
 
-Said = Ping | Ack | Nack | Relay | Rumour | Hello | Welcome | Push | Page
-_SHORT = {"birth": "b", "to": "o", "seq": "s", "said": "m", "claims": "c"}
+Message = Ping | Ack | Nack | Relay | Rumour | Hello | Welcome | Push | Page
+_WIRE_NAMES = {"birth": "b", "to": "o", "seq": "s", "message": "m", "assertions": "c"}
 
 
-class Letter(Body, frozen=True, tag="g", rename=_SHORT):
+class Envelope(Body, frozen=True, tag="g", rename=_WIRE_NAMES):
     """What is sealed.
 
     Attributes:
@@ -176,46 +179,52 @@
     """
 
     birth: Birth
-    to: To
+    to: ReceiverBirth
     seq: Count
-    said: Said
-    claims: list[Claim] = msgspec.field(default_factory=list)
+    message: Message
+    assertions: list[Assertion] = msgspec.field(default_factory=list)
 
 
-LETTERS: Bodies[Letter] = Bodies(Letter)
-_PACK = msgspec.msgpack.Encoder()
+CODEC: BodyCodec[Envelope] = BodyCodec(Envelope)
+_ENCODER = msgspec.msgpack.Encoder()
 
 
-def word(text: str) -> bool:
+def is_printable(text: str) -> bool:
     """Whether it is printable ASCII without spaces, as names, addresses, roles and zones have to be."""
     return text.isascii() and text.isprintable() and " " not in text
 
 
-def sound(claim: Claim) -> bool:
+def is_valid(assertion: Assertion) -> bool:
     """What the bounds don't say.
 
     To be asked before a claim changes anything; most claims that are heard change nothing, so the codec does
     not ask it of each.
     """
-    about = claim.about
-    if not (word(claim.name) and word(claim.by)) or (about is None) != (claim.state != 0):
+    about = assertion.about
+    if not (is_printable(assertion.name) and is_printable(assertion.by)) or (about is None) != (
+        assertion.state != 0
+    ):
         return False
-    return about is None or (word(about.role) and word(about.address) and word(about.zone))
+    return about is None or (
+        is_printable(about.role) and is_printable(about.address) and is_printable(about.zone)
+    )
 
 
-def packed(claim: Claim) -> bytes:
+def pack(assertion: Assertion) -> bytes:
     """A claim as it stands in a letter."""
-    return _PACK.encode(claim)
+    return _ENCODER.encode(assertion)
 
 
-def write(letter: Letter, claims: Sequence[bytes] = ()) -> bytes:
+def encode_envelope(envelope: Envelope, assertions: Sequence[bytes] = ()) -> bytes:
     """The body of a letter that carries these packed claims, and none of its own."""
-    if claims:
-        raw = cast("list[Claim]", [msgspec.Raw(one) for one in claims])
-        letter = msgspec.structs.replace(letter, claims=raw)
-    return LETTERS.write(letter)
+    if assertions:
+        encoded = cast("list[Assertion]", [msgspec.Raw(one) for one in assertions])
+        envelope = msgspec.structs.replace(envelope, assertions=encoded)
+    return CODEC.encode(envelope)
 
 
-def room(body: bytes, sender: str) -> int:
+def free_bytes(body: bytes, sender: str) -> int:
     """Bytes that a datagram has left for packed claims beside this body, which carries none."""
-    return MAX_DATAGRAM - HEAD - len(sender) - TAG - len(body) - 5  # the key, and the length of the list
+    return (
+        MAX_DATAGRAM_BYTES - HEADER_BYTES - len(sender) - TAG_BYTES - len(body) - 5
+    )  # the key, and the length of the list
--- a/granitewell/protocols/peers/leases.py
+++ b/granitewell/protocols/peers/leases.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from granitewell.protocols.peers.bodies import Bodies, Body, Name, Time
+from granitewell.protocols.peers.bodies import Body, BodyCodec, Name, Time
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 _WIRE_NAMES = {"incarnation": "life", "incarnations": "lives"}
@@ -139,10 +139,10 @@
     heard: Number = 0
 
 
-Said = Probe | Would | Ask | Grant | No | Release | Oath | Sworn | Here
+Message = Probe | Would | Ask | Grant | No | Release | Oath | Sworn | Here
 
 
-class Letter(Body, frozen=True, tag="lease", rename=_WIRE_NAMES):
+class Envelope(Body, frozen=True, tag="lease", rename=_WIRE_NAMES):
     """The sealed message.
 
     Attributes:
@@ -153,7 +153,7 @@
 
     fleet: Number
     boot: Number
-    said: Said
+    said: Message
 
 
-LETTERS: Bodies[Letter] = Bodies(Letter)
+CODEC: BodyCodec[Envelope] = BodyCodec(Envelope)
--- a/granitewell/protocols/peers/limits.py
+++ b/granitewell/protocols/peers/limits.py
@@ -6,47 +6,47 @@
 
 from __future__ import annotations
 
-_S = 1_000_000
-WINDOW = 1_024  # numbers back from the highest that are told apart
+_US_PER_S = 1_000_000
+WINDOW_SIZE = 1_024  # numbers back from the highest that are told apart
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket: so many a second, twice that at once."""
 
-    __slots__ = ("_last_us", "_level", "_most", "_rate")
+    __slots__ = ("_last_us", "_available", "_capacity", "_rate")
 
     def __init__(self, per_s: int, now_us: int) -> None:
-        self._rate, self._most = per_s, 2 * per_s * _S
-        self._level, self._last_us = self._most, now_us
+        self._rate, self._capacity = per_s, 2 * per_s * _US_PER_S
+        self._available, self._last_us = self._capacity, now_us
 
     def take(self, now_us: int) -> bool:
         """Whether there is one, and then one less."""
-        level = min(self._level + (now_us - self._last_us) * self._rate, self._most)
+        available = min(self._available + (now_us - self._last_us) * self._rate, self._capacity)
         self._last_us = now_us
-        self._level = level - _S if level >= _S else level
-        return level >= _S
+        self._available = available - _US_PER_S if available >= _US_PER_S else available
+        return available >= _US_PER_S
 
 
-class Window:
+class ReplayWindow:
     """Numbers of one sender that were heard (the anti-replay window of RFC 4303, section 3.4.3).
 
     What is too far back to be told counts as heard.
     """
 
-    __slots__ = ("_heard", "_top")
+    __slots__ = ("_seen", "_highest")
 
     def __init__(self) -> None:
-        self._top, self._heard = -1, 0
+        self._highest, self._seen = -1, 0
 
-    def fresh(self, number: int) -> bool:
+    def accept(self, number: int) -> bool:
         """Whether it is heard for the first time; it is heard now."""
-        ahead = number - self._top
+        ahead = number - self._highest
         if ahead > 0:
-            self._heard = ((self._heard << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
-            self._top = number
+            self._seen = ((self._seen << ahead) | 1) & ((1 << WINDOW_SIZE) - 1) if ahead < WINDOW_SIZE else 1
+            self._highest = number
             return True
-        bit = 1 << -ahead if ahead > -WINDOW else 0
-        if not bit or self._heard & bit:
+        bit = 1 << -ahead if ahead > -WINDOW_SIZE else 0
+        if not bit or self._seen & bit:
             return False
-        self._heard |= bit
+        self._seen |= bit
         return True
--- a/granitewell/protocols/peers/rights.py
+++ b/granitewell/protocols/peers/rights.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from granitewell.protocols.peers.bodies import Bodies, Body, Count
+from granitewell.protocols.peers.bodies import Body, BodyCodec, Count
 
 MAX_KEY = 96  # bytes of a key
 MAX_LOANS = 64  # in one letter
@@ -47,4 +47,4 @@
     loans: Annotated[list[Number], msgspec.Meta(max_length=MAX_LOANS)]
 
 
-LETTERS: Bodies[Want | Lend | Back] = Bodies(Want, Lend, Back)
+CODEC: BodyCodec[Want | Lend | Back] = BodyCodec(Want, Lend, Back)
--- a/granitewell/quotas/state_machine.py
+++ b/granitewell/quotas/state_machine.py
@@ -14,8 +14,8 @@
 from random import Random
 
 from granitewell.protocols.peers.frames import Frame, Keys, Kind, open_, seal
-from granitewell.protocols.peers.limits import Bucket
-from granitewell.protocols.peers.rights import LETTERS, MAX_LOANS, Back, Lend, Want
+from granitewell.protocols.peers.limits import TokenBucket
+from granitewell.protocols.peers.rights import CODEC, MAX_LOANS, Back, Lend, Want
 from granitewell.quotas.budget import Budget
 from granitewell.quotas.quota_transfer import Quota
 from granitewell.quotas.types import MILLI, ActiveNodes, BudgetTotals, KeysChanged, QuotaSettings
@@ -74,8 +74,8 @@
         self._recovery_end_us = now_us if first else now_us + settings.lender_loan_us
         self._max_nodes = 1
         self._peers: dict[str, str] = {}
-        self._sender_limits: dict[str, Bucket] = {}
-        self._total_limit = Bucket(MAX_MESSAGES_PER_S, now_us)
+        self._sender_limits: dict[str, TokenBucket] = {}
+        self._total_limit = TokenBucket(MAX_MESSAGES_PER_S, now_us)
         self._pending: dict[int, tuple[int, str, str]] = {}  # by number: time sent, peer, key
         self._request_number = int(rng.random() * (1 << 30)) << 20
         self._round_us = now_us + int(rng.random() * settings.round_interval_us)
@@ -221,7 +221,7 @@
 
     def _send(self, name: str, body: Want | Lend | Back, address: str = "") -> None:
         """Send a message, to the address of a request if one is given."""
-        data = seal(Kind.RIGHT, LETTERS.write(body), self._keys, self.name)
+        data = seal(Kind.RIGHT, CODEC.encode(body), self._keys, self.name)
         self.counts[f"{type(body).__name__.lower()} sent"] += 1
         self._effects.append(SendMessage(address or self._peers[name], data))
 
@@ -241,11 +241,11 @@
     def _check_sender(self, name: str) -> str:
         if name not in self._peers or name == self.name:
             return "unknown_peer"
-        limit = self._sender_limits.setdefault(name, Bucket(MAX_MESSAGES_PER_SENDER_PER_S, self._now_us))
+        limit = self._sender_limits.setdefault(name, TokenBucket(MAX_MESSAGES_PER_SENDER_PER_S, self._now_us))
         return "" if limit.take(self._now_us) else "sender_rate"
 
     def _handle_body(self, name: str, data: bytes, address: str) -> str:
-        body = LETTERS.read(data)
+        body = CODEC.decode(data)
         if body is None:
             return "malformed"
         self.counts[f"{type(body).__name__.lower()} received"] += 1
--- a/granitewell/shared_counters/state_machine.py
+++ b/granitewell/shared_counters/state_machine.py
@@ -15,15 +15,23 @@
 from random import Random
 from typing import NamedTuple
 
-from granitewell.protocols.peers.counts import LETTERS, MAX_SLICES, Ask, Slice, Slot, Word
-from granitewell.protocols.peers.frames import MAX_DATAGRAM, OVERHEAD, Frame, Keys, Kind, open_, seal
-from granitewell.protocols.peers.limits import Bucket
+from granitewell.protocols.peers.counts import CODEC, MAX_SLICES, Ask, Slice, Slot, Word
+from granitewell.protocols.peers.frames import (
+    MAX_DATAGRAM_BYTES,
+    MAX_OVERHEAD_BYTES,
+    Frame,
+    Keys,
+    Kind,
+    open_,
+    seal,
+)
+from granitewell.protocols.peers.limits import TokenBucket
 from granitewell.shared_counters.local_counts import Own
 from granitewell.shared_counters.remote_counts import Node
 from granitewell.shared_counters.types import Figure, Figures, Part, Peer, Peers, Rekey, Took
 from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
 
-ROOM = MAX_DATAGRAM - OVERHEAD
+ROOM = MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES
 FIXED = 96  # bytes of a word without slots and slices, at the most
 ASK_BYTES = 160  # of a whole question, about
 WORDS = 4  # letters in one answer, where there is much to tell
@@ -45,7 +53,7 @@
     __slots__ = ("bucket", "due_us", "sent")
 
     def __init__(self, due_us: int, now_us: int) -> None:
-        self.due_us, self.bucket = due_us, Bucket(PER_SENDER, now_us)
+        self.due_us, self.bucket = due_us, TokenBucket(PER_SENDER, now_us)
         self.sent: dict[int, tuple[int, str]] = {}
 
 
@@ -94,7 +102,7 @@
         self._former.gone_us = now_us
         self._around_us = now_us  # when another is next asked of a silent node
         self._number = int(rng.random() * (1 << 30)) << 20
-        self._total = Bucket(IN_ALL, now_us)
+        self._total = TokenBucket(IN_ALL, now_us)
         self._spare, self._spare_us = float(figures.bytes_per_s), now_us
         self._forgot_us = now_us  # when what has left the window last went
         self._turned_us = now_us  # when it was last looked at whom to ask: no request puts that off
@@ -257,7 +265,7 @@
         self._say(self._peers[name].address, ask)
 
     def _say(self, address: str, letter: Ask | Word) -> None:
-        data = seal(Kind.COUNT, LETTERS.write(letter), self._keys, self.name)
+        data = seal(Kind.COUNT, CODEC.encode(letter), self._keys, self.name)
         self._spare -= len(data)
         self.counts[f"{type(letter).__name__.lower()} said"] += 1
         self.counts["said_bytes"] += len(data)
@@ -288,7 +296,7 @@
             return "stranger"
         if not asked.bucket.take(self._now_us):
             return "sender"
-        letter = LETTERS.read(frame.body)
+        letter = CODEC.decode(frame.body)
         if letter is None:
             return "malformed"
         self.counts[f"{type(letter).__name__.lower()} heard"] += 1
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -19,7 +19,7 @@
 from granitewell.net import peers
 from granitewell.net.clock import Clock
 from granitewell.net.peers import MAX_BYTES, MAX_FRAMES, Roads, parsed
-from granitewell.protocols.peers.frames import MAX_STREAM, Key, Keys, Splitter, seal
+from granitewell.protocols.peers.frames import MAX_STREAM_FRAME_BYTES, FrameSplitter, Key, Keys, seal
 from granitewell.state_machine import MessageReceived, SendMessage, Transport
 from tests.shell import until
 
@@ -28,7 +28,7 @@
 
 
 def frame(size: int = 100, name: str = "a") -> bytes:
-    return seal(16, bytes(size), KEYS, name, limit=MAX_STREAM)
+    return seal(16, bytes(size), KEYS, name, limit=MAX_STREAM_FRAME_BYTES)
 
 
 class Place:
@@ -103,13 +103,13 @@
 
 
 async def read_frames(sock: socket.socket, count: int) -> list[bytes]:
-    splitter, found = Splitter(), list[bytes]()
+    splitter, found = FrameSplitter(), list[bytes]()
     async with asyncio.timeout(20):
         while len(found) < count:
             data = await asyncio.get_running_loop().sock_recv(sock, 65_536)
             assert data, "the stream ended"
             found += splitter.feed(data)
-    assert splitter.broken is None
+    assert splitter.error is None
     return found
 
 
@@ -147,7 +147,7 @@
         defect()
 
     async def scenario(a: Place) -> None:
-        sink, large = Sink(9), frame(MAX_STREAM - 200)
+        sink, large = Sink(9), frame(MAX_STREAM_FRAME_BYTES - 200)
         a.roads.say(SendMessage(sink.at, large, Transport.STREAM))
         a.roads.say(SendMessage(sink.at, frame(250_000), Transport.STREAM))
         first = await sink.taken()
@@ -174,7 +174,7 @@
     async def scenario(a: Place, b: Place) -> None:
         sink = Sink(9)
         for _ in range(20):
-            a.roads.say(SendMessage(sink.at, frame(MAX_STREAM - 200), Transport.STREAM))
+            a.roads.say(SendMessage(sink.at, frame(MAX_STREAM_FRAME_BYTES - 200), Transport.STREAM))
         stuck = await sink.taken()
         queue = next(iter(a.roads._queues.values()))
         await until(lambda: queue.writing and queue.frames)
@@ -185,7 +185,7 @@
         else:
             await asyncio.sleep(0.5)
         assert (len(b.heard) == 3) is free
-        assert len(queue.frames) <= MAX_FRAMES and queue.bytes <= MAX_BYTES + MAX_STREAM
+        assert len(queue.frames) <= MAX_FRAMES and queue.bytes <= MAX_BYTES + MAX_STREAM_FRAME_BYTES
         stuck.close()
 
     play(scenario)
--- a/tests/leases/planner.py
+++ b/tests/leases/planner.py
@@ -15,13 +15,13 @@
 )
 from granitewell.protocols.peers.frames import Kind, seal
 from granitewell.protocols.peers.leases import (
-    LETTERS,
+    CODEC,
     Ask,
+    Envelope,
     Grant,
     Here,
-    Letter,
+    Message,
     No,
-    Said,
     Would,
 )
 from granitewell.state_machine import MessageReceived, SendMessage, Store, Stored, TimerFired
@@ -56,8 +56,8 @@
     def event(self, event: object) -> list[object]:
         return self.machine.handle(self.now, event)
 
-    def hear(self, name: str, boot: int, body: Said) -> list[object]:
-        frame = seal(Kind.LEASE, LETTERS.write(Letter(self.settings.fleet, boot, body)), KEYS, name)
+    def hear(self, name: str, boot: int, body: Message) -> list[object]:
+        frame = seal(Kind.LEASE, CODEC.encode(Envelope(self.settings.fleet, boot, body)), KEYS, name)
         return self.event(MessageReceived(name, frame))
 
     def stored(self, effects: list[object], ok: bool = True) -> list[object]:
@@ -77,7 +77,7 @@
     return Ask(**{name: more.get(name, getattr(asked, name)) for name in asked.__struct_fields__})  # type: ignore[arg-type]
 
 
-def sent_bodies(effects: list[object]) -> list[Said]:
+def sent_bodies(effects: list[object]) -> list[Message]:
     """Return the bodies of the messages to others, without announcements."""
     letters = [letter_of(e.data) for e in effects if isinstance(e, SendMessage)]
     return [x.said for x in letters if x is not None and not isinstance(x.said, Here)]
--- a/tests/leases/test_state_machine.py
+++ b/tests/leases/test_state_machine.py
@@ -16,10 +16,10 @@
 )
 from granitewell.protocols.peers.frames import Key, Keys, Kind, seal
 from granitewell.protocols.peers.leases import (
-    LETTERS,
+    CODEC,
     Ask,
+    Envelope,
     Grant,
-    Letter,
     Release,
 )
 from granitewell.state_machine import LogLine, MessageReceived, SendMessage, Store, TimerFired
@@ -195,13 +195,13 @@
     planner = SteppedPlanner()
     planner.wait(10 * SECOND)
     body = Ask(1, FIRST + 1, list(INCARNATIONS), 3 * SECOND)
-    message = LETTERS.write(Letter(planner.settings.fleet, 11, body))
-    long = Letter(planner.settings.fleet, 11, with_fields(body, incarnations=[1] * 5))
-    other = LETTERS.write(Letter(planner.settings.fleet + 1, 11, body))
+    message = CODEC.encode(Envelope(planner.settings.fleet, 11, body))
+    long = Envelope(planner.settings.fleet, 11, with_fields(body, incarnations=[1] * 5))
+    other = CODEC.encode(Envelope(planner.settings.fleet + 1, 11, body))
     for frame in (
         seal(Kind.LEASE, message, Keys(Key(bytes(32))), "p1"), seal(Kind.LEASE, message, KEYS, "p9"),
         seal(Kind.LEASE, message[:-1], KEYS, "p1"), seal(Kind.GOSSIP, message, KEYS, "p1"), b"", b"GW",
-        seal(Kind.LEASE, LETTERS.write(long), KEYS, "p1"),
+        seal(Kind.LEASE, CODEC.encode(long), KEYS, "p1"),
     ):  # fmt: skip
         assert planner.event(MessageReceived("x", frame)) == []
     [line] = planner.event(MessageReceived("x", seal(Kind.LEASE, other, KEYS, "p1")))
--- a/tests/protocols/test_frames.py
+++ b/tests/protocols/test_frames.py
@@ -16,50 +16,50 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitewell.protocols.peers.bodies import Bodies, Body
+from granitewell.protocols.peers.bodies import Body, BodyCodec
 from granitewell.protocols.peers.frames import (
-    HEAD,
-    MAX_DATAGRAM,
-    MAX_STREAM,
-    TAG,
+    HEADER_BYTES,
+    MAX_DATAGRAM_BYTES,
+    MAX_STREAM_FRAME_BYTES,
+    TAG_BYTES,
     Frame,
+    FrameSplitter,
     Key,
     Keys,
     Kind,
+    RefusalReason,
     Refused,
-    Splitter,
-    Why,
     open_,
     refusal,
     seal,
 )
-from granitewell.protocols.peers.leases import LETTERS, Ask, Grant, Here, Letter, No, Release, Said, Sworn
+from granitewell.protocols.peers.leases import CODEC, Ask, Envelope, Grant, Here, Message, No, Release, Sworn
 
 CORPUS = sorted((Path(__file__).parent / "corpus" / "frames").iterdir())
 OLD, NEW, OTHER = (Key(bytes([k]) * 32) for k in (1, 2, 3))
 KEYS = Keys(OLD)
-SAID: tuple[Said, ...] = (
+SAID: tuple[Message, ...] = (
     Ask(3, 7, [1, 2, 3], 3_000_000, True), Grant(3, 9, 8, 7), No(3, 9, 8, 7, "term", [1, 0, 3]),
     Release(7, "p2"), Release(7), Sworn(5, 6, "blank", 7, [1, 2, 3]), Here(10, 4),
 )  # fmt: skip
 NAMES = st.text(st.characters(min_codepoint=0x21, max_codepoint=0x7E), min_size=1, max_size=63)
 
 
-def letter(said: Said) -> bytes:
-    return seal(Kind.LEASE, LETTERS.write(Letter(1, 2, said)), KEYS, "p1")
+def letter(said: Message) -> bytes:
+    return seal(Kind.LEASE, CODEC.encode(Envelope(1, 2, said)), KEYS, "p1")
 
 
 def fuzz(data: bytes) -> None:
     """Whatever comes: no exception, and nothing that was not sealed with a key of ours."""
     frame = open_(data, KEYS)
     if isinstance(frame, Frame):
-        assert OLD.tag(data[:-TAG]) == data[-TAG:]
-        LETTERS.read(frame.body)
-    LETTERS.read(data)
-    splitter = Splitter(limit=2_000)
+        assert OLD.tag(data[:-TAG_BYTES]) == data[-TAG_BYTES:]
+        CODEC.decode(frame.body)
+    CODEC.decode(data)
+    splitter = FrameSplitter(limit=2_000)
     for one in splitter.feed(data) + splitter.feed(data):
-        open_(one, KEYS, limit=MAX_STREAM)
-    assert splitter.held <= 2_000
+        open_(one, KEYS, limit=MAX_STREAM_FRAME_BYTES)
+    assert splitter.buffered_bytes <= 2_000
 
 
 # --- The hash -------------------------------------------------------------------------------------------
@@ -91,9 +91,10 @@
     """A node of any later version has to read these very bytes."""
     frame = seal(Kind.LEASE, b"body", KEYS, "p1")
     assert frame.hex() == (
-        "4757" "01" "20" "00000004" + OLD.id.hex() + "02" "7031" "626f6479" + OLD.tag(frame[:-TAG]).hex()
+        "4757" "01" "20" "00000004" + OLD.id.hex() + "02" "7031" "626f6479"
+        + OLD.tag(frame[:-TAG_BYTES]).hex()
     )  # fmt: skip
-    assert OLD.id.hex() == "62f30d31" and frame[-TAG:].hex() == "6d69a6f4de6de84fadf199084d181a64"
+    assert OLD.id.hex() == "62f30d31" and frame[-TAG_BYTES:].hex() == "6d69a6f4de6de84fadf199084d181a64"
     assert open_(frame, KEYS) == Frame(Kind.LEASE, "p1", b"body", 1, OLD.id)
 
 
@@ -113,7 +114,7 @@
     for length in range(len(frame)):
         assert isinstance(open_(frame[:length], KEYS), Refused), f"{length} bytes"
     refused = open_(frame + b"x", KEYS)
-    assert isinstance(refused, Refused) and refused.why is Why.LONG
+    assert isinstance(refused, Refused) and refused.why is RefusalReason.LONG
 
 
 @pytest.mark.parametrize("name", ["", "a" * 64, "two words", "schön", "nul\0"])
@@ -121,20 +122,20 @@
     with pytest.raises(ValueError, match="sender: found"):
         seal(Kind.LEASE, b"", KEYS, name)
     raw = name.encode()
-    head = seal(Kind.LEASE, b"", KEYS, "p")[: HEAD - 1] + bytes([len(raw)]) + raw
+    head = seal(Kind.LEASE, b"", KEYS, "p")[: HEADER_BYTES - 1] + bytes([len(raw)]) + raw
     assert isinstance(open_(head + OLD.tag(head), KEYS), Refused)
 
 
 def test_sizes_are_bounded_both_ways() -> None:
-    room = MAX_DATAGRAM - len(seal(1, b"", KEYS, "p1"))
+    room = MAX_DATAGRAM_BYTES - len(seal(1, b"", KEYS, "p1"))
     most = seal(1, bytes(room), KEYS, "p1")
-    assert len(most) == MAX_DATAGRAM and isinstance(open_(most, KEYS), Frame)
+    assert len(most) == MAX_DATAGRAM_BYTES and isinstance(open_(most, KEYS), Frame)
     with pytest.raises(ValueError, match="frame: found 1201 bytes, allowed are 1200"):
         seal(1, bytes(room + 1), KEYS, "p1")
-    longer = seal(1, bytes(room + 1), KEYS, "p1", limit=MAX_STREAM)
+    longer = seal(1, bytes(room + 1), KEYS, "p1", limit=MAX_STREAM_FRAME_BYTES)
     refused = open_(longer, KEYS)
-    assert isinstance(refused, Refused) and refused.why is Why.LONG
-    assert isinstance(open_(longer, KEYS, limit=MAX_STREAM), Frame)
+    assert isinstance(refused, Refused) and refused.why is RefusalReason.LONG
+    assert isinstance(open_(longer, KEYS, limit=MAX_STREAM_FRAME_BYTES), Frame)
 
 
 # --- Keys and versions ----------------------------------------------------------------------------------
@@ -143,7 +144,7 @@
     for before, after in pairwise(steps):
         for sender, receiver in ((before, after), (after, before), (before, before), (after, after)):
             assert isinstance(open_(seal(1, b"", sender, "p1"), receiver), Frame)
-    for stranger, why in ((Keys(OTHER), Why.KEY), (Keys(NEW), Why.KEY)):
+    for stranger, why in ((Keys(OTHER), RefusalReason.KEY), (Keys(NEW), RefusalReason.KEY)):
         refused = open_(seal(1, b"", KEYS, "p1"), stranger)
         assert isinstance(refused, Refused) and refused.why is why
 
@@ -152,7 +153,7 @@
     thief = Key(bytes(32))
     object.__setattr__(thief, "id", OLD.id)
     refused = open_(seal(1, b"", Keys(thief), "p1"), KEYS)
-    assert isinstance(refused, Refused) and refused.why is Why.TAG
+    assert isinstance(refused, Refused) and refused.why is RefusalReason.TAG_BYTES
 
 
 @pytest.mark.parametrize("size", [0, 15, 65])
@@ -167,7 +168,7 @@
 
 def test_an_unknown_version_is_refused_by_name_and_the_answer_is_read_by_every_version() -> None:
     refused = open_(seal(1, b"", KEYS, "p1", version=2), KEYS)
-    assert refused == Refused(Why.VERSION, "found version 2, known are 1", (1,))
+    assert refused == Refused(RefusalReason.VERSION, "found version 2, known are 1", (1,))
     answer = refusal(KEYS, "p1")
     for versions in ((1,), (1, 2), (7, 8)):
         frame = open_(answer, KEYS, versions=versions)
@@ -188,17 +189,17 @@
 
 
 @pytest.mark.parametrize("said", SAID)
-def test_messages_come_back_as_they_were(said: Said) -> None:
+def test_messages_come_back_as_they_were(said: Message) -> None:
     frame = open_(letter(said), KEYS)
-    assert isinstance(frame, Frame) and LETTERS.read(frame.body) == Letter(1, 2, said)
+    assert isinstance(frame, Frame) and CODEC.decode(frame.body) == Envelope(1, 2, said)
 
 
 def test_unknown_fields_are_skipped_and_unknown_messages_too() -> None:
-    later: Bodies[Later] = Bodies(Later)
-    grants: Bodies[Grant] = Bodies(Grant)
-    assert grants.read(later.write(Later(3, 9, 8, 7, [{"a": 1}]))) == Grant(3, 9, 8, 7)
+    later: BodyCodec[Later] = BodyCodec(Later)
+    grants: BodyCodec[Grant] = BodyCodec(Grant)
+    assert grants.decode(later.encode(Later(3, 9, 8, 7, [{"a": 1}]))) == Grant(3, 9, 8, 7)
     news = {"t": "lease", "fleet": 1, "boot": 2, "said": {"t": "news"}}
-    assert LETTERS.read(msgspec.msgpack.encode(news)) is None
+    assert CODEC.decode(msgspec.msgpack.encode(news)) is None
 
 
 @pytest.mark.parametrize(
@@ -208,13 +209,13 @@
 )  # fmt: skip
 def test_a_field_out_of_its_bounds_gives_nothing(wrong: dict[str, Any]) -> None:
     ask = msgspec.to_builtins(SAID[0]) | wrong
-    assert LETTERS.read(msgspec.msgpack.encode({"t": "lease", "fleet": 1, "boot": 2, "said": ask})) is None
+    assert CODEC.decode(msgspec.msgpack.encode({"t": "lease", "fleet": 1, "boot": 2, "said": ask})) is None
 
 
 def test_a_body_that_goes_deep_or_says_it_is_huge_costs_nothing() -> None:
     start = b"\x84\xa1t\xa5lease\xa5fleet\x01\xa4boot\x02\xa1x"
-    assert LETTERS.read(start + b"\x91" * 1_000_000 + b"\x01") is None
-    assert LETTERS.read(start + b"\xdd\xff\xff\xff\xff") is None
+    assert CODEC.decode(start + b"\x91" * 1_000_000 + b"\x01") is None
+    assert CODEC.decode(start + b"\xdd\xff\xff\xff\xff") is None
 
 
 # --- Streams --------------------------------------------------------------------------------------------
@@ -222,24 +223,24 @@
 @given(st.lists(st.binary(max_size=300), max_size=6), st.lists(st.integers(1, 200), max_size=30))
 def test_a_stream_is_cut_into_its_frames_however_it_arrives(bodies: list[bytes], sizes: list[int]) -> None:
     frames = [seal(Kind.PLAN, body, KEYS, "p1") for body in bodies]
-    rest, splitter, found = b"".join(frames), Splitter(), []
+    rest, splitter, found = b"".join(frames), FrameSplitter(), []
     for size in [*sizes, len(rest)]:
         found += splitter.feed(rest[:size])
         rest = rest[size:]
-    assert found == frames and splitter.held == 0 and splitter.broken is None
+    assert found == frames and splitter.buffered_bytes == 0 and splitter.error is None
 
 
 def test_a_stream_holds_one_frame_at_most_and_ends_at_what_can_be_none() -> None:
-    frame = seal(Kind.PLAN, bytes(500), KEYS, "p1", limit=MAX_STREAM)
-    splitter = Splitter(limit=600)
-    assert splitter.feed(frame * 3 + frame[:-1]) == [frame] * 3 and splitter.held == len(frame) - 1
-    assert splitter.feed(frame[-1:]) == [frame] and splitter.held == 0
-    assert splitter.feed(frame + b"GX" + frame + bytes(HEAD)) == [frame]
-    assert splitter.broken is not None and splitter.broken.why is Why.MAGIC
-    assert splitter.feed(frame) == [] and splitter.held == 0
-    greedy = Splitter(limit=600)
-    greedy.feed(seal(Kind.PLAN, bytes(1_000), KEYS, "p1")[:HEAD])
-    assert greedy.broken is not None and greedy.broken.why is Why.LONG  # by the head alone
+    frame = seal(Kind.PLAN, bytes(500), KEYS, "p1", limit=MAX_STREAM_FRAME_BYTES)
+    splitter = FrameSplitter(limit=600)
+    assert splitter.feed(frame * 3 + frame[:-1]) == [frame] * 3 and splitter.buffered_bytes == len(frame) - 1
+    assert splitter.feed(frame[-1:]) == [frame] and splitter.buffered_bytes == 0
+    assert splitter.feed(frame + b"GX" + frame + bytes(HEADER_BYTES)) == [frame]
+    assert splitter.error is not None and splitter.error.why is RefusalReason.MAGIC
+    assert splitter.feed(frame) == [] and splitter.buffered_bytes == 0
+    greedy = FrameSplitter(limit=600)
+    greedy.feed(seal(Kind.PLAN, bytes(1_000), KEYS, "p1")[:HEADER_BYTES])
+    assert greedy.error is not None and greedy.error.why is RefusalReason.LONG  # by the head alone
 
 
 # --- Anything at all ------------------------------------------------------------------------------------
--- a/tests/protocols/test_gossip.py
+++ b/tests/protocols/test_gossip.py
@@ -8,72 +8,72 @@
 from hypothesis import strategies as st
 
 from granitewell.protocols.peers import gossip
-from granitewell.protocols.peers.frames import MAX_DATAGRAM, Frame, Key, Keys, Kind, open_, seal
+from granitewell.protocols.peers.frames import MAX_DATAGRAM_BYTES, Frame, Key, Keys, Kind, open_, seal
 from granitewell.protocols.peers.gossip import (
-    LETTERS,
+    CODEC,
     About,
     Ack,
-    Claim,
+    Assertion,
+    Envelope,
     Hello,
-    Letter,
+    Message,
     Nack,
     Page,
     Ping,
     Push,
     Relay,
     Rumour,
-    Said,
     Welcome,
-    packed,
-    room,
-    sound,
-    write,
+    encode_envelope,
+    free_bytes,
+    is_valid,
+    pack,
 )
 
 KEYS = Keys(Key(b"a key for virtual time alone"))
 ABOUT = About("forwarder", "10.0.0.1:7946", "a", (1,), b"\x00pay")
-ALIVE = Claim("node-1", 1, 77, 3, 0, about=ABOUT)
+ALIVE = Assertion("node-1", 1, 77, 3, 0, about=ABOUT)
 _WORD = st.text(st.characters(min_codepoint=33, max_codepoint=126), min_size=1, max_size=16)
 _BIRTH, _COUNT = st.integers(1, (1 << 63) - 1), st.integers(0, 1 << 62)
 _VERSIONS = st.lists(st.integers(0, 255), min_size=1, max_size=8).map(tuple)
 abouts = st.builds(About, _WORD, _WORD, _WORD, _VERSIONS, st.binary(max_size=128))
-claims = st.builds(
-    lambda name, gen, birth, inc, state, age, by, about: Claim(
+assertions = st.builds(
+    lambda name, gen, birth, inc, state, age, by, about: Assertion(
         name, gen, birth, inc, state, age, by, about if state == 0 else None
     ),
     st.text(st.characters(min_codepoint=33, max_codepoint=126), min_size=1, max_size=63),
     st.integers(1, gossip.MAX_GEN), _BIRTH, st.integers(0, gossip.MAX_INC), st.integers(0, 3),
     st.integers(0, 1 << 32), _WORD, abouts,
 )  # fmt: skip
-saids: st.SearchStrategy[Said] = st.one_of(
+messages: st.SearchStrategy[Message] = st.one_of(
     st.builds(Ping, _COUNT), st.builds(Ack, _COUNT), st.builds(Nack, _COUNT), st.builds(Rumour),
     st.builds(Relay, _COUNT, _WORD, _BIRTH, _WORD), st.builds(Hello, _COUNT, _WORD),
     st.builds(Welcome, _COUNT, _COUNT, st.binary(min_size=256, max_size=256)),
     st.builds(Push, _COUNT, _COUNT, st.integers(0, (1 << 32) - 1), st.booleans()),
     st.builds(Page, _COUNT, st.booleans()),
 )  # fmt: skip
-letters = st.builds(Letter, _BIRTH, _COUNT, _COUNT, saids)
+envelopes = st.builds(Envelope, _BIRTH, _COUNT, _COUNT, messages)
 
 
-@given(letters, st.lists(claims, max_size=30), _WORD)
+@given(envelopes, st.lists(assertions, max_size=30), _WORD)
 @settings(max_examples=100, deadline=None, derandomize=True)
 def test_a_letter_is_read_as_it_was_written_and_fits_where_it_is_said_to(
-    letter: Letter, some: list[Claim], sender: str
+    envelope: Envelope, some: list[Assertion], sender: str
 ) -> None:
-    left, fit = room(write(letter), sender), []
-    for claim in some:
-        if len(packed(claim)) <= left:
-            fit.append(claim)
-            left -= len(packed(claim))
-    body = write(letter, [packed(claim) for claim in fit])
-    assert LETTERS.read(body) == msgspec.structs.replace(letter, claims=fit)
-    assert len(seal(Kind.GOSSIP, body, KEYS, sender)) <= MAX_DATAGRAM
-    assert all(map(sound, fit))
+    left, fit = free_bytes(encode_envelope(envelope), sender), []
+    for assertion in some:
+        if len(pack(assertion)) <= left:
+            fit.append(assertion)
+            left -= len(pack(assertion))
+    body = encode_envelope(envelope, [pack(assertion) for assertion in fit])
+    assert CODEC.decode(body) == msgspec.structs.replace(envelope, assertions=fit)
+    assert len(seal(Kind.GOSSIP, body, KEYS, sender)) <= MAX_DATAGRAM_BYTES
+    assert all(map(is_valid, fit))
 
 
 def test_the_wire_is_what_was_published() -> None:
     """Version 1. A change here is a new version of the wire."""
-    frame = seal(Kind.GOSSIP, write(Letter(5, 6, 7, Ping(8)), [packed(ALIVE)]), KEYS, "node-1")
+    frame = seal(Kind.GOSSIP, encode_envelope(Envelope(5, 6, 7, Ping(8)), [pack(ALIVE)]), KEYS, "node-1")
     assert frame.hex() == (
         "4757011000000054d771f5b0066e6f64652d3186a174a167a16205a16f06a17307a16d82a174a470696e67a66e756d626572"
         "08a1639198a66e6f64652d31014d030000a095a9666f72776172646572ad31302e302e302e313a37393436a1619101c40400"
@@ -92,7 +92,7 @@
     longer = [*msgspec.to_builtins(ALIVE), "more"]
     longer[7] = ["forwarder", "10.0.0.1:7946", "a", [1], b"\x00pay", "more"]
     body = _body(x=[1, 2], m={"t": "ping", "number": 8, "later": True}, c=[longer])
-    assert LETTERS.read(body) == Letter(5, 6, 7, Ping(8), [ALIVE])
+    assert CODEC.decode(body) == Envelope(5, 6, 7, Ping(8), [ALIVE])
 
 
 @pytest.mark.parametrize(
@@ -108,28 +108,28 @@
     ],
 )  # fmt: skip
 def test_what_is_out_of_its_bounds_is_no_letter(fields: dict[str, object]) -> None:
-    assert LETTERS.read(_body()) is not None
-    assert LETTERS.read(_body(**fields)) is None
+    assert CODEC.decode(_body()) is not None
+    assert CODEC.decode(_body(**fields)) is None
 
 
 @pytest.mark.parametrize(
-    "claim",
+    "assertion",
     [
-        Claim("a b", 1, 5, 0, 1), Claim("n\n", 1, 5, 0, 1), Claim("n", 1, 5, 0, 1, 0, "b\x00"),
-        Claim("é", 1, 5, 0, 1), Claim("n", 1, 5, 0, 0), Claim("n", 1, 5, 0, 2, about=ABOUT),
-        Claim("n", 1, 5, 0, 0, about=About("r", "a\n", "", (1,))),
+        Assertion("a b", 1, 5, 0, 1), Assertion("n\n", 1, 5, 0, 1), Assertion("n", 1, 5, 0, 1, 0, "b\x00"),
+        Assertion("é", 1, 5, 0, 1), Assertion("n", 1, 5, 0, 0), Assertion("n", 1, 5, 0, 2, about=ABOUT),
+        Assertion("n", 1, 5, 0, 0, about=About("r", "a\n", "", (1,))),
     ],
 )  # fmt: skip
-def test_words_that_would_spoil_a_log_or_a_table_are_not_sound(claim: Claim) -> None:
-    assert not sound(claim)
+def test_words_that_would_spoil_a_log_or_a_table_are_not_sound(assertion: Assertion) -> None:
+    assert not is_valid(assertion)
 
 
 @given(st.binary(max_size=300), st.integers(0, 200), st.integers(0, 255))
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_garbage_raises_nothing(garbage: bytes, at: int, other: int) -> None:
-    LETTERS.read(garbage)
-    body = bytearray(write(Letter(5, 6, 7, Ping(8)), [packed(ALIVE)] * 2))
+    CODEC.decode(garbage)
+    body = bytearray(encode_envelope(Envelope(5, 6, 7, Ping(8)), [pack(ALIVE)] * 2))
     body[at % len(body)] = other
-    read = LETTERS.read(bytes(body))
-    assert read is None or isinstance(read, Letter)
-    assert LETTERS.read(bytes(body[: at % len(body)])) is None
+    read = CODEC.decode(bytes(body))
+    assert read is None or isinstance(read, Envelope)
+    assert CODEC.decode(bytes(body[: at % len(body)])) is None
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -13,7 +13,7 @@
 from granitewell.lab.cluster.budgets_search import look
 from granitewell.lab.cluster.days import Case
 from granitewell.protocols.peers.frames import Frame, Key, Keys, Kind, open_, seal
-from granitewell.protocols.peers.rights import LETTERS, Back, Lend, Want
+from granitewell.protocols.peers.rights import CODEC, Back, Lend, Want
 from granitewell.quotas.quota_transfer import Quota
 from granitewell.quotas.state_machine import QuotaManager
 from granitewell.quotas.types import MILLI, ActiveNodes, BudgetTotals, KeysChanged, QuotaSettings
@@ -204,9 +204,9 @@
         (b"x" * 99, "magic"), (seal(Kind.COUNT, b"", KEYS, "b"), "kind"),
         (seal(Kind.RIGHT, b"", Keys(Key(b"q" * 20)), "b"), "key"),
         (seal(Kind.RIGHT, b"\x80", KEYS, "b"), "malformed"),
-        (seal(Kind.RIGHT, LETTERS.write(Want(1, KEY, 9)), KEYS, "z"), "unknown_peer"),
-        (seal(Kind.RIGHT, LETTERS.write(Want(1, "none", 9)), KEYS, "b"), "unknown_budget"),
-        (seal(Kind.RIGHT, LETTERS.write(Lend(1, KEY, 9, [1, 50])), KEYS, "b"), "unsolicited"),
+        (seal(Kind.RIGHT, CODEC.encode(Want(1, KEY, 9)), KEYS, "z"), "unknown_peer"),
+        (seal(Kind.RIGHT, CODEC.encode(Want(1, "none", 9)), KEYS, "b"), "unknown_budget"),
+        (seal(Kind.RIGHT, CODEC.encode(Lend(1, KEY, 9, [1, 50])), KEYS, "b"), "unsolicited"),
     ],
 )  # fmt: skip
 def test_what_is_no_letter_for_us_is_counted_and_gives_nothing(data: bytes, why: str) -> None:
@@ -234,4 +234,4 @@
         open_(next(e for e in a.handle(S, TimerFired()) if isinstance(e, SendMessage)).data, other), Frame
     )
     assert set(PLANTS) == {*DAYS, "back-forgotten", "stall-spends", "floor-lent"}
-    assert LETTERS.read(LETTERS.write(Back(KEY, 1, [2]))) == Back(KEY, 1, [2])
+    assert CODEC.decode(CODEC.encode(Back(KEY, 1, [2]))) == Back(KEY, 1, [2])
--- a/tests/recorded/samples.py
+++ b/tests/recorded/samples.py
@@ -239,13 +239,15 @@
     "relay": gossip.Relay(4, "n2", 77, "10.2.0.2:9000"),
     "rumour": gossip.Rumour(),
     "hello": gossip.Hello(5, "10.2.0.1:9000"),
-    "welcome": gossip.Welcome(6, 1234, bytes(range(256)) * (gossip.BUCKETS * gossip.DIGEST // 256)),
+    "welcome": gossip.Welcome(
+        6, 1234, bytes(range(256)) * (gossip.TABLE_PARTITIONS * gossip.DIGEST_BYTES // 256)
+    ),
     "push": gossip.Push(7, 1234, 5, True),
     "page": gossip.Page(8, True),
 }
 CLAIMS = [
-    gossip.Claim("n1", 3, 555, 2, 0, 0, "", ABOUT),
-    gossip.Claim("n2", 1, 777, 9, 2, 30, "n1"),
+    gossip.Assertion("n1", 3, 555, 2, 0, 0, "", ABOUT),
+    gossip.Assertion("n2", 1, 777, 9, 2, 30, "n1"),
 ]
 LIVES = [4, 5, 6]
 LEASES: dict[str, Any] = {
@@ -314,7 +316,8 @@
     letters: Any, make: Callable[[Any], Any], messages: dict[str, Any], prefix: str
 ) -> dict[str, Sample]:
     return {
-        f"{prefix}-{name}": Sample(make(said), letters.write, letters.read) for name, said in messages.items()
+        f"{prefix}-{name}": Sample(make(said), letters.encode, letters.decode)
+        for name, said in messages.items()
     }
 
 
@@ -354,11 +357,11 @@
         kind = type(message)
         found[f"rpc-{name}"] = Sample(message, rpc.encode, lambda data, kind=kind: rpc.decode(kind, data))  # type: ignore[misc]
     found |= _letters(
-        gossip.LETTERS, lambda said: gossip.Letter(555, 777, 31, said, list(CLAIMS)), GOSSIP, "gossip"
+        gossip.CODEC, lambda said: gossip.Envelope(555, 777, 31, said, list(CLAIMS)), GOSSIP, "gossip"
     )
-    found |= _letters(leases.LETTERS, lambda said: leases.Letter(4242, 22, said), LEASES, "lease")
-    found |= _letters(counts.LETTERS, lambda said: said, COUNTS, "count")
-    found |= _letters(rights.LETTERS, lambda said: said, RIGHTS, "right")
+    found |= _letters(leases.CODEC, lambda said: leases.Envelope(4242, 22, said), LEASES, "lease")
+    found |= _letters(counts.CODEC, lambda said: said, COUNTS, "count")
+    found |= _letters(rights.CODEC, lambda said: said, RIGHTS, "right")
     return found
 
 
--- a/tests/shared_counters/test_shared_counters.py
+++ b/tests/shared_counters/test_shared_counters.py
@@ -15,8 +15,8 @@
 from granitewell.lab.cluster.counts_plants import PLANTS, planted
 from granitewell.lab.cluster.days import Case
 from granitewell.lab.judge.counts import NEVER, CountsJudge, Told
-from granitewell.protocols.peers.counts import LETTERS, Ask, Slice, Slot, Word
-from granitewell.protocols.peers.frames import MAX_DATAGRAM, Frame, Key, Keys, Kind, open_, seal
+from granitewell.protocols.peers.counts import CODEC, Ask, Slice, Slot, Word
+from granitewell.protocols.peers.frames import MAX_DATAGRAM_BYTES, Frame, Key, Keys, Kind, open_, seal
 from granitewell.shared_counters.local_counts import CANDIDATES, Own
 from granitewell.shared_counters.remote_counts import Life
 from granitewell.shared_counters.state_machine import WORDS, Counts
@@ -155,7 +155,9 @@
         now += 2_000
         a.handle(now, Took(f"a-rather-long-name-of-a-tenant-{k % 50}"))
     came = exchange(now, b, a)
-    assert 1 < came <= WORDS and all(len(x.data) <= MAX_DATAGRAM for x in said(a.handle(now, TimerFired())))
+    assert 1 < came <= WORDS and all(
+        len(x.data) <= MAX_DATAGRAM_BYTES for x in said(a.handle(now, TimerFired()))
+    )
     for _ in range(12):
         now += 250_000
         exchange(now, b, a)
@@ -299,8 +301,8 @@
         (b"", "short"), (b"x" * 99, "magic"), (seal(Kind.GOSSIP, b"", KEYS, "b"), "kind"),
         (seal(Kind.COUNT, b"", Keys(Key(b"q" * 20)), "b"), "key"),
         (seal(Kind.COUNT, b"\x80", KEYS, "b"), "malformed"),
-        (seal(Kind.COUNT, LETTERS.write(Ask(1)), KEYS, "z"), "stranger"),
-        (seal(Kind.COUNT, LETTERS.write(Word(1, 1, 9, 5, 10, 0, 0)), KEYS, "b"), "unasked"),
+        (seal(Kind.COUNT, CODEC.encode(Ask(1)), KEYS, "z"), "stranger"),
+        (seal(Kind.COUNT, CODEC.encode(Word(1, 1, 9, 5, 10, 0, 0)), KEYS, "b"), "unasked"),
     ],
 )  # fmt: skip
 def test_what_is_no_letter_for_us_is_counted_and_changes_nothing(data: bytes, why: str) -> None:
@@ -324,9 +326,9 @@
     (ask,) = said(a.handle(S, TimerFired()), "b")[:1]
     frame = open_(ask.data, KEYS)
     assert isinstance(frame, Frame)
-    asked = LETTERS.read(frame.body)
+    asked = CODEC.decode(frame.body)
     assert isinstance(asked, Ask)
-    body = LETTERS.write(replace(word, number=asked.number))
+    body = CODEC.encode(replace(word, number=asked.number))
     a.handle(S, MessageReceived("b", seal(Kind.COUNT, body, KEYS, "b")))
     assert not a.nodes["b"].lives and sum(n for k, n in a.counts.items() if k.startswith("dropped")) == 1
 
