--- a/granitewell/cluster/persisted_record.py
+++ b/granitewell/cluster/persisted_record.py
@@ -11,22 +11,22 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from granitewell.cluster.size_estimate import MAX_NAMES, Known
-from granitewell.cluster.types import address
+from granitewell.cluster.size_estimate import MAX_NAMES, KnownNode
+from granitewell.cluster.types import parse_address
 from granitewell.protocols.peers.frames import MAX_NAME_BYTES
 from granitewell.protocols.peers.gossip import MAX_GEN, MAX_INC, is_printable
 
 VERSION = 1
 MAX_BYTES = 4 * 1024 * 1024
 MAX_ADDRESSES = 64  # of members, as further seeds
-SILENT_STEP_US = 60_000_000  # by which a silence must have grown to be written down again
+ABSENCE_STEP_US = 60_000_000  # by which a silence must have grown to be written down again
 _MAX_BIRTH = (1 << 63) - 1
 _MAX_SEQ = 1 << 61
 _MAX_US = 1 << 60
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class ProcessIdentity:
     """The last claim of a process, and a number above all that it has used; gen 0 for none yet."""
 
     gen: int
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class PersistedRecord:
     """All of it.
 
     Attributes:
@@ -45,87 +45,87 @@
     """
 
     name: str
-    life: Life
-    known: tuple[Known, ...]
+    identity: ProcessIdentity
+    known: tuple[KnownNode, ...]
     addresses: tuple[str, ...]
 
 
-def form(note: Note) -> bytes:
+def encode(record: PersistedRecord) -> bytes:
     """The file's bytes."""
-    life = note.life
-    top = {
-        "v": VERSION, "name": note.name,
-        "gen": life.gen, "birth": life.birth, "inc": life.inc, "seq": life.seq,
-        "known": [[k.name, k.silent_us] for k in note.known[:MAX_NAMES]],
-        "addresses": list(note.addresses[:MAX_ADDRESSES]),
+    identity = record.identity
+    document = {
+        "v": VERSION, "name": record.name,
+        "gen": identity.gen, "birth": identity.birth, "inc": identity.inc, "seq": identity.seq,
+        "known": [[k.name, k.absent_us] for k in record.known[:MAX_NAMES]],
+        "addresses": list(record.addresses[:MAX_ADDRESSES]),
     }  # fmt: skip
-    line = json.dumps(top, separators=(",", ":")).encode()
-    return b"%s\n%08x\n" % (line, crc32(line))
+    body = json.dumps(document, separators=(",", ":")).encode()
+    return b"%s\n%08x\n" % (body, crc32(body))
 
 
-def gist(note: Note) -> object:
+def significant_content(record: PersistedRecord) -> object:
     """What of a note is worth another write.
 
     Two notes with the same gist differ by times alone, and by a number of which half is still to spare.
     """
-    life = note.life
-    known = tuple((k.name, k.silent_us < 0, k.silent_us // SILENT_STEP_US) for k in note.known)
-    return life.gen, life.birth, life.inc, known, note.addresses
+    identity = record.identity
+    known = tuple((k.name, k.absent_us < 0, k.absent_us // ABSENCE_STEP_US) for k in record.known)
+    return identity.gen, identity.birth, identity.inc, known, record.addresses
 
 
-def read(raw: bytes) -> Note:
+def decode(data: bytes) -> PersistedRecord:
     """What the bytes say.
 
     ValueError, in words for the log: they are not a whole file of ours, or one of another version.
     """
-    line, _, rest = raw.partition(b"\n")
-    if rest != b"%08x\n" % crc32(line):
+    body, _, rest = data.partition(b"\n")
+    if rest != b"%08x\n" % crc32(body):
         raise ValueError("cut off, or not written by this program")
     try:
-        top = json.loads(line)
+        document = json.loads(body)
     except RecursionError:
         raise ValueError("lists within lists without end") from None
-    if not isinstance(top, dict) or top.get("v") != VERSION:
-        found = top.get("v") if isinstance(top, dict) else None
+    if not isinstance(document, dict) or document.get("v") != VERSION:
+        found = document.get("v") if isinstance(document, dict) else None
         raise ValueError(f"of version {str(found)[:20]}, and this program reads {VERSION}")
     bounds = {"gen": MAX_GEN, "birth": _MAX_BIRTH, "inc": MAX_INC, "seq": _MAX_SEQ}
-    figures = {key: _held(top, key, most) for key, most in bounds.items()}
-    known = [_known(x) for x in _list(top, "known", MAX_NAMES)]
-    addresses = [_address(x) for x in _list(top, "addresses", MAX_ADDRESSES)]
-    name = top.get("name")
-    if not _named(name):
+    numbers = {key: _parse_integer(document, key, maximum) for key, maximum in bounds.items()}
+    known = [_parse_known_node(x) for x in _parse_list(document, "known", MAX_NAMES)]
+    addresses = [_parse_address(x) for x in _parse_list(document, "addresses", MAX_ADDRESSES)]
+    name = document.get("name")
+    if not _is_name(name):
         raise ValueError("name: found no name")
-    return Note(str(name), Life(**figures), tuple(known), tuple(addresses))
+    return PersistedRecord(str(name), ProcessIdentity(**numbers), tuple(known), tuple(addresses))
 
 
-def _held(top: dict[str, object], key: str, most: int) -> int:
-    value = top.get(key)
-    if type(value) is not int or not 0 <= value <= most:
-        raise ValueError(f"{key}: found no whole number from 0 to {most}")
+def _parse_integer(document: dict[str, object], key: str, maximum: int) -> int:
+    value = document.get(key)
+    if type(value) is not int or not 0 <= value <= maximum:
+        raise ValueError(f"{key}: found no whole number from 0 to {maximum}")
     return value
 
 
-def _list(top: dict[str, object], key: str, most: int) -> list[object]:
-    value = top.get(key)
-    if not isinstance(value, list) or len(value) > most:
-        raise ValueError(f"{key}: found no list of at most {most}")
+def _parse_list(document: dict[str, object], key: str, maximum: int) -> list[object]:
+    value = document.get(key)
+    if not isinstance(value, list) or len(value) > maximum:
+        raise ValueError(f"{key}: found no list of at most {maximum}")
     return value
 
 
-def _named(value: object) -> bool:
+def _is_name(value: object) -> bool:
     return isinstance(value, str) and 1 <= len(value) <= MAX_NAME_BYTES and is_printable(value)
 
 
-def _known(value: object) -> Known:
-    if not isinstance(value, list) or len(value) != 2 or not _named(value[0]) or type(value[1]) is not int:
+def _parse_known_node(value: object) -> KnownNode:
+    if not isinstance(value, list) or len(value) != 2 or not _is_name(value[0]) or type(value[1]) is not int:
         raise ValueError("known: found no name with a time")
     if not -1 <= value[1] <= _MAX_US:
         raise ValueError("known: found a time out of its bounds")
-    return Known(value[0], value[1])
+    return KnownNode(value[0], value[1])
 
 
-def _address(value: object) -> str:
+def _parse_address(value: object) -> str:
     if not isinstance(value, str):
         raise ValueError("addresses: found no text")
-    address(value)
+    parse_address(value)
     return value
--- a/granitewell/cluster/size_estimate.py
+++ b/granitewell/cluster/size_estimate.py
@@ -34,55 +34,58 @@
 
 from granitewell.state_machine import LogLine, TimerFired
 
-STEP_US = 500_000  # between two steps of a fall
-FALL_US = 10_000_000  # in which a fall has done two thirds of its way
-AWAY_US = 300_000_000  # for which one that has left may come back
-NEAR = 0.05  # of a node; a fall that is so near its end is over
+DECAY_STEP_US = 500_000  # between two steps of a fall
+DECAY_TIME_CONSTANT_US = 10_000_000  # in which a fall has done two thirds of its way
+LEFT_GRACE_US = 300_000_000  # for which one that has left may come back
+DECAY_END_NODES = 0.05  # of a node; a fall that is so near its end is over
 MAX_NAMES = 20_000  # in all states; the membership shows half as many at a time
 
 
-class Place(Enum):
+class Presence(Enum):
     """Where a name stands."""
 
     UP = "up"
-    SILENT = "silent"
-    AWAY = "away"
-    OUT = "out"
+    UNRESPONSIVE = "silent"
+    LEFT = "away"
+    EXCLUDED = "out"
 
 
-GONE = (Place.SILENT, Place.AWAY)
-STILL = {Place.SILENT: (Place.AWAY, Place.OUT), Place.AWAY: (Place.OUT,)}  # what such news leaves as it is
+ABSENT = (Presence.UNRESPONSIVE, Presence.LEFT)
+IGNORED_UPDATES = {
+    Presence.UNRESPONSIVE: (Presence.LEFT, Presence.EXCLUDED),
+    Presence.LEFT: (Presence.EXCLUDED,),
+}  # what such news leaves as it is
 
 
-def stands(state: str, by: str) -> Place:
+def presence_of(state: str, by: str) -> Presence:
     """Where a member of that state stands: alive, suspect, dead or left, as it is said by somebody.
 
     Whom another has called gone did not say so itself: an operator knows that it stays away.
     """
     if state == "left":
-        return Place.OUT if by else Place.AWAY
-    return Place.SILENT if state == "dead" else Place.UP
+        return Presence.EXCLUDED if by else Presence.LEFT
+    return Presence.UNRESPONSIVE if state == "dead" else Presence.UP
 
 
 # --- Events ---------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Seen:
+class MembersObserved:
     """Where those of our role stand in the view, all that it names; whom it does not name stays where it
     is.
     """
 
-    places: Mapping[str, Place]
+    presences: Mapping[str, Presence]
 
 
 @dataclass(frozen=True, slots=True)
-class Out:
+class NodeRemoved:
     """An operator says that it is gone."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Configured:
+class ConfiguredCount:
     """So many nodes act by the settings."""
 
     count: int
@@ -90,15 +93,15 @@
 
 # --- Effects --------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Count:
+class SizeEstimate:
     """Both counts, after a change of either."""
 
-    most: int
-    up: float
+    upper_bound: int
+    expected: float
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownNode:
     """A name as it is written down.
 
     Attributes:
@@ -106,17 +109,17 @@
     """
 
     name: str
-    silent_us: int
+    absent_us: int
 
 
 @dataclass(slots=True)
-class _Name:
-    place: Place
+class _NodeState:
+    presence: Presence
     since_us: int  # when it fell silent, or when it went
-    clear_us: int = 0  # since it left, with everybody else in sight
+    in_sight_us: int = 0  # since it left, with everybody else in sight
 
 
-class Census:
+class SizeEstimator:
     """own: our name, which is up for as long as we run.
 
     Attributes:
@@ -124,143 +127,158 @@
         known: Of the process before.
     """
 
-    __slots__ = ("_at_us", "_configured", "_falls_us", "_names", "_now_us", "_own", "_peak", "_said", "_up",
-                 "unheard_us")  # fmt: skip
-
-    def __init__(self, own: str, configured: int, unheard_us: int, known: Iterable[Known] = ()) -> None:
-        self._own, self._configured, self.unheard_us = own, max(configured, 1), unheard_us
-        self._names: dict[str, _Name] = {own: _Name(Place.UP, 0)}
-        for one in known:
-            if one.name != own and len(self._names) < MAX_NAMES:
-                self._names[one.name] = _Name(Place.SILENT, -max(one.silent_us, 0))
-        self._peak = len(self._names)  # most names that were up or silent at a time
-        self._up = float(self._target())
-        self._at_us = self._falls_us = -1
+    __slots__ = (
+        "_decayed_us",
+        "_configured",
+        "_next_decay_us",
+        "_nodes",
+        "_now_us",
+        "_own_name",
+        "_peak",
+        "_last_estimate",
+        "_expected",
+        "unheard_us",
+    )
+
+    def __init__(
+        self, own_name: str, configured: int, unheard_us: int, known: Iterable[KnownNode] = ()
+    ) -> None:
+        self._own_name, self._configured, self.unheard_us = own_name, max(configured, 1), unheard_us
+        self._nodes: dict[str, _NodeState] = {own_name: _NodeState(Presence.UP, 0)}
+        for node in known:
+            if node.name != own_name and len(self._nodes) < MAX_NAMES:
+                self._nodes[node.name] = _NodeState(Presence.UNRESPONSIVE, -max(node.absent_us, 0))
+        self._peak = len(self._nodes)  # most names that were up or silent at a time
+        self._expected = float(self._target())
+        self._decayed_us = self._next_decay_us = -1
         self._now_us = 0
-        self._said: Count | None = None
+        self._last_estimate: SizeEstimate | None = None
 
     # --- What others see --------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
         """When TimerFired is wanted; -1 for never."""
-        ends = [x.since_us + self.unheard_us for x in self._names.values() if x.place in GONE]
-        away = [x for x in self._names.values() if x.place is Place.AWAY]
-        if away and self._clear:
-            ends += [self._now_us + AWAY_US - x.clear_us for x in away]
-        return min((x for x in (*ends, self._falls_us) if x >= 0), default=-1)
+        deadlines = [x.since_us + self.unheard_us for x in self._nodes.values() if x.presence in ABSENT]
+        left = [x for x in self._nodes.values() if x.presence is Presence.LEFT]
+        if left and self._all_in_sight:
+            deadlines += [self._now_us + LEFT_GRACE_US - x.in_sight_us for x in left]
+        return min((x for x in (*deadlines, self._next_decay_us) if x >= 0), default=-1)
 
     @property
-    def count(self) -> Count:
+    def estimate(self) -> SizeEstimate:
         """Both counts now."""
-        return Count(self._most(), round(self._up, 3))
+        return SizeEstimate(self._upper_bound(), round(self._expected, 3))
 
-    def names(self, place: Place) -> list[str]:
+    def names(self, presence: Presence) -> list[str]:
         """Those that stand there."""
-        return sorted(name for name, x in self._names.items() if x.place is place)
+        return sorted(name for name, x in self._nodes.items() if x.presence is presence)
 
     @property
     def unseen(self) -> int:
         """Nodes that the settings count and nobody has named."""
         return max(self._configured - self._peak, 0)
 
-    def known(self) -> list[Known]:
+    def known(self) -> list[KnownNode]:
         """To be written down; not ourselves."""
         return [
-            Known(name, -1 if x.place is Place.UP else max(self._now_us - x.since_us, 0))
-            for name, x in sorted(self._names.items()) if name != self._own and x.place is not Place.OUT
-        ]  # fmt: skip
+            KnownNode(name, -1 if x.presence is Presence.UP else max(self._now_us - x.since_us, 0))
+            for name, x in sorted(self._nodes.items())
+            if name != self._own_name and x.presence is not Presence.EXCLUDED
+        ]
 
     # --- Events -----------------------------------------------------------------------------------------
     def handle(self, now_us: int, event: object) -> list[object]:
         """Apply one event; a Count where one has changed, and lines."""
-        first = self._at_us < 0
+        first = self._decayed_us < 0
         passed_us = max(now_us - self._now_us, 0)
-        if not first and self._clear:
-            for one in self._names.values():
-                one.clear_us += passed_us if one.place is Place.AWAY else 0
+        if not first and self._all_in_sight:
+            for node in self._nodes.values():
+                node.in_sight_us += passed_us if node.presence is Presence.LEFT else 0
         self._now_us = max(now_us, self._now_us)
         if first:
-            self._at_us = self._now_us
-            for one in self._names.values():  # what was read is dated from the start on
-                one.since_us += self._now_us
+            self._decayed_us = self._now_us
+            for node in self._nodes.values():  # what was read is dated from the start on
+                node.since_us += self._now_us
         out: list[object] = []
-        if isinstance(event, Seen):
-            for name, place in event.places.items():
-                self._put(name, place)
-        elif isinstance(event, Out):
-            self._put(event.name, Place.OUT)
-        elif isinstance(event, Configured):
+        if isinstance(event, MembersObserved):
+            for name, presence in event.presences.items():
+                self._update(name, presence)
+        elif isinstance(event, NodeRemoved):
+            self._update(event.name, Presence.EXCLUDED)
+        elif isinstance(event, ConfiguredCount):
             self._configured = max(event.count, 1)
         elif not isinstance(event, TimerFired):
             raise TypeError(f"event: found {type(event).__name__}, allowed are those of census")
         self._expire(out)
-        self._peak = max(self._peak, self._in(Place.UP) + self._in(Place.SILENT))
-        self._fall()
-        now = self.count
-        if now != self._said:
-            self._said = now
+        self._peak = max(self._peak, self._count_in(Presence.UP) + self._count_in(Presence.UNRESPONSIVE))
+        self._decay()
+        now = self.estimate
+        if now != self._last_estimate:
+            self._last_estimate = now
             out.append(now)
         return out
 
-    def _put(self, name: str, place: Place) -> None:
-        if name == self._own:
+    def _update(self, name: str, presence: Presence) -> None:
+        if name == self._own_name:
             return
-        one = self._names.get(name)
-        if one is not None and one.place in STILL.get(place, ()):
+        node = self._nodes.get(name)
+        if node is not None and node.presence in IGNORED_UPDATES.get(presence, ()):
             return  # who went does not come back silent, nor leaves twice
-        if one is None:
-            if len(self._names) >= MAX_NAMES and not self._room():
+        if node is None:
+            if len(self._nodes) >= MAX_NAMES and not self._make_room():
                 return
-            self._names[name] = _Name(place, self._now_us)
-        elif one.place is not place:
-            one.place, one.since_us, one.clear_us = place, self._now_us, 0
+            self._nodes[name] = _NodeState(presence, self._now_us)
+        elif node.presence is not presence:
+            node.presence, node.since_us, node.in_sight_us = presence, self._now_us, 0
 
-    def _room(self) -> bool:
+    def _make_room(self) -> bool:
         """Let go of the name that has been out for longest; whether there was one."""
-        out = [(x.since_us, name) for name, x in self._names.items() if x.place is Place.OUT]
+        out = [(x.since_us, name) for name, x in self._nodes.items() if x.presence is Presence.EXCLUDED]
         if out:
-            del self._names[min(out)[1]]
+            del self._nodes[min(out)[1]]
         return bool(out)
 
     def _expire(self, out: list[object]) -> None:
-        for name, one in self._names.items():
-            if one.place in GONE and self._now_us - one.since_us >= self.unheard_us:
-                if one.place is Place.SILENT:
+        for name, node in self._nodes.items():
+            if node.presence in ABSENT and self._now_us - node.since_us >= self.unheard_us:
+                if node.presence is Presence.UNRESPONSIVE:
                     hours = self.unheard_us / 3.6e9
                     out.append(
                         LogLine("lost", f"{name} has been silent for {hours:.1f} h: it counts no more")
                     )
-                one.place, one.since_us = Place.OUT, self._now_us
-            elif one.place is Place.AWAY and one.clear_us >= AWAY_US:
-                one.place, one.since_us = Place.OUT, self._now_us
+                node.presence, node.since_us = Presence.EXCLUDED, self._now_us
+            elif node.presence is Presence.LEFT and node.in_sight_us >= LEFT_GRACE_US:
+                node.presence, node.since_us = Presence.EXCLUDED, self._now_us
 
     # --- Counts -----------------------------------------------------------------------------------------
-    def _in(self, place: Place) -> int:
-        return sum(x.place is place for x in self._names.values())
+    def _count_in(self, presence: Presence) -> int:
+        return sum(x.presence is presence for x in self._nodes.values())
 
-    def _most(self) -> int:
-        unaccounted = self._in(Place.SILENT) + self._in(Place.AWAY) + self.unseen
-        found = self._in(Place.UP) + unaccounted
+    def _upper_bound(self) -> int:
+        unaccounted = self._count_in(Presence.UNRESPONSIVE) + self._count_in(Presence.LEFT) + self.unseen
+        found = self._count_in(Presence.UP) + unaccounted
         return max(found, self._configured) if unaccounted else max(found, 1)
 
     @property
-    def _clear(self) -> bool:
+    def _all_in_sight(self) -> bool:
         """Is everybody who may act in sight, but for those who have left?"""
-        return not self._in(Place.SILENT) and not self.unseen and self._in(Place.UP) > 1
+        return (
+            not self._count_in(Presence.UNRESPONSIVE) and not self.unseen and self._count_in(Presence.UP) > 1
+        )
 
     def _target(self) -> int:
-        return max(self._in(Place.UP) + self.unseen, 1)
+        return max(self._count_in(Presence.UP) + self.unseen, 1)
 
-    def _fall(self) -> None:
+    def _decay(self) -> None:
         """Growth at once; a fall by steps, each a part of what is left."""
-        target, passed_us = self._target(), self._now_us - self._at_us
-        if target >= self._up:
-            self._up, self._at_us = float(target), self._now_us
-        elif self._falls_us < 0:
-            self._at_us = self._now_us  # it begins now
+        target, passed_us = self._target(), self._now_us - self._decayed_us
+        if target >= self._expected:
+            self._expected, self._decayed_us = float(target), self._now_us
+        elif self._next_decay_us < 0:
+            self._decayed_us = self._now_us  # it begins now
         elif passed_us > 0:
-            self._up += (target - self._up) * (1.0 - exp(-passed_us / FALL_US))
-            self._at_us = self._now_us
-        if self._up - target < NEAR:
-            self._up = float(target)
-        self._falls_us = self._now_us + STEP_US if self._up > target else -1
+            self._expected += (target - self._expected) * (1.0 - exp(-passed_us / DECAY_TIME_CONSTANT_US))
+            self._decayed_us = self._now_us
+        if self._expected - target < DECAY_END_NODES:
+            self._expected = float(target)
+        self._next_decay_us = self._now_us + DECAY_STEP_US if self._expected > target else -1
--- a/granitewell/cluster/types.py
+++ b/granitewell/cluster/types.py
@@ -17,7 +17,7 @@
 MAX_KEYS_FILE = 4_096  # bytes
 MIN_STREAMS, MAX_STREAMS = 2, 256  # each way
 MIN_UNHEARD_S, MAX_UNHEARD_S = 60.0, 30 * 86_400.0
-ROLE = "forwarder"
+DEFAULT_ROLE = "forwarder"
 ALLOWED_NAME = f"1 to {MAX_NAME_BYTES} of a-z, 0-9, - and ., a letter or figure first"
 ALLOWED_ADDRESS = "HOST:PORT, HOST an address in figures, PORT from 1 to 65535"
 ALLOWED_KEYS = (
@@ -43,7 +43,7 @@
     seeds: tuple[str, ...] = ()
     keys: Keys | None = field(default=None, repr=False)
     keys_why: str = ""
-    role: str = ROLE
+    role: str = DEFAULT_ROLE
     zone: str = ""
     folder: str = ""
     streams: int = 32
@@ -55,27 +55,27 @@
         return self.advertise or self.bind
 
 
-def name_fits(name: str) -> bool:
+def is_valid_name(name: str) -> bool:
     """Whether a member may have this name: it also names files."""
     return _NAME.match(name) is not None
 
 
-def word_fits(text: str, most: int) -> bool:
+def is_valid_label(text: str, most: int) -> bool:
     """Whether it is a role or zone of at most so many bytes."""
     return len(text) <= most and is_printable(text)
 
 
-def role_fits(role: str) -> bool:
+def is_valid_role(role: str) -> bool:
     """Whether a member may say this of itself."""
-    return bool(role) and word_fits(role, MAX_ROLE_BYTES)
+    return bool(role) and is_valid_label(role, MAX_ROLE_BYTES)
 
 
-def zone_fits(zone: str) -> bool:
+def is_valid_zone(zone: str) -> bool:
     """As role_fits, and it may be empty."""
-    return word_fits(zone, MAX_ZONE_BYTES)
+    return is_valid_label(zone, MAX_ZONE_BYTES)
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Host and port.
 
     ValueError where it is no such address: names would have to be asked for, and whoever waits for an answer
@@ -94,12 +94,12 @@
     return inner, int(port)
 
 
-def spelt(host: str, port: int) -> str:
+def format_address(host: str, port: int) -> str:
     """The same back again."""
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def keys_of(raw: bytes) -> Keys:
+def parse_keys(raw: bytes) -> Keys:
     """What a file of keys holds: one key a line in hex, the first seals, a second opens too.
 
     Empty lines and lines that begin with # are passed over. ValueError says what was found, and never shows a
@@ -110,17 +110,17 @@
     except UnicodeDecodeError as error:
         found = f"found a byte at {error.start} that is not ASCII"
         raise ValueError(f"{found}, allowed: {ALLOWED_KEYS}") from None
-    keys = [x for x in lines if x and not x.startswith("#")]
-    if not 1 <= len(keys) <= 2:
-        raise ValueError(f"found {len(keys)} keys, allowed: {ALLOWED_KEYS}")
-    made = []
-    for k, line in enumerate(keys):
+    key_lines = [x for x in lines if x and not x.startswith("#")]
+    if not 1 <= len(key_lines) <= 2:
+        raise ValueError(f"found {len(key_lines)} keys, allowed: {ALLOWED_KEYS}")
+    keys = []
+    for k, line in enumerate(key_lines):
         if not re.fullmatch("(?:[0-9a-fA-F]{2})+", line):
             raise ValueError(f"found a key (number {k + 1}) that is not hex, allowed: {ALLOWED_KEYS}")
         size = len(line) // 2
         if not MIN_SECRET_BYTES <= size <= MAX_SECRET_BYTES:
             raise ValueError(f"found a key (number {k + 1}) of {size} bytes, allowed: {ALLOWED_KEYS}")
-        made.append(Key(bytes.fromhex(line)))
-    if len(made) == 2 and made[0].id == made[1].id:
+        keys.append(Key(bytes.fromhex(line)))
+    if len(keys) == 2 and keys[0].id == keys[1].id:
         raise ValueError("found one key twice, allowed are two different ones")
-    return Keys(*made)
+    return Keys(*keys)
--- a/granitewell/lab/fleet/planted.py
+++ b/granitewell/lab/fleet/planted.py
@@ -53,7 +53,7 @@
 
 def _budget_up() -> None:
     census = importlib.import_module("granitewell.cluster.size_estimate")
-    census.Census._most = lambda self: max(self._in(census.Place.UP), 1)
+    census.SizeEstimator._upper_bound = lambda self: max(self._count_in(census.Presence.UP), 1)
 
 
 def _half_sent() -> None:
--- a/granitewell/lab/fleet/virtual.py
+++ b/granitewell/lab/fleet/virtual.py
@@ -12,7 +12,13 @@
 from typing import Any
 
 from granitewell.cluster.persisted_record import MAX_ADDRESSES
-from granitewell.cluster.size_estimate import Census, Count, Known, Seen, stands
+from granitewell.cluster.size_estimate import (
+    KnownNode,
+    MembersObserved,
+    SizeEstimate,
+    SizeEstimator,
+    presence_of,
+)
 from granitewell.lab.cluster.chaos import Chaos, Trouble
 from granitewell.lab.cluster.links import Cut, Quality
 from granitewell.lab.cluster.membership import KEYS
@@ -40,10 +46,10 @@
         base = {k: int(v) if k.endswith("_us") else v for k, v in schedule.link.items()}
         given = {"delay_us": 100, "jitter_us": 200} | {k: v for k, v in base.items() if v}
         self.cluster = Cluster(schedule.seed, Quality(**given))  # type: ignore[arg-type]
-        self._census: dict[str, Census] = {}
-        self._count: dict[str, Count] = {}
+        self._census: dict[str, SizeEstimator] = {}
+        self._count: dict[str, SizeEstimate] = {}
         self._kept: dict[
-            str, tuple[PreviousProcess | None, list[Known], tuple[str, ...]]
+            str, tuple[PreviousProcess | None, list[KnownNode], tuple[str, ...]]
         ] = {}  # as notes have it
         self._skipped: list[str] = []
         self._cuts: dict[Trouble, Cut] = {}
@@ -63,12 +69,12 @@
     def _make(self, boot: Boot) -> list[Membership]:
         """What the program's shell does at a start."""
         schedule, name = self.schedule, boot.id
-        nothing: tuple[PreviousProcess | None, list[Known], tuple[str, ...]] = (None, [], ())
+        nothing: tuple[PreviousProcess | None, list[KnownNode], tuple[str, ...]] = (None, [], ())
         former, known, there = self._kept.get(name, nothing) if schedule.lasting else nothing
         seeds = tuple(dict.fromkeys((*schedule.names[: schedule.seeds], *there)))
         config = Config(name, name, KEYS, seeds=seeds, parameters=Parameters(), previous=former)
-        self._census[name] = Census(name, schedule.configured, 86_400_000_000, known)
-        self._count[name] = self._census[name].count
+        self._census[name] = SizeEstimator(name, schedule.configured, 86_400_000_000, known)
+        self._count[name] = self._census[name].estimate
         return [Membership(config, boot.rng)]
 
     def _news(self, cluster: Cluster, node: Node, effect: object) -> None:
@@ -76,8 +82,8 @@
         machine = member_of(node)
         if machine is None:
             return
-        there = {e.name: stands(e.standing.state.name.lower(), e.by) for e in machine.entries()}
-        self._counted(node, Seen(there))
+        there = {e.name: presence_of(e.standing.state.name.lower(), e.by) for e in machine.entries()}
+        self._counted(node, MembersObserved(there))
         own = machine.identity
         former = PreviousProcess(own.gen, machine.local.birth, own.inc, machine.local.seq)
         near = tuple(m.about.address for m in machine.members() if m.name != node.id)
@@ -85,7 +91,7 @@
 
     def _counted(self, node: Node, event: object) -> None:
         for effect in self._census[node.id].handle(node.clock.local(self.cluster.now_us), event):
-            if isinstance(effect, Count):
+            if isinstance(effect, SizeEstimate):
                 self._count[node.id] = effect
 
     def _start(self, node: Node) -> None:
@@ -160,12 +166,12 @@
                 continue
             census = self._census[name]
             if 0 <= census.wake_us <= node.clock.local(self.cluster.now_us):
-                self._counted(node, Seen({}))
+                self._counted(node, MembersObserved({}))
             everyone = machine.entries()
             up = {e.name: f"{e.standing.birth:016x}" for e in everyone if e.standing.state in UP and e.about}
             gone = {e.name: e.standing.state.name.lower() for e in everyone if e.standing.state not in UP}
             whole = machine.phase is Phase.ACTIVE
-            self.judge.look(now, name, whole, up, gone, self._count[name].most, machine.identity.gen)
+            self.judge.look(now, name, whole, up, gone, self._count[name].upper_bound, machine.identity.gen)
 
     def run(self) -> None:
         """The whole schedule, and then until all agree or have had their time."""
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -34,8 +34,16 @@
 
 from granitewell import core as c
 from granitewell.cluster import persisted_record
-from granitewell.cluster.size_estimate import Census, Configured, Count, Out, Place, Seen, stands
-from granitewell.cluster.types import ClusterSettings, address, spelt
+from granitewell.cluster.size_estimate import (
+    ConfiguredCount,
+    MembersObserved,
+    NodeRemoved,
+    Presence,
+    SizeEstimate,
+    SizeEstimator,
+    presence_of,
+)
+from granitewell.cluster.types import ClusterSettings, format_address, parse_address
 from granitewell.durable_folder import Kept
 from granitewell.membership import types as membership
 from granitewell.membership.state_machine import Membership
@@ -110,7 +118,7 @@
         self._lines: dict[str, TokenBucket] = {}  # topics are the program's own
         self.turn = Turn.WAITING
         self.machine: Membership | None = None
-        self.census: Census | None = None
+        self.census: SizeEstimator | None = None
         self.roads: Roads | None = None
         self._waited = self._dirty = self._counting = self._said_busy = False
         self._timer: asyncio.TimerHandle | None = None
@@ -158,11 +166,11 @@
         settings, clock = self._settings, self._clock
         rng = Random(int.from_bytes(os.urandom(16), "big"))
         roads = Roads(self._loop, clock, self._heard, self.say, self._node._spawn, self._streams, rng)
-        roads.open(address(settings.bind))
+        roads.open(parse_address(settings.bind))
         note = self._read()
         former = None
-        if note is not None and note.life.gen:
-            life = note.life
+        if note is not None and note.identity.gen:
+            life = note.identity
             former = PreviousProcess(life.gen, max(life.birth, 1), life.inc, life.seq, self._waited)
         known = note.known if note is not None else ()
         seeds = tuple(dict.fromkeys((*settings.seeds, *(note.addresses if note is not None else ()))))
@@ -171,7 +179,7 @@
             parameters=FIGURES, previous=former,
         )  # fmt: skip
         configured = self._node._config.settings.proxies
-        self.census = Census(settings.name, configured, int(settings.unheard_s * 1e6), known)
+        self.census = SizeEstimator(settings.name, configured, int(settings.unheard_s * 1e6), known)
         self.roads, self.turn = roads, Turn.HELD
         machine, keys = Membership(config, rng), self._keys
         how = "going on with the life of the process before" if self._waited and former else "joining"
@@ -197,11 +205,11 @@
         self._tell(TimerFired())
         self._count()
 
-    def _read(self) -> persisted_record.Note | None:
+    def _read(self) -> persisted_record.PersistedRecord | None:
         raw, wrong = self._kept.read(persisted_record.MAX_BYTES)
         if raw:
             try:
-                note = persisted_record.read(raw)
+                note = persisted_record.decode(raw)
                 if note.name == self._settings.name:
                     return note
                 wrong = f"the folder's file is {note.name[:63]}'s"
@@ -321,7 +329,7 @@
             self._settings = settings
         if self.census is not None:
             self.census.unheard_us = int(self._settings.unheard_s * 1e6)
-            self._ask(Configured(self._node._config.settings.proxies))
+            self._ask(ConfiguredCount(self._node._config.settings.proxies))
 
     def _rekey(self, keys: Keys) -> None:
         self._keys = keys
@@ -427,7 +435,7 @@
         # of one who was gone before we came it is not known what it was: it may act, so it counts
         role = self._settings.role
         ours = [e for e in machine.entries() if e.about is None or e.about.role == role]
-        self._ask(Seen({e.name: stands(e.standing.state.name.lower(), e.by) for e in ours}))
+        self._ask(MembersObserved({e.name: presence_of(e.standing.state.name.lower(), e.by) for e in ours}))
         self._share(ours)
 
     def _share(self, ours: list[TableEntry]) -> None:
@@ -435,9 +443,11 @@
         shared, census = self.shared, self.census
         if shared is None or census is None:
             return
-        out = {*census.names(Place.OUT)}
+        out = {*census.names(Presence.EXCLUDED)}
         known = {e.name: e for e in ours}
-        acting = [n for place in (Place.UP, Place.SILENT, Place.AWAY) for n in census.names(place)]
+        acting = [
+            n for place in (Presence.UP, Presence.UNRESPONSIVE, Presence.LEFT) for n in census.names(place)
+        ]
         places = {}
         for name in (*acting, *out):
             entry = known.get(name)
@@ -450,9 +460,9 @@
         if self.census is None:
             return
         for effect in self.census.handle(self._clock.now(), event):
-            if isinstance(effect, Count):
+            if isinstance(effect, SizeEstimate):
                 self._dirty = True
-                self._node.dispatch(c.Acting(effect.most, effect.up))
+                self._node.dispatch(c.Acting(effect.upper_bound, effect.expected))
             elif isinstance(effect, LogLine):
                 self._line(effect)
         self._arm()
@@ -495,20 +505,20 @@
         self._noted_us, self._dirty = now, False
         self._write(machine, census, always)
 
-    def _write(self, machine: Membership, census: Census, always: bool = True) -> None:
+    def _write(self, machine: Membership, census: SizeEstimator, always: bool = True) -> None:
         """Form the note, and have it written if it says anything new."""
         if not self._kept.lasting:
             return
         seat, own = machine.local, machine.identity
-        life = persisted_record.Life(own.gen, seat.birth, own.inc, seat.seq + SPARE)
+        life = persisted_record.ProcessIdentity(own.gen, seat.birth, own.inc, seat.seq + SPARE)
         there = [m.about.address for m in machine.members() if m.name != self._settings.name]
         known, wanted = tuple(census.known()), {a for a in there if _fits(a)}
-        note = persisted_record.Note(self._settings.name, life, known, tuple(sorted(wanted)))
-        gist = persisted_record.gist(note)
+        note = persisted_record.PersistedRecord(self._settings.name, life, known, tuple(sorted(wanted)))
+        gist = persisted_record.significant_content(note)
         if not always and gist == self._gist:
             return  # suspicions come and go many times a second, and say nothing to the next process
         self._gist, self._reserved = gist, life.seq  # half of the spare numbers last longer than any write
-        self._book.write(persisted_record.form(note))
+        self._book.write(persisted_record.encode(note))
 
     def _unwritten(self, line: str) -> None:
         self._gist = None  # so the next news is written whatever it is
@@ -530,11 +540,12 @@
         }  # fmt: skip
         if machine is None or census is None or self.roads is None:
             return made
-        own, seat, count = machine.identity, machine.local, census.count
+        own, seat, count = machine.identity, machine.local, census.estimate
         made |= {
             "phase": machine.phase.value, "life": own.gen, "incarnation": own.inc, "health": machine.health,
-            "stood_s": machine.stalled_us / 1e6, "most": count.most, "up": count.up, "unseen": census.unseen,
-            "silent": census.names(Place.SILENT), "away": census.names(Place.AWAY),
+            "stood_s": machine.stalled_us / 1e6, "most": count.upper_bound, "up": count.expected,
+            "unseen": census.unseen,
+            "silent": census.names(Presence.UNRESPONSIVE), "away": census.names(Presence.LEFT),
             "letters": {f"{kind} {way}": n for (way, kind), n in sorted(seat.message_counts.items())},
             "dropped": dict(sorted(machine.drop_counts.items())),
             "roads": dict(sorted(self.roads.counts.items())),
@@ -568,7 +579,7 @@
                     "life": gen, "birth": f"{birth:016x}", "incarnation": inc, "by": told.by,
                     "told_by": told.source or self._settings.name, "road": told.transport or "own",
                 })  # fmt: skip
-        places = {p.value: census.names(p) for p in Place} if census is not None else {}
+        places = {p.value: census.names(p) for p in Presence} if census is not None else {}
         counted = next((p for p, there in places.items() if name in there), None)
         return {"version": 1, "name": name, "asked": self._settings.name, "member": member,
                 "counted": counted, "history": rows}  # fmt: skip
@@ -581,11 +592,11 @@
         """An operator says that a node is gone for good; what is wrong with that, or nothing."""
         if self.machine is None or self.census is None:
             return "this process is no member now"
-        if name not in (*self.census.names(Place.SILENT), *self.census.names(Place.AWAY)):
+        if name not in (*self.census.names(Presence.UNRESPONSIVE), *self.census.names(Presence.LEFT)):
             return f"{name} is neither silent nor away here: only who is dead or has left can be called gone"
         self.say("member", f"{name} is called gone by an operator")
         self._tell(ForceLeave(name))
-        self._ask(Out(name))
+        self._ask(NodeRemoved(name))
         self._note(always=True)
         return ""
 
@@ -609,6 +620,6 @@
 def _fits(text: str) -> bool:
     """Whether an address that another has announced may be asked at the next start."""
     try:
-        return spelt(*address(text)) == text
+        return format_address(*parse_address(text)) == text
     except ValueError:
         return False
--- a/granitewell/net/peers.py
+++ b/granitewell/net/peers.py
@@ -26,8 +26,7 @@
 from random import Random
 from typing import Any
 
-from granitewell.cluster.types import address as address_of
-from granitewell.cluster.types import spelt
+from granitewell.cluster.types import format_address, parse_address
 from granitewell.net.clock import Clock
 from granitewell.net.sockets import bound, end, tcp
 from granitewell.protocols.peers.frames import MAX_DATAGRAM_BYTES, FrameSplitter
@@ -284,7 +283,7 @@
     async def _heard_back(self, queue: Queue, sock: socket.socket) -> None:
         """What comes back on a stream of ours, and its end."""
         try:
-            await self._read(spelt(*queue.address), sock, lambda: queue.conn is sock, None)
+            await self._read(format_address(*queue.address), sock, lambda: queue.conn is sock, None)
         except (OSError, TimeoutError):
             pass
         finally:
@@ -368,7 +367,7 @@
         if len(data) > MAX_DATAGRAM_BYTES:
             self.counts["oversized"] += 1
         else:
-            self._heard(spelt(sender[0], sender[1]), data, Transport.DATAGRAM)
+            self._heard(format_address(sender[0], sender[1]), data, Transport.DATAGRAM)
         return True
 
     def _heard(self, sender: str, data: bytes, transport: Transport) -> None:
@@ -447,6 +446,6 @@
     What comes here was said by others.
     """
     try:
-        return address_of(text)
+        return parse_address(text)
     except ValueError:
         return None
--- a/granitewell/operator/cluster.py
+++ b/granitewell/operator/cluster.py
@@ -24,11 +24,11 @@
     MIN_STREAMS,
     MIN_UNHEARD_S,
     ClusterSettings,
-    address,
-    keys_of,
-    name_fits,
-    role_fits,
-    zone_fits,
+    is_valid_name,
+    is_valid_role,
+    is_valid_zone,
+    parse_address,
+    parse_keys,
 )
 from granitewell.files import whole
 from granitewell.operator.problem import Problem, shown
@@ -117,7 +117,7 @@
             if self != type(self)():
                 yield Problem(("name",), "nothing", "this node is in no fleet", note=True)
             return
-        if not name_fits(self.name):
+        if not is_valid_name(self.name):
             yield Problem(("name",), shown(self.name), ALLOWED_NAME)
         for field, text in (("bind", self.bind), ("advertise", self.advertise or self.bind)):
             if (why := _address(text)) and not (field == "advertise" and not self.advertise):
@@ -125,9 +125,9 @@
         for k, seed in enumerate(self.seeds):
             if why := _address(seed):
                 yield Problem(("seeds", k), why, ALLOWED_ADDRESS)
-        if not role_fits(self.role):
+        if not is_valid_role(self.role):
             yield Problem(("role",), shown(self.role), f"1 to {MAX_ROLE_BYTES} bytes of printable ASCII")
-        if not zone_fits(self.zone):
+        if not is_valid_zone(self.zone):
             yield Problem(("zone",), shown(self.zone), f"at most {MAX_ZONE_BYTES} bytes of printable ASCII")
         try:
             read_keys(self.keys)
@@ -138,7 +138,7 @@
 
 def _address(text: str) -> str:
     try:
-        address(text)
+        parse_address(text)
     except ValueError:
         return shown(text) if text else "nothing"
     return ""
@@ -163,4 +163,4 @@
     except OSError as error:
         found = f"found nothing that can be read ({error.strerror})"
         raise ValueError(f"{found}, allowed: {ALLOWED_KEYS}") from None
-    return keys_of(raw)
+    return parse_keys(raw)
--- a/tests/fleet/test_disk_writer.py
+++ b/tests/fleet/test_disk_writer.py
@@ -9,7 +9,7 @@
 import pytest
 
 from granitewell.cluster import persisted_record
-from granitewell.cluster.size_estimate import Known
+from granitewell.cluster.size_estimate import KnownNode
 from granitewell.durable_folder import Kept
 from granitewell.net.disk_writer import LONG_US, Notebook
 
@@ -88,18 +88,30 @@
 
 
 def test_only_what_the_next_process_has_to_know_is_worth_a_write() -> None:
-    note = persisted_record.Note(
-        "n1", persisted_record.Life(1, 7, 0, 100), (Known("n2", -1), Known("n3", 5_000_000)), ("h:1",)
+    note = persisted_record.PersistedRecord(
+        "n1",
+        persisted_record.ProcessIdentity(1, 7, 0, 100),
+        (KnownNode("n2", -1), KnownNode("n3", 5_000_000)),
+        ("h:1",),
     )
-    same = persisted_record.Note(
-        "n1", persisted_record.Life(1, 7, 0, 900), (Known("n2", -1), Known("n3", 6_000_000)), ("h:1",)
+    same = persisted_record.PersistedRecord(
+        "n1",
+        persisted_record.ProcessIdentity(1, 7, 0, 900),
+        (KnownNode("n2", -1), KnownNode("n3", 6_000_000)),
+        ("h:1",),
     )
-    assert persisted_record.gist(note) == persisted_record.gist(same)
+    assert persisted_record.significant_content(note) == persisted_record.significant_content(same)
     for other in (
-        persisted_record.Note("n1", persisted_record.Life(1, 7, 1, 100), note.known, note.addresses),
-        persisted_record.Note("n1", note.life, (Known("n2", 0), note.known[1]), note.addresses),
-        persisted_record.Note("n1", note.life, (note.known[0], Known("n3", 65_000_000)), note.addresses),
-        persisted_record.Note("n1", note.life, note.known[:1], note.addresses),
-        persisted_record.Note("n1", note.life, note.known, ()),
+        persisted_record.PersistedRecord(
+            "n1", persisted_record.ProcessIdentity(1, 7, 1, 100), note.known, note.addresses
+        ),
+        persisted_record.PersistedRecord(
+            "n1", note.identity, (KnownNode("n2", 0), note.known[1]), note.addresses
+        ),
+        persisted_record.PersistedRecord(
+            "n1", note.identity, (note.known[0], KnownNode("n3", 65_000_000)), note.addresses
+        ),
+        persisted_record.PersistedRecord("n1", note.identity, note.known[:1], note.addresses),
+        persisted_record.PersistedRecord("n1", note.identity, note.known, ()),
     ):
-        assert persisted_record.gist(other) != persisted_record.gist(note)
+        assert persisted_record.significant_content(other) != persisted_record.significant_content(note)
--- a/tests/recorded/samples.py
+++ b/tests/recorded/samples.py
@@ -18,7 +18,7 @@
 
 from granitewell import durable_folder, handover
 from granitewell.cluster import persisted_record
-from granitewell.cluster.size_estimate import Known
+from granitewell.cluster.size_estimate import KnownNode
 from granitewell.controlplane.configuration.change import Change, Operation
 from granitewell.controlplane.configuration.store import ConfigurationStore
 from granitewell.controlplane.ownership.record import OwnerClaimed, OwnerRecord
@@ -286,10 +286,10 @@
     "lend": rights.Lend(1, "tenant", 78, [9, 500]),
     "back": rights.Back("tenant", 78, [9]),
 }
-NOTE = persisted_record.Note(
+NOTE = persisted_record.PersistedRecord(
     "n1",
-    persisted_record.Life(3, 555, 2, 1 << 30),
-    (Known("n2", -1), Known("n3", 120_000_000)),
+    persisted_record.ProcessIdentity(3, 555, 2, 1 << 30),
+    (KnownNode("n2", -1), KnownNode("n3", 120_000_000)),
     ("10.2.0.2:9000",),
 )
 LEASE_RECORD = lease_record.Record(
@@ -332,9 +332,9 @@
         "configuration-patch": Sample(PATCH, Change.encode, Change.decode),
         "configuration-snapshot": Sample(store_of(PUT, PATCH), ConfigurationStore.snapshot, restored_store),
         "owner-claim": Sample(CLAIM, OwnerClaimed.encode, OwnerClaimed.decode),
-        "fleet-note": Sample(NOTE, persisted_record.form, persisted_record.read),
+        "fleet-note": Sample(NOTE, persisted_record.encode, persisted_record.decode),
         "fleet-slot": Sample(
-            persisted_record.form(NOTE), slot, lambda raw: durable_folder._read(raw, durable_folder.MOST)[1]
+            persisted_record.encode(NOTE), slot, lambda raw: durable_folder._read(raw, durable_folder.MOST)[1]
         ),
         "lease-record": Sample(
             LEASE_RECORD, lease_record.Record.write, lambda data: lease_record.read(data, 3)
