--- a/granitewell/cluster/__init__.py
+++ b/granitewell/cluster/__init__.py
@@ -1,5 +1,4 @@
-"""What a node makes of the fleet's view: how it is set, how many nodes act, and what is written down of it.
+"""What a node derives from the membership: settings, an estimate of the fleet size, and the persisted record.
 
-It owns no member: who is alive is `membership`'s, and the shell (`net/cluster.py`) carries the one's news to
-the other.
+Which members are up is decided in `membership`; the shell `net/cluster.py` passes its events on.
 """
--- a/granitewell/cluster/persisted_record.py
+++ b/granitewell/cluster/persisted_record.py
@@ -1,8 +1,8 @@
-"""The file in which a node writes down what its next process has to know: its life, and who was there.
+"""The record that a node keeps for its next process: its own identity and the nodes it knew.
 
-It owns the form of the file: one line of JSON and a check sum. It must never touch a disk. What is damaged or
-of a newer version is told in one line and nothing of it is taken; numbers and names are bounded as on the
-wire, so that a file from anywhere can do no more harm than a letter.
+The file has one line of JSON and a line with its checksum. This module does no I/O. A damaged file or one of
+another version is refused as a whole, with a reason for the log. Numbers and names have the same bounds as on
+the wire, so a file from an unknown source can do no more harm than a message.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 VERSION = 1
 MAX_BYTES = 4 * 1024 * 1024
-MAX_ADDRESSES = 64  # of members, as further seeds
-ABSENCE_STEP_US = 60_000_000  # by which a silence must have grown to be written down again
+MAX_ADDRESSES = 64  # of members, used as additional seeds
+ABSENCE_STEP_US = 60_000_000  # an absence is written again when it has grown by this
 _MAX_BIRTH = (1 << 63) - 1
 _MAX_SEQ = 1 << 61
 _MAX_US = 1 << 60
@@ -27,7 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessIdentity:
-    """The last claim of a process, and a number above all that it has used; gen 0 for none yet."""
+    """Identity of a process.
+
+    Attributes:
+        gen: Generation of its last assertion; 0 if it has made none.
+        birth: Its birth id.
+        inc: Incarnation of its last assertion.
+        seq: Greater than every sequence and request number that it used.
+    """
 
     gen: int
     birth: int
@@ -37,11 +44,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistedRecord:
-    """All of it.
+    """Content of the file.
 
     Attributes:
-        name: Whose.
-        addresses: Of members that were up.
+        name: Member name of the node.
+        identity: Its process.
+        known: Other nodes that it knew.
+        addresses: Addresses of members that were up.
     """
 
     name: str
@@ -51,7 +60,7 @@
 
 
 def encode(record: PersistedRecord) -> bytes:
-    """The file's bytes."""
+    """Encode a record as the content of the file."""
     identity = record.identity
     document = {
         "v": VERSION, "name": record.name,
@@ -64,9 +73,10 @@
 
 
 def significant_content(record: PersistedRecord) -> object:
-    """What of a note is worth another write.
+    """Return the part of a record whose change is worth a write.
 
-    Two notes with the same gist differ by times alone, and by a number of which half is still to spare.
+    Two records with the same part differ only in times and in the reserved sequence number, of which half is
+    still unused.
     """
     identity = record.identity
     known = tuple((k.name, k.absent_us < 0, k.absent_us // ABSENCE_STEP_US) for k in record.known)
@@ -74,9 +84,10 @@
 
 
 def decode(data: bytes) -> PersistedRecord:
-    """What the bytes say.
+    """Decode the content of the file.
 
-    ValueError, in words for the log: they are not a whole file of ours, or one of another version.
+    Raises:
+        ValueError: It is damaged, out of bounds or of another version; the message is meant for the log.
     """
     body, _, rest = data.partition(b"\n")
     if rest != b"%08x\n" % crc32(body):
@@ -84,7 +95,7 @@
     try:
         document = json.loads(body)
     except RecursionError:
-        raise ValueError("lists within lists without end") from None
+        raise ValueError("the JSON is nested too deeply") from None
     if not isinstance(document, dict) or document.get("v") != VERSION:
         found = document.get("v") if isinstance(document, dict) else None
         raise ValueError(f"of version {str(found)[:20]}, and this program reads {VERSION}")
--- a/granitewell/cluster/size_estimate.py
+++ b/granitewell/cluster/size_estimate.py
@@ -1,28 +1,23 @@
-"""How many nodes act on the same endpoints, as far as this one can know.
-
-It owns two counts and the names behind them. It must never know how a member is found dead, speak to anybody,
-or decide what a count is used for.
-
-Theory of operation. A view of a fleet can be wrong both ways, and the two uses of a count have their safe
-sides on different ends:
-
-- `most` divides what all nodes together may push: at a cold endpoint, of a tenant's allowance. A node that we
-  hear nothing of may only be cut off from us and go on serving, so it counts until it has left by its own
-  word and stays away, an operator has said that it is gone, or a long time has passed. One that has left may
-  come back (a restart) while we are cut off, so it counts until it has been away for some minutes in which we
-  had everybody else in sight. And a node that the settings count
-  and nobody has ever named may be cut off as well: while any is unaccounted for, `most` is never below what
-  the settings say.
-- `up` multiplies what this node sees of the traffic, for a forecast of all of it. Who is dead brings no
-  traffic of its own any more, so only those count that are up; but a fall comes slowly, as all shrinking in
-  this program does, since after a death the traffic of the dead comes to us first and the news of it later.
-  Those whom nobody has ever named are held to be up: that nothing was heard of them proves nothing.
-
-Each name is up, silent (dead as far as we know), away (has left), or out (has left for long enough, was
-called gone, or was silent for too long). What names are not out is written down and read again at the next
-start, where all begin as silent. Nodes that nobody has named are those that the settings count beyond the
-most that were ever up or silent at a time: so neither a name that has gone nor a new one in its place hides
-one that was never seen.
+"""Estimates how many nodes act on the same endpoints, as far as this node can know.
+
+A node's view of the fleet can be wrong in both directions, and the two estimates err on opposite sides:
+
+- `upper_bound` divides what all nodes together may send, to a cold endpoint or of a tenant's allowance. An
+  unresponsive node may only be partitioned from us and still serve, so it counts until it has announced that
+  it leaves and stays away, an operator has removed it, or a long time has passed. A node that left may come
+  back (a restart) while we are partitioned, so it counts until it has been away for some minutes in which all
+  other nodes were in sight. A configured node that was never observed may be partitioned too: while any node
+  is unaccounted for, `upper_bound` is not below the configured count.
+- `expected` multiplies the traffic that this node sees, to forecast all of it. A dead node brings no traffic,
+  so only nodes that are up count. The estimate decays slowly, as all shrinking in this program does: after a
+  death, the traffic of the dead node arrives before the report of its death. Configured nodes that were never
+  observed count as up, since having heard nothing of them proves nothing.
+
+A node is up, unresponsive (declared dead), left, or excluded (left long ago, removed by an operator, or
+unresponsive for too long). All but the excluded ones are persisted and read at the next start, where they
+begin as unresponsive. The number of never observed nodes is the configured count less the most nodes that
+were ever up or unresponsive at a time, so neither a node that left nor a new one in its place hides a node
+that was never observed.
 """
 
 from __future__ import annotations
@@ -34,15 +29,15 @@
 
 from granitewell.state_machine import LogLine, TimerFired
 
-DECAY_STEP_US = 500_000  # between two steps of a fall
-DECAY_TIME_CONSTANT_US = 10_000_000  # in which a fall has done two thirds of its way
-LEFT_GRACE_US = 300_000_000  # for which one that has left may come back
-DECAY_END_NODES = 0.05  # of a node; a fall that is so near its end is over
-MAX_NAMES = 20_000  # in all states; the membership shows half as many at a time
+DECAY_STEP_US = 500_000  # between two steps of the decay
+DECAY_TIME_CONSTANT_US = 10_000_000  # time constant of the exponential decay
+LEFT_GRACE_US = 300_000_000  # for which a node that left may come back
+DECAY_END_NODES = 0.05  # a decay this close to its target ends
+MAX_NAMES = 20_000  # in all states; the membership has at most half as many up
 
 
 class Presence(Enum):
-    """Where a name stands."""
+    """Presence of a node."""
 
     UP = "up"
     UNRESPONSIVE = "silent"
@@ -54,13 +49,14 @@
 IGNORED_UPDATES = {
     Presence.UNRESPONSIVE: (Presence.LEFT, Presence.EXCLUDED),
     Presence.LEFT: (Presence.EXCLUDED,),
-}  # what such news leaves as it is
+}
+"""Presences that an update to the key leaves unchanged."""
 
 
 def presence_of(state: str, by: str) -> Presence:
-    """Where a member of that state stands: alive, suspect, dead or left, as it is said by somebody.
+    """Return the presence of a member by its state: "alive", "suspect", "dead" or "left".
 
-    Whom another has called gone did not say so itself: an operator knows that it stays away.
+    If `by` names another member, the node did not announce its leaving itself: an operator removed it.
     """
     if state == "left":
         return Presence.EXCLUDED if by else Presence.LEFT
@@ -70,23 +66,21 @@
 # --- Events ---------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class MembersObserved:
-    """Where those of our role stand in the view, all that it names; whom it does not name stays where it
-    is.
-    """
+    """Presence of members of our role, by name; a node that is not listed keeps its presence."""
 
     presences: Mapping[str, Presence]
 
 
 @dataclass(frozen=True, slots=True)
 class NodeRemoved:
-    """An operator says that it is gone."""
+    """An operator removed a node."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class ConfiguredCount:
-    """So many nodes act by the settings."""
+    """The number of nodes in the settings."""
 
     count: int
 
@@ -94,7 +88,12 @@
 # --- Effects --------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class SizeEstimate:
-    """Both counts, after a change of either."""
+    """Both estimates, after a change of either.
+
+    Attributes:
+        upper_bound: Most nodes that may act.
+        expected: Nodes that are expected to bring traffic.
+    """
 
     upper_bound: int
     expected: float
@@ -102,10 +101,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownNode:
-    """A name as it is written down.
+    """A node as persisted.
 
     Attributes:
-        silent_us: For how long it had been silent or away; -1 for up.
+        name: Its name.
+        absent_us: For how long it had been unresponsive or left; -1 if it was up.
     """
 
     name: str
@@ -115,16 +115,15 @@
 @dataclass(slots=True)
 class _NodeState:
     presence: Presence
-    since_us: int  # when it fell silent, or when it went
-    in_sight_us: int = 0  # since it left, with everybody else in sight
+    since_us: int  # when the presence changed
+    in_sight_us: int = 0  # time since it left in which all other nodes were in sight
 
 
 class SizeEstimator:
-    """own: our name, which is up for as long as we run.
+    """State machine of the estimates.
 
     Attributes:
-        unheard_us: Silence after which a name is out.
-        known: Of the process before.
+        unheard_us: Time after which an unresponsive node is excluded.
     """
 
     __slots__ = (
@@ -148,16 +147,16 @@
         for node in known:
             if node.name != own_name and len(self._nodes) < MAX_NAMES:
                 self._nodes[node.name] = _NodeState(Presence.UNRESPONSIVE, -max(node.absent_us, 0))
-        self._peak = len(self._nodes)  # most names that were up or silent at a time
+        self._peak = len(self._nodes)  # most nodes that were up or unresponsive at a time
         self._expected = float(self._target())
         self._decayed_us = self._next_decay_us = -1
         self._now_us = 0
         self._last_estimate: SizeEstimate | None = None
 
-    # --- What others see --------------------------------------------------------------------------------
+    # --- Queries ----------------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
-        """When TimerFired is wanted; -1 for never."""
+        """Time at which TimerFired is wanted; -1 for never."""
         deadlines = [x.since_us + self.unheard_us for x in self._nodes.values() if x.presence in ABSENT]
         left = [x for x in self._nodes.values() if x.presence is Presence.LEFT]
         if left and self._all_in_sight:
@@ -166,20 +165,20 @@
 
     @property
     def estimate(self) -> SizeEstimate:
-        """Both counts now."""
+        """Both estimates now."""
         return SizeEstimate(self._upper_bound(), round(self._expected, 3))
 
     def names(self, presence: Presence) -> list[str]:
-        """Those that stand there."""
+        """Return the names of nodes with a presence, sorted."""
         return sorted(name for name, x in self._nodes.items() if x.presence is presence)
 
     @property
     def unseen(self) -> int:
-        """Nodes that the settings count and nobody has named."""
+        """Number of configured nodes that were never observed."""
         return max(self._configured - self._peak, 0)
 
     def known(self) -> list[KnownNode]:
-        """To be written down; not ourselves."""
+        """Return the other nodes to persist."""
         return [
             KnownNode(name, -1 if x.presence is Presence.UP else max(self._now_us - x.since_us, 0))
             for name, x in sorted(self._nodes.items())
@@ -188,7 +187,7 @@
 
     # --- Events -----------------------------------------------------------------------------------------
     def handle(self, now_us: int, event: object) -> list[object]:
-        """Apply one event; a Count where one has changed, and lines."""
+        """Apply one event; return a SizeEstimate if it changed, and log lines."""
         first = self._decayed_us < 0
         passed_us = max(now_us - self._now_us, 0)
         if not first and self._all_in_sight:
@@ -197,7 +196,7 @@
         self._now_us = max(now_us, self._now_us)
         if first:
             self._decayed_us = self._now_us
-            for node in self._nodes.values():  # what was read is dated from the start on
+            for node in self._nodes.values():  # persisted times are relative to the start
                 node.since_us += self._now_us
         out: list[object] = []
         if isinstance(event, MembersObserved):
@@ -208,7 +207,7 @@
         elif isinstance(event, ConfiguredCount):
             self._configured = max(event.count, 1)
         elif not isinstance(event, TimerFired):
-            raise TypeError(f"event: found {type(event).__name__}, allowed are those of census")
+            raise TypeError(f"event: found {type(event).__name__}, allowed are those of size_estimate")
         self._expire(out)
         self._peak = max(self._peak, self._count_in(Presence.UP) + self._count_in(Presence.UNRESPONSIVE))
         self._decay()
@@ -223,7 +222,7 @@
             return
         node = self._nodes.get(name)
         if node is not None and node.presence in IGNORED_UPDATES.get(presence, ()):
-            return  # who went does not come back silent, nor leaves twice
+            return  # a node that left does not become unresponsive, nor leaves twice
         if node is None:
             if len(self._nodes) >= MAX_NAMES and not self._make_room():
                 return
@@ -232,7 +231,7 @@
             node.presence, node.since_us, node.in_sight_us = presence, self._now_us, 0
 
     def _make_room(self) -> bool:
-        """Let go of the name that has been out for longest; whether there was one."""
+        """Drop the node that has been excluded for longest; return whether there was one."""
         out = [(x.since_us, name) for name, x in self._nodes.items() if x.presence is Presence.EXCLUDED]
         if out:
             del self._nodes[min(out)[1]]
@@ -250,7 +249,7 @@
             elif node.presence is Presence.LEFT and node.in_sight_us >= LEFT_GRACE_US:
                 node.presence, node.since_us = Presence.EXCLUDED, self._now_us
 
-    # --- Counts -----------------------------------------------------------------------------------------
+    # --- Estimates --------------------------------------------------------------------------------------
     def _count_in(self, presence: Presence) -> int:
         return sum(x.presence is presence for x in self._nodes.values())
 
@@ -261,7 +260,7 @@
 
     @property
     def _all_in_sight(self) -> bool:
-        """Is everybody who may act in sight, but for those who have left?"""
+        """Whether all nodes that may act, other than those that left, are in sight."""
         return (
             not self._count_in(Presence.UNRESPONSIVE) and not self.unseen and self._count_in(Presence.UP) > 1
         )
@@ -270,12 +269,12 @@
         return max(self._count_in(Presence.UP) + self.unseen, 1)
 
     def _decay(self) -> None:
-        """Growth at once; a fall by steps, each a part of what is left."""
+        """Follow the target: growth at once, a decrease by exponential decay in steps."""
         target, passed_us = self._target(), self._now_us - self._decayed_us
         if target >= self._expected:
             self._expected, self._decayed_us = float(target), self._now_us
         elif self._next_decay_us < 0:
-            self._decayed_us = self._now_us  # it begins now
+            self._decayed_us = self._now_us  # the decay begins now
         elif passed_us > 0:
             self._expected += (target - self._expected) * (1.0 - exp(-passed_us / DECAY_TIME_CONSTANT_US))
             self._decayed_us = self._now_us
--- a/granitewell/cluster/types.py
+++ b/granitewell/cluster/types.py
@@ -1,7 +1,6 @@
-"""What may be set of a node in a fleet, and the forms of its file of keys.
+"""Settings of a node in a fleet, and the formats of addresses and of the key file.
 
-It owns the settings, their defaults and the text of the keys' file. It must never read that file or open a
-socket. Times are whole microseconds, and in the settings seconds where a person writes them.
+This module does no I/O. Times are whole microseconds, or seconds in settings that a person writes.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 MAX_SEEDS = 64
 MAX_KEYS_FILE = 4_096  # bytes
-MIN_STREAMS, MAX_STREAMS = 2, 256  # each way
+MIN_STREAMS, MAX_STREAMS = 2, 256  # in each direction
 MIN_UNHEARD_S, MAX_UNHEARD_S = 60.0, 30 * 86_400.0
 DEFAULT_ROLE = "forwarder"
 ALLOWED_NAME = f"1 to {MAX_NAME_BYTES} of a-z, 0-9, - and ., a letter or figure first"
@@ -28,13 +27,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterSettings:
-    """A node in a fleet; without a name it is in none, and nothing of it is imported or bound.
-
-    name: the member's, from the operators. bind: where datagrams and streams of other nodes come in;
-    advertise: where others reach that, bind where it is empty. seeds: who is asked at the start. keys: of all
-    nodes, None where the file can't be read now (why: `keys_why`). folder: that outlives the process, "" for
-    none. streams: to others at a time, and as many from them. unheard_s: after so long without a word a node
-    that has not left counts no more.
+    """Settings of a node in a fleet; without a name it is in none, and nothing for it is imported or bound.
+
+    Attributes:
+        name: Member name, given by the operators.
+        bind: Address for datagrams and streams of other nodes.
+        advertise: Address at which others reach it; bind if empty.
+        seeds: Addresses of nodes to join by.
+        keys: Shared keys; None if the file cannot be read now.
+        keys_why: Why the keys cannot be read.
+        role: Role announced to other members.
+        zone: Zone announced to other members.
+        folder: Folder that outlives the process; "" for none.
+        streams: Most streams to other nodes, and as many from them.
+        unheard_s: Time without contact after which a node that has not left is no longer counted.
     """
 
     name: str = ""
@@ -51,35 +57,37 @@
 
     @property
     def address(self) -> str:
-        """As others are to know it."""
+        """Address at which other members reach this node."""
         return self.advertise or self.bind
 
 
 def is_valid_name(name: str) -> bool:
-    """Whether a member may have this name: it also names files."""
+    """Whether a member may have this name, which is also used in file names."""
     return _NAME.match(name) is not None
 
 
 def is_valid_label(text: str, most: int) -> bool:
-    """Whether it is a role or zone of at most so many bytes."""
+    """Whether a text may be a role or zone of at most this many bytes."""
     return len(text) <= most and is_printable(text)
 
 
 def is_valid_role(role: str) -> bool:
-    """Whether a member may say this of itself."""
+    """Whether a member may have this role."""
     return bool(role) and is_valid_label(role, MAX_ROLE_BYTES)
 
 
 def is_valid_zone(zone: str) -> bool:
-    """As role_fits, and it may be empty."""
+    """Whether a member may have this zone; it may be empty."""
     return is_valid_label(zone, MAX_ZONE_BYTES)
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port.
+    """Parse an address into host and port.
+
+    Host names are not allowed: resolving one would block the node's event loop.
 
-    ValueError where it is no such address: names would have to be asked for, and whoever waits for an answer
-    serves nobody.
+    Raises:
+        ValueError: It is not an IP address with a port.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not re.fullmatch("[0-9]{1,5}", port) or not 1 <= int(port) <= 65535:
@@ -95,15 +103,18 @@
 
 
 def format_address(host: str, port: int) -> str:
-    """The same back again."""
+    """Format host and port as an address."""
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def parse_keys(raw: bytes) -> Keys:
-    """What a file of keys holds: one key a line in hex, the first seals, a second opens too.
+    """Parse a key file: one hexadecimal key per line.
+
+    The first key seals messages; a second one is only accepted for opening them. Empty lines and lines that
+    begin with # are ignored.
 
-    Empty lines and lines that begin with # are passed over. ValueError says what was found, and never shows a
-    key.
+    Raises:
+        ValueError: The message says what was found but never shows a key.
     """
     try:
         lines = [x.strip() for x in raw.decode("ascii").splitlines()]
--- a/granitewell/membership/__init__.py
+++ b/granitewell/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Who is alive among the nodes of an installation, without a leader.
+"""Leaderless membership and failure detection among the nodes of an installation.
 
-SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2017). `machine.Membership` is what
-a shell runs; see docs/design/membership.md.
+Implements SWIM (Das, Gupta, Motivala 2002) with the Lifeguard extensions (Dadgar, Phillips, Currey 2017).
+`state_machine.Membership` is what a shell runs; see docs/design/membership.md.
 """
--- a/granitewell/membership/anti_entropy.py
+++ b/granitewell/membership/anti_entropy.py
@@ -1,13 +1,16 @@
-"""Comparing whole tables with one member, over a stream: at joining, now and then, and when two meet again.
+"""Anti-entropy: comparing the whole table with one other member over a stream (Demers et al. 1987).
 
-It owns who is asked when, the open conversations and what bounds them. It must never merge a claim: it says
-of a letter whether its claims may be believed.
+It runs at joining, periodically, and when a connection to a lost member is restored.
 
-Theory of operation. HELLO asks and is believed in nothing, since it may be an old one that somebody kept. The
-WELCOME echoes its number, which proves the one who answers, and brings a token and a digest of each part of
-the table. The asker sends its claims of the parts that differ (PUSH) with the token, which proves the asker,
-and gets the other's (PAGE). So nothing large is sent to whoever has proved nothing, two tables that agree
-cost two small letters, and who differ in little send little (anti-entropy, Demers et al. 1987).
+1. Hello starts an exchange. Nothing in it is trusted, since it may be a replay.
+2. Welcome echoes the number of the Hello, which shows that the answer is fresh. It carries a token and the
+   digest of each table partition.
+3. Push carries the initiator's assertions of the partitions that differ. It returns the token, which shows
+   that the Hello was fresh.
+4. Page carries the responder's assertions of those partitions.
+
+So nothing large is sent to an unproved address, two equal tables cost two small messages, and small
+differences cost little. This module merges nothing; it tells whether the assertions in a message are trusted.
 """
 
 from __future__ import annotations
@@ -21,20 +24,23 @@
 from granitewell.protocols.peers.limits import ReplayWindow, TokenBucket
 from granitewell.state_machine import Transport
 
-EXCHANGE_TIMEOUT_US = 10_000_000  # a conversation that takes longer is over
+EXCHANGE_TIMEOUT_US = 10_000_000  # an exchange that takes longer is dropped
 MAX_OUTGOING, MAX_INCOMING = 8, 64
-JOIN_INTERVAL_US = 500_000  # between hellos while we join
-MIN_INTERVAL_US = 1_000_000  # after we have become a member, and while we are alone
-NAME_WAIT_INTERVAL_US = 2_000_000  # while another has our name
-SEED_INTERVAL = 2  # every so many-th hello goes to a seed that is no member, if there is one
+JOIN_INTERVAL_US = 500_000  # between hellos while joining
+MIN_INTERVAL_US = 1_000_000  # first interval of a member, and the one while it is alone
+NAME_WAIT_INTERVAL_US = 2_000_000  # while another process has our name
+SEED_INTERVAL = 2  # every n-th hello goes to a seed that is not a member, if there is one
 
 
 @dataclass(slots=True)
 class OutgoingExchange:
-    """A hello of ours.
+    """An exchange that we started.
 
     Attributes:
-        name, birth: Of whoever has answered.
+        address: Address that the hello went to.
+        end_us: When it is dropped.
+        name: Name of the member that answered.
+        birth: Birth id of its process; 0 before an answer.
     """
 
     address: str
@@ -45,10 +51,15 @@
 
 @dataclass(slots=True)
 class IncomingExchange:
-    """Whoever has said hello.
+    """An exchange that another process started.
 
     Attributes:
-        address: Where to answer.
+        name: Name of that process.
+        birth: Its birth id.
+        address: Address for answers.
+        end_us: When it is dropped.
+        number: Number of its hello.
+        replay_window: Sequence numbers of its messages.
     """
 
     name: str
@@ -60,7 +71,11 @@
 
 
 class AntiEntropy:
-    """due_us: when to say hello next; -1 for never."""
+    """Starts exchanges and answers those of others.
+
+    Attributes:
+        due_us: Time of the next hello; -1 for never.
+    """
 
     __slots__ = (
         "_outgoing",
@@ -79,12 +94,12 @@
         self._outgoing: dict[int, OutgoingExchange] = {}
         self._incoming: dict[int, IncomingExchange] = {}
         self._next_seed = self._hello_count = 0
-        self._interval_us = MIN_INTERVAL_US  # until the next; doubled up to the usual one
+        self._interval_us = MIN_INTERVAL_US  # until the next hello; doubles up to sync_us
         self.due_us = -1
         self.start()
 
     def start(self) -> None:
-        """The time is known for the first time."""
+        """Initialise the rate limits once the time is known."""
         local = self._local
         self._incoming_limit, self._requested_limit = (
             TokenBucket(local.parameters.syncs, local.now_us),
@@ -92,29 +107,30 @@
         )
 
     def schedule_within(self, length_us: int) -> None:
-        """Say hello in so long at the latest."""
+        """Send a hello within this time at the latest."""
         due = self._local.now_us + length_us
         self.due_us = due if self.due_us < 0 else min(due, self.due_us)
 
     def joined(self) -> None:
-        """We are a member, which nobody knows yet: compare at once, and again after ever longer pauses.
+        """Compare at once after becoming a member, and again after growing intervals.
 
-        Where many start together most letters come from members whom the hearer does not know yet, and are
-        lost.
+        When many members start together, most messages come from senders that the receiver does not know yet,
+        and their assertions are ignored.
         """
         self._interval_us, self.due_us = MIN_INTERVAL_US, self._local.now_us
 
     def member_died(self) -> None:
-        """Somebody is lost to us: it may be we who are, so compare soon, and again after ever longer
-        pauses.
+        """Compare soon after a member died, and again after growing intervals.
+
+        The local process may be the partitioned one.
         """
         if self._interval_us > MIN_INTERVAL_US:
             self._interval_us = MIN_INTERVAL_US
             self.schedule_within(MIN_INTERVAL_US)
 
-    # --- Whom and when ----------------------------------------------------------------------------------
+    # --- Scheduling -------------------------------------------------------------------------------------
     def run(self, phase: Phase) -> None:
-        """Say hello, if it is time."""
+        """Send a hello if one is due."""
         local = self._local
         if not 0 <= self.due_us <= local.now_us:
             return
@@ -136,10 +152,10 @@
             self.hello(address)
 
     def _pick_address(self, seeds_first: bool) -> str:
-        """A seed in turn while we know nobody.
+        """Choose the address for the next hello: a random member, or a seed.
 
-        Else a random member, and now and then a seed that is none: it may belong to a part of the
-        installation that has lost us, and forgotten that it did.
+        While no other member is known, seeds take turns. Later a seed that is not a member is chosen now and
+        then: it may belong to a partition in which each side has forgotten the other.
         """
         local = self._local
         seeds = [s for s in local.config.seeds if s != local.config.address]
@@ -157,7 +173,7 @@
         return next((member.about.address for member in local.random_members(1)), "")
 
     def hello(self, address: str) -> None:
-        """Ask whoever is at that address."""
+        """Start an exchange with the process at an address."""
         local, number = self._local, self._local.next_number()
         while len(self._outgoing) >= MAX_OUTGOING:
             del self._outgoing[next(iter(self._outgoing))]
@@ -165,13 +181,13 @@
         local.send(address, 0, Hello(number, local.config.address), transport=Transport.STREAM)
 
     def hello_limited(self, address: str) -> None:
-        """Ask, but not too often: for those whom somebody else makes us ask."""
+        """Start an exchange on another member's account; limited to one per second."""
         if self._requested_limit.take(self._local.now_us):
             self.hello(address)
 
-    # --- The one asked ----------------------------------------------------------------------------------
+    # --- Responder --------------------------------------------------------------------------------------
     def receive_hello(self, received: ReceivedMessage, message: Hello) -> None:
-        """Give a token, and our digests."""
+        """Answer a hello with a token and our digests."""
         local = self._local
         if not self._incoming_limit.take(local.now_us):
             local.count_drop("syncs")
@@ -193,7 +209,7 @@
         )
 
     def receive_push(self, received: ReceivedMessage, message: Push) -> bool:
-        """Whether its claims may be believed; answers with ours."""
+        """Return whether the assertions of a push are trusted; answer the last one with ours."""
         local, exchange = self._local, self._incoming.get(message.token)
         if exchange is None or (exchange.name, exchange.birth) != (received.sender, received.envelope.birth):
             return False
@@ -204,9 +220,9 @@
                 local.send_page(exchange.address, exchange.birth, Page(exchange.number, more), page)
         return True
 
-    # --- The asker --------------------------------------------------------------------------------------
+    # --- Initiator --------------------------------------------------------------------------------------
     def receive_welcome(self, received: ReceivedMessage, message: Welcome) -> bool:
-        """Push what differs; True where nothing does, and the conversation is over."""
+        """Push the partitions that differ; return True if none does and the exchange is complete."""
         local, exchange = self._local, self._outgoing.get(message.number)
         if exchange is None or exchange.birth or local.now_us >= exchange.end_us:
             return False
@@ -221,7 +237,7 @@
         return False
 
     def receive_page(self, received: ReceivedMessage, message: Page) -> tuple[bool, bool]:
-        """Whether its claims may be believed, and whether it was the last."""
+        """Return whether the assertions of a page are trusted and whether it was the last page."""
         exchange = self._outgoing.get(message.number)
         if exchange is None or (exchange.name, exchange.birth) != (received.sender, received.envelope.birth):
             return False, False
@@ -230,7 +246,7 @@
         return True, not message.more
 
     def _pages(self, partitions: int) -> Iterator[tuple[list[bytes], bool]]:
-        """Claims by the letter, and whether more letters follow; one empty letter where there are none."""
+        """Yield the assertions of each page and whether more follow; one empty page if there are none."""
         page: list[bytes] = []
         size = 0
         for assertion in self._local.table.assertions(partitions, self._local.now_us):
--- a/granitewell/membership/assertions.py
+++ b/granitewell/membership/assertions.py
@@ -1,7 +1,6 @@
-"""What becomes of a claim: softened, merged, told to the shell, passed on, and a suspect's time set going.
+"""Processing of received assertions: merging, events for the shell, dissemination and suspicion timers.
 
-It owns the path of a claim from being heard to its effects. It must never judge whether a letter is to be
-believed, nor which of two claims wins.
+Whether a message is trusted is decided in `state_machine`, which of two assertions wins in `states`.
 """
 
 from __future__ import annotations
@@ -26,17 +25,16 @@
 }
 
 
-EXPECTED_CHECKERS, MAX_CHECKED_SUSPECTS = (
-    8,
-    3,
-)  # members that ask a suspect at once, on average; suspects at a time, at most
+EXPECTED_CHECKERS, MAX_CHECKED_SUSPECTS = 8, 3
+"""Members that probe a suspect early on average, and the most concurrent suspects for which they do."""
 
 
 class AssertionHandler:
-    """suspicions: of those who are suspected now.
+    """Applies assertions to the table and carries out what follows.
 
     Attributes:
-        history: What has changed, by whose word.
+        suspicions: Running suspicion timeouts.
+        history: Changes by name and who reported them.
     """
 
     __slots__ = ("_identity", "_probe_order", "_local", "_source", "_gossip_order", "history", "suspicions")
@@ -44,7 +42,7 @@
     def __init__(
         self, local: LocalMember, identity: LocalIdentity, probe_order: RoundRobin, gossip_order: RoundRobin
     ) -> None:
-        """rounds, turns: who is probed next, and who is told news next."""
+        """Takes the orders in which members are probed and receive gossip."""
         self._local, self._identity, self._probe_order, self._gossip_order = (
             local,
             identity,
@@ -53,16 +51,17 @@
         )
         self.suspicions = Suspicions(local.parameters)
         self.history = History()
-        self._source: tuple[str, str] = ("", "")  # whose word is being taken in, by what road; ours: nobody's
+        # reporter and transport of the assertion being merged; empty for this process
+        self._source: tuple[str, str] = ("", "")
 
     def start(self) -> None:
-        """We are a member: those whom we know as suspects have their time from now on."""
+        """Start the timeouts of known suspects, when the local process becomes a member."""
         for record in self._local.table.records.values():
             if record.standing.state is State.SUSPECT:
                 self.suspect(record.name, record.standing, record.by, False)
 
     def receive(self, assertion: Assertion, source: str, transport: Transport = Transport.DATAGRAM) -> None:
-        """What is said of a name, by somebody who may be wrong."""
+        """Process an assertion of another member, which may be wrong."""
         record = self._local.table.records.get(assertion.name)
         if record is not None and _changes_nothing(record, assertion):
             self._repeat_missed_refutation(record, assertion)
@@ -79,9 +78,9 @@
         self._source = "", ""
 
     def _repeat_missed_refutation(self, record: Record, assertion: Assertion) -> None:
-        """Whoever still doubts an incarnation that has been left behind has missed the refutation.
+        """Queue a refutation again for a sender that still suspects an older incarnation.
 
-        The answer carries it.
+        It has missed the refutation; the answer to its message carries it.
         """
         gen, birth, inc, state = record.standing
         suspected = assertion.state in (State.SUSPECT, State.DEAD) and state is State.ALIVE
@@ -90,7 +89,7 @@
             self._local.dissemination.add(record.name, pack(assertions_for(record, self._local.now_us)[0]))
 
     def ask_others(self, name: str) -> None:
-        """The time of a suspect of ours is nearly over: has anybody heard from it?"""
+        """Tell a random member that a suspicion is about to expire, in case it has seen a refutation."""
         local, record = self._local, self._local.table.records.get(name)
         if record is not None and record.standing.state is State.SUSPECT:
             local.dissemination.add(name, pack(not_alive_assertion(record, local.now_us)))
@@ -98,7 +97,7 @@
                 local.send_to(member, Ping(local.next_number()))
 
     def force_leave(self, name: str) -> None:
-        """An operator knows that it is gone for good; only of the dead."""
+        """Mark a dead member as left, on an operator's request."""
         record = self._local.table.records.get(name)
         if record is not None and record.standing.state is State.DEAD:
             gen, birth, inc, _ = record.standing
@@ -107,7 +106,7 @@
             self._source = "", ""
 
     def _is_hearsay_death(self, assertion: Assertion) -> bool:
-        """Whether it says of somebody we have up, in that life, that it is dead."""
+        """Whether it reports the death of a process that is up in our table."""
         local = self._local
         if (
             assertion.state != State.DEAD
@@ -123,10 +122,11 @@
         return (assertion.gen, assertion.birth) == record.standing[:2]
 
     def merge(self, assertion: Assertion, expired_elsewhere: bool = False) -> None:
-        """Take a claim in, as true.
+        """Merge an assertion that is trusted.
 
         Args:
-            sure: A suspicion whose time somebody has waited out.
+            assertion: The assertion.
+            expired_elsewhere: It is a suspicion whose timeout has expired at another member.
         """
         local, refused = self._local, self._local.table.refused
         change = local.table.merge(assertion, local.now_us)
@@ -143,7 +143,7 @@
             local.dissemination.add(assertion.name, pack(assertion))
 
     def suspect(self, name: str, standing: Standing, by: str, expired_elsewhere: bool) -> bool:
-        """Start or shorten a suspect's time; whether that is news."""
+        """Start or shorten a suspicion timeout; return whether that changed anything."""
         local = self._local
         return self.suspicions.suspect(
             name, standing, by, local.member_count, local.now_us, expired_elsewhere
@@ -170,13 +170,13 @@
         self._disseminate(change)
 
     def _check_soon(self, record: Record) -> None:
-        """Somebody else suspects it: some of us, a few in all, ask it next, so that it has the shortest time
-        if nobody reaches it (its time shrinks with each who says so), and a living one hears of it soon.
+        """Maybe probe a member next that another member suspects.
+
+        A few members in all do so. If none reaches it, each further suspicion shortens its timeout; a running
+        one learns of the suspicion soon.
         """
         local = self._local
-        few = (
-            len(self.suspicions) <= MAX_CHECKED_SUSPECTS
-        )  # of many at once each would wait for all those before it
+        few = len(self.suspicions) <= MAX_CHECKED_SUSPECTS  # with many, each would wait for all before it
         if (
             few
             and record.by != local.config.name
@@ -193,7 +193,7 @@
             local.dissemination.add(record.name, pack(assertions_for(record, local.now_us)[0]))
 
     def _emit_events(self, before: Member | None, now: Member | None) -> None:
-        """The effects of a change."""
+        """Emit the events of a change."""
         out = self._local.effects
         if before is not None and (now is None or now.birth != before.birth or now.gen != before.gen):
             if before.up:
@@ -211,7 +211,7 @@
 
 
 def _changes_nothing(record: Record, assertion: Assertion) -> bool:
-    """Whether a claim can't change anything: most can't, and are not looked at further."""
+    """Whether an assertion cannot change the record, as is true of most; a cheap check made first."""
     key, known = (assertion.gen, assertion.birth, assertion.inc), record.standing[:3]
     if key == known:
         return assertion.state == record.standing.state == State.ALIVE and assertion.about == record.about
--- a/granitewell/membership/dissemination.py
+++ b/granitewell/membership/dissemination.py
@@ -1,42 +1,43 @@
-"""Claims that wait to be passed on, riding on other messages (SWIM, section 4.1).
+"""Queue of assertions that are piggybacked on other messages (SWIM, section 4.1).
 
-It owns which of them goes next: those sent least, of those the newest, each so often as the logarithm of the
-members asks for and no more. It must never look into a claim. There is one claim a name: a newer one takes
-the place of the older, and where there are too many the one sent most makes room.
+Assertions that were sent least often go first, newest first among equals. Each is sent a number of times that
+grows with the logarithm of the number of members. There is one assertion per name: a newer one replaces an
+older one. If the queue is full, the one sent most often is dropped.
 """
 
 from __future__ import annotations
 
 from math import ceil, log10
 
-MAX_ENTRIES_EXAMINED = 64  # entries looked at for one message, whether they fit or not
-MIN_ROOM_BYTES = 24  # bytes; less room than that is not filled
+MAX_ENTRIES_EXAMINED = 64  # per message, whether they fit or not
+MIN_ROOM_BYTES = 24  # less room than this is not filled
 
 
 class DisseminationQueue:
-    """The queue.
-
-    Attributes:
-        factor: Lambda.
-        longest: Claims that it holds.
-    """
+    """Encoded assertions by member name, ordered by how often they were sent."""
 
     __slots__ = ("_by_transmissions", "_retransmit_multiplier", "_max_length", "_transmissions")
 
     def __init__(self, retransmit_multiplier: int, max_length: int) -> None:
+        """Create an empty queue.
+
+        Args:
+            retransmit_multiplier: SWIM's lambda.
+            max_length: Most assertions that it holds.
+        """
         self._retransmit_multiplier, self._max_length = retransmit_multiplier, max_length
-        self._by_transmissions: list[dict[str, bytes]] = []  # at place k what was sent k times, oldest first
+        self._by_transmissions: list[dict[str, bytes]] = []  # [k]: those sent k times, oldest first
         self._transmissions: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._transmissions)
 
     def max_transmissions(self, members: int) -> int:
-        """How often a claim is sent."""
+        """Return how often each assertion is sent."""
         return self._retransmit_multiplier * max(ceil(log10(members + 1)), 1)
 
     def add(self, name: str, encoded: bytes) -> None:
-        """A new claim."""
+        """Add the assertion of a name, or replace it."""
         self.remove(name)
         if len(self._transmissions) >= self._max_length:
             self.remove(next(next(iter(entries)) for entries in reversed(self._by_transmissions) if entries))
@@ -44,20 +45,22 @@
         self._transmissions[name] = 0
 
     def remove(self, name: str) -> None:
-        """What waits of that name waits no more."""
+        """Remove the assertion of a name, if there is one."""
         transmissions = self._transmissions.pop(name, None)
         if transmissions is not None:
             del self._by_transmissions[transmissions][name]
 
     def take(self, room: int, members: int, excluded: str = "") -> list[bytes]:
-        """Claims for one message of that room, which count as sent.
+        """Return assertions for one message and count them as sent.
 
         Args:
-            but: A name that is not picked.
+            room: Bytes available in the message.
+            members: Number of members, which limits the transmissions.
+            excluded: A name whose assertion is not taken.
         """
         selected = self._select(room, excluded)
         max_transmissions = self.max_transmissions(members)
-        for transmissions, name, encoded in reversed(selected):  # the newest last, as it was
+        for transmissions, name, encoded in reversed(selected):  # in reverse, so that the newest stays last
             del self._by_transmissions[transmissions][name]
             if transmissions + 1 < max_transmissions:
                 self._level(transmissions + 1)[name] = encoded
--- a/granitewell/membership/history.py
+++ b/granitewell/membership/history.py
@@ -1,6 +1,6 @@
-"""What has changed of each name, by whose word: for whoever has to explain a view.
+"""A bounded history of the changes of each name and who reported them, for diagnosis only.
 
-It owns the notes and their bounds. It must never be asked by what decides.
+No decision depends on it.
 """
 
 from __future__ import annotations
@@ -10,19 +10,20 @@
 
 from granitewell.membership.states import Standing
 
-MAX_ENTRIES_PER_NAME = 12  # notes of a name, the newest,
-MAX_NAMES = 2_000  # of so many names, those that changed last
+MAX_ENTRIES_PER_NAME = 12  # the newest are kept
+MAX_NAMES = 2_000  # names that changed last
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """One change.
+    """One change of a name.
 
     Attributes:
-        at_us: On the member's own time.
-        teller: Who told it ("" for what this process has found itself), by which road.
-        by: Who suspects it or calls it dead.
-        standing: As it was from then on.
+        at_us: Time of the change on the local process clock.
+        source: Member that reported it; "" for what this process found itself.
+        transport: Transport by which the report came.
+        by: Member that suspects the name or declared it dead.
+        standing: Standing after the change.
     """
 
     at_us: int
@@ -33,7 +34,7 @@
 
 
 class History:
-    """Notes by name."""
+    """Changes by name, bounded in names and in entries per name."""
 
     __slots__ = ("_entries",)
 
@@ -41,7 +42,7 @@
         self._entries: dict[str, deque[HistoryEntry]] = {}
 
     def add(self, name: str, entry: HistoryEntry) -> None:
-        """One more; the oldest of many goes."""
+        """Append an entry; drops the oldest entry of the name, or the name that changed longest ago."""
         entries = self._entries.pop(name, None)
         if entries is None:
             entries = deque(maxlen=MAX_ENTRIES_PER_NAME)
@@ -51,5 +52,5 @@
         self._entries[name] = entries
 
     def entries(self, name: str) -> tuple[HistoryEntry, ...]:
-        """Its notes, the newest last."""
+        """Return the entries of a name, newest last."""
         return tuple(self._entries.get(name, ()))
--- a/granitewell/membership/local_member.py
+++ b/granitewell/membership/local_member.py
@@ -1,7 +1,7 @@
-"""What all parts of a member share: who it is, the time, what comes out, how letters are sealed and opened.
+"""State that all parts of the local member share: identity, time, effects, sending and receiving.
 
-It owns what a letter costs before anybody looks at it: the limits, the tags, whom it is for, whether it was
-heard before. It must never know what a letter asks for.
+Incoming messages pass the rate limits, authentication, the check of the receiver and replay protection here,
+before any part looks at their content.
 """
 
 from __future__ import annotations
@@ -31,16 +31,19 @@
 from granitewell.protocols.peers.limits import ReplayWindow, TokenBucket
 from granitewell.state_machine import LogLine, MessageReceived, SendMessage, Transport
 
-MAX_LINES_PER_S = 1  # lines and refusals a second, of each sort
+MAX_LINES_PER_S = 1  # log lines per topic, and refusals
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedMessage:
-    """A letter that has passed.
+    """A message that passed all checks.
 
     Attributes:
-        address: Where to answer.
-        known: The sender is the life of that name that we know.
+        sender: Member name of the sender.
+        address: Address for an answer.
+        transport: Transport by which it came.
+        envelope: The decoded message.
+        known: Whether the sender is the process that the table has for its name.
     """
 
     sender: str
@@ -51,7 +54,12 @@
 
 
 class LocalMember:
-    """counts: of what was dropped, by reason."""
+    """The local member.
+
+    Attributes:
+        drop_counts: Dropped messages and assertions, by reason.
+        message_counts: Messages by direction ("heard" or "said") and kind.
+    """
 
     __slots__ = (
         "_line_limits",
@@ -89,12 +97,12 @@
         self.health = Health(config.parameters.lifeguard)
         self.drop_counts: dict[str, int] = {}
         self.message_counts: dict[tuple[str, str], int] = {}  # heard and message, by kind
-        # a life that goes on never uses a number again: others would take its letters for old ones
+        # A continued process must not reuse a number: others would drop its messages as replays.
         self._seq = self._last_number = previous.seq if previous is not None and previous.handed_over else 0
         self.start(0)
 
     def start(self, now_us: int) -> None:
-        """The time is known for the first time."""
+        """Initialise the rate limits once the time is known."""
         self.now_us = now_us
         parameters = self.parameters
         self._unverified_limit, self._total_limit = (
@@ -105,23 +113,23 @@
         self._refusal_limit = TokenBucket(MAX_LINES_PER_S, now_us)
         self._line_limits: dict[str, TokenBucket] = {}
 
-    # --- Small things -----------------------------------------------------------------------------------
+    # --- Helpers ----------------------------------------------------------------------------------------
     @property
     def member_count(self) -> int:
-        """Up, ourselves included."""
+        """Members that are up, including the local one."""
         return len(self.table.up)
 
     @property
     def seq(self) -> int:
-        """Above every number used so far, of letters and of questions."""
+        """A number greater than every sequence and request number used so far."""
         return max(self._seq, self._last_number) + 1
 
     def count_drop(self, reason: str) -> None:
-        """Something was dropped."""
+        """Count a dropped message or assertion."""
         self.drop_counts[reason] = self.drop_counts.get(reason, 0) + 1
 
     def log(self, topic: str, text: str) -> None:
-        """A log line, if there were not too many of that topic."""
+        """Write a log line, unless there were too many of its topic."""
         bucket = self._line_limits.get(topic)
         if bucket is None:
             bucket = self._line_limits[topic] = TokenBucket(MAX_LINES_PER_S, self.now_us)
@@ -129,23 +137,23 @@
             self.effects.append(LogLine(f"membership-{topic}", text))
 
     def next_number(self) -> int:
-        """For a question: higher each time."""
+        """Return a new request number, greater than all before."""
         self._last_number += 1
         return self._last_number
 
     def random_part(self, length_us: int) -> int:
-        """A random part of that time."""
+        """Return a random duration, or index, below the given one."""
         return int(self.rng.random() * length_us)
 
     def random_members(self, count: int, *excluded: str) -> list[Member]:
-        """Up to so many other members at random."""
+        """Return up to `count` random other members that are not excluded."""
         table = self.table
         names = table.up.sample(self.rng, count, (self.config.name, *excluded))
         return [member for member in map(table.member, names) if member is not None]
 
-    # --- Out --------------------------------------------------------------------------------------------
+    # --- Sending ----------------------------------------------------------------------------------------
     def send_to(self, member: Member, message: Message, transport: Transport = Transport.DATAGRAM) -> None:
-        """A letter to a member, with what there is to pass on."""
+        """Send a message to a member, with piggybacked assertions."""
         self.send(member.about.address, member.birth, message, member.name, transport)
 
     def send(
@@ -156,10 +164,10 @@
         name: str = "",
         transport: Transport = Transport.DATAGRAM,
     ) -> None:
-        """A letter to a process at an address.
+        """Send a message to a process at an address.
 
-        What we hold against whoever gets it goes first, so that it can refute it (Lifeguard's buddy system);
-        the rest of the room is for other news.
+        If the receiver is not alive in our table, that assertion goes first, so that it can refute it
+        (Lifeguard's buddy system). The rest of the room is for assertions from the queue.
         """
         envelope = self._envelope(to, message)
         body = gossip.encode_envelope(envelope)
@@ -173,7 +181,7 @@
         )
 
     def send_page(self, address: str, to: int, message: Message, assertions: list[bytes]) -> None:
-        """A letter on a stream with these claims."""
+        """Send a message with these assertions on a stream."""
         self._seal(
             address, gossip.encode_envelope(self._envelope(to, message), assertions), Transport.STREAM, ""
         )
@@ -203,9 +211,9 @@
         frame = seal(Kind.GOSSIP, body, config.keys, config.name, limit=limit, version=version)
         self.effects.append(SendMessage(address, frame, transport))
 
-    # --- In ---------------------------------------------------------------------------------------------
+    # --- Receiving --------------------------------------------------------------------------------------
     def receive(self, incoming: MessageReceived) -> ReceivedMessage | None:
-        """The letter, if it verifies, is for us, is new and not too much; nothing else has changed."""
+        """Return the message if it passes all checks; otherwise count the drop and return None."""
         outcome = self._verify(incoming)
         if isinstance(outcome, ReceivedMessage):
             self._count_message("heard", outcome.envelope.message)
@@ -214,7 +222,7 @@
         return None
 
     def _verify(self, incoming: MessageReceived) -> ReceivedMessage | str:
-        """The letter, or the reason why it is dropped."""
+        """Return the message, or the reason for dropping it."""
         if not self._unverified_limit.take(self.now_us):
             return "raw"
         limit = MAX_DATAGRAM_BYTES if incoming.transport is Transport.DATAGRAM else MAX_STREAM_FRAME_BYTES
@@ -266,9 +274,9 @@
     def _report_other_kind(self, incoming: MessageReceived, frame: Frame) -> None:
         if frame.kind == Kind.REFUSAL:
             versions = ", ".join(map(str, frame.body[: gossip.MAX_VERSIONS]))
-            self.log("version", f"{incoming.sender} reads versions {versions} of the wire alone")
+            self.log("version", f"{incoming.sender} reads only versions {versions} of the wire protocol")
 
 
 def common_version(their_versions: tuple[int, ...]) -> int:
-    """The highest version of the wire that both read; ours where there is none, which they refuse."""
+    """Return the highest wire version that both read; ours if there is none, which they refuse."""
     return max((v for v in their_versions if v in VERSIONS), default=VERSIONS[-1])
--- a/granitewell/membership/probes.py
+++ b/granitewell/membership/probes.py
@@ -1,13 +1,14 @@
-"""Probes: whom to ask next, how often, through whom, and what is done for others who ask.
+"""The failure detector: direct and indirect probes, and probes relayed for other members.
 
-It owns the open probe and the relays. It must never change a member: it hands back whom nobody could reach.
+Members are probed one by one in a random order that is drawn anew when all had their turn, which bounds the
+time between two probes of a member (SWIM, section 4.3). A probe is a list of steps made when it starts:
+pings, repeated while there is no answer; requests to helpers, which ping for us and send a nack if they get
+no answer; the end. An ack at any time before the end counts. Local health stretches all steps.
 
-Theory of operation. Members are asked one by one in a random order that is drawn anew when all have had their
-turn, so that the time between two probes of one is bounded (SWIM, section 4.3). A probe is a plan of steps
-made when it begins: the question, put again while nothing has come; then helpers, who ask for us and say that
-they did (nack); the end. An answer at any time before the end is one. Local health stretches the whole plan.
-The question is put more than once, which SWIM does not do: the time-out is hundreds of round trips long, and
-under loss a second datagram is much cheaper than a suspicion that everybody hears of.
+A ping is repeated, which SWIM does not do: the timeout is hundreds of round trips long, and under loss a
+second datagram is much cheaper than a suspicion that is sent to every member.
+
+The prober changes no member; it returns the one that could not be reached.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 from granitewell.protocols.peers.gossip import Ack, Nack, Ping, Relay
 
 MAX_RELAYS = 256
-NACK_DELAY_RATIO = 0.8  # of the time-out, after which a helper says that it has heard nothing
+NACK_DELAY_RATIO = 0.8  # of the timeout, after which a helper sends a nack
 
 
 class Step(Enum):
-    """Of a probe."""
+    """Step of a probe."""
 
     PING = "ping"
     ASK = "ask"
@@ -34,12 +35,15 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Under way.
+    """A probe in progress.
 
     Attributes:
-        steps: Still to come.
-        helpers: Asked first, who owe a nack.
-        asked: All.
+        number: Request number of its pings.
+        member: The probed member.
+        steps: Steps still to come, with their times.
+        helpers: Helpers of the first round; each should send a nack if it gets no answer.
+        asked: Helpers of all rounds.
+        nacked: Helpers that sent a nack.
     """
 
     number: int
@@ -53,12 +57,17 @@
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A ping for somebody else.
-
-    Pings: still to put;
+    """A ping on behalf of another member.
 
     Attributes:
-        nack_us: -1 once it is message.
+        origin: Name of the member that asked.
+        address: Address of that member.
+        birth: Birth id of its process.
+        number: Its request number.
+        target: The process to ping.
+        retry_us: Time of the second ping; -1 once it is sent.
+        nack_us: Time of the nack; -1 if there is none or it is sent.
+        end_us: Time at which it is given up.
     """
 
     origin: str
@@ -72,7 +81,7 @@
 
 
 class RoundRobin:
-    """Whose turn it is."""
+    """Round-robin over all other members that are up, in random order."""
 
     __slots__ = ("_position", "_order", "_local")
 
@@ -80,16 +89,16 @@
         self._local, self._order, self._position = local, list[str](), 0
 
     def insert(self, name: str) -> None:
-        """At a random place among those whose turn is still to come."""
+        """Insert a name at a random place among those still to come in this round."""
         left = len(self._order) - self._position
         self._order.insert(self._position + self._local.random_part(left + 1), name)
 
     def insert_next(self, name: str) -> None:
-        """Its turn is next; the one that it still has stays."""
+        """Make a name the next one; its regular turn in this round stays."""
         self._order.insert(self._position, name)
 
     def next(self) -> Member | None:
-        """The next that is up; None where there is nobody else."""
+        """Return the next member that is up; None if there is no other."""
         local = self._local
         for _ in range(2):
             while self._position < len(self._order):
@@ -102,7 +111,7 @@
         return None
 
     def _shuffle(self) -> None:
-        """All members in a new order (Durstenfeld 1964, algorithm 235)."""
+        """Start a round over all members in a new order (Durstenfeld 1964, algorithm 235)."""
         order = list(self._local.table.up.names)
         for k in range(len(order) - 1, 0, -1):
             other = self._local.random_part(k + 1)
@@ -111,7 +120,12 @@
 
 
 class Prober:
-    """due_us: when there is something to do; -1 for never."""
+    """Runs one probe at a time and the relayed probes.
+
+    Attributes:
+        probe_order: Order in which members are probed.
+        dead_address: Address of the dead member that was pinged last; another process may use it by now.
+    """
 
     __slots__ = (
         "_relayed_probes",
@@ -128,28 +142,26 @@
         self._probe: Probe | None = None
         self._relayed_probes: dict[int, RelayedProbe] = {}
         self._next_us = self._next_revive_us = -1
-        self.dead_address = ""  # the address of one of the dead: it may be another process's by now
+        self.dead_address = ""
 
     def start(self) -> None:
-        """We are a member: begin somewhere in the period, so that members who start together do not ask
-        together.
-        """
+        """Start at a random time in the period, so that members that start together do not probe in step."""
         local = self._local
         self._next_us = local.now_us + local.random_part(local.parameters.probe_us)
         self._next_revive_us = local.now_us + local.random_part(local.parameters.revive_us)
 
     def stop(self) -> None:
-        """We are none any more."""
+        """Stop probing, when the local process is no member any more."""
         self._probe, self._next_us, self._next_revive_us = None, -1, -1
 
     def discard_current(self) -> None:
-        """We stood still: what is under way proves nothing."""
+        """Drop the current probe after a stall: its missing answer proves nothing."""
         if self._probe is not None:
             self._probe = None
 
     @property
     def due_us(self) -> int:
-        """When there is something to do; -1 for never."""
+        """Time of the next step; -1 for never."""
         dues = [t for t in (self._next_us, self._next_revive_us) if t >= 0]
         if self._probe is not None and self._probe.steps:
             dues.append(self._probe.steps[0][0])
@@ -159,7 +171,7 @@
         return min(dues, default=-1)
 
     def run(self) -> Member | None:
-        """Do what is due; whom a probe has just failed to reach."""
+        """Run the steps that are due; return the member that a probe has just failed to reach."""
         now, failed = self._local.now_us, None
         if self._relayed_probes:
             self._run_relayed_probes(now)
@@ -172,7 +184,7 @@
             self._start_probe(now)
         return failed
 
-    # --- Our own ----------------------------------------------------------------------------------------
+    # --- Local probes -----------------------------------------------------------------------------------
     def _start_probe(self, now: int) -> None:
         local, parameters = self._local, self._local.parameters
         period, timeout = local.health.scale(parameters.probe_us), local.health.scale(parameters.timeout_us)
@@ -211,7 +223,7 @@
         probe.asked += [member.name for member in helpers]
 
     def _fail(self, probe: Probe) -> Member | None:
-        """Nobody could reach it. Where helpers did not even say that they tried, it may be us."""
+        """End a failed probe; missing nacks raise the health score, as the fault may be ours."""
         missing_nacks = len(probe.helpers) - len(probe.nacked)
         self._local.health.adjust(
             missing_nacks * health.NACK_MISSED if probe.helpers else health.PROBE_FAILED
@@ -220,7 +232,7 @@
         return member if member is not None and member.birth == probe.member.birth and member.up else None
 
     def ack(self, received: ReceivedMessage, number: int) -> None:
-        """An answer: to our probe, by whom we asked or a helper; or to an errand."""
+        """Handle an ack: of the current probe, by its target or a helper, or of a relayed probe."""
         probe, sender = self._probe, received.sender
         if probe is not None and number == probe.number:
             target = (probe.member.name, probe.member.birth)
@@ -236,7 +248,7 @@
             self._local.send(relayed.address, relayed.birth, Ack(relayed.number), relayed.origin)
 
     def nack(self, received: ReceivedMessage, number: int) -> None:
-        """A helper has tried."""
+        """Handle a nack of a helper."""
         probe, sender = self._probe, received.sender
         if probe is None or number != probe.number or sender in probe.nacked:
             return
@@ -244,10 +256,10 @@
             probe.nacked.append(sender)
 
     def _ping_dead_member(self, now: int) -> None:
-        """Ask one of the dead: we may have been cut off from it.
+        """Ping a random dead member, which may only have been unreachable.
 
-        It hears with the ping that it is dead, and refutes that; a process that has begun there since hears
-        no ping for the one before it.
+        The ping carries the assertion that it is dead, which it refutes. A newer process at that address
+        ignores a ping for an earlier one.
         """
         local = self._local
         self._next_revive_us = now + local.parameters.revive_us
@@ -257,9 +269,9 @@
                 local.send_to(member, Ping(local.next_number()))
                 self.dead_address = member.about.address
 
-    # --- For others -------------------------------------------------------------------------------------
+    # --- Relayed probes ---------------------------------------------------------------------------------
     def relay(self, received: ReceivedMessage, message: Relay) -> None:
-        """Ping somebody for somebody else."""
+        """Handle a request to ping a process for another member."""
         local, now = self._local, self._local.now_us
         envelope, wait = received.envelope, int(local.parameters.timeout_us * NACK_DELAY_RATIO)
         if len(self._relayed_probes) >= MAX_RELAYS:
--- a/granitewell/membership/refutation.py
+++ b/granitewell/membership/refutation.py
@@ -1,16 +1,17 @@
-"""Ourselves: where we stand (states.PHASES), what we say of ourselves, refuting what is said of us, and the
-question whose our name is.
-
-It owns our life's number and incarnation, which never fall. It must never judge another name.
-
-Theory of operation. A process that finds its name held by another one that is not known to be gone (its
-former self, which nobody has missed yet, or a twin) does not say that it is a member. It asks the holder, by
-datagram, by stream and through others. An answer means a twin: it waits, loudly, until that one has died. No
-answer means nothing by itself, since we may be the one that is cut off; only where the holder's address is
-our own, at which nothing but us can be now, is the holder gone, and we take the next life's number at once.
-Else we wait until the others have called it dead. Whoever finds that a later life holds its name, because it
-was cut off for long enough to be called dead, goes the same way: so the name goes back and forth between two
-living processes at no time.
+"""The local process: its phase, its own assertion, refutation of suspicions, and ownership of its name.
+
+Generation and incarnation of the local process never decrease.
+
+A process whose name is held by another one that is not known to be down does not become a member. The
+holder may be its previous process, whose death is not yet detected, or a duplicate. It probes the holder by
+datagram, by stream and through helpers. An answer shows a duplicate: the process logs that and waits until
+the other one is dead. A missing answer alone proves nothing, since the local process may be the partitioned
+one. Only if the holder's address is its own, at which nothing else can run now, is the holder gone, and the
+process takes the next generation at once. Otherwise it waits until the other members have declared the holder
+dead.
+
+A member that was partitioned long enough to be declared dead, and finds that a later generation holds its
+name, does the same. So a name never alternates between two running processes.
 """
 
 from __future__ import annotations
@@ -24,14 +25,20 @@
 from granitewell.protocols.peers.gossip import MAX_GEN, MAX_INC, Assertion, Ping, Relay, pack
 from granitewell.state_machine import Transport
 
-HOLDER_PROBE_US = 500_000  # between two questions to the holder of our name
-MAX_UNANSWERED_PROBES = 3  # unanswered, and it is gone if its address is ours
-SLOW_HOLDER_PROBE_US = 2_000_000  # between questions after that
-MAX_DUPLICATES = 64  # told of, each once
+HOLDER_PROBE_US = 500_000  # between probes of the holder of our name
+MAX_UNANSWERED_PROBES = 3  # after which a holder at our own address is taken for gone
+SLOW_HOLDER_PROBE_US = 2_000_000  # between probes after that, and while the name is taken
+MAX_DUPLICATES = 64  # remembered, so that each is reported once
 
 
 class LocalIdentity:
-    """gen, inc: of the claim that we make; before the first, the least that it may have."""
+    """Phase and assertion of the local process.
+
+    Attributes:
+        gen: Generation of its assertion; before the first one, the lowest that it may use.
+        inc: Incarnation, likewise.
+        phase: Current phase.
+    """
 
     __slots__ = (
         "_about",
@@ -61,23 +68,23 @@
 
     @property
     def due_us(self) -> int:
-        """When there is something to do; -1 for never."""
+        """Time of the next step; -1 for never."""
         return self._due_us
 
     @property
     def standing(self) -> Standing:
-        """What we say of ourselves."""
+        """Standing in our own assertion."""
         state = State.LEFT if self.phase in (Phase.LEAVING, Phase.STOPPED) else State.ALIVE
         return Standing(self.gen, self._local.birth, self.inc, state)
 
     @property
     def record(self) -> Record | None:
-        """What is known of our name, whoever holds it."""
+        """Record of our name, whichever process holds it."""
         return self._local.table.records.get(self._local.config.name)
 
     @property
     def holder(self) -> Member | None:
-        """The other process that holds our name, if one does that is not known to be gone."""
+        """The other process that holds our name and is not known to be down, if there is one."""
         record = self.record
         if record is None or record.standing.birth == self._local.birth or record.standing.state in DOWN:
             return None
@@ -88,9 +95,9 @@
         if self.phase is not before:
             self._local.effects.append(PhaseChanged(self.phase))
 
-    # --- Saying -----------------------------------------------------------------------------------------
+    # --- Announcing -------------------------------------------------------------------------------------
     def announce(self) -> None:
-        """Our claim, to ourselves and to be passed on."""
+        """Merge our own assertion into the table and queue it for dissemination."""
         local, standing = self._local, self.standing
         about = self._about if standing.state is State.ALIVE else None
         assertion = Assertion(local.config.name, *standing, about=about)
@@ -98,22 +105,22 @@
         local.dissemination.add(local.config.name, pack(assertion))
 
     def update_payload(self, payload: bytes) -> None:
-        """Say something else of ourselves."""
+        """Replace the payload in our description."""
         about = self._about
         self._about = type(about)(about.role, about.address, about.zone, about.versions, payload)
         if self.phase is Phase.ACTIVE:
             self._raise_incarnation(self.gen, self.inc)
 
     def _raise_incarnation(self, gen: int, inc: int) -> None:
-        """Claim more than that."""
+        """Announce an assertion that overrides the given generation and incarnation."""
         if inc < MAX_INC:
             self.gen, self.inc = gen, inc + 1
-        else:  # said by somebody who means us ill: no incarnation is left in this life
+        else:  # only a malicious sender gets here: no incarnation is left in this generation
             self.gen, self.inc = min(gen + 1, MAX_GEN), 0
         self.announce()
 
     def join(self) -> None:
-        """Our name is free: be a member, in a life above any that is known of it."""
+        """Become a member under our free name, above any known generation or incarnation."""
         self._transition(Cause.NAME_FREE)
         record, self._due_us = self.record, -1
         known = record.standing.gen if record is not None else 0
@@ -124,18 +131,16 @@
         )
 
     def leave(self) -> None:
-        """Say that we go."""
+        """Announce that we leave."""
         before = self.phase
         self._transition(Cause.LEAVE_REQUESTED)
         if self.phase is Phase.LEAVING is not before:
             self.announce()
             self._due_us = self._local.now_us + self._local.parameters.leave_us
 
-    # --- Hearing ----------------------------------------------------------------------------------------
+    # --- Receiving --------------------------------------------------------------------------------------
     def check_record(self) -> None:
-        """What is known of our name has changed: refute it, take the name back, or find that it is
-        another's.
-        """
+        """React to a change of our own record: refute it, take the name, or dispute it."""
         record = self.record
         if record is None or record.standing == self.standing and record.about in (None, self._about):
             return
@@ -153,9 +158,9 @@
             self.join()
 
     def table_compared(self) -> None:
-        """We have another's whole table, or wait for none any more.
+        """Finish joining, after a complete table comparison or without one.
 
-        While we join, that says whether our name is free.
+        The table shows whether our name is free.
         """
         if self.phase is not Phase.JOINING:
             return
@@ -166,25 +171,25 @@
         else:
             self.dispute_name()
 
-    # --- Whose name it is -------------------------------------------------------------------------------
+    # --- Ownership of the name --------------------------------------------------------------------------
     def dispute_name(self) -> None:
-        """Another process holds our name: ask it."""
+        """Start probing another process that holds our name."""
         self._transition(Cause.NAME_HELD)
         local = self._local
         self._unanswered_probes, self._probe_numbers = 0, []
         self._due_us = self._last_answer_us = local.now_us
         holder = self.holder
         at = holder.about.address if holder is not None else "an unknown address"
-        local.log("name", f"{local.config.name} is held by another process, at {at}: asking it")
+        local.log("name", f"{local.config.name} is held by another process, at {at}: probing it")
 
     def run(self) -> None:
-        """Ask again, if it is time; take the name, if the holder is gone; end a leave."""
+        """Run the step that is due: probe the holder, take the name, finish joining or leaving."""
         if not 0 <= self._due_us <= self._local.now_us:
             return
         if self.phase is Phase.LEAVING:
             self._transition(Cause.LEAVE_COMPLETED)
         elif self.phase is Phase.JOINING:
-            self.table_compared()  # nobody has answered: we are the first, or alone
+            self.table_compared()  # no seed has answered: we are the first, or alone
         elif self.phase in (Phase.NAME_DISPUTED, Phase.NAME_TAKEN):
             if self._holder_is_gone():
                 self.join()
@@ -192,17 +197,17 @@
                 self._probe_holder()
 
     def join_alone_after(self, length_us: int) -> None:
-        """Be a member without an answer after so long."""
+        """Set the time after which we join without an answer of a seed."""
         self._due_us = self._local.now_us + length_us
 
     def _holder_is_gone(self) -> bool:
-        """Whether the holder is, for all that we can tell."""
+        """Whether the holder of our name must be taken for gone."""
         local, holder = self._local, self.holder
         if holder is None or self._unanswered_probes < MAX_UNANSWERED_PROBES:
             return False
         if holder.about.address == local.config.address:
             return True
-        no_other_member = local.member_count <= 1  # but the holder, so that nobody else can call it dead
+        no_other_member = local.member_count <= 1  # besides the holder, so none can declare it dead
         return no_other_member and local.now_us - self._last_answer_us >= timeout_us(local.parameters, 2, 0)
 
     def _probe_holder(self) -> None:
@@ -221,7 +226,7 @@
             local.send_to(member, relay)
 
     def ack(self, received: ReceivedMessage, number: int) -> None:
-        """The holder lives: it has answered us, or a helper."""
+        """Handle an ack of the holder, or of a helper that reached it: it is running."""
         local, holder = self._local, self.holder
         if (
             self.phase not in (Phase.NAME_DISPUTED, Phase.NAME_TAKEN)
@@ -238,14 +243,14 @@
         self._report_duplicate(holder.birth, holder.about.address, owns_name=False)
 
     def ping_received(self, received: ReceivedMessage) -> None:
-        """Another process goes by our name, and has asked whether we live."""
+        """Report a duplicate if the sender of a ping uses our name."""
         if received.sender == self._local.config.name and self.phase is Phase.ACTIVE:
             self._report_duplicate(received.envelope.birth, received.address, owns_name=True)
 
     def _report_duplicate(self, birth: int, address: str, owns_name: bool) -> None:
         local = self._local
-        what = "holds our name: we wait until it is gone" if not owns_name else "goes by our name, and waits"
-        local.log("twin", f"another living process, at {address}, {what} ({local.config.name})")
+        what = "holds our name: waiting until it is gone" if not owns_name else "uses our name and waits"
+        local.log("twin", f"another running process, at {address}, {what} ({local.config.name})")
         if birth not in self._reported_duplicates:
             self._reported_duplicates = [*self._reported_duplicates[-MAX_DUPLICATES:], birth]
             local.effects.append(DuplicateIdentity(birth, address, owns_name))
--- a/granitewell/membership/state_machine.py
+++ b/granitewell/membership/state_machine.py
@@ -1,14 +1,15 @@
-"""The member that a shell runs: who else is alive, told as it changes.
-
-It owns the order in which its parts are called and which letters' claims are believed. It must never touch a
-socket, read a clock, or look at a letter that the seat has not passed.
-
-Theory of operation. Each member probes one other a period (probes); whom nobody can reach is suspected, and
-dies when its time to refute is over (suspicion). Every letter carries news (spread), and while there is news
-some letters carry nothing else. Whole tables are compared at joining and now and then (sync). What is said of
-our own name goes to `own`. Claims merge to the maximum (states); one is softened first: that a member whom we
-see alive is dead is believed as a suspicion with the shortest time, so that two halves that meet again do not
-bury each other, and who does live refutes it.
+"""The membership state machine that a shell runs: reports which members are up, as that changes.
+
+It calls its parts in a fixed order and decides which received assertions are trusted. It uses no socket and
+reads no clock.
+
+Each member probes one other per period (probes). A member that cannot be reached is suspected, and declared
+dead when its time to refute is over (suspicion). Every message carries assertions, and while there are new
+ones some messages carry nothing else (dissemination). Whole tables are compared at joining and periodically
+(anti_entropy). Assertions about the local process are handled in refutation. Assertions merge to their
+maximum (states), with one exception: a reported death of a member that is up here counts as a suspicion with
+the shortest timeout. So two halves of a healed partition do not declare each other dead; a running member
+refutes the suspicion.
 """
 
 from __future__ import annotations
@@ -51,20 +52,21 @@
 )
 from granitewell.state_machine import MessageReceived, TimerFired
 
-MAX_SLEEP_US = 500_000  # woken so often at least, so that standing still shows
-DIGEST_MISMATCH_US = (
-    750_000  # between two looks at a digest that is not ours, after which tables are compared
-)
-EXPIRY_INTERVAL_US = 30_000_000  # between two looks at who is to be forgotten
+MAX_SLEEP_US = 500_000  # longest time between wakeups, so that a stall is noticed
+DIGEST_MISMATCH_US = 750_000  # for which a digest must differ before tables are compared
+EXPIRY_INTERVAL_US = 30_000_000  # between two runs of the expiry of dead members
 _GOSSIP_PHASES = (Phase.ACTIVE, Phase.LEAVING)
 
 
 class Membership:
-    """A member.
+    """The membership state machine of one process.
+
+    Its events and effects, besides the shared ones, are in `types`. Input from the network raises nothing.
 
     Attributes:
-        rng: Its own; the birth of the process is drawn from it, so it must differ with each start. Effects
-            besides the shared ones are those of `terms`. Raises nothing on what comes from outside.
+        local: State shared by all parts.
+        identity: The local process and its own assertion.
+        stalled_us: Total time of all stalls.
     """
 
     __slots__ = (
@@ -84,12 +86,11 @@
     )
 
     def __init__(self, config: Config, rng: Random) -> None:
+        """Create the machine; the birth id is drawn from rng, which must differ with each start."""
         self.local = LocalMember(config, rng)
         self.identity = LocalIdentity(self.local)
         self._prober, self._anti_entropy = Prober(self.local), AntiEntropy(self.local)
-        self._gossip_order = RoundRobin(
-            self.local
-        )  # of those who are told news: all in turn, so that none is missed
+        self._gossip_order = RoundRobin(self.local)  # receivers of gossip, in turn, so that none is missed
         self._assertions = AssertionHandler(
             self.local, self.identity, self._prober.probe_order, self._gossip_order
         )
@@ -97,43 +98,46 @@
         self._started = False
         self._last_phase = self.phase
         self._next_expiry_us = self._next_gossip_us = self._mismatch_since_us = -1
-        self.stalled_us = 0  # in all
+        self.stalled_us = 0
 
-    # --- What others see --------------------------------------------------------------------------------
+    # --- Queries ----------------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
-        """When TimerFired is wanted, by the clock: at once before the first event; -1 for never."""
+        """When TimerFired is wanted, on the outer clock; 0 before the first event, -1 for never."""
         return self._clock.wake_us if self._started else 0
 
     @property
     def phase(self) -> Phase:
-        """Where we stand."""
+        """Phase of the local process."""
         return self.identity.phase
 
     @property
     def health(self) -> int:
-        """How ill we take ourselves to be, 0 to 8."""
+        """Local health score, from 0 for healthy to 8."""
         return self.local.health.score
 
     @property
     def drop_counts(self) -> dict[str, int]:
-        """Letters and claims that were dropped, by reason."""
+        """Dropped messages and assertions, by reason."""
         return {**self.local.drop_counts, "full": self.local.table.refused}
 
     def members(self, role: str = "") -> tuple[Member, ...]:
-        """Those up (alive or suspect), ourselves included once we are one, by name; of a role, or all."""
+        """Return members that are up (alive or suspect), sorted by name, of one role or all.
+
+        The local process is included once it is a member.
+        """
         table = self.local.table
         found = [m for m in map(table.member, sorted(table.up.names)) if m is not None]
         return tuple(m for m in found if role in ("", m.about.role))
 
     def member(self, name: str) -> Member | None:
-        """What is known of a name, up or gone; None for nothing."""
+        """Return a member, up or down; None if it is unknown or has no description."""
         return self.local.table.member(name)
 
     def entries(self) -> tuple[TableEntry, ...]:
-        """All names that are known, up or gone, in order.
+        """Return all known names, up or down, sorted.
 
-        Of one that was dead before we came it is not known what it said of itself.
+        The description of a member that was dead before this process joined is unknown.
         """
         records = self.local.table.records
         return tuple(
@@ -142,7 +146,7 @@
         )
 
     def history(self, name: str) -> tuple[HistoryEntry, ...]:
-        """What has changed of a name, by whose word, the newest last; a bounded number of them."""
+        """Return the latest changes of a name and who reported them, newest last."""
         return self._assertions.history.entries(name)
 
     def is_up(self, name: str) -> bool:
@@ -152,7 +156,10 @@
 
     # --- Events -----------------------------------------------------------------------------------------
     def handle(self, now_us: int, event: object) -> list[object]:
-        """Apply one event; the effects, in order. Raises ValueError on a Describe that is too long."""
+        """Apply one event and return its effects, in order.
+
+        Raises ValueError on a payload that is too long.
+        """
         local = self.local
         effects = local.effects = []
         if self.phase is Phase.STOPPED:
@@ -176,7 +183,9 @@
         elif isinstance(event, ReplaceSeeds):
             local.config = replace(local.config, seeds=event.seeds)
         elif not isinstance(event, TimerFired):
-            raise TypeError(f"event: found {type(event).__name__}, allowed are those of terms and machine")
+            raise TypeError(
+                f"event: found {type(event).__name__}, allowed are those of membership and state_machine"
+            )
         self._run_due()
         if any(isinstance(effect, Died) for effect in effects):
             self._anti_entropy.member_died()
@@ -193,13 +202,11 @@
         others = [s for s in local.config.seeds if s != local.config.address]
         self._anti_entropy.schedule_within(0)
         self.identity.join_alone_after(parameters.alone_us if others else 0)
-        if (
-            local.continues_previous
-        ):  # our name is ours already, and whoever asks wants an answer from a member
+        if local.continues_previous:  # the name is ours already, and other members expect answers
             self.identity.join()
 
     def _stalled(self, stalled_us: int) -> None:
-        """Nobody else is to blame for what came too late."""
+        """Discard what timed out during a stall: no other member is to blame for it."""
         self.stalled_us += stalled_us
         self._prober.discard_current()
         self.local.health.adjust(health.PROCESS_STALLED)
@@ -267,7 +274,7 @@
         return min(due for due in due_times if due >= 0)
 
     def _apply_phase_change(self) -> None:
-        """What follows from where we stand now, if that has changed in this event."""
+        """Start or stop the parts if the phase changed during this event."""
         before, self._last_phase = self._last_phase, self.phase
         if self.phase is before:
             return
@@ -280,7 +287,7 @@
             self._assertions.suspicions.clear_all()
             self._anti_entropy.schedule_within(MIN_INTERVAL_US)
 
-    # --- Letters ----------------------------------------------------------------------------------------
+    # --- Messages ---------------------------------------------------------------------------------------
     def _receive(self, incoming: MessageReceived) -> None:
         received = self.local.receive(incoming)
         if received is None:
@@ -297,8 +304,9 @@
         self._compare_with_revived(received, before)
 
     def _repeat_missed_refutation(self, received: ReceivedMessage) -> None:
-        """Whoever asks us and still suspects an incarnation that we have left behind has missed what we said
-        since: say it again, so that the answer carries it.
+        """Queue our assertion again for a sender that still suspects an older incarnation of ours.
+
+        It has missed our refutation; the ack of its ping carries it.
         """
         identity, assertions = self.identity, received.envelope.assertions
         if self.phase is Phase.ACTIVE and assertions and isinstance(received.envelope.message, Ping):
@@ -307,10 +315,11 @@
                 identity.announce()
 
     def _handle_exchange(self, received: ReceivedMessage) -> tuple[bool, bool]:
-        """What has to do with comparing tables.
+        """Handle messages of table comparisons.
 
-        Whether its claims may be believed though we don't know the sender, and whether the comparison is
-        over.
+        Returns:
+            Whether the assertions are trusted even if the sender is unknown, and whether the comparison is
+            complete.
         """
         message, anti_entropy = received.envelope.message, self._anti_entropy
         if isinstance(message, Hello):
@@ -342,10 +351,11 @@
             self._prober.relay(received, message)
 
     def _check_digest(self, received: ReceivedMessage, seen: int) -> None:
-        """Whoever has missed a piece of news differs from all others, and finds out here.
+        """Start a table comparison if a sender's digest has differed from ours for some time.
 
-        For news is told so often and no more, and the next comparison may be far. While news is on its way
-        all differ for a moment: once is no reason to ask.
+        Assertions are sent a bounded number of times, so a member may miss one, and the next periodic
+        comparison may be far off. While an assertion spreads, digests differ for a moment; a single mismatch
+        is no reason to compare.
         """
         local = self.local
         if self.phase is not Phase.ACTIVE or not received.known or not seen:
@@ -359,8 +369,6 @@
             self._anti_entropy.hello_limited(received.address)
 
     def _compare_with_revived(self, received: ReceivedMessage, before: Member | None) -> None:
-        """Somebody we took for dead talks to us: we were cut off from each other, and have much to
-        compare.
-        """
+        """Compare tables with a sender that was dead here: after a partition much may differ."""
         if before is not None and before.state is State.DEAD and self.is_up(received.sender):
             self._anti_entropy.hello_limited(received.address)
--- a/granitewell/membership/states.py
+++ b/granitewell/membership/states.py
@@ -1,18 +1,17 @@
-"""What may be said of a member, which claim wins, what a change is told as, where a process itself stands.
+"""Member states, the precedence of assertions, the events of a change, and the phases of the local process.
 
-It owns the tables and nothing else: whoever merges, tells or moves looks here. It must never hold state.
+This module has tables and pure functions only. They follow these rules:
 
-Rules that the tables live by:
+- A name is used by one process after another. Each process has a random birth id and a generation number. A
+  higher generation overrides a lower one whatever their states. Of two processes with the same generation the
+  higher birth wins: an arbitrary choice, but the same on every member. A process takes the next generation
+  only once the previous process is dead, has left, or was shown not to run, so that of two running processes
+  the older one keeps the name.
+- Within a generation the higher incarnation wins. Only the process itself raises its incarnation, to refute a
+  suspicion or to change its own description.
+- Within an incarnation the worse state wins (SWIM, section 4.2), and LEFT is final.
 
-- A name has lives; each is a process, known by its random birth. A later life wins over an earlier one
-  whatever is said of either; of two with the same number the higher birth does, which is nobody's merit, but
-  the same everywhere. A process takes a new life's number only once the former is dead, has left, or has
-  shown to be gone, so that of two living ones the older keeps the name.
-- Within a life the higher incarnation wins; only the process itself makes a new one, to refute what is said
-  of it or to change what it says of itself.
-- Within an incarnation the worse news wins (SWIM, section 4.2), and having left is final.
-
-So claims are in one total order, and the merge is its maximum: commutative, associative, idempotent.
+So assertions have a total order, and merging takes the maximum: commutative, associative and idempotent.
 """
 
 from __future__ import annotations
@@ -22,16 +21,16 @@
 
 
 class State(IntEnum):
-    """Of a member."""
+    """State of a member."""
 
     ALIVE = 0
-    SUSPECT = 1  # does not answer; still a member
+    SUSPECT = 1  # does not answer; still counts as a member
     DEAD = 2
-    LEFT = 3  # by itself
+    LEFT = 3  # announced by the process itself, or declared by an operator
 
 
 class Standing(NamedTuple):
-    """What is said of a name, in the order in which its fields count."""
+    """Generation, birth id, incarnation and state of a name, compared in this order."""
 
     gen: int
     birth: int
@@ -40,9 +39,9 @@
 
 
 _A, _S, _D, _L = State
-GREATER, GREATER_OR_EQUAL = ">", ">="  # what the incarnation of a new claim must be beside the old one's
+GREATER, GREATER_OR_EQUAL = ">", ">="  # how the new incarnation must compare with the old one
 
-# new claim: by the state of the old one
+# state of the new assertion -> state of the old one -> required comparison of incarnations
 OVERRIDES: dict[State, dict[State, str]] = {
     _A: {_A: GREATER, _S: GREATER, _D: GREATER, _L: GREATER},
     _S: {_A: GREATER_OR_EQUAL, _S: GREATER, _D: GREATER, _L: GREATER},
@@ -52,7 +51,7 @@
 
 
 def overrides(new: Standing, old: Standing) -> bool:
-    """Whether the new claim takes the old one's place."""
+    """Whether the new assertion replaces the old one."""
     if new[:2] != old[:2]:
         return new[:2] > old[:2]
     if OVERRIDES[new.state][old.state] is GREATER_OR_EQUAL:
@@ -61,21 +60,21 @@
 
 
 def merged(a: Standing, b: Standing) -> Standing:
-    """The one of two that holds."""
+    """Return the standing that takes precedence."""
     return b if overrides(b, a) else a
 
 
 class MemberEvent(Enum):
-    """What a change of a member is told as."""
+    """Event that reports a change of a member."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
     DIED = "died"
     LEFT = "left"
-    CHANGED = "changed"  # what it says of itself, or it is suspected no more
+    CHANGED = "changed"  # its own description changed, or a suspicion was refuted
 
 
-# state before, None for not there: by the state now
+# state before (None if unknown) -> state now -> events
 MEMBER_EVENTS: dict[State | None, dict[State, tuple[MemberEvent, ...]]] = {
     None: {_A: (MemberEvent.JOINED,), _S: (MemberEvent.JOINED, MemberEvent.SUSPECTED), _D: (), _L: ()},
     _A: {
@@ -98,22 +97,22 @@
 
 
 class Phase(Enum):
-    """Where a process itself stands."""
+    """Phase of the local process."""
 
-    JOINING = "joining"  # asks the seeds who is there
+    JOINING = "joining"  # asks the seeds for their tables
     ACTIVE = "in"  # a member
-    NAME_DISPUTED = "disputed"  # its name is another process's, which may be its former self
-    NAME_TAKEN = "taken"  # its name is held by another that lives: it waits
+    NAME_DISPUTED = "disputed"  # another process, maybe the previous one here, holds its name
+    NAME_TAKEN = "taken"  # a running process holds its name; this one waits
     LEAVING = "leaving"
-    STOPPED = "out"  # for good
+    STOPPED = "out"  # final
 
 
 class Cause(Enum):
-    """What moves it."""
+    """Cause of a phase transition."""
 
-    NAME_FREE = "free"  # nobody holds its name, or nobody any more
-    NAME_HELD = "held"  # another process does
-    HOLDER_ANSWERED = "answered"  # and lives
+    NAME_FREE = "free"  # no other process holds the name, or no longer does
+    NAME_HELD = "held"  # another process holds the name
+    HOLDER_ANSWERED = "answered"  # the holder of the name is running
     LEAVE_REQUESTED = "leave"
     LEAVE_COMPLETED = "over"
 
--- a/granitewell/membership/suspicion.py
+++ b/granitewell/membership/suspicion.py
@@ -1,11 +1,12 @@
-"""How long a suspect has to refute it (Lifeguard's LHA-Suspicion).
-
-It owns the time-outs of suspects. It must never change a member. The first suspicion alone waits long, since
-it may be whoever suspects that is ill; each further member that suspects independently shortens the wait, on
-a log scale, to what plain SWIM would wait. Shortly before the end comes the last call, which is ours: nobody
-is called dead by a member that has not asked it, and told some others of its doubt once more. Under loss now
-and then a member misses a refutation that all others have heard; it would be the one to bury somebody who
-lives, and whoever has heard it says so.
+"""Suspicion timeouts (Lifeguard's LHA-Suspicion).
+
+A suspicion of a single member lasts long, since that member may be the faulty one. Each further member that
+suspects independently shortens the timeout, on a log scale, to that of plain SWIM.
+
+This implementation adds final pings shortly before a timeout ends: no member declares another one dead
+without having pinged it and having repeated its suspicion to some others. Under loss a member now and then
+misses a refutation that all others have received, and would declare a running member dead; any of those
+others can correct it.
 """
 
 from __future__ import annotations
@@ -19,16 +20,16 @@
 
 
 def timeout_scale(members: int) -> float:
-    """By how much figures grow with the members: two thirds of log10, 1 at least.
+    """Return the factor by which timeouts grow with the members: two thirds of log10, at least 1.
 
-    SWIM's whole log10 is the time in which gossip alone gets round; here whoever differs finds out by the
-    next probe, too.
+    SWIM's full log10 is the time in which gossip alone reaches every member. Here a member that missed an
+    assertion also finds out by comparing digests with the next probe.
     """
     return max(log10(max(members, 1)) * 2.0 / 3.0, 1.0)
 
 
 def timeout_us(parameters: Parameters, members: int, confirmed: int) -> int:
-    """How long a suspect has, where so many others than the first suspect it too."""
+    """Return the timeout of a suspicion that `confirmed` members besides the first share."""
     shortest = parameters.alpha * timeout_scale(members) * parameters.probe_us
     needed = min(parameters.confirmations, max(members - 2, 0))
     if not parameters.lifeguard or needed == 0:
@@ -40,13 +41,16 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """One suspect.
+    """A running suspicion.
 
     Attributes:
-        by: Who suspects it, each once.
-        final_pings: Last calls still to make.
-        sure: Somebody has waited its time out.
-        next_us: The next call, or the end.
+        standing: The suspected standing.
+        started_us: When it began.
+        due_us: When it expires.
+        by: Members that suspect it, each once.
+        final_pings: Final pings still to send.
+        expired_elsewhere: Whether its timeout has expired at another member.
+        next_us: Time of the next final ping, or of the end.
     """
 
     standing: Standing
@@ -59,7 +63,7 @@
 
 
 class Suspicions:
-    """All suspects, by name."""
+    """All running suspicions, by name."""
 
     __slots__ = ("_suspicions", "_parameters", "_heap")
 
@@ -73,7 +77,7 @@
 
     @property
     def due_us(self) -> int:
-        """When there is something to do; -1 for never."""
+        """Time of the next final ping or expiry; -1 for never."""
         while self._heap:
             due, name = self._heap[0]
             suspicion = self._suspicions.get(name)
@@ -91,8 +95,15 @@
         now_us: int,
         expired_elsewhere: bool = False,
     ) -> bool:
-        """Somebody suspects it, or says that it is dead (sure): whether that is news that shortens its
-        time.
+        """Start a suspicion or add a confirmation; return whether that changed the timeout.
+
+        Args:
+            name: The suspect.
+            standing: The suspected standing; a new one starts a new suspicion.
+            by: The member that suspects it.
+            members: Number of members.
+            now_us: Current time.
+            expired_elsewhere: That member has waited the timeout out and declares it dead.
         """
         parameters, suspicion = self._parameters, self._suspicions.get(name)
         if suspicion is None or suspicion.standing != standing:
@@ -113,7 +124,7 @@
         return True
 
     def _push(self, name: str, suspicion: Suspicion) -> None:
-        """What is on the heap and holds no more is dropped once it outnumbers the rest."""
+        """Schedule the next step; rebuilds the heap once obsolete entries outnumber the others."""
         suspicion.next_us = suspicion.due_us - suspicion.final_pings * self._parameters.call_us
         heappush(self._heap, (suspicion.next_us, name))
         if len(self._heap) > 64 + 4 * len(self._suspicions):
@@ -121,16 +132,19 @@
             heapify(self._heap)
 
     def clear(self, name: str) -> None:
-        """It is no suspect any more."""
+        """Drop the suspicion of a name."""
         self._suspicions.pop(name, None)
 
     def clear_all(self) -> None:
-        """Nobody is."""
+        """Drop all suspicions."""
         self._suspicions.clear()
         self._heap.clear()
 
     def take_due(self, now_us: int) -> list[tuple[str, Standing, bool]]:
-        """Whom to call now (False), and whose time is over (True), who are no suspects any more."""
+        """Return suspects to ping now (False) and suspects whose timeout has expired (True).
+
+        The latter are removed.
+        """
         found = []
         while 0 <= self.due_us <= now_us:
             _, name = heappop(self._heap)
--- a/granitewell/membership/table.py
+++ b/granitewell/membership/table.py
@@ -1,10 +1,8 @@
-"""All that is known of members: one record a name, merged from claims.
+"""The member table: one record per name, merged from assertions, with indexes and digests.
 
-Who is up, who is dead, and a digest of each part of it.
-
-It owns the records and their bounds. It must never say anything, ask for time, or know which name is its
-own. What is merged is the maximum of the claims that were heard (states.merged), so their order and number do
-not matter; the newest that a member says of itself is kept beside it, by the same rule.
+A record holds the maximum of all assertions received for its name (states.merged), so their order and number
+do not matter. The newest description that a member gave of itself is kept beside it by the same rule. The
+table is bounded, sends nothing and does not know which name is the local one.
 """
 
 from __future__ import annotations
@@ -24,7 +22,7 @@
 
 
 class NameSet:
-    """Names in no order that matters: added, removed and drawn at one cost whatever their number."""
+    """An unordered set of names; adding, removing and sampling take constant time."""
 
     __slots__ = ("_index", "names")
 
@@ -39,7 +37,7 @@
         return name in self._index
 
     def set_present(self, name: str, present: bool) -> None:
-        """Have it there, or not."""
+        """Add or remove a name."""
         index = self._index.get(name, -1)
         if present and index < 0:
             self._index[name] = len(self.names)
@@ -51,7 +49,10 @@
             del self._index[name]
 
     def sample(self, rng: Random, count: int, excluded: tuple[str, ...] = ()) -> list[str]:
-        """Up to so many different ones at random; fewer now and then where there are few."""
+        """Return up to `count` distinct random names that are not excluded.
+
+        The number of tries is bounded, so a small set may give fewer than it could.
+        """
         found: list[str] = []
         tries = 4 * (count + len(excluded)) if self.names else 0
         while tries and len(found) < count:
@@ -64,13 +65,17 @@
 
 @dataclass(slots=True)
 class Record:
-    """A name.
+    """What is known of a name.
 
     Attributes:
-        about: The newest that its life says of itself, at the incarnation about_inc; None where it has not
-            been heard.
-        by: Who was the first to suspect it or call it dead.
-        window, bucket: Of letters heard from this life.
+        by: Member that first suspected it or declared it dead.
+        about: Newest description of itself by the current process, made at incarnation about_inc; None if
+            not received.
+        digest: Digest of the record, part of the digest of its partition.
+        up_digest: Digest of the process; 0 if it is not up.
+        member: The record as shown to users; None while there is no description.
+        replay_window: Sequence numbers received from the current process.
+        rate_limit: Limit on messages from the current process.
     """
 
     name: str
@@ -79,9 +84,9 @@
     by: str = ""
     about: About | None = None
     about_inc: int = -1
-    down_since_us: int = 0  # since when it is dead or has left
+    down_since_us: int = 0  # when it died or left
     digest: int = 0
-    up_digest: int = 0  # of the process alone, 0 for one that is not up
+    up_digest: int = 0
     member: Member | None = None
     replay_window: ReplayWindow | None = None
     rate_limit: TokenBucket | None = None
@@ -89,20 +94,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What a claim has changed.
+    """The change made by an assertion.
 
     Attributes:
-        before, now: As it is shown; None where it is not known well enough.
+        record: The changed record.
+        before: Member as shown before; None if it had no description.
+        now: Member as shown now.
+        standing_changed: The standing changed, not only the description.
     """
 
     record: Record
     before: Member | None
     now: Member | None
-    standing_changed: bool  # its standing has changed, not only what it says of itself
+    standing_changed: bool
 
 
 class Table:
-    """refused: claims of new names that found no room."""
+    """All records, indexed by partition and by state.
+
+    Attributes:
+        records: By name.
+        up: Names of alive and suspect members.
+        dead: Names of dead members whose description, and so address, is known.
+        digests: Digest of each partition.
+        up_digest: Digest of all processes that are up; equal on members that see the same ones.
+        refused: Assertions that were not accepted because the table was full.
+    """
 
     __slots__ = (
         "_parameters",
@@ -119,21 +136,21 @@
     def __init__(self, parameters: Parameters) -> None:
         self._parameters = parameters
         self.records: dict[str, Record] = {}
-        self.up, self.dead = NameSet(), NameSet()  # dead: whom it is known how to reach
+        self.up, self.dead = NameSet(), NameSet()
         self.digests = [0] * TABLE_PARTITIONS
-        self.up_digest = 0  # of all that are up: two members that see the same have the same
+        self.up_digest = 0
         self.refused = 0
         self._partitions: list[dict[str, Record]] = [{} for _ in range(TABLE_PARTITIONS)]
-        self._down: dict[str, None] = {}  # dead and left, longest known first
+        self._down: dict[str, None] = {}  # dead and left, in the order of going down
 
     def member(self, name: str) -> Member | None:
-        """As it is shown, up or gone."""
+        """Return a member, up or down; None if it is unknown or has no description."""
         record = self.records.get(name)
         return record.member if record is not None else None
 
     # --- Merging ----------------------------------------------------------------------------------------
     def merge(self, assertion: Assertion, now_us: int) -> Change | None:
-        """Take a claim in; None where it says nothing new."""
+        """Merge an assertion; return None if it changes nothing."""
         new = Standing(assertion.gen, assertion.birth, assertion.inc, State(assertion.state))
         record = self.records.get(assertion.name)
         if record is None:
@@ -163,10 +180,10 @@
         return Change(record, before, record.member, standing_changed)
 
     def _about_is_newer(self, record: Record, assertion: Assertion) -> bool:
-        """Whether what it says of itself is newer than what we have.
+        """Whether its description is newer than the one in the record.
 
-        Two different things at one incarnation are said by nobody honest; then the greater counts, so that
-        all agree.
+        A correct process never gives two descriptions at one incarnation. If it happens, the greater one
+        wins, so that all members agree.
         """
         if assertion.about is None or (assertion.gen, assertion.birth) < record.standing[:2]:
             return False
@@ -186,7 +203,7 @@
             self._down.pop(record.name, None)
 
     def _keep_earliest_date(self, record: Record, new: Standing, assertion: Assertion, now_us: int) -> None:
-        """The same death, dated earlier: the earliest date counts, else it would never be forgotten."""
+        """Keep the earliest date of the same death; otherwise gossip could delay its expiry for ever."""
         if new == record.standing and new.state in DOWN:
             record.down_since_us = min(record.down_since_us, now_us - assertion.age_s * _US_PER_S)
 
@@ -230,20 +247,20 @@
         self.dead.set_present(name, False)
 
     def expire(self, now_us: int) -> None:
-        """The dead and those who have left, when their time is over."""
+        """Drop dead and left members whose time is over, and the oldest beyond the bound."""
         before = now_us - self._parameters.forget_us
         for name in [n for n in self._down if self.records[n].down_since_us <= before]:
             self._remove(name)
         for name in list(self._down)[: max(len(self._down) - self._parameters.most, 0)]:
             self._remove(name)
 
-    # --- Telling ----------------------------------------------------------------------------------------
+    # --- Comparing --------------------------------------------------------------------------------------
     def digest_bytes(self) -> bytes:
-        """Of all parts."""
+        """Return the digests of all partitions."""
         return b"".join(d.to_bytes(DIGEST_BYTES, "big") for d in self.digests)
 
     def differing_partitions(self, digests: bytes) -> int:
-        """The parts in which another's table is not like ours, a bit each."""
+        """Return a bit mask of the partitions in which another table differs from this one."""
         theirs = (
             int.from_bytes(digests[k * DIGEST_BYTES : (k + 1) * DIGEST_BYTES], "big")
             for k in range(TABLE_PARTITIONS)
@@ -251,7 +268,7 @@
         return sum(1 << k for k, d in enumerate(theirs) if d != self.digests[k])
 
     def assertions(self, partitions: int, now_us: int) -> Iterator[Assertion]:
-        """All that is known of the names in these parts."""
+        """Yield the assertions for all names in these partitions."""
         for k in range(TABLE_PARTITIONS):
             if partitions >> k & 1:
                 for record in self._partitions[k].values():
@@ -259,7 +276,11 @@
 
 
 def digest(record: Record) -> int:
-    """Of what two tables have to agree on."""
+    """Return the digest of what two tables must agree on in a record.
+
+    Members compare these digests, and the text includes the `repr` of `About`: its class and field names are
+    part of the wire format.
+    """
     down = record.standing.state in DOWN
     text = f"{record.name} {record.standing[:3]} {int(record.standing.state)}"
     if not down:
@@ -268,13 +289,13 @@
 
 
 def up_digest(record: Record) -> int:
-    """Of the process that goes by the name; suspects count as the living do."""
+    """Return the digest of the process behind a name; the same for alive and suspect members."""
     text = f"{record.name} {record.standing[:2]}"
     return int.from_bytes(blake2b(text.encode(), digest_size=7).digest(), "big")
 
 
 def assertions_for(record: Record, now_us: int) -> list[Assertion]:
-    """The claims that give this record to whoever has none of it."""
+    """Return the assertions from which another table can build this record."""
     standing = record.standing
     found = []
     if record.about is not None and standing.state in UP:
@@ -287,7 +308,7 @@
 
 
 def not_alive_assertion(record: Record, now_us: int) -> Assertion:
-    """The claim that it is not alive."""
+    """Return the assertion that a member is suspect, dead or left."""
     standing = record.standing
     down = standing.state in DOWN
     age = max(now_us - record.down_since_us, 0) // _US_PER_S if down else 0
--- a/granitewell/membership/types.py
+++ b/granitewell/membership/types.py
@@ -1,6 +1,6 @@
-"""What membership is set to, what a member looks like, and the events and effects of its own.
+"""Types of the membership state machine: members, events, effects, parameters and configuration.
 
-It owns the figures and their bounds. It must never hold state or decide. Times are whole microseconds.
+Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A life of a name, as it is known here."""
+    """A process known by a member name: its standing and its own description."""
 
     name: str
     gen: int
@@ -26,18 +26,18 @@
 
     @property
     def up(self) -> bool:
-        """Alive or suspect."""
+        """Whether it is alive or suspect."""
         return self.state in UP
 
 
 @dataclass(frozen=True, slots=True)
 class TableEntry:
-    """A name as the table has it.
+    """A name in the member table.
 
     Attributes:
-        about: None where it was gone before we came.
-        by: Who was the first to suspect it or call it dead.
-        gone_us: Since when it is dead or has left, -1 for up.
+        about: Its own description; None if it went down before this process joined.
+        by: Member that first suspected it or declared it dead.
+        down_since_us: When it died or left; -1 if it is up.
     """
 
     name: str
@@ -50,24 +50,24 @@
 # --- Events ---------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The process is about to end: tell the others, so that none suspects it.
+    """The process is about to end: announce it, so that no member suspects it.
 
-    Moved(OUT) says when that is done.
+    PhaseChanged(Phase.STOPPED) follows when that is done.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class UpdatePayload:
-    """Say this of ourselves from now on."""
+    """Replace the payload in our own description."""
 
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ForceLeave:
-    """An operator says that the process of this name is gone for good: as if it had said so itself.
+    """An operator declares that the process of this name has left for good.
 
-    Taken of the dead alone; one that lives all the same refutes it.
+    Accepted only for a dead member. A process that is running after all refutes it.
     """
 
     name: str
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceKeys:
-    """Other keys count from now on."""
+    """Replace the shared keys."""
 
     keys: Keys
 
 
 @dataclass(frozen=True, slots=True)
 class ReplaceSeeds:
-    """Other seeds count from now on. Raises ValueError where one is no word."""
+    """Replace the seeds. Raises ValueError if one is not printable ASCII without spaces."""
 
     seeds: tuple[str, ...]
 
@@ -90,52 +90,54 @@
 # --- Effects --------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Joined:
-    """A member is there: new, another life of its name, or back from the dead."""
+    """A member is up: a new name, a new process of a known name, or one that was taken for dead."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class Suspected:
-    """It does not answer. It may refute that; until then it is a member."""
+    """A member does not answer. It may refute the suspicion and counts as a member meanwhile."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class Died:
-    """It has not refuted it, or another life has taken its name."""
+    """A member did not refute a suspicion in time, or another process took its name."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class Left:
-    """It has said that it goes."""
+    """A member announced that it leaves."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """What it says of itself, or it is suspected no more."""
+    """A member's own description changed, or a suspicion of it was refuted."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class PhaseChanged:
-    """Where we stand ourselves."""
+    """The phase of the local process changed."""
 
     phase: Phase
 
 
 @dataclass(frozen=True, slots=True)
 class DuplicateIdentity:
-    """Another living process goes by our name, at that address: an operator has to look.
+    """Another running process uses our name; an operator has to resolve that.
 
     Attributes:
-        holds: The name is ours, and the other waits; else it is the other way round.
+        birth: Birth id of the other process.
+        address: Its address.
+        owns_name: Whether the name is ours and the other process waits; if false, the other way round.
     """
 
     birth: int
@@ -146,23 +148,37 @@
 # --- Settings -------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class Parameters:
-    """How often, how long, how many. Raises ValueError naming the field.
-
-    probe_us: a probe of one member each; timeout_us: how long it may take to answer before helpers are asked,
-    of the same; pings: how often the question is put in that time; asks: how often helpers are asked in the
-    rest of it; helpers: how many each time. gossip_us: while there is news it goes to `fanout` members so
-    often. spread: each claim is sent spread * log10(members) times (lambda). alpha, beta, confirmations: a
-    suspect dies after alpha * log10(members) * probe_us where `confirmations` others suspect it too, after
-    beta times that where none does. calls: how often we ask a suspect ourselves at the end of its time,
-    call_us apart. sync_us: a table is compared with a random member's. revive_us: a dead member is asked.
-    forget_us: the dead are forgotten. leave_us: how long a leaving process says so. alone_us: with no answer
-    of a seed for so long we are a member by ourselves. stall_us: a process that is woken later than that
-    stood still, and counts that time for nothing; 0: it does not look. lifeguard: off, local health,
-    shrinking time-outs, nacks and the buddy rule are; soften: a death that is heard of counts as a suspicion;
-    both can be off for comparison. most: members, and as many of the dead. per_sender, in_all, raw: letters a
-    second from one member, from all (strangers together a quarter of it), and frames before they are
-    verified; twice that at once. syncs: tables
-    compared a second on others' asking.
+    """Protocol parameters: intervals, timeouts, counts and limits. Raises ValueError naming the field.
+
+    Attributes:
+        probe_us: Protocol period; one member is probed in each.
+        timeout_us: Time for a direct answer before helpers are asked, part of probe_us.
+        pings: Direct pings within timeout_us.
+        asks: Rounds of indirect probes within the rest of the period.
+        helpers: Members asked in each round.
+        gossip_us: Interval of messages that only carry assertions, sent while there are any.
+        fanout: Members that receive one of those messages in each interval.
+        spread: Each assertion is sent spread * log10(members) times (SWIM's lambda).
+        alpha: A suspect that `confirmations` others suspect too is declared dead after a time proportional
+            to alpha * log10(members) * probe_us; see suspicion.timeout_us.
+        beta: That time is longer by this factor if nobody else suspects it.
+        confirmations: Further members that shorten the timeout to its minimum.
+        calls: Pings sent to a suspect at the end of its timeout.
+        call_us: Time between those pings.
+        sync_us: Longest interval of comparing tables with a random member.
+        revive_us: Interval of pinging a random dead member.
+        forget_us: Age at which dead and left members are dropped from the table.
+        leave_us: Time for which a leaving process announces it.
+        alone_us: Without an answer of a seed for this long the process becomes a member by itself.
+        stall_us: A wakeup that is later than this counts as a stall, which is left out of all timeouts; 0
+            disables the detection.
+        lifeguard: Enables local health, shrinking suspicion timeouts, nacks and the buddy system.
+        soften: Treats a reported death as a suspicion. Like lifeguard, it can be off for comparison.
+        most: Members in the table, and as many dead ones.
+        per_sender: Messages per second from one member; all limits allow bursts of twice as many.
+        in_all: Messages per second from all members; unknown senders together get a quarter of it.
+        raw: Frames per second before verification.
+        syncs: Table comparisons per second that others may start.
     """
 
     probe_us: int = 1_000_000
@@ -193,8 +209,8 @@
     syncs: int = 50
 
     def __post_init__(self) -> None:
-        for name, least, most in _PARAMETER_BOUNDS:
-            _held(name, getattr(self, name), least, most)
+        for name, minimum, most in _PARAMETER_BOUNDS:
+            _check_range(name, getattr(self, name), minimum, most)
         if self.timeout_us >= self.probe_us:
             raise ValueError(f"timeout_us: found {self.timeout_us}, allowed is less than probe_us")
 
@@ -213,13 +229,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PreviousProcess:
-    """The process that had the name before, as it was written down.
+    """The process that used the name before, from the persisted record.
 
     Attributes:
-        gen, birth, inc: Of its last claim.
-        seq: Above every number that it has used.
-        goes_on: It has handed its life over, to this process and to no other, and uses it no more; else it is
-            over, and the next life begins above it.
+        gen: Generation of its last assertion.
+        birth: Its birth id.
+        inc: Incarnation of its last assertion.
+        seq: Greater than every sequence and request number that it used.
+        handed_over: It handed its identity to this process, to no other, and no longer uses it. Otherwise it
+            has ended, and this process takes a higher generation.
     """
 
     gen: int
@@ -231,12 +249,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One process.
+    """Configuration of the local process. Raises ValueError naming the field.
 
     Attributes:
-        name and address: As others are to know it.
-        seeds: Addresses, its own may be among them.
-        former: Who had the name, None where that is not known. Raises ValueError naming the field.
+        name: Member name.
+        address: Address at which other members reach it.
+        seeds: Addresses of members to join by; its own may be among them.
+        previous: The process that used the name before; None if unknown.
     """
 
     name: str
@@ -251,31 +270,33 @@
     previous: PreviousProcess | None = None
 
     def __post_init__(self) -> None:
-        _word("name", self.name, 1, MAX_NAME_BYTES)
-        _word("address", self.address, 1, gossip.MAX_ADDRESS_BYTES)
-        _word("role", self.role, 1, gossip.MAX_ROLE_BYTES)
-        _word("zone", self.zone, 0, gossip.MAX_ZONE_BYTES)
+        _check_text("name", self.name, 1, MAX_NAME_BYTES)
+        _check_text("address", self.address, 1, gossip.MAX_ADDRESS_BYTES)
+        _check_text("role", self.role, 1, gossip.MAX_ROLE_BYTES)
+        _check_text("zone", self.zone, 0, gossip.MAX_ZONE_BYTES)
         for seed in self.seeds:
-            _word("seeds", seed, 1, gossip.MAX_ADDRESS_BYTES)
-        _held("versions", len(self.versions), 1, gossip.MAX_VERSIONS)
+            _check_text("seeds", seed, 1, gossip.MAX_ADDRESS_BYTES)
+        _check_range("versions", len(self.versions), 1, gossip.MAX_VERSIONS)
         check_payload(self.payload)
 
     @property
     def about(self) -> About:
-        """What it says of itself at its start."""
+        """Its own description at the start."""
         return About(self.role, self.address, self.zone, self.versions, self.payload)
 
 
 def check_payload(payload: bytes) -> None:
-    """Raises ValueError where it is too long."""
-    _held("payload", len(payload), 0, gossip.MAX_PAYLOAD_BYTES)
+    """Check the length of a payload. Raises ValueError if it is too long."""
+    _check_range("payload", len(payload), 0, gossip.MAX_PAYLOAD_BYTES)
 
 
-def _word(name: str, text: str, least: int, most: int) -> None:
-    if not (least <= len(text) <= most and is_printable(text)):
-        raise ValueError(f"{name}: found {text!r}, allowed are {least} to {most} bytes of printable ASCII")
+def _check_text(name: str, text: str, minimum: int, maximum: int) -> None:
+    if not (minimum <= len(text) <= maximum and is_printable(text)):
+        raise ValueError(
+            f"{name}: found {text!r}, allowed are {minimum} to {maximum} bytes of printable ASCII"
+        )
 
 
-def _held(name: str, value: int, least: int, most: int) -> None:
-    if not least <= value <= most:
-        raise ValueError(f"{name}: found {value}, allowed are {least} to {most}")
+def _check_range(name: str, value: int, minimum: int, maximum: int) -> None:
+    if not minimum <= value <= maximum:
+        raise ValueError(f"{name}: found {value}, allowed are {minimum} to {maximum}")
--- a/granitewell/protocols/__init__.py
+++ b/granitewell/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes to terms and back, one package a protocol. Nothing here touches a socket or reads a clock."""
+"""Encoding and decoding of messages, one package per protocol. No I/O and no clock."""
--- a/granitewell/protocols/peers/__init__.py
+++ b/granitewell/protocols/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What nodes of one installation say to each other, as bytes: frames, bodies, versions, authentication."""
+"""The wire protocol between nodes of one installation: frames, bodies, versions and authentication."""
--- a/granitewell/protocols/peers/bodies.py
+++ b/granitewell/protocols/peers/bodies.py
@@ -1,9 +1,8 @@
-"""Bodies of frames: msgpack of tagged structs, by field name.
+"""Bodies of frames: tagged structs in msgpack, with fields by name.
 
-It owns how a struct becomes a body and back. It must never know a message: each subject's module lists its
-own (`Bodies`). Fields that are not known are skipped, and fields with a default may be missing, so that two
-versions of a message understand each other; a tag that is not known, a missing field or a value out of its
-bounds gives None, and nothing is raised on bytes from outside.
+Each protocol module lists its own messages in a `BodyCodec`. Unknown fields are skipped and fields with a
+default may be missing, so that two versions of a message are compatible. Decoding gives None for an unknown
+tag, a missing field or a value out of bounds, and raises nothing on bytes from outside.
 """
 
 from __future__ import annotations
@@ -18,14 +17,14 @@
 
 
 class Body(msgspec.Struct, frozen=True, omit_defaults=True, tag_field="t"):
-    """A message's body. Subclasses give `tag` and, for what is sent often, short names by `rename`."""
+    """Base of all bodies. Subclasses set `tag` and, for frequent messages, short field names by `rename`."""
 
 
 T = TypeVar("T", bound=Body)
 
 
 class BodyCodec(Generic[T]):
-    """The messages of one kind of frame. Annotate it with their union: `X: Bodies[A | B] = Bodies(A, B)`."""
+    """Codec for the bodies of one kind of frame; annotate as `X: BodyCodec[A | B] = BodyCodec(A, B)`."""
 
     __slots__ = ("_decoder", "_encoder")
 
@@ -34,11 +33,11 @@
         self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Union[types])
 
     def encode(self, message: T) -> bytes:
-        """The body of a message."""
+        """Encode a message."""
         return self._encoder.encode(message)
 
     def decode(self, body: bytes) -> T | None:
-        """The message, or None where it is not one of ours or not as it has to be."""
+        """Decode a message; None if it is unknown or invalid."""
         try:
             message: T = self._decoder.decode(body)
         except (msgspec.MsgspecError, RecursionError, ValueError):
--- a/granitewell/protocols/peers/counts.py
+++ b/granitewell/protocols/peers/counts.py
@@ -1,11 +1,11 @@
-"""Bodies of the letters in which nodes tell each other what they have used.
+"""Bodies of messages in which nodes report their use of shared counters.
 
-It owns their fields and bounds. It must never know what follows from them. Times are lengths on the sender's
-own clock, in microseconds since its process began; no letter carries a reading of a clock that another has.
+Times are microseconds since the start of the sender's process, on its own clock; no message carries a reading
+of a clock that another node has.
 
-A word holds whole slices of time, the oldest that were asked for first, so that whoever loses one goes on
-from where it was. `slots` stand for keys; what a slot is comes with a version, higher for each change, and a
-word says up to which version it has told of them.
+A `Word` holds whole slices of time, the oldest requested one first, so that a node that loses one can
+continue from where it was. Slots stand for keys. The assignment of slots has a version that grows with each
+change, and a `Word` says up to which version it has reported the assignment.
 """
 
 from __future__ import annotations
@@ -16,14 +16,22 @@
 
 from granitewell.protocols.peers.bodies import Body, BodyCodec, Count, Time
 
-MAX_KEY = 96  # bytes of a key
-MAX_SLOTS, MAX_SLICES = 256, 512  # in one letter
+MAX_KEY = 96  # bytes
+MAX_SLOTS, MAX_SLICES = 256, 512  # in one message
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
 Key = Annotated[str, msgspec.Meta(max_length=MAX_KEY)]
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True):
-    """A key has a place of its own from one slice on, and until another, -1 for still."""
+    """Assignment of a slot to a key.
+
+    Attributes:
+        number: Number of the slot.
+        key: The key.
+        born: First slice in which the key has the slot.
+        ended: Slice in which that ended; -1 if it has not.
+        version: Version of the assignment in which this changed.
+    """
 
     number: Number
     key: Key
@@ -33,7 +41,12 @@
 
 
 class Slice(msgspec.Struct, frozen=True, array_like=True):
-    """What was used in one slice of time: pairs of slot and count."""
+    """Use in one slice of time.
+
+    Attributes:
+        index: Index of the slice.
+        used: Alternating slot numbers and counts.
+    """
 
     index: Number
     used: Annotated[list[Count], msgspec.Meta(max_length=2 * MAX_SLOTS)]
@@ -45,11 +58,16 @@
     tag="a",
     rename={"number": "n", "of": "w", "but": "x", "birth": "b", "slices": "s", "slots": "v"},
 ):
-    """Tell what you have used; or what you hold of another node, `of`, other than of its process `but`.
+    """Requests the receiver's use, or what it holds of another node.
 
     Attributes:
-        birth: Of the process whose slices are known whole below `slices`, and its slots up to the version
-            `slots`; 0 where nothing is known.
+        number: Request number.
+        of: The other node; "" for the receiver itself.
+        but: Birth id of a process of the other node that is not requested.
+        birth: Birth id of the process of which the requester has complete slices below `slices` and the slots
+            up to version `slots`; 0 if it has nothing.
+        slices: Index of the first slice that it lacks.
+        slots: Version of the slot assignment that it has.
     """
 
     number: Number
@@ -66,14 +84,25 @@
             "upto": "e", "new": "k", "slices": "s", "open": "o",
             "of": "w", "ago_least_us": "x", "ago_most_us": "y"},
 ):  # fmt: skip
-    """The answer.
+    """Answers an Ask.
 
     Attributes:
-        up_us: How long the process had run when its use was known, which is now, or, of another node (`of`),
-            between ago_least_us and ago_most_us before this was written.
-        new: Slots that have changed since the version `since`, `slots` the one up to which they are told.
-        slices: Of `first` (the oldest that is told of) up to `upto`, which is not whole yet if `open`; one
-            without use is left out.
+        number: Number of the Ask.
+        life: Generation of the process whose use this is.
+        birth: Its birth id.
+        up_us: Time that the process had run when its use was known: now, or for another node (`of`) between
+            ago_least_us and ago_most_us before this was written.
+        width_us: Length of a slice.
+        first: Oldest slice that is reported.
+        upto: Index below which the reported slices are complete.
+        of: The other node; "" for the sender itself.
+        ago_least_us: Least age of the report of another node.
+        ago_most_us: Greatest age of the report of another node.
+        since: Version of the slot assignment after which changes are reported.
+        slots: Version up to which they are reported.
+        open: Whether the incomplete slice `upto` is reported too.
+        new: Slots changed after version `since`.
+        slices: Slices from `first` to `upto`; those without use are left out.
     """
 
     number: Number
--- a/granitewell/protocols/peers/frames.py
+++ b/granitewell/protocols/peers/frames.py
@@ -1,27 +1,26 @@
-"""Frames of messages between nodes: who says it, in which version, sealed with a shared key.
+"""Frames of messages between nodes: version, kind, sender and body, authenticated with a shared key.
 
-It owns the layout, the tag and the bounds on size. It must never say what a body means, touch a socket, read
-a clock or raise on bytes from outside. What does not verify gives `Refused` and nothing else, so that whoever
-asks first changes nothing by it. Whether a frame that verifies has come before is for its subject to know.
+This module defines the layout, the tag and the size bounds. It does no I/O, reads no clock, does not
+interpret bodies and raises nothing on bytes from outside. Bytes that do not verify give `Refused`. Replays
+are detected by the protocol of each kind, not here.
 
     offset  bytes  field (numbers are big-endian)
     0       2      magic, "GW"
     2       1      version; what follows is laid out as here in version 1
-    3       1      kind: whose message it is; see Kind
+    3       1      kind: protocol of the message; see Kind
     4       4      length of the body
-    8       4      key id: which of the shared keys seals it
+    8       4      key id: which of the shared keys was used
     12      1      length of the sender's name, 1 to 63
     13      n      sender's name: printable ASCII without spaces
     13+n    ...    body
     end     16     tag: BLAKE2b, keyed, over all before it (RFC 7693, sections 2.9 and 3.3)
 
-Magic and version stay where they are for ever: a version that is not known is refused before anything else is
-looked at. The answer to it (`refusal`) is a frame of version 1, which every node reads whatever it knows, and
-does not answer. How often a refusal is sent is for the caller to limit: such a frame's name and tag prove
-nothing.
+Magic and version keep their offsets in all versions: an unknown version is refused before anything else is
+read. The answer to it (`refusal`) is a frame of version 1, which every node reads and does not answer.
+Callers must limit how often they send a refusal, since name and tag of the refused frame are not verified.
 
-Keys are changed without a stop in three steps: every node opens with the new one too; every node seals with
-the new one; the old one goes. That is two keys at once, and never more.
+Keys are rotated without interruption in three steps: every node accepts the new key too; every node seals
+with the new key; the old key is removed. So there are at most two keys at a time.
 """
 
 from __future__ import annotations
@@ -34,43 +33,41 @@
 from struct import Struct
 
 MAGIC = b"GW"
-VERSIONS = (1,)  # that this node reads, ascending; it writes the last unless told otherwise
-MAX_DATAGRAM_BYTES = (
-    1_200  # bytes of a whole frame: fits any path's MTU (RFC 9000, section 14, takes the same)
-)
+VERSIONS = (1,)  # that this node reads, ascending; it writes the last by default
+MAX_DATAGRAM_BYTES = 1_200  # a whole frame; fits the MTU of any path, as in RFC 9000, section 14
 MAX_STREAM_FRAME_BYTES = 1 << 20
 MAX_NAME_BYTES = 63
 TAG_BYTES = 16
-MIN_SECRET_BYTES, MAX_SECRET_BYTES = 16, 64  # bytes; BLAKE2b takes a key of up to 64
+MIN_SECRET_BYTES, MAX_SECRET_BYTES = 16, 64  # BLAKE2b takes keys of up to 64 bytes
 
 _HEADER = Struct(">2sBBI4sB")
-_TAG_PERSON = b"granitewell peer"  # BLAKE2b's personalisation: the key serves no other purpose by accident
+_TAG_PERSON = b"granitewell peer"  # BLAKE2b personalisation: separates this use of the key from others
 _KEY_PERSON = b"granitewell k-id"
 
 HEADER_BYTES = _HEADER.size
-MAX_OVERHEAD_BYTES = HEADER_BYTES + MAX_NAME_BYTES + TAG_BYTES  # the most that a frame adds to its body
+MAX_OVERHEAD_BYTES = HEADER_BYTES + MAX_NAME_BYTES + TAG_BYTES  # most bytes that a frame adds to its body
 
 
 class Kind(IntEnum):
-    """Whose message it is. A kind that is not known is skipped: open_ gives it as a number."""
+    """Protocol of a message. An unknown kind is no error: open_ returns it as a number."""
 
-    REFUSAL = 1  # a version was not known; the body names those that are
+    REFUSAL = 1  # unknown version; the body lists the known ones
     GOSSIP = 16  # membership
-    LEASE = 32  # terms, votes, leases
-    SUMMARY = 48  # what a forwarder has seen
+    LEASE = 32  # lease votes and grants
+    SUMMARY = 48  # observations of a forwarder
     PLAN = 49
-    COUNT = 64  # what was used
-    RIGHT = 65  # to use, and who has it
+    COUNT = 64  # use of shared counters
+    RIGHT = 65  # loans of quota shares
 
 
 _REFUSAL = bytes((1, Kind.REFUSAL))  # version and kind
 
 
 class RefusalReason(Enum):
-    """Why bytes were refused."""
+    """Reason for refusing bytes."""
 
-    SHORT = "short"  # fewer bytes than the frame says
-    LONG = "long"  # more bytes than are allowed, or than the frame says
+    SHORT = "short"  # fewer bytes than the header says
+    LONG = "long"  # more bytes than allowed, or than the header says
     MAGIC = "magic"
     VERSION = "version"
     NAME = "name"
@@ -80,11 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """What was sealed by a holder of the key.
+    """A verified frame, sealed by a holder of the key.
 
     Attributes:
-        sender: The name that it gives itself; any holder of the key can give any name.
-        key: The id of the key that sealed it.
+        kind: Protocol of the message.
+        sender: Name given by the sender; any holder of the key can use any name.
+        body: The encoded message.
+        version: Version of the frame.
+        key: Id of the key that sealed it.
     """
 
     kind: int
@@ -96,10 +96,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Bytes that are no frame for us.
+    """Bytes that are not a valid frame.
 
     Attributes:
-        versions: Those that this node reads, where that is the reason.
+        why: Reason.
+        text: Reason in words, for the log.
+        versions: Versions that this node reads, if that is the reason.
     """
 
     why: RefusalReason
@@ -109,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """A shared secret of 16 to 64 bytes. Raises ValueError on any other length."""
+    """A shared secret of 16 to 64 bytes. Raises ValueError for another length."""
 
     secret: bytes = field(repr=False)
     id: bytes = field(init=False)
@@ -121,13 +123,13 @@
         object.__setattr__(self, "id", blake2b(self.secret, digest_size=4, person=_KEY_PERSON).digest())
 
     def tag(self, data: bytes) -> bytes:
-        """Of everything before the tag."""
+        """Return the tag for all bytes before it."""
         return blake2b(data, digest_size=TAG_BYTES, key=self.secret, person=_TAG_PERSON).digest()
 
 
 @dataclass(frozen=True, slots=True)
 class Keys:
-    """The key that seals, and one more that opens too. Raises ValueError where both have the same id."""
+    """The key that seals and an optional second one for opening. Raises ValueError if their ids are equal."""
 
     current: Key
     other: Key | None = None
@@ -137,14 +139,14 @@
             raise ValueError("keys: found two with the same id, allowed are two different ones")
 
     def by_id(self, key_id: bytes) -> Key | None:
-        """The key with that id, if it is one of ours."""
+        """Return the key with an id, if it is one of ours."""
         if key_id == self.current.id:
             return self.current
         return self.other if self.other is not None and key_id == self.other.id else None
 
 
 def kind_of(data: bytes) -> int:
-    """The kind that a frame's head names, proved by nothing: whose machine is to open it. 0 for no head."""
+    """Return the unverified kind in a frame's header, for dispatching; 0 if the header is incomplete."""
     return data[3] if len(data) >= HEADER_BYTES else 0
 
 
@@ -157,7 +159,7 @@
     limit: int = MAX_DATAGRAM_BYTES,
     version: int = VERSIONS[-1],
 ) -> bytes:
-    """A frame. Raises ValueError where the name or the size is not allowed: the sender's own mistake."""
+    """Build a frame. Raises ValueError if the name or the size is not allowed."""
     name = sender.encode("ascii", "replace")
     if not _is_valid_name(name) or name.decode() != sender:
         raise ValueError(
@@ -174,7 +176,7 @@
 def open_(
     data: bytes, keys: Keys, *, limit: int = MAX_DATAGRAM_BYTES, versions: Sequence[int] = VERSIONS
 ) -> Frame | Refused:
-    """The frame that these bytes are, whole and alone, or why not. Never raises."""
+    """Verify and parse bytes that should be exactly one frame. Never raises."""
     size = _frame_size(data, limit, versions)
     if isinstance(size, Refused):
         return size
@@ -196,17 +198,15 @@
 
 
 def refusal(keys: Keys, sender: str, versions: Sequence[int] = VERSIONS) -> bytes:
-    """The answer to a version that is not known: a frame of the first version that names ours, a byte
-    each.
-    """
+    """Build the answer to an unknown version: a frame of version 1 that lists ours, one byte each."""
     return seal(Kind.REFUSAL, bytes(versions), keys, sender, version=1)
 
 
 class FrameSplitter:
-    """Cuts a stream into frames.
+    """Splits a stream into frames.
 
-    It holds at most one frame that is not whole, `limit` bytes of it; after bytes that can't be a frame it
-    takes nothing more, since where the next one starts can't be known: the stream is then to be closed.
+    It buffers at most one incomplete frame of up to `limit` bytes. After bytes that cannot be a frame it
+    accepts nothing more, since the start of the next frame is unknown; the stream must then be closed.
     """
 
     __slots__ = ("_buffer", "_limit", "_refused", "_versions")
@@ -218,16 +218,16 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes kept until the rest comes."""
+        """Number of bytes of an incomplete frame."""
         return len(self._buffer)
 
     @property
     def error(self) -> Refused | None:
-        """Why the stream is to be closed, if it is."""
+        """Why the stream must be closed; None if it need not."""
         return self._refused
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are whole now, each for open_. Look at `broken` afterwards."""
+        """Return the frames that are complete now, each to be passed to open_; check `error` afterwards."""
         frames: list[bytes] = []
         if self._refused is not None:
             return frames
@@ -248,7 +248,7 @@
 
 
 def _frame_size(data: bytes | bytearray, limit: int, versions: Sequence[int]) -> int | Refused:
-    """Bytes of the whole frame by its head; a refusal has one in every version."""
+    """Return the size of a frame by its header; the header of a refusal is read in every version."""
     if data[:2] != MAGIC[: len(data)]:
         return Refused(RefusalReason.MAGIC, f"starts with {bytes(data[:2])!r}, not {MAGIC!r}")
     if len(data) > 2 and data[2] not in versions and bytes(data[2:4]) != _REFUSAL:
--- a/granitewell/protocols/peers/gossip.py
+++ b/granitewell/protocols/peers/gossip.py
@@ -1,11 +1,11 @@
-"""Bodies of membership messages: who is alive, as members tell each other.
+"""Bodies of membership messages.
 
-It owns their fields, bounds and how claims are packed into what room a message has left. It must never know
-which claim wins, nor who is asked. Ages are lengths in seconds; no message carries a reading of a clock.
+This module defines their fields and bounds and the packing of assertions into the free bytes of a message.
+Ages are durations in seconds; no message carries a clock reading.
 
-`number` ties an answer to its question: whoever asks draws it from a counter of its own process. `birth` is
-the random number of a process; `to` is the birth of the process that a letter is for, and 0 in `Hello` alone,
-which is said before it is known.
+`number` ties an answer to its request; the requester draws it from a counter of its process. `birth` is the
+random id of a process. `to` is the birth id of the receiving process; it is 0 only in `Hello`, which is sent
+before that id is known.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from granitewell.protocols.peers.bodies import Body, BodyCodec, Count
 from granitewell.protocols.peers.frames import HEADER_BYTES, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, TAG_BYTES
 
-MAX_INC = 1 << 40  # an incarnation above it is not believed: nobody changes so often
+MAX_INC = 1 << 40  # higher incarnations are rejected: no process changes that often
 MAX_GEN = 1 << 32
 MAX_ROLE_BYTES, MAX_ADDRESS_BYTES, MAX_ZONE_BYTES, MAX_PAYLOAD_BYTES, MAX_VERSIONS = 16, 64, 32, 128, 8
-TABLE_PARTITIONS = 32  # parts of a table that are compared by a digest each
-DIGEST_BYTES = 8  # bytes of one
-MAX_PAGE_BYTES = 32_768  # bytes of claims in one letter on a stream
+TABLE_PARTITIONS = 32  # partitions of a table, each compared by its digest
+DIGEST_BYTES = 8
+MAX_PAGE_BYTES = 32_768  # of assertions in one message on a stream
 
 Birth = Annotated[int, msgspec.Meta(ge=1, le=(1 << 63) - 1)]
 ReceiverBirth = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
@@ -47,11 +47,14 @@
 
 
 class About(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """What a member says of itself.
+    """A member's description of itself.
 
     Attributes:
-        versions: Of the wire, that it reads.
-        payload: The subject's own.
+        role: Its role.
+        address: Address at which others reach it.
+        zone: Its zone.
+        versions: Wire versions that it reads.
+        payload: Bytes of the application.
     """
 
     role: Role
@@ -62,9 +65,19 @@
 
 
 class Assertion(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of a member: the process `birth`, which is the gen-th life of that name, is in that state
-    at that incarnation. age_s: of dead and left, since when. by: who suspects it or calls it dead. about:
-    with alive alone, from the member itself. Fields are sent by place: later versions add at the end.
+    """Asserts the state of a process at an incarnation.
+
+    Fields are encoded by position; later versions add fields at the end.
+
+    Attributes:
+        name: Member name.
+        gen: Generation of the process under that name.
+        birth: Its birth id.
+        inc: Its incarnation.
+        state: Its state.
+        age_s: Time since it died or left.
+        by: Member that suspects it or declared it dead.
+        about: Its own description; only with state alive.
     """
 
     name: Name
@@ -78,10 +91,11 @@
 
 
 class Ping(Body, frozen=True, tag="ping"):
-    """Are you there?
+    """Requests an Ack.
 
     Attributes:
-        seen: A digest of those whom the asker has as up, 0 where it does not say.
+        number: Request number.
+        seen: Digest of the processes that are up for the sender; 0 if not given.
     """
 
     number: Count
@@ -89,10 +103,11 @@
 
 
 class Ack(Body, frozen=True, tag="ack"):
-    """Yes; or, from a helper: it is.
+    """Answers a Ping; from a helper, tells that the target of a Relay has answered.
 
     Attributes:
-        seen: As in a ping.
+        number: Number of the Ping or Relay.
+        seen: Digest as in Ping.
     """
 
     number: Count
@@ -100,13 +115,13 @@
 
 
 class Nack(Body, frozen=True, tag="nack"):
-    """From a helper: I am here, and have not heard from it yet."""
+    """Sent by a helper: the target of a Relay has not answered yet."""
 
     number: Count
 
 
 class Relay(Body, frozen=True, tag="relay"):
-    """Ping that process for me."""
+    """Asks a helper to ping a process (ping-req in SWIM)."""
 
     number: Count
     name: Name
@@ -115,13 +130,13 @@
 
 
 class Rumour(Body, frozen=True, tag="rumour"):
-    """Nothing but the claims that come with it."""
+    """Carries nothing but the assertions in its envelope."""
 
 
 class Hello(Body, frozen=True, tag="hello"):
-    """Let us compare tables; answer to that address.
+    """Starts a table comparison; the answer goes to the given address.
 
-    Nothing of it is believed, since it may be an old one.
+    Nothing in it is trusted, since it may be a replay.
     """
 
     number: Count
@@ -129,10 +144,12 @@
 
 
 class Welcome(Body, frozen=True, tag="welcome"):
-    """The answer.
+    """Answers a Hello.
 
     Attributes:
-        token: Shows, when it comes back, that it is not an old hello that was answered.
+        number: Number of the Hello.
+        token: Returned in Push, which shows that the Hello was not a replay.
+        digests: Digests of all table partitions.
     """
 
     number: Count
@@ -141,11 +158,13 @@
 
 
 class Push(Body, frozen=True, tag="push"):
-    """Claims of the asker's, from the parts that differ.
+    """Carries the initiator's assertions of the partitions that differ.
 
     Attributes:
-        want: The parts of which it wants the other's, after the last letter of them (more False); 0: it needs
-            nothing more.
+        number: Number of the Hello.
+        token: Token of the Welcome.
+        want: In the last message, bit mask of the partitions whose assertions it requests; otherwise 0.
+        more: Whether further messages follow.
     """
 
     number: Count
@@ -155,10 +174,11 @@
 
 
 class Page(Body, frozen=True, tag="page"):
-    """Claims of the one asked.
+    """Carries the responder's assertions.
 
     Attributes:
-        more: Further letters of them follow.
+        number: Number of the Hello.
+        more: Whether further messages follow.
     """
 
     number: Count
@@ -170,12 +190,14 @@
 
 
 class Envelope(Body, frozen=True, tag="g", rename=_WIRE_NAMES):
-    """What is sealed.
+    """The body of a gossip frame.
 
     Attributes:
-        birth: Of the sender's process.
-        to: Of the receiver's.
-        seq: Higher in each letter of a process, so that none is heard twice.
+        birth: Birth id of the sending process.
+        to: Birth id of the receiving process.
+        seq: Sequence number, greater in each message of a process; protects against replays.
+        message: The message.
+        assertions: Piggybacked assertions.
     """
 
     birth: Birth
@@ -190,15 +212,15 @@
 
 
 def is_printable(text: str) -> bool:
-    """Whether it is printable ASCII without spaces, as names, addresses, roles and zones have to be."""
+    """Whether it is printable ASCII without spaces, as names, addresses, roles and zones must be."""
     return text.isascii() and text.isprintable() and " " not in text
 
 
 def is_valid(assertion: Assertion) -> bool:
-    """What the bounds don't say.
+    """Whether an assertion is valid beyond the bounds that the codec checks.
 
-    To be asked before a claim changes anything; most claims that are heard change nothing, so the codec does
-    not ask it of each.
+    Called only for assertions that would change something. Most received ones do not, so the codec does not
+    check this for each.
     """
     about = assertion.about
     if not (is_printable(assertion.name) and is_printable(assertion.by)) or (about is None) != (
@@ -211,12 +233,12 @@
 
 
 def pack(assertion: Assertion) -> bytes:
-    """A claim as it stands in a letter."""
+    """Encode an assertion as it is embedded in an envelope."""
     return _ENCODER.encode(assertion)
 
 
 def encode_envelope(envelope: Envelope, assertions: Sequence[bytes] = ()) -> bytes:
-    """The body of a letter that carries these packed claims, and none of its own."""
+    """Encode an envelope with these packed assertions in place of its own."""
     if assertions:
         encoded = cast("list[Assertion]", [msgspec.Raw(one) for one in assertions])
         envelope = msgspec.structs.replace(envelope, assertions=encoded)
@@ -224,7 +246,7 @@
 
 
 def free_bytes(body: bytes, sender: str) -> int:
-    """Bytes that a datagram has left for packed claims beside this body, which carries none."""
+    """Return the bytes left in a datagram for packed assertions, for a body without any."""
     return (
         MAX_DATAGRAM_BYTES - HEADER_BYTES - len(sender) - TAG_BYTES - len(body) - 5
-    )  # the key, and the length of the list
+    )  # the key and the length of the list
--- a/granitewell/protocols/peers/leases.py
+++ b/granitewell/protocols/peers/leases.py
@@ -91,8 +91,7 @@
 
 
 class Release(Body, frozen=True, tag="release", rename=_WIRE_NAMES):
-    """Announces that the sender does not lead in this term any more, so that promises made to it in it are
-    void.
+    """Announces that the sender no longer leads in this term, so that promises made to it are void.
 
     Attributes:
         next: The planner that should lead next.
--- a/granitewell/protocols/peers/limits.py
+++ b/granitewell/protocols/peers/limits.py
@@ -1,17 +1,13 @@
-"""What is dropped before it is looked at: too much of it, or heard before.
-
-It owns the token bucket and the window of numbers heard, which all that nodes say to each other goes through.
-It must never know what is dropped or why it matters.
-"""
+"""Rate limiting and replay protection for messages between nodes."""
 
 from __future__ import annotations
 
 _US_PER_S = 1_000_000
-WINDOW_SIZE = 1_024  # numbers back from the highest that are told apart
+WINDOW_SIZE = 1_024  # sequence numbers remembered, back from the highest
 
 
 class TokenBucket:
-    """A token bucket: so many a second, twice that at once."""
+    """A token bucket whose burst is twice its rate per second."""
 
     __slots__ = ("_last_us", "_available", "_capacity", "_rate")
 
@@ -20,7 +16,7 @@
         self._available, self._last_us = self._capacity, now_us
 
     def take(self, now_us: int) -> bool:
-        """Whether there is one, and then one less."""
+        """Take a token; return whether there was one."""
         available = min(self._available + (now_us - self._last_us) * self._rate, self._capacity)
         self._last_us = now_us
         self._available = available - _US_PER_S if available >= _US_PER_S else available
@@ -28,9 +24,9 @@
 
 
 class ReplayWindow:
-    """Numbers of one sender that were heard (the anti-replay window of RFC 4303, section 3.4.3).
+    """Sequence numbers received from one sender (anti-replay window of RFC 4303, section 3.4.3).
 
-    What is too far back to be told counts as heard.
+    A number below the window counts as received.
     """
 
     __slots__ = ("_seen", "_highest")
@@ -39,7 +35,7 @@
         self._highest, self._seen = -1, 0
 
     def accept(self, number: int) -> bool:
-        """Whether it is heard for the first time; it is heard now."""
+        """Mark a number as received; return whether it is new."""
         ahead = number - self._highest
         if ahead > 0:
             self._seen = ((self._seen << ahead) | 1) & ((1 << WINDOW_SIZE) - 1) if ahead < WINDOW_SIZE else 1
--- a/granitewell/protocols/peers/rights.py
+++ b/granitewell/protocols/peers/rights.py
@@ -1,7 +1,6 @@
-"""Bodies of the letters in which rights are asked for, lent and given back.
+"""Bodies of messages that request, lend and return shares of a quota.
 
-It owns their fields and bounds. It must never know what follows from them. Amounts are thousandths a second;
-no letter carries a time.
+Amounts are thousandths of a request per second; no message carries a time.
 """
 
 from __future__ import annotations
@@ -12,14 +11,22 @@
 
 from granitewell.protocols.peers.bodies import Body, BodyCodec, Count
 
-MAX_KEY = 96  # bytes of a key
-MAX_LOANS = 64  # in one letter
+MAX_KEY = 96  # bytes
+MAX_LOANS = 64  # in one message
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
 Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_KEY)]
 
 
 class Want(Body, frozen=True, tag="w", rename={"number": "n", "amount": "a", "birth": "b", "again": "g"}):
-    """Lend me so much more; and for as long again the loans `again` of your process `birth`."""
+    """Requests a loan, and the renewal of earlier ones.
+
+    Attributes:
+        number: Request number.
+        key: Key of the quota.
+        amount: Amount to lend in addition.
+        birth: Process of the lender that made the loans in `again`.
+        again: Numbers of loans to renew.
+    """
 
     number: Number
     key: Key
@@ -29,7 +36,14 @@
 
 
 class Lend(Body, frozen=True, tag="l", rename={"number": "n", "birth": "b", "loans": "o"}):
-    """The answer: pairs of a loan's number and its amount."""
+    """Answer to Want.
+
+    Attributes:
+        number: Number of the Want.
+        key: Key of the quota.
+        birth: Process of the lender.
+        loans: Alternating loan numbers and amounts.
+    """
 
     number: Number
     key: Key
@@ -40,7 +54,7 @@
 
 
 class Back(Body, frozen=True, tag="b", rename={"birth": "b", "loans": "o"}):
-    """These are used no more."""
+    """Returns loans that are no longer used."""
 
     key: Key
     birth: Number
--- a/granitewell/state_machine.py
+++ b/granitewell/state_machine.py
@@ -1,14 +1,12 @@
-"""The terms between pure protocol machines (membership, leases, planning, limits) and the shells that run
-them.
+"""Events and effects shared by the pure state machines and the shells that run them.
 
-It owns the events and effects that all of them share, so that one virtual network and one socket shell can
-run any of them, several at once, in one node. It must never hold behaviour or know a subject. Times are whole
-microseconds on the node's own monotonic clock, which starts anywhere and may run a little fast or slow;
-nothing may depend on two nodes' clocks agreeing.
+One virtual network and one socket shell can run any of these machines, several at once in one node. Times are
+whole microseconds on the node's own monotonic clock. That clock starts at any value and may run slightly fast
+or slow, so nothing may depend on two nodes' clocks agreeing.
 
-A machine is an object with `handle(now_us, event) -> list of effects` and `wake_us` (when it wants
-`TimerFired`; -1 for never). Besides these it has events and effects of its own, which the shell that joins
-subjects passes on.
+A state machine is an object with `handle(now_us, event) -> list of effects` and `wake_us`, the time at which
+it wants `TimerFired`, -1 for never. Each machine also has events and effects of its own, which its shell
+handles.
 """
 
 from __future__ import annotations
@@ -19,15 +17,21 @@
 
 
 class Transport(Enum):
-    """How a message goes."""
+    """How a message is transported."""
 
-    DATAGRAM = "datagram"  # may be lost, doubled, reordered; 1,200 bytes at most
-    STREAM = "stream"  # in order while a connection stands; what was under way when it breaks may be lost
+    DATAGRAM = "datagram"  # may be lost, duplicated or reordered; at most 1,200 bytes
+    STREAM = "stream"  # ordered within a connection; messages in flight when it breaks may be lost
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message has come. sender is what the road tells of it (an address or a name), proved by nothing."""
+    """A message was received.
+
+    Attributes:
+        sender: Address or name given by the transport; not authenticated.
+        data: The message.
+        transport: Transport by which it came.
+    """
 
     sender: str
     data: bytes
@@ -36,14 +40,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time of wake_us has come, or has passed: a process that was stopped hears of it late."""
+    """The time of wake_us was reached. It comes late to a process that was stopped."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """What Store with this token asked for is on the disk, and stays whatever happens.
+    """The write requested by Store is durable.
 
-    Ok False: the disk has refused, and nothing may be believed of it.
+    Attributes:
+        token: Token of the Store.
+        ok: False if the write failed; then the content of the disk is unknown.
     """
 
     token: int
@@ -55,7 +61,9 @@
     """Send a message.
 
     Attributes:
-        to: A member's address as the membership or the operator file gives it.
+        to: Address of the receiver, from the membership or the operator file.
+        data: The message.
+        transport: Transport to use.
     """
 
     to: str
@@ -65,9 +73,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """Write data under a key, whole or not at all; Stored comes once it is durable.
+    """Write data under a key atomically; Stored follows once it is durable.
 
-    Later writes of a key replace earlier ones, in the order of asking.
+    Writes of a key replace each other in the order of the requests.
     """
 
     key: str
@@ -77,18 +85,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A log line; topic limits how often such a line is written."""
+    """Write a log line; the rate of lines is limited by topic."""
 
     topic: str
     text: str
 
 
 class StateMachine(Protocol):
-    """What a shell runs."""
+    """A state machine run by a shell."""
 
     @property
     def wake_us(self) -> int:
-        """When TimerFired is wanted; -1 for never."""
+        """Time at which TimerFired is wanted; -1 for never."""
 
     def handle(self, now_us: int, event: object) -> list[object]:
-        """Apply one event; the effects, in order."""
+        """Apply one event and return its effects, in order."""
