--- a/tests/protocols/test_frames.py
+++ b/tests/protocols/test_frames.py
@@ -1,6 +1,6 @@
-"""Frames between nodes: published vectors of the hash, the layout, and rejection of what does not verify.
+"""Frames between nodes: published test vectors of the hash, the layout, and rejection of invalid frames.
 
-`fuzz` is the fuzz target: bytes in, nothing out but an exception where something is wrong. Its corpus is
+`fuzz` is the fuzz target: it takes bytes and raises only if something is wrong. Its corpus is
 tests/protocols/corpus/frames.
 """
 
@@ -50,7 +50,7 @@
 
 
 def fuzz(data: bytes) -> None:
-    """Whatever comes: no exception, and nothing that was not sealed with a key of ours."""
+    """Decode any bytes: no exception, and no frame that was not sealed with our key."""
     frame = open_(data, KEYS)
     if isinstance(frame, Frame):
         assert OLD.tag(data[:-TAG_BYTES]) == data[-TAG_BYTES:]
@@ -63,13 +63,13 @@
 
 
 # --- The hash -------------------------------------------------------------------------------------------
-def test_blake2b_of_rfc_7693_appendix_a_and_the_reference_vector_with_a_key() -> None:
+def test_blake2b_matches_rfc_7693_appendix_a_and_the_keyed_reference_vector() -> None:
     assert hashlib.blake2b(b"abc").hexdigest().startswith("ba80a53f981c4d0d6a2797b69f12f6e94c212f14685ac4b7")
     keyed = hashlib.blake2b(b"", key=bytes(range(64))).hexdigest()
     assert keyed.startswith("10ebb67700b1868efb4417987acf4690ae9d972fb7a590c2f02871799aaa4786")
 
 
-def test_blake2b_of_all_sizes_with_and_without_a_key_as_in_rfc_7693_appendix_e() -> None:
+def test_blake2b_matches_rfc_7693_appendix_e_for_all_sizes() -> None:
     def sequence(length: int, seed: int) -> bytes:
         a, b, out = 0xDEAD4BAD * seed & 0xFFFFFFFF, 1, bytearray()
         for _ in range(length):
@@ -87,8 +87,8 @@
 
 
 # --- Layout ---------------------------------------------------------------------------------------------
-def test_the_layout_of_version_1_stays_as_it_is() -> None:
-    """A node of any later version has to read these very bytes."""
+def test_layout_of_version_1_is_stable() -> None:
+    """Nodes of all later versions must be able to read these bytes."""
     frame = seal(Kind.LEASE, b"body", KEYS, "p1")
     assert frame.hex() == (
         "4757" "01" "20" "00000004" + OLD.id.hex() + "02" "7031" "626f6479"
@@ -100,12 +100,12 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 255), st.binary(max_size=1_000), NAMES)
-def test_what_is_sealed_is_opened_again(kind: int, body: bytes, name: str) -> None:
+def test_sealed_frames_can_be_opened(kind: int, body: bytes, name: str) -> None:
     frame = seal(kind, body, KEYS, name)
     assert open_(frame, KEYS) == Frame(kind, name, body, 1, OLD.id)
 
 
-def test_any_bit_changed_or_any_end_cut_off_is_refused() -> None:
+def test_changed_or_truncated_frames_are_refused() -> None:
     frame = seal(Kind.GOSSIP, b"some body", KEYS, "p1")
     for bit in range(8 * len(frame)):
         changed = bytearray(frame)
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("name", ["", "a" * 64, "two words", "schön", "nul\0"])
-def test_a_name_that_is_not_allowed_is_neither_sealed_nor_opened(name: str) -> None:
+def test_invalid_sender_names_are_neither_sealed_nor_opened(name: str) -> None:
     with pytest.raises(ValueError, match="sender: found"):
         seal(Kind.LEASE, b"", KEYS, name)
     raw = name.encode()
@@ -126,7 +126,7 @@
     assert isinstance(open_(head + OLD.tag(head), KEYS), Refused)
 
 
-def test_sizes_are_bounded_both_ways() -> None:
+def test_size_limit_applies_to_sealing_and_opening() -> None:
     room = MAX_DATAGRAM_BYTES - len(seal(1, b"", KEYS, "p1"))
     most = seal(1, bytes(room), KEYS, "p1")
     assert len(most) == MAX_DATAGRAM_BYTES and isinstance(open_(most, KEYS), Frame)
@@ -139,7 +139,7 @@
 
 
 # --- Keys and versions ----------------------------------------------------------------------------------
-def test_keys_are_changed_in_three_steps_without_a_frame_lost() -> None:
+def test_key_rotation_in_three_steps_loses_no_frame() -> None:
     steps = (Keys(OLD), Keys(OLD, NEW), Keys(NEW, OLD), Keys(NEW))
     for before, after in pairwise(steps):
         for sender, receiver in ((before, after), (after, before), (before, before), (after, after)):
@@ -149,7 +149,7 @@
         assert isinstance(refused, Refused) and refused.why is why
 
 
-def test_a_key_with_the_id_of_ours_but_another_secret_is_refused() -> None:
+def test_key_with_a_known_id_but_another_secret_is_refused() -> None:
     thief = Key(bytes(32))
     object.__setattr__(thief, "id", OLD.id)
     refused = open_(seal(1, b"", Keys(thief), "p1"), KEYS)
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize("size", [0, 15, 65])
-def test_a_key_of_a_wrong_size_names_it(size: int) -> None:
+def test_error_for_a_key_of_invalid_size_names_it(size: int) -> None:
     with pytest.raises(ValueError, match=f"key: found {size} bytes, allowed are 16 to 64"):
         Key(bytes(size))
 
@@ -166,7 +166,7 @@
     assert "01" * 4 not in repr(KEYS) and "x01" not in repr(KEYS)
 
 
-def test_an_unknown_version_is_refused_by_name_and_the_answer_is_read_by_every_version() -> None:
+def test_unknown_version_is_refused_and_the_refusal_is_read_by_every_version() -> None:
     refused = open_(seal(1, b"", KEYS, "p1", version=2), KEYS)
     assert refused == Refused(RefusalReason.VERSION, "found version 2, known are 1", (1,))
     answer = refusal(KEYS, "p1")
@@ -179,7 +179,7 @@
 
 # --- Bodies ---------------------------------------------------------------------------------------------
 class Later(Body, frozen=True, tag="grant"):
-    """A grant as a later version may have it: a field more, and one with a default left out."""
+    """A grant of a later version, with an additional field."""
 
     round: int
     for_boot: int
@@ -189,12 +189,12 @@
 
 
 @pytest.mark.parametrize("said", SAID)
-def test_messages_come_back_as_they_were(said: Message) -> None:
+def test_message_round_trip(said: Message) -> None:
     frame = open_(letter(said), KEYS)
     assert isinstance(frame, Frame) and CODEC.decode(frame.body) == Envelope(1, 2, said)
 
 
-def test_unknown_fields_are_skipped_and_unknown_messages_too() -> None:
+def test_unknown_fields_are_skipped_and_unknown_messages_rejected() -> None:
     later: BodyCodec[Later] = BodyCodec(Later)
     grants: BodyCodec[Grant] = BodyCodec(Grant)
     assert grants.decode(later.encode(Later(3, 9, 8, 7, [{"a": 1}]))) == Grant(3, 9, 8, 7)
@@ -207,12 +207,12 @@
     [{"term": -1}, {"term": 1 << 63}, {"round": "3"}, {"lives": []}, {"lives": [1] * 8},
      {"lives": [1, 2, -3]}, {"lease_us": None}],
 )  # fmt: skip
-def test_a_field_out_of_its_bounds_gives_nothing(wrong: dict[str, Any]) -> None:
+def test_fields_out_of_bounds_are_rejected(wrong: dict[str, Any]) -> None:
     ask = msgspec.to_builtins(SAID[0]) | wrong
     assert CODEC.decode(msgspec.msgpack.encode({"t": "lease", "fleet": 1, "boot": 2, "said": ask})) is None
 
 
-def test_a_body_that_goes_deep_or_says_it_is_huge_costs_nothing() -> None:
+def test_deeply_nested_or_huge_bodies_are_rejected() -> None:
     start = b"\x84\xa1t\xa5lease\xa5fleet\x01\xa4boot\x02\xa1x"
     assert CODEC.decode(start + b"\x91" * 1_000_000 + b"\x01") is None
     assert CODEC.decode(start + b"\xdd\xff\xff\xff\xff") is None
@@ -221,7 +221,7 @@
 # --- Streams --------------------------------------------------------------------------------------------
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.binary(max_size=300), max_size=6), st.lists(st.integers(1, 200), max_size=30))
-def test_a_stream_is_cut_into_its_frames_however_it_arrives(bodies: list[bytes], sizes: list[int]) -> None:
+def test_stream_is_split_into_frames_for_any_chunk_sizes(bodies: list[bytes], sizes: list[int]) -> None:
     frames = [seal(Kind.PLAN, body, KEYS, "p1") for body in bodies]
     rest, splitter, found = b"".join(frames), FrameSplitter(), []
     for size in [*sizes, len(rest)]:
@@ -230,7 +230,7 @@
     assert found == frames and splitter.buffered_bytes == 0 and splitter.error is None
 
 
-def test_a_stream_holds_one_frame_at_most_and_ends_at_what_can_be_none() -> None:
+def test_splitter_buffers_one_frame_and_stops_at_invalid_bytes() -> None:
     frame = seal(Kind.PLAN, bytes(500), KEYS, "p1", limit=MAX_STREAM_FRAME_BYTES)
     splitter = FrameSplitter(limit=600)
     assert splitter.feed(frame * 3 + frame[:-1]) == [frame] * 3 and splitter.buffered_bytes == len(frame) - 1
@@ -240,10 +240,10 @@
     assert splitter.feed(frame) == [] and splitter.buffered_bytes == 0
     greedy = FrameSplitter(limit=600)
     greedy.feed(seal(Kind.PLAN, bytes(1_000), KEYS, "p1")[:HEADER_BYTES])
-    assert greedy.error is not None and greedy.error.why is RefusalReason.LONG  # by the head alone
+    assert greedy.error is not None and greedy.error.why is RefusalReason.LONG  # by the header alone
 
 
-# --- Anything at all ------------------------------------------------------------------------------------
+# --- Fuzzing --------------------------------------------------------------------------------------------
 @pytest.mark.parametrize("path", CORPUS, ids=lambda p: p.name)
 def test_the_corpus(path: Path) -> None:
     fuzz(path.read_bytes())
@@ -251,7 +251,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.data())
-def test_bytes_and_near_frames_of_all_kinds(data: st.DataObject) -> None:
+def test_random_bytes_and_mutated_frames(data: st.DataObject) -> None:
     base = data.draw(st.sampled_from([b"", *(letter(said) for said in SAID), refusal(KEYS, "p1")]))
     changed = bytearray(base + data.draw(st.binary(max_size=60)))
     for place, value in data.draw(st.lists(st.tuples(st.integers(0, 400), st.integers(0, 255)), max_size=4)):
--- a/tests/protocols/test_gossip.py
+++ b/tests/protocols/test_gossip.py
@@ -1,4 +1,4 @@
-"""Letters of members: what they are as bytes, what is refused, and what fits into a datagram."""
+"""Membership messages: their encoding, what is rejected, and what fits into a datagram."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 @given(envelopes, st.lists(assertions, max_size=30), _WORD)
 @settings(max_examples=100, deadline=None, derandomize=True)
-def test_a_letter_is_read_as_it_was_written_and_fits_where_it_is_said_to(
+def test_envelope_round_trip_fits_the_announced_size(
     envelope: Envelope, some: list[Assertion], sender: str
 ) -> None:
     left, fit = free_bytes(encode_envelope(envelope), sender), []
@@ -71,8 +71,8 @@
     assert all(map(is_valid, fit))
 
 
-def test_the_wire_is_what_was_published() -> None:
-    """Version 1. A change here is a new version of the wire."""
+def test_wire_format_of_version_1() -> None:
+    """A change of these bytes requires a new version of the wire format."""
     frame = seal(Kind.GOSSIP, encode_envelope(Envelope(5, 6, 7, Ping(8)), [pack(ALIVE)]), KEYS, "node-1")
     assert frame.hex() == (
         "4757011000000054d771f5b0066e6f64652d3186a174a167a16205a16f06a17307a16d82a174a470696e67a66e756d626572"
@@ -88,7 +88,7 @@
     return msgspec.msgpack.encode(whole | fields)
 
 
-def test_what_a_later_version_adds_is_skipped() -> None:
+def test_fields_of_later_versions_are_skipped() -> None:
     longer = [*msgspec.to_builtins(ALIVE), "more"]
     longer[7] = ["forwarder", "10.0.0.1:7946", "a", [1], b"\x00pay", "more"]
     body = _body(x=[1, 2], m={"t": "ping", "number": 8, "later": True}, c=[longer])
@@ -107,7 +107,7 @@
         {"c": [["n", 1, 5, 0, 0, 0, "", ["r", "a", "z", [1], b"x" * 129]]]},
     ],
 )  # fmt: skip
-def test_what_is_out_of_its_bounds_is_no_letter(fields: dict[str, object]) -> None:
+def test_fields_out_of_bounds_are_rejected(fields: dict[str, object]) -> None:
     assert CODEC.decode(_body()) is not None
     assert CODEC.decode(_body(**fields)) is None
 
@@ -120,7 +120,7 @@
         Assertion("n", 1, 5, 0, 0, about=About("r", "a\n", "", (1,))),
     ],
 )  # fmt: skip
-def test_words_that_would_spoil_a_log_or_a_table_are_not_sound(assertion: Assertion) -> None:
+def test_unprintable_text_makes_an_assertion_invalid(assertion: Assertion) -> None:
     assert not is_valid(assertion)
 
 
