--- a/granitewell/membership/anti_entropy.py
+++ b/granitewell/membership/anti_entropy.py
@@ -143,7 +143,7 @@
         interval = (
             MIN_INTERVAL_US
             if alone
-            else self._interval_us * 3 // 4 + local.random_part(self._interval_us // 2)
+            else self._interval_us * 3 // 4 + local.random_below(self._interval_us // 2)
         )
         self.due_us = local.now_us + intervals.get(phase, interval)
         self._interval_us = min(2 * self._interval_us, local.parameters.sync_us)
@@ -167,7 +167,7 @@
             seeds = [s for s in seeds if s not in member_addresses]
         if seeds and (seeds_first or self._hello_count % SEED_INTERVAL == 0):
             if self._next_seed == 0:
-                self._next_seed = local.random_part(len(seeds))
+                self._next_seed = local.random_below(len(seeds))
             self._next_seed += 1
             return seeds[self._next_seed % len(seeds)]
         return next((member.about.address for member in local.random_members(1)), "")
--- a/granitewell/membership/local_member.py
+++ b/granitewell/membership/local_member.py
@@ -96,7 +96,7 @@
         self.dissemination = DisseminationQueue(config.parameters.spread, 2 * config.parameters.most)
         self.health = Health(config.parameters.lifeguard)
         self.drop_counts: dict[str, int] = {}
-        self.message_counts: dict[tuple[str, str], int] = {}  # heard and message, by kind
+        self.message_counts: dict[tuple[str, str], int] = {}
         # A continued process must not reuse a number: others would drop its messages as replays.
         self._seq = self._last_number = previous.seq if previous is not None and previous.handed_over else 0
         self.start(0)
@@ -141,9 +141,9 @@
         self._last_number += 1
         return self._last_number
 
-    def random_part(self, length_us: int) -> int:
-        """Return a random duration, or index, below the given one."""
-        return int(self.rng.random() * length_us)
+    def random_below(self, limit: int) -> int:
+        """Return a random whole number from 0 up to, and without, the limit."""
+        return int(self.rng.random() * limit)
 
     def random_members(self, count: int, *excluded: str) -> list[Member]:
         """Return up to `count` random other members that are not excluded."""
--- a/granitewell/membership/probes.py
+++ b/granitewell/membership/probes.py
@@ -91,7 +91,7 @@
     def insert(self, name: str) -> None:
         """Insert a name at a random place among those still to come in this round."""
         left = len(self._order) - self._position
-        self._order.insert(self._position + self._local.random_part(left + 1), name)
+        self._order.insert(self._position + self._local.random_below(left + 1), name)
 
     def insert_next(self, name: str) -> None:
         """Make a name the next one; its regular turn in this round stays."""
@@ -114,7 +114,7 @@
         """Start a round over all members in a new order (Durstenfeld 1964, algorithm 235)."""
         order = list(self._local.table.up.names)
         for k in range(len(order) - 1, 0, -1):
-            other = self._local.random_part(k + 1)
+            other = self._local.random_below(k + 1)
             order[k], order[other] = order[other], order[k]
         self._order, self._position = order, 0
 
@@ -147,8 +147,8 @@
     def start(self) -> None:
         """Start at a random time in the period, so that members that start together do not probe in step."""
         local = self._local
-        self._next_us = local.now_us + local.random_part(local.parameters.probe_us)
-        self._next_revive_us = local.now_us + local.random_part(local.parameters.revive_us)
+        self._next_us = local.now_us + local.random_below(local.parameters.probe_us)
+        self._next_revive_us = local.now_us + local.random_below(local.parameters.revive_us)
 
     def stop(self) -> None:
         """Stop probing, when the local process is no member any more."""
--- a/granitewell/membership/state_machine.py
+++ b/granitewell/membership/state_machine.py
@@ -230,8 +230,8 @@
             self._anti_entropy.hello_limited(self._prober.dead_address)
             self._prober.dead_address = ""
         if failed is not None:
-            life = (failed.name, failed.gen, failed.birth, failed.inc)
-            self._assertions.merge(Assertion(*life, State.SUSPECT, by=local.config.name))
+            process = (failed.name, failed.gen, failed.birth, failed.inc)
+            self._assertions.merge(Assertion(*process, State.SUSPECT, by=local.config.name))
         for name, standing, expired in self._assertions.suspicions.take_due(local.now_us):
             member = local.table.member(name)
             if expired:
@@ -251,7 +251,7 @@
         if not len(local.dissemination) or self.phase not in _GOSSIP_PHASES:
             self._next_gossip_us = -1
         elif self._next_gossip_us < 0:
-            self._next_gossip_us = local.now_us + local.random_part(local.parameters.gossip_us)
+            self._next_gossip_us = local.now_us + local.random_below(local.parameters.gossip_us)
         elif local.now_us >= self._next_gossip_us:
             self._next_gossip_us = local.now_us + local.parameters.gossip_us
             for _ in range(local.parameters.fanout):
--- a/tests/protocols/test_frames.py
+++ b/tests/protocols/test_frames.py
@@ -38,15 +38,15 @@
 CORPUS = sorted((Path(__file__).parent / "corpus" / "frames").iterdir())
 OLD, NEW, OTHER = (Key(bytes([k]) * 32) for k in (1, 2, 3))
 KEYS = Keys(OLD)
-SAID: tuple[Message, ...] = (
+MESSAGES: tuple[Message, ...] = (
     Ask(3, 7, [1, 2, 3], 3_000_000, True), Grant(3, 9, 8, 7), No(3, 9, 8, 7, "term", [1, 0, 3]),
     Release(7, "p2"), Release(7), Sworn(5, 6, "blank", 7, [1, 2, 3]), Here(10, 4),
 )  # fmt: skip
 NAMES = st.text(st.characters(min_codepoint=0x21, max_codepoint=0x7E), min_size=1, max_size=63)
 
 
-def letter(said: Message) -> bytes:
-    return seal(Kind.LEASE, CODEC.encode(Envelope(1, 2, said)), KEYS, "p1")
+def sealed_message(message: Message) -> bytes:
+    return seal(Kind.LEASE, CODEC.encode(Envelope(1, 2, message)), KEYS, "p1")
 
 
 def fuzz(data: bytes) -> None:
@@ -188,10 +188,10 @@
     mood: list[dict[str, int]] = msgspec.field(default_factory=list)
 
 
-@pytest.mark.parametrize("said", SAID)
-def test_message_round_trip(said: Message) -> None:
-    frame = open_(letter(said), KEYS)
-    assert isinstance(frame, Frame) and CODEC.decode(frame.body) == Envelope(1, 2, said)
+@pytest.mark.parametrize("message", MESSAGES)
+def test_message_round_trip(message: Message) -> None:
+    frame = open_(sealed_message(message), KEYS)
+    assert isinstance(frame, Frame) and CODEC.decode(frame.body) == Envelope(1, 2, message)
 
 
 def test_unknown_fields_are_skipped_and_unknown_messages_rejected() -> None:
@@ -208,7 +208,7 @@
      {"lives": [1, 2, -3]}, {"lease_us": None}],
 )  # fmt: skip
 def test_fields_out_of_bounds_are_rejected(wrong: dict[str, Any]) -> None:
-    ask = msgspec.to_builtins(SAID[0]) | wrong
+    ask = msgspec.to_builtins(MESSAGES[0]) | wrong
     assert CODEC.decode(msgspec.msgpack.encode({"t": "lease", "fleet": 1, "boot": 2, "said": ask})) is None
 
 
@@ -252,7 +252,9 @@
 @settings(max_examples=150, deadline=None)
 @given(st.data())
 def test_random_bytes_and_mutated_frames(data: st.DataObject) -> None:
-    base = data.draw(st.sampled_from([b"", *(letter(said) for said in SAID), refusal(KEYS, "p1")]))
+    base = data.draw(
+        st.sampled_from([b"", *(sealed_message(message) for message in MESSAGES), refusal(KEYS, "p1")])
+    )
     changed = bytearray(base + data.draw(st.binary(max_size=60)))
     for place, value in data.draw(st.lists(st.tuples(st.integers(0, 400), st.integers(0, 255)), max_size=4)):
         if place < len(changed):
