--- a/granitewell/lab/fleet/planted.py
+++ b/granitewell/lab/fleet/planted.py
@@ -45,15 +45,15 @@
 def _former(goes_on: bool) -> Callable[[], None]:
     def plant() -> None:
         shell = _cluster()
-        right = shell.Former
-        shell.Former = lambda gen, birth, inc, seq, _: right(gen, birth, inc, seq, goes_on)
+        right = shell.PreviousProcess
+        shell.PreviousProcess = lambda gen, birth, inc, seq, _: right(gen, birth, inc, seq, goes_on)
 
     return plant
 
 
 def _budget_up() -> None:
     census = importlib.import_module("granitewell.cluster.size_estimate")
-    census.Census._most = lambda self: max(self._in(census.Place.UP), 1)
+    census.SizeEstimator._upper_bound = lambda self: max(self._count_in(census.Presence.UP), 1)
 
 
 def _half_sent() -> None:
--- a/granitewell/membership/states.py
+++ b/granitewell/membership/states.py
@@ -1,18 +1,17 @@
-"""What may be said of a member, which claim wins, what a change is told as, where a process itself stands.
+"""Member states, the precedence of assertions, the events of a change, and the phases of the local process.
 
-It owns the tables and nothing else: whoever merges, tells or moves looks here. It must never hold state.
+This module has tables and pure functions only. They follow these rules:
 
-Rules that the tables live by:
+- A name is used by one process after another. Each process has a random birth id and a generation number. A
+  higher generation overrides a lower one whatever their states. Of two processes with the same generation the
+  higher birth wins: an arbitrary choice, but the same on every member. A process takes the next generation
+  only once the previous process is dead, has left, or was shown not to run, so that of two running processes
+  the older one keeps the name.
+- Within a generation the higher incarnation wins. Only the process itself raises its incarnation, to refute a
+  suspicion or to change its own description.
+- Within an incarnation the worse state wins (SWIM, section 4.2), and LEFT is final.
 
-- A name has lives; each is a process, known by its random birth. A later life wins over an earlier one
-  whatever is said of either; of two with the same number the higher birth does, which is nobody's merit, but
-  the same everywhere. A process takes a new life's number only once the former is dead, has left, or has
-  shown to be gone, so that of two living ones the older keeps the name.
-- Within a life the higher incarnation wins; only the process itself makes a new one, to refute what is said
-  of it or to change what it says of itself.
-- Within an incarnation the worse news wins (SWIM, section 4.2), and having left is final.
-
-So claims are in one total order, and the merge is its maximum: commutative, associative, idempotent.
+So assertions have a total order, and merging takes the maximum: commutative, associative and idempotent.
 """
 
 from __future__ import annotations
@@ -22,16 +21,16 @@
 
 
 class State(IntEnum):
-    """Of a member."""
+    """State of a member."""
 
     ALIVE = 0
-    SUSPECT = 1  # does not answer; still a member
+    SUSPECT = 1  # does not answer; still counts as a member
     DEAD = 2
-    LEFT = 3  # by itself
+    LEFT = 3  # announced by the process itself, or declared by an operator
 
 
 class Standing(NamedTuple):
-    """What is said of a name, in the order in which its fields count."""
+    """Generation, birth id, incarnation and state of a name, compared in this order."""
 
     gen: int
     birth: int
@@ -40,86 +39,96 @@
 
 
 _A, _S, _D, _L = State
-MORE, AS_MUCH = ">", ">="  # what the incarnation of a new claim must be beside the old one's
+GREATER, GREATER_OR_EQUAL = ">", ">="  # how the new incarnation must compare with the old one
 
-# new claim: by the state of the old one
+# state of the new assertion -> state of the old one -> required comparison of incarnations
 OVERRIDES: dict[State, dict[State, str]] = {
-    _A: {_A: MORE, _S: MORE, _D: MORE, _L: MORE},
-    _S: {_A: AS_MUCH, _S: MORE, _D: MORE, _L: MORE},
-    _D: {_A: AS_MUCH, _S: AS_MUCH, _D: MORE, _L: MORE},
-    _L: {_A: AS_MUCH, _S: AS_MUCH, _D: AS_MUCH, _L: MORE},
+    _A: {_A: GREATER, _S: GREATER, _D: GREATER, _L: GREATER},
+    _S: {_A: GREATER_OR_EQUAL, _S: GREATER, _D: GREATER, _L: GREATER},
+    _D: {_A: GREATER_OR_EQUAL, _S: GREATER_OR_EQUAL, _D: GREATER, _L: GREATER},
+    _L: {_A: GREATER_OR_EQUAL, _S: GREATER_OR_EQUAL, _D: GREATER_OR_EQUAL, _L: GREATER},
 }
 
 
 def overrides(new: Standing, old: Standing) -> bool:
-    """Whether the new claim takes the old one's place."""
+    """Whether the new assertion replaces the old one."""
     if new[:2] != old[:2]:
         return new[:2] > old[:2]
-    if OVERRIDES[new.state][old.state] is AS_MUCH:
+    if OVERRIDES[new.state][old.state] is GREATER_OR_EQUAL:
         return new.inc >= old.inc
     return new.inc > old.inc
 
 
 def merged(a: Standing, b: Standing) -> Standing:
-    """The one of two that holds."""
+    """Return the standing that takes precedence."""
     return b if overrides(b, a) else a
 
 
-class News(Enum):
-    """What a change of a member is told as."""
+class MemberEvent(Enum):
+    """Event that reports a change of a member."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
     DIED = "died"
     LEFT = "left"
-    CHANGED = "changed"  # what it says of itself, or it is suspected no more
-
-
-# state before, None for not there: by the state now
-TELLS: dict[State | None, dict[State, tuple[News, ...]]] = {
-    None: {_A: (News.JOINED,), _S: (News.JOINED, News.SUSPECTED), _D: (), _L: ()},
-    _A: {_A: (News.CHANGED,), _S: (News.SUSPECTED,), _D: (News.DIED,), _L: (News.LEFT,)},
-    _S: {_A: (News.CHANGED,), _S: (), _D: (News.DIED,), _L: (News.LEFT,)},
-    _D: {_A: (News.JOINED,), _S: (News.JOINED, News.SUSPECTED), _D: (), _L: (News.LEFT,)},
-    _L: {_A: (News.JOINED,), _S: (News.JOINED, News.SUSPECTED), _D: (), _L: ()},
+    CHANGED = "changed"  # its own description changed, or a suspicion was refuted
+
+
+# state before (None if unknown) -> state now -> events
+MEMBER_EVENTS: dict[State | None, dict[State, tuple[MemberEvent, ...]]] = {
+    None: {_A: (MemberEvent.JOINED,), _S: (MemberEvent.JOINED, MemberEvent.SUSPECTED), _D: (), _L: ()},
+    _A: {
+        _A: (MemberEvent.CHANGED,),
+        _S: (MemberEvent.SUSPECTED,),
+        _D: (MemberEvent.DIED,),
+        _L: (MemberEvent.LEFT,),
+    },
+    _S: {_A: (MemberEvent.CHANGED,), _S: (), _D: (MemberEvent.DIED,), _L: (MemberEvent.LEFT,)},
+    _D: {
+        _A: (MemberEvent.JOINED,),
+        _S: (MemberEvent.JOINED, MemberEvent.SUSPECTED),
+        _D: (),
+        _L: (MemberEvent.LEFT,),
+    },
+    _L: {_A: (MemberEvent.JOINED,), _S: (MemberEvent.JOINED, MemberEvent.SUSPECTED), _D: (), _L: ()},
 }
 UP = (_A, _S)
-GONE = (_D, _L)
+DOWN = (_D, _L)
 
 
 class Phase(Enum):
-    """Where a process itself stands."""
+    """Phase of the local process."""
 
-    JOINING = "joining"  # asks the seeds who is there
-    IN = "in"  # a member
-    DISPUTED = "disputed"  # its name is another process's, which may be its former self
-    TAKEN = "taken"  # its name is held by another that lives: it waits
+    JOINING = "joining"  # asks the seeds for their tables
+    ACTIVE = "in"  # a member
+    NAME_DISPUTED = "disputed"  # another process, maybe the previous one here, holds its name
+    NAME_TAKEN = "taken"  # a running process holds its name; this one waits
     LEAVING = "leaving"
-    OUT = "out"  # for good
+    STOPPED = "out"  # final
 
 
 class Cause(Enum):
-    """What moves it."""
-
-    FREE = "free"  # nobody holds its name, or nobody any more
-    HELD = "held"  # another process does
-    ANSWERED = "answered"  # and lives
-    LEAVE = "leave"
-    OVER = "over"
-
-
-PHASES: dict[tuple[Phase, Cause], Phase] = {
-    (Phase.JOINING, Cause.FREE): Phase.IN,
-    (Phase.JOINING, Cause.HELD): Phase.DISPUTED,
-    (Phase.DISPUTED, Cause.FREE): Phase.IN,
-    (Phase.DISPUTED, Cause.ANSWERED): Phase.TAKEN,
-    (Phase.TAKEN, Cause.FREE): Phase.IN,
-    (Phase.TAKEN, Cause.ANSWERED): Phase.TAKEN,
-    (Phase.IN, Cause.HELD): Phase.DISPUTED,
-    (Phase.IN, Cause.LEAVE): Phase.LEAVING,
-    (Phase.JOINING, Cause.LEAVE): Phase.OUT,
-    (Phase.DISPUTED, Cause.LEAVE): Phase.OUT,
-    (Phase.TAKEN, Cause.LEAVE): Phase.OUT,
-    (Phase.LEAVING, Cause.LEAVE): Phase.LEAVING,
-    (Phase.LEAVING, Cause.OVER): Phase.OUT,
+    """Cause of a phase transition."""
+
+    NAME_FREE = "free"  # no other process holds the name, or no longer does
+    NAME_HELD = "held"  # another process holds the name
+    HOLDER_ANSWERED = "answered"  # the holder of the name is running
+    LEAVE_REQUESTED = "leave"
+    LEAVE_COMPLETED = "over"
+
+
+TRANSITIONS: dict[tuple[Phase, Cause], Phase] = {
+    (Phase.JOINING, Cause.NAME_FREE): Phase.ACTIVE,
+    (Phase.JOINING, Cause.NAME_HELD): Phase.NAME_DISPUTED,
+    (Phase.NAME_DISPUTED, Cause.NAME_FREE): Phase.ACTIVE,
+    (Phase.NAME_DISPUTED, Cause.HOLDER_ANSWERED): Phase.NAME_TAKEN,
+    (Phase.NAME_TAKEN, Cause.NAME_FREE): Phase.ACTIVE,
+    (Phase.NAME_TAKEN, Cause.HOLDER_ANSWERED): Phase.NAME_TAKEN,
+    (Phase.ACTIVE, Cause.NAME_HELD): Phase.NAME_DISPUTED,
+    (Phase.ACTIVE, Cause.LEAVE_REQUESTED): Phase.LEAVING,
+    (Phase.JOINING, Cause.LEAVE_REQUESTED): Phase.STOPPED,
+    (Phase.NAME_DISPUTED, Cause.LEAVE_REQUESTED): Phase.STOPPED,
+    (Phase.NAME_TAKEN, Cause.LEAVE_REQUESTED): Phase.STOPPED,
+    (Phase.LEAVING, Cause.LEAVE_REQUESTED): Phase.LEAVING,
+    (Phase.LEAVING, Cause.LEAVE_COMPLETED): Phase.STOPPED,
 }
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -34,8 +34,16 @@
 
 from granitewell import core as c
 from granitewell.cluster import persisted_record
-from granitewell.cluster.size_estimate import Census, Configured, Count, Out, Place, Seen, stands
-from granitewell.cluster.types import ClusterSettings, address, spelt
+from granitewell.cluster.size_estimate import (
+    ConfiguredCount,
+    MembersObserved,
+    NodeRemoved,
+    Presence,
+    SizeEstimate,
+    SizeEstimator,
+    presence_of,
+)
+from granitewell.cluster.types import ClusterSettings, format_address, parse_address
 from granitewell.durable_folder import Kept
 from granitewell.membership import types as membership
 from granitewell.membership.state_machine import Membership
@@ -44,24 +52,24 @@
     Changed,
     Config,
     Died,
-    Entry,
-    Forget,
-    Former,
+    DuplicateIdentity,
+    ForceLeave,
     Joined,
     Leave,
     Left,
     Member,
-    Moved,
-    Rekey,
-    Reseed,
+    PhaseChanged,
+    PreviousProcess,
+    ReplaceKeys,
+    ReplaceSeeds,
     Suspected,
-    Twin,
+    TableEntry,
 )
 from granitewell.net.disk_writer import Notebook
 from granitewell.net.peers import Roads
 from granitewell.protocols.peers.frames import Keys, Kind, kind_of
-from granitewell.protocols.peers.limits import Bucket
-from granitewell.state_machine import Heard, Line, Say, Woken
+from granitewell.protocols.peers.limits import TokenBucket
+from granitewell.state_machine import LogLine, MessageReceived, SendMessage, TimerFired
 
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
@@ -76,7 +84,7 @@
 PART_OF_SOCKETS = 16  # one descriptor in so many may be a stream, each way
 MANY_PART, MANY_US, MANY_LEAST = 3, 12_000_000, 2  # one in so many members lost within that time
 LINES = 3  # lines of a topic a second, twice that at once
-FIGURES = membership.Figures()
+FIGURES = membership.Parameters()
 MAX_ROWS = 1_000  # members in an answer, those first who are not well: a look is made in one turn
 ORDER = {State.SUSPECT: 0, State.DEAD: 1, State.ALIVE: 2, State.LEFT: 3}
 
@@ -107,10 +115,10 @@
         self._streams = max(min(settings.streams, node._sockets // PART_OF_SOCKETS), 1)
         node._sockets = max(node._sockets - 2 * self._streams - 2, 1)
         node._divide(node._sockets)
-        self._lines: dict[str, Bucket] = {}  # topics are the program's own
+        self._lines: dict[str, TokenBucket] = {}  # topics are the program's own
         self.turn = Turn.WAITING
         self.machine: Membership | None = None
-        self.census: Census | None = None
+        self.census: SizeEstimator | None = None
         self.roads: Roads | None = None
         self._waited = self._dirty = self._counting = self._said_busy = False
         self._timer: asyncio.TimerHandle | None = None
@@ -158,20 +166,20 @@
         settings, clock = self._settings, self._clock
         rng = Random(int.from_bytes(os.urandom(16), "big"))
         roads = Roads(self._loop, clock, self._heard, self.say, self._node._spawn, self._streams, rng)
-        roads.open(address(settings.bind))
+        roads.open(parse_address(settings.bind))
         note = self._read()
         former = None
-        if note is not None and note.life.gen:
-            life = note.life
-            former = Former(life.gen, max(life.birth, 1), life.inc, life.seq, self._waited)
+        if note is not None and note.identity.gen:
+            life = note.identity
+            former = PreviousProcess(life.gen, max(life.birth, 1), life.inc, life.seq, self._waited)
         known = note.known if note is not None else ()
         seeds = tuple(dict.fromkeys((*settings.seeds, *(note.addresses if note is not None else ()))))
         config = Config(
             settings.name, settings.address, self._keys, settings.role, settings.zone, seeds=seeds,
-            figures=FIGURES, former=former,
+            parameters=FIGURES, previous=former,
         )  # fmt: skip
         configured = self._node._config.settings.proxies
-        self.census = Census(settings.name, configured, int(settings.unheard_s * 1e6), known)
+        self.census = SizeEstimator(settings.name, configured, int(settings.unheard_s * 1e6), known)
         self.roads, self.turn = roads, Turn.HELD
         machine, keys = Membership(config, rng), self._keys
         how = "going on with the life of the process before" if self._waited and former else "joining"
@@ -189,19 +197,19 @@
             return
         self.machine = machine
         if self._keys != keys:
-            self._tell(Rekey(self._keys))
+            self._tell(ReplaceKeys(self._keys))
         if self._settings.seeds != settings.seeds:
-            self._tell(Reseed(self._settings.seeds))
+            self._tell(ReplaceSeeds(self._settings.seeds))
         if self.shared is not None and self.roads is not None:
-            self.shared.begin(machine.own.gen, self.roads.say)
-        self._tell(Woken())
+            self.shared.begin(machine.identity.gen, self.roads.say)
+        self._tell(TimerFired())
         self._count()
 
-    def _read(self) -> persisted_record.Note | None:
+    def _read(self) -> persisted_record.PersistedRecord | None:
         raw, wrong = self._kept.read(persisted_record.MAX_BYTES)
         if raw:
             try:
-                note = persisted_record.read(raw)
+                note = persisted_record.decode(raw)
                 if note.name == self._settings.name:
                     return note
                 wrong = f"the folder's file is {note.name[:63]}'s"
@@ -317,18 +325,18 @@
             elif settings.keys != self._keys:
                 self._rekey(settings.keys)
             if self.machine is not None and settings.seeds != self._settings.seeds:
-                self._tell(Reseed(settings.seeds))
+                self._tell(ReplaceSeeds(settings.seeds))
             self._settings = settings
         if self.census is not None:
             self.census.unheard_us = int(self._settings.unheard_s * 1e6)
-            self._ask(Configured(self._node._config.settings.proxies))
+            self._ask(ConfiguredCount(self._node._config.settings.proxies))
 
     def _rekey(self, keys: Keys) -> None:
         self._keys = keys
         ids = ", ".join(k.id.hex() for k in (keys.current, keys.other) if k is not None)
         self.say("member", f"keys are taken up: {ids}, the first seals")
         if self.machine is not None:
-            self._tell(Rekey(keys))
+            self._tell(ReplaceKeys(keys))
         if self.shared is not None:
             self.shared.rekey(keys)
 
@@ -343,14 +351,14 @@
         Members come and go several at a time, and each of those lines is wanted: some of a topic are written
         at once, further ones as often as those of other topics.
         """
-        bucket = self._lines.setdefault(topic, Bucket(LINES, self._clock.now()))
+        bucket = self._lines.setdefault(topic, TokenBucket(LINES, self._clock.now()))
         if bucket.take(self._clock.now()):
             self._node.log.write(self._clock.now(), topic, line, always=True)
         else:
             self._node.say(topic, line)
 
     # --- Events and effects -----------------------------------------------------------------------------
-    def _heard(self, heard: Heard) -> None:
+    def _heard(self, heard: MessageReceived) -> None:
         """Which machine is to open it, by a head that nothing has proved yet."""
         if self.shared is not None and kind_of(heard.data) == Kind.COUNT:
             self.shared.heard(heard)
@@ -363,17 +371,17 @@
         if machine is None or roads is None:
             return
         for effect in machine.handle(self._clock.now(), event):
-            if isinstance(effect, Say):
+            if isinstance(effect, SendMessage):
                 roads.say(effect)
-            elif isinstance(effect, Line):
+            elif isinstance(effect, LogLine):
                 self._line(effect)
             else:
                 self._news(effect)
-        if machine.seat.seq > self._reserved - SPARE // 2:
+        if machine.local.seq > self._reserved - SPARE // 2:
             self._note(always=True)
         self._arm()
 
-    def _line(self, line: Line) -> None:
+    def _line(self, line: LogLine) -> None:
         if line.topic in ("membership-twin", "membership-name"):
             self.say("twin", line.text)
         elif line.topic == "lost":
@@ -382,11 +390,11 @@
             self.say("cluster", line.text)
 
     def _news(self, effect: object) -> None:
-        if isinstance(effect, Moved):
+        if isinstance(effect, PhaseChanged):
             self.say("member", f"{self._settings.name} is {effect.phase.value}")
-            if effect.phase is Phase.OUT:
+            if effect.phase is Phase.STOPPED:
                 self._out.set()
-        elif isinstance(effect, Twin):
+        elif isinstance(effect, DuplicateIdentity):
             self.twins += 1
         elif isinstance(effect, Joined | Suspected | Died | Left | Changed):
             self._changed_us = self._clock.now()
@@ -426,18 +434,20 @@
             return
         # of one who was gone before we came it is not known what it was: it may act, so it counts
         role = self._settings.role
-        ours = [e for e in machine.everyone() if e.about is None or e.about.role == role]
-        self._ask(Seen({e.name: stands(e.standing.state.name.lower(), e.by) for e in ours}))
+        ours = [e for e in machine.entries() if e.about is None or e.about.role == role]
+        self._ask(MembersObserved({e.name: presence_of(e.standing.state.name.lower(), e.by) for e in ours}))
         self._share(ours)
 
-    def _share(self, ours: list[Entry]) -> None:
+    def _share(self, ours: list[TableEntry]) -> None:
         """Tell what is shared with whom: all who may act, those that nobody hears among them."""
         shared, census = self.shared, self.census
         if shared is None or census is None:
             return
-        out = {*census.names(Place.OUT)}
+        out = {*census.names(Presence.EXCLUDED)}
         known = {e.name: e for e in ours}
-        acting = [n for place in (Place.UP, Place.SILENT, Place.AWAY) for n in census.names(place)]
+        acting = [
+            n for place in (Presence.UP, Presence.UNRESPONSIVE, Presence.LEFT) for n in census.names(place)
+        ]
         places = {}
         for name in (*acting, *out):
             entry = known.get(name)
@@ -450,10 +460,10 @@
         if self.census is None:
             return
         for effect in self.census.handle(self._clock.now(), event):
-            if isinstance(effect, Count):
+            if isinstance(effect, SizeEstimate):
                 self._dirty = True
-                self._node.dispatch(c.Acting(effect.most, effect.up))
-            elif isinstance(effect, Line):
+                self._node.dispatch(c.Acting(effect.upper_bound, effect.expected))
+            elif isinstance(effect, LogLine):
                 self._line(effect)
         self._arm()
 
@@ -477,9 +487,9 @@
         if machine is None or census is None:
             return
         if 0 <= machine.wake_us <= now:
-            self._tell(Woken())
+            self._tell(TimerFired())
         if 0 <= census.wake_us <= now:
-            self._ask(Woken())
+            self._ask(TimerFired())
         if self._dirty:
             self._note()
         self._arm()
@@ -495,20 +505,20 @@
         self._noted_us, self._dirty = now, False
         self._write(machine, census, always)
 
-    def _write(self, machine: Membership, census: Census, always: bool = True) -> None:
+    def _write(self, machine: Membership, census: SizeEstimator, always: bool = True) -> None:
         """Form the note, and have it written if it says anything new."""
         if not self._kept.lasting:
             return
-        seat, own = machine.seat, machine.own
-        life = persisted_record.Life(own.gen, seat.birth, own.inc, seat.seq + SPARE)
+        seat, own = machine.local, machine.identity
+        life = persisted_record.ProcessIdentity(own.gen, seat.birth, own.inc, seat.seq + SPARE)
         there = [m.about.address for m in machine.members() if m.name != self._settings.name]
         known, wanted = tuple(census.known()), {a for a in there if _fits(a)}
-        note = persisted_record.Note(self._settings.name, life, known, tuple(sorted(wanted)))
-        gist = persisted_record.gist(note)
+        note = persisted_record.PersistedRecord(self._settings.name, life, known, tuple(sorted(wanted)))
+        gist = persisted_record.significant_content(note)
         if not always and gist == self._gist:
             return  # suspicions come and go many times a second, and say nothing to the next process
         self._gist, self._reserved = gist, life.seq  # half of the spare numbers last longer than any write
-        self._book.write(persisted_record.form(note))
+        self._book.write(persisted_record.encode(note))
 
     def _unwritten(self, line: str) -> None:
         self._gist = None  # so the next news is written whatever it is
@@ -530,16 +540,18 @@
         }  # fmt: skip
         if machine is None or census is None or self.roads is None:
             return made
-        own, seat, count = machine.own, machine.seat, census.count
+        own, seat, count = machine.identity, machine.local, census.estimate
         made |= {
             "phase": machine.phase.value, "life": own.gen, "incarnation": own.inc, "health": machine.health,
-            "stood_s": machine.stood_us / 1e6, "most": count.most, "up": count.up, "unseen": census.unseen,
-            "silent": census.names(Place.SILENT), "away": census.names(Place.AWAY),
-            "letters": {f"{kind} {way}": n for (way, kind), n in sorted(seat.letters.items())},
-            "dropped": dict(sorted(machine.counts.items())), "roads": dict(sorted(self.roads.counts.items())),
+            "stood_s": machine.stalled_us / 1e6, "most": count.upper_bound, "up": count.expected,
+            "unseen": census.unseen,
+            "silent": census.names(Presence.UNRESPONSIVE), "away": census.names(Presence.LEFT),
+            "letters": {f"{kind} {way}": n for (way, kind), n in sorted(seat.message_counts.items())},
+            "dropped": dict(sorted(machine.drop_counts.items())),
+            "roads": dict(sorted(self.roads.counts.items())),
             "streams": dict(zip(("ours", "theirs"), self.roads.streams, strict=True)),
         }  # fmt: skip
-        everyone = sorted(machine.everyone(), key=lambda e: ORDER[e.standing.state])
+        everyone = sorted(machine.entries(), key=lambda e: ORDER[e.standing.state])
         made["cut"] = len(everyone) > MAX_ROWS
         for e in everyone[:MAX_ROWS]:
             gen, birth, inc, state = e.standing
@@ -549,7 +561,7 @@
                 "incarnation": inc, "by": e.by,
                 "role": about.role if about else None, "zone": about.zone if about else None,
                 "address": about.address if about else None,
-                "gone_s": max(seat.now_us - e.gone_us, 0) / 1e6 if e.gone_us >= 0 else None,
+                "gone_s": max(seat.now_us - e.down_since_us, 0) / 1e6 if e.down_since_us >= 0 else None,
             })  # fmt: skip
         return made
 
@@ -563,11 +575,11 @@
             for told in machine.history(name):
                 gen, birth, inc, state = told.standing
                 rows.append({
-                    "ago_s": max(machine.seat.now_us - told.at_us, 0) / 1e6, "state": state.name.lower(),
+                    "ago_s": max(machine.local.now_us - told.at_us, 0) / 1e6, "state": state.name.lower(),
                     "life": gen, "birth": f"{birth:016x}", "incarnation": inc, "by": told.by,
-                    "told_by": told.teller or self._settings.name, "road": told.road or "own",
+                    "told_by": told.source or self._settings.name, "road": told.transport or "own",
                 })  # fmt: skip
-        places = {p.value: census.names(p) for p in Place} if census is not None else {}
+        places = {p.value: census.names(p) for p in Presence} if census is not None else {}
         counted = next((p for p, there in places.items() if name in there), None)
         return {"version": 1, "name": name, "asked": self._settings.name, "member": member,
                 "counted": counted, "history": rows}  # fmt: skip
@@ -580,11 +592,11 @@
         """An operator says that a node is gone for good; what is wrong with that, or nothing."""
         if self.machine is None or self.census is None:
             return "this process is no member now"
-        if name not in (*self.census.names(Place.SILENT), *self.census.names(Place.AWAY)):
+        if name not in (*self.census.names(Presence.UNRESPONSIVE), *self.census.names(Presence.LEFT)):
             return f"{name} is neither silent nor away here: only who is dead or has left can be called gone"
         self.say("member", f"{name} is called gone by an operator")
-        self._tell(Forget(name))
-        self._ask(Out(name))
+        self._tell(ForceLeave(name))
+        self._ask(NodeRemoved(name))
         self._note(always=True)
         return ""
 
@@ -608,6 +620,6 @@
 def _fits(text: str) -> bool:
     """Whether an address that another has announced may be asked at the next start."""
     try:
-        return spelt(*address(text)) == text
+        return format_address(*parse_address(text)) == text
     except ValueError:
         return False
--- a/granitewell/net/peers.py
+++ b/granitewell/net/peers.py
@@ -26,12 +26,11 @@
 from random import Random
 from typing import Any
 
-from granitewell.cluster.types import address as address_of
-from granitewell.cluster.types import spelt
+from granitewell.cluster.types import format_address, parse_address
 from granitewell.net.clock import Clock
 from granitewell.net.sockets import bound, end, tcp
-from granitewell.protocols.peers.frames import MAX_DATAGRAM, Splitter
-from granitewell.state_machine import Heard, Road, Say
+from granitewell.protocols.peers.frames import MAX_DATAGRAM_BYTES, FrameSplitter
+from granitewell.state_machine import MessageReceived, SendMessage, Transport
 
 BATCH_US = 1_000  # of one turn of the loop, that datagrams of others may take,
 REST = 3  # and so many times what they took until they may again: a quarter of the time at most
@@ -51,7 +50,7 @@
 SWEEP_S = 0.5
 MARK = "~"  # begins the name of a connection of another's, at which no address does
 
-Hear = Callable[[Heard], None]
+Hear = Callable[[MessageReceived], None]
 Say_ = Callable[[str, str], None]
 Spawn = Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]]
 
@@ -177,11 +176,11 @@
         self._answers.clear()
 
     # --- Saying -----------------------------------------------------------------------------------------
-    def say(self, say: Say) -> None:
+    def say(self, say: SendMessage) -> None:
         """Send a message, now or when its road is there; what can't be sent is counted, and lost."""
         if self._datagrams is None:
             self.counts["closed"] += 1
-        elif say.road is Road.DATAGRAM:
+        elif say.transport is Transport.DATAGRAM:
             self._throw(say)
         elif say.to.startswith(MARK):
             queue = self._answers.get(say.to)
@@ -192,7 +191,7 @@
         else:
             self._stream(say)
 
-    def _throw(self, say: Say) -> None:
+    def _throw(self, say: SendMessage) -> None:
         address = parsed(say.to)
         if address is None:
             self.counts["address"] += 1
@@ -206,7 +205,7 @@
         self.counts["said"] += 1
         self.counts["said_bytes"] += len(say.data)
 
-    def _stream(self, say: Say) -> None:
+    def _stream(self, say: SendMessage) -> None:
         address = parsed(say.to)
         if address is None:
             self.counts["address"] += 1
@@ -284,7 +283,7 @@
     async def _heard_back(self, queue: Queue, sock: socket.socket) -> None:
         """What comes back on a stream of ours, and its end."""
         try:
-            await self._read(spelt(*queue.address), sock, lambda: queue.conn is sock, None)
+            await self._read(format_address(*queue.address), sock, lambda: queue.conn is sock, None)
         except (OSError, TimeoutError):
             pass
         finally:
@@ -360,22 +359,22 @@
     def _take(self) -> bool:
         assert self._datagrams is not None
         try:
-            data, sender = self._datagrams.recvfrom(MAX_DATAGRAM + 1)
+            data, sender = self._datagrams.recvfrom(MAX_DATAGRAM_BYTES + 1)
         except BlockingIOError:
             return False
         except OSError:  # what a datagram of ours met on its way (ECONNREFUSED) is told here
             return True
-        if len(data) > MAX_DATAGRAM:
+        if len(data) > MAX_DATAGRAM_BYTES:
             self.counts["oversized"] += 1
         else:
-            self._heard(spelt(sender[0], sender[1]), data, Road.DATAGRAM)
+            self._heard(format_address(sender[0], sender[1]), data, Transport.DATAGRAM)
         return True
 
-    def _heard(self, sender: str, data: bytes, road: Road) -> None:
+    def _heard(self, sender: str, data: bytes, transport: Transport) -> None:
         self.counts["heard"] += 1
         self.counts["heard_bytes"] += len(data)
         try:
-            self._hear(Heard(sender, data, road))
+            self._hear(MessageReceived(sender, data, transport))
         except Exception as error:  # a defect costs its own message
             self._say("fault", f"a message failed: {type(error).__name__}: {error}")
 
@@ -411,18 +410,18 @@
         self, sender: str, sock: socket.socket, stands: Callable[[], bool], patience_s: float | None
     ) -> None:
         """Hear the frames of a stream until it ends, is spoilt, or says nothing for too long."""
-        splitter = Splitter()
+        splitter = FrameSplitter()
         buffer = bytearray(PIECE)
         while stands():
-            async with asyncio.timeout(PART_S if splitter.held else patience_s):
+            async with asyncio.timeout(PART_S if splitter.buffered_bytes else patience_s):
                 n = await self._loop.sock_recv_into(sock, buffer)
             if not n:
                 return
             began_us = self._clock.fresh()
             for frame in splitter.feed(bytes(buffer[:n])):
                 if stands():  # one of them may have been the end of all
-                    self._heard(sender, frame, Road.STREAM)
-            if splitter.broken is not None:
+                    self._heard(sender, frame, Transport.STREAM)
+            if splitter.error is not None:
                 self.counts["unframed"] += 1
                 return
             took_us = self._clock.fresh() - began_us
@@ -447,6 +446,6 @@
     What comes here was said by others.
     """
     try:
-        return address_of(text)
+        return parse_address(text)
     except ValueError:
         return None
--- a/granitewell/operator/cluster.py
+++ b/granitewell/operator/cluster.py
@@ -24,17 +24,17 @@
     MIN_STREAMS,
     MIN_UNHEARD_S,
     ClusterSettings,
-    address,
-    keys_of,
-    name_fits,
-    role_fits,
-    zone_fits,
+    is_valid_name,
+    is_valid_role,
+    is_valid_zone,
+    parse_address,
+    parse_keys,
 )
 from granitewell.files import whole
 from granitewell.operator.problem import Problem, shown
 from granitewell.operator.table import Table
 from granitewell.protocols.peers.frames import Keys
-from granitewell.protocols.peers.gossip import MAX_ROLE, MAX_ZONE
+from granitewell.protocols.peers.gossip import MAX_ROLE_BYTES, MAX_ZONE_BYTES
 
 PLAIN = ClusterSettings()
 OTHERS = stat.S_IRWXG | stat.S_IRWXO  # of a mode: what anybody but the owner may do
@@ -71,12 +71,13 @@
         extra={"allowed": "the path of a file, or empty"},
     )] = ""  # fmt: skip
     role: Annotated[str, Meta(
-        max_length=MAX_ROLE, description="Nodes of one role share budgets.",
-        extra={"restart": True, "allowed": f"1 to {MAX_ROLE} bytes of printable ASCII without blanks"},
+        max_length=MAX_ROLE_BYTES, description="Nodes of one role share budgets.",
+        extra={"restart": True, "allowed": f"1 to {MAX_ROLE_BYTES} bytes of printable ASCII without blanks"},
     )] = PLAIN.role  # fmt: skip
     zone: Annotated[str, Meta(
-        max_length=MAX_ZONE, description="Shown to operators.",
-        extra={"restart": True, "allowed": f"at most {MAX_ZONE} bytes of printable ASCII without blanks"},
+        max_length=MAX_ZONE_BYTES, description="Shown to operators.",
+        extra={"restart": True,
+               "allowed": f"at most {MAX_ZONE_BYTES} bytes of printable ASCII without blanks"},
     )] = PLAIN.zone  # fmt: skip
     folder: Annotated[str, Meta(
         max_length=4096, description="A folder on a disk that lasts, of this node alone, for its life's "
@@ -116,7 +117,7 @@
             if self != type(self)():
                 yield Problem(("name",), "nothing", "this node is in no fleet", note=True)
             return
-        if not name_fits(self.name):
+        if not is_valid_name(self.name):
             yield Problem(("name",), shown(self.name), ALLOWED_NAME)
         for field, text in (("bind", self.bind), ("advertise", self.advertise or self.bind)):
             if (why := _address(text)) and not (field == "advertise" and not self.advertise):
@@ -124,10 +125,10 @@
         for k, seed in enumerate(self.seeds):
             if why := _address(seed):
                 yield Problem(("seeds", k), why, ALLOWED_ADDRESS)
-        if not role_fits(self.role):
-            yield Problem(("role",), shown(self.role), f"1 to {MAX_ROLE} bytes of printable ASCII")
-        if not zone_fits(self.zone):
-            yield Problem(("zone",), shown(self.zone), f"at most {MAX_ZONE} bytes of printable ASCII")
+        if not is_valid_role(self.role):
+            yield Problem(("role",), shown(self.role), f"1 to {MAX_ROLE_BYTES} bytes of printable ASCII")
+        if not is_valid_zone(self.zone):
+            yield Problem(("zone",), shown(self.zone), f"at most {MAX_ZONE_BYTES} bytes of printable ASCII")
         try:
             read_keys(self.keys)
         except ValueError as error:
@@ -137,7 +138,7 @@
 
 def _address(text: str) -> str:
     try:
-        address(text)
+        parse_address(text)
     except ValueError:
         return shown(text) if text else "nothing"
     return ""
@@ -162,4 +163,4 @@
     except OSError as error:
         found = f"found nothing that can be read ({error.strerror})"
         raise ValueError(f"{found}, allowed: {ALLOWED_KEYS}") from None
-    return keys_of(raw)
+    return parse_keys(raw)
--- a/granitewell/protocols/peers/gossip.py
+++ b/granitewell/protocols/peers/gossip.py
@@ -1,11 +1,11 @@
-"""Bodies of membership messages: who is alive, as members tell each other.
+"""Bodies of membership messages.
 
-It owns their fields, bounds and how claims are packed into what room a message has left. It must never know
-which claim wins, nor who is asked. Ages are lengths in seconds; no message carries a reading of a clock.
+This module defines their fields and bounds and the packing of assertions into the free bytes of a message.
+Ages are durations in seconds; no message carries a clock reading.
 
-`number` ties an answer to its question: whoever asks draws it from a counter of its own process. `birth` is
-the random number of a process; `to` is the birth of the process that a letter is for, and 0 in `Hello` alone,
-which is said before it is known.
+`number` ties an answer to its request; the requester draws it from a counter of its process. `birth` is the
+random id of a process. `to` is the birth id of the receiving process; it is 0 only in `Hello`, which is sent
+before that id is known.
 """
 
 from __future__ import annotations
@@ -15,40 +15,46 @@
 
 import msgspec
 
-from granitewell.protocols.peers.bodies import Bodies, Body, Count
-from granitewell.protocols.peers.frames import HEAD, MAX_DATAGRAM, MAX_NAME, TAG
+from granitewell.protocols.peers.bodies import Body, BodyCodec, Count
+from granitewell.protocols.peers.frames import HEADER_BYTES, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, TAG_BYTES
 
-MAX_INC = 1 << 40  # an incarnation above it is not believed: nobody changes so often
+MAX_INC = 1 << 40  # higher incarnations are rejected: no process changes that often
 MAX_GEN = 1 << 32
-MAX_ROLE, MAX_ADDRESS, MAX_ZONE, MAX_PAYLOAD, MAX_VERSIONS = 16, 64, 32, 128, 8
-BUCKETS = 32  # parts of a table that are compared by a digest each
-DIGEST = 8  # bytes of one
-MAX_PAGE = 32_768  # bytes of claims in one letter on a stream
+MAX_ROLE_BYTES, MAX_ADDRESS_BYTES, MAX_ZONE_BYTES, MAX_PAYLOAD_BYTES, MAX_VERSIONS = 16, 64, 32, 128, 8
+TABLE_PARTITIONS = 32  # partitions of a table, each compared by its digest
+DIGEST_BYTES = 8
+MAX_PAGE_BYTES = 32_768  # of assertions in one message on a stream
 
 Birth = Annotated[int, msgspec.Meta(ge=1, le=(1 << 63) - 1)]
-To = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
+ReceiverBirth = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Inc = Annotated[int, msgspec.Meta(ge=0, le=MAX_INC)]
 Gen = Annotated[int, msgspec.Meta(ge=1, le=MAX_GEN)]
 Age = Annotated[int, msgspec.Meta(ge=0, le=1 << 32)]
 State = Annotated[int, msgspec.Meta(ge=0, le=3)]  # alive, suspect, dead, left
-Named = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
-By = Annotated[str, msgspec.Meta(max_length=MAX_NAME)]
-Address = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ADDRESS)]
-Role = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ROLE)]
-Zone = Annotated[str, msgspec.Meta(max_length=MAX_ZONE)]
-Payload = Annotated[bytes, msgspec.Meta(max_length=MAX_PAYLOAD)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_BYTES)]
+Reporter = Annotated[str, msgspec.Meta(max_length=MAX_NAME_BYTES)]
+Address = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ADDRESS_BYTES)]
+Role = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ROLE_BYTES)]
+Zone = Annotated[str, msgspec.Meta(max_length=MAX_ZONE_BYTES)]
+Payload = Annotated[bytes, msgspec.Meta(max_length=MAX_PAYLOAD_BYTES)]
 Version = Annotated[int, msgspec.Meta(ge=0, le=255)]
 Versions = Annotated[tuple[Version, ...], msgspec.Meta(min_length=1, max_length=MAX_VERSIONS)]
-Digests = Annotated[bytes, msgspec.Meta(min_length=BUCKETS * DIGEST, max_length=BUCKETS * DIGEST)]
-Mask = Annotated[int, msgspec.Meta(ge=0, le=(1 << BUCKETS) - 1)]
+Digests = Annotated[
+    bytes,
+    msgspec.Meta(min_length=TABLE_PARTITIONS * DIGEST_BYTES, max_length=TABLE_PARTITIONS * DIGEST_BYTES),
+]
+Mask = Annotated[int, msgspec.Meta(ge=0, le=(1 << TABLE_PARTITIONS) - 1)]
 
 
 class About(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """What a member says of itself.
+    """A member's description of itself.
 
     Attributes:
-        versions: Of the wire, that it reads.
-        payload: The subject's own.
+        role: Its role.
+        address: Address at which others reach it.
+        zone: Its zone.
+        versions: Wire versions that it reads.
+        payload: Bytes of the application.
     """
 
     role: Role
@@ -58,27 +64,38 @@
     payload: Payload = b""
 
 
-class Claim(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of a member: the process `birth`, which is the gen-th life of that name, is in that state
-    at that incarnation. age_s: of dead and left, since when. by: who suspects it or calls it dead. about:
-    with alive alone, from the member itself. Fields are sent by place: later versions add at the end.
+class Assertion(msgspec.Struct, frozen=True, array_like=True):
+    """Asserts the state of a process at an incarnation.
+
+    Fields are encoded by position; later versions add fields at the end.
+
+    Attributes:
+        name: Member name.
+        gen: Generation of the process under that name.
+        birth: Its birth id.
+        inc: Its incarnation.
+        state: Its state.
+        age_s: Time since it died or left.
+        by: Member that suspects it or declared it dead.
+        about: Its own description; only with state alive.
     """
 
-    name: Named
+    name: Name
     gen: Gen
     birth: Birth
     inc: Inc
     state: State
     age_s: Age = 0
-    by: By = ""
+    by: Reporter = ""
     about: About | None = None
 
 
 class Ping(Body, frozen=True, tag="ping"):
-    """Are you there?
+    """Requests an Ack.
 
     Attributes:
-        seen: A digest of those whom the asker has as up, 0 where it does not say.
+        number: Request number.
+        seen: Digest of the processes that are up for the sender; 0 if not given.
     """
 
     number: Count
@@ -86,10 +103,11 @@
 
 
 class Ack(Body, frozen=True, tag="ack"):
-    """Yes; or, from a helper: it is.
+    """Answers a Ping; from a helper, tells that the target of a Relay has answered.
 
     Attributes:
-        seen: As in a ping.
+        number: Number of the Ping or Relay.
+        seen: Digest as in Ping.
     """
 
     number: Count
@@ -97,28 +115,28 @@
 
 
 class Nack(Body, frozen=True, tag="nack"):
-    """From a helper: I am here, and have not heard from it yet."""
+    """Sent by a helper: the target of a Relay has not answered yet."""
 
     number: Count
 
 
 class Relay(Body, frozen=True, tag="relay"):
-    """Ping that process for me."""
+    """Asks a helper to ping a process (ping-req in SWIM)."""
 
     number: Count
-    name: Named
+    name: Name
     birth: Birth
     address: Address
 
 
 class Rumour(Body, frozen=True, tag="rumour"):
-    """Nothing but the claims that come with it."""
+    """Carries nothing but the assertions in its envelope."""
 
 
 class Hello(Body, frozen=True, tag="hello"):
-    """Let us compare tables; answer to that address.
+    """Starts a table comparison; the answer goes to the given address.
 
-    Nothing of it is believed, since it may be an old one.
+    Nothing in it is trusted, since it may be a replay.
     """
 
     number: Count
@@ -126,10 +144,12 @@
 
 
 class Welcome(Body, frozen=True, tag="welcome"):
-    """The answer.
+    """Answers a Hello.
 
     Attributes:
-        token: Shows, when it comes back, that it is not an old hello that was answered.
+        number: Number of the Hello.
+        token: Returned in Push, which shows that the Hello was not a replay.
+        digests: Digests of all table partitions.
     """
 
     number: Count
@@ -138,11 +158,13 @@
 
 
 class Push(Body, frozen=True, tag="push"):
-    """Claims of the asker's, from the parts that differ.
+    """Carries the initiator's assertions of the partitions that differ.
 
     Attributes:
-        want: The parts of which it wants the other's, after the last letter of them (more False); 0: it needs
-            nothing more.
+        number: Number of the Hello.
+        token: Token of the Welcome.
+        want: In the last message, bit mask of the partitions whose assertions it requests; otherwise 0.
+        more: Whether further messages follow.
     """
 
     number: Count
@@ -152,70 +174,79 @@
 
 
 class Page(Body, frozen=True, tag="page"):
-    """Claims of the one asked.
+    """Carries the responder's assertions.
 
     Attributes:
-        more: Further letters of them follow.
+        number: Number of the Hello.
+        more: Whether further messages follow.
     """
 
     number: Count
     more: bool = False
 
 
-Said = Ping | Ack | Nack | Relay | Rumour | Hello | Welcome | Push | Page
-_SHORT = {"birth": "b", "to": "o", "seq": "s", "said": "m", "claims": "c"}
+Message = Ping | Ack | Nack | Relay | Rumour | Hello | Welcome | Push | Page
+_WIRE_NAMES = {"birth": "b", "to": "o", "seq": "s", "message": "m", "assertions": "c"}
 
 
-class Letter(Body, frozen=True, tag="g", rename=_SHORT):
-    """What is sealed.
+class Envelope(Body, frozen=True, tag="g", rename=_WIRE_NAMES):
+    """The body of a gossip frame.
 
     Attributes:
-        birth: Of the sender's process.
-        to: Of the receiver's.
-        seq: Higher in each letter of a process, so that none is heard twice.
+        birth: Birth id of the sending process.
+        to: Birth id of the receiving process.
+        seq: Sequence number, greater in each message of a process; protects against replays.
+        message: The message.
+        assertions: Piggybacked assertions.
     """
 
     birth: Birth
-    to: To
+    to: ReceiverBirth
     seq: Count
-    said: Said
-    claims: list[Claim] = msgspec.field(default_factory=list)
+    message: Message
+    assertions: list[Assertion] = msgspec.field(default_factory=list)
 
 
-LETTERS: Bodies[Letter] = Bodies(Letter)
-_PACK = msgspec.msgpack.Encoder()
+CODEC: BodyCodec[Envelope] = BodyCodec(Envelope)
+_ENCODER = msgspec.msgpack.Encoder()
 
 
-def word(text: str) -> bool:
-    """Whether it is printable ASCII without spaces, as names, addresses, roles and zones have to be."""
+def is_printable(text: str) -> bool:
+    """Whether it is printable ASCII without spaces, as names, addresses, roles and zones must be."""
     return text.isascii() and text.isprintable() and " " not in text
 
 
-def sound(claim: Claim) -> bool:
-    """What the bounds don't say.
+def is_valid(assertion: Assertion) -> bool:
+    """Whether an assertion is valid beyond the bounds that the codec checks.
 
-    To be asked before a claim changes anything; most claims that are heard change nothing, so the codec does
-    not ask it of each.
+    Called only for assertions that would change something. Most received ones do not, so the codec does not
+    check this for each.
     """
-    about = claim.about
-    if not (word(claim.name) and word(claim.by)) or (about is None) != (claim.state != 0):
+    about = assertion.about
+    if not (is_printable(assertion.name) and is_printable(assertion.by)) or (about is None) != (
+        assertion.state != 0
+    ):
         return False
-    return about is None or (word(about.role) and word(about.address) and word(about.zone))
+    return about is None or (
+        is_printable(about.role) and is_printable(about.address) and is_printable(about.zone)
+    )
 
 
-def packed(claim: Claim) -> bytes:
-    """A claim as it stands in a letter."""
-    return _PACK.encode(claim)
+def pack(assertion: Assertion) -> bytes:
+    """Encode an assertion as it is embedded in an envelope."""
+    return _ENCODER.encode(assertion)
 
 
-def write(letter: Letter, claims: Sequence[bytes] = ()) -> bytes:
-    """The body of a letter that carries these packed claims, and none of its own."""
-    if claims:
-        raw = cast("list[Claim]", [msgspec.Raw(one) for one in claims])
-        letter = msgspec.structs.replace(letter, claims=raw)
-    return LETTERS.write(letter)
+def encode_envelope(envelope: Envelope, assertions: Sequence[bytes] = ()) -> bytes:
+    """Encode an envelope with these packed assertions in place of its own."""
+    if assertions:
+        encoded = cast("list[Assertion]", [msgspec.Raw(one) for one in assertions])
+        envelope = msgspec.structs.replace(envelope, assertions=encoded)
+    return CODEC.encode(envelope)
 
 
-def room(body: bytes, sender: str) -> int:
-    """Bytes that a datagram has left for packed claims beside this body, which carries none."""
-    return MAX_DATAGRAM - HEAD - len(sender) - TAG - len(body) - 5  # the key, and the length of the list
+def free_bytes(body: bytes, sender: str) -> int:
+    """Return the bytes left in a datagram for packed assertions, for a body without any."""
+    return (
+        MAX_DATAGRAM_BYTES - HEADER_BYTES - len(sender) - TAG_BYTES - len(body) - 5
+    )  # the key and the length of the list
--- a/granitewell/protocols/peers/leases.py
+++ b/granitewell/protocols/peers/leases.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from granitewell.protocols.peers.bodies import Bodies, Body, Name, Time
+from granitewell.protocols.peers.bodies import Body, BodyCodec, Name, Time
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 _WIRE_NAMES = {"incarnation": "life", "incarnations": "lives"}
@@ -91,8 +91,7 @@
 
 
 class Release(Body, frozen=True, tag="release", rename=_WIRE_NAMES):
-    """Announces that the sender does not lead in this term any more, so that promises made to it in it are
-    void.
+    """Announces that the sender no longer leads in this term, so that promises made to it are void.
 
     Attributes:
         next: The planner that should lead next.
@@ -139,10 +138,10 @@
     heard: Number = 0
 
 
-Said = Probe | Would | Ask | Grant | No | Release | Oath | Sworn | Here
+Message = Probe | Would | Ask | Grant | No | Release | Oath | Sworn | Here
 
 
-class Letter(Body, frozen=True, tag="lease", rename=_WIRE_NAMES):
+class Envelope(Body, frozen=True, tag="lease", rename=_WIRE_NAMES):
     """The sealed message.
 
     Attributes:
@@ -153,7 +152,7 @@
 
     fleet: Number
     boot: Number
-    said: Said
+    said: Message
 
 
-LETTERS: Bodies[Letter] = Bodies(Letter)
+CODEC: BodyCodec[Envelope] = BodyCodec(Envelope)
--- a/granitewell/quotas/state_machine.py
+++ b/granitewell/quotas/state_machine.py
@@ -14,12 +14,12 @@
 from random import Random
 
 from granitewell.protocols.peers.frames import Frame, Keys, Kind, open_, seal
-from granitewell.protocols.peers.limits import Bucket
-from granitewell.protocols.peers.rights import LETTERS, MAX_LOANS, Back, Lend, Want
+from granitewell.protocols.peers.limits import TokenBucket
+from granitewell.protocols.peers.rights import CODEC, MAX_LOANS, Back, Lend, Want
 from granitewell.quotas.budget import Budget
 from granitewell.quotas.quota_transfer import Quota
 from granitewell.quotas.types import MILLI, ActiveNodes, BudgetTotals, KeysChanged, QuotaSettings
-from granitewell.state_machine import Heard, Say, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
 
 MAX_PEERS_PER_ROUND = 3
 MAX_PENDING_REQUESTS_PER_BUDGET = 64
@@ -74,8 +74,8 @@
         self._recovery_end_us = now_us if first else now_us + settings.lender_loan_us
         self._max_nodes = 1
         self._peers: dict[str, str] = {}
-        self._sender_limits: dict[str, Bucket] = {}
-        self._total_limit = Bucket(MAX_MESSAGES_PER_S, now_us)
+        self._sender_limits: dict[str, TokenBucket] = {}
+        self._total_limit = TokenBucket(MAX_MESSAGES_PER_S, now_us)
         self._pending: dict[int, tuple[int, str, str]] = {}  # by number: time sent, peer, key
         self._request_number = int(rng.random() * (1 << 30)) << 20
         self._round_us = now_us + int(rng.random() * settings.round_interval_us)
@@ -83,7 +83,7 @@
 
     @property
     def wake_us(self) -> int:
-        """When Woken is due, in microseconds; -1 for never."""
+        """When TimerFired is due, in microseconds; -1 for never."""
         return self._round_us if self.budgets else -1
 
     def try_acquire(self, now_us: int, key: str) -> int:
@@ -102,21 +102,21 @@
 
         Args:
             now_us: Time now, in microseconds.
-            event: Heard, Woken, ActiveNodes, BudgetTotals or KeysChanged.
+            event: MessageReceived, TimerFired, ActiveNodes, BudgetTotals or KeysChanged.
 
         Returns:
-            Messages to send, as Say.
+            Messages to send, as SendMessage.
 
         Raises:
             TypeError: The event is of another type.
         """
         effects = self._effects = []
         self._now_us = max(now_us, self._now_us)
-        if isinstance(event, Heard):
+        if isinstance(event, MessageReceived):
             cause = self._handle_message(event)
             if cause:
                 self.counts[f"dropped {cause}"] += 1
-        elif isinstance(event, Woken):
+        elif isinstance(event, TimerFired):
             if self._now_us >= self._round_us:
                 self._run_round()
         elif isinstance(event, ActiveNodes):
@@ -221,12 +221,12 @@
 
     def _send(self, name: str, body: Want | Lend | Back, address: str = "") -> None:
         """Send a message, to the address of a request if one is given."""
-        data = seal(Kind.RIGHT, LETTERS.write(body), self._keys, self.name)
+        data = seal(Kind.RIGHT, CODEC.encode(body), self._keys, self.name)
         self.counts[f"{type(body).__name__.lower()} sent"] += 1
-        self._effects.append(Say(address or self._peers[name], data))
+        self._effects.append(SendMessage(address or self._peers[name], data))
 
     # --- Messages ---------------------------------------------------------------------------------------
-    def _handle_message(self, heard: Heard) -> str:
+    def _handle_message(self, heard: MessageReceived) -> str:
         """Handle a message; return why it was dropped, or ""."""
         if not self._total_limit.take(self._now_us):
             return "total_rate"
@@ -241,11 +241,11 @@
     def _check_sender(self, name: str) -> str:
         if name not in self._peers or name == self.name:
             return "unknown_peer"
-        limit = self._sender_limits.setdefault(name, Bucket(MAX_MESSAGES_PER_SENDER_PER_S, self._now_us))
+        limit = self._sender_limits.setdefault(name, TokenBucket(MAX_MESSAGES_PER_SENDER_PER_S, self._now_us))
         return "" if limit.take(self._now_us) else "sender_rate"
 
     def _handle_body(self, name: str, data: bytes, address: str) -> str:
-        body = LETTERS.read(data)
+        body = CODEC.decode(data)
         if body is None:
             return "malformed"
         self.counts[f"{type(body).__name__.lower()} received"] += 1
--- a/granitewell/shared_counters/state_machine.py
+++ b/granitewell/shared_counters/state_machine.py
@@ -15,15 +15,23 @@
 from random import Random
 from typing import NamedTuple
 
-from granitewell.protocols.peers.counts import LETTERS, MAX_SLICES, Ask, Slice, Slot, Word
-from granitewell.protocols.peers.frames import MAX_DATAGRAM, OVERHEAD, Frame, Keys, Kind, open_, seal
-from granitewell.protocols.peers.limits import Bucket
+from granitewell.protocols.peers.counts import CODEC, MAX_SLICES, Ask, Slice, Slot, Word
+from granitewell.protocols.peers.frames import (
+    MAX_DATAGRAM_BYTES,
+    MAX_OVERHEAD_BYTES,
+    Frame,
+    Keys,
+    Kind,
+    open_,
+    seal,
+)
+from granitewell.protocols.peers.limits import TokenBucket
 from granitewell.shared_counters.local_counts import Own
 from granitewell.shared_counters.remote_counts import Node
 from granitewell.shared_counters.types import Figure, Figures, Part, Peer, Peers, Rekey, Took
-from granitewell.state_machine import Heard, Say, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
 
-ROOM = MAX_DATAGRAM - OVERHEAD
+ROOM = MAX_DATAGRAM_BYTES - MAX_OVERHEAD_BYTES
 FIXED = 96  # bytes of a word without slots and slices, at the most
 ASK_BYTES = 160  # of a whole question, about
 WORDS = 4  # letters in one answer, where there is much to tell
@@ -45,7 +53,7 @@
     __slots__ = ("bucket", "due_us", "sent")
 
     def __init__(self, due_us: int, now_us: int) -> None:
-        self.due_us, self.bucket = due_us, Bucket(PER_SENDER, now_us)
+        self.due_us, self.bucket = due_us, TokenBucket(PER_SENDER, now_us)
         self.sent: dict[int, tuple[int, str]] = {}
 
 
@@ -94,7 +102,7 @@
         self._former.gone_us = now_us
         self._around_us = now_us  # when another is next asked of a silent node
         self._number = int(rng.random() * (1 << 30)) << 20
-        self._total = Bucket(IN_ALL, now_us)
+        self._total = TokenBucket(IN_ALL, now_us)
         self._spare, self._spare_us = float(figures.bytes_per_s), now_us
         self._forgot_us = now_us  # when what has left the window last went
         self._turned_us = now_us  # when it was last looked at whom to ask: no request puts that off
@@ -103,7 +111,7 @@
     # --- What others see --------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
-        """When Woken is wanted; -1 for never."""
+        """When TimerFired is wanted; -1 for never."""
         due = min((self._asked[n].due_us for n, p in self._peers.items() if p.up), default=-1)
         return max(due, self._turned_us + TICK_US) if due >= 0 else -1
 
@@ -156,9 +164,9 @@
         now_us = self._now_us = max(now_us, self._now_us)
         if isinstance(event, Took):
             self.own.took(now_us, event.key, event.count)
-        elif isinstance(event, Heard):
+        elif isinstance(event, MessageReceived):
             self._heard(event)
-        elif isinstance(event, Woken):
+        elif isinstance(event, TimerFired):
             self._turn()
         elif isinstance(event, Peers):
             self._take(event)
@@ -257,11 +265,11 @@
         self._say(self._peers[name].address, ask)
 
     def _say(self, address: str, letter: Ask | Word) -> None:
-        data = seal(Kind.COUNT, LETTERS.write(letter), self._keys, self.name)
+        data = seal(Kind.COUNT, CODEC.encode(letter), self._keys, self.name)
         self._spare -= len(data)
         self.counts[f"{type(letter).__name__.lower()} said"] += 1
         self.counts["said_bytes"] += len(data)
-        self._out.append(Say(address, data))
+        self._out.append(SendMessage(address, data))
 
     def _save(self) -> None:
         per_s, passed_us = self.figures.bytes_per_s, self._now_us - self._spare_us
@@ -269,12 +277,12 @@
         self._spare_us = self._now_us
 
     # --- Hearing ----------------------------------------------------------------------------------------
-    def _heard(self, heard: Heard) -> None:
+    def _heard(self, heard: MessageReceived) -> None:
         wrong = self._looked_at(heard)
         if wrong:
             self.counts[f"dropped {wrong}"] += 1
 
-    def _looked_at(self, heard: Heard) -> str:
+    def _looked_at(self, heard: MessageReceived) -> str:
         """Take a letter up; why not, or nothing."""
         if not self._total.take(self._now_us):
             return "in_all"
@@ -288,7 +296,7 @@
             return "stranger"
         if not asked.bucket.take(self._now_us):
             return "sender"
-        letter = LETTERS.read(frame.body)
+        letter = CODEC.decode(frame.body)
         if letter is None:
             return "malformed"
         self.counts[f"{type(letter).__name__.lower()} heard"] += 1
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -13,11 +13,11 @@
 from granitewell.lab.cluster.budgets_search import look
 from granitewell.lab.cluster.days import Case
 from granitewell.protocols.peers.frames import Frame, Key, Keys, Kind, open_, seal
-from granitewell.protocols.peers.rights import LETTERS, Back, Lend, Want
+from granitewell.protocols.peers.rights import CODEC, Back, Lend, Want
 from granitewell.quotas.quota_transfer import Quota
 from granitewell.quotas.state_machine import QuotaManager
 from granitewell.quotas.types import MILLI, ActiveNodes, BudgetTotals, KeysChanged, QuotaSettings
-from granitewell.state_machine import Heard, Say, Woken
+from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
 
 S = 1_000_000
 # Planted defects that random simulations must find.
@@ -36,15 +36,15 @@
     return made
 
 
-def exchange_messages(now: int, *nodes: QuotaManager) -> list[Say]:
+def exchange_messages(now: int, *nodes: QuotaManager) -> list[SendMessage]:
     """Wake all nodes and deliver their messages immediately, and the replies too."""
-    by_name, heard = {n.name: n for n in nodes}, list[Say]()
-    said = [(n.name, e) for n in nodes for e in n.handle(now, Woken())]
+    by_name, heard = {n.name: n for n in nodes}, list[SendMessage]()
+    said = [(n.name, e) for n in nodes for e in n.handle(now, TimerFired())]
     while said:
         source, say = said.pop(0)
-        assert isinstance(say, Say)
+        assert isinstance(say, SendMessage)
         heard.append(say)
-        said += [(say.to, e) for e in by_name[say.to].handle(now, Heard(source, say.data))]
+        said += [(say.to, e) for e in by_name[say.to].handle(now, MessageReceived(source, say.data))]
     return heard
 
 
@@ -164,13 +164,13 @@
     a, b = node("a"), node("b")
     for k in range(400):
         a.try_acquire(k * 1_000, KEY)
-    (want,) = (e for e in a.handle(S, Woken()) if isinstance(e, Say))
-    (lend,) = (e for e in b.handle(S, Heard("a", want.data)) if isinstance(e, Say))
-    a.handle(S, Heard("b", lend.data))
+    (want,) = (e for e in a.handle(S, TimerFired()) if isinstance(e, SendMessage))
+    (lend,) = (e for e in b.handle(S, MessageReceived("a", want.data)) if isinstance(e, SendMessage))
+    a.handle(S, MessageReceived("b", lend.data))
     once = available_rate(a, S)
-    a.handle(S, Heard("b", lend.data))
+    a.handle(S, MessageReceived("b", lend.data))
     assert available_rate(a, S) == once > 50.0
-    a.handle(3_600 * S, Heard("b", lend.data))
+    a.handle(3_600 * S, MessageReceived("b", lend.data))
     assert available_rate(a, 3_600 * S) == 50.0
 
 
@@ -215,15 +215,15 @@
         (b"x" * 99, "magic"), (seal(Kind.COUNT, b"", KEYS, "b"), "kind"),
         (seal(Kind.RIGHT, b"", Keys(Key(b"q" * 20)), "b"), "key"),
         (seal(Kind.RIGHT, b"\x80", KEYS, "b"), "malformed"),
-        (seal(Kind.RIGHT, LETTERS.write(Want(1, KEY, 9)), KEYS, "z"), "unknown_peer"),
-        (seal(Kind.RIGHT, LETTERS.write(Want(1, "none", 9)), KEYS, "b"), "unknown_budget"),
-        (seal(Kind.RIGHT, LETTERS.write(Lend(1, KEY, 9, [1, 50])), KEYS, "b"), "unsolicited"),
+        (seal(Kind.RIGHT, CODEC.encode(Want(1, KEY, 9)), KEYS, "z"), "unknown_peer"),
+        (seal(Kind.RIGHT, CODEC.encode(Want(1, "none", 9)), KEYS, "b"), "unknown_budget"),
+        (seal(Kind.RIGHT, CODEC.encode(Lend(1, KEY, 9, [1, 50])), KEYS, "b"), "unsolicited"),
     ],
 )  # fmt: skip
 def test_invalid_messages_are_counted_and_ignored(data: bytes, why: str) -> None:
     a = node("a")
     assert (
-        a.handle(S, Heard("b", data)) == []
+        a.handle(S, MessageReceived("b", data)) == []
         and a.counts[f"dropped {why}"] == 1
         and available_rate(a, S) == 50.0
     )
@@ -232,7 +232,7 @@
 @settings(max_examples=100, deadline=None)
 @given(st.binary(max_size=200))
 def test_arbitrary_authenticated_bytes_raise_nothing(body: bytes) -> None:
-    node("a").handle(S, Heard("b", seal(Kind.RIGHT, body, KEYS, "b")))
+    node("a").handle(S, MessageReceived("b", seal(Kind.RIGHT, body, KEYS, "b")))
 
 
 def test_keys_are_replaced_and_every_planted_defect_is_covered() -> None:
@@ -241,6 +241,6 @@
     a.handle(0, KeysChanged(other))
     for k in range(400):
         a.try_acquire(k * 1_000, KEY)
-    assert isinstance(open_(next(e for e in a.handle(S, Woken()) if isinstance(e, Say)).data, other), Frame)
+    assert isinstance(open_(next(e for e in a.handle(S, TimerFired()) if isinstance(e, SendMessage)).data, other), Frame)
     assert set(PLANTS) == {*FOUND_BY_RANDOM_FAULTS, "back-forgotten", "stall-spends", "floor-lent"}
-    assert LETTERS.read(LETTERS.write(Back(KEY, 1, [2]))) == Back(KEY, 1, [2])
+    assert CODEC.decode(CODEC.encode(Back(KEY, 1, [2]))) == Back(KEY, 1, [2])
