--- a/benchmarks/status_cost.py
+++ b/benchmarks/status_cost.py
@@ -28,7 +28,7 @@
 from granitewell.balancing.interface import Effect, RequestClass, Settings, State, View
 from granitewell.config import Config
 from granitewell.net import status
-from granitewell.net.logs import HEAD_START_US, Log
+from granitewell.net.logs import CLOCK_ORIGIN_US, Log
 from granitewell.net.loop import Node
 from granitewell.status import snapshot, wire
 from granitewell.status.types import MAX_WORST, StatusSettings
@@ -53,7 +53,7 @@
     """A core with such a fleet, one endpoint in fifty ill for the first class."""
     made = config()
     core = c.Core(made.settings, Balancer(made.settings, 7), HELD)
-    now = HEAD_START_US
+    now = CLOCK_ORIGIN_US
     members = tuple(
         c.Member(b"10.%d.%d.%d:9000" % (k >> 16, k >> 8 & 255, k & 255), ("10.0.0.1", 9000), k % 2, 0, 0,
                  State.READY, 1.0, 0)
@@ -74,8 +74,8 @@
     """How long each step takes in ms, CPU and by the clock: looks without a loop."""
     took: list[tuple[float, float]] = []
     for n in range(times):
-        now = node.clock.fresh()
-        seen = snapshot.look(node._core, status.sockets(node), status.about(node), now, MAX_WORST)
+        now = node.clock.read_now()
+        seen = snapshot.look(node._core, status.socket_counts(node), status.node_info(node), now, MAX_WORST)
         asked = wire.Asked((wire.STATUS, wire.METRICS)[n % 2], worst)
         driven(wire.body(asked, driven(seen, took)), took)
     return took
@@ -117,13 +117,13 @@
     """The turns without and with a client that asks without a pause; answers a second."""
     quiet, busy = Turns(), Turns()
     with tempfile.TemporaryDirectory() as folder:
-        status.serve(node, StatusSettings(at=f"{folder}/s", worst=worst))
+        status.serve_status(node, StatusSettings(at=f"{folder}/s", worst=worst))
         for turns, job in (quiet, asyncio.sleep(1.0)), (busy, fetching(f"{folder}/s")):
             watching = asyncio.create_task(turns.watch())
             answers = await job or 0
             turns.over = True
             await watching
-        status.serve(node, StatusSettings())
+        status.serve_status(node, StatusSettings())
     return quiet, busy, answers / ASKING_S
 
 
@@ -153,7 +153,7 @@
         took = steps(node, worst, times)
         cpu, clock = sorted(x for x, _ in took), sorted(x for _, x in took)
         whole, at = sum(cpu) / times, len(took) * 99 // 100
-        share = whole / (whole + min(whole * status.REST, status.MAX_REST_US / 1000))
+        share = whole / (whole + min(whole * status.REST_RATIO, status.MAX_REST_US / 1000))
         quiet, busy, answers = await asking(node, worst)
         return [f"{whole:.1f}", f"{len(took) / times:.0f}", f"{cpu[at]:.2f}, {cpu[-1]:.2f}",
                 f"{clock[at]:.2f}, {clock[-1]:.2f}", f"{quiet.cpu:.1f}, {busy.cpu:.1f}",
--- a/granitewell/__main__.py
+++ b/granitewell/__main__.py
@@ -46,19 +46,19 @@
     Nothing of status and cluster is imported before it asks for them. OSError: the cluster's address can't be
     had.
     """
-    node.log.take(live.held.log.settings())
+    node.log.apply_settings(live.held.log.settings())
     cluster = live.held.cluster.settings()
     if cluster.name or joined:
-        from granitewell.net.cluster import join
+        from granitewell.net.cluster import start_or_reconfigure
 
-        join(joined, node, cluster, live.held.counts.figures())
+        start_or_reconfigure(joined, node, cluster, live.held.counts.figures())
     status = live.held.status.settings()
-    if status.at or node.door is not None:
-        from granitewell.net.status import serve
+    if status.at or node.status_server is not None:
+        from granitewell.net.status import serve_status
 
-        serve(node, status)
+        serve_status(node, status)
         for one in joined:
-            one.tell(node)
+            one.attach_to_status_server(node)
 
 
 def _stop(node: Node, joined: list[Cluster]) -> None:
@@ -75,9 +75,9 @@
     try:
         node.reload(reload(os.environ, node.check))
     except ConfigError as error:
-        node.say("reload", f"the configuration stays as it is: {error}")
+        node.log_line("reload", f"the configuration stays as it is: {error}")
     except Exception as error:  # a defect: the operator file is taken up all the same
-        node.say("fault", f"the reload failed: {type(error).__name__}: {error}")
+        node.log_line("fault", f"the reload failed: {type(error).__name__}: {error}")
     if live is not None:
         plan = live.again()
         _take(node, live, joined)
@@ -90,10 +90,10 @@
     """
 
     def warned(message: Warning | str, category: type[Warning], *_: Any, **__: Any) -> None:
-        node.say("fault", f"{category.__name__}: {message}")
+        node.log_line("fault", f"{category.__name__}: {message}")
 
     def raised(what: sys.UnraisableHookArgs) -> None:
-        node.say("fault", f"{what.err_msg or 'ignored'}: {what.exc_type.__name__}: {what.exc_value}")
+        node.log_line("fault", f"{what.err_msg or 'ignored'}: {what.exc_type.__name__}: {what.exc_value}")
 
     sys.unraisablehook, warnings.showwarning = raised, warned
 
@@ -116,7 +116,7 @@
     node = Node(config, core, loop, handover)
     _heard_of(node)
     if wrong := handover.enter():
-        node.say("handover", wrong)
+        node.log_line("handover", wrong)
     joined: list[Cluster] = []  # where an operator file has the nodes know each other
     if live is not None:
         _take(node, live, joined)
@@ -132,12 +132,12 @@
     try:
         await node.run()
         for cluster in joined:
-            await cluster.gone()
+            await cluster.shut_down()
     finally:
         _ignore_signals()  # nothing is left to be done for any of them
         handover.leave()
-        if node.door is not None:
-            node.door.close()
+        if node.status_server is not None:
+            node.status_server.close()
 
 
 def _operator(path: str) -> Live | int | None:
--- a/granitewell/lab/fleet/planted.py
+++ b/granitewell/lab/fleet/planted.py
@@ -31,15 +31,15 @@
 
 def _leave_late() -> None:
     shell = _cluster()
-    gone, leave = shell.Cluster.gone, shell.Cluster._leave
+    gone, leave = shell.Cluster.shut_down, shell.Cluster._leave
 
     async def late(self: Any) -> None:
-        if self.turn is shell.Turn.HELD:
+        if self.state is shell.ProcessState.ACTIVE:
             leave(self)
         await gone(self)
 
     shell.Cluster._leave = lambda self: None
-    shell.Cluster.gone = late
+    shell.Cluster.shut_down = late
 
 
 def _former(goes_on: bool) -> Callable[[], None]:
@@ -68,23 +68,23 @@
                 await self._loop.sock_sendall(sock, frame)
         except OSError:
             if queue.conn is sock:
-                self._end(queue)
+                self._close_outbound(queue)
         finally:
             queue.writing = False
 
-    peers.Roads._write = write
+    peers.PeerTransport._write = write
 
 
 def _one_lane() -> None:
     peers = _peers()
     asyncio = importlib.import_module("asyncio")
-    right, lanes = peers.Roads._write, dict[int, Any]()
+    right, lanes = peers.PeerTransport._write, dict[int, Any]()
 
     async def write(self: Any, queue: Any, sock: Any) -> None:
         async with lanes.setdefault(id(self), asyncio.Lock()):
             await right(self, queue, sock)
 
-    peers.Roads._write = write
+    peers.PeerTransport._write = write
 
 
 def _slow_disk() -> None:
@@ -100,10 +100,10 @@
 
 def _disk_in_loop() -> None:
     _slow_disk()
-    book = importlib.import_module("granitewell.net.disk_writer").Notebook
+    book = importlib.import_module("granitewell.net.disk_writer").DiskWriter
 
     def write(self: Any, data: bytes) -> None:
-        self._kept.write(data)
+        self._durable_folder.write(data)
 
     book.write = write
 
--- a/granitewell/net/clock.py
+++ b/granitewell/net/clock.py
@@ -8,7 +8,7 @@
 import asyncio
 import time
 
-from granitewell.net.logs import HEAD_START_US
+from granitewell.net.logs import CLOCK_ORIGIN_US
 
 
 class Clock:
@@ -16,35 +16,35 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._turn = -1
-        self._start = time.monotonic_ns() // 1000 - HEAD_START_US
+        self._cached_us = -1
+        self._start = time.monotonic_ns() // 1000 - CLOCK_ORIGIN_US
 
     @property
     def unix_offset_us(self) -> int:
         """Unix time less ours, as of now: over months the wall clock is set right, and then moves in
         steps.
         """
-        return time.time_ns() // 1000 - self.fresh()
+        return time.time_ns() // 1000 - self.read_now()
 
-    def ours(self, unix_us: int) -> int:
+    def from_unix(self, unix_us: int) -> int:
         """A past moment of Unix time on our clock; what claims to lie ahead is now."""
-        now = self.fresh()
+        now = self.read_now()
         return min(unix_us - time.time_ns() // 1000 + now, now)
 
-    def fresh(self) -> int:
+    def read_now(self) -> int:
         """The time now, for what is measured inside one turn."""
         return time.monotonic_ns() // 1000 - self._start
 
-    def by_machine(self, mono_us: int) -> int:
+    def from_monotonic(self, monotonic_us: int) -> int:
         """A moment of the machine's monotonic clock on ours."""
-        return mono_us - self._start
+        return monotonic_us - self._start
 
     def now(self) -> int:
         """The time of this turn."""
-        if self._turn < 0:
-            self._turn = self.fresh()
+        if self._cached_us < 0:
+            self._cached_us = self.read_now()
             self._loop.call_soon(self._next)
-        return self._turn
+        return self._cached_us
 
     def _next(self) -> None:
-        self._turn = -1
+        self._cached_us = -1
--- a/granitewell/net/disk_writer.py
+++ b/granitewell/net/disk_writer.py
@@ -15,64 +15,66 @@
 
 from granitewell.durable_folder import Kept
 
-LONG_US = 1_000_000  # for a write, beyond which it is told of
+SLOW_WRITE_US = 1_000_000  # for a write, beyond which it is told of
 
 
-class Notebook:
+class DiskWriter:
     """Of one folder. Its calls are made in the loop's thread; the disk is asked in another."""
 
-    def __init__(self, kept: Kept, now: Callable[[], int], wrong: Callable[[str], None]) -> None:
+    def __init__(self, durable_folder: Kept, now: Callable[[], int], wrong: Callable[[str], None]) -> None:
         """now: microseconds; wrong: takes what could not be written, in words."""
-        self._kept, self._now, self._wrong = kept, now, wrong
+        self._durable_folder, self._now, self._on_error = durable_folder, now, wrong
         self._loop = asyncio.get_running_loop()
-        self._next: bytes | None = None
-        self._since_us = -1  # of the write that is under way
-        self._waiting: list[Callable[[], None]] = []
+        self._pending: bytes | None = None
+        self._started_us = -1  # of the write that is under way
+        self._callbacks: list[Callable[[], None]] = []
 
     @property
-    def at_work(self) -> bool:
+    def is_writing(self) -> bool:
         """Is a write under way?"""
-        return self._since_us >= 0
+        return self._started_us >= 0
 
     def write(self, data: bytes) -> None:
         """Put that in the file's place as soon as the write that is under way is done.
 
         Of several that wait only the last is written.
         """
-        self._next = data
-        self._go()
+        self._pending = data
+        self._start_next()
 
-    def then(self, call: Callable[[], None]) -> None:
+    def call_when_written(self, callback: Callable[[], None]) -> None:
         """Call this once all that was given has been written, or could not be: at once, where nothing is."""
-        if self.at_work:
-            self._waiting.append(call)
+        if self.is_writing:
+            self._callbacks.append(callback)
         else:
-            call()
+            callback()
 
-    def _go(self) -> None:
-        if self.at_work or self._next is None:
+    def _start_next(self) -> None:
+        if self.is_writing or self._pending is None:
             return
-        data, self._next, self._since_us = self._next, None, self._now()
+        data, self._pending, self._started_us = self._pending, None, self._now()
         # a daemon: a disk that answers no more must not keep the process from ending
-        threading.Thread(target=self._work, args=(data,), name="notebook", daemon=True).start()
+        threading.Thread(target=self._write_in_thread, args=(data,), name="notebook", daemon=True).start()
 
-    def _work(self, data: bytes) -> None:
+    def _write_in_thread(self, data: bytes) -> None:
         """In the thread."""
         try:
-            wrong = self._kept.write(data)
+            wrong = self._durable_folder.write(data)
         except Exception as error:  # the loop must hear that it is over
             wrong = f"{type(error).__name__}: {error}"
         with contextlib.suppress(RuntimeError):  # the loop is closed: the process ends
-            self._loop.call_soon_threadsafe(self._done, wrong)
+            self._loop.call_soon_threadsafe(self._on_written, wrong)
 
-    def _done(self, wrong: str) -> None:
-        took_us, self._since_us = self._now() - self._since_us, -1
+    def _on_written(self, wrong: str) -> None:
+        took_us, self._started_us = self._now() - self._started_us, -1
         if wrong:
-            self._wrong(f"not written down: {wrong}")
-        elif took_us >= LONG_US:
-            self._wrong(f"the disk took {took_us / 1e6:.1f} s for the folder's file; nothing waited for it")
-        self._go()
-        if not self.at_work:
-            waiting, self._waiting = self._waiting, []
-            for call in waiting:
-                call()
+            self._on_error(f"not written down: {wrong}")
+        elif took_us >= SLOW_WRITE_US:
+            self._on_error(
+                f"the disk took {took_us / 1e6:.1f} s for the folder's file; nothing waited for it"
+            )
+        self._start_next()
+        if not self.is_writing:
+            callbacks, self._callbacks = self._callbacks, []
+            for callback in callbacks:
+                callback()
--- a/granitewell/net/listener.py
+++ b/granitewell/net/listener.py
@@ -11,17 +11,17 @@
 import time
 
 from granitewell.config import Config, ConfigError
-from granitewell.net.sockets import bound
+from granitewell.net.sockets import listen_on
 
 BACKLOG = 1024
 MIN_AGE_S = 0.6  # of a process under a CPU limit below one core before it is ready
-MAX_DEBT_S = 2.0  # that a node puts off being ready, whatever its limit says
+MAX_STARTUP_DELAY_S = 2.0  # that a node puts off being ready, whatever its limit says
 
 
-def listening(config: Config) -> socket.socket:
+def open_listener(config: Config) -> socket.socket:
     """The clients' listener: bound here, or the platform's own. ConfigError: the descriptor is none."""
     if config.inherited < 0:
-        return bound(config.listen, BACKLOG)
+        return listen_on(config.listen, BACKLOG)
     field = f"LB_INHERITED_FD: descriptor {config.inherited}"
     try:
         listener = socket.socket(fileno=config.inherited)
@@ -38,17 +38,19 @@
     return listener
 
 
-def start_debt(cpu_s: float, age_s: float, cores: float) -> float:
+def startup_delay_s(cpu_s: float, process_age_s: float, cores: float) -> float:
     """Seconds until the CPU that starting took is within what a limit under one core gives.
 
     A node that is ready before is stopped by that limit while its first requests wait, past the slack of
     their answers. The limit is kept over stretches of time, so a young process is stopped although its mean
     is within it.
     """
-    return min(max(cpu_s / cores, MIN_AGE_S) - age_s, MAX_DEBT_S) if cores < 1.0 else 0.0  # under 0: none
+    return (
+        min(max(cpu_s / cores, MIN_AGE_S) - process_age_s, MAX_STARTUP_DELAY_S) if cores < 1.0 else 0.0
+    )  # under 0: none
 
 
-def age_s() -> float:
+def process_age_s() -> float:
     """Seconds since this process began."""
     with open("/proc/self/stat", "rb") as stat:
         ticks = int(stat.read().rpartition(b")")[2].split()[19])
--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -23,41 +23,48 @@
 from granitewell.config import Config, needs_restart, taken_up
 from granitewell.handover import Handover, Moment
 from granitewell.net import http1
-from granitewell.net.bodies import GAP_S, HOLD_S, STILL_S, Budget, Pour, pump
+from granitewell.net.bodies import (
+    MAX_RESPONSE_BUFFERING_S,
+    RESPONSE_GAP_TIMEOUT_S,
+    STREAM_STALL_TIMEOUT_S,
+    MemoryBudget,
+    ResponseStream,
+    forward_request_body,
+)
 from granitewell.net.clock import Clock
-from granitewell.net.console import SEATS, Console
-from granitewell.net.discovery import ASKED, PUSHED, Discovery
-from granitewell.net.downstream import ONCE_PART, Inbounds, Limits
-from granitewell.net.listener import age_s, listening, start_debt
-from granitewell.net.logs import HEAD_START_US as HEAD_START_US
+from granitewell.net.console import MAX_CONNECTIONS, Console
+from granitewell.net.discovery import POLLED_TIMEOUTS, PUSHED_TIMEOUTS, Discovery
+from granitewell.net.downstream import CROWDED_DIVISOR, Downstream, Limits
+from granitewell.net.listener import open_listener, process_age_s, startup_delay_s
+from granitewell.net.logs import CLOCK_ORIGIN_US as CLOCK_ORIGIN_US
 from granitewell.net.logs import Log as Log
-from granitewell.net.pool import Conn, Pool
-from granitewell.net.sockets import BUFFER
+from granitewell.net.pool import EndpointConnection, Pool
+from granitewell.net.sockets import READ_BUFFER_BYTES
 from granitewell.reload import complete, follow
 
 if TYPE_CHECKING:
-    from granitewell.net.status import Door
+    from granitewell.net.status import StatusServer
 
-RESERVE = 32  # descriptors for the interpreter, the listener, discovery and accidents
-SWEEP_S = 0.1
-IDLE_PART = 0.8  # of connIdleMs, after which an idle outbound connection is closed, well before the far side
-FIRST_S = 1.0  # that a start waits for the first word of discovery
+RESERVED_DESCRIPTORS = 32  # descriptors for the interpreter, the listener, discovery and accidents
+SWEEP_INTERVAL_S = 0.1
+IDLE_RATIO = 0.8  # of connIdleMs, after which an idle outbound connection is closed, well before the far side
+FIRST_LIST_TIMEOUT_S = 1.0  # that a start waits for the first word of discovery
 STALL_US = 20_000  # a timer so late is worth a line: answers at the due time have a slack of 50 ms
-NEXT_PART = 4  # one in so many descriptors is the next process's while it starts beside this one
+SUCCESSOR_DIVISOR = 4  # one in so many descriptors is the next process's while it starts beside this one
 SPARE_DESCRIPTORS = 16  # beyond what it holds, for a process that is to stop
-PARTING_US = 200_000  # for an idle connection to an endpoint there
-CHANGE_OVER_S = 2.0  # for which the names and methods of before a reload still count
+DRAIN_IDLE_US = 200_000  # for an idle connection to an endpoint there
+RELOAD_GRACE_S = 2.0  # for which the names and methods of before a reload still count
 
 
-class _Call:
+class _OutboundCall:
     """An outbound call that is under way."""
 
-    __slots__ = ("dialing", "effect", "go", "task", "wrote")
+    __slots__ = ("dialing", "effect", "may_write", "task", "has_written")
 
     def __init__(self, effect: c.StartCall) -> None:
         self.effect = effect
-        self.dialing = self.go = False
-        self.wrote = False  # bytes may have gone out
+        self.dialing = self.may_write = False
+        self.has_written = False  # bytes may have gone out
         self.task: asyncio.Task[None] | None = None
 
 
@@ -70,50 +77,55 @@
         self._config, self._core, self._loop = config, core, loop
         self.clock = Clock(loop)
         self.log = Log(config.name)
-        self._names = http1.Names(config)
-        self._reader = http1.FleetReader(config, self.clock.ours)
+        self._header_names = http1.HeaderNames(config)
+        self._list_reader = http1.EndpointListReader(config, self.clock.from_unix)
         soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         sockets = config.sockets if soft == resource.RLIM_INFINITY else min(config.sockets, soft)
-        self._sockets = sockets
-        self._budget = Budget(config.memory_mb)
+        self._max_sockets = sockets
+        self._memory = MemoryBudget(config.memory_mb)
         self.limits = Limits(0, 0, 0)
-        self._divide(sockets)
-        self.pool = Pool(loop, self.clock, self.say, self._may_dial)
-        self._pooled()
-        self.clients = Inbounds(
-            loop, self.clock, self.pool, self._names, self._budget, self.limits, self.say, self.dispatch,
-            self._spawn, lambda: core.phase is c.Phase.READY, shared=self._shared,
+        self._divide_descriptors(sockets)
+        self.pool = Pool(loop, self.clock, self.log_line, self._may_dial)
+        self._configure_pool()
+        self.clients = Downstream(
+            loop, self.clock, self.pool, self._header_names, self._memory, self.limits, self.log_line,
+            self.dispatch, self._spawn, lambda: core.phase is c.Phase.READY,
+            shared=self._listener_is_inherited,
         )  # fmt: skip
-        self._calls: dict[int, _Call] = {}
+        self._calls: dict[int, _OutboundCall] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._timer_us = -1
         self._cpu_us = 0  # of this thread, when the timer last came
-        self._left = asyncio.Event()
-        self._changed = 0  # how often the settings have
-        self.discovery = Discovery(loop, self.clock, self._reader, self.dispatch, self.say, self._spawn)
+        self._stopped = asyncio.Event()
+        self._settings_version = 0  # how often the settings have
+        self.discovery = Discovery(
+            loop, self.clock, self._list_reader, self.dispatch, self.log_line, self._spawn
+        )
         self._handover = handover
-        self._others: list[int] = []  # what further processes of this node may hold, as of the last look
-        self._elder = True  # this process was there before those; what it may hold only falls then
+        self._other_claims: list[
+            int
+        ] = []  # what further processes of this node may hold, as of the last look
+        self._is_older = True  # this process was there before those; what it may hold only falls then
         self.console: Console | None = None  # where operators call, where the configuration names an address
-        self.door: Door | None = None  # the status, where an operator file asks for it
+        self.status_server: StatusServer | None = None  # the status, where an operator file asks for it
 
-    def _divide(self, sockets: int) -> None:
+    def _divide_descriptors(self, sockets: int) -> None:
         """So many descriptors are this process's.
 
         Each side has a part that is its own: a third for endpoints; for clients what the usual ones can hold,
         a third too, with room for new ones. Either takes what the other leaves.
         """
-        self._mine = sockets
-        most = self._most_of(sockets)
-        self.limits.most, self.limits.inbound = most, most - most // 3
-        self.limits.outbound = most - min(sockets // 3 + 8, most // 2)
+        self._own_descriptors = sockets
+        max_total = self._max_connections(sockets)
+        self.limits.max_total, self.limits.max_inbound = max_total, max_total - max_total // 3
+        self.limits.max_outbound = max_total - min(sockets // 3 + 8, max_total // 2)
 
     # --- Life -------------------------------------------------------------------------------------------
     async def run(self) -> None:
         """Serve until the core says to leave."""
-        self._loop.set_exception_handler(self._unheard)
-        self.clients.listener = listening(self._config)
+        self._loop.set_exception_handler(self._on_loop_exception)
+        self.clients.listener = open_listener(self._config)
         if self._config.console is not None:
             try:
                 self.console = Console(self, self._config.console, self._loop)
@@ -121,61 +133,67 @@
                 host, port = self._config.console
                 raise OSError(f"console {host}:{port}: {error.strerror or error}") from None
         if self._handover is not None:
-            self._elder = not self._handover.others()
-            self._handover.claim(self._sockets if self._elder else self._sockets // NEXT_PART)
-        self._look()
-        await self._fleet()
-        if not self._shared:  # what another process can accept is left to it until this one can serve
+            self._is_older = not self._handover.others()
+            self._handover.claim(
+                self._max_sockets if self._is_older else self._max_sockets // SUCCESSOR_DIVISOR
+            )
+        self._check_handover()
+        await self._load_endpoints()
+        if (
+            not self._listener_is_inherited
+        ):  # what another process can accept is left to it until this one can serve
             self.clients.open()
-        self._loop.call_later(SWEEP_S, self._sweep)
-        debt_s = start_debt(time.process_time(), age_s(), self._config.cores)
-        if debt_s > 0.0:
-            self.say("start", f"ready {debt_s * 1000:.0f} ms later: the start is not paid for yet")
+        self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        delay_s = startup_delay_s(time.process_time(), process_age_s(), self._config.cores)
+        if delay_s > 0.0:
+            self.log_line("start", f"ready {delay_s * 1000:.0f} ms later: the start is not paid for yet")
             with contextlib.suppress(TimeoutError):  # a stop does not wait for it
-                await asyncio.wait_for(self._left.wait(), debt_s)
+                await asyncio.wait_for(self._stopped.wait(), delay_s)
         self.dispatch(c.Listening())
-        await self._left.wait()
+        await self._stopped.wait()
         if self.console is not None:
             self.console.close()
         await self.clients.close(self._core.leave_by_us)
 
-    async def _fleet(self) -> None:
+    async def _load_endpoints(self) -> None:
         """The first list.
 
         What discovery has counts as told from this process's first moment, so the one in the configuration,
         which may be old, is for where discovery does not answer.
         """
-        self._watch()
+        self._start_discovery()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(FIRST_S):
-                await self.discovery.tried.wait()
-        if self._config.known and self.discovery.heard_us < 0:
+            async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
+                await self.discovery.attempted.wait()
+        if self._config.known and self.discovery.answered_us < 0:
             try:
-                _, news = self._reader.parsed(self._config.known, View.CACHED)
+                _, news = self._list_reader.parse(self._config.known, View.CACHED)
                 self.dispatch(news)
             except ValueError as error:
-                self.say("known", f"the list in the configuration is not usable: {error}")
+                self.log_line("known", f"the list in the configuration is not usable: {error}")
 
-    def _watch(self) -> None:
+    def _start_discovery(self) -> None:
         """Ask the discovery that the configuration names now, in the way that its settings tell."""
-        self.discovery.at(self._config.discovery, ASKED if self._config.settings.must_ask else PUSHED)
+        self.discovery.watch(
+            self._config.discovery, POLLED_TIMEOUTS if self._config.settings.must_ask else PUSHED_TIMEOUTS
+        )
 
-    def _unheard(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _on_loop_exception(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """What a callback of the loop has raised.
 
         Its own handler writes to standard error and waits for whoever reads that: with nobody there, for
         good.
         """
         error = context.get("exception")
-        self.say("fault", f"{context.get('message')}: {type(error).__name__}: {error}")
+        self.log_line("fault", f"{context.get('message')}: {type(error).__name__}: {error}")
 
     def stop(self) -> None:
         """The stop signal has come."""
-        self.dispatch(c.StopAsked(self._shared))
-        self._look()
+        self.dispatch(c.StopAsked(self._listener_is_inherited))
+        self._check_handover()
 
     @property
-    def _shared(self) -> bool:
+    def _listener_is_inherited(self) -> bool:
         """Does the platform hold the clients' listener, so that another process may accept from it?"""
         return self._config.inherited >= 0
 
@@ -184,25 +202,25 @@
         """Where the node is between start and exit."""
         return self._core.phase
 
-    def _look(self) -> None:
+    def _check_handover(self) -> None:
         """What has changed in the hand-over folder.
 
         Bans called at a process beside this one, and whether there is one.
         """
         if self._handover is None:
             return
-        if self._others:  # what they say changes, and one that is killed leaves the folder as it is
-            self._beside(self._handover.others())
+        if self._other_claims:  # what they say changes, and one that is killed leaves the folder as it is
+            self._share_descriptors(self._handover.others())
         if not self._handover.changed():
             return
         kept = self._handover.kept(_moment())
         for broken in kept.broken:
-            self.say("handover", f"passed over: {broken}")
-        back = {k: self.clock.by_machine(v) for k, v in kept.back_us.items()}
-        self.dispatch(c.BansHeard(kept.bans, back))
-        self._beside(self._handover.others())
+            self.log_line("handover", f"passed over: {broken}")
+        restored = {k: self.clock.from_monotonic(v) for k, v in kept.back_us.items()}
+        self.dispatch(c.BansHeard(kept.bans, restored))
+        self._share_descriptors(self._handover.others())
 
-    def _beside(self, others: list[int]) -> None:
+    def _share_descriptors(self, others: list[int]) -> None:
         """Divide the descriptors with the processes beside this one.
 
         The elder leaves a part to the next from its start on, and all that it does not hold once it is to
@@ -210,28 +228,33 @@
         together keep to the limit.
         """
         assert self._handover is not None
-        if len(others) != len(self._others):
-            self.say("handover", f"{len(others)} further processes of this node run")
-            self._budget.most = Budget(self._config.memory_mb / (1 + len(others))).most
-        self._others = others
+        if len(others) != len(self._other_claims):
+            self.log_line("handover", f"{len(others)} further processes of this node run")
+            self._memory.max_bytes = MemoryBudget(self._config.memory_mb / (1 + len(others))).max_bytes
+        self._other_claims = others
         if not others:
-            self._elder = True
-            mine = self._sockets
-        elif self._elder:
-            mine = self._sockets - self._sockets // NEXT_PART
+            self._is_older = True
+            own = self._max_sockets
+        elif self._is_older:
+            own = self._max_sockets - self._max_sockets // SUCCESSOR_DIVISOR
             if self.clients.listener is None:
-                held = len(self.clients.held) + self.pool.held + self._sockets - self._most_of(self._sockets)
-                mine = min(mine, self._mine, held + SPARE_DESCRIPTORS)
+                held = (
+                    len(self.clients.connections)
+                    + self.pool.open_count
+                    + self._max_sockets
+                    - self._max_connections(self._max_sockets)
+                )
+                own = min(own, self._own_descriptors, held + SPARE_DESCRIPTORS)
         else:
-            mine = self._sockets - sum(x if x >= 0 else self._sockets // 2 for x in others)
-            mine = max(mine, self._sockets // NEXT_PART)
-        if mine != self._mine:
-            self._divide(mine)
-        self._handover.claim(mine)
+            own = self._max_sockets - sum(x if x >= 0 else self._max_sockets // 2 for x in others)
+            own = max(own, self._max_sockets // SUCCESSOR_DIVISOR)
+        if own != self._own_descriptors:
+            self._divide_descriptors(own)
+        self._handover.claim(own)
 
-    def _most_of(self, sockets: int) -> int:
+    def _max_connections(self, sockets: int) -> int:
         """What connections may have of so many descriptors."""
-        return max(sockets - RESERVE - (SEATS if self._config.console else 0), 8)
+        return max(sockets - RESERVED_DESCRIPTORS - (MAX_CONNECTIONS if self._config.console else 0), 8)
 
     def _keep_ban(self, effect: c.KeepBan) -> None:
         if self._handover is None:
@@ -241,9 +264,9 @@
             wrong = self._handover.keep(effect.endpoint, effect.banned, _moment())
         finally:
             if wrong:
-                self.say("handover", wrong)
+                self.log_line("handover", wrong)
                 if self.console is not None:
-                    self.console.unkept = wrong
+                    self.console.ban_error = wrong
 
     def reload(self, config: Config) -> None:
         """The configuration has been replaced.
@@ -251,53 +274,53 @@
         Its settings count from now on, and discovery is asked for the whole list at the address that it names
         now, at once. Connections, requests and the list stay.
         """
-        wait = needs_restart(self._config, config)
+        restart_needed = needs_restart(self._config, config)
         old, self._config = self._config, taken_up(self._config, follow(self._config, config))
         if old.raw.get("settings") != self._config.raw.get("settings"):
-            self._settle(old)
-        more = f"; only a restart takes up {', '.join(wait)}" if wait else ""
-        self.say("reload", f"discovery is now {config.discovery[0]}:{config.discovery[1]}{more}")
-        self._watch()
+            self._apply_settings(old)
+        more = f"; only a restart takes up {', '.join(restart_needed)}" if restart_needed else ""
+        self.log_line("reload", f"discovery is now {config.discovery[0]}:{config.discovery[1]}{more}")
+        self._start_discovery()
 
     def check(self, top: dict[str, Any]) -> None:
         """Is this file as whole as the one in force?"""
         complete(self._config.raw, top, "")
 
-    def _settle(self, old: Config) -> None:
+    def _apply_settings(self, old: Config) -> None:
         """Other settings are in force."""
         config = self._config
-        settings = replace(config.settings, zone=self._reader.take(config))
-        self._names.take(config)
-        self._pooled()
-        self._changed += 1
-        self._loop.call_later(CHANGE_OVER_S, self._forget, self._changed)
+        settings = replace(config.settings, zone=self._list_reader.reconfigure(config))
+        self._header_names.reconfigure(config)
+        self._configure_pool()
+        self._settings_version += 1
+        self._loop.call_later(RELOAD_GRACE_S, self._forget_old_names, self._settings_version)
         self.dispatch(c.Settled(settings, config.most_held))
-        came, went = sorted(config.live - old.live), sorted(old.live - config.live)
-        words = [f"; {word}: {', '.join(x)}" for word, x in (("added", came), ("dropped", went)) if x]
-        self.say("reload", f"the settings are taken up{''.join(words)}")
+        added, removed = sorted(config.live - old.live), sorted(old.live - config.live)
+        changes = [f"; {word}: {', '.join(x)}" for word, x in (("added", added), ("dropped", removed)) if x]
+        self.log_line("reload", f"the settings are taken up{''.join(changes)}")
 
-    def _pooled(self) -> None:
+    def _configure_pool(self) -> None:
         """What the settings say of connections to endpoints."""
-        self.pool.idle_us = int(self._config.conn_idle_us * IDLE_PART)
+        self.pool.idle_timeout_us = int(self._config.conn_idle_us * IDLE_RATIO)
         self.pool.dial_timeout_us = self._config.dial_timeout_us
 
-    def _forget(self, change: int) -> None:
-        if change == self._changed:
-            self._names.forget()
+    def _forget_old_names(self, change: int) -> None:
+        if change == self._settings_version:
+            self._header_names.drop_previous()
 
     def _spawn(self, job: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = self._loop.create_task(job)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             error = task.exception()
-            self.say("fault", f"a task failed: {type(error).__name__}: {error}")
+            self.log_line("fault", f"a task failed: {type(error).__name__}: {error}")
 
-    def say(self, topic: str, line: str) -> None:
+    def log_line(self, topic: str, line: str) -> None:
         self.log.write(self.clock.now(), topic, line)
 
     # --- Events and effects -----------------------------------------------------------------------------
@@ -305,57 +328,57 @@
         """Hand an event to the core and run what it asks for."""
         for effect in self._core.handle(self.clock.now(), event):
             try:
-                self._run(effect)
+                self._run_effect(effect)
             except Exception as error:  # one effect's fault must not lose those behind it
-                self.say("fault", f"{type(effect).__name__} failed: {type(error).__name__}: {error}")
-                self._undone(effect)
+                self.log_line("fault", f"{type(effect).__name__} failed: {type(error).__name__}: {error}")
+                self._recover_from_failure(effect)
         wake = self._core.wake_us
         if wake >= 0 and (self._timer is None or wake < self._timer_us):
-            self._arm(wake)
+            self._arm_timer(wake)
 
-    def _undone(self, effect: c.Effects) -> None:
+    def _recover_from_failure(self, effect: c.Effects) -> None:
         """An effect broke: a call ends as one that never began, and a client that would wait for good for its
         answer hears the end of its connection.
         """
         if isinstance(effect, c.StartCall):
             self._calls.pop(effect.call, None)
             self.dispatch(c.CallEnded(effect.call, Outcome.UNCONNECTED))
-        elif isinstance(effect, c.Answer | c.Begin | c.Finish) and effect.inbound in self.clients.held:
-            self.clients.drop(self.clients.held[effect.inbound])
+        elif isinstance(effect, c.Answer | c.Begin | c.Finish) and effect.inbound in self.clients.connections:
+            self.clients.drop(self.clients.connections[effect.inbound])
 
-    def _arm(self, wake_us: int) -> None:
+    def _arm_timer(self, wake_us: int) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer_us = wake_us
-        wait_us = max(wake_us - self.clock.fresh(), 0)
+        wait_us = max(wake_us - self.clock.read_now(), 0)
         # the loop's timers count in milliseconds: rounded up, since an early one would only spin
-        self._timer = self._loop.call_later(-(-wait_us // 1000) / 1000, self._wake)
+        self._timer = self._loop.call_later(-(-wait_us // 1000) / 1000, self._on_timer)
 
-    def _wake(self) -> None:
-        late_us = self.clock.fresh() - self._timer_us
+    def _on_timer(self) -> None:
+        late_us = self.clock.read_now() - self._timer_us
         cpu_us = time.thread_time_ns() // 1000
         if late_us >= STALL_US:
             work_us = cpu_us - self._cpu_us
-            self.say("stall", f"{late_us // 1000} ms late, with {work_us // 1000} ms of own work")
+            self.log_line("stall", f"{late_us // 1000} ms late, with {work_us // 1000} ms of own work")
         self._cpu_us = cpu_us
         self._timer = None
         self.dispatch(c.Woken())
 
-    def _run(self, effect: c.Effects) -> None:
+    def _run_effect(self, effect: c.Effects) -> None:
         if isinstance(effect, c.StartCall):
-            call = self._calls[effect.call] = _Call(effect)
-            call.task = self._spawn(self._carry(call))
+            call = self._calls[effect.call] = _OutboundCall(effect)
+            call.task = self._spawn(self._run_call(call))
         elif isinstance(effect, c.Answer):
-            self.clients.answer(effect)
+            self.clients.write_answer(effect)
         elif isinstance(effect, c.Begin):
-            assert isinstance(effect.answer, http1.Head)
-            effect.answer.inbound = effect.inbound
+            assert isinstance(effect.answer, http1.ResponseHead)
+            effect.answer.connection_id = effect.inbound
         elif isinstance(effect, c.Finish):
-            self.clients.finished(effect)
+            self.clients.finish_streamed_answer(effect)
         elif isinstance(effect, c.Note):
-            self.say(effect.topic, effect.line)
+            self.log_line(effect.topic, effect.line)
         elif isinstance(effect, c.WriteCall):
-            self._calls[effect.call].go = True
+            self._calls[effect.call].may_write = True
         elif isinstance(effect, c.AbandonCall):
             self._abandon(effect.call)
         elif isinstance(effect, c.CloseIdle):
@@ -366,11 +389,11 @@
             self._keep_ban(effect)
         elif isinstance(effect, c.Ruled):
             if self.console is not None:
-                self.console.ruled(effect)
+                self.console.on_ruling(effect)
         elif isinstance(effect, c.Serving):
             self.clients.open()
         else:
-            self._left.set()
+            self._stopped.set()
 
     def _sweep(self) -> None:
         """Close what has been idle, slow or unread for too long.
@@ -378,20 +401,28 @@
         What breaks over one of them must not keep the others from being looked at, ten times a second and for
         good.
         """
-        self._loop.call_later(SWEEP_S if not self._others else SWEEP_S / 4, self._sweep)
-        self._guarded(self._look)
+        self._loop.call_later(
+            SWEEP_INTERVAL_S if not self._other_claims else SWEEP_INTERVAL_S / 4, self._sweep
+        )
+        self._run_guarded(self._check_handover)
         now = self.clock.now()
-        idle_us = PARTING_US if self._others and self.clients.listener is None else self.pool.idle_us
-        self._guarded(lambda: self.pool.sweep(now, idle_us))
-        many = len(self.clients.held) > (self.limits.most + RESERVE) // ONCE_PART
-        self.clients.sweep(now, many, self._guarded)
-
-    def _guarded(self, job: Callable[[], None]) -> bool:
+        idle_us = (
+            DRAIN_IDLE_US
+            if self._other_claims and self.clients.listener is None
+            else self.pool.idle_timeout_us
+        )
+        self._run_guarded(lambda: self.pool.sweep(now, idle_us))
+        many = (
+            len(self.clients.connections) > (self.limits.max_total + RESERVED_DESCRIPTORS) // CROWDED_DIVISOR
+        )
+        self.clients.sweep(now, many, self._run_guarded)
+
+    def _run_guarded(self, job: Callable[[], None]) -> bool:
         """Do it; whether it went well."""
         try:
             job()
         except Exception as error:
-            self.say("fault", f"a sweep failed: {type(error).__name__}: {error}")
+            self.log_line("fault", f"a sweep failed: {type(error).__name__}: {error}")
             return False
         return True
 
@@ -402,91 +433,97 @@
             call.task.cancel()  # closes the connection: its answer would be out of step with a later call
         # a dial goes on: the connection has been paid for and serves a later call
 
-    async def _carry(self, call: _Call) -> None:
+    async def _run_call(self, call: _OutboundCall) -> None:
         """One outbound call, with an ending whatever happens."""
         try:
-            await self._carried(call)
+            await self._perform_call(call)
         except Exception as error:
             # nobody else would end it before its time: its request would wait for that, a flowing one for
             # good
-            self.say("fault", f"a call failed: {type(error).__name__}: {error}")
-            self._finish(call.effect.call, Outcome.RESET if call.wrote else Outcome.UNCONNECTED)
+            self.log_line("fault", f"a call failed: {type(error).__name__}: {error}")
+            self._finish_call(call.effect.call, Outcome.RESET if call.has_written else Outcome.UNCONNECTED)
 
-    async def _carried(self, call: _Call) -> None:
+    async def _perform_call(self, call: _OutboundCall) -> None:
         """From connection to ending. Nothing here is ever sent twice."""
         effect = call.effect
-        conn = self.pool.take(effect.endpoint, effect.address)
+        conn = self.pool.acquire(effect.endpoint, effect.address)
         if conn is None:
             call.dialing = True
             self.dispatch(c.CallDialing(effect.call))
             conn = await self.pool.dial(effect.endpoint, effect.address)
             if conn is None:
-                self._finish(effect.call, Outcome.UNCONNECTED)
+                self._finish_call(effect.call, Outcome.UNCONNECTED)
                 return
-            self.clients.waits(effect.inbound)
+            self.clients.client_connected(effect.inbound)
             self.dispatch(c.CallDialed(effect.call))
             call.dialing = False
-            if not call.go:
-                self.pool.put(conn, answered=False)
+            if not call.may_write:
+                self.pool.release(conn, answered=False)
                 return
-        elif not (self.clients.waits(effect.inbound) and self._core.clear(effect.call)):
-            self.pool.put(conn, answered=False)
-            self._finish(effect.call, Outcome.MOOT)
+        elif not (self.clients.client_connected(effect.inbound) and self._core.clear(effect.call)):
+            self.pool.release(conn, answered=False)
+            self._finish_call(effect.call, Outcome.MOOT)
             return
-        assert isinstance(effect.message, http1.Message)
-        keep, flow = False, effect.message.flow
-        pumping: asyncio.Task[None] | None = None
+        assert isinstance(effect.message, http1.ForwardedRequest)
+        keep, body = False, effect.message.streamed_body
+        forwarding: asyncio.Task[None] | None = None
         try:
             left_us = effect.due_us - self.clock.now()
-            data = http1.call_bytes(effect.message, conn.address, left_us)
-            call.wrote = True
+            data = http1.request_bytes(effect.message, conn.address, left_us)
+            call.has_written = True
             try:
                 await self._loop.sock_sendall(conn.sock, data)
             except OSError:
                 # broken before the last byte was written, so it can't have run, on a reused connection too
-                self._finish(effect.call, Outcome.UNCONNECTED)
+                self._finish_call(effect.call, Outcome.UNCONNECTED)
                 return
-            if flow is not None:
-                flow.begin()
-                pumping = self._pumped(conn, flow)
+            if body is not None:
+                body.rewind()
+                forwarding = self._start_body_forwarding(conn, body)
             parser = http1.ResponseParser()
             try:
                 n = await self._loop.sock_recv_into(conn.sock, conn.buffer)
                 done = n > 0 and parser.feed(bytes(conn.buffer[:n]))
                 if not done:
-                    done = await self._rest(conn, parser, n)
+                    done = await self._read_response(conn, parser, n)
                 if not done:
-                    keep = await self._pour(effect.call, conn, parser)
+                    keep = await self._stream_response(effect.call, conn, parser)
                     return
             except (OSError, ValueError) as error:
                 why = str(error) or "not whole in time"
-                if flow is not None and not flow.sent and not parser.status:
-                    self._finish(effect.call, Outcome.UNCONNECTED)  # its last byte was never written
+                if body is not None and not body.fully_sent and not parser.status:
+                    self._finish_call(effect.call, Outcome.UNCONNECTED)  # its last byte was never written
                     return
                 # broken, spoilt or left unfinished after that: it may have run
-                self.say("spoilt", f"{conn.address[0]}:{conn.address[1]}: {why}")
-                self._finish(effect.call, Outcome.RESET)
+                self.log_line("spoilt", f"{conn.address[0]}:{conn.address[1]}: {why}")
+                self._finish_call(effect.call, Outcome.RESET)
                 return
-            keep = parser.reusable and (flow is None or flow.sent)
+            keep = parser.reusable and (body is None or body.fully_sent)
             if keep:
-                self.pool.put(conn)  # first of all, so that what the answer brings about can use it
+                self.pool.release(conn)  # first of all, so that what the answer brings about can use it
             outcome = http1.outcome(parser)
-            answer = http1.served(parser) if outcome is Outcome.OK else None
-            self._finish(effect.call, outcome, http1.report(parser, self._names.reports), answer)
+            answer = http1.buffered_response(parser) if outcome is Outcome.OK else None
+            self._finish_call(effect.call, outcome, http1.report(parser, self._header_names.reports), answer)
         finally:
-            if pumping is not None:
-                pumping.cancel()
-                self._budget.flows -= 1
+            if forwarding is not None:
+                forwarding.cancel()
+                self._memory.streams -= 1
             if not keep:
                 self.pool.close(conn)
 
-    def _pumped(self, conn: Conn, flow: http1.Flow) -> asyncio.Task[None]:
+    def _start_body_forwarding(
+        self, conn: EndpointConnection, body: http1.StreamedBody
+    ) -> asyncio.Task[None]:
         """A task that writes a request's body as it comes."""
-        self._budget.flows += 1
-        inbound, waits = flow.inbound, flow.owner
-        return self._spawn(pump(self._loop, conn.sock, flow, waits, lambda: self.dispatch(c.LetGo(inbound))))
-
-    async def _rest(self, conn: Conn, parser: http1.ResponseParser, n: int) -> bool:
+        self._memory.streams += 1
+        connection, signals = body.connection_id, body.signals
+        return self._spawn(
+            forward_request_body(
+                self._loop, conn.sock, body, signals, lambda: self.dispatch(c.LetGo(connection))
+            )
+        )
+
+    async def _read_response(self, conn: EndpointConnection, parser: http1.ResponseParser, n: int) -> bool:
         """What is still missing of an answer that has begun, as far as that is gathered.
 
         True once it is whole, False where it is to be passed on as it comes. OSError or ValueError if it
@@ -494,9 +531,11 @@
         """
         began_us = self.clock.now()
         while n:
-            if parser.large or (parser.flows and parser.endless and self._held_long(began_us)):
+            if parser.exceeds_buffer or (
+                parser.is_streamable and parser.length_unknown and self._buffered_too_long(began_us)
+            ):
                 return False
-            async with asyncio.timeout(GAP_S):
+            async with asyncio.timeout(RESPONSE_GAP_TIMEOUT_S):
                 n = await self._loop.sock_recv_into(conn.sock, conn.buffer)
             if n and parser.feed(bytes(conn.buffer[:n])):
                 return True
@@ -504,53 +543,57 @@
             raise ConnectionError("the connection ended before the answer")
         return True
 
-    def _held_long(self, began_us: int) -> bool:
-        return self.clock.now() - began_us >= HOLD_S * 1e6
+    def _buffered_too_long(self, began_us: int) -> bool:
+        return self.clock.now() - began_us >= MAX_RESPONSE_BUFFERING_S * 1e6
 
-    async def _pour(self, number: int, conn: Conn, parser: http1.ResponseParser) -> bool:
+    async def _stream_response(
+        self, number: int, conn: EndpointConnection, parser: http1.ResponseParser
+    ) -> bool:
         """Pass an answer on as it comes; whether the connection can be used again.
 
         The core says whose it is, and ends this task where nobody waits for it any more.
         """
         head = parser.head()
-        parser.pour()
-        self.dispatch(c.CallBegan(number, head, http1.report(parser, self._names.reports)))
-        inbound = self.clients.held.get(head.inbound)
-        if inbound is None:
-            self._finish(number, Outcome.CANCELLED)
+        parser.start_streaming()
+        self.dispatch(c.CallBegan(number, head, http1.report(parser, self._header_names.reports)))
+        connection = self.clients.connections.get(head.connection_id)
+        if connection is None:
+            self._finish_call(number, Outcome.CANCELLED)
             return False
-        self._budget.flows += 1
+        self._memory.streams += 1
         try:
-            if len(conn.buffer) < self._budget.piece():
-                conn.buffer = bytearray(self._budget.piece())
-            last = self.clients.listener is None and not inbound.queue
-            closing = last or not inbound.keep or inbound.flow is not None
-            pour = Pour(self._loop, inbound.sock, head, inbound.old, closing)
-            inbound.keep = inbound.keep and not pour.closes
-            await pour.write(parser.take())
+            if len(conn.buffer) < self._memory.read_size():
+                conn.buffer = bytearray(self._memory.read_size())
+            last = self.clients.listener is None and not connection.queue
+            closing = last or not connection.keep_alive or connection.streamed_body is not None
+            stream = ResponseStream(self._loop, connection.sock, head, connection.is_http10, closing)
+            connection.keep_alive = connection.keep_alive and not stream.closes_connection
+            await stream.write(parser.take())
             while not parser.done:
-                async with asyncio.timeout(STILL_S):
+                async with asyncio.timeout(STREAM_STALL_TIMEOUT_S):
                     n = await self._loop.sock_recv_into(conn.sock, conn.buffer)
                 if not n and not parser.end():
                     raise ConnectionError("the connection ended inside the answer")
                 if n:
                     parser.feed(bytes(conn.buffer[:n]))
-                await pour.write(parser.take())
-            await pour.end()
+                await stream.write(parser.take())
+            await stream.end()
         except (OSError, ValueError, TimeoutError) as error:
-            self.say("spoilt", f"{conn.address[0]}:{conn.address[1]}: {str(error) or 'one side stood still'}")
-            self._finish(number, Outcome.RESET)
+            self.log_line(
+                "spoilt", f"{conn.address[0]}:{conn.address[1]}: {str(error) or 'one side stood still'}"
+            )
+            self._finish_call(number, Outcome.RESET)
             return False
         finally:
-            self._budget.flows -= 1
-            if len(conn.buffer) != BUFFER:
-                conn.buffer = bytearray(BUFFER)
+            self._memory.streams -= 1
+            if len(conn.buffer) != READ_BUFFER_BYTES:
+                conn.buffer = bytearray(READ_BUFFER_BYTES)
         if parser.reusable:
-            self.pool.put(conn)
-        self._finish(number, Outcome.OK)
+            self.pool.release(conn)
+        self._finish_call(number, Outcome.OK)
         return parser.reusable
 
-    def _finish(
+    def _finish_call(
         self, number: int, outcome: Outcome, report: tuple[float, ...] = (), answer: object = None
     ) -> None:
         if self._calls.pop(number, None) is not None:
@@ -558,10 +601,12 @@
 
     def _may_dial(self) -> bool:
         """Is there a descriptor for one more connection to an endpoint, or can one be had?"""
-        if not self.clients.room(self.limits.outbound, self.pool.held):
-            may_evict = self.pool.held < self.limits.outbound
-            if not self.pool.shed_idle() and not (may_evict and self.clients.evict()):
-                self.say("budget", f"{self.pool.held} outbound connections, all at work: no new one")
+        if not self.clients.has_capacity(self.limits.max_outbound, self.pool.open_count):
+            may_evict = self.pool.open_count < self.limits.max_outbound
+            if not self.pool.close_longest_idle() and not (may_evict and self.clients.evict()):
+                self.log_line(
+                    "budget", f"{self.pool.open_count} outbound connections, all at work: no new one"
+                )
                 return False
         return True
 
--- a/granitewell/net/shared_counters.py
+++ b/granitewell/net/shared_counters.py
@@ -22,11 +22,11 @@
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
 
-NOBODY = "-"  # the key of requests that name no tenant that counts
-MAX_KEYS = 200  # in one answer
+NO_TENANT_KEY = "-"  # the key of requests that name no tenant that counts
+MAX_KEYS_IN_VIEW = 200  # in one answer
 
 
-class Shared:
+class SharedCounters:
     """What one process shares with the others."""
 
     def __init__(self, node: Node, name: str, keys: Keys, figures: Figures) -> None:
@@ -35,92 +35,97 @@
         birth = 1 + int(rng.random() * (1 << 60))
         self.counts = Counts(name, 0, birth, keys, figures, rng, node.clock.now())
         self._loop = asyncio.get_running_loop()
-        self._say: Callable[[Say], None] | None = None
+        self._send: Callable[[Say], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._timer_us = -1
-        node.clients.limit = self._taken
+        node.clients.rate_limit = self._count_request
 
-    def _taken(self, tenant: int, _: int) -> int:
+    def _count_request(self, tenant: int, _: int) -> int:
         """A request has come whole, and the core is about to hear of it."""
         names = self._node._config.tenant_names
-        key = names[tenant] if 0 <= tenant < len(names) else NOBODY
+        key = names[tenant] if 0 <= tenant < len(names) else NO_TENANT_KEY
         self.counts.handle(self._clock.now(), Took(key))
         return -1
 
     # --- The fleet --------------------------------------------------------------------------------------
-    def begin(self, life: int, say: Callable[[Say], None]) -> None:
+    def start(self, incarnation: int, send: Callable[[Say], None]) -> None:
         """This process is the member now."""
-        self.counts.life, self._say = life, say
-        self._arm()
+        self.counts.life, self._send = incarnation, send
+        self._arm_timer()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """It is no more."""
-        self._say = None
+        self._send = None
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def members(self, places: Mapping[str, str], out: Container[str], unnamed: int) -> None:
+    def set_peers(self, places: Mapping[str, str], out: Container[str], unnamed: int) -> None:
         """All who may act, by name, with the address of those that are up.
 
         Who does no more; and how many may that nobody has named.
         """
         peers = {name: Peer(at, bool(at), name in out) for name, at in places.items()}
-        self._tell(Peers(peers, unnamed))
+        self._handle(Peers(peers, unnamed))
 
     def rekey(self, keys: Keys) -> None:
         """Other keys count."""
-        self._tell(Rekey(keys))
+        self._handle(Rekey(keys))
 
-    def heard(self, heard: Heard) -> None:
+    def on_message(self, on_message: Heard) -> None:
         """A letter of ours has come."""
-        self._tell(heard)
+        self._handle(on_message)
 
-    def _tell(self, event: object) -> None:
+    def _handle(self, event: object) -> None:
         for effect in self.counts.handle(self._clock.now(), event):
-            if isinstance(effect, Say) and self._say is not None:
-                self._say(effect)
-        self._arm()
+            if isinstance(effect, Say) and self._send is not None:
+                self._send(effect)
+        self._arm_timer()
 
-    def _arm(self) -> None:
+    def _arm_timer(self) -> None:
         wake = self.counts.wake_us
-        if self._say is None or wake < 0 or (self._timer is not None and self._timer_us <= wake):
+        if self._send is None or wake < 0 or (self._timer is not None and self._timer_us <= wake):
             return
         if self._timer is not None:
             self._timer.cancel()
         self._timer_us = wake
-        wait_us = max(wake - self._clock.fresh(), 0)
-        self._timer = self._loop.call_later(-(-wait_us // 1000) / 1000, self._woken)
+        wait_us = max(wake - self._clock.read_now(), 0)
+        self._timer = self._loop.call_later(-(-wait_us // 1000) / 1000, self._on_timer)
 
-    def _woken(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self._tell(Woken())
+        self._handle(Woken())
 
     # --- For whoever asks -------------------------------------------------------------------------------
     def view(self, key: str) -> dict[str, Any]:
         """Figures of all keys, or of one with the part that each node has; plain JSON."""
-        now, counts = self._clock.fresh(), self.counts
+        now, counts = self._clock.read_now(), self.counts
         figures = counts.figures
         keys = [key] if key else counts.keys()
-        made: dict[str, Any] = {
+        view: dict[str, Any] = {
             "version": 1, "name": counts.name, "machine_us": time.monotonic_ns() // 1000,
             "window_s": figures.window_us / 1e6,
-            "speaks": self._say is not None, "cut": len(keys) > MAX_KEYS, "keys": [],
+            "speaks": self._send is not None, "cut": len(keys) > MAX_KEYS_IN_VIEW, "keys": [],
             "letters": dict(sorted(counts.counts.items())),
             "assumed": {"ceiling_per_s": figures.ceiling_per_s, "growth": figures.growth,
                         "floor_per_s": figures.floor_per_s, "drift_ppm": figures.drift_ppm},
         }  # fmt: skip
-        whole = [None] if not key else []
-        for one in (*whole, *keys[:MAX_KEYS]):
-            found = counts.figure(now, one)
-            row: dict[str, Any] = {"key": one, "low": found.low, "high": found.high, "unnamed": found.unnamed}
-            if key or one is None:
-                row["parts"] = [_part(p) for p in found.parts]
-            made["keys"].append(row)
-        return made
-
-
-def _part(part: Part) -> dict[str, Any]:
+        totals = [None] if not key else []
+        for row_key in (*totals, *keys[:MAX_KEYS_IN_VIEW]):
+            figure = counts.figure(now, row_key)
+            row: dict[str, Any] = {
+                "key": row_key,
+                "low": figure.low,
+                "high": figure.high,
+                "unnamed": figure.unnamed,
+            }
+            if key or row_key is None:
+                row["parts"] = [_part_row(p) for p in figure.parts]
+            view["keys"].append(row)
+        return view
+
+
+def _part_row(part: Part) -> dict[str, Any]:
     age_s = part.age_us / 1e6 if part.age_us >= 0 else None
     return {"name": part.name, "low": part.low, "high": part.high, "age_s": age_s, "unheard": part.unheard,
             "edge": part.edge, "others": part.others}  # fmt: skip
--- a/granitewell/net/sockets.py
+++ b/granitewell/net/sockets.py
@@ -9,10 +9,10 @@
 import select
 import socket
 
-BUFFER = 8 * 1024  # bytes read at a time, but for bodies that flow
+READ_BUFFER_BYTES = 8 * 1024  # bytes read at a time, but for bodies that flow
 
 
-def bound(address: tuple[str, int], backlog: int) -> socket.socket:
+def listen_on(address: tuple[str, int], backlog: int) -> socket.socket:
     """A socket that listens at this address."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -26,7 +26,7 @@
     return sock
 
 
-def tcp(address: tuple[str, int]) -> socket.socket:
+def new_tcp_socket(address: tuple[str, int]) -> socket.socket:
     """A socket for a connection to this address."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
@@ -34,7 +34,7 @@
     return sock
 
 
-def readable(sock: socket.socket) -> bool:
+def is_readable(sock: socket.socket) -> bool:
     """Has the other side sent something, or closed? Looks without taking."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -45,7 +45,7 @@
     return True
 
 
-def has_left(sock: socket.socket) -> bool:
+def peer_closed(sock: socket.socket) -> bool:
     """Has the other side closed, or reset the connection? Seen behind bytes that nobody has read, too."""
     with contextlib.suppress(OSError, ValueError):
         look = select.poll()
@@ -54,7 +54,7 @@
     return True  # its descriptor is none any more
 
 
-def end(sock: socket.socket) -> None:
+def close_socket(sock: socket.socket) -> None:
     """Close for good. A pending read of uvloop keeps the descriptor open, so the far side is told first."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
--- a/granitewell/operator/log.py
+++ b/granitewell/operator/log.py
@@ -11,16 +11,16 @@
 from msgspec import Meta, field
 
 from granitewell.net.logs import (
-    KEPT,
-    KEYS,
+    DEFAULT_LOG_SETTINGS,
+    JSON_KEYS,
     LEVELS,
-    MAX_FIELDS,
-    PLAIN,
+    MAX_FIELDS_BYTES,
     TOPICS,
-    Form,
+    UNMUTABLE_TOPICS,
     Level,
+    LogFormat,
     LogSettings,
-    Target,
+    LogTarget,
     fields_bytes,
 )  # fmt: skip
 from granitewell.operator.problem import Path, Problem, shown, unknown
@@ -37,29 +37,29 @@
 class LogTable(Table, frozen=True, kw_only=True):
     """What the node says of itself: the form of a line, which lines are written, and how often."""
 
-    form: Annotated[Form, Meta(
+    form: Annotated[LogFormat, Meta(
         description="`lines`: text for people, as without this file. `json`: one JSON object a line."
-    )] = PLAIN.form  # fmt: skip
+    )] = DEFAULT_LOG_SETTINGS.form  # fmt: skip
     level: Annotated[Level, Meta(
         description="The least level that is written. `phase` and `reload` are written at any level.",
         extra={"allowed": " or ".join(f'"{x}"' for x in LEVELS)},
-    )] = PLAIN.level  # fmt: skip
+    )] = DEFAULT_LOG_SETTINGS.level  # fmt: skip
     mute: Annotated[tuple[str, ...], Meta(
         description="Topics that are not written at all; `phase` and `reload` can't be muted."
-    )] = PLAIN.mute  # fmt: skip
+    )] = DEFAULT_LOG_SETTINGS.mute  # fmt: skip
     rate: Annotated[Rate, Meta(
         description="Lines a second and topic; what comes faster is counted and not written."
-    )] = PLAIN.rate  # fmt: skip
+    )] = DEFAULT_LOG_SETTINGS.rate  # fmt: skip
     rates: Annotated[dict[str, Rate], Meta(
         description="By topic, in place of `rate`."
-    )] = field(default_factory=lambda: dict(PLAIN.rates))  # fmt: skip
-    to: Annotated[Target, Meta(
+    )] = field(default_factory=lambda: dict(DEFAULT_LOG_SETTINGS.rates))  # fmt: skip
+    to: Annotated[LogTarget, Meta(
         description="Where lines go. There is no file to name: writing to a disk that is full or slow "
         "would hold up every request. A pipe that nobody reads loses lines, and the node goes on."
-    )] = PLAIN.to  # fmt: skip
+    )] = DEFAULT_LOG_SETTINGS.to  # fmt: skip
     fields: Annotated[dict[FieldName, FieldText], Meta(
         max_length=16, description="Added to each JSON line, such as the deployment's name."
-    )] = field(default_factory=lambda: dict(PLAIN.fields))  # fmt: skip
+    )] = field(default_factory=lambda: dict(DEFAULT_LOG_SETTINGS.fields))  # fmt: skip
 
     def settings(self) -> LogSettings:
         """The same for the node, which knows nothing of this file."""
@@ -75,16 +75,20 @@
         """
         for k, topic in enumerate(self.mute):
             yield from _topic(("mute", k), topic)
-            if topic in KEPT:
-                yield Problem(("mute", k), f'"{topic}"', f"any topic but {' and '.join(KEPT)}")
+            if topic in UNMUTABLE_TOPICS:
+                yield Problem(("mute", k), f'"{topic}"', f"any topic but {' and '.join(UNMUTABLE_TOPICS)}")
         for topic in self.rates:
             yield from _topic(("rates", topic), topic)
         for name in self.fields:
-            if name in KEYS:
-                yield Problem(("fields", name), "a name that each line has", f"none of {', '.join(KEYS)}")
+            if name in JSON_KEYS:
+                yield Problem(
+                    ("fields", name), "a name that each line has", f"none of {', '.join(JSON_KEYS)}"
+                )
         size = fields_bytes(self.fields)
-        if size > MAX_FIELDS:
-            yield Problem(("fields",), f"{size} bytes as JSON", f"at most {MAX_FIELDS} for all together")
+        if size > MAX_FIELDS_BYTES:
+            yield Problem(
+                ("fields",), f"{size} bytes as JSON", f"at most {MAX_FIELDS_BYTES} for all together"
+            )
         if self.fields and self.form != "json":
             yield Problem(("fields",), "fields", f"not written with form = {self.form!r}", note=True)
 
--- a/tests/fleet/test_disk_writer.py
+++ b/tests/fleet/test_disk_writer.py
@@ -11,7 +11,7 @@
 from granitewell.cluster import persisted_record
 from granitewell.cluster.size_estimate import Known
 from granitewell.durable_folder import Kept
-from granitewell.net.disk_writer import LONG_US, Notebook
+from granitewell.net.disk_writer import SLOW_WRITE_US, DiskWriter
 
 LIMIT_S = 20.0
 
@@ -40,33 +40,33 @@
             await asyncio.sleep(0.001)
 
 
-def played(scenario: Callable[[Slow, Notebook, list[str], list[int]], Awaitable[None]],
+def played(scenario: Callable[[Slow, DiskWriter, list[str], list[int]], Awaitable[None]],
            answer: str | Exception = "") -> None:  # fmt: skip
     async def whole() -> None:
         disk, said, now = Slow(answer), list[str](), [5]
-        await scenario(disk, Notebook(disk, lambda: now[0], said.append), said, now)
+        await scenario(disk, DiskWriter(disk, lambda: now[0], said.append), said, now)
 
     asyncio.run(whole())
 
 
 def test_the_newest_wins_and_whoever_waits_hears_after_the_last() -> None:
-    async def scenario(disk: Slow, book: Notebook, said: list[str], now: list[int]) -> None:
+    async def scenario(disk: Slow, book: DiskWriter, said: list[str], now: list[int]) -> None:
         heard: list[list[bytes]] = []
-        book.then(lambda: heard.append(list(disk.written)))
+        book.call_when_written(lambda: heard.append(list(disk.written)))
         assert heard == [[]]  # nothing is to be written
         for data in (b"1", b"2", b"3"):
             book.write(data)
-        book.then(lambda: heard.append(list(disk.written)))
+        book.call_when_written(lambda: heard.append(list(disk.written)))
         await asyncio.sleep(0.01)  # the loop goes on while the disk does not
-        assert book.at_work and not disk.written and len(heard) == 1
+        assert book.is_writing and not disk.written and len(heard) == 1
         disk.gate.release()
         await until(lambda: disk.written == [b"1"])
         await asyncio.sleep(0.01)
         assert len(heard) == 1
-        now[0] += LONG_US
+        now[0] += SLOW_WRITE_US
         disk.gate.release()
         await until(lambda: len(heard) == 2)
-        assert heard[1] == [b"1", b"3"] and not book.at_work
+        assert heard[1] == [b"1", b"3"] and not book.is_writing
         assert said == ["the disk took 1.0 s for the folder's file; nothing waited for it"]
 
     played(scenario)
@@ -77,7 +77,7 @@
     [("f: No space left", "f: No space left"), (RuntimeError("odd"), "RuntimeError: odd")],
 )
 def test_what_goes_wrong_is_told_and_the_next_write_is_tried(answer: str | Exception, says: str) -> None:
-    async def scenario(disk: Slow, book: Notebook, said: list[str], now: list[int]) -> None:
+    async def scenario(disk: Slow, book: DiskWriter, said: list[str], now: list[int]) -> None:
         for k in (1, 2):
             book.write(b"%d" % k)
             disk.gate.release()
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -18,7 +18,7 @@
 from granitewell.lab.fleet.planted import _half_sent, _one_lane
 from granitewell.net import peers
 from granitewell.net.clock import Clock
-from granitewell.net.peers import MAX_BYTES, MAX_FRAMES, Roads, parsed
+from granitewell.net.peers import MAX_QUEUED_BYTES, MAX_QUEUED_FRAMES, PeerTransport, parse_address
 from granitewell.protocols.peers.frames import MAX_STREAM, Key, Keys, Splitter, seal
 from granitewell.state_machine import Heard, Road, Say
 from tests.shell import until
@@ -39,7 +39,7 @@
         self.lines: list[str] = []
         loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.roads = Roads(loop, Clock(loop), self.hear, self.say, self.spawn, streams, Random(k))
+        self.roads = PeerTransport(loop, Clock(loop), self.hear, self.say, self.spawn, streams, Random(k))
         for port in range(20_000 + k, 60_000, 97):
             try:
                 self.roads.open((HOST.format(k), port))
@@ -117,21 +117,21 @@
 def test_frames_come_whole_by_both_roads_and_are_answered_on_the_connection_they_came_by() -> None:
     async def scenario(a: Place, b: Place) -> None:
         sizes = [1, 900, 70_000, 400_000, 12]
-        a.roads.say(Say(b.at, frame(900)))
+        a.roads.send(Say(b.at, frame(900)))
         for size in sizes:
-            a.roads.say(Say(b.at, frame(size), Road.STREAM))
+            a.roads.send(Say(b.at, frame(size), Road.STREAM))
         await until(lambda: len(b.heard) == 1 + len(sizes))
         streamed = [h for h in b.heard if h.road is Road.STREAM]
         assert [h.data for h in streamed] == [frame(size) for size in sizes]
         assert [h.sender for h in b.heard if h.road is Road.DATAGRAM] == [a.at]
         assert {h.sender[0] for h in streamed} == {"~"}
-        b.roads.say(Say(streamed[0].sender, frame(33, "b"), Road.STREAM))
+        b.roads.send(Say(streamed[0].sender, frame(33, "b"), Road.STREAM))
         await until(lambda: a.heard)
         assert (a.heard[0].data, a.heard[0].sender) == (frame(33, "b"), b.at)
         assert a.roads.streams == (1, 0) and b.roads.streams == (0, 1)
-        b.roads.say(Say("~99", frame(), Road.STREAM))
-        a.roads.say(Say("nonsense", frame()))
-        a.roads.say(Say("n3.example:7946", frame(), Road.STREAM))
+        b.roads.send(Say("~99", frame(), Road.STREAM))
+        a.roads.send(Say("nonsense", frame()))
+        a.roads.send(Say("n3.example:7946", frame(), Road.STREAM))
         assert b.roads.counts["gone"] == 1 and a.roads.counts["address"] == 2
 
     play(scenario)
@@ -142,14 +142,14 @@
     defect: Callable[[], None] | None, held: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The planted defect counts it as sent, and it never comes."""
-    monkeypatch.setattr(Roads, "_write", Roads._write)
+    monkeypatch.setattr(PeerTransport, "_write", PeerTransport._write)
     if defect is not None:
         defect()
 
     async def scenario(a: Place) -> None:
         sink, large = Sink(9), frame(MAX_STREAM - 200)
-        a.roads.say(Say(sink.at, large, Road.STREAM))
-        a.roads.say(Say(sink.at, frame(250_000), Road.STREAM))
+        a.roads.send(Say(sink.at, large, Road.STREAM))
+        a.roads.send(Say(sink.at, frame(250_000), Road.STREAM))
         first = await sink.taken()
         await asyncio.get_running_loop().sock_recv(first, 1_000)
         reset(first)  # in the middle of the first frame, of which the kernel holds a part
@@ -166,26 +166,26 @@
     defect: Callable[[], None] | None, free: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The planted defect writes to one after the other."""
-    monkeypatch.setattr(Roads, "_write", Roads._write)
-    monkeypatch.setattr(peers, "WRITE_S", 3_600.0)  # for ever: what holds up is not let go by itself
+    monkeypatch.setattr(PeerTransport, "_write", PeerTransport._write)
+    monkeypatch.setattr(peers, "WRITE_TIMEOUT_S", 3_600.0)  # for ever: what holds up is not let go by itself
     if defect is not None:
         defect()
 
     async def scenario(a: Place, b: Place) -> None:
         sink = Sink(9)
         for _ in range(20):
-            a.roads.say(Say(sink.at, frame(MAX_STREAM - 200), Road.STREAM))
+            a.roads.send(Say(sink.at, frame(MAX_STREAM - 200), Road.STREAM))
         stuck = await sink.taken()
         queue = next(iter(a.roads._queues.values()))
         await until(lambda: queue.writing and queue.frames)
         for _ in range(3):
-            a.roads.say(Say(b.at, frame(10), Road.STREAM))
+            a.roads.send(Say(b.at, frame(10), Road.STREAM))
         if free:
             await until(lambda: len(b.heard) == 3)
         else:
             await asyncio.sleep(0.5)
         assert (len(b.heard) == 3) is free
-        assert len(queue.frames) <= MAX_FRAMES and queue.bytes <= MAX_BYTES + MAX_STREAM
+        assert len(queue.frames) <= MAX_QUEUED_FRAMES and queue.bytes <= MAX_QUEUED_BYTES + MAX_STREAM
         stuck.close()
 
     play(scenario)
@@ -195,16 +195,16 @@
 def test_the_oldest_news_goes_where_a_queue_is_full_and_all_of_it_after_a_while(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(peers, "GIVE_UP_US", 300_000)
+    monkeypatch.setattr(peers, "MAX_QUEUED_US", 300_000)
 
     async def scenario(a: Place) -> None:
         nobody = "127.201.7.77:9"
-        for k in range(MAX_FRAMES + 10):
-            a.roads.say(Say(nobody, frame(k + 1), Road.STREAM))
+        for k in range(MAX_QUEUED_FRAMES + 10):
+            a.roads.send(Say(nobody, frame(k + 1), Road.STREAM))
         queue = next(iter(a.roads._queues.values()))
         assert a.roads.counts["pushed_out"] == 10 and queue.frames[0] == frame(11)
         await until(lambda: a.roads.counts["undialed"])
-        await until(lambda: a.roads.counts["waited_out"] == MAX_FRAMES)
+        await until(lambda: a.roads.counts["waited_out"] == MAX_QUEUED_FRAMES)
         assert queue.bytes == 0 and a.roads.streams == (0, 0)
 
     play(scenario, 1)
@@ -214,11 +214,11 @@
     async def scenario(*places: Place) -> None:
         hub, *others = places
         for other in others:
-            hub.roads.say(Say(other.at, frame(), Road.STREAM))
+            hub.roads.send(Say(other.at, frame(), Road.STREAM))
         await until(lambda: all(other.heard for other in others))
         assert hub.roads.streams[0] <= 3
         for other in others:
-            other.roads.say(Say(hub.at, frame(), Road.STREAM))
+            other.roads.send(Say(hub.at, frame(), Road.STREAM))
         await until(lambda: len(hub.heard) == len(others))
         assert hub.roads.streams[1] <= 3
 
@@ -236,7 +236,7 @@
                 await asyncio.sleep(0.002)
             while not (b.roads.counts["oversized"] and any(h.data == frame(7) for h in b.heard)):
                 sock.sendto(b"x" * 1_500, (host, int(port)))  # again: a flood loses datagrams
-                a.roads.say(Say(b.at, frame(7)))
+                a.roads.send(Say(b.at, frame(7)))
                 await asyncio.sleep(0.02)
         assert b.lines == []
 
@@ -252,13 +252,13 @@
         bad.setblocking(False)
         assert await loop.sock_recv(bad, 10) == b""  # it was closed
         bad.close()
-        a.roads.say(Say(b.at, b"defect"))
-        a.roads.say(Say(b.at, frame(5), Road.STREAM))
+        a.roads.send(Say(b.at, b"defect"))
+        a.roads.send(Say(b.at, frame(5), Road.STREAM))
         await until(lambda: [h.data for h in b.heard] == [frame(5)] and b.lines)
         assert b.lines == ["fault: a message failed: RuntimeError: a defect"]
         assert b.roads.counts["unframed"] == 1
         b.roads.close()
-        b.roads.say(Say(a.at, frame()))
+        b.roads.send(Say(a.at, frame()))
         assert b.roads.counts["closed"] == 1 and not b.roads.is_open
 
     play(scenario)
@@ -269,7 +269,7 @@
         host, _, port = a.at.rpartition(":")
         with pytest.raises(OSError, match="in use"):
             b.roads.open((host, int(port)))
-        a.roads.say(Say(b.at, frame()))
+        a.roads.send(Say(b.at, frame()))
         await until(lambda: b.heard)
 
     play(scenario)
@@ -283,4 +283,4 @@
      ("1.2.3.4:٣", None), ("a" * 64, None), ("\0:1", None)],
 )  # fmt: skip
 def test_only_figures_are_taken_for_an_address(text: str, made: tuple[str, int] | None) -> None:
-    assert parsed(text) == made
+    assert parse_address(text) == made
--- a/tests/play.py
+++ b/tests/play.py
@@ -22,9 +22,9 @@
 from pathlib import Path
 from typing import Any
 
-from granitewell.net.pool import REST_US
+from granitewell.net.pool import REUSE_DELAY_US
 
-REST_S = 2 * REST_US / 1e6
+REST_S = 2 * REUSE_DELAY_US / 1e6
 LIMIT_S = 20.0  # for any one thing to happen; only a failing exchange waits so long
 CALL = re.compile(rb"GET /api/targets(?:\?after=(\d+)&wait_ms=(\d+))? HTTP/1\.1\r\n(?:[^\r\n]+\r\n)*\r\n")
 FOLDER = Path(__file__).parent / "exchanges"
--- a/tests/shell.py
+++ b/tests/shell.py
@@ -28,9 +28,9 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self._now_us = super().fresh()
+        self._now_us = super().read_now()
 
-    def fresh(self) -> int:
+    def read_now(self) -> int:
         """Return the test's time in microseconds."""
         return self._now_us
 
@@ -81,17 +81,17 @@
     async def whole() -> None:
         core = Core(config.settings, Balancer(config.settings, 1), 99)
         node = Node(config, core, asyncio.get_running_loop())
-        node.say = lambda topic, line: said.append(f"{topic}: {line}")  # type: ignore[method-assign]
-        node.pool.say = node.discovery.say = node.clients.say = node.say
+        node.log_line = lambda topic, line: said.append(f"{topic}: {line}")  # type: ignore[method-assign]
+        node.pool.log_line = node.discovery.log_line = node.clients.log_line = node.log_line
         nobody, listener = asyncio.create_task(asyncio.sleep(3600.0)), socket.socket()
         # as while it serves: without one each answer ends its connection, and nobody is to accept from it
-        node.clients.listener, node.clients.accepting = listener, nobody
+        node.clients.listener, node.clients.accept_task = listener, nobody
         try:
             await scenario(node)
         finally:
             listener.close()
             nobody.cancel()
-            for inbound in list(node.clients.held.values()):
+            for inbound in list(node.clients.connections.values()):
                 node.clients.drop(inbound)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,18 +11,18 @@
 import pytest
 
 from granitewell.config import load
-from granitewell.net.bodies import COPIES, MAX_PIECE, MIN_PIECE, Budget
+from granitewell.net.bodies import MAX_READ_BYTES, MIN_READ_BYTES, READS_HELD_PER_STREAM, MemoryBudget
 from granitewell.net.downstream import (
-    BODY_GAP_US,
-    BODY_PER_S,
-    BODY_SPARE_US,
-    FLOW_STILL_US,
-    HEAD_US,
-    Inbound,
+    BODY_GAP_TIMEOUT_US,
+    BODY_RATE_GRACE_US,
+    HEAD_TIMEOUT_US,
+    MIN_BODY_BYTES_PER_S,
+    STREAM_STALL_TIMEOUT_US,
+    DownstreamConnection,
+    streams_too_slowly,
     too_slow,
-    trickles,
 )
-from granitewell.net.http1 import MAX_KEPT, Ask, Flow, InboundParser, Names
+from granitewell.net.http1 import MAX_BUFFERED_BODY_BYTES, HeaderNames, Request, RequestParser, StreamedBody
 from tests.play import LIMIT_S
 from tests.test_config import write
 from tests.test_upgrade import Agent, Site
@@ -33,16 +33,16 @@
 
 def test_up_to_64_kib_a_body_may_go_again_and_beyond_it_is_let_go() -> None:
     """A call that never ran is followed by another; memory holds no more than that for it."""
-    flow = Flow(MAX_KEPT + 1)
+    flow = StreamedBody(MAX_BUFFERED_BODY_BYTES + 1)
     for _ in range(4):
-        flow.put(bytes(MAX_KEPT // 4))
-    flow.begin()
-    assert sum(len(flow.take() or b"") for _ in range(4)) == MAX_KEPT and flow.take() is None
-    assert not flow.let_go and flow.unread == 0
-    flow.begin()  # the first call did not come up
-    assert sum(len(flow.take() or b"") for _ in range(4)) == MAX_KEPT
+        flow.put(bytes(MAX_BUFFERED_BODY_BYTES // 4))
+    flow.rewind()
+    assert sum(len(flow.take() or b"") for _ in range(4)) == MAX_BUFFERED_BODY_BYTES and flow.take() is None
+    assert not flow.discarded and flow.unread_bytes == 0
+    flow.rewind()  # the first call did not come up
+    assert sum(len(flow.take() or b"") for _ in range(4)) == MAX_BUFFERED_BODY_BYTES
     flow.put(b"x")
-    assert flow.take() == b"x" and flow.let_go and len(flow.parts) == 1
+    assert flow.take() == b"x" and flow.discarded and len(flow.parts) == 1
 
 
 @pytest.mark.parametrize("step", [1000, 70_000])
@@ -53,39 +53,46 @@
     body = BIG[:200_000]
     frame = b"Transfer-Encoding: chunked\r\n" if chunked else b"Content-Length: 200000\r\n"
     raw = HEAD % (1, frame) + (b"30d40;ext=1\r\n%s\r\n0\r\nTrailer: x\r\n\r\n" % body if chunked else body)
-    parser, items, got = InboundParser(Names(load(write(tmp_path)))), [], b""
+    parser, items, got = RequestParser(HeaderNames(load(write(tmp_path)))), [], b""
     for at in range(0, len(raw), step):
         items += parser.feed(raw[at : at + step])
-        while items and (part := items[0].message.flow.take()) is not None:  # type: ignore[union-attr]
+        while items and (part := items[0].message.streamed_body.take()) is not None:  # type: ignore[union-attr]
             got += part
     (ask,) = items
-    assert isinstance(ask, Ask) and ask.message.flow is not None and ask.message.flow.done
-    assert got == body and ask.message.flow.length == (None if chunked else 200_000)
+    assert (
+        isinstance(ask, Request) and ask.message.streamed_body is not None and ask.message.streamed_body.done
+    )
+    assert got == body and ask.message.streamed_body.length == (None if chunked else 200_000)
     (again,) = parser.feed(HEAD % (2, b"Content-Length: 1\r\n") + b"z")  # the connection goes on in step
-    assert isinstance(again, Ask) and again.message.body == b"z"
+    assert isinstance(again, Request) and again.message.body == b"z"
 
 
 def test_many_flows_share_the_budget_in_smaller_pieces_and_none_waits() -> None:
-    budget = Budget(80.0)
-    assert budget.piece() == MAX_PIECE
-    budget.flows = 150
-    assert MIN_PIECE <= budget.piece() < MAX_PIECE and budget.piece() * COPIES * 150 <= budget.most
-    budget.flows = 10_000
-    assert budget.piece() == MIN_PIECE
+    budget = MemoryBudget(80.0)
+    assert budget.read_size() == MAX_READ_BYTES
+    budget.streams = 150
+    assert (
+        MIN_READ_BYTES <= budget.read_size() < MAX_READ_BYTES
+        and budget.read_size() * READS_HELD_PER_STREAM * 150 <= budget.max_bytes
+    )
+    budget.streams = 10_000
+    assert budget.read_size() == MIN_READ_BYTES
 
 
 def test_a_client_may_send_its_body_slowly_as_long_as_it_sends(tmp_path: Path) -> None:
     """64 kB a second is a client's right; a body that stands still or trickles is given up, like a head."""
     ours, theirs = socket.socketpair()
-    one = Inbound(1, ours, InboundParser(Names(load(write(tmp_path)))), 0)
+    one = DownstreamConnection(1, ours, RequestParser(HeaderNames(load(write(tmp_path)))), 0)
     one.parser.feed(b"POST /ride-assign/1 HTTP/1.1\r\n")
-    assert not too_slow(one, HEAD_US - 1) and too_slow(one, HEAD_US)
-    one.parser.feed(b"Content-Length: 60000\r\n\r\n" + bytes(BODY_PER_S))
-    one.head_us = one.heard_us = HEAD_US
-    assert not too_slow(one, HEAD_US + BODY_GAP_US - 1) and too_slow(one, HEAD_US + BODY_GAP_US)
-    one.heard_us = late = HEAD_US + BODY_SPARE_US + 2_000_000
+    assert not too_slow(one, HEAD_TIMEOUT_US - 1) and too_slow(one, HEAD_TIMEOUT_US)
+    one.parser.feed(b"Content-Length: 60000\r\n\r\n" + bytes(MIN_BODY_BYTES_PER_S))
+    one.head_received_us = one.last_read_us = HEAD_TIMEOUT_US
+    assert not too_slow(one, HEAD_TIMEOUT_US + BODY_GAP_TIMEOUT_US - 1) and too_slow(
+        one, HEAD_TIMEOUT_US + BODY_GAP_TIMEOUT_US
+    )
+    one.last_read_us = late = HEAD_TIMEOUT_US + BODY_RATE_GRACE_US + 2_000_000
     assert too_slow(one, late)  # it has had time for twice as much
-    one.parser.feed(bytes(BODY_PER_S))
+    one.parser.feed(bytes(MIN_BODY_BYTES_PER_S))
     assert not too_slow(one, late)
     ours.close()
     theirs.close()
@@ -94,18 +101,18 @@
 def test_a_large_body_that_trickles_does_not_hold_an_endpoint_for_good(tmp_path: Path) -> None:
     """A byte each nine seconds kept a client's connection, a call and an endpoint's connection for years."""
     ours, theirs = socket.socketpair()
-    one = Inbound(1, ours, InboundParser(Names(load(write(tmp_path)))), 0)
+    one = DownstreamConnection(1, ours, RequestParser(HeaderNames(load(write(tmp_path)))), 0)
     one.parser.feed(HEAD % (1, b"Content-Length: 900000\r\n") + b"x")
-    flow = one.parser.flow
+    flow = one.parser.streamed_body
     assert flow is not None
-    one.heard_us = later = 2 * FLOW_STILL_US
-    assert trickles(one, flow, later)  # one byte in twenty seconds, the last one just now
-    one.stood_us = FLOW_STILL_US
-    assert not trickles(one, flow, later)  # its endpoint took nothing meanwhile
-    assert trickles(one, flow, later + FLOW_STILL_US)
-    one.stood_us = 0
+    one.last_read_us = later = 2 * STREAM_STALL_TIMEOUT_US
+    assert streams_too_slowly(one, flow, later)  # one byte in twenty seconds, the last one just now
+    one.blocked_us = STREAM_STALL_TIMEOUT_US
+    assert not streams_too_slowly(one, flow, later)  # its endpoint took nothing meanwhile
+    assert streams_too_slowly(one, flow, later + STREAM_STALL_TIMEOUT_US)
+    one.blocked_us = 0
     flow.put(bytes(64_000 * 20))  # the platform's slowest client
-    assert not trickles(one, flow, later)
+    assert not streams_too_slowly(one, flow, later)
     ours.close()
     theirs.close()
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -16,7 +16,7 @@
 from granitewell.balancing.interface import State, View
 from granitewell.config import ConfigError, load, needs_restart, reload
 from granitewell.net.clock import Clock
-from granitewell.net.http1 import FleetReader, Names
+from granitewell.net.http1 import EndpointListReader, HeaderNames
 from tests.play import settings
 
 
@@ -42,7 +42,7 @@
     text = settings()
     text["tenants"].insert(0, {"name": "guest", "share": 0.0, "allowancePerS": None})
     config = load(write(tmp_path, settings=text))
-    assert Names(config).tenants == {b"merkez-koop": 0} and len(config.settings.tenants) == 1
+    assert HeaderNames(config).tenants == {b"merkez-koop": 0} and len(config.settings.tenants) == 1
 
 
 def test_a_reload_reads_discovery_from_the_file_alone(tmp_path: Path) -> None:
@@ -144,7 +144,7 @@
     Names that the settings do not have get indices behind theirs; what is not discovery's form is a
     ValueError.
     """
-    reader = FleetReader(load(write(tmp_path)), lambda unix_us: unix_us - 1_000_000)
+    reader = EndpointListReader(load(write(tmp_path)), lambda unix_us: unix_us - 1_000_000)
     entry = {"id": "s-1", "host_port": "10.1.0.18:9000", "locality": "elsewhere", "flavor": "older",
              "cell": 3, "phase": "ready", "size": 1.5, "up_since_ms": 2500, "more": []}  # fmt: skip
     old = entry | {"id": "s-2", "up_since_ms": 0, "phase": "resting", "locality": "istanbul-1"}
@@ -157,11 +157,11 @@
     assert (b.zone, b.state, b.started_us) == (1, State.DRAINING, 0)
     assert reader.read(body)[1] == news
     with pytest.raises(ValueError):  # as "known", it must not keep the node from starting
-        reader.parsed({"revision": 1, "members": [entry | {"up_since_ms": 10**400}]}, View.CACHED)
+        reader.parse({"revision": 1, "members": [entry | {"up_since_ms": 10**400}]}, View.CACHED)
     with pytest.raises(ValueError, match="host_port: backend.local is a name"):
         # it was looked up, in a thread of its own, at each call
         named = entry | {"host_port": "backend.local:1"}
-        reader.parsed({"revision": 1, "complete": True, "members": [named]})
+        reader.parse({"revision": 1, "complete": True, "members": [named]})
     for garbage in (b"", b"[]", b"{}", b'{"revision":1,"complete":true,"members":[{}]}',
                     b'{"revision":1,"complete":true,"members":7}', b"[" * 100_000):  # fmt: skip
         with pytest.raises(ValueError):
@@ -175,24 +175,27 @@
     over), or cold for as long as the step was.
     """
     offset = [1_000_000]
-    reader = FleetReader(load(write(tmp_path)), lambda unix_us: unix_us - offset[0])
+    reader = EndpointListReader(load(write(tmp_path)), lambda unix_us: unix_us - offset[0])
     entry = {"id": "s-1", "host_port": "10.1.0.18:9000", "phase": "ready", "up_since_ms": 2500}
 
     def started(complete: bool, *entries: dict[str, Any]) -> list[int]:
         body = {"revision": 4, "complete": complete, "members": entries}
-        return [m.started_us for m in reader.parsed(body)[1].members]
+        return [m.started_us for m in reader.parse(body)[1].members]
 
     assert started(True, entry) == [1_500_000]
     offset[0] = 61_000_000  # the wall clock has gone a minute ahead, and so do starts from now on
     assert started(False, entry, entry | {"id": "s-2", "up_since_ms": 62_000}) == [1_500_000, 1_000_000]
     assert started(True, entry) == [1_500_000]
-    assert list(reader._starts) == [b"s-1"]  # the others are not listed any more
+    assert list(reader._known_starts) == [b"s-1"]  # the others are not listed any more
     started(False, entry | {"phase": "gone"}, entry | {"phase": "gone"})
-    assert not reader._starts
+    assert not reader._known_starts
 
 
 def test_a_start_that_lies_ahead_is_now() -> None:
     with asyncio.Runner() as runner:
         clock = Clock(runner.get_loop())
-        assert clock.ours(time.time_ns() // 1000 + 3_600_000_000) <= clock.fresh()
-        assert abs(clock.ours(time.time_ns() // 1000 - 5_000_000) + 5_000_000 - clock.fresh()) < 60_000_000
+        assert clock.from_unix(time.time_ns() // 1000 + 3_600_000_000) <= clock.read_now()
+        assert (
+            abs(clock.from_unix(time.time_ns() // 1000 - 5_000_000) + 5_000_000 - clock.read_now())
+            < 60_000_000
+        )
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,11 +9,17 @@
 
 import pytest
 
-from granitewell.net.console import MAX_BODY, MAX_HEAD, SEATS, CallParser, RejectedCommandError
+from granitewell.net.console import (
+    MAX_BODY_BYTES,
+    MAX_CONNECTIONS,
+    MAX_HEADER_BYTES,
+    ConsoleRequestParser,
+    RejectedCommandError,
+)
 from tests.play import LIMIT_S, Player, reserved
 
 
-def call(parser: CallParser, raw: bytes, step: int) -> bool:
+def call(parser: ConsoleRequestParser, raw: bytes, step: int) -> bool:
     """The call in pieces of so many bytes; whether it was whole at the end."""
     done = False
     for at in range(0, len(raw), step):
@@ -30,7 +36,7 @@
 )  # fmt: skip
 def test_the_id_however_it_is_framed(body: bytes, step: int) -> None:
     """Staff call with whatever tool is at hand: the id may come in pieces, chunked, with blanks round it."""
-    parser = CallParser()
+    parser = ConsoleRequestParser()
     assert call(parser, b"POST /dispatch-servers/disable HTTP/1.1\r\nHost: n\r\n" + body, step)
     assert parser.endpoint() == b"s-a7" and parser.path == b"/dispatch-servers/disable"
 
@@ -41,20 +47,20 @@
         (b"GET /status HTTP/1.1\r\n\r\n", 404),
         (b"POST /ready HTTP/1.1\r\n\r\n", 405),
         (b"GET /dispatch-servers/enable HTTP/1.1\r\n\r\n", 405),
-        (b"POST /dispatch-servers/enable HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY + 1), 413),
+        (b"POST /dispatch-servers/enable HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), 413),
         (b"\x16\x03\x01 no http\r\n\r\n", 400),
-        (b"GET /ready HTTP/1.1\r\nX: " + b"x" * MAX_HEAD, 431),
+        (b"GET /ready HTTP/1.1\r\nX: " + b"x" * MAX_HEADER_BYTES, 431),
     ],
 )
 def test_what_is_no_call_gets_its_error(raw: bytes, status: int) -> None:
     with pytest.raises(RejectedCommandError) as error:
-        call(CallParser(), raw, 512)
+        call(ConsoleRequestParser(), raw, 512)
     assert error.value.status == status and "\n" not in error.value.text
 
 
 @pytest.mark.parametrize("body", [b"", b" \r\n", b"two ids", b"\xff", b"x" * 300])
 def test_a_body_that_is_no_id_is_refused(body: bytes) -> None:
-    parser = CallParser()
+    parser = ConsoleRequestParser()
     head = b"POST /dispatch-servers/disable HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body)
     assert call(parser, head + body, 4096)
     with pytest.raises(RejectedCommandError) as error:
@@ -116,7 +122,7 @@
     """Three times the seats are taken by callers with half a call: the oldest make room for the next."""
     crowd = []
     try:
-        for _ in range(3 * SEATS):
+        for _ in range(3 * MAX_CONNECTIONS):
             crowd.append(socket.create_connection(staff.console, LIMIT_S))
             crowd[-1].sendall(b"GET /rea")
         assert staff.ask("GET", "/ready") == (200, "ready")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,10 +17,10 @@
 from granitewell import core as c
 from granitewell.net import loop as loop_module
 from granitewell.net import pool as pool_module
-from granitewell.net.discovery import ASKED, PUSHED, RENEW_S, Patience
-from granitewell.net.downstream import IDLE_US
+from granitewell.net.discovery import FULL_LIST_INTERVAL_S, POLLED_TIMEOUTS, PUSHED_TIMEOUTS, WatchTimeouts
+from granitewell.net.downstream import KEEPALIVE_TIMEOUT_US
 from granitewell.net.loop import Node
-from granitewell.net.sockets import has_left, readable
+from granitewell.net.sockets import is_readable, peer_closed
 from tests.desk import GET, OK, POST, Bureau, Desk, ends_well, heard, row, sent, serves
 from tests.play import settings
 from tests.shell import client_of, played, turns, until
@@ -45,14 +45,14 @@
     async def scenario(node: Node) -> None:
         desk, client = Desk(), client_of(node)
         serves(node, desk)
-        (inbound,) = node.clients.held.values()
+        (inbound,) = node.clients.connections.values()
         await sent(client, b"".join(GET % b"r%d" % k for k in range(9)))
-        await until(lambda: desk.asked and inbound.turn is not None)
+        await until(lambda: desk.asked and inbound.resume_reading is not None)
         await sent(client, GET % b"more")  # never read before an answer is out
         client.close()
-        await until(lambda: has_left(inbound.sock))
+        await until(lambda: peer_closed(inbound.sock))
         await desk.answer()
-        await until(lambda: not node.clients.held)
+        await until(lambda: not node.clients.connections)
         await turns()
         assert desk.ids == [b"r0"] and not node._core.held
         await desk.close()
@@ -75,13 +75,13 @@
             return conn
 
         node.pool.dial = late  # type: ignore[method-assign, assignment]
-        (inbound,) = node.clients.held.values()
+        (inbound,) = node.clients.connections.values()
         await sent(client, POST % b"r0")
         await dialed.wait()
         client.close()
-        await until(lambda: has_left(inbound.sock))
+        await until(lambda: peer_closed(inbound.sock))
         gate.set()  # in the very turn in which its end may lie unread
-        await until(lambda: not node.clients.held and not node._calls)
+        await until(lambda: not node.clients.connections and not node._calls)
         await until(lambda: node.pool.idle)
         assert desk.ids == []
         await desk.close()
@@ -98,17 +98,17 @@
         await desk.answer()
         assert (await heard(first, b"ok")).endswith(b"ok")
         client = client_of(node)
-        inbound = list(node.clients.held.values())[-1]
-        real = node.pool.take
+        inbound = list(node.clients.connections.values())[-1]
+        real = node.pool.acquire
 
         def left(*args: object) -> object:  # it leaves between the decision and the first byte
             client.close()
-            assert has_left(inbound.sock)
+            assert peer_closed(inbound.sock)
             return real(*args)  # type: ignore[arg-type]
 
-        node.pool.take = left  # type: ignore[method-assign, assignment]
+        node.pool.acquire = left  # type: ignore[method-assign, assignment]
         await sent(client, POST % b"r1")
-        await until(lambda: inbound.id not in node.clients.held and not node._calls)
+        await until(lambda: inbound.id not in node.clients.connections and not node._calls)
         assert desk.ids == [b"r0"]
         first.close()
         await desk.close()
@@ -138,7 +138,7 @@
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.lists((desk, "ready"))
-        node.discovery.at(bureau.address, PUSHED)
+        node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
         await until(lambda: sendable(node, desk) and bureau.watches)
         bureau.empty, calls = True, len(bureau.watches)
         await until(lambda: len(bureau.watches) > calls + 1)  # the watch that was open is over
@@ -155,7 +155,7 @@
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.lists((desk, "ready"), revision=900)
-        node.discovery.at(bureau.address, PUSHED)
+        node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
         await until(lambda: sendable(node, desk) and bureau.watches)
         bureau.members, bureau.revision = [row(desk, "draining")], 2
         await until(lambda: sendable(node, desk) is False and bureau.watches[-1] == 2)
@@ -170,7 +170,7 @@
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.lists((desk, "ready"))
-        node.discovery.at(bureau.address, PUSHED)
+        node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
         await until(lambda: sendable(node, desk) and bureau.watches)
         bureau.mute, calls = True, bureau.wholes
         bureau.lists((desk, "draining"))
@@ -183,20 +183,20 @@
     assert any("stays as it is" in x for x in played(tmp_path, scenario))
 
 
-@pytest.mark.parametrize("patience", [PUSHED, ASKED])
-def test_from_any_silence_on_the_list_is_there_before_the_news_count(patience: Patience) -> None:
+@pytest.mark.parametrize("patience", [PUSHED_TIMEOUTS, POLLED_TIMEOUTS])
+def test_from_any_silence_on_the_list_is_there_before_the_news_count(patience: WatchTimeouts) -> None:
     """Reckoned, not timed.
 
     Pushed lists count at once where the agent answers again: the longest way from there to the next call's
     answer is under the grace of a drain. Asked or pushed, a silent watch is found out, and a call lost,
     within the 6 s; so is a watch that answers with nothing in it.
     """
-    hung = patience.watch_ms / 1000 + patience.spare_s
-    if patience is PUSHED:
+    hung = patience.watch_ms / 1000 + patience.watch_grace_s
+    if patience is PUSHED_TIMEOUTS:
         assert hung + patience.backoff_s[0] < 0.9
-        assert patience.list_s + patience.backoff_s[1] < 0.9
-    assert hung + patience.backoff_s[0] + patience.list_s < 6.0
-    assert RENEW_S + patience.watch_ms / 1000 + patience.spare_s < 6.6
+        assert patience.list_timeout_s + patience.backoff_s[1] < 0.9
+    assert hung + patience.backoff_s[0] + patience.list_timeout_s < 6.0
+    assert FULL_LIST_INTERVAL_S + patience.watch_ms / 1000 + patience.watch_grace_s < 6.6
 
 
 def test_a_list_that_comes_slowly_and_in_pieces_is_read(tmp_path: Path) -> None:
@@ -204,7 +204,7 @@
         desk, bureau = Desk(), Bureau()
         bureau.piecemeal = 12
         bureau.lists((desk, "ready"))
-        node.discovery.at(bureau.address, PUSHED)
+        node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
         await until(lambda: sendable(node, desk))
         await ended(node, bureau, desk)
 
@@ -214,12 +214,12 @@
 def begins(node: Node, bureau: Bureau) -> asyncio.Task[None]:
     """The node as the program runs it, at an address of its own."""
     node._config = replace(node._config, discovery=bureau.address, listen=("127.0.0.1", 0))
-    node.clients.listener = node.clients.accepting = None
+    node.clients.listener = node.clients.accept_task = None
     return node._spawn(node.run())
 
 
 async def leaves(node: Node, running: asyncio.Task[None], *others: Desk | Bureau) -> None:
-    node._left.set()
+    node._stopped.set()
     await running
     await ended(node, *others)
 
@@ -238,8 +238,8 @@
         bureau.lists((old, "draining"), (new, "ready"))
         bureau.mute, bureau.hold = mute, asyncio.Event()
         if not mute:  # its word comes after a client's request, however slow this machine is
-            monkeypatch.setattr(loop_module, "PUSHED", replace(PUSHED, list_s=60.0))
-            monkeypatch.setattr(loop_module, "FIRST_S", 60.0)
+            monkeypatch.setattr(loop_module, "PUSHED_TIMEOUTS", replace(PUSHED_TIMEOUTS, list_timeout_s=60.0))
+            monkeypatch.setattr(loop_module, "FIRST_LIST_TIMEOUT_S", 60.0)
         known = {"revision": 1, "complete": True, "members": [row(old, "ready")]}
         node._config = replace(node._config, known=known)
         running = begins(node, bureau)
@@ -284,12 +284,12 @@
         await desk.close()
 
     # as though no time passed between the first answer and the later request
-    held = pool_module.REST_US
-    pool_module.REST_US = 60_000_000
+    held = pool_module.REUSE_DELAY_US
+    pool_module.REUSE_DELAY_US = 60_000_000
     try:
         played(tmp_path, scenario)
     finally:
-        pool_module.REST_US = held
+        pool_module.REUSE_DELAY_US = held
 
 
 def test_a_connection_rests_after_an_answer_and_serves_again_then(tmp_path: Path) -> None:
@@ -302,8 +302,8 @@
             await desk.answer()
             await heard(client, b"ok")
             (conn,) = node.pool.idle[desk.name]
-            assert node.pool.take(desk.name, conn.address) is None and node.pool.idle[desk.name] == [conn]
-            node.clock.now = lambda at=conn.fit_us: at  # type: ignore[method-assign, misc]
+            assert node.pool.acquire(desk.name, conn.address) is None and node.pool.idle[desk.name] == [conn]
+            node.clock.now = lambda at=conn.reusable_from_us: at  # type: ignore[method-assign, misc]
         assert desk.asked[0][1] is desk.asked[1][1]
         client.close()
         await desk.close()
@@ -324,7 +324,7 @@
     async def scenario(node: Node) -> None:
         desk, client = Desk(), client_of(node)
         serves(node, desk)
-        (inbound,) = node.clients.held.values()
+        (inbound,) = node.clients.connections.values()
         await sent(client, b"".join(POST % b"r%d" % k for k in range(3)))
         await until(lambda: desk.asked and len(inbound.queue) == 2)
         stopping(node)
@@ -352,17 +352,19 @@
     async def scenario(node: Node) -> None:
         desk, client = Desk(), client_of(node)
         serves(node, desk)
-        (inbound,) = node.clients.held.values()
+        (inbound,) = node.clients.connections.values()
         await sent(client, GET % b"r0")
         await until(lambda: desk.asked)
         await desk.answer()
-        await until(lambda: inbound.answered and readable(client))  # written, and not read by its client yet
-        node.clients.tend(inbound, inbound.at_us + IDLE_US, False)
+        await until(
+            lambda: inbound.answer_count and is_readable(client)
+        )  # written, and not read by its client yet
+        node.clients.check_timeouts(inbound, inbound.last_activity_us + KEEPALIVE_TIMEOUT_US, False)
         await sent(client, GET % b"crosses")
         assert (await heard(client, b"ok")).endswith(b"ok")
         assert await ends_well(client)
         client.close()
-        await until(lambda: not node.clients.held)
+        await until(lambda: not node.clients.connections)
         assert desk.ids == [b"r0"]
         await desk.close()
 
@@ -373,11 +375,11 @@
     async def scenario(node: Node) -> None:
         desk, client = Desk(), client_of(node)
         serves(node, desk)
-        (inbound,) = node.clients.held.values()
+        (inbound,) = node.clients.connections.values()
         await sent(client, GET % b"r0")
         await until(lambda: desk.asked)
         await desk.answer()
-        await until(lambda: inbound.answered and readable(client))
+        await until(lambda: inbound.answer_count and is_readable(client))
         node.clients.listener, listener = socket.create_server(("127.0.0.1", 0)), node.clients.listener
         node.clients.listener.setblocking(False)
         node.clients.stop_listening()
@@ -385,7 +387,7 @@
         assert (await heard(client, b"ok")).endswith(b"ok")
         assert await ends_well(client)
         client.close()
-        await until(lambda: not node.clients.held)
+        await until(lambda: not node.clients.connections)
         assert desk.ids == [b"r0"]
         node.clients.listener = listener
         await desk.close()
@@ -407,12 +409,12 @@
         client.setblocking(False)
         await sent(client, GET % b"r0")
         await until(lambda: desk.asked)
-        (inbound,) = node.clients.held.values()
+        (inbound,) = node.clients.connections.values()
         inbound.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         node.stop()
         body = bytes(60_000)
         await desk.answer(body)
-        await until(lambda: node._left.is_set())
+        await until(lambda: node._stopped.is_set())
         data = await heard(client, b"nothing such")
         assert len(data) - data.index(b"\r\n\r\n") - 4 == len(body)
         client.close()
@@ -432,9 +434,9 @@
         await until(lambda: node.phase is c.Phase.READY and node.clients.listener is not None)
         client = socket.create_connection(node.clients.listener.getsockname())  # type: ignore[union-attr]
         client.setblocking(False)
-        await until(lambda: node.clients.held)
+        await until(lambda: node.clients.connections)
         node.stop()
-        await until(lambda: node._left.is_set())
+        await until(lambda: node._stopped.is_set())
         await sent(client, POST % b"late")
         assert (await heard(client)).startswith(b"HTTP/1.1 503")
         client.close()
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -98,9 +98,9 @@
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.lists((desk, "sleeping"), (desk, "ready"), (desk, "ready"))
-        from granitewell.net.discovery import PUSHED
+        from granitewell.net.discovery import PUSHED_TIMEOUTS
 
-        node.discovery.at(bureau.address, PUSHED)
+        node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
         await until(lambda: node._core._fleet)
         assert node._core._fleet[desk.name].told_us < 0  # the last entry counts
         bureau.lists()  # rightly empty
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -16,18 +16,18 @@
 from granitewell.config import load
 from granitewell.core import Core
 from granitewell.net.downstream import (
-    EVICT_HALF_US,
+    CROWDED_DIVISOR,
     EVICT_IDLE_US,
-    FIRST_REQUEST_US,
-    ONCE_PART,
-    SHORT_IDLE_US,
-    Inbound,
+    EVICT_PARTIAL_US,
+    FIRST_REQUEST_TIMEOUT_US,
+    SHORT_KEEPALIVE_TIMEOUT_US,
+    DownstreamConnection,
     is_idle,
 )
-from granitewell.net.http1 import InboundParser, ResponseParser, outcome, report
-from granitewell.net.listener import start_debt
-from granitewell.net.loop import HEAD_START_US, Log, Node
-from granitewell.net.sockets import readable
+from granitewell.net.http1 import RequestParser, ResponseParser, outcome, report
+from granitewell.net.listener import startup_delay_s
+from granitewell.net.loop import CLOCK_ORIGIN_US, Log, Node
+from granitewell.net.sockets import is_readable
 from tests.play import FOLDER, LIMIT_S, Player, play
 from tests.test_config import write
 
@@ -73,17 +73,17 @@
             client = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
         node.clients.admit(ours)
-        (inbound,) = node.clients.held.values()
+        (inbound,) = node.clients.connections.values()
         await asyncio.sleep(0)
-        at = inbound.at_us
+        at = inbound.last_activity_us
         # a new one; one left lying
-        seen.append((is_idle(inbound, at), is_idle(inbound, at + FIRST_REQUEST_US)))
-        inbound.fresh = False
-        seen.append((readable(ours), is_idle(inbound, at)))
+        seen.append((is_idle(inbound, at), is_idle(inbound, at + FIRST_REQUEST_TIMEOUT_US)))
+        inbound.is_new = False
+        seen.append((is_readable(ours), is_idle(inbound, at)))
         client.sendall(b"GET /-/ready HTTP/1.1\r\n\r\n")
 
         def look() -> None:
-            if readable(ours):
+            if is_readable(ours):
                 loop.call_soon(look)
             else:
                 seen.append((inbound.busy, is_idle(inbound, at)))
@@ -116,11 +116,11 @@
             accepting = loop.create_task(node.clients.accept(server))
             for _ in range(8):
                 await asyncio.sleep(0)
-            held.append(len(node.clients.held))
+            held.append(len(node.clients.connections))
             accepting.cancel()
             for client in clients:
                 client.close()
-            for inbound in list(node.clients.held.values()):
+            for inbound in list(node.clients.connections.values()):
                 node.clients.drop(inbound)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -136,11 +136,11 @@
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         node = Node(config, Core(config.settings, Balancer(config.settings, 1), 9), loop)
-        node.say = lambda topic, line: said.append(line)  # type: ignore[method-assign]
+        node.log_line = lambda topic, line: said.append(line)  # type: ignore[method-assign]
         listener = socket.create_server(("127.0.0.1", 0))
         theirs = socket.create_connection(listener.getsockname())
         node.clients.admit(listener.accept()[0])
-        for inbound in list(node.clients.held.values()):
+        for inbound in list(node.clients.connections.values()):
             node.clients.drop(inbound)
         listener.setblocking(False)
         node._spawn(node.clients.accept(listener))
@@ -183,19 +183,21 @@
         loop = asyncio.get_running_loop()
         node = Node(config, Core(config.settings, Balancer(config.settings, 1), 9), loop)
         ends = []
-        for k in range(config.sockets // ONCE_PART + 2):
+        for k in range(config.sockets // CROWDED_DIVISOR + 2):
             ours, theirs = socket.socketpair()
             ends.append(theirs)
             ours.setblocking(False)
-            one = Inbound(k, ours, InboundParser(node._names), node.clock.now() - SHORT_IDLE_US)
-            node.clients.held[k] = one
-            one.answered, one.fresh = 1 if k < 10 else 2, False
+            one = DownstreamConnection(
+                k, ours, RequestParser(node._header_names), node.clock.now() - SHORT_KEEPALIVE_TIMEOUT_US
+            )
+            node.clients.connections[k] = one
+            one.answer_count, one.is_new = 1 if k < 10 else 2, False
             if k == 9:
                 node._sweep()  # not many yet: who asked once may ask again
-                assert not any(x.closing for x in node.clients.held.values())
-                assert len(node.clients.held) == 10
+                assert not any(x.closing for x in node.clients.connections.values())
+                assert len(node.clients.connections) == 10
         node._sweep()
-        left.extend(k for k, one in node.clients.held.items() if not one.closing)
+        left.extend(k for k, one in node.clients.connections.items() if not one.closing)
         for end in ends[:10]:  # each hears the end of its connection
             assert end.recv(1) == b""
         for end in ends:
@@ -223,17 +225,19 @@
             ours, theirs = socket.socketpair()
             ends.append(theirs)
             ours.setblocking(False)
-            node.clients._last += 1
-            one = Inbound(node.clients._last, ours, InboundParser(node._names), node.clock.now())
-            node.clients.held[one.id] = one
+            node.clients._last_id += 1
+            one = DownstreamConnection(
+                node.clients._last_id, ours, RequestParser(node._header_names), node.clock.now()
+            )
+            node.clients.connections[one.id] = one
             names[one.id] = name
-            one.busy, one.fresh = name == "busy", name != "kept"
-            ages = {"new": 0, "half": EVICT_HALF_US + 1, "silent": EVICT_IDLE_US}
-            one.at_us -= ages.get(name, EVICT_HALF_US)
+            one.busy, one.is_new = name == "busy", name != "kept"
+            ages = {"new": 0, "half": EVICT_PARTIAL_US + 1, "silent": EVICT_IDLE_US}
+            one.last_activity_us -= ages.get(name, EVICT_PARTIAL_US)
             if name == "half":
                 one.parser.feed(b"GET /ta")
         while node.clients.evict():
-            left.append([names[k] for k in node.clients.held])
+            left.append([names[k] for k in node.clients.connections])
         for end in ends:
             end.close()
 
@@ -259,7 +263,7 @@
 
     With 0.85 it did so for 150 ms, although the mean since the start was within it.
     """
-    assert start_debt(cpu_s, age_s, cores) == pytest.approx(debt_s)
+    assert startup_delay_s(cpu_s, age_s, cores) == pytest.approx(debt_s)
 
 
 def test_a_log_that_nobody_reads_blocks_nothing() -> None:
@@ -267,7 +271,7 @@
     reader, writer = os.pipe()
     log = Log("n0", writer)
     for k in range(3000):  # far more than a pipe holds
-        log.write(HEAD_START_US + k * 2_000_000, "module", "x" * 100)
+        log.write(CLOCK_ORIGIN_US + k * 2_000_000, "module", "x" * 100)
     os.set_blocking(reader, False)
     assert os.read(reader, 60) == b"granitewell n0 0.000 module: " + b"x" * 31
     os.close(reader)
@@ -278,7 +282,7 @@
     reader, writer = os.pipe()
     log = Log("n0", writer)
     for at in (0, 1, 2, 1_000_000):
-        log.write(HEAD_START_US + at, "dial", "a line\nand no second")
+        log.write(CLOCK_ORIGIN_US + at, "dial", "a line\nand no second")
     assert os.read(reader, 999).splitlines() == [
         b"granitewell n0 0.000 dial: a line and no second",
         b"granitewell n0 1.000 dial: a line and no second (and 2 more like it)",
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -28,14 +28,14 @@
 from granitewell.lab.experiments.store import Kept, Store, StoreError
 from granitewell.lab.scenario import ScenarioError, draw
 from granitewell.lab.scenario import load as scenario_file
-from granitewell.net.console import CallParser, RejectedCommandError
+from granitewell.net.console import ConsoleRequestParser, RejectedCommandError
 from granitewell.net.http1 import (
-    Ask,
-    Bad,
-    FleetReader,
-    InboundParser,
-    Names,
-    ReadyAsk,
+    EndpointListReader,
+    HeaderNames,
+    ReadinessRequest,
+    RejectedRequest,
+    Request,
+    RequestParser,
     ResponseParser,
     outcome,
     report,
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("what", ENDLESS)
 def test_what_never_ends_behind_a_body_is_refused_from_clients(tmp_path: Path, what: str) -> None:
     """Only the body was counted: what stands between its chunks or behind it could grow without bound."""
-    parser, (begin, more) = InboundParser(Names(load(write(tmp_path)))), ENDLESS[what]
+    parser, (begin, more) = RequestParser(HeaderNames(load(write(tmp_path)))), ENDLESS[what]
     got: list[object] = []
 
     def feed(data: bytes) -> object:
@@ -96,7 +96,7 @@
         return got
 
     fed = endless(feed, ever(ASK % CHUNKED + begin, more))
-    assert [x.status for x in got if isinstance(x, Bad)] in ([431], [400]) and fed <= MAX_FED
+    assert [x.status for x in got if isinstance(x, RejectedRequest)] in ([431], [400]) and fed <= MAX_FED
 
 
 @pytest.mark.parametrize("what", ENDLESS)
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("what", ENDLESS)
 def test_and_from_operators(what: str) -> None:
     begin, more = ENDLESS[what]
-    parser = CallParser()
+    parser = ConsoleRequestParser()
 
     def feed(data: bytes) -> bool:
         try:
@@ -144,7 +144,7 @@
     A body in chunks of two bytes was held as so many objects, twenty times its size for each of some
     hundred clients, where budgets count bytes; and a head of short lines as so many headers.
     """
-    parser: Any = InboundParser(Names(load(write(tmp_path))))
+    parser: Any = RequestParser(HeaderNames(load(write(tmp_path))))
     raw = ASK % CHUNKED
     if what in ("answer", "list", "answer's head"):
         parser = ResponseParser(*[4 << 20] if what == "list" else [])
@@ -168,9 +168,9 @@
     A request was refused as one that came twice, or got another's key; and an endpoint's error that ended in
     Not-Started counted as one that never ran, which may be sent again.
     """
-    parser = InboundParser(Names(load(write(tmp_path))))
+    parser = RequestParser(HeaderNames(load(write(tmp_path))))
     (ask,) = parser.feed(ASK % CHUNKED + b"1\r\nx\r\n0\r\nRequest-Id: r2\r\nAffinity-Key: 7\r\n\r\n")
-    assert isinstance(ask, Ask) and ask.message.request_id == b"r1" and ask.key == 0
+    assert isinstance(ask, Request) and ask.message.request_id == b"r1" and ask.key == 0
     answer = ResponseParser()
     assert answer.feed(b"HTTP/1.1 503 X\r\n" + CHUNKED + b"\r\n1\r\nx\r\n0\r\nNot-Started: 1\r\n\r\n")
     assert outcome(answer) is Outcome.ERROR
@@ -200,12 +200,12 @@
                 if cut % 2:
                     await turns(5)
                 client.close()
-            await until(lambda: not node.clients.held and not node._calls and not node._core.held)
-            await until(lambda: not node._budget.kept and not node._budget.flows)
+            await until(lambda: not node.clients.connections and not node._calls and not node._core.held)
+            await until(lambda: not node._memory.buffered_bytes and not node._memory.streams)
             balancer = node._core._balancer
             assert isinstance(balancer, Balancer) and not balancer._held
             await until(lambda: not balancer._out)
-            await until(lambda: node.pool.held == sum(map(len, node.pool.idle.values())))
+            await until(lambda: node.pool.open_count == sum(map(len, node.pool.idle.values())))
             assert len(node._tasks) == 0
 
     assert not [line for line in played(tmp_path, scenario) if line.startswith("fault")]
@@ -281,7 +281,7 @@
 def test_a_list_cut_at_any_byte_is_no_list(tmp_path: Path) -> None:
     entry = {"id": "s-1", "host_port": "10.1.0.18:9000", "phase": "ready", "up_since_ms": 5}
     body = json.dumps({"revision": 4, "complete": True, "members": [entry, entry]}).encode()
-    reader = FleetReader(load(write(tmp_path)), lambda unix_us: unix_us)
+    reader = EndpointListReader(load(write(tmp_path)), lambda unix_us: unix_us)
     raw = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     for cut in range(len(raw)):
         parser = ResponseParser(4 * 1024 * 1024)
@@ -289,14 +289,14 @@
     for cut in range(len(body)):
         with pytest.raises(ValueError):
             reader.read(body[:cut])
-    assert not reader._starts
+    assert not reader._known_starts
 
 
 def test_an_operators_call_cut_at_any_byte_is_no_call() -> None:
     """A ban must not be taken from half an id."""
     raw = b"POST /dispatch-servers/disable HTTP/1.1\r\nContent-Length: 5\r\n\r\ns-abc"
-    assert CallParser().feed(raw)
-    assert not any(CallParser().feed(raw[:cut]) for cut in range(len(raw)))
+    assert ConsoleRequestParser().feed(raw)
+    assert not any(ConsoleRequestParser().feed(raw[:cut]) for cut in range(len(raw)))
 
 
 # --- Anything at all ---------------------------------------------------------------------------------------
@@ -318,32 +318,32 @@
 
 
 def test_spoilt_traffic_is_an_item_a_refusal_or_a_value_error(tmp_path: Path) -> None:
-    rng, names = Random(7), Names(load(write(tmp_path)))
+    rng, names = Random(7), HeaderNames(load(write(tmp_path)))
     for _ in range(6000):
-        parser = InboundParser(names)
+        parser = RequestParser(names)
         data, step = spoilt(rng, rng.choice(REQUESTS)[:400]), rng.choice([1, 3, 50, 4096])
         for at in range(0, len(data), step):
             for item in parser.feed(data[at : at + step]):
-                assert isinstance(item, Ask | Bad | ReadyAsk)
+                assert isinstance(item, Request | RejectedRequest | ReadinessRequest)
         answer = ResponseParser()
         with contextlib.suppress(ValueError):
             answer.feed(spoilt(rng, rng.choice(ANSWERS)))
             report(answer, ("failed_ps",))
             outcome(answer)
-        call = CallParser()
+        call = ConsoleRequestParser()
         with contextlib.suppress(RejectedCommandError):
             call.feed(spoilt(rng, b"POST /dispatch-servers/enable HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-a"))
             call.endpoint()
 
 
 def test_a_byte_at_a_time_is_the_same(tmp_path: Path) -> None:
-    names = Names(load(write(tmp_path)))
+    names = HeaderNames(load(write(tmp_path)))
     for raw in REQUESTS:
-        whole, single = InboundParser(names), InboundParser(names)
+        whole, single = RequestParser(names), RequestParser(names)
         at_once = whole.feed(raw)
         one_by_one = [x for k in range(len(raw)) for x in single.feed(raw[k : k + 1])]
         assert len(at_once) == len(one_by_one) == 1
-        assert isinstance(at_once[0], Ask) and isinstance(one_by_one[0], Ask)
+        assert isinstance(at_once[0], Request) and isinstance(one_by_one[0], Request)
         assert at_once[0].message.body == one_by_one[0].message.body
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -17,7 +17,15 @@
 from hypothesis import strategies as st
 
 from granitewell.net import logs
-from granitewell.net.logs import HEAD_START_US, LEVELS, MAX_BYTES, TOPICS, Log, LogSettings, as_json
+from granitewell.net.logs import (
+    CLOCK_ORIGIN_US,
+    LEVELS,
+    MAX_JSON_BYTES,
+    TOPICS,
+    Log,
+    LogSettings,
+    format_json,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 ANY = st.text(st.characters(exclude_categories=()), max_size=1500)  # lone surrogates too
@@ -37,9 +45,9 @@
 def made(
     text: str, left_out: int = 0, name: str = "n0", fields: dict[str, str] | None = None
 ) -> dict[str, Any]:
-    at, unix_us = HEAD_START_US + 5_000_250, 1_796_149_805_120_045
-    raw = as_json(name, at, unix_us, "beat", text, left_out, fields or {})
-    assert raw.endswith(b"\n") and raw.count(b"\n") == 1 and len(raw) <= MAX_BYTES
+    at, unix_us = CLOCK_ORIGIN_US + 5_000_250, 1_796_149_805_120_045
+    raw = format_json(name, at, unix_us, "beat", text, left_out, fields or {})
+    assert raw.endswith(b"\n") and raw.count(b"\n") == 1 and len(raw) <= MAX_JSON_BYTES
     parsed = json.loads(raw.decode())  # as UTF-8, strictly: from bytes, Python takes more
     assert isinstance(parsed, dict)
     return parsed
@@ -89,8 +97,8 @@
     with pipe() as (reader, writer):
         log = Log("n0", writer, LogSettings(level="warning", mute=("dial", "phase")))
         for topic in TOPICS:
-            log.write(HEAD_START_US, topic, "x")
-        log.write(HEAD_START_US, "unheard-of", "x")
+            log.write(CLOCK_ORIGIN_US, topic, "x")
+        log.write(CLOCK_ORIGIN_US, "unheard-of", "x")
         got = [line.split()[3].rstrip(b":").decode() for line in os.read(reader, 9999).splitlines()]
     low = {t for t, level in TOPICS.items() if level == "info"} - {"phase", "reload"}
     assert got == [t for t in TOPICS if t not in low | {"dial"}] + ["unheard-of"]
@@ -100,10 +108,10 @@
     with pipe() as (reader, writer):
         log = Log("n0", writer, LogSettings(rate=2.0, rates={"dial": 0.5}))
         for at in range(0, 2_000_000, 250_000):
-            log.write(HEAD_START_US + at, "dial", "a")
-            log.write(HEAD_START_US + at, "bad", "b")
+            log.write(CLOCK_ORIGIN_US + at, "dial", "a")
+            log.write(CLOCK_ORIGIN_US + at, "bad", "b")
         for always in (False, False, True):
-            log.write(HEAD_START_US, "reload", "c", always)
+            log.write(CLOCK_ORIGIN_US, "reload", "c", always)
         got = os.read(reader, 9999).decode().splitlines()
     assert [x.split(": ")[1] for x in got if " dial" in x] == ["a"]
     assert [x.split()[2] for x in got if " bad" in x] == ["0.000", "0.500", "1.000", "1.500"]
@@ -114,9 +122,9 @@
     with pipe() as (reader, writer):
         log = Log("n0", writer, wall_us=lambda: 0)
         for at in (0, 1, 2):
-            log.write(HEAD_START_US + at, "dial", "a")
-        log.take(LogSettings(form="json", fields={"site": "x"}))
-        log.write(HEAD_START_US + 1_000_000, "dial", "b")
+            log.write(CLOCK_ORIGIN_US + at, "dial", "a")
+        log.apply_settings(LogSettings(form="json", fields={"site": "x"}))
+        log.write(CLOCK_ORIGIN_US + 1_000_000, "dial", "b")
         first, second = os.read(reader, 9999).splitlines()
     assert first == b"granitewell n0 0.000 dial: a"
     got = json.loads(second)
@@ -128,7 +136,7 @@
     with pipe() as (reader, writer):
         log = Log("n0", writer, LogSettings(form="json", rate=1000))
         for k in range(200):
-            log.write(HEAD_START_US + k * 1_000_000, "module", "\x01" * 900)
+            log.write(CLOCK_ORIGIN_US + k * 1_000_000, "module", "\x01" * 900)
         assert all(json.loads(line) for line in os.read(reader, 65536).splitlines())
 
 
@@ -154,6 +162,6 @@
         (row,) = re.findall(rf"^\| {level} \| (.*) \|$", page, re.M)
         assert re.findall(r"`([\w-]+)`", row) == [t for t, of in TOPICS.items() if of == level]
     (example,) = re.findall(r"^    (\{.*\})$", page, re.M)
-    assert set(json.loads(example)) - set(logs.KEYS) == {"deployment"}
+    assert set(json.loads(example)) - set(logs.JSON_KEYS) == {"deployment"}
     oncall = (ROOT / "ONCALL.md").read_text()
     assert all(f"| `{topic}` |" in oncall for topic in TOPICS)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -19,7 +19,7 @@
 
 from granitewell.cli.check import judge
 from granitewell.config import load as node_takes
-from granitewell.net.logs import PLAIN, TOPICS
+from granitewell.net.logs import DEFAULT_LOG_SETTINGS, TOPICS
 from granitewell.operator.load import MAX_FILE, InvalidOperatorFileError, Live, load, reload
 from granitewell.operator.platform import Platform
 from granitewell.operator.problem import Problem
@@ -182,7 +182,7 @@
 
 def test_an_empty_file_is_the_node_without_one_and_the_example_names_every_field(tmp_path: Path) -> None:
     (tmp_path / "empty.toml").write_text("")
-    assert load(str(tmp_path / "empty.toml"), Operator)[0].log.settings() == PLAIN
+    assert load(str(tmp_path / "empty.toml"), Operator)[0].log.settings() == DEFAULT_LOG_SETTINGS
     assert [(p.field, p.note) for p in load(str(EXAMPLE), Operator)[1]] == [("cluster.name", True)]
     data = tomllib.loads(EXAMPLE.read_text())
     for table in type_of(Operator).fields:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -20,7 +20,14 @@
 from granitewell.balancing.balancer import Balancer
 from granitewell.balancing.interface import Effect, Outcome, State, View
 from granitewell.config import Config, ConfigError, load, reload
-from granitewell.net.http1 import MAX_PLACES, Ask, Bad, FleetReader, InboundParser, Names
+from granitewell.net.http1 import (
+    MAX_DISCOVERED_NAMES,
+    EndpointListReader,
+    HeaderNames,
+    RejectedRequest,
+    Request,
+    RequestParser,
+)
 from granitewell.reload import MAX_NAMES, complete, follow
 from tests import wirekit as w
 from tests.play import LIMIT_S, Player, settings
@@ -64,11 +71,11 @@
     assert len(held.class_names) == MAX_NAMES and k == MAX_NAMES - 2
     write(tmp_path)
     assert again(env, held).live == {"taxi-lookup", "ride-assign"}  # what needs no new place is taken
-    reader = FleetReader(held, lambda unix_us: unix_us)
+    reader = EndpointListReader(held, lambda unix_us: unix_us)
     entry = {"id": "s", "host_port": "10.1.0.18:9000", "phase": "ready"}
     many = [entry | {"locality": f"z{k}", "flavor": f"f{k}"} for k in range(3000)]
-    members = reader.parsed({"revision": 1, "complete": False, "members": many})[1].members
-    assert max(m.zone for m in members) == max(m.kind for m in members) == MAX_PLACES
+    members = reader.parse({"revision": 1, "complete": False, "members": many})[1].members
+    assert max(m.zone for m in members) == max(m.kind for m in members) == MAX_DISCOVERED_NAMES
 
 
 def _paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
@@ -115,27 +122,27 @@
         again(env, old)
 
 
-def request(names: Names, method: bytes, name: bytes) -> Any:
+def request(names: HeaderNames, method: bytes, name: bytes) -> Any:
     head = b"%s /%s/1 HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: 50\r\n\r\n"
-    (item,) = InboundParser(names).feed(head % (method, name, name))
+    (item,) = RequestParser(names).feed(head % (method, name, name))
     return item
 
 
 def test_the_names_of_before_count_until_clients_have_changed_over(tmp_path: Path) -> None:
     """Clients name the new class 1.2 s after the signal; a 404 until then failed all of a class."""
     old = load(env := write(tmp_path))
-    names = Names(old)
+    names = HeaderNames(old)
     text = settings()
     text["classes"] = [text["classes"][1] | {"effect": "pure"}, NEW]
     write(tmp_path, settings=text)
-    names.take(again(env, old))
+    names.reconfigure(again(env, old))
     asks = [request(names, *x) for x in ((b"GET", b"taxi-lookup"), (b"POST", b"ride-assign"),
                                          (b"GET", b"ride-assign"), (b"POST", b"taxi-lookup_b"))]  # fmt: skip
-    assert all(isinstance(x, Ask) for x in asks)
+    assert all(isinstance(x, Request) for x in asks)
     assert [(x.class_index, x.once) for x in asks] == [(0, False), (1, True), (1, False), (2, True)]
-    names.forget()
+    names.drop_previous()
     bad = [request(names, b"GET", b"taxi-lookup"), request(names, b"POST", b"ride-assign")]
-    assert [x.status for x in bad if isinstance(x, Bad)] == [404, 405]
+    assert [x.status for x in bad if isinstance(x, RejectedRequest)] == [404, 405]
 
 
 def test_an_open_request_keeps_its_class_and_its_attempts() -> None:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -16,11 +16,11 @@
 from granitewell.balancing.interface import Outcome
 from granitewell.handover import Handover, Moment
 from granitewell.net.console import Console
-from granitewell.net.discovery import APART_S, MAX_SWIFT, PUSHED
-from granitewell.net.downstream import Inbound
-from granitewell.net.loop import RESERVE, STALL_US, Node
-from granitewell.net.sockets import readable
-from granitewell.net.status import Door
+from granitewell.net.discovery import FAST_ANSWER_PAUSE_S, MAX_FAST_ANSWERS, PUSHED_TIMEOUTS
+from granitewell.net.downstream import DownstreamConnection
+from granitewell.net.loop import RESERVED_DESCRIPTORS, STALL_US, Node
+from granitewell.net.sockets import is_readable
+from granitewell.net.status import StatusServer
 from granitewell.status.types import StatusSettings
 from tests.shell import StandingClock, client_of, played, silent, turns, until
 
@@ -46,14 +46,14 @@
 
     async def scenario(node: Node) -> None:
         client = client_of(node)
-        (inbound,) = node.clients.held.values()
+        (inbound,) = node.clients.connections.values()
         held = inbound.parser.feed(LONG % 1)  # as though another request were out: it waits in the queue
         inbound.queue.extend(held)
         inbound.busy = True
         await pushed(client, bytes(400_000))
-        flow = inbound.parser.flow
+        flow = inbound.parser.streamed_body
         assert flow is not None
-        await until(lambda: flow.unread > 65536)
+        await until(lambda: flow.unread_bytes > 65536)
         node.clients.drop(inbound)
         await turns()
         assert not node._tasks and client.fileno() >= 0
@@ -76,18 +76,18 @@
 
     async def scenario(node: Node) -> None:
         endpoint, client = silent(node), client_of(node)
-        (inbound,) = node.clients.held.values()
+        (inbound,) = node.clients.connections.values()
         await pushed(client, b"".join(SMALL % (k, 60_000, bytes(60_000)) for k in range(40)))
         await turns()
-        assert inbound.id in node.clients.held
-        assert 120_000 <= node._budget.kept <= 2 * 65536  # the one that is out, and the next
+        assert inbound.id in node.clients.connections
+        assert 120_000 <= node._memory.buffered_bytes <= 2 * 65536  # the one that is out, and the next
         answers = b""  # each gets its own once the time of the one before is over
         while answers.count(b"HTTP/1.1 502") < 3:
             answers += await asyncio.get_running_loop().sock_recv(client, 4096)
         client.close()
-        await until(lambda: not node.clients.held)
+        await until(lambda: not node.clients.connections)
         endpoint.close()
-        assert node._budget.kept == 0
+        assert node._memory.buffered_bytes == 0
 
     assert {line.partition(":")[0] for line in played(tmp_path, scenario)} <= {"inbound", "phase", "module"}
 
@@ -107,15 +107,15 @@
 
         monkeypatch.setattr(node.clients, where, once)
         if where == "evict":  # which is asked where there is no room
-            node.limits.inbound = 0
+            node.limits.max_inbound = 0
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
             accepting = node._spawn(node.clients.accept(server))
             clients: list[socket.socket] = []
-            while not node.clients.held and not accepting.done() and len(clients) < 9:
+            while not node.clients.connections and not accepting.done() and len(clients) < 9:
                 clients.append(socket.create_connection(server.getsockname()))
                 await asyncio.sleep(0.05)
-            assert node.clients.held
+            assert node.clients.connections
             await turns()
             assert not accepting.done()
             accepting.cancel()
@@ -151,18 +151,18 @@
     """
 
     async def scenario(node: Node) -> None:
-        read, broken = node._reader.read, [RuntimeError("no such thing")]
+        read, broken = node._list_reader.read, [RuntimeError("no such thing")]
 
         def once(body: bytes) -> tuple[int, c.FleetNews]:
             if broken:
                 raise broken.pop()
             return read(body)
 
-        monkeypatch.setattr(node._reader, "read", once)
+        monkeypatch.setattr(node._list_reader, "read", once)
         agent = Agent(NOTHING)
         server = await asyncio.start_server(agent, "127.0.0.1", 0)
-        node.discovery.at(server.sockets[0].getsockname(), PUSHED)
-        await until(lambda: node.discovery.heard_us >= 0)
+        node.discovery.watch(server.sockets[0].getsockname(), PUSHED_TIMEOUTS)
+        await until(lambda: node.discovery.answered_us >= 0)
         await stopped(node, server)
 
     assert any("no such thing" in line for line in played(tmp_path, scenario))
@@ -182,12 +182,12 @@
     async def scenario(node: Node) -> None:
         agent = Agent(NOTHING)
         server = await asyncio.start_server(agent, "127.0.0.1", 0)
-        node.discovery.at(server.sockets[0].getsockname(), PUSHED)
-        await until(lambda: agent.calls > MAX_SWIFT)
+        node.discovery.watch(server.sockets[0].getsockname(), PUSHED_TIMEOUTS)
+        await until(lambda: agent.calls > MAX_FAST_ANSWERS)
         loop = asyncio.get_running_loop()
         before, began = agent.calls, loop.time()
-        await asyncio.sleep(10 * APART_S)
-        assert (agent.calls - before - 1) * APART_S <= loop.time() - began
+        await asyncio.sleep(10 * FAST_ANSWER_PAUSE_S)
+        assert (agent.calls - before - 1) * FAST_ANSWER_PAUSE_S <= loop.time() - began
         await stopped(node, server)
 
     assert played(tmp_path, scenario) == []
@@ -202,7 +202,7 @@
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 512}
 
     async def scenario(node: Node) -> None:
-        assert node._mine == 100 and node.limits.inbound + RESERVE <= 100
+        assert node._own_descriptors == 100 and node.limits.max_inbound + RESERVED_DESCRIPTORS <= 100
 
     assert played(tmp_path, scenario, limits=limits) == []
 
@@ -220,7 +220,7 @@
         monkeypatch.setattr(node.pool, "dial", dial)
         ended: list[c.Event] = []
         monkeypatch.setattr(node, "dispatch", ended.append)
-        node._run(c.StartCall(7, b"s-0", ("127.0.0.1", 9), "message", 0))
+        node._run_effect(c.StartCall(7, b"s-0", ("127.0.0.1", 9), "message", 0))
         await turns()
         assert ended[-1] == c.CallEnded(7, Outcome.UNCONNECTED) and not node._calls
         monkeypatch.undo()
@@ -239,7 +239,7 @@
         await until(lambda: node.clients.listener is not None)
         node._loop.call_soon(lambda: 1 // 0)
         await turns(3)
-        node._left.set()
+        node._stopped.set()
         running.cancel()
         await turns()
 
@@ -278,7 +278,7 @@
     """
 
     def left() -> int:
-        return sum(isinstance(x, Inbound) for x in gc.get_objects())
+        return sum(isinstance(x, DownstreamConnection) for x in gc.get_objects())
 
     async def scenario(node: Node) -> None:
         gc.collect()  # what other tests have left behind is not this node's
@@ -287,7 +287,7 @@
         gc.disable()
         try:
             clients += [client_of(node) for _ in range(5)]  # whose tasks have not begun
-            for inbound in list(node.clients.held.values()):
+            for inbound in list(node.clients.connections.values()):
                 node.clients.drop(inbound)
             del inbound
             await turns(5)
@@ -310,9 +310,9 @@
         signal, sent = socket.socketpair()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
-            assert node.clients.accepting is not None
-            node.clients.accepting.cancel()
-            node.clients.accepting = node._spawn(node.clients.accept(server))
+            assert node.clients.accept_task is not None
+            node.clients.accept_task.cancel()
+            node.clients.accept_task = node._spawn(node.clients.accept(server))
             await turns(3)
 
             def stop() -> None:
@@ -322,8 +322,8 @@
             node._loop.add_reader(signal, stop)
             client = socket.create_connection(server.getsockname())
             sent.send(b"x")  # both are seen by one look of the loop, the connection first
-            await until(lambda: node.clients.accepting is None or node.clients.accepting.done())
-            assert len(node.clients.held) == 1
+            await until(lambda: node.clients.accept_task is None or node.clients.accept_task.done())
+            assert len(node.clients.connections) == 1
         node._loop.remove_reader(signal)
         for sock in (signal, sent, client):
             sock.close()
@@ -341,9 +341,9 @@
         server = socket.create_server(("127.0.0.1", 0))
         server.setblocking(False)
         place, node.clients.listener = server.getsockname(), server
-        assert node.clients.accepting is not None
-        node.clients.accepting.cancel()
-        node.clients.accepting = node._spawn(node.clients.accept(server))
+        assert node.clients.accept_task is not None
+        node.clients.accept_task.cancel()
+        node.clients.accept_task = node._spawn(node.clients.accept(server))
         await turns(3)
         node.clients.stop_listening()
         await turns(3)
@@ -363,7 +363,7 @@
     until_us = clock.now() + by_us
     while node._timer is not None and node._timer_us < until_us:
         clock.advance(max(node._timer_us - clock.now(), 0) + 1)
-        node._wake()
+        node._on_timer()
     clock.advance(until_us - clock.now())
 
 
@@ -382,13 +382,13 @@
         await loop.sock_sendall(client, CHUNKED + b"%x\r\n%s\r\n" % (70_000, bytes(70_000)))
         await until(lambda: node._calls)
         await loop.sock_sendall(client, b"no chunk\r\n")
-        await until(lambda: not node.clients.held and not node._tasks)  # nothing sweeps here
-        assert not node._calls and not node._core.held and node._budget.flows == 0
+        await until(lambda: not node.clients.connections and not node._tasks)  # nothing sweeps here
+        assert not node._calls and not node._core.held and node._memory.streams == 0
         client.close()
         late, answers = client_of(node), b""  # the same written ahead, whose turn never comes
         ahead = CHUNKED + b"%x\r\n%s\r\nno chunk\r\n" % (65_540, bytes(65_540))
         await loop.sock_sendall(late, SMALL % (2, 2, b"hi") + ahead)
-        while not any(call.wrote for call in node._calls.values()):  # it may have run from there on
+        while not any(call.has_written for call in node._calls.values()):  # it may have run from there on
             await turns()
             pass_time(node, clock, STEP_US)
         pass_time(node, clock, SMALL_TIMEOUT_US)
@@ -414,9 +414,9 @@
         await asyncio.get_running_loop().sock_sendall(client, SMALL % (1, 2, b"hi"))
         await until(lambda: node._calls and node._timer is not None)
         node.clock.advance(node._timer_us + STALL_US - node.clock.now())
-        node._wake()
+        node._on_timer()
         client.close()
-        await until(lambda: not node.clients.held)
+        await until(lambda: not node.clients.connections)
         endpoint.close()
 
     assert [line for line in played(tmp_path, scenario) if line.startswith("stall: 20 ms late")]
@@ -431,11 +431,11 @@
 
 
 @pytest.mark.parametrize(("what", "raw"), [
-    ("http1.answer_bytes", SMALL % (1, 2, b"hi")),  # its answer can't be made,
-    ("downstream.Inbounds._write", SMALL % (1, 2, b"hi")),  # nor be written,
-    ("downstream.Inbounds.answered", b"GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"),  # nor end
-    ("loop._Call", PATIENT),  # its call can't begin
-    ("http1.Flow.take", LONG % 1 + bytes(70_000)),  # its body can't be read
+    ("http1.final_response_bytes", SMALL % (1, 2, b"hi")),  # its answer can't be made,
+    ("downstream.Downstream._write", SMALL % (1, 2, b"hi")),  # nor be written,
+    ("downstream.Downstream.on_answer_written", b"GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"),  # nor end
+    ("loop._OutboundCall", PATIENT),  # its call can't begin
+    ("http1.StreamedBody.take", LONG % 1 + bytes(70_000)),  # its body can't be read
 ], ids=["answer", "write", "end", "call", "body"])  # fmt: skip
 def test_what_breaks_under_way_leaves_nothing_behind(
     tmp_path: Path, monkeypatch: Patch, what: str, raw: bytes
@@ -450,11 +450,11 @@
         monkeypatch.setattr(f"granitewell.net.{what}", broken)
         await pushed(client, raw)
         async with asyncio.timeout(5.0):  # far less than the time of the request whose call can't begin
-            while node.clients.held and ("answered" in what or not readable(client)):
+            while node.clients.connections and ("on_answer_written" in what or not is_readable(client)):
                 await asyncio.sleep(0.01)
         client.close()
-        await until(lambda: not node.clients.held and not node._tasks)
-        assert not node._calls and not node._core.held and node._budget.flows == 0 and not node._core._calls
+        await until(lambda: not node.clients.connections and not node._tasks)
+        assert not node._calls and not node._core.held and node._memory.streams == 0 and not node._core._calls
         endpoint.close()
 
     assert any(line.startswith("fault") for line in played(tmp_path, scenario))
@@ -466,12 +466,14 @@
     After some hundred, of which an endpoint of an address family that the machine does not have is enough,
     the node dialed nobody any more.
     """
-    monkeypatch.setattr("granitewell.net.pool.tcp", lambda _: broken_with(OSError(24, "Too many open files")))
+    monkeypatch.setattr(
+        "granitewell.net.pool.new_tcp_socket", lambda _: broken_with(OSError(24, "Too many open files"))
+    )
 
     async def scenario(node: Node) -> None:
         for _ in range(3):
             assert await node.pool.dial(b"s-0", ("127.0.0.1", 9)) is None
-        assert node.pool.held == 0
+        assert node.pool.open_count == 0
 
     assert [line.partition(":")[0] for line in played(tmp_path, scenario)] == ["dial"] * 3
 
@@ -494,22 +496,22 @@
             return spawn(job)
 
         monkeypatch.setattr(node, "_spawn", once)
-        door, place = Door(node), str(tmp_path / "s")
-        door.take(StatusSettings(place))
+        door, place = StatusServer(node), str(tmp_path / "s")
+        door.apply_settings(StatusSettings(place))
         with socket.socket(socket.AF_UNIX) as first, socket.socket(socket.AF_UNIX) as client:
             first.connect(place)
             await until(lambda: not breaks)
             client.setblocking(False)
             client.connect(place)
             await pushed(client, b"GET /status HTTP/1.1\r\nHost: n\r\n\r\n")
-            await until(lambda: readable(client))
+            await until(lambda: is_readable(client))
             assert client.recv(4096).startswith(b"HTTP/1.1 ")
         door.close()
 
     played(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("what", ["loop.Node._look", "downstream.too_slow"])
+@pytest.mark.parametrize("what", ["loop.Node._check_handover", "downstream.too_slow"])
 def test_a_sweep_that_breaks_over_one_looks_at_the_others(
     tmp_path: Path, monkeypatch: Patch, what: str
 ) -> None:
@@ -522,11 +524,11 @@
         half, idle = client_of(node), client_of(node)
         await pushed(half, b"GET /tax")
         await turns()
-        for inbound in node.clients.held.values():
-            inbound.at_us -= 10_000_000
+        for inbound in node.clients.connections.values():
+            inbound.last_activity_us -= 10_000_000
         monkeypatch.setattr(f"granitewell.net.{what}", broken)
         node._sweep()
-        await until(lambda: len(node.clients.held) <= ("_look" in what))
+        await until(lambda: len(node.clients.connections) <= ("_check_handover" in what))
         half.close()
         idle.close()
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -246,19 +246,21 @@
 
     async def scenario() -> list[int]:
         loop = asyncio.get_running_loop()
-        door = status_door.Door(Node(config, c.Core(config.settings, Balancer(config.settings, 1), 9), loop))
+        door = status_door.StatusServer(
+            Node(config, c.Core(config.settings, Balancer(config.settings, 1), 9), loop)
+        )
         seen = []
         for n in (5, 5, *range(20)):
             assert f'"worst":{n},'.encode() in await door._answer(wire.Asked(wire.STATUS, n))
             seen.append(len(looks))
-        assert door._rest_us - door._done_us == status_door.MAX_REST_US
+        assert door._rest_until_us - door._snapshot_done_us == status_door.MAX_REST_US
         door._settings = types.StatusSettings(seconds=0.2)  # who waits must have time left
         await door._answer(wire.Asked(wire.STATUS, 20))
-        assert door._rest_us - door._done_us == 100_000
+        assert door._rest_until_us - door._snapshot_done_us == 100_000
         return seen
 
     monkeypatch.setattr(status_door, "look", counted)
-    monkeypatch.setattr(status_door, "REST", 10**9)
+    monkeypatch.setattr(status_door, "REST_RATIO", 10**9)
     assert asyncio.run(scenario()) == [1] * 10 + [2] * 8 + [3] * 4
 
 
@@ -374,7 +376,10 @@
             match = re.fullmatch(r'([a-z_]+)(?:\{((?:[a-z_]+="(?:[^"\\]|\\[\\n"])*",?)+)\})? (\S+)', line)
             assert match and match[1] == family, line
             labels = re.findall(r'([a-z_]+)="((?:[^"\\]|\\.)*)"', match[2] or "")
-            key = match[1], frozenset((k, re.sub(r"\\.", lambda m: PLAIN[str(m[0])], v)) for k, v in labels)
+            key = (
+                match[1],
+                frozenset((k, re.sub(r"\\.", lambda m: PLAIN[str(m[0])], v)) for k, v in labels),
+            )
             assert key not in found, line
             found[key] = float(match[3])
     return found
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -150,11 +150,11 @@
     at("granitewell.__main__:Handover.enter"),
     at("os:rename"),  # its file is there and locked, and not yet named
     at("os:rename", "after"),
-    at("granitewell.net.loop:listening"),
-    at("granitewell.net.loop:listening", "after"),
+    at("granitewell.net.loop:open_listener"),
+    at("granitewell.net.loop:open_listener", "after"),
     at("granitewell.net.loop:Console", "after"),
-    at("granitewell.net.loop:Node._look", "after"),
-    at("granitewell.net.loop:Discovery.at", "after"),
+    at("granitewell.net.loop:Node._check_handover", "after"),
+    at("granitewell.net.loop:Discovery.watch", "after"),
 ]
 
 
@@ -182,12 +182,12 @@
 
 
 IN_A_CALL = [
-    at("granitewell.net.console:Console._taken"),  # read
+    at("granitewell.net.console:Console._handle"),  # read
     at("granitewell.net.loop:Node._keep_ban"),  # in force
     at("os:rename", "before", 2),  # written, not yet named
     at("os:rename", "after", 2),
     at("granitewell.net.loop:Node._keep_ban", "after"),
-    at("granitewell.net.console:answer", "after"),  # written down, not yet said
+    at("granitewell.net.console:response_bytes", "after"),  # written down, not yet said
 ]
 
 
@@ -217,15 +217,15 @@
 
 
 WHILE_SERVING = [
-    at("granitewell.net.http1:InboundParser.feed"),
-    at("granitewell.net.downstream:Inbounds._next"),
+    at("granitewell.net.http1:RequestParser.feed"),
+    at("granitewell.net.downstream:Downstream._start_next_request"),
     at("granitewell.net.loop:Node.dispatch", "after", 5),
-    at("granitewell.net.http1:call_bytes"),
+    at("granitewell.net.http1:request_bytes"),
     at("granitewell.net.http1:ResponseParser.feed", "before", 3),  # discovery's come first
-    at("granitewell.net.http1:answer_bytes"),
-    at("granitewell.net.downstream:Inbounds.reply"),
-    at("granitewell.net.downstream:Inbounds.reply", "after"),
-    at("granitewell.net.downstream:Inbounds.answered"),
+    at("granitewell.net.http1:final_response_bytes"),
+    at("granitewell.net.downstream:Downstream.write_response"),
+    at("granitewell.net.downstream:Downstream.write_response", "after"),
+    at("granitewell.net.downstream:Downstream.on_answer_written"),
 ]
 
 
@@ -246,10 +246,10 @@
 IN_AN_UPGRADE = [
     (0, at("granitewell.net.loop:Node.stop"), "old, asked to stop"),
     (0, at("granitewell.net.loop:Node.stop", "after"), "old, stopping"),
-    (0, at("granitewell.net.downstream:Inbounds._release", "after"), "old, off the listener"),
+    (0, at("granitewell.net.downstream:Downstream._release", "after"), "old, off the listener"),
     (1, at("granitewell.net.loop:Node.dispatch", "after", 2), "new, about to be ready"),
-    (1, at("granitewell.net.console:Console._taken"), "new, asked whether it is"),
-    (1, at("granitewell.net.console:Console._taken", "after"), "new, before its yes is out"),
+    (1, at("granitewell.net.console:Console._handle"), "new, asked whether it is"),
+    (1, at("granitewell.net.console:Console._handle", "after"), "new, before its yes is out"),
 ]
 
 
@@ -287,8 +287,8 @@
 
 IN_A_RELOAD = [
     at("granitewell.__main__:reload", "after"),
-    at("granitewell.net.loop:Node._settle"),
-    at("granitewell.net.loop:Node._settle", "after"),
+    at("granitewell.net.loop:Node._apply_settings"),
+    at("granitewell.net.loop:Node._apply_settings", "after"),
 ]
 
 
@@ -319,7 +319,7 @@
     (at("granitewell.__main__:load", "before", 1, INT), b""),
     (at("granitewell.__main__:Handover.enter", "after", 1, TERM), b""),
     (at("uvloop:new_event_loop", "after", 1, TERM), b""),
-    (at("granitewell.net.loop:Node._look", "after", 1, TERM, TERM, HUP), b"phase"),
+    (at("granitewell.net.loop:Node._check_handover", "after", 1, TERM, TERM, HUP), b"phase"),
     (at("granitewell.net.loop:Node.stop", "after", 1, TERM, HUP), b"phase"),
     (at("asyncio:Runner.close", "after", 1, TERM, INT, HUP), b"phase"),
 ]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -257,19 +257,19 @@
         files = Said([]), Said([384])
         made = [Core(config.settings, Balancer(config.settings, 1), 9) for _ in files]
         old, new = (Node(config, core, loop, x) for core, x in zip(made, files, strict=True))
-        new._elder, old.clients.listener, old.pool.held = False, socket.socket(), 100
-        old._beside([-1])  # the next one has not said a word yet
-        new._beside([files[0].claimed])
-        seen.append((old._mine, new._mine))
+        new._is_older, old.clients.listener, old.pool.open_count = False, socket.socket(), 100
+        old._share_descriptors([-1])  # the next one has not said a word yet
+        new._share_descriptors([files[0].claimed])
+        seen.append((old._own_descriptors, new._own_descriptors))
         old.clients.listener.close()
         old.clients.listener = None  # SIGTERM
         for held in (100, 60, 70, 0):
-            old.pool.held = held
-            old._beside([new._mine])
-            new._beside([files[0].claimed])
-            seen.append((old._mine, new._mine))
-        new._beside([])
-        seen.append((0, new._mine))
+            old.pool.open_count = held
+            old._share_descriptors([new._own_descriptors])
+            new._share_descriptors([files[0].claimed])
+            seen.append((old._own_descriptors, new._own_descriptors))
+        new._share_descriptors([])
+        seen.append((0, new._own_descriptors))
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(scenario())
