--- a/granitewell/net/__init__.py
+++ b/granitewell/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets of granitewell: one protocol front and the loop that runs the core's effects."""
+"""The sockets of the serving node: the client protocol, the peer transport and the loop that runs effects."""
--- a/granitewell/net/bodies.py
+++ b/granitewell/net/bodies.py
@@ -1,10 +1,10 @@
-"""Bodies over 64 KiB on their way through: from a client to an endpoint, and from an endpoint to a client.
+"""Streaming of bodies over 64 KiB: from a client to an endpoint, and from an endpoint to a client.
 
-It owns the pieces in which they are read, how long either side may stand still, and the budget that sets the
-size of the pieces. It must never hold more of a body than a few pieces, send anything twice, or decide what
-becomes of a request: the core hears where a body begins, is whole, is let go, and ends.
+Bodies are read in pieces, whose size follows from a memory budget that all streams share, and no more than a
+few pieces of one body are in memory at a time. Nothing is sent twice. The core decides what becomes of a
+request: it is told when a body begins, is complete, is discarded and ends.
 
-Back-pressure is that of the two connections: what one side does not take is not read from the other.
+Back-pressure is that of the two connections: what one side does not accept is not read from the other.
 """
 
 from __future__ import annotations
@@ -16,46 +16,44 @@
 
 from granitewell.net import http1
 
-MIN_READ_BYTES, MAX_READ_BYTES = 8 * 1024, 64 * 1024  # bytes read at a time
-READS_HELD_PER_STREAM = (
-    4  # pieces that a flow may hold at once: its buffer, parsed, framed, and with the kernel. A request
-)
-# holds up to 64 KiB besides, which are kept so that it may go again
-BASELINE_MB = 44.0  # of the memory limit, what the process takes without bodies
-STREAM_MEMORY_RATIO = 0.5  # of what is left, that flows may hold
-RESPONSE_GAP_TIMEOUT_S = (
-    0.4  # between two pieces of an answer that has not begun for its client: spoilt ones stand still
-)
-MAX_RESPONSE_BUFFERING_S = (
-    0.1  # for which an answer of unknown length may be gathered before it begins for its client
-)
-STREAM_STALL_TIMEOUT_S = 20.0  # for either side of a body that is under way
+MIN_READ_BYTES, MAX_READ_BYTES = 8 * 1024, 64 * 1024  # read from a stream at a time
+# a stream may hold its read buffer, the parsed and the framed copy, and one with the kernel; a request holds
+# up to 64 KiB besides, which are kept for a retry
+READS_HELD_PER_STREAM = 4
+BASELINE_MB = 44.0  # of the memory limit, used by the process without bodies
+STREAM_MEMORY_RATIO = 0.5  # of the remaining memory, for streams
+# between two pieces of a response that is not yet forwarded: faulty endpoints stop in the middle
+RESPONSE_GAP_TIMEOUT_S = 0.4
+MAX_RESPONSE_BUFFERING_S = 0.1  # of a response of unknown length, before it is forwarded to its client
+STREAM_STALL_TIMEOUT_S = 20.0  # without progress on either side of a stream
 
 
 class MemoryBudget:
-    """Bytes that flows hold together. Where many share it the pieces get smaller; none waits for another."""
+    """Memory for streams. The more streams share it, the smaller their reads; none waits for another."""
 
     def __init__(self, memory_mb: float) -> None:
+        """Derive the budget from the process's memory limit."""
         self.max_bytes = int(max(memory_mb - BASELINE_MB, memory_mb / 8) * STREAM_MEMORY_RATIO * 1024 * 1024)
         self.streams = 0
-        self.buffered_bytes = (
-            0  # bytes of bodies up to 64 KiB that are held whole; what flows gives way to them
-        )
+        self.buffered_bytes = 0  # of bodies up to 64 KiB; streams get what these leave
 
     def read_size(self) -> int:
-        """The bytes that a flow may read at a time now."""
+        """Return how many bytes a stream may read at a time now."""
         share = max(self.max_bytes - self.buffered_bytes, 0) // (READS_HELD_PER_STREAM * max(self.streams, 1))
         return min(max(share, MIN_READ_BYTES), MAX_READ_BYTES)
 
 
 class BodySignals:
-    """What the two ends of a request body wait with: for more of it, and for room to read on."""
+    """Events between the reader and the writer of a request body."""
 
     def __init__(self) -> None:
         self.data_available, self.space_available = asyncio.Event(), asyncio.Event()
 
     async def wait_for_space(self, body: http1.StreamedBody) -> None:
-        """Until less than a piece is unread. A client that leaves meanwhile is seen once it is read again."""
+        """Wait until less than a piece of the body is unread.
+
+        A client that leaves meanwhile is noticed at the next read.
+        """
         while body.unread_bytes > http1.MAX_BUFFERED_BODY_BYTES and not body.done:
             self.space_available.clear()
             await self.space_available.wait()
@@ -68,10 +66,17 @@
     signals: BodySignals,
     on_discard: Callable[[], None],
 ) -> None:
-    """Write a request's body as it comes.
+    """Write a request's body to its endpoint as it arrives.
+
+    Returns without an error if the endpoint stops reading: the task that reads the response sees how that
+    ends, and `body.fully_sent` tells whether the last byte was written.
 
-    Ends quietly where the endpoint takes no more: whoever reads the answer there sees how that ends, and
-    `flow.sent` whether the last byte was written.
+    Args:
+        loop: The event loop.
+        sock: The connection to the endpoint.
+        body: The body.
+        signals: Events that connect this task with the one that reads from the client.
+        on_discard: Called once, when the first bytes are dropped, after which the request can't be retried.
     """
     chunked, notified = body.length is None, False
     try:
@@ -91,7 +96,7 @@
             if part is None:
                 body.fully_sent = True
                 return
-    except Exception as error:  # whatever it is, nothing else would end the call, which has no time yet
+    except Exception as error:  # on any error: nothing else would end the call, whose deadline is not set yet
         with contextlib.suppress(OSError):
             sock.shutdown(socket.SHUT_RDWR)
         if not isinstance(error, OSError):
@@ -99,7 +104,7 @@
 
 
 class ResponseStream:
-    """An answer that has begun, on its way to its client."""
+    """A response that is forwarded to its client as it arrives."""
 
     def __init__(
         self,
@@ -109,13 +114,23 @@
         is_http10: bool,
         close: bool,
     ) -> None:
+        """Choose the framing.
+
+        Args:
+            loop: The event loop.
+            sock: The client's connection.
+            head: The head of the endpoint's response.
+            is_http10: The client speaks HTTP/1.0, so that the body can't be chunked.
+            close: The connection ends after this response.
+        """
         self._loop, self._sock = loop, sock
         self._chunked = head.length is None and not is_http10
-        self.closes_connection = close or (head.length is None and is_http10)  # its end is the connection's
+        # the end of the connection marks the end of the body
+        self.closes_connection = close or (head.length is None and is_http10)
         self._head = http1.response_head_bytes(head, self._chunked, self.closes_connection)
 
     async def write(self, data: bytes) -> None:
-        """The next piece, and the head before the first one."""
+        """Write the next piece, preceded by the head the first time."""
         if data and self._chunked:
             data = http1.chunk_bytes(data)
         data, self._head = self._head + data, b""
@@ -123,7 +138,7 @@
             await self._send(data)
 
     async def end(self) -> None:
-        """All of it has been written."""
+        """Finish the body."""
         if self._chunked or self._head:
             await self._send(self._head + (http1.chunk_bytes(b"") if self._chunked else b""))
 
--- a/granitewell/net/clock.py
+++ b/granitewell/net/clock.py
@@ -1,7 +1,4 @@
-"""The node's time: whole microseconds on the monotonic clock, read once a turn of the loop.
-
-It owns the start that times are counted from. It must never hold a timer.
-"""
+"""The node's clock: whole microseconds of monotonic time, read once per turn of the event loop."""
 
 from __future__ import annotations
 
@@ -12,7 +9,7 @@
 
 
 class Clock:
-    """Microseconds, read once a turn of the loop."""
+    """Monotonic microseconds since shortly before the process started."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -21,26 +18,27 @@
 
     @property
     def unix_offset_us(self) -> int:
-        """Unix time less ours, as of now: over months the wall clock is set right, and then moves in
-        steps.
+        """Return Unix time minus this clock's time, as of now.
+
+        It changes over months of running: the wall clock is corrected, and may step.
         """
         return time.time_ns() // 1000 - self.read_now()
 
     def from_unix(self, unix_us: int) -> int:
-        """A past moment of Unix time on our clock; what claims to lie ahead is now."""
+        """Convert a past Unix time to this clock; a time in the future becomes now."""
         now = self.read_now()
         return min(unix_us - time.time_ns() // 1000 + now, now)
 
     def read_now(self) -> int:
-        """The time now, for what is measured inside one turn."""
+        """Read the clock anew, to measure within one turn of the loop."""
         return time.monotonic_ns() // 1000 - self._start
 
     def from_monotonic(self, monotonic_us: int) -> int:
-        """A moment of the machine's monotonic clock on ours."""
+        """Convert a time of the machine's monotonic clock to this clock."""
         return monotonic_us - self._start
 
     def now(self) -> int:
-        """The time of this turn."""
+        """Return the time of this turn of the loop."""
         if self._cached_us < 0:
             self._cached_us = self.read_now()
             self._loop.call_soon(self._next)
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -1,26 +1,28 @@
-"""The shell that makes this process a member of the fleet: it joins membership, census, roads and the folder.
-
-It owns the timer, the order in which the parts hear of each other's news, the log's words for them, and whose
-turn it is where two processes of one node run. It must never judge a member, divide a budget, or hold up the
-loop; what goes wrong here costs the node its view, never a request.
-
-Theory of operation. The parts are pure machines; the shell gives them messages and time, sends what they say,
-tells the core how many nodes act, and writes down what the next process has to know. One process at a time is
-the member: the one that has the folder's lock.
-
-    WAITING ── the lock is had ──▶ HELD ── a stop, nobody beside ──▶ LEAVING ──▶ OVER
-       ▲                             │
-       │                             └── a stop, another process beside ──▶ ASIDE ── it has failed ──▶ LEAVING
-
-A process that begins beside one that is the member waits for the lock and then goes on with the same life:
-the numbers that the other has used are written down with room to spare, so that its letters are new ones to
-everybody, and no other node is told of anything. The kernel gives the lock back however a process ends, so a
-kill at any step leaves either of them as the member. A process that finds the lock free begins a life of its
-own. The one that stops lets go of the lock while it still answers its clients; should the other end before it
-has taken it, the first takes it back and leaves for both.
-
-Nothing waits for the disk in the loop: what has to be written down first (a new life, before anybody hears of
-it; the last numbers, before the lock is let go of) is followed by what it is the condition of.
+"""Runs this process as a member of the cluster: membership, size estimate, peer transport and stored record.
+
+The membership and size-estimate parts are pure state machines. This module feeds them messages and time,
+sends what they produce, tells the core how many nodes may be acting, logs what has changed, and stores the
+record that the node's next process continues from. It makes no decisions about members or budgets itself. A
+fault in it costs the node its view of the cluster, but never a request.
+
+During an upgrade two processes of one node run side by side. Only the one that holds the lock on the node's
+folder is the member:
+
+    WAITING -- lock acquired --> ACTIVE -- stopped, no other process ------------------> LEAVING --> STOPPED
+                                   |
+                                   +-- stopped, another process --> HANDING_OVER -- it died --> LEAVING
+
+A process that starts next to the active member waits for the lock and then continues with the same
+incarnation and sequence numbers. The stored record reserves a range of sequence numbers, so that messages of
+the new process are newer than any that its predecessor sent, and no other node notices the change. A process
+that finds the lock free starts a new incarnation. The kernel releases the lock however a process ends, so a
+kill at any step leaves one of the two as the member. A process that is stopped releases the lock while it
+still answers its clients. If the other process ends before it has taken the lock, the first one takes it back
+and leaves the cluster for both.
+
+The event loop never waits for the disk. What must be durable first (a new incarnation before another node
+hears of it; the last sequence numbers before the lock is released) is written by a background thread, and the
+next step runs when the write has completed.
 """
 
 from __future__ import annotations
@@ -68,27 +70,22 @@
     from granitewell.net.shared_counters import SharedCounters
     from granitewell.shared_counters.types import Figures
 
-LOCK_RETRY_S = 0.05  # between two looks whether the lock is free
-DISK_TIMEOUT_S = 2.0  # for the last note of a process
-HANDOVER_CHECK_S = 0.5  # for the other process to take it, before this one looks whether it still lives
-MIN_RECORD_INTERVAL_US = 1_000_000  # between two notes, at least
-RESERVED_SEQUENCE_NUMBERS = (
-    1 << 20
-)  # numbers that a note reserves; half of them used, and the next note is due
-SOCKETS_PER_STREAM = 16  # one descriptor in so many may be a stream, each way
-PARTITION_MEMBER_DIVISOR, PARTITION_WINDOW_US, MIN_PARTITION_LOSSES = (
-    3,
-    12_000_000,
-    2,
-)  # one in so many members lost within that time
-LOG_LINES_PER_S = 3  # lines of a topic a second, twice that at once
+LOCK_RETRY_S = 0.05  # between two attempts to acquire the lock
+DISK_TIMEOUT_S = 2.0  # that shutdown waits for the last record to be written
+HANDOVER_CHECK_S = 0.5  # for the other process to acquire the lock before this one checks whether it is alive
+MIN_RECORD_INTERVAL_US = 1_000_000  # between two records
+RESERVED_SEQUENCE_NUMBERS = 1 << 20  # reserved by each record; the next record is due when half are used
+SOCKETS_PER_STREAM = 16  # one descriptor in 16 may be a peer stream in each direction
+# a partition is likely when at least one member in 3, and at least 2, fail within this time
+PARTITION_MEMBER_DIVISOR, PARTITION_WINDOW_US, MIN_PARTITION_LOSSES = 3, 12_000_000, 2
+LOG_LINES_PER_S = 3  # of one topic; bursts of twice as many are allowed
 MEMBERSHIP_SETTINGS = membership.Figures()
-MAX_MEMBERS_IN_VIEW = 1_000  # members in an answer, those first who are not well: a look is made in one turn
+MAX_MEMBERS_IN_VIEW = 1_000  # unhealthy ones first: the view is built in one turn of the loop
 STATE_ORDER = {State.SUSPECT: 0, State.DEAD: 1, State.ALIVE: 2, State.LEFT: 3}
 
 
 class ProcessState(Enum):
-    """Which of a node's processes is the member."""
+    """Whether this process is the node's member, waits to be, or has been."""
 
     WAITING = "waiting"
     ACTIVE = "held"
@@ -98,12 +95,18 @@
 
 
 class Cluster:
-    """The member that this process is, waits to be, or was."""
+    """The cluster membership of one process, over its whole life."""
 
     def __init__(self, node: Node, settings: ClusterSettings, counts: Figures | None = None) -> None:
-        """counts: what the nodes count together, None for nothing.
+        """Try to become the member at once; otherwise keep trying in the background.
+
+        Args:
+            node: The serving node that this membership belongs to.
+            settings: The `[cluster]` table of the operator file.
+            counts: Settings of the counters that the nodes share; None if they share none.
 
-        OSError: the address can't be had, or the keys can't be read.
+        Raises:
+            OSError: The address can't be bound, or the keys can't be read.
         """
         if settings.keys is None:
             raise OSError(f"cluster.keys: {settings.keys_why}")
@@ -113,7 +116,8 @@
         self._max_streams = max(min(settings.streams, node._max_sockets // SOCKETS_PER_STREAM), 1)
         node._max_sockets = max(node._max_sockets - 2 * self._max_streams - 2, 1)
         node._divide_descriptors(node._max_sockets)
-        self._log_buckets: dict[str, Bucket] = {}  # topics are the program's own
+        # by topic; topics come from the program, so their number is bounded
+        self._log_buckets: dict[str, Bucket] = {}
         self.state = ProcessState.WAITING
         self.machine: Membership | None = None
         self.size_estimate: Census | None = None
@@ -123,9 +127,9 @@
         self._timer_us = -1
         self._disk_writer = DiskWriter(self._durable_folder, self._clock.now, self._on_write_error)
         self._recorded_us = self._changed_us = -1
-        self._last_digest: object = None  # what the last note says, less what only time has changed
+        self._last_digest: object = None  # of the last record, without what changes by time alone
         self._reserved_seq = 0
-        self._lost_times_us: deque[int] = deque(maxlen=256)  # when members were lost
+        self._lost_times_us: deque[int] = deque(maxlen=256)  # of members that were declared dead
         self._left_cluster = asyncio.Event()
         self.duplicate_identities = 0
         self.shared_counters: SharedCounters | None = None
@@ -135,9 +139,13 @@
             self.shared_counters = SharedCounters(node, settings.name, settings.keys, counts)
         self._try_to_activate(first=True)
 
-    # --- Whose turn it is -------------------------------------------------------------------------------
+    # --- Which process is the member --------------------------------------------------------------------
     def _try_to_activate(self, first: bool = False) -> None:
-        """Be the member, if nobody else is. OSError, at the first time alone: the address can't be had."""
+        """Become the member if no other process is; otherwise try again later.
+
+        Raises:
+            OSError: On the first attempt only: the address can't be bound.
+        """
         if self.state is not ProcessState.WAITING:
             return
         acquired, problem = self._durable_folder.take()
@@ -151,7 +159,7 @@
                 if first and not self._node._listener_is_inherited:
                     self._durable_folder.release()
                     raise OSError(f"cluster {self._settings.bind}: {error.strerror or error}") from None
-                if not self._logged_busy:  # the process before this one is not quite gone
+                if not self._logged_busy:  # the previous process still has the address bound
                     self._logged_busy = True
                     self.log_line("cluster", f"{self._settings.bind}: {error.strerror}: trying again")
         elif not self._waited:
@@ -160,7 +168,7 @@
         self._loop.call_later(LOCK_RETRY_S, self._try_to_activate)
 
     def _activate(self) -> None:
-        """The lock is had: bind, read what was written down, and be a member."""
+        """Bind the address and read the stored record; this process holds the lock now."""
         settings, clock = self._settings, self._clock
         rng = Random(int.from_bytes(os.urandom(16), "big"))
         transport = PeerTransport(
@@ -184,14 +192,15 @@
         machine, keys = Membership(config, rng), self._keys
         description = "going on with the life of the process before" if self._waited and former else "joining"
         self.log_line("member", f"{settings.name} at {settings.address}: {description}, {len(seeds)} seeds")
-        # before anything is said: a life that others know must not come again
+        # stored before the first message: an incarnation that other nodes know must not be reused
         self._write_record(machine, self.size_estimate)
         self._disk_writer.call_when_written(lambda: self._start_membership(machine, settings, keys))
 
     def _start_membership(self, machine: Membership, settings: ClusterSettings, keys: Keys) -> None:
-        """Its life is written down: be a member from now on, if this process is still to be one.
+        """Start the membership machine, if this process is still to be the member.
 
-        The files may have been read again meanwhile.
+        Runs once the record of the new incarnation is on the disk. The settings may have been reloaded
+        meanwhile.
         """
         if self.state is not ProcessState.ACTIVE or self.machine is not None:
             return
@@ -206,6 +215,7 @@
         self._update_size_estimate()
 
     def _read_record(self) -> persisted_record.Note | None:
+        """Return the stored record of this node, or None if there is no usable one."""
         raw, problem = self._durable_folder.read(persisted_record.MAX_BYTES)
         if raw:
             try:
@@ -220,7 +230,7 @@
         return None
 
     def stop(self) -> None:
-        """The process is asked to stop: leave, or leave the place to the process beside this one."""
+        """Leave the cluster, or hand the membership over to another process of this node."""
         if self.state is ProcessState.WAITING:
             self.state = ProcessState.STOPPED
         elif self.state is ProcessState.ACTIVE:
@@ -230,32 +240,34 @@
                 self._leave()
 
     def _has_other_process(self) -> bool:
-        """Does another process of this node run?"""
+        """Return whether another process of this node runs."""
         handover = self._node._handover
         return handover is not None and bool(handover.others())
 
     def _leave(self) -> None:
+        """Announce that this node leaves the cluster."""
         self.state = ProcessState.LEAVING
         if self.machine is None:
-            self._left_cluster.set()  # nobody has heard of it yet
+            self._left_cluster.set()  # no other node has heard of this one yet
         self._handle_membership(Leave())
 
     def _hand_over(self) -> None:
+        """Store the last sequence numbers, then release the lock to the other process."""
         self._save_record(always=True)
         self.state = ProcessState.HANDING_OVER
         self._disk_writer.call_when_written(self._release_lock)
 
     def _release_lock(self) -> None:
-        """The last numbers are written down: the other process may go on from there."""
+        """Let the other process take over; the sequence numbers that it continues from are stored."""
         self._close()
         self._durable_folder.release()
         self.log_line("member", "the process beside this one goes on as the member")
         self._loop.call_later(HANDOVER_CHECK_S, self._check_handover)
 
     def _check_handover(self) -> None:
-        """Has the other process taken the place, or does it still live to do so?
+        """Check whether the other process has taken over or is alive to do so.
 
-        Else take it back, to leave.
+        If it has ended without taking the lock, take the lock back in order to leave the cluster.
         """
         if self.state is not ProcessState.HANDING_OVER or self._durable_folder.held:
             return
@@ -277,7 +289,7 @@
         self._disk_writer.call_when_written(self._leave)
 
     async def shut_down(self) -> None:
-        """All is answered: end, once the others have been told."""
+        """Finish after the last request: wait until the other nodes know, then release everything."""
         if self.state is ProcessState.HANDING_OVER:
             await self._wait_for_disk()
             self._check_handover()
@@ -293,11 +305,12 @@
             await self._wait_for_disk()
         self.state = ProcessState.STOPPED
         self._close()
-        if not self._disk_writer.is_writing:  # else the kernel gives the lock back, once that write is over
+        # otherwise the kernel releases the lock when that write has ended
+        if not self._disk_writer.is_writing:
             self._durable_folder.release()
 
     async def _wait_for_disk(self) -> None:
-        """Wait until the disk has what it was given, for a while: a disk that stands still stops nothing."""
+        """Wait a limited time for pending writes: a hung disk must not keep the process from ending."""
         done = asyncio.Event()
         self._disk_writer.call_when_written(done.set)
         try:
@@ -307,6 +320,7 @@
             self.log_line("cluster", "the disk has not taken the folder's file: ending without it")
 
     def _close(self) -> None:
+        """Close the transport and stop the timers."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -318,7 +332,7 @@
 
     # --- Settings ---------------------------------------------------------------------------------------
     def reconfigure(self, settings: ClusterSettings) -> None:
-        """The files have been read again."""
+        """Apply reloaded settings."""
         if settings.name:
             if settings.keys is None:
                 self.log_line("cluster", f"the keys stay as they are: {settings.keys_why}")
@@ -332,6 +346,7 @@
             self._handle_size_estimate(Configured(self._node._config.settings.proxies))
 
     def _rekey(self, keys: Keys) -> None:
+        """Use other keys for messages to peers."""
         self._keys = keys
         ids = ", ".join(k.id.hex() for k in (keys.current, keys.other) if k is not None)
         self.log_line("member", f"keys are taken up: {ids}, the first seals")
@@ -341,15 +356,15 @@
             self.shared_counters.rekey(keys)
 
     def attach_to_status_server(self, node: Node) -> None:
-        """Whoever asks the node's status may ask for the cluster, too."""
+        """Let the node's status server answer queries about the cluster."""
         if node.status_server is not None:
             node.status_server.cluster = self
 
     def log_line(self, topic: str, line: str) -> None:
-        """A line of the log.
+        """Write a line to the node's log.
 
-        Members come and go several at a time, and each of those lines is wanted: some of a topic are written
-        at once, further ones as often as those of other topics.
+        Members often join and fail several at a time, and each of those lines is wanted: a topic may have a
+        burst of lines at once, and beyond that is limited to the rate of the other topics.
         """
         bucket = self._log_buckets.setdefault(topic, Bucket(LOG_LINES_PER_S, self._clock.now()))
         if bucket.take(self._clock.now()):
@@ -359,14 +374,14 @@
 
     # --- Events and effects -----------------------------------------------------------------------------
     def _on_message(self, heard: Heard) -> None:
-        """Which machine is to open it, by a head that nothing has proved yet."""
+        """Pass a message on to the machine that its (not yet authenticated) header names."""
         if self.shared_counters is not None and kind_of(heard.data) == Kind.COUNT:
             self.shared_counters.on_message(heard)
         else:
             self._handle_membership(heard)
 
     def _handle_membership(self, event: object) -> None:
-        """Give the member an event, and do what it asks for."""
+        """Give the membership machine an event and run the effects that it returns."""
         machine, transport = self.machine, self.transport
         if machine is None or transport is None:
             return
@@ -382,6 +397,7 @@
         self._arm_timer()
 
     def _log_effect(self, line: Line) -> None:
+        """Log a line of a machine under the topic that operators know."""
         if line.topic in ("membership-twin", "membership-name"):
             self.log_line("twin", line.text)
         elif line.topic == "lost":
@@ -390,6 +406,7 @@
             self.log_line("cluster", line.text)
 
     def _on_membership_change(self, effect: object) -> None:
+        """Log a change of membership and schedule an update of the size estimate."""
         if isinstance(effect, Moved):
             self.log_line("member", f"{self._settings.name} is {effect.phase.value}")
             if effect.phase is Phase.OUT:
@@ -400,11 +417,12 @@
             self._changed_us = self._clock.now()
             self._log_member_change(effect, effect.member)
         self._record_outdated = True
-        if not self._update_scheduled:  # many at a time are counted once
+        if not self._update_scheduled:  # several changes at a time cause one update
             self._update_scheduled = True
             self._loop.call_soon(self._update_size_estimate)
 
     def _log_member_change(self, effect: object, member: Member) -> None:
+        """Log what has happened to one member."""
         name, at = member.name, member.about.address
         up = len(self.machine.members()) if self.machine is not None else 0
         if isinstance(effect, Joined):
@@ -418,7 +436,7 @@
             self._log_likely_partition(up)
 
     def _log_likely_partition(self, up: int) -> None:
-        """Are so many lost at once that a cut is likelier than deaths?"""
+        """Log when so many members fail at once that a partition is likelier than that many crashes."""
         now = self._clock.now()
         self._lost_times_us.append(now)
         lost = sum(now - at <= PARTITION_WINDOW_US for at in self._lost_times_us)
@@ -427,12 +445,12 @@
             self.log_line("cluster", f"{summary}: a partition is likely; all still count in budgets")
 
     def _update_size_estimate(self) -> None:
-        """Tell the census where everybody of our role stands."""
+        """Report the state of every member with this node's role to the size estimate."""
         self._update_scheduled = False
         machine, size_estimate = self.machine, self.size_estimate
         if machine is None or size_estimate is None:
             return
-        # of one who was gone before we came it is not known what it was: it may act, so it counts
+        # the role of a member that failed before this node joined is unknown: it may be acting, so it counts
         role = self._settings.role
         ours = [entry for entry in machine.everyone() if entry.about is None or entry.about.role == role]
         self._handle_size_estimate(
@@ -441,7 +459,7 @@
         self._update_shared_counters(ours)
 
     def _update_shared_counters(self, ours: list[Entry]) -> None:
-        """Tell what is shared with whom: all who may act, those that nobody hears among them."""
+        """Tell the shared counters which nodes may be acting, including those that are unreachable."""
         shared_counters, size_estimate = self.shared_counters, self.size_estimate
         if shared_counters is None or size_estimate is None:
             return
@@ -456,7 +474,7 @@
         shared_counters.set_peers(places, out, size_estimate.unseen)
 
     def _handle_size_estimate(self, event: object) -> None:
-        """Give the census an event."""
+        """Give the size estimate an event and run the effects that it returns."""
         if self.size_estimate is None:
             return
         for effect in self.size_estimate.handle(self._clock.now(), event):
@@ -469,6 +487,7 @@
 
     # --- Time -------------------------------------------------------------------------------------------
     def _arm_timer(self) -> None:
+        """Set the timer to the earlier deadline of the two machines."""
         if self.machine is None or self.size_estimate is None:
             return
         wakes = [x for x in (self.machine.wake_us, self.size_estimate.wake_us) if x >= 0]
@@ -482,6 +501,7 @@
         self._timer = self._loop.call_later(-(-wait_us // 1000) / 1000, self._on_timer)
 
     def _on_timer(self) -> None:
+        """Wake the machines that are due, and store the record if it is out of date."""
         self._timer = None
         machine, size_estimate, now = self.machine, self.size_estimate, self._clock.now()
         if machine is None or size_estimate is None:
@@ -494,9 +514,9 @@
             self._save_record()
         self._arm_timer()
 
-    # --- What is written down ---------------------------------------------------------------------------
+    # --- The stored record ------------------------------------------------------------------------------
     def _save_record(self, always: bool = False) -> None:
-        """Write down what the next process has to know, now and then."""
+        """Store what the node's next process needs; without `always` at a limited rate."""
         now, machine, size_estimate = self._clock.now(), self.machine, self.size_estimate
         if machine is None or size_estimate is None or not self._durable_folder.lasting:
             return
@@ -506,7 +526,7 @@
         self._write_record(machine, size_estimate, always)
 
     def _write_record(self, machine: Membership, size_estimate: Census, always: bool = True) -> None:
-        """Form the note, and have it written if it says anything new."""
+        """Build the record and write it if it differs from the last one."""
         if not self._durable_folder.lasting:
             return
         seat, own = machine.seat, machine.own
@@ -516,20 +536,21 @@
         record = persisted_record.Note(self._settings.name, life, known, tuple(sorted(wanted)))
         digest = persisted_record.gist(record)
         if not always and digest == self._last_digest:
-            return  # suspicions come and go many times a second, and say nothing to the next process
+            return  # suspicions change many times a second and don't concern the next process
         self._last_digest, self._reserved_seq = (
             digest,
             life.seq,
-        )  # half of the spare numbers last longer than any write
+        )  # half of the reserved numbers last longer than any write takes
         self._disk_writer.write(persisted_record.form(record))
 
     def _on_write_error(self, line: str) -> None:
-        self._last_digest = None  # so the next news is written whatever it is
+        """Log a failed write and make sure that the record is written again."""
+        self._last_digest = None  # so that the next change is written in any case
         self.log_line("cluster", line)
 
-    # --- For whoever asks -------------------------------------------------------------------------------
+    # --- Queries ----------------------------------------------------------------------------------------
     def view(self) -> dict[str, Any]:
-        """What this node believes of the fleet, as plain JSON."""
+        """Return this node's view of the cluster as plain JSON."""
         machine, size_estimate, now = self.machine, self.size_estimate, self._clock.now()
         settings = self._settings
         view: dict[str, Any] = {
@@ -569,7 +590,7 @@
         return view
 
     def explain(self, name: str) -> dict[str, Any]:
-        """What is believed of a name, and who said what of it."""
+        """Return what this node believes of one member, and which node reported each change."""
         machine, size_estimate = self.machine, self.size_estimate
         rows: list[dict[str, Any]] = []
         member = None
@@ -588,11 +609,11 @@
                 "counted": counted, "history": rows}  # fmt: skip
 
     def counted(self, key: str) -> dict[str, Any] | None:
-        """What the nodes have used together; None where nothing is counted."""
+        """Return what the nodes have used together; None if there are no shared counters."""
         return self.shared_counters.view(key) if self.shared_counters is not None else None
 
     def forget(self, name: str) -> str:
-        """An operator says that a node is gone for good; what is wrong with that, or nothing."""
+        """Remove a node for good on an operator's word; return why that is refused, or ""."""
         if self.machine is None or self.size_estimate is None:
             return "this process is no member now"
         if name not in (*self.size_estimate.names(Place.SILENT), *self.size_estimate.names(Place.AWAY)):
@@ -607,7 +628,17 @@
 def start_or_reconfigure(
     joined: list[Cluster], node: Node, settings: ClusterSettings, counts: Figures | None = None
 ) -> None:
-    """Begin, or take other settings up. OSError: the address or the keys can't be had."""
+    """Start the membership, or apply other settings to the one that runs.
+
+    Args:
+        joined: Holds the running membership; empty before the first start, which adds it.
+        node: The serving node.
+        settings: The `[cluster]` table of the operator file.
+        counts: Settings of the shared counters; None if there are none.
+
+    Raises:
+        OSError: The address can't be bound, or the keys can't be read.
+    """
     if joined:
         joined[0].reconfigure(settings)
     else:
@@ -615,15 +646,16 @@
 
 
 def _default_folder(name: str) -> str:
-    """Where there is no lasting one: outlives a process in an upgrade, if the platform gives such a
-    folder.
+    """Return the folder that is used if none is configured; "" if there is none.
+
+    It outlives a process during an upgrade if the platform names a temporary folder.
     """
     temporary = os.environ.get("TMPDIR", "")
     return os.path.join(temporary, f"granitewell-member-{name}") if temporary else ""
 
 
 def _is_valid_address(text: str) -> bool:
-    """Whether an address that another has announced may be asked at the next start."""
+    """Return whether an address that another node has announced may be a seed at the next start."""
     try:
         return spelt(*address(text)) == text
     except ValueError:
--- a/granitewell/net/disk_writer.py
+++ b/granitewell/net/disk_writer.py
@@ -1,9 +1,8 @@
-"""Writes a member's file away from the loop, one write at a time.
+"""Writes the node's membership record on a background thread, one write at a time.
 
-It owns the thread that a write has, and the order of writes: the newest wins, and what somebody waits for is
-on the disk before he hears of it. It must never run on the loop what may wait for a disk (a rename alone can
-stand still for seconds where the disk frees blocks), hold up the end of the process, or know what the file
-says.
+The loop must not wait for the disk: a rename alone can take seconds while the disk frees blocks. Only the
+newest pending data is written, and callbacks run when the data that they wait for is on the disk. A hung
+write does not keep the process from ending.
 """
 
 from __future__ import annotations
@@ -15,57 +14,65 @@
 
 from granitewell.durable_folder import Kept
 
-SLOW_WRITE_US = 1_000_000  # for a write, beyond which it is told of
+SLOW_WRITE_US = 1_000_000  # a write that takes longer is logged
 
 
 class DiskWriter:
-    """Of one folder. Its calls are made in the loop's thread; the disk is asked in another."""
+    """Writes to one folder. Its methods are called on the loop's thread; the disk is used on another."""
 
     def __init__(self, durable_folder: Kept, now: Callable[[], int], wrong: Callable[[str], None]) -> None:
-        """now: microseconds; wrong: takes what could not be written, in words."""
+        """Bind the writer to a folder and to the running loop.
+
+        Args:
+            durable_folder: Takes the data.
+            now: Returns the time in microseconds.
+            on_error: Called with a message for each write that failed or was slow.
+        """
         self._durable_folder, self._now, self._on_error = durable_folder, now, wrong
         self._loop = asyncio.get_running_loop()
         self._pending: bytes | None = None
-        self._started_us = -1  # of the write that is under way
+        self._started_us = -1  # of the write in progress; -1 if there is none
         self._callbacks: list[Callable[[], None]] = []
 
     @property
     def is_writing(self) -> bool:
-        """Is a write under way?"""
+        """Return whether a write is in progress."""
         return self._started_us >= 0
 
     def write(self, data: bytes) -> None:
-        """Put that in the file's place as soon as the write that is under way is done.
+        """Replace the file's content once the write in progress has ended.
 
-        Of several that wait only the last is written.
+        Of several pending writes only the last is carried out.
         """
         self._pending = data
         self._start_next()
 
     def call_when_written(self, callback: Callable[[], None]) -> None:
-        """Call this once all that was given has been written, or could not be: at once, where nothing is."""
+        """Call back when all pending data is written or has failed; at once if there is none."""
         if self.is_writing:
             self._callbacks.append(callback)
         else:
             callback()
 
     def _start_next(self) -> None:
+        """Start the pending write unless one is in progress."""
         if self.is_writing or self._pending is None:
             return
         data, self._pending, self._started_us = self._pending, None, self._now()
-        # a daemon: a disk that answers no more must not keep the process from ending
+        # a daemon thread: a hung disk must not keep the process from ending
         threading.Thread(target=self._write_in_thread, args=(data,), name="notebook", daemon=True).start()
 
     def _write_in_thread(self, data: bytes) -> None:
-        """In the thread."""
+        """Write the data; runs on the background thread."""
         try:
             wrong = self._durable_folder.write(data)
-        except Exception as error:  # the loop must hear that it is over
+        except Exception as error:  # the loop has to be told that the write has ended
             wrong = f"{type(error).__name__}: {error}"
-        with contextlib.suppress(RuntimeError):  # the loop is closed: the process ends
+        with contextlib.suppress(RuntimeError):  # the loop is closed: the process is ending
             self._loop.call_soon_threadsafe(self._on_written, wrong)
 
     def _on_written(self, wrong: str) -> None:
+        """Report the outcome, then start the next write or run the callbacks."""
         took_us, self._started_us = self._now() - self._started_us, -1
         if wrong:
             self._on_error(f"not written down: {wrong}")
--- a/granitewell/net/downstream.py
+++ b/granitewell/net/downstream.py
@@ -1,9 +1,8 @@
-"""The clients' side of a node: its listener, the inbounds, what is read from each and what is written to it.
+"""The clients' side of the node: the listener, the client connections, their reads, writes and timeouts.
 
-It owns the inbounds' descriptors and tasks, the patience with each, and who makes room where descriptors are
-short. It must never change the state of a request (it reports events, and what it writes the core has asked
-for), know a protocol's words, which are http1's, or look at an endpoint. What it needs of the node it is
-given: the clock, the log, where events go, and how many descriptors each side may hold.
+Each connection has a task that reads requests from it. Requests go to the core as events, and the core's
+answers are written back; this module changes no request's state itself and leaves the protocol to `http1`.
+Where descriptors are short, it decides which connection to close.
 """
 
 from __future__ import annotations
@@ -24,45 +23,39 @@
 from granitewell.net.pool import Pool
 from granitewell.net.sockets import READ_BUFFER_BYTES, close_socket, is_readable, peer_closed
 
-MAX_ACCEPTS_PER_TURN = 64  # connections taken in one turn of the loop
-# A client that sends nothing of use is owed an error or a close within 3 s of connecting; a usual client's
-# first request is there within milliseconds.
-HEAD_TIMEOUT_US = (
-    2_400_000  # for a client to get the head of a begun request across; on a new connection, since it
-)
-BODY_GAP_TIMEOUT_US = 2_500_000  # came; and between two pieces of its body, which has to come at
-MIN_BODY_BYTES_PER_S = 16 * 1024  # bytes a second at least, from so long after its head on
+MAX_ACCEPTS_PER_TURN = 64  # connections accepted in one turn of the loop
+# A client that sends nothing useful is owed an error or a close within 3 s of connecting; the first request
+# of a usual client arrives within milliseconds.
+HEAD_TIMEOUT_US = 2_400_000  # from the first byte of a request, or from connecting, to the end of its head
+BODY_GAP_TIMEOUT_US = 2_500_000  # between two pieces of a buffered body
+MIN_BODY_BYTES_PER_S = 16 * 1024  # average of a buffered body, counted from this long after its head
 BODY_RATE_GRACE_US = 3_000_000
-STREAM_STALL_TIMEOUT_US = (
-    10_000_000  # without a byte, after which a body that flows comes no more; it has to come at
-)
-MIN_STREAM_BYTES_PER_S = 4 * 1024  # bytes a second at least, once as long has passed since its head
-EVICT_IDLE_US = 200_000  # after which a connection that has said nothing goes first where descriptors are
-EVICT_PARTIAL_US = 500_000  # short, and after which one with half a request goes with those that are idle
-# Clients hold a third of the descriptors at most, and some ask once and keep their connection for good: those
-# keep requests out, which then never get here.
-KEEPALIVE_TIMEOUT_US = 2_000_000  # for a client to ask again
-SHORT_KEEPALIVE_TIMEOUT_US = 100_000  # the same on a connection with one answer, where inbounds are more than
-CROWDED_DIVISOR = 8  # one in so many descriptors
-DISCARD_BUFFER = bytearray(64 * 1024)  # takes what comes in behind an error; never read
-MAX_DISCARDED_BYTES = (
-    1024 * 1024
-)  # of that, bytes that are taken before the connection ends: some clients send 60 MB
-WRITE_TIMEOUT_S = 5.0  # for a client to take its answer,
-SHUTDOWN_POLL_S = 0.01  # between two looks at them
-SHUTDOWN_GRACE_US = 200_000  # for the clients of a process that leaves to close, once nothing is owed to any
-FIRST_REQUEST_TIMEOUT_US = 2_000_000  # for the first byte of the first request on a new connection
-LINGER_US = 1_000_000  # for a client to close after our last answer on a connection
-MAX_PIPELINED_REQUESTS = (
-    4  # requests written ahead on one inbound, after which it is read on once one is answered
-)
+STREAM_STALL_TIMEOUT_US = 10_000_000  # between two pieces of a streamed body; also the grace of its rate
+MIN_STREAM_BYTES_PER_S = 4 * 1024  # average of a streamed body
+# Where descriptors are short, a connection without a request may be closed after the first time, and one with
+# a partial request after the second.
+EVICT_IDLE_US = 200_000
+EVICT_PARTIAL_US = 500_000
+# Clients hold a third of the descriptors at most. Some send one request and keep the connection forever; with
+# many of them, requests on new connections would not be accepted.
+KEEPALIVE_TIMEOUT_US = 2_000_000  # until the next request
+SHORT_KEEPALIVE_TIMEOUT_US = 100_000  # the same after only one answer, where connections are many:
+CROWDED_DIVISOR = 8  # more than one in 8 descriptors
+DISCARD_BUFFER = bytearray(64 * 1024)  # receives what follows an error; never read
+MAX_DISCARDED_BYTES = 1024 * 1024  # until the connection is closed: some clients send 60 MB
+WRITE_TIMEOUT_S = 5.0  # for a client to receive its answer
+SHUTDOWN_POLL_S = 0.01
+SHUTDOWN_GRACE_US = 200_000  # for clients to close at shutdown, once every answer is written
+FIRST_REQUEST_TIMEOUT_US = 2_000_000  # from connecting to the first byte of a request
+LINGER_US = 1_000_000  # for a client to close after the last answer on its connection
+MAX_PIPELINED_REQUESTS = 4  # on one connection; reading pauses until one of them is answered
 
 
 @dataclass(slots=True)
 class Limits:
-    """Connections that a process may have: of both sides together, and of each.
+    """Connections that the process may have: in total, from clients, and to endpoints.
 
-    Either side takes what the other leaves, up to its own bound.
+    Either side may use what the other leaves, up to its own bound.
     """
 
     max_total: int
@@ -71,7 +64,23 @@
 
 
 class DownstreamConnection:
-    """One client connection."""
+    """A client's connection.
+
+    Attributes:
+        last_activity_us: When the current phase began: connected, last bytes between requests, last answer,
+            or half-closed.
+        last_read_us: When bytes last arrived.
+        head_received_us: When the head of the last request was complete.
+        blocked_us: How long the streamed body has waited for its endpoint.
+        buffered_bytes: Bytes of buffered bodies, as counted in the memory budget.
+        outstanding_body_bytes: Those of the request that the core has.
+        queue: Parsed requests that wait for their turn.
+        busy: A request is with the core, or its answer is being written.
+        closing: Half-closed from this side.
+        is_new: No answer has been written yet.
+        streamed_body: The body of the current request, if it is streamed and not complete.
+        resume_reading: Set when reading may go on; None unless reading is paused for pipelined requests.
+    """
 
     __slots__ = (
         "answer_count",
@@ -97,36 +106,41 @@
     )
 
     def __init__(self, number: int, sock: socket.socket, parser: http1.RequestParser, now: int) -> None:
-        self.blocked_us = 0  # for which the body that flows has waited for its endpoint
-        self.buffered_bytes = 0  # bytes of bodies that it holds whole, as the budget counts them,
-        self.outstanding_body_bytes = 0  # and of the one whose request is out
-        self.resume_reading: asyncio.Event | None = (
-            None  # that its reading waits for where requests are written ahead
-        )
+        """Wrap an accepted socket.
+
+        Args:
+            number: Identifies the connection in the core.
+            sock: The socket.
+            parser: Its parser.
+            now: The time in microseconds.
+        """
+        self.blocked_us = 0
+        self.buffered_bytes = 0
+        self.outstanding_body_bytes = 0
+        self.resume_reading: asyncio.Event | None = None
         self.id, self.sock, self.parser, self.last_activity_us = number, sock, parser, now
-        self.buffer = bytearray(
-            READ_BUFFER_BYTES
-        )  # its first byte is 0 until the loop has read something into it
+        self.buffer = bytearray(READ_BUFFER_BYTES)  # byte 0 stays 0 until the loop has read into it
         self.queue: deque[http1.ParsedItem] = deque()
         self.busy = self.closing = False
-        self.answer_count = 0  # answers that have gone out on it
-        self.last_read_us = self.head_received_us = (
-            now  # when bytes last came, and when the head of the last request had
-        )
+        self.answer_count = 0
+        self.last_read_us = self.head_received_us = now
         self.streamed_body: http1.StreamedBody | None = (
             None  # the body of the request that is out, where it flows
         )
-        self.is_http10 = False  # that request is one of HTTP/1.0
-        self.task: asyncio.Task[None] | None = None  # that reads it
-        self.keep_alive = self.is_new = True  # fresh: no answer has gone out on it yet
+        self.is_http10 = False
+        self.task: asyncio.Task[None] | None = None
+        self.keep_alive = self.is_new = True
 
 
 class Downstream:
-    """All of a node.
+    """All client connections of the node.
 
     Attributes:
-        held: By number.
-        listener: None before it stands, and once the node has been asked to stop.
+        connections: By number.
+        listener: None before it is open, and after the node has been asked to stop.
+        rate_limit: Called with the tenant and class of each request; returns -1, or when to try again. None
+            for
+            no limit.
     """
 
     def __init__(
@@ -136,10 +150,20 @@
         spawn: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]], ready: Callable[[], bool], *,
         shared: bool,
     ) -> None:  # fmt: skip
-        """ready: what a client that asks for it is told.
+        """Create the collection; `listener` is set by the node.
 
         Args:
-            shared: The platform holds the listener, so that another process may accept from it.
+            loop: The event loop.
+            clock: The node's clock.
+            pool: The connections to endpoints, which share the limit of descriptors.
+            names: The names that requests may use.
+            budget: The memory budget of bodies.
+            limits: How many connections each side may have.
+            log_line: Writes a line of a topic to the node's log.
+            dispatch: Hands an event to the core.
+            spawn: Starts a task that the node keeps track of.
+            ready: Returns the answer to a readiness request.
+            shared: The platform holds the listener, so that other processes may accept from it.
         """
         self._loop, self._clock, self._pool, self._header_names = loop, clock, pool, names
         self._memory, self._limits, self._shared = budget, limits, shared
@@ -147,21 +171,20 @@
         self.connections: dict[int, DownstreamConnection] = {}
         self.listener: socket.socket | None = None
         self.accept_task: asyncio.Task[None] | None = None
-        # asked of each request's tenant and class, where there is a limit: -1, or when to come again
         self.rate_limit: Callable[[int, int], int] | None = None
         self._last_id = 0
 
     # --- The listener -----------------------------------------------------------------------------------
     def open(self) -> None:
-        """Take clients from the listener, if there is one and that has not begun."""
+        """Start to accept clients, unless that has begun or there is no listener."""
         if self.accept_task is None and self.listener is not None:
             self.accept_task = self._spawn(self.accept(self.listener))
 
     async def close(self, by_us: int) -> None:
-        """Take nobody any more, and end all of them: the process goes.
+        """Accept no more clients and end all connections: the process is ending.
 
-        Answers have until by_us to get out; what a client has written by now is read and gets one, as a close
-        over unread bytes would reset it.
+        Pending answers are written until `by_us`. Requests that clients have sent by now are read and
+        answered: a close with unread bytes would reset the connection.
         """
         if self.accept_task is not None:
             self.accept_task.cancel()
@@ -177,8 +200,8 @@
             self.drop(connection)
 
     async def accept(self, listener: socket.socket) -> None:
-        """Take clients from it for as long as it is open."""
-        while listener.fileno() >= 0:  # closed once the node has been asked to stop
+        """Accept clients from the listener for as long as it is open."""
+        while listener.fileno() >= 0:
             try:
                 sock, _ = await self._loop.sock_accept(listener)
                 self.admit(sock)
@@ -191,28 +214,28 @@
                     self.log_line("budget", f"{held}: accepting no more for now")
                     await asyncio.sleep(0.02)
             except Exception as error:
-                # out of descriptors, a client that left early, or what nobody thought of: no reason to let
-                # this task end, since a node that takes nobody goes on looking alive
+                # no descriptor, a client that has left, or a defect: this task must go on, since a node that
+                # accepts nobody still looks alive
                 self.log_line("accept", f"could not accept: {error}")
                 await asyncio.sleep(0.02)
 
     def _accept_more(self, listener: socket.socket) -> None:
-        """Take what else stands in the backlog.
+        """Accept what else is in the backlog.
 
-        One connection a turn of the loop is too few where clients open many and turns get long: requests
-        would wait unseen in the kernel until their clients leave.
+        One connection per turn of the loop is too few when clients open many and turns take long: requests
+        would wait in the kernel until their clients give up.
         """
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if not self.has_capacity(self._limits.max_inbound, len(self.connections)):
                 return
             try:
                 sock, _ = listener.accept()
-            except OSError:  # the backlog is empty, or what sock_accept will say of it
+            except OSError:  # the backlog is empty, or an error that sock_accept will raise again
                 return
             self.admit(sock)
 
     def admit(self, sock: socket.socket) -> None:
-        """A client has connected."""
+        """Take over an accepted connection."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._last_id += 1
@@ -223,31 +246,34 @@
         connection.task = self._spawn(self._read_requests(connection))
 
     def has_capacity(self, max_total: int, held: int) -> bool:
-        """Is there a descriptor for one more, on a side that holds so many and may hold so many at most?"""
+        """Return whether one more connection fits the limit of its side and the total limit."""
         return held < max_total and len(self.connections) + self._pool.open_count < self._limits.max_total
 
     def evict(self) -> bool:
-        """Make room for a client: close an inbound that has said nothing, has been idle longest or has sent
-        but half a request, or an idle connection to an endpoint where those have more than their own part.
-        False if there is none.
+        """Make room for a client by closing one connection; return False if none may be closed.
+
+        Candidates are client connections whose request is not being processed: first new ones that have sent
+        nothing, then those that are idle, half-closed or stuck in a partial request, the longest inactive
+        first. If none qualifies and clients have less than their bound, an idle connection to an endpoint is
+        closed.
         """
         now = self._clock.now()
         free = [i for i in self.connections.values() if not i.busy]
         for connection in sorted(
             free, key=lambda i: (not i.is_new or i.parser.incomplete, i.last_activity_us)
         ):
-            discarding = (
+            overdue = (
                 connection.closing or connection.parser.incomplete
             ) and now - connection.last_activity_us >= EVICT_PARTIAL_US
             if connection.parser.in_body and now - connection.last_read_us < EVICT_PARTIAL_US:
-                continue  # a request that comes slowly, yet comes
-            if discarding or is_idle(connection, now, EVICT_IDLE_US):
+                continue  # a slow request that is making progress
+            if overdue or is_idle(connection, now, EVICT_IDLE_US):
                 self.drop(connection)
                 return True
         return len(self.connections) < self._limits.max_inbound and self._pool.close_longest_idle()
 
     def stop_listening(self) -> None:
-        """Take what stands in the backlog, close the listener, and close each inbound without a request."""
+        """Accept the rest of the backlog, close the listener and close idle connections."""
         listener, self.listener = self.listener, None
         if listener is None:
             return
@@ -261,39 +287,42 @@
                 break
         self._release(listener)
         for connection in list(self.connections.values()):
-            # one that has written something is heard first: what it wrote may be a whole request
+            # a connection with unread bytes is read first: they may be a complete request
             if is_idle(connection, self._clock.now()):
                 self.close_gracefully(connection)
 
     def _release(self, listener: socket.socket) -> None:
-        """Close the listener, or leave a shared one to the others.
+        """Close the listener; if it is shared, other processes go on accepting from it.
 
-        It must be out of the loop's poll before: a pending accept holds it open, and goes on taking
-        connections.
+        The pending accept has to be cancelled first: it holds the socket open and would go on accepting.
         """
         if self.accept_task is None:
             listener.close()
             return
         self.accept_task.add_done_callback(lambda _: listener.close())
-        # not in this turn, in which it may have been given a connection that it has not seen yet
+        # in the next turn: in this one the task may have been given a connection that it has not processed
         self._loop.call_soon(self.accept_task.cancel)
 
-    # --- Patience ---------------------------------------------------------------------------------------
+    # --- Timeouts ---------------------------------------------------------------------------------------
     def sweep(self, now: int, many: bool, guarded: Callable[[Callable[[], None]], bool]) -> None:
-        """Look at each, and end the one over which the look breaks.
+        """Check the timeouts of all connections; drop one whose check fails.
 
         Args:
-            many: Descriptors are short.
+            now: The time in microseconds.
+            many: There are so many connections that idle ones are closed sooner.
+            guarded: Runs a check, logs an exception, and returns whether there was none.
         """
         for connection in list(self.connections.values()):
             if not guarded(lambda: self.check_timeouts(connection, now, many)):
                 self.drop(connection)
 
     def check_timeouts(self, connection: DownstreamConnection, now: int, many: bool) -> None:
-        """Is it time for this one to end?
+        """Close a connection whose time is up.
 
         Args:
-            many: Descriptors are short.
+            connection: The connection.
+            now: The time in microseconds.
+            many: There are so many connections that idle ones are closed sooner.
         """
         waited = now - connection.last_activity_us
         patience = (
@@ -309,7 +338,8 @@
             if too_slow_body or not self.client_connected(connection.id):
                 self.drop(connection)
         elif connection.busy and connection.resume_reading is not None:
-            self.client_connected(connection.id)  # nobody reads on there until an answer is out
+            # reading is paused there, so ask the kernel whether the client has left
+            self.client_connected(connection.id)
         elif connection.busy or connection.closing:
             return
         elif connection.parser.incomplete:
@@ -318,47 +348,45 @@
                 self.log_line("bad", f"answered {rejection.status}: {rejection.text}")
                 self.write_response(connection, http1.rejection_bytes(rejection), True)
         elif self.listener is None and self._shared:
-            return  # until the process leaves: what a client writes there now must not be turned back
+            return  # kept until the process ends: a request that is sent there now must not be rejected
         elif waited >= (FIRST_REQUEST_TIMEOUT_US if connection.is_new else patience) and is_idle(
             connection, now
         ):
             self.close_gracefully(connection)
 
     def client_connected(self, number: int) -> bool:
-        """Does this inbound's client still wait?
+        """Return whether a client is still connected; drop the connection if it is not.
 
-        The kernel is asked: what tells of its leaving may stand behind bytes that are not read yet. One that
-        has left is dropped.
+        Asks the kernel, as the end of the connection may be behind bytes that are not read yet.
         """
         connection = self.connections.get(number)
         if connection is not None and peer_closed(connection.sock):
             self.drop(connection)
         return number in self.connections
 
-    # --- One of them ------------------------------------------------------------------------------------
+    # --- One connection ---------------------------------------------------------------------------------
     async def _read_requests(self, connection: DownstreamConnection) -> None:
-        """Read one client until it leaves. It is read while its request is out, too: its leaving is news."""
+        """Read from one client until it leaves, also while its request is processed, to notice that."""
         discarded = 0
         try:
-            while (
-                connection.id in self.connections
-            ):  # else it was dropped in this very turn, its socket closed
+            while connection.id in self.connections:  # otherwise dropped in this turn, its socket closed
                 buffer = connection.buffer
                 buffer[0] = 0
-                discarding = (
-                    connection.closing or connection.parser.broken
-                )  # only waiting for the client to close
+                # after an error or a half-close, only the end of the connection is awaited
+                discarding = connection.closing or connection.parser.broken
                 n = await self._loop.sock_recv_into(connection.sock, DISCARD_BUFFER if discarding else buffer)
                 if n == 0:
                     break
                 if discarding or connection.closing:
                     discarded += n
                     if discarded > MAX_DISCARDED_BYTES and connection.closing:
-                        break  # it has been told why; taking all of it would cost the core to the others
+                        # it has its error; reading everything would take the processor from other requests
+                        break
                     continue
                 connection.last_read_us = self._clock.now()
                 if not connection.parser.incomplete and not connection.is_new:
-                    # trickling bytes do not make a slow sender look quick, nor do noise and empty lines
+                    # not within a request or before the first one: trickling bytes, noise and empty lines must
+                    # not extend the deadline of a slow sender
                     connection.last_activity_us = self._clock.now()
                 was_in_body = connection.parser.in_body
                 connection.queue.extend(connection.parser.feed(bytes(buffer[:n])))
@@ -375,11 +403,11 @@
                     and connection.streamed_body is not None
                     and not connection.streamed_body.done
                 ):
-                    break  # what is out will never be whole: its endpoint and its client hear so now
+                    break  # the body can't be completed: end the call and the connection now
                 if body is not None:
                     await self._on_body_data(connection, body)
                 while connection.busy and connection.queue and _should_pause_reading(connection):
-                    # closing would lose requests that it has taken; what is not read costs nothing
+                    # closing would lose requests that were read already; unread ones cost nothing
                     self.log_line("inbound", "a client writes requests ahead: read on once one is answered")
                     connection.resume_reading = asyncio.Event()
                     await connection.resume_reading.wait()
@@ -392,9 +420,9 @@
             connection.task = None
 
     def _update_memory(self, connection: DownstreamConnection) -> None:
-        """Tell the budget what this inbound holds of bodies that do not flow."""
+        """Update the memory budget by what this connection holds of buffered bodies."""
         if connection.id not in self.connections:
-            return  # dropped while its answer went out: it counts no more
+            return  # dropped while its answer was written: no longer counted
         parser = connection.parser
         buffered = connection.outstanding_body_bytes + (
             parser.size if parser.in_body and parser.streamed_body is None else 0
@@ -405,12 +433,12 @@
         connection.buffered_bytes = buffered
 
     def _release_memory(self, connection: DownstreamConnection) -> None:
-        """It is gone, and holds nothing."""
+        """Give a closed connection's share back to the memory budget."""
         self._memory.buffered_bytes -= connection.buffered_bytes
         connection.buffered_bytes = 0
 
     async def _on_body_data(self, connection: DownstreamConnection, body: http1.StreamedBody) -> None:
-        """More of a body that flows has come: its call goes on, and reading waits for that."""
+        """Signal the call that more of a streamed body has arrived, and wait while too much is unread."""
         if body.signals is None:
             body.signals = BodySignals()
         body.signals.data_available.set()
@@ -423,11 +451,11 @@
             if body.unread_bytes > http1.MAX_BUFFERED_BODY_BYTES:
                 began_us = self._clock.now()
                 await body.signals.wait_for_space(body)
-                connection.last_read_us = self._clock.now()  # from here on it is the client's turn again
+                connection.last_read_us = self._clock.now()  # from here on the delay is the client's
                 connection.blocked_us += connection.last_read_us - began_us
 
     def _start_next_request(self, connection: DownstreamConnection) -> None:
-        """Begin the next whole request of an inbound that has none out."""
+        """Process the next request of a connection that has none in progress."""
         if connection.busy or connection.closing or not connection.queue:
             return
         item = connection.queue.popleft()
@@ -437,7 +465,7 @@
             and connection.queue
             and _has_incomplete_body(item)
         ):
-            item = connection.queue.popleft()  # what is wrong with its body stands behind it
+            item = connection.queue.popleft()  # the item that follows says what is wrong with its body
         if isinstance(item, http1.Request):
             connection.busy, connection.keep_alive, connection.is_http10 = (
                 True,
@@ -456,7 +484,7 @@
                 item.is_repeat, item.message.request_id, item.must_not_repeat,
                 body is not None, retry_at_us,
             ))  # fmt: skip
-            if body is not None and body.done:  # it came whole while another request was out
+            if body is not None and body.done:  # completed while the previous request was processed
                 connection.streamed_body = None
                 self._dispatch(c.Whole(connection.id))
         elif isinstance(item, http1.ReadinessRequest):
@@ -469,19 +497,19 @@
             self.write_response(connection, http1.rejection_bytes(item), not item.keep_alive)
 
     def write_answer(self, effect: c.Answer) -> None:
-        """Write the core's answer, if its client is still there."""
+        """Write the core's answer if its client is still connected."""
         connection = self.connections.get(effect.inbound)
         if connection is not None:
-            # behind an answer that came before the whole request nothing can be read in step; what was
-            # written ahead has been taken, and it is the last answer that ends the connection
+            # after an answer to an incomplete request the next one can't be found in the stream; pipelined
+            # requests that were read are answered first, and the last answer ends the connection
             ends = effect.close and not connection.queue
             close = ends or not connection.keep_alive or connection.streamed_body is not None
             self.write_response(connection, http1.final_response_bytes(effect, close), close)
 
     def finish_streamed_answer(self, effect: c.Finish) -> None:
-        """An answer that was passed on as it came has ended.
+        """Finish an answer that was forwarded as it arrived.
 
-        One that is not whole ends with its connection, by which its client can tell.
+        An incomplete one is ended by a reset, so that the client notices.
         """
         connection = self.connections.get(effect.inbound)
         if connection is None:
@@ -494,25 +522,25 @@
         )
 
     def write_response(self, connection: DownstreamConnection, data: bytes, close: bool) -> None:
+        """Start writing a complete response."""
         connection.busy = True
         self._spawn(self._write(connection, data, close))
 
     async def _write(self, connection: DownstreamConnection, data: bytes, close: bool) -> None:
+        """Write a response within its time, or drop the connection."""
         if connection.id not in self.connections:
-            return  # the client has left in this very turn
+            return  # the client has left in this turn
         try:
-            async with asyncio.timeout(WRITE_TIMEOUT_S):  # a client that does not read holds nothing for long
+            async with asyncio.timeout(WRITE_TIMEOUT_S):
                 await self._loop.sock_sendall(connection.sock, data)
             self.on_answer_written(connection, close)
         except Exception as error:
-            self.drop(
-                connection
-            )  # left at work, it would hold its descriptor for as long as its client likes
+            self.drop(connection)  # otherwise it would hold its descriptor for as long as the client likes
             if not isinstance(error, OSError):
                 raise
 
     def on_answer_written(self, connection: DownstreamConnection, close: bool) -> None:
-        """An answer is out: on to the next request, or to the end of the connection."""
+        """Go on with the next request, or close the connection."""
         connection.last_activity_us = self._clock.now()
         connection.busy = connection.is_new = False
         connection.answer_count += 1
@@ -526,9 +554,11 @@
             self._start_next_request(connection)
 
     def close_gracefully(self, connection: DownstreamConnection) -> None:
-        """End it from this side: half-closed first, since closing with bytes unread, or before bytes that are
-        on their way, would reset the last answer away. What still comes is taken and goes nowhere: its client
-        sees an end without an answer, and asks on another connection.
+        """Half-close a connection and wait for the client to close its side.
+
+        Closing with unread bytes, or while bytes are on their way, would reset the connection and could
+        destroy the last answer. What still arrives is discarded: the client sees an end without an answer and
+        asks again on another connection.
         """
         connection.closing = True
         connection.last_activity_us = self._clock.now()
@@ -539,24 +569,25 @@
             connection.sock.shutdown(socket.SHUT_WR)
 
     def drop(self, connection: DownstreamConnection) -> None:
-        """End a client's connection, and whatever its reading task waits for.
+        """Close a connection at once and cancel the task that reads from it.
 
-        A body that nobody takes any more gets no room.
+        The task is cancelled also while it waits for space for a body.
         """
         if self.connections.pop(connection.id, None) is not None:
             self._release_memory(connection)
             close_socket(connection.sock)
-            # a task that was cancelled holds what it raised, and that its frame: with the inbound pointing
-            # back at the task, buffer and all would wait for the collector
+            # a cancelled task refers to its exception and frame; if the connection referred back to the task,
+            # the cycle would keep its buffers until the garbage collector runs
             task, connection.task = connection.task, None
             if task is not None and task is not asyncio.current_task(self._loop):
                 task.cancel()
             self._dispatch(c.InboundGone(connection.id))
 
     def reset(self, connection: DownstreamConnection) -> None:
-        """Reset a client's connection: an answer whose end is that of its connection would look whole.
+        """Reset a connection, so that its client can tell that the answer is incomplete.
 
-        The read that is pending holds the socket open, so that it has to end first.
+        The end of the connection alone could look like the end of the body. The pending read holds the socket
+        open, so its task has to end first.
         """
         if self.connections.pop(connection.id, None) is None:
             return
@@ -569,7 +600,7 @@
 
 
 def too_slow(connection: DownstreamConnection, now_us: int) -> bool:
-    """Has a request that has begun taken longer than its client may?"""
+    """Return whether a partial request has exceeded its time or falls short of the minimum rate."""
     if not connection.parser.in_body:
         return now_us - connection.last_activity_us >= HEAD_TIMEOUT_US
     due = (now_us - connection.head_received_us - BODY_RATE_GRACE_US) * MIN_BODY_BYTES_PER_S / 1e6
@@ -577,9 +608,9 @@
 
 
 def streams_too_slowly(connection: DownstreamConnection, body: http1.StreamedBody, now_us: int) -> bool:
-    """Does a client keep its large body from ever coming whole?
+    """Return whether a client stalls its streamed body or falls short of the minimum rate.
 
-    What its endpoint did not take does not count against it.
+    Time that the body has waited for its endpoint is not counted.
     """
     had_us = now_us - connection.head_received_us - connection.blocked_us - STREAM_STALL_TIMEOUT_US
     return (
@@ -589,28 +620,28 @@
 
 
 def _has_incomplete_body(item: http1.Request) -> bool:
-    """Where no more can be told from what comes: is this a request whose body has not all come?"""
+    """Return whether a request's streamed body is incomplete."""
     return item.message.streamed_body is not None and not item.message.streamed_body.done
 
 
 def _pipelined_body_bytes(connection: DownstreamConnection) -> int:
-    """Bytes of the bodies of whole requests that wait for their turn."""
+    """Return the bytes of the bodies of queued complete requests."""
     return sum(len(item.message.body) for item in connection.queue if isinstance(item, http1.Request))
 
 
 def _should_pause_reading(connection: DownstreamConnection) -> bool:
-    """Does a client wait with more than it should be read on for? One body kept whole is enough."""
+    """Return whether enough is queued to stop reading; one buffered body suffices."""
     return len(connection.queue) >= MAX_PIPELINED_REQUESTS or _pipelined_body_bytes(connection) > 0
 
 
 def is_idle(
     connection: DownstreamConnection, now_us: int, new_connection_grace_us: int = FIRST_REQUEST_TIMEOUT_US
 ) -> bool:
-    """Nothing is owed there, and nothing has come in that could be a request.
+    """Return whether nothing is owed to a client and nothing has arrived that could be a request.
 
-    Neither bytes still with the kernel, nor bytes that the loop took from it a turn before the reading task
-    goes on. A new connection is not idle for so long: its first request is on the way, and only between
-    requests may a node close.
+    Bytes may be in the kernel, or taken from it by the loop a turn before the reading task runs. A new
+    connection is not idle for `new_connection_grace_us`: its first request is on the way, and a node may
+    close connections only between requests.
     """
     if connection.is_new and now_us - connection.last_activity_us < new_connection_grace_us:
         return False
--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -1,8 +1,8 @@
-"""The platform's protocol: HTTP/1.1 bytes to and from the core's terms, for clients, endpoints and discovery.
+"""The platform's HTTP/1.1 protocol, between bytes and the core's terms, for clients, endpoints and discovery.
 
-This is the only file that knows header names, paths, status codes and the JSON of discovery, so that another
-front can reach the same core without it. It must never open or touch a socket, read a clock, keep state
-beyond one connection's parsing, or decide what becomes of a request. Parsing itself is httptools'.
+Header names, paths, status codes and the JSON of discovery are known only here, so that another protocol
+could serve the same core. Nothing here uses sockets or clocks, keeps state beyond one connection's parsing,
+or decides what becomes of a request. The parsing itself is done by httptools.
 """
 
 from __future__ import annotations
@@ -22,18 +22,16 @@
 from granitewell.config import Config, ConfigError, address
 from granitewell.core import Answer, FleetNews, Member, Verdict
 
-MAX_BUFFERED_BODY_BYTES = (
-    64 * 1024
-)  # bytes of a body that are kept whole; a larger one is passed on as it comes
-MAX_BODY_BYTES = 40 * 1024 * 1024  # bytes of any body
-MAX_HEADER_BYTES = 16 * 1024  # bytes of request line and headers
-MAX_LIST_BYTES = 4 * 1024 * 1024  # bytes of a list from discovery
-MAX_DISCOVERED_NAMES = 1_000  # zones, or kinds, that discovery can name
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a larger body is forwarded as it arrives
+MAX_BODY_BYTES = 40 * 1024 * 1024
+MAX_HEADER_BYTES = 16 * 1024  # of a request's first line and headers
+MAX_LIST_BYTES = 4 * 1024 * 1024  # of a list from discovery
+MAX_DISCOVERED_NAMES = 1_000  # of zones, and of server kinds
 READY_PATH = b"/-/ready"
 LIST_PATH = "/api/targets"
 _REQUEST_ID = re.compile(rb"[\x21-\x7e]{1,128}\Z")
 _HEX = re.compile(rb"[0-9a-fA-F]{1,16}\Z")
-_IP_ADDRESS = re.compile(r"[0-9.]+\Z|[0-9A-Fa-f:.]+(%\w+)?\Z")  # an address that is no name
+_IP_ADDRESS = re.compile(r"[0-9.]+\Z|[0-9A-Fa-f:.]+(%\w+)?\Z")  # an IP address, not a host name
 _TIMEOUT_MS = re.compile(rb"[0-9]{1,9}\Z")
 _SINGLE_VALUE_HEADERS = frozenset(
     {
@@ -46,7 +44,7 @@
         b"idempotency-key",
     }
 )
-# by its idempotency key an endpoint knows a repeat, where a class may be repeated in its scope and window
+# an endpoint recognises a repeated request by its idempotency key, if the class allows repeats
 _FORWARDED_HEADERS = (
     b"request-class",
     b"tenant",
@@ -56,12 +54,12 @@
     b"content-type",
     b"idempotency-key",
 )
-# all that is read of a head: what is not is not held, as a head of 16 KiB may name thousands
+# other headers are not stored: 16 KiB may hold thousands of them
 _READ_REQUEST_HEADERS = frozenset({*_SINGLE_VALUE_HEADERS, *_FORWARDED_HEADERS, b"content-length", b"expect"})
 _READ_RESPONSE_HEADERS = frozenset(
     {b"content-length", b"transfer-encoding", b"content-type", b"server-load", b"not-started"}
 )
-MIN_PART_BYTES = 4 * 1024  # bytes of a part of a body, under which the next goes with it
+MIN_PART_BYTES = 4 * 1024  # smaller parts of a body are merged with the next one
 _STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
@@ -74,9 +72,9 @@
 
 
 def append_coalesced(parts: BodyParts | deque[bytes | bytearray], data: bytes) -> None:
-    """Put it behind these parts.
+    """Append data to the parts of a body, merging small parts.
 
-    Small ones go together: a body in chunks of two bytes would be twenty times as large as an object each.
+    As one object each, a body in chunks of two bytes would take twenty times its size.
     """
     if parts and isinstance(parts[-1], bytearray) and len(parts[-1]) < MIN_PART_BYTES:
         parts[-1] += data
@@ -85,10 +83,21 @@
 
 
 class StreamedBody:
-    """A body over 64 KiB, passed on as it comes.
+    """A body over 64 KiB that is forwarded as it arrives.
 
-    Up to that size what has come is kept, so that a call that never ran may be followed by another; from then
-    on a part is let go once it has been taken.
+    Up to that size all parts are kept, so that a call that never ran can be followed by another; beyond it a
+    part is discarded once it has been taken.
+
+    Attributes:
+        length: From the head; None for a chunked body.
+        taken_parts: How many parts the current call has taken.
+        received_bytes: All bytes so far.
+        unread_bytes: Those that the current call has not taken.
+        done: The body is complete.
+        discarded: Parts were discarded, so that no other call can be made.
+        fully_sent: The current call has written the whole body.
+        connection_id: The client's connection; set by `downstream`.
+        signals: Events that reader and writer wait for; set by `downstream`.
     """
 
     __slots__ = (
@@ -105,30 +114,30 @@
     )
 
     def __init__(self, length: int | None) -> None:
-        self.length = length  # as its head says; None: it comes in chunks
+        self.length = length
         self.parts: deque[bytes | bytearray] = deque()
-        self.taken_parts = 0  # parts that the call under way has
-        self.received_bytes = self.unread_bytes = 0  # bytes
-        self.done = self.discarded = False  # done: all has come
-        self.fully_sent = False  # the call under way has written all of it
-        self.connection_id = -1  # whose it is; the shell's, like
-        self.signals: Any = None  # what it waits with
+        self.taken_parts = 0
+        self.received_bytes = self.unread_bytes = 0
+        self.done = self.discarded = False
+        self.fully_sent = False
+        self.connection_id = -1
+        self.signals: Any = None
 
     def put(self, data: bytes) -> None:
-        """A further part has come."""
+        """Add a part that has arrived."""
         if self.taken_parts < len(self.parts):
             append_coalesced(self.parts, data)
-        else:  # the last one is with the call under way
+        else:  # the current call has the last part, so it can't be extended
             self.parts.append(bytearray(data) if len(data) < MIN_PART_BYTES else data)
         self.received_bytes += len(data)
         self.unread_bytes += len(data)
 
     def rewind(self) -> None:
-        """A call begins to take it, from the first byte."""
+        """Start over for a new call."""
         self.taken_parts, self.unread_bytes, self.fully_sent = 0, sum(map(len, self.parts)), False
 
     def take(self) -> bytes | None:
-        """The next part for the call under way; None where no further one has come."""
+        """Return the next part for the current call; None if none is available."""
         if self.received_bytes > MAX_BUFFERED_BODY_BYTES and self.taken_parts:
             for _ in range(self.taken_parts):
                 self.parts.popleft()
@@ -143,20 +152,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedRequest:
-    """A request as it goes on to an endpoint, byte for byte where the protocol says unchanged."""
+    """A request as an endpoint gets it; what the protocol calls unchanged is forwarded byte for byte."""
 
     method: bytes
     target: bytes
     request_id: bytes
-    passed: bytes  # further header lines, whole
+    passed: bytes  # further header lines, each with its end
     body: bytes
-    streamed_body: StreamedBody | None = None  # in place of a body over 64 KiB
+    streamed_body: StreamedBody | None = None  # replaces `body` over 64 KiB
     timeout_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A whole, valid request."""
+    """A valid request whose head, and body up to 64 KiB, are complete."""
 
     class_index: int
     tenant: int
@@ -165,20 +174,20 @@
     is_repeat: bool
     message: ForwardedRequest
     keep_alive: bool
-    must_not_repeat: bool = False  # asked for by the method of what must not run twice
-    is_http10: bool = False  # by HTTP/1.0: its answer can't come in chunks
+    must_not_repeat: bool = False  # its method is that of requests that must not run twice
+    is_http10: bool = False  # the answer can't be chunked
 
 
 @dataclass(frozen=True, slots=True)
 class ReadinessRequest:
-    """Somebody asks whether the node is able to serve."""
+    """A query whether the node is ready to serve."""
 
     keep_alive: bool
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedRequest:
-    """A request that is answered here and goes nowhere."""
+    """A request that is answered with an error and not forwarded."""
 
     status: int
     text: str
@@ -191,7 +200,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BufferedResponse:
-    """The body of an endpoint's 200."""
+    """The body of an endpoint's 200 response."""
 
     body: bytes
     content_type: bytes = b""
@@ -199,7 +208,13 @@
 
 @dataclass(slots=True)
 class ResponseHead:
-    """The head of an endpoint's 200 whose body is passed on as it comes; inbound is the shell's."""
+    """The head of an endpoint's 200 response whose body is forwarded as it arrives.
+
+    Attributes:
+        length: None if it is unknown.
+        content_type: As sent by the endpoint.
+        connection_id: The client's connection; set by the node.
+    """
 
     length: int | None
     content_type: bytes = b""
@@ -207,21 +222,20 @@
 
 
 class HeaderNames:
-    """The deployment's names as they stand in headers, by index.
+    """Classes and tenants by the names that headers carry.
 
-    `take` has other settings count at once for all connections; what they name no more counts until `forget`,
-    as clients change over later.
+    After `reconfigure`, new names count at once for all connections. Removed names stay valid until
+    `drop_previous`, as clients change over later.
     """
 
     def __init__(self, config: Config) -> None:
-        self._previous_classes: dict[
-            bytes, tuple[int, bytes]
-        ] = {}  # by class: its index and the method it is asked by
+        # by class name: its index and its method
+        self._previous_classes: dict[bytes, tuple[int, bytes]] = {}
         self._classes: dict[bytes, tuple[int, bytes]] = {}
         self.reconfigure(config)
 
     def reconfigure(self, config: Config) -> None:
-        """Other settings are in force."""
+        """Apply other settings."""
         self._previous_classes |= self._classes
         self._classes = {
             n.encode(): (k, b"GET" if e is Effect.SAFE else b"POST")
@@ -232,44 +246,55 @@
         self.reports = config.report_names
 
     def drop_previous(self) -> None:
-        """What the settings no longer name is unknown from now on."""
+        """Forget the names that the settings no longer contain."""
         self._previous_classes = {}
 
     def lookup_class(self, name: bytes) -> tuple[int, tuple[bytes, ...]] | None:
-        """The index of the class, and the methods by which it may be asked now; None: there is no such."""
+        """Return a class's index and the methods that are valid now; None for an unknown class."""
         rows = [x[name] for x in (self._classes, self._previous_classes) if name in x]
         return (rows[0][0], tuple(dict.fromkeys(m for _, m in rows))) if rows else None
 
 
-# --- Clients ---
+# --- Clients --------------------------------------------------------------------------------------------
 class RequestParser:
-    """One client connection: bytes in, items out. After a Bad without keep_alive nothing more is read."""
+    """Parses the requests on one client connection.
+
+    After a `RejectedRequest` without `keep_alive` nothing more is read.
+
+    Attributes:
+        streamed_body: The body in progress, if it is over 64 KiB.
+        expects_continue: The client waits for an interim response before it sends the body.
+        in_body: The head of the current request is complete and its body is not.
+        size: Bytes of the current body so far.
+        broken: No further request can be found in the stream.
+        incomplete: A request has begun and is not complete.
+    """
 
     def __init__(self, names: HeaderNames) -> None:
         self._names = names
         self._parser = httptools.HttpRequestParser(self)
         self._items: list[ParsedItem] = []
-        self.streamed_body: StreamedBody | None = None  # the body under way, where it is over 64 KiB
-        self.expects_continue = False  # the client waits for a word before it sends its body
+        self.streamed_body: StreamedBody | None = None
+        self.expects_continue = False
         self.in_body = False
-        self.size = 0  # bytes of the body so far
-        self.broken = False  # no further request can be told from these bytes
-        self.incomplete = False  # a request has begun and is not whole
-        self._head_bytes = 0  # bytes of the head so far; begun anew where a request ends
-        self._framing_bytes = 0  # bytes since the last one of the body: frames, trailers
+        self.size = 0
+        self.broken = False
+        self.incomplete = False
+        self._head_bytes = 0  # of the current head, as received
+        self._framing_bytes = 0  # since the last byte of the body: chunk framing, trailers
         self._reset()
 
     def _reset(self) -> None:
         self._target = b""
         self._headers: dict[bytes, bytes] = {}
-        self._header_bytes = 0  # bytes of those headers
+        self._header_bytes = 0  # of all headers, also of those that are not stored
         self._body: BodyParts = []
         self.size, self.streamed_body = 0, None
         self._in_head, self._has_duplicate = True, False
         self.in_body = self.expects_continue = False
 
     def feed(self, data: bytes) -> list[ParsedItem]:
-        """What these bytes complete, in order."""
+        """Parse bytes and return the items that they complete, in order."""
         self._items = []
         if not self.broken:
             self._head_bytes += len(data) if self._in_head else 0
@@ -277,13 +302,13 @@
             try:
                 self._parser.feed_data(data)
             except httptools.HttpParserUpgrade:
-                # the offer of another protocol is not taken up: this request is served, nothing behind it
+                # an upgrade is not accepted: this request is served, and nothing after it
                 self.broken = True
                 if self._items:
                     self._items[-1] = replace(self._items[-1], keep_alive=False)
             except httptools.HttpParserError:
                 self._reject(400, "malformed HTTP")
-            # a header line that never ends reaches no callback: count what has come in
+            # a header line without an end reaches no callback, so count the input
             if self._in_head and self._head_bytes > MAX_HEADER_BYTES:
                 self._reject(431, "headers over 16 KiB")
             if self.in_body and self._framing_bytes > MAX_BUFFERED_BODY_BYTES + MAX_HEADER_BYTES:
@@ -295,17 +320,20 @@
             self.broken = True
             self._items.append(RejectedRequest(status, text))
 
-    # httptools calls these
+    # --- Callbacks of httptools -------------------------------------------------------------------------
     def on_message_begin(self) -> None:
+        """Start a request."""
         self._reset()
         self.incomplete = True
 
     def on_url(self, url: bytes) -> None:
+        """Add a piece of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Store a header that is read later, and count all of them."""
         if not self._in_head:
-            return  # a trailer is no header, and nothing here reads it
+            return  # trailers are ignored
         lowered = name.lower()
         self._header_bytes += len(name) + len(value) + 4
         if lowered in _READ_REQUEST_HEADERS:
@@ -315,6 +343,7 @@
             self._headers[lowered] = value.strip()
 
     def on_headers_complete(self) -> None:
+        """Check the announced length; a long body is streamed."""
         self._in_head = False
         if len(self._target) + self._header_bytes > MAX_HEADER_BYTES:
             self._reject(431, "headers over 16 KiB")
@@ -329,7 +358,7 @@
         )
 
     def _begin_streaming(self, length: int | None) -> None:
-        """The request is handed in now; its body follows."""
+        """Hand out the request now; its body follows."""
         item = self._validate(self._parser.should_keep_alive())
         if isinstance(item, Request):
             self.streamed_body = StreamedBody(length)
@@ -339,11 +368,12 @@
             self._items.append(
                 replace(item, message=replace(item.message, body=b"", streamed_body=self.streamed_body))
             )
-        else:  # what is refused is not waited for
+        else:  # the body of a rejected request is not awaited
             self.broken = True
             self._items.append(replace(item, keep_alive=False))
 
     def on_body(self, body: bytes) -> None:
+        """Add a piece of the body, or reject a body that is too large."""
         self.size += len(body)
         self._framing_bytes = 0
         self.expects_continue = False
@@ -359,6 +389,7 @@
                 self._begin_streaming(None)
 
     def on_message_complete(self) -> None:
+        """Finish the request."""
         self.incomplete = self.in_body = self.expects_continue = False
         if self.streamed_body is not None:
             self.streamed_body.done = True
@@ -368,6 +399,7 @@
             self._in_head, self._head_bytes = True, 0
 
     def _validate(self, keep: bool) -> ParsedItem:
+        """Return the request, or the reason why it is rejected."""
         names, headers, method = self._names, self._headers, self._parser.get_method()
         if self._parser.get_http_version() not in ("1.1", "1.0"):
             return RejectedRequest(400, "not HTTP/1.1")
@@ -391,7 +423,7 @@
         request_id = headers.get(b"request-id", b"")
         if not _REQUEST_ID.match(request_id):
             return RejectedRequest(400, "Request-Id is missing or malformed", keep)
-        # a class that does not exist differs, too: served by its path it would look as though it had run
+        # also if the header names an unknown class: served by its path, the request would seem to have run
         if headers.get(b"request-class", name) != name:
             return RejectedRequest(400, "Request-Class and path differ", keep)
         timeout = headers.get(b"request-timeout-ms", b"")
@@ -410,33 +442,33 @@
 
 
 def _key(text: bytes) -> int:
-    """The key as a number that is the same at every node; 0 for none."""
+    """Return the affinity key as a number that is the same on every node; 0 for none."""
     if not text:
         return 0
     return int(text, 16) if _HEX.match(text) else int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
 
 def response(status: int, body: bytes, close: bool, headers: str = "") -> bytes:
-    """A whole answer."""
+    """Return a complete response."""
     end = "Connection: close\r\n" if close else ""
     head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Length: {len(body)}\r\n{headers}{end}\r\n"
     return head.encode("latin-1") + body
 
 
 def rejection_bytes(rejected: RejectedRequest) -> bytes:
-    """The answer to a request that goes nowhere."""
+    """Return the response to a rejected request."""
     return response(
         rejected.status, rejected.text.encode() + b"\r\n", not rejected.keep_alive, rejected.header
     )
 
 
 def readiness_bytes(ready: bool, close: bool) -> bytes:
-    """The answer of the ready path."""
+    """Return the response to a readiness request."""
     return response(200 if ready else 503, b"ready\r\n" if ready else b"not ready\r\n", close)
 
 
 def final_response_bytes(answer: Answer, close: bool) -> bytes:
-    """A final answer. A refusal is a 503, a failure a 502: the protocol reads no more into them."""
+    """Return the response for the core's answer: 503 for a refusal, 502 for a failure."""
     if answer.verdict is Verdict.SERVED and isinstance(answer.answer, BufferedResponse):
         kind = answer.answer.content_type.decode("latin-1")
         return response(200, answer.answer.body, close, f"Content-Type: {kind}\r\n" if kind else "")
@@ -448,9 +480,9 @@
     return response(502, b"", close)
 
 
-# --- Endpoints ---
+# --- Endpoints ------------------------------------------------------------------------------------------
 def request_bytes(message: ForwardedRequest, host: tuple[str, int], left_us: int) -> bytes:
-    """The request as an endpoint gets it."""
+    """Return the request as it is sent to an endpoint; a streamed body follows separately."""
     bodied = message.body or message.method != b"GET"
     length = b"Content-Length: %d\r\n" % len(message.body) if bodied else b""
     if message.streamed_body is not None:
@@ -464,12 +496,12 @@
 
 
 def chunk_bytes(data: bytes) -> bytes:
-    """A part of a body of unknown length, as HTTP/1.1 frames it; of no bytes: its end."""
+    """Return data as one chunk of a chunked body; empty data ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def response_head_bytes(head: ResponseHead, chunked: bool, close: bool) -> bytes:
-    """The head of a 200 whose body follows."""
+    """Return the head of a 200 response whose body follows."""
     kind = b"Content-Type: %s\r\n" % head.content_type if head.content_type else b""
     frame = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     if head.length is not None:
@@ -478,55 +510,68 @@
 
 
 class ResponseParser:
-    """One answer on one connection.
+    """Parses one response on one connection.
+
+    The body is gathered up to a limit. For a response that is forwarded as it arrives, `take` returns what
+    has been gathered and starts over.
 
-    What comes is gathered up to `most` bytes; `take` hands out what is there and begins anew, for one that is
-    passed on as it comes.
+    Attributes:
+        status: 0 until the head is complete.
+        headers: Those that are used, in lower case.
+        length_unknown: The length of the body is not announced.
+        done: The response is complete.
+        reusable: The connection may carry another call.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
+        """Create a parser whose body may have `max_body_bytes`, unless it is streamed."""
         self._parser = httptools.HttpResponseParser(self)
         self._max_body_bytes = max_body_bytes
         self.status = 0
         self.headers: dict[bytes, bytes] = {}
         self._parts: BodyParts = []
         self._size = self._head_bytes = 0
-        self._framing_bytes = 0  # bytes since the last one of the body: frames, trailers
-        self._in_body = self.length_unknown = False  # endless: its length is not told beforehand
+        self._framing_bytes = 0  # since the last byte of the body: chunk framing, trailers
+        self._in_body = self.length_unknown = False
         self.done = False
         self.reusable = False
 
     @property
     def body(self) -> bytes:
+        """Return what has been gathered of the body."""
         return b"".join(self._parts)
 
     @property
     def is_streamable(self) -> bool:
-        """Is this the body of a 200, which may be passed on as it comes?"""
+        """Return whether this is the body of a 200 response, which may be forwarded as it arrives."""
         return self._max_body_bytes == MAX_BUFFERED_BODY_BYTES and self._in_body and self.status == 200
 
     @property
     def exceeds_buffer(self) -> bool:
-        """Is it sure that the body is over what is kept whole?"""
+        """Return whether the body is known to be larger than what is buffered."""
         return self.is_streamable and self._size > self._max_body_bytes
 
     def head(self) -> ResponseHead:
-        """The head of an answer that flows."""
+        """Return the head for a response that is streamed."""
         length = self.headers.get(b"content-length")
         return ResponseHead(int(length) if length else None, self.headers.get(b"content-type", b""))
 
     def start_streaming(self) -> int:
-        """It is passed on from now on: from here its bytes count as they come. Those that have come."""
+        """Count only received bytes from now on, not the announced length; return those so far."""
         self._size = sum(map(len, self._parts))
         return self._size
 
     def take(self) -> bytes:
-        """What has come of the body since the last time."""
+        """Return what has arrived of the body since the last call."""
         parts, self._parts = self._parts, []
         return bytes(parts[0]) if len(parts) == 1 else b"".join(parts)
 
     def feed(self, data: bytes) -> bool:
-        """True once the answer is whole. ValueError: this is no answer."""
+        """Parse bytes; return True once the response is complete.
+
+        Raises:
+            ValueError: The bytes are not a valid response, or it is too large.
+        """
         self._head_bytes += 0 if self._in_body else len(data)
         self._framing_bytes += len(data)
         while data:
@@ -537,7 +582,7 @@
                 self.reusable = False
                 if self.done:
                     break
-                # a 101 that nobody asked for is a 1xx like any other: the answer comes behind its head
+                # an unrequested 101 is treated like any other 1xx: the response follows its head
                 data = data.partition(b"\r\n\r\n")[2] if self.status == 101 else b""
                 if not data:
                     raise ValueError(f"no HTTP: {error}") from None
@@ -555,50 +600,54 @@
         return self.done
 
     def end(self) -> bool:
-        """The other side has ended the connection: True where that is how its answer ends."""
+        """Handle the end of the connection; return True if that is a valid end of the response."""
         framed = b"content-length" in self.headers or b"transfer-encoding" in self.headers
         self.reusable = False
         self.done = self.done or (self._in_body and not framed)
         return self.done
 
-    # httptools calls these
+    # --- Callbacks of httptools -------------------------------------------------------------------------
     def on_message_begin(self) -> None:
+        """Start a response, or note bytes after a complete one."""
         if self.done:
-            self.reusable = False  # bytes beyond the answer: nothing can be trusted to follow in step
+            self.reusable = False  # bytes beyond the answer: a later response could not be told apart
             return
         self.headers, self._in_body = {}, False
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Store a header that is used."""
         lowered = name.lower()
-        if (
-            lowered in _READ_RESPONSE_HEADERS and not self.done and not self._in_body
-        ):  # behind the body it is a trailer, and
-            self.headers[lowered] = value.strip()  # counts for nothing
+        # after the body it is a trailer, which is ignored
+        if lowered in _READ_RESPONSE_HEADERS and not self.done and not self._in_body:
+            self.headers[lowered] = value.strip()
 
     def on_headers_complete(self) -> None:
+        """Take the status and the announced length."""
         if not self.done:
             self.status = self._parser.get_status_code()
             self._in_body = self.status >= 200
             length = self.headers.get(b"content-length", b"0")
-            if self._in_body and int(length) > self._max_body_bytes:  # known before a byte of it has come
+            if self._in_body and int(length) > self._max_body_bytes:  # announced in the head
                 self._size = int(length)
             elif self._in_body and b"content-length" not in self.headers:
                 self.length_unknown = True
 
     def on_body(self, body: bytes) -> None:
+        """Gather a piece of the body."""
         if not self.done:
             self._size += len(body)
             self._framing_bytes = 0
             append_coalesced(self._parts, body)
 
     def on_message_complete(self) -> None:
-        if not self.done and self.status >= 200:  # a 1xx is not yet the answer
+        """Finish the response, unless it is an interim one."""
+        if not self.done and self.status >= 200:  # a 1xx is an interim response
             self.done = True
             self.reusable = self._parser.should_keep_alive()
 
 
 def outcome(parser: ResponseParser) -> Outcome:
-    """PROTOCOL's table for an answer that came back whole."""
+    """Return the outcome of a complete response, by the platform's protocol."""
     if parser.status == 200:
         return Outcome.OK
     if parser.status in (503, 504) and parser.headers.get(b"not-started") == b"1":
@@ -607,12 +656,12 @@
 
 
 def buffered_response(parser: ResponseParser) -> BufferedResponse:
-    """What a client gets of a 200."""
+    """Return the part of a 200 response that the client gets."""
     return BufferedResponse(parser.body, parser.headers.get(b"content-type", b""))
 
 
 def report(parser: ResponseParser, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The load report in the order of the settings' fields; absent or malformed is no report."""
+    """Return the load report in the order of the settings' fields; () if it is absent or malformed."""
     text = parser.headers.get(b"server-load")
     if not text or not fields:
         return ()
@@ -624,31 +673,35 @@
     return values if all(map(math.isfinite, values)) else ()
 
 
-# --- Discovery ---
+# --- Discovery ------------------------------------------------------------------------------------------
 def list_request_bytes(host: tuple[str, int], after: int | None, wait_ms: int) -> bytes:
-    """The call for the whole list, or the watch for what is newer than a revision."""
+    """Return the request for the full list, or a watch for changes after a revision."""
     query = "" if after is None else f"?after={after}&wait_ms={wait_ms}"
     return f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {host[0]}:{host[1]}\r\n\r\n".encode()
 
 
 class EndpointListReader:
-    """Discovery's JSON to the core's members.
+    """Converts discovery's JSON to the core's members.
 
-    Names not in the settings get stable indices behind theirs.
-
-    Attributes:
-        ours: A moment of Unix time on the core's clock, as the two stand now.
+    Names that are not in the settings get stable indices after those that are.
     """
 
     def __init__(self, config: Config, to_local_us: Callable[[int], int]) -> None:
+        """Create a reader.
+
+        Args:
+            config: Names the known zones and server kinds.
+            to_local_us: Converts Unix time to the core's clock, as the two stand now.
+        """
         self._zones: dict[str, int] = {}
         self._kinds: dict[str, int] = {}
-        self._known_starts: dict[bytes, tuple[float, int]] = {}  # of the listed: Unix time as told, and ours
+        # by endpoint: its start in Unix time, and on the core's clock
+        self._known_starts: dict[bytes, tuple[float, int]] = {}
         self.reconfigure(config)
         self._to_local_us = to_local_us
 
     def reconfigure(self, config: Config) -> int:
-        """Other settings: the names known so far keep their indices. The index of the node's own zone."""
+        """Apply other settings; known names keep their indices. Return the index of the node's own zone."""
         for names, indices in ((config.zone_names, self._zones), (config.kind_names, self._kinds)):
             for name in names:
                 indices.setdefault(name, len(indices))
@@ -656,7 +709,11 @@
         return self._zones[config.zone_names[own]] if 0 <= own < len(config.zone_names) else own
 
     def read(self, body: bytes) -> tuple[int, FleetNews]:
-        """Revision and news. ValueError: not discovery's form, and the old list must stay."""
+        """Parse a list; return its revision and the news.
+
+        Raises:
+            ValueError: The list is malformed; the previous one stays in force.
+        """
         try:
             document = json.loads(body)
         except RecursionError:
@@ -664,7 +721,11 @@
         return self.parse(document)
 
     def parse(self, document: Mapping[str, Any], view: View | None = None) -> tuple[int, FleetNews]:
-        """The same from parsed JSON; every way in which it can be malformed is a ValueError."""
+        """Convert a list from parsed JSON; return its revision and the news.
+
+        Raises:
+            ValueError: The list is malformed in any way.
+        """
         try:
             form = view or (View.FULL if document["complete"] is True else View.DELTA)
             starts: dict[bytes, tuple[float, int]] = {}
@@ -679,10 +740,11 @@
         return revision, FleetNews(form, members)
 
     def _start_time_us(self, endpoint_id: bytes, up_ms: float, starts: dict[bytes, tuple[float, int]]) -> int:
-        """On the core's clock; 0 stays 0. Reckoned once for each start.
+        """Return an endpoint's start on the core's clock; 0 stays 0.
 
-        A value that moves with the clocks would read as a restart, and one offset for the whole run would
-        make each start after a step of the wall clock look colder or warmer than it is.
+        Converted once per start: a value that follows corrections of the clocks would look like a restart,
+        and one offset for the whole run would, after a step of the wall clock, make each start look earlier
+        or later than it was.
         """
         known = self._known_starts.get(endpoint_id)
         if known is None or known[0] != up_ms:
@@ -691,6 +753,7 @@
         return known[1]
 
     def _member(self, m: Mapping[str, Any], starts: dict[bytes, tuple[float, int]]) -> Member:
+        """Convert one entry."""
         up_ms, scale = float(m.get("up_since_ms") or 0), float(m.get("size") or 1.0)
         endpoint_id, where = str(m["id"]).encode(), address(m["host_port"], "host_port")
         if not _IP_ADDRESS.match(where[0]):
@@ -700,14 +763,15 @@
             _index_of(self._zones, str(m.get("locality"))),
             _index_of(self._kinds, str(m.get("flavor"))),
             int(m.get("cell") or 0),
-            _STATES.get(m["phase"], State.DRAINING),  # an unknown phase wants no new work from us
+            _STATES.get(m["phase"], State.DRAINING),  # an unknown phase gets no new requests
             scale if math.isfinite(scale) else 1.0, self._start_time_us(endpoint_id, up_ms, starts),
         )  # fmt: skip
 
 
 def _index_of(indices: dict[str, int], name: str) -> int:
-    """The index of a name; those beyond all bounds share one, as memory must not grow with names ever
-    heard.
+    """Return the index of a name, adding it if needed.
+
+    Names beyond the limit share one index, so that memory does not grow with every name ever seen.
     """
     if name not in indices and len(indices) >= MAX_DISCOVERED_NAMES:
         return MAX_DISCOVERED_NAMES
--- a/granitewell/net/listener.py
+++ b/granitewell/net/listener.py
@@ -1,7 +1,6 @@
-"""The clients' listening socket, and when a young process may say that it is ready.
+"""The clients' listening socket, and how long a new process delays being ready.
 
-It owns the check of a socket that the platform holds for all processes of the node. It must never accept:
-that is the loop's, which knows the budget of descriptors.
+Accepting connections is the job of `downstream`, which knows the budget of descriptors.
 """
 
 from __future__ import annotations
@@ -14,12 +13,17 @@
 from granitewell.net.sockets import listen_on
 
 BACKLOG = 1024
-MIN_AGE_S = 0.6  # of a process under a CPU limit below one core before it is ready
-MAX_STARTUP_DELAY_S = 2.0  # that a node puts off being ready, whatever its limit says
+MIN_AGE_S = 0.6  # before a process with a CPU limit below one core is ready
+MAX_STARTUP_DELAY_S = 2.0  # upper bound, whatever the CPU limit
 
 
 def open_listener(config: Config) -> socket.socket:
-    """The clients' listener: bound here, or the platform's own. ConfigError: the descriptor is none."""
+    """Return the clients' listener: bound here, or inherited from the platform.
+
+    Raises:
+        ConfigError: The inherited descriptor is not a socket that listens at the configured address.
+        OSError: The address can't be bound.
+    """
     if config.inherited < 0:
         return listen_on(config.listen, BACKLOG)
     field = f"LB_INHERITED_FD: descriptor {config.inherited}"
@@ -39,11 +43,11 @@
 
 
 def startup_delay_s(cpu_s: float, process_age_s: float, cores: float) -> float:
-    """Seconds until the CPU that starting took is within what a limit under one core gives.
+    """Return the seconds until the CPU time spent on starting fits a CPU limit below one core.
 
-    A node that is ready before is stopped by that limit while its first requests wait, past the slack of
-    their answers. The limit is kept over stretches of time, so a young process is stopped although its mean
-    is within it.
+    Such a limit is enforced over short periods. A node that is ready too early is throttled while its first
+    requests wait, longer than the slack of their deadlines; this happens to a young process even if its mean
+    use is within the limit. Zero or less means no delay.
     """
     return (
         min(max(cpu_s / cores, MIN_AGE_S) - process_age_s, MAX_STARTUP_DELAY_S) if cores < 1.0 else 0.0
@@ -51,7 +55,7 @@
 
 
 def process_age_s() -> float:
-    """Seconds since this process began."""
+    """Return the seconds since this process was started."""
     with open("/proc/self/stat", "rb") as stat:
         ticks = int(stat.read().rpartition(b")")[2].split()[19])
     return time.clock_gettime(time.CLOCK_BOOTTIME) - ticks / os.sysconf("SC_CLK_TCK")
--- a/granitewell/net/shared_counters.py
+++ b/granitewell/net/shared_counters.py
@@ -1,8 +1,8 @@
-"""The shell of what nodes share: it joins the counts to the node's clients, to the roads and to the view.
+"""Runs the counters that the nodes share: connects the state machine with requests, transport and status.
 
-It owns the timer, and in which words a subject hears of requests and of members. It must never judge a count,
-and costs a request no more than a note in a table. Letters go over the cluster's roads: by datagram, sealed
-as all are. A process counts from its start; it speaks while it is the member.
+Requests are counted from the start of the process; messages are exchanged only while the process is the
+cluster member. Counting costs a request no more than one table update. Messages are sealed datagrams of the
+cluster's transport.
 """
 
 from __future__ import annotations
@@ -22,14 +22,22 @@
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
 
-NO_TENANT_KEY = "-"  # the key of requests that name no tenant that counts
-MAX_KEYS_IN_VIEW = 200  # in one answer
+NO_TENANT_KEY = "-"  # the key of requests without a known tenant
+MAX_KEYS_IN_VIEW = 200  # in one answer; further keys are left out
 
 
 class SharedCounters:
-    """What one process shares with the others."""
+    """The shared counters of one process."""
 
     def __init__(self, node: Node, name: str, keys: Keys, figures: Figures) -> None:
+        """Start to count the node's requests.
+
+        Args:
+            node: The serving node.
+            name: The node's name in the cluster.
+            keys: Keys that seal messages.
+            figures: Settings of the counters.
+        """
         rng = Random(int.from_bytes(os.urandom(16), "big"))
         self._node, self._clock = node, node.clock
         birth = 1 + int(rng.random() * (1 << 60))
@@ -41,48 +49,53 @@
         node.clients.rate_limit = self._count_request
 
     def _count_request(self, tenant: int, _: int) -> int:
-        """A request has come whole, and the core is about to hear of it."""
+        """Count a complete request before the core sees it; -1 means no limit applies."""
         names = self._node._config.tenant_names
         key = names[tenant] if 0 <= tenant < len(names) else NO_TENANT_KEY
         self.counts.handle(self._clock.now(), Took(key))
         return -1
 
-    # --- The fleet --------------------------------------------------------------------------------------
+    # --- The cluster ------------------------------------------------------------------------------------
     def start(self, incarnation: int, send: Callable[[Say], None]) -> None:
-        """This process is the member now."""
+        """Exchange messages from now on: this process has become the cluster member."""
         self.counts.life, self._send = incarnation, send
         self._arm_timer()
 
     def stop(self) -> None:
-        """It is no more."""
+        """Exchange no more messages."""
         self._send = None
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def set_peers(self, places: Mapping[str, str], out: Container[str], unnamed: int) -> None:
-        """All who may act, by name, with the address of those that are up.
+        """Set the nodes that may be acting.
 
-        Who does no more; and how many may that nobody has named.
+        Args:
+            places: By name, the address of each node that is up; "" for one that is not.
+            out: Names of the nodes that are no longer counted.
+            unnamed: How many more nodes may be acting whose names are unknown.
         """
         peers = {name: Peer(at, bool(at), name in out) for name, at in places.items()}
         self._handle(Peers(peers, unnamed))
 
     def rekey(self, keys: Keys) -> None:
-        """Other keys count."""
+        """Seal messages with other keys."""
         self._handle(Rekey(keys))
 
     def on_message(self, on_message: Heard) -> None:
-        """A letter of ours has come."""
+        """Handle a counter message of another node."""
         self._handle(on_message)
 
     def _handle(self, event: object) -> None:
+        """Give the state machine an event and send the messages that it returns."""
         for effect in self.counts.handle(self._clock.now(), event):
             if isinstance(effect, Say) and self._send is not None:
                 self._send(effect)
         self._arm_timer()
 
     def _arm_timer(self) -> None:
+        """Set the timer to the state machine's next deadline."""
         wake = self.counts.wake_us
         if self._send is None or wake < 0 or (self._timer is not None and self._timer_us <= wake):
             return
@@ -93,12 +106,13 @@
         self._timer = self._loop.call_later(-(-wait_us // 1000) / 1000, self._on_timer)
 
     def _on_timer(self) -> None:
+        """Wake the state machine."""
         self._timer = None
         self._handle(Woken())
 
-    # --- For whoever asks -------------------------------------------------------------------------------
+    # --- Queries ----------------------------------------------------------------------------------------
     def view(self, key: str) -> dict[str, Any]:
-        """Figures of all keys, or of one with the part that each node has; plain JSON."""
+        """Return the figures of all keys, or of one key with each node's part, as plain JSON."""
         now, counts = self._clock.read_now(), self.counts
         figures = counts.figures
         keys = [key] if key else counts.keys()
@@ -126,6 +140,7 @@
 
 
 def _part_row(part: Part) -> dict[str, Any]:
+    """Return one node's part of a figure as plain JSON."""
     age_s = part.age_us / 1e6 if part.age_us >= 0 else None
     return {"name": part.name, "low": part.low, "high": part.high, "age_s": age_s, "unheard": part.unheard,
             "edge": part.edge, "others": part.others}  # fmt: skip
--- a/granitewell/net/sockets.py
+++ b/granitewell/net/sockets.py
@@ -1,7 +1,4 @@
-"""Small helpers of one socket, which several modules of this room need.
-
-It owns how a connection is made, looked at and ended. It must never wait, or know whose socket it is.
-"""
+"""Helpers for a single non-blocking socket; none of them waits."""
 
 from __future__ import annotations
 
@@ -9,11 +6,11 @@
 import select
 import socket
 
-READ_BUFFER_BYTES = 8 * 1024  # bytes read at a time, but for bodies that flow
+READ_BUFFER_BYTES = 8 * 1024  # read at a time, except from streamed bodies
 
 
 def listen_on(address: tuple[str, int], backlog: int) -> socket.socket:
-    """A socket that listens at this address."""
+    """Return a socket that listens at this address."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -27,7 +24,7 @@
 
 
 def new_tcp_socket(address: tuple[str, int]) -> socket.socket:
-    """A socket for a connection to this address."""
+    """Return an unconnected TCP socket of the address's family."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -35,7 +32,7 @@
 
 
 def is_readable(sock: socket.socket) -> bool:
-    """Has the other side sent something, or closed? Looks without taking."""
+    """Return whether the other side has sent data or closed the connection; consumes nothing."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -46,16 +43,20 @@
 
 
 def peer_closed(sock: socket.socket) -> bool:
-    """Has the other side closed, or reset the connection? Seen behind bytes that nobody has read, too."""
+    """Return whether the other side has closed or reset the connection, even behind unread data."""
     with contextlib.suppress(OSError, ValueError):
         look = select.poll()
         look.register(sock, select.POLLRDHUP)
         return bool(look.poll(0))
-    return True  # its descriptor is none any more
+    return True  # the socket is closed already
 
 
 def close_socket(sock: socket.socket) -> None:
-    """Close for good. A pending read of uvloop keeps the descriptor open, so the far side is told first."""
+    """Close a connection for good.
+
+    A pending read of uvloop keeps the descriptor open after `close`, so `shutdown` tells the other side
+    first.
+    """
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
