--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -178,8 +178,10 @@
         record = self._read_record()
         former = None
         if record is not None and record.life.gen:
-            life = record.life
-            former = Former(life.gen, max(life.birth, 1), life.inc, life.seq, self._waited)
+            incarnation = record.life
+            former = Former(
+                incarnation.gen, max(incarnation.birth, 1), incarnation.inc, incarnation.seq, self._waited
+            )
         known = record.known if record is not None else ()
         seeds = tuple(dict.fromkeys((*settings.seeds, *(record.addresses if record is not None else ()))))
         config = Config(
@@ -530,16 +532,18 @@
         if not self._durable_folder.lasting:
             return
         seat, own = machine.seat, machine.own
-        life = persisted_record.Life(own.gen, seat.birth, own.inc, seat.seq + RESERVED_SEQUENCE_NUMBERS)
+        incarnation = persisted_record.Life(
+            own.gen, seat.birth, own.inc, seat.seq + RESERVED_SEQUENCE_NUMBERS
+        )
         peer_addresses = [m.about.address for m in machine.members() if m.name != self._settings.name]
         known, wanted = tuple(size_estimate.known()), {a for a in peer_addresses if _is_valid_address(a)}
-        record = persisted_record.Note(self._settings.name, life, known, tuple(sorted(wanted)))
+        record = persisted_record.Note(self._settings.name, incarnation, known, tuple(sorted(wanted)))
         digest = persisted_record.gist(record)
         if not always and digest == self._last_digest:
             return  # suspicions change many times a second and don't concern the next process
         self._last_digest, self._reserved_seq = (
             digest,
-            life.seq,
+            incarnation.seq,
         )  # half of the reserved numbers last longer than any write takes
         self._disk_writer.write(persisted_record.form(record))
 
--- a/granitewell/net/discovery.py
+++ b/granitewell/net/discovery.py
@@ -1,12 +1,10 @@
-"""The watch on discovery: the whole list at first and again every few seconds, and what changes in between.
+"""Watches discovery: the full list at first and every few seconds, and changes in between.
 
-It owns the one connection to the agent and how long it waits between failed calls. It must never change the
-list on a failure, give up, or know what an endpoint is for: news go to the node as they come.
-
-What it promises: whatever has gone wrong with a watch (it hangs, its connection is silent, it answers with
-nothing in it although there is news, its revisions run backwards), the whole list is there again before the
-news count as told: 6 s after the watch fell silent; and where an agent has the lists pushed to it, before the
-grace of 1 s is over that counts from the moment in which it answers again.
+There is one connection to the agent. A failure never changes the list, and the watch never gives up. Whatever
+goes wrong (a watch hangs, its connection is silent, it answers without the changes that there are, or its
+revisions run backwards), the full list is read again before changes count as known to the node: 6 s after the
+watch fell silent. Where an agent has the lists pushed to it, that is before the end of the grace of 1 s that
+starts when the agent answers again.
 """
 
 from __future__ import annotations
@@ -26,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchTimeouts:
-    """How long calls to discovery may take.
+    """How long requests to discovery may take.
 
     Attributes:
-        watch_ms: That it may hold a watch.
-        spare_s: Beyond that.
-        list_s: For the whole list.
-        backoff_s: Least and most between two failed calls.
+        watch_ms: How long the agent may hold a watch.
+        watch_grace_s: How much later its answer may begin.
+        list_timeout_s: For the full list.
+        backoff_s: Shortest and longest pause after a failed request.
     """
 
     watch_ms: int
@@ -41,53 +39,63 @@
     backoff_s: tuple[float, float]
 
 
-# An agent beside the node answers at once and at no cost, and what it has counts as told, heard or not: from
-# any silence on, a call must get through within the grace of a drain, of which 150 ms are kept back.
+# An agent on the same machine answers at once and at no cost, and what it knows counts as known to the node:
+# after any silence, a request must succeed within the grace of a drain, of which 150 ms are kept in reserve.
 PUSHED_TIMEOUTS = WatchTimeouts(500, 0.35, 0.35, (0.02, 0.1))
-# Where lists are asked for, calls wait in turn, and lines have a price.
+# Where lists have to be requested, requests wait in line and have a price.
 POLLED_TIMEOUTS = WatchTimeouts(2_000, 1.0, 2.0, (0.05, 1.0))
-MAX_RESPONSE_S = 2.0  # beyond that for an answer that comes slowly, yet comes
-FULL_LIST_INTERVAL_S = 3.5  # from one whole list to the next, and a watch's wait at most: under the 6 s
-FAST_ANSWER_S = 0.01  # an answer that comes so soon was not waited for:
-MAX_FAST_ANSWERS = 20  # after so many in a row calls are held apart by
-FAST_ANSWER_PAUSE_S = 0.04  # so long: far under a drain's grace
+MAX_RESPONSE_S = 2.0  # added for a response that arrives slowly
+FULL_LIST_INTERVAL_S = 3.5  # plus one watch at most: under the 6 s
+FAST_ANSWER_S = 0.01  # an answer that arrives sooner was not held by the agent
+MAX_FAST_ANSWERS = 20  # in a row, after which requests are spaced
+FAST_ANSWER_PAUSE_S = 0.04  # far below the grace of a drain
 
 
 class Discovery:
-    """One node's watch; closed until `at` opens it at an address, or moves it there."""
+    """The watch of one node; closed until `watch` opens it at an address or moves it there."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, clock: Clock, reader: http1.EndpointListReader,
         on_update: Callable[[FleetNews], None], log_line: Callable[[str, str], None],
         spawn: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]],
     ) -> None:  # fmt: skip
+        """Create a closed watch.
+
+        Args:
+            loop: The event loop.
+            clock: The node's clock.
+            reader: Converts lists.
+            on_update: Called with each list and change.
+            log_line: Writes a line of a topic to the node's log.
+            spawn: Starts a task that the node keeps track of.
+        """
         self._loop, self._clock, self._reader = loop, clock, reader
         self._on_update, self.log_line, self._spawn = on_update, log_line, spawn
         self._task: asyncio.Task[None] | None = None
-        self._full_list, self._revision = b"", -1  # the last whole list, while nothing has changed since
-        self.answered_us = self.updated_us = -1  # when it last answered well, and last told anything
-        self.failure = (-1, "")  # when a call to it last failed, and why
-        self.attempted = asyncio.Event()  # a call has come to an end, whichever
+        self._full_list, self._revision = b"", -1  # the last full list, unless there was a change since
+        self.answered_us = self.updated_us = -1  # of the last valid answer, and the last with content
+        self.failure = (-1, "")  # when a request last failed, and why
+        self.attempted = asyncio.Event()  # set once a request has succeeded or failed
 
     def watch(self, address: tuple[str, int], timeouts: WatchTimeouts) -> None:
-        """Ask there for the whole list, and watch from then on."""
+        """Request the full list at this address, and watch it from then on."""
         if self._task is not None:
             self._task.cancel()
         self._full_list, self._revision = b"", -1
         self._task = self._spawn(self._run(address, timeouts))
 
     async def _run(self, address: tuple[str, int], timeouts: WatchTimeouts) -> None:
-        """Ask for the whole list, then watch; after any failure begin anew, keeping the list."""
+        """Request the full list, then watch; after any failure start over, keeping the list."""
         sock: socket.socket | None = None
         after: int | None = None
         backoff, fast_answers, full_list_due_us = timeouts.backoff_s[0], 0, 0
         try:
             while True:
-                if fast_answers > MAX_FAST_ANSWERS:  # an agent that never waits would have the core to itself
+                if fast_answers > MAX_FAST_ANSWERS:  # an agent that never waits would keep the processor busy
                     await asyncio.sleep(FAST_ANSWER_PAUSE_S)
                 began_us = self._clock.read_now()
                 if sock is not None and (after is None or began_us >= full_list_due_us):
-                    close_socket(sock)  # whatever is wrong with this connection or its watch ends here
+                    close_socket(sock)  # ends any undetected fault of the connection or its watch
                     sock, after = None, None
                 try:
                     wait_s = timeouts.list_timeout_s
@@ -114,7 +122,7 @@
                         close_socket(sock)
                         sock = None
                     continue
-                except Exception as error:  # what nobody thought of, too: a watch that ends is never missed
+                except Exception as error:  # defects, too: nothing would notice that the watch has ended
                     expected = isinstance(error, OSError | ValueError | TimeoutError)
                     why = str(error) or "no answer in time"
                     why = why if expected else f"{type(error).__name__}: {why}"
@@ -127,14 +135,14 @@
                 await asyncio.sleep(backoff)
                 backoff = min(backoff * 2, timeouts.backoff_s[1])
         finally:
-            if sock is not None:  # a reload ends this watch in favour of one at another address
+            if sock is not None:  # a reload has moved the watch to another address
                 close_socket(sock)
 
     def _apply_answer(self, body: bytes, after: int | None) -> int | None:
-        """Pass on what an answer says, if it says anything.
+        """Pass on the content of an answer, if there is any.
 
-        The revision to watch from, None where the whole list has to be asked for. A whole list that is the
-        last one, byte for byte, costs nothing.
+        Returns the revision to watch from, or None if the full list has to be requested. A full list that
+        equals the last one byte for byte is not parsed.
         """
         if after is None and body == self._full_list and self._revision >= 0:
             self.answered_us = self._clock.now()
@@ -145,13 +153,20 @@
             self._full_list, self._revision = body if after is None else b"", revision
             self.updated_us = self.answered_us
             self._on_update(news)
-        # an agent that has begun anew counts from the start: what lies behind our revision is not its own
+        # a restarted agent counts from the start: revisions after the known one would not be its own
         return None if after is not None and revision < after else revision
 
     async def _request(
         self, sock: socket.socket, request: bytes, first_s: float, gap_s: float
     ) -> http1.ResponseParser:
-        """One call and its answer, which has to begin within first_s and may pause for gap_s at most."""
+        """Send a request and return its response.
+
+        Args:
+            sock: The connection.
+            request: The bytes of the request.
+            first_s: How long the response may take to begin.
+            gap_s: How long it may pause.
+        """
         await self._loop.sock_sendall(sock, request)
         parser, buffer = http1.ResponseParser(http1.MAX_LIST_BYTES), bytearray(READ_BUFFER_BYTES)
         while True:
@@ -160,5 +175,5 @@
             if parser.feed(bytes(buffer[:n])) if n else parser.end():
                 return parser
             if n == 0:
-                raise ValueError("the connection ended inside an answer")
+                raise ValueError("the connection ended within a response")
             first_s = gap_s
--- a/granitewell/net/disk_writer.py
+++ b/granitewell/net/disk_writer.py
@@ -20,7 +20,7 @@
 class DiskWriter:
     """Writes to one folder. Its methods are called on the loop's thread; the disk is used on another."""
 
-    def __init__(self, durable_folder: Kept, now: Callable[[], int], wrong: Callable[[str], None]) -> None:
+    def __init__(self, durable_folder: Kept, now: Callable[[], int], on_error: Callable[[str], None]) -> None:
         """Bind the writer to a folder and to the running loop.
 
         Args:
@@ -28,7 +28,7 @@
             now: Returns the time in microseconds.
             on_error: Called with a message for each write that failed or was slow.
         """
-        self._durable_folder, self._now, self._on_error = durable_folder, now, wrong
+        self._durable_folder, self._now, self._on_error = durable_folder, now, on_error
         self._loop = asyncio.get_running_loop()
         self._pending: bytes | None = None
         self._started_us = -1  # of the write in progress; -1 if there is none
@@ -65,17 +65,17 @@
     def _write_in_thread(self, data: bytes) -> None:
         """Write the data; runs on the background thread."""
         try:
-            wrong = self._durable_folder.write(data)
+            problem = self._durable_folder.write(data)
         except Exception as error:  # the loop has to be told that the write has ended
-            wrong = f"{type(error).__name__}: {error}"
+            problem = f"{type(error).__name__}: {error}"
         with contextlib.suppress(RuntimeError):  # the loop is closed: the process is ending
-            self._loop.call_soon_threadsafe(self._on_written, wrong)
+            self._loop.call_soon_threadsafe(self._on_written, problem)
 
-    def _on_written(self, wrong: str) -> None:
+    def _on_written(self, problem: str) -> None:
         """Report the outcome, then start the next write or run the callbacks."""
         took_us, self._started_us = self._now() - self._started_us, -1
-        if wrong:
-            self._on_error(f"not written down: {wrong}")
+        if problem:
+            self._on_error(f"not written down: {problem}")
         elif took_us >= SLOW_WRITE_US:
             self._on_error(
                 f"the disk took {took_us / 1e6:.1f} s for the folder's file; nothing waited for it"
--- a/granitewell/net/downstream.py
+++ b/granitewell/net/downstream.py
@@ -344,7 +344,7 @@
             return
         elif connection.parser.incomplete:
             if too_slow(connection, now):
-                rejection = http1.RejectedRequest(408, "the request did not come whole")
+                rejection = http1.RejectedRequest(408, "the request was not complete in time")
                 self.log_line("bad", f"answered {rejection.status}: {rejection.text}")
                 self.write_response(connection, http1.rejection_bytes(rejection), True)
         elif self.listener is None and self._shared:
@@ -385,8 +385,8 @@
                     continue
                 connection.last_read_us = self._clock.now()
                 if not connection.parser.incomplete and not connection.is_new:
-                    # not within a request or before the first one: trickling bytes, noise and empty lines must
-                    # not extend the deadline of a slow sender
+                    # not within a request or before the first one: trickling bytes, noise and empty lines
+                    # must not extend the deadline of a slow sender
                     connection.last_activity_us = self._clock.now()
                 was_in_body = connection.parser.in_body
                 connection.queue.extend(connection.parser.feed(bytes(buffer[:n])))
--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -44,7 +44,7 @@
         b"idempotency-key",
     }
 )
-# an endpoint recognises a repeated request by its idempotency key, if the class allows repeats
+# an endpoint recognises a repeat by its idempotency key, within the scope and window that the class allows
 _FORWARDED_HEADERS = (
     b"request-class",
     b"tenant",
@@ -585,7 +585,7 @@
                 # an unrequested 101 is treated like any other 1xx: the response follows its head
                 data = data.partition(b"\r\n\r\n")[2] if self.status == 101 else b""
                 if not data:
-                    raise ValueError(f"no HTTP: {error}") from None
+                    raise ValueError(f"not valid HTTP: {error}") from None
                 self._parser, self.status = httptools.HttpResponseParser(self), 0
         if self._size > (MAX_BODY_BYTES if self.is_streamable else self._max_body_bytes):
             raise ValueError("the body is too large")
@@ -757,7 +757,7 @@
         up_ms, scale = float(m.get("up_since_ms") or 0), float(m.get("size") or 1.0)
         endpoint_id, where = str(m["id"]).encode(), address(m["host_port"], "host_port")
         if not _IP_ADDRESS.match(where[0]):
-            raise ValueError(f"host_port: {where[0]} is a name, and nobody here looks names up")
+            raise ValueError(f"host_port: found the host name {where[0]}, allowed: an IP address")
         return Member(
             endpoint_id, where,
             _index_of(self._zones, str(m.get("locality"))),
--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -1,11 +1,10 @@
-"""Runs the core's effects on real sockets.
+"""The serving node: runs the core's effects on real sockets.
 
-Outbound calls and their pool, the watch on discovery, the timers and the log; clients are inbounds'.
-
-It owns every task of the process, the descriptors of its calls, and the budget of both. It must never change
-the state of a request by itself (it reports events and does what the core's effects say), resend anything, or
-know the protocol's words, which are http1's. All network traffic goes through the loop's sock_* calls. Time
-is whole microseconds on the monotonic clock, read once a turn of the loop.
+The node owns the tasks of the process, the calls to endpoints, the timer, the watch on discovery and the
+division of descriptors; client connections are handled by `downstream`. The core decides what becomes of a
+request: this module reports events to it and carries out its effects, and never repeats a call by itself.
+Protocol details are left to `http1`. All TCP traffic goes through the loop's `sock_*` methods. Time is whole
+microseconds on the monotonic clock, read once per turn of the loop.
 """
 
 from __future__ import annotations
@@ -45,35 +44,49 @@
 if TYPE_CHECKING:
     from granitewell.net.status import StatusServer
 
-RESERVED_DESCRIPTORS = 32  # descriptors for the interpreter, the listener, discovery and accidents
+RESERVED_DESCRIPTORS = 32  # for the interpreter, the listener, discovery and unforeseen needs
 SWEEP_INTERVAL_S = 0.1
-IDLE_RATIO = 0.8  # of connIdleMs, after which an idle outbound connection is closed, well before the far side
-FIRST_LIST_TIMEOUT_S = 1.0  # that a start waits for the first word of discovery
-STALL_US = 20_000  # a timer so late is worth a line: answers at the due time have a slack of 50 ms
-SUCCESSOR_DIVISOR = 4  # one in so many descriptors is the next process's while it starts beside this one
-SPARE_DESCRIPTORS = 16  # beyond what it holds, for a process that is to stop
-DRAIN_IDLE_US = 200_000  # for an idle connection to an endpoint there
-RELOAD_GRACE_S = 2.0  # for which the names and methods of before a reload still count
+IDLE_RATIO = 0.8  # of connIdleMs: idle connections to endpoints are closed well before the other side does
+FIRST_LIST_TIMEOUT_S = 1.0  # that a start waits for discovery
+STALL_US = 20_000  # lateness of a timer that is logged: answers at the deadline have a slack of 50 ms
+SUCCESSOR_DIVISOR = 4  # one descriptor in 4 is for the next process while both run
+SPARE_DESCRIPTORS = 16  # that a stopping process claims beyond those in use
+DRAIN_IDLE_US = 200_000  # idle timeout of connections to endpoints in a stopping process
+RELOAD_GRACE_S = 2.0  # during which the names and methods of before a reload are still accepted
 
 
 class _OutboundCall:
-    """An outbound call that is under way."""
+    """A call to an endpoint that is in progress.
+
+    Attributes:
+        dialing: Its connection is being opened.
+        may_write: The core has released it for writing.
+        has_written: Bytes may have been sent.
+    """
 
     __slots__ = ("dialing", "effect", "may_write", "task", "has_written")
 
     def __init__(self, effect: c.StartCall) -> None:
         self.effect = effect
         self.dialing = self.may_write = False
-        self.has_written = False  # bytes may have gone out
+        self.has_written = False
         self.task: asyncio.Task[None] | None = None
 
 
 class Node:
-    """The running node: feeds the core and does what it asks for."""
+    """A running node: feeds the core with events and runs its effects."""
 
     def __init__(
         self, config: Config, core: c.Core, loop: asyncio.AbstractEventLoop, handover: Handover | None = None
     ) -> None:
+        """Set up the node; `run` opens its sockets.
+
+        Args:
+            config: The configuration.
+            core: Decides what becomes of requests.
+            loop: The event loop.
+            handover: The folder that the node's processes share; None for none.
+        """
         self._config, self._core, self._loop = config, core, loop
         self.clock = Clock(loop)
         self.log = Log(config.name)
@@ -96,34 +109,33 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._timer_us = -1
-        self._cpu_us = 0  # of this thread, when the timer last came
+        self._cpu_us = 0  # of this thread, at the last timer
         self._stopped = asyncio.Event()
-        self._settings_version = 0  # how often the settings have
+        self._settings_version = 0  # counts reloads that changed the settings
         self.discovery = Discovery(
             loop, self.clock, self._list_reader, self.dispatch, self.log_line, self._spawn
         )
         self._handover = handover
-        self._other_claims: list[
-            int
-        ] = []  # what further processes of this node may hold, as of the last look
-        self._is_older = True  # this process was there before those; what it may hold only falls then
-        self.console: Console | None = None  # where operators call, where the configuration names an address
-        self.status_server: StatusServer | None = None  # the status, where an operator file asks for it
+        self._other_claims: list[int] = []  # descriptors of this node's other processes; -1: not known yet
+        # this process was started before the others; its claim then only shrinks
+        self._is_older = True
+        self.console: Console | None = None  # if the configuration names its address
+        self.status_server: StatusServer | None = None  # if the operator file asks for it
 
     def _divide_descriptors(self, sockets: int) -> None:
-        """So many descriptors are this process's.
+        """Divide this process's descriptors between clients and endpoints.
 
-        Each side has a part that is its own: a third for endpoints; for clients what the usual ones can hold,
-        a third too, with room for new ones. Either takes what the other leaves.
+        Each side has a part of its own: a third for endpoints, and a third for clients that stay connected,
+        plus room for new ones. Either may use what the other leaves.
         """
         self._own_descriptors = sockets
         max_total = self._max_connections(sockets)
         self.limits.max_total, self.limits.max_inbound = max_total, max_total - max_total // 3
         self.limits.max_outbound = max_total - min(sockets // 3 + 8, max_total // 2)
 
-    # --- Life -------------------------------------------------------------------------------------------
+    # --- Start and stop ---------------------------------------------------------------------------------
     async def run(self) -> None:
-        """Serve until the core says to leave."""
+        """Serve until the core tells the node to leave."""
         self._loop.set_exception_handler(self._on_loop_exception)
         self.clients.listener = open_listener(self._config)
         if self._config.console is not None:
@@ -139,15 +151,14 @@
             )
         self._check_handover()
         await self._load_endpoints()
-        if (
-            not self._listener_is_inherited
-        ):  # what another process can accept is left to it until this one can serve
+        # with a shared listener, new clients are left to the other process until this one can serve
+        if not self._listener_is_inherited:
             self.clients.open()
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         delay_s = startup_delay_s(time.process_time(), process_age_s(), self._config.cores)
         if delay_s > 0.0:
             self.log_line("start", f"ready {delay_s * 1000:.0f} ms later: the start is not paid for yet")
-            with contextlib.suppress(TimeoutError):  # a stop does not wait for it
+            with contextlib.suppress(TimeoutError):  # ended early by a stop
                 await asyncio.wait_for(self._stopped.wait(), delay_s)
         self.dispatch(c.Listening())
         await self._stopped.wait()
@@ -156,10 +167,10 @@
         await self.clients.close(self._core.leave_by_us)
 
     async def _load_endpoints(self) -> None:
-        """The first list.
+        """Get the first list of endpoints.
 
-        What discovery has counts as told from this process's first moment, so the one in the configuration,
-        which may be old, is for where discovery does not answer.
+        What discovery knows counts from the start of this process. The list in the configuration may be old,
+        so it is used only if discovery does not answer.
         """
         self._start_discovery()
         with contextlib.suppress(TimeoutError):
@@ -173,43 +184,44 @@
                 self.log_line("known", f"the list in the configuration is not usable: {error}")
 
     def _start_discovery(self) -> None:
-        """Ask the discovery that the configuration names now, in the way that its settings tell."""
+        """Watch the discovery agent that the configuration names, with the timeouts of its mode."""
         self.discovery.watch(
             self._config.discovery, POLLED_TIMEOUTS if self._config.settings.must_ask else PUSHED_TIMEOUTS
         )
 
     def _on_loop_exception(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """What a callback of the loop has raised.
+        """Log an exception that a callback of the loop has raised.
 
-        Its own handler writes to standard error and waits for whoever reads that: with nobody there, for
-        good.
+        The loop's own handler writes to standard error, which blocks forever if that is a pipe that nobody
+        reads.
         """
         error = context.get("exception")
         self.log_line("fault", f"{context.get('message')}: {type(error).__name__}: {error}")
 
     def stop(self) -> None:
-        """The stop signal has come."""
+        """Handle the stop signal."""
         self.dispatch(c.StopAsked(self._listener_is_inherited))
         self._check_handover()
 
     @property
     def _listener_is_inherited(self) -> bool:
-        """Does the platform hold the clients' listener, so that another process may accept from it?"""
+        """Return whether the platform holds the listener, so that other processes may accept from it."""
         return self._config.inherited >= 0
 
     @property
     def phase(self) -> c.Phase:
-        """Where the node is between start and exit."""
+        """Return where the node is between start and exit."""
         return self._core.phase
 
     def _check_handover(self) -> None:
-        """What has changed in the hand-over folder.
+        """Read what has changed in the handover folder.
 
-        Bans called at a process beside this one, and whether there is one.
+        It holds the bans that operators set at another process of this node, and the claims of those
+        processes.
         """
         if self._handover is None:
             return
-        if self._other_claims:  # what they say changes, and one that is killed leaves the folder as it is
+        if self._other_claims:  # claims change, and a killed process leaves the folder unchanged
             self._share_descriptors(self._handover.others())
         if not self._handover.changed():
             return
@@ -221,11 +233,14 @@
         self._share_descriptors(self._handover.others())
 
     def _share_descriptors(self, others: list[int]) -> None:
-        """Divide the descriptors with the processes beside this one.
+        """Divide the descriptors among the processes of this node.
 
-        The elder leaves a part to the next from its start on, and all that it does not hold once it is to
-        stop; the next takes what the elder says it leaves. So only one of them ever takes more, and both
-        together keep to the limit.
+        The older process leaves a part to the next one from its start, and everything that it does not use
+        once it is stopping. The next one takes what the older says it leaves. So only one of them ever gains,
+        and together they keep to the limit.
+
+        Args:
+            others: The claims of the other processes; -1 for one that has not made any.
         """
         assert self._handover is not None
         if len(others) != len(self._other_claims):
@@ -253,13 +268,14 @@
         self._handover.claim(own)
 
     def _max_connections(self, sockets: int) -> int:
-        """What connections may have of so many descriptors."""
+        """Return how many connections fit into so many descriptors."""
         return max(sockets - RESERVED_DESCRIPTORS - (MAX_CONNECTIONS if self._config.console else 0), 8)
 
     def _keep_ban(self, effect: c.KeepBan) -> None:
+        """Store a ban for the node's next process, and report a failure to the operator's call."""
         if self._handover is None:
             return
-        wrong = "the ban could not be written down: see the node's log"  # unless it is known that it was
+        wrong = "the ban could not be written down: see the node's log"  # if it raises
         try:
             wrong = self._handover.keep(effect.endpoint, effect.banned, _moment())
         finally:
@@ -269,10 +285,10 @@
                     self.console.ban_error = wrong
 
     def reload(self, config: Config) -> None:
-        """The configuration has been replaced.
+        """Apply a configuration that has replaced the previous one.
 
-        Its settings count from now on, and discovery is asked for the whole list at the address that it names
-        now, at once. Connections, requests and the list stay.
+        Its settings count from now on, and discovery is asked at once for the full list at the address that
+        it names. Connections, requests and the list of endpoints stay.
         """
         restart_needed = needs_restart(self._config, config)
         old, self._config = self._config, taken_up(self._config, follow(self._config, config))
@@ -283,11 +299,11 @@
         self._start_discovery()
 
     def check(self, top: dict[str, Any]) -> None:
-        """Is this file as whole as the one in force?"""
+        """Check that a new configuration has every field that the one in force has."""
         complete(self._config.raw, top, "")
 
     def _apply_settings(self, old: Config) -> None:
-        """Other settings are in force."""
+        """Apply other settings to the core, the parsers and the pool."""
         config = self._config
         settings = replace(config.settings, zone=self._list_reader.reconfigure(config))
         self._header_names.reconfigure(config)
@@ -300,36 +316,40 @@
         self.log_line("reload", f"the settings are taken up{''.join(changes)}")
 
     def _configure_pool(self) -> None:
-        """What the settings say of connections to endpoints."""
+        """Apply the settings of connections to endpoints."""
         self.pool.idle_timeout_us = int(self._config.conn_idle_us * IDLE_RATIO)
         self.pool.dial_timeout_us = self._config.dial_timeout_us
 
     def _forget_old_names(self, change: int) -> None:
+        """Reject the names of before a reload, unless there was another reload since."""
         if change == self._settings_version:
             self._header_names.drop_previous()
 
     def _spawn(self, job: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Start a task and keep track of it until it ends."""
         task = self._loop.create_task(job)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
         return task
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
+        """Log the exception of a task that has failed."""
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             error = task.exception()
             self.log_line("fault", f"a task failed: {type(error).__name__}: {error}")
 
     def log_line(self, topic: str, line: str) -> None:
+        """Write a line of a topic to the node's log."""
         self.log.write(self.clock.now(), topic, line)
 
     # --- Events and effects -----------------------------------------------------------------------------
     def dispatch(self, event: c.Event) -> None:
-        """Hand an event to the core and run what it asks for."""
+        """Give the core an event and run the effects that it returns."""
         for effect in self._core.handle(self.clock.now(), event):
             try:
                 self._run_effect(effect)
-            except Exception as error:  # one effect's fault must not lose those behind it
+            except Exception as error:  # a failing effect must not lose those after it
                 self.log_line("fault", f"{type(effect).__name__} failed: {type(error).__name__}: {error}")
                 self._recover_from_failure(effect)
         wake = self._core.wake_us
@@ -337,8 +357,9 @@
             self._arm_timer(wake)
 
     def _recover_from_failure(self, effect: c.Effects) -> None:
-        """An effect broke: a call ends as one that never began, and a client that would wait for good for its
-        answer hears the end of its connection.
+        """Clean up after an effect that failed.
+
+        A call ends as one that never began. A client that would wait forever for its answer is disconnected.
         """
         if isinstance(effect, c.StartCall):
             self._calls.pop(effect.call, None)
@@ -347,14 +368,16 @@
             self.clients.drop(self.clients.connections[effect.inbound])
 
     def _arm_timer(self, wake_us: int) -> None:
+        """Set the timer for the core."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer_us = wake_us
         wait_us = max(wake_us - self.clock.read_now(), 0)
-        # the loop's timers count in milliseconds: rounded up, since an early one would only spin
+        # the loop's timers have milliseconds: rounded up, as an early one would only be set again
         self._timer = self._loop.call_later(-(-wait_us // 1000) / 1000, self._on_timer)
 
     def _on_timer(self) -> None:
+        """Wake the core, and log a timer that is late."""
         late_us = self.clock.read_now() - self._timer_us
         cpu_us = time.thread_time_ns() // 1000
         if late_us >= STALL_US:
@@ -365,6 +388,7 @@
         self.dispatch(c.Woken())
 
     def _run_effect(self, effect: c.Effects) -> None:
+        """Carry out one effect of the core."""
         if isinstance(effect, c.StartCall):
             call = self._calls[effect.call] = _OutboundCall(effect)
             call.task = self._spawn(self._run_call(call))
@@ -396,10 +420,9 @@
             self._stopped.set()
 
     def _sweep(self) -> None:
-        """Close what has been idle, slow or unread for too long.
+        """Close what has been idle, slow or unread for too long, ten times a second.
 
-        What breaks over one of them must not keep the others from being looked at, ten times a second and for
-        good.
+        A failure over one connection must not keep the others from being checked.
         """
         self._loop.call_later(
             SWEEP_INTERVAL_S if not self._other_claims else SWEEP_INTERVAL_S / 4, self._sweep
@@ -418,7 +441,7 @@
         self.clients.sweep(now, many, self._run_guarded)
 
     def _run_guarded(self, job: Callable[[], None]) -> bool:
-        """Do it; whether it went well."""
+        """Run a job; log an exception and return whether there was none."""
         try:
             job()
         except Exception as error:
@@ -426,25 +449,25 @@
             return False
         return True
 
-    # --- Outbound calls ---------------------------------------------------------------------------------
+    # --- Calls to endpoints -----------------------------------------------------------------------------
     def _abandon(self, number: int) -> None:
+        """Drop a call that the core no longer needs."""
         call = self._calls.pop(number, None)
         if call is not None and not call.dialing and call.task is not None:
-            call.task.cancel()  # closes the connection: its answer would be out of step with a later call
-        # a dial goes on: the connection has been paid for and serves a later call
+            call.task.cancel()  # closes the connection: a later call would get the response of this one
+        # a dial goes on: its connection serves a later call
 
     async def _run_call(self, call: _OutboundCall) -> None:
-        """One outbound call, with an ending whatever happens."""
+        """Make one call to an endpoint; it has an outcome whatever happens."""
         try:
             await self._perform_call(call)
         except Exception as error:
-            # nobody else would end it before its time: its request would wait for that, a flowing one for
-            # good
+            # nothing else would end the call before its deadline, and a streamed one has none yet
             self.log_line("fault", f"a call failed: {type(error).__name__}: {error}")
             self._finish_call(call.effect.call, Outcome.RESET if call.has_written else Outcome.UNCONNECTED)
 
     async def _perform_call(self, call: _OutboundCall) -> None:
-        """From connection to ending. Nothing here is ever sent twice."""
+        """Make one call, from the connection to the outcome. Nothing is ever sent twice."""
         effect = call.effect
         conn = self.pool.acquire(effect.endpoint, effect.address)
         if conn is None:
@@ -474,7 +497,7 @@
             try:
                 await self._loop.sock_sendall(conn.sock, data)
             except OSError:
-                # broken before the last byte was written, so it can't have run, on a reused connection too
+                # broken before the last byte was written, so it can't have run, even on a reused connection
                 self._finish_call(effect.call, Outcome.UNCONNECTED)
                 return
             if body is not None:
@@ -492,15 +515,15 @@
             except (OSError, ValueError) as error:
                 why = str(error) or "not whole in time"
                 if body is not None and not body.fully_sent and not parser.status:
-                    self._finish_call(effect.call, Outcome.UNCONNECTED)  # its last byte was never written
+                    self._finish_call(effect.call, Outcome.UNCONNECTED)  # the last byte was never written
                     return
-                # broken, spoilt or left unfinished after that: it may have run
+                # broken, malformed or unfinished after the last byte was written: the request may have run
                 self.log_line("spoilt", f"{conn.address[0]}:{conn.address[1]}: {why}")
                 self._finish_call(effect.call, Outcome.RESET)
                 return
             keep = parser.reusable and (body is None or body.fully_sent)
             if keep:
-                self.pool.release(conn)  # first of all, so that what the answer brings about can use it
+                self.pool.release(conn)  # first, so that requests that the answer releases can use it
             outcome = http1.outcome(parser)
             answer = http1.buffered_response(parser) if outcome is Outcome.OK else None
             self._finish_call(effect.call, outcome, http1.report(parser, self._header_names.reports), answer)
@@ -514,7 +537,7 @@
     def _start_body_forwarding(
         self, conn: EndpointConnection, body: http1.StreamedBody
     ) -> asyncio.Task[None]:
-        """A task that writes a request's body as it comes."""
+        """Start the task that writes a request's body as it arrives."""
         self._memory.streams += 1
         connection, signals = body.connection_id, body.signals
         return self._spawn(
@@ -524,10 +547,14 @@
         )
 
     async def _read_response(self, conn: EndpointConnection, parser: http1.ResponseParser, n: int) -> bool:
-        """What is still missing of an answer that has begun, as far as that is gathered.
+        """Read the rest of a response, as long as it is buffered.
+
+        Returns:
+            True once it is complete; False if it is to be streamed.
 
-        True once it is whole, False where it is to be passed on as it comes. OSError or ValueError if it
-        never gets whole.
+        Raises:
+            OSError: The connection broke, ended early or paused for too long.
+            ValueError: The response is malformed or too large.
         """
         began_us = self.clock.now()
         while n:
@@ -540,18 +567,19 @@
             if n and parser.feed(bytes(conn.buffer[:n])):
                 return True
         if not parser.end():
-            raise ConnectionError("the connection ended before the answer")
+            raise ConnectionError("the connection ended before the response")
         return True
 
     def _buffered_too_long(self, began_us: int) -> bool:
+        """Return whether a response of unknown length has been buffered for its maximum time."""
         return self.clock.now() - began_us >= MAX_RESPONSE_BUFFERING_S * 1e6
 
     async def _stream_response(
         self, number: int, conn: EndpointConnection, parser: http1.ResponseParser
     ) -> bool:
-        """Pass an answer on as it comes; whether the connection can be used again.
+        """Forward a response as it arrives; return whether the connection can be used again.
 
-        The core says whose it is, and ends this task where nobody waits for it any more.
+        The core names the client, and cancels this task when nobody waits for the response any more.
         """
         head = parser.head()
         parser.start_streaming()
@@ -573,7 +601,7 @@
                 async with asyncio.timeout(STREAM_STALL_TIMEOUT_S):
                     n = await self._loop.sock_recv_into(conn.sock, conn.buffer)
                 if not n and not parser.end():
-                    raise ConnectionError("the connection ended inside the answer")
+                    raise ConnectionError("the connection ended within the response")
                 if n:
                     parser.feed(bytes(conn.buffer[:n]))
                 await stream.write(parser.take())
@@ -596,11 +624,12 @@
     def _finish_call(
         self, number: int, outcome: Outcome, report: tuple[float, ...] = (), answer: object = None
     ) -> None:
+        """Report the outcome of a call to the core, unless the core has abandoned it."""
         if self._calls.pop(number, None) is not None:
             self.dispatch(c.CallEnded(number, outcome, report, answer))
 
     def _may_dial(self) -> bool:
-        """Is there a descriptor for one more connection to an endpoint, or can one be had?"""
+        """Return whether there is, or can be made, a descriptor for one more connection to an endpoint."""
         if not self.clients.has_capacity(self.limits.max_outbound, self.pool.open_count):
             may_evict = self.pool.open_count < self.limits.max_outbound
             if not self.pool.close_longest_idle() and not (may_evict and self.clients.evict()):
@@ -612,4 +641,5 @@
 
 
 def _moment() -> Moment:
+    """Return the current time on the wall clock and the monotonic clock."""
     return Moment(time.time_ns() // 1000, time.monotonic_ns() // 1000)
--- a/granitewell/net/peers.py
+++ b/granitewell/net/peers.py
@@ -1,20 +1,18 @@
-"""The roads between nodes: one socket for datagrams, one listener, and streams to and from other nodes.
-
-It owns these descriptors and the bytes on them: what is queued for whom, what is dropped, and how much of the
-loop's time the work for others may take. It must never look into a frame (it only cuts a stream into frames),
-send one twice that was written whole, hold anybody up, or raise on what comes from outside. Requests go
-first: what others send is read in short turns with rests between them, and what the kernel can't hold
-meanwhile is lost as any datagram may be.
-
-Theory of operation. Who has something to say to an address dials it; what comes back on that connection is
-heard too, since whoever is not known yet is answered on the one that it came by. A frame is written whole or,
-where the connection breaks in the middle of it, again from its first byte on the next one; it counts as sent
-only when its last byte is with the kernel. The queue to each address is bounded in frames and bytes, and its
-oldest go first where it is full: they are the oldest news. A dial that fails is tried again after ever longer
-pauses with jitter, while there is something to say. There are at most so many streams each way; where one
-more is wanted, the one that has been idle for longest goes, and where none is idle it waits.
-
-Datagrams are the one traffic here that does not go through the loop's sock_* calls, which have none for them.
+"""Transport between nodes: one datagram socket, one listener, and TCP streams to and from other nodes.
+
+A node that has something to send to an address dials it. Replies may come back on the same connection: a node
+whose address is not known yet is answered on the connection it used. Frames are opaque here; streams are only
+split into frames. A frame is written completely, or again from its first byte on the next connection if the
+connection breaks in the middle; it counts as sent when its last byte is with the kernel. The queue of each
+address is bounded in frames and bytes, and drops its oldest frames when it is full. A failed dial is repeated
+with exponential backoff and jitter while there is something to send. The number of streams each way is
+limited: if one more is needed, the one that has been idle for longest is closed, and if none is idle the new
+one waits.
+
+Client requests have priority: messages of other nodes are read in short turns with pauses between them, and
+datagrams that the kernel can't hold meanwhile are lost. Input from outside never raises an exception here.
+
+Datagrams are the only traffic that does not go through the loop's `sock_*` methods, as it has none for them.
 """
 
 from __future__ import annotations
@@ -33,25 +31,23 @@
 from granitewell.protocols.peers.frames import MAX_DATAGRAM, Splitter
 from granitewell.state_machine import Heard, Road, Say
 
-MAX_BATCH_US = 1_000  # of one turn of the loop, that datagrams of others may take,
-REST_RATIO = 3  # and so many times what they took until they may again: a quarter of the time at most
-READ_BYTES = 16 * 1024  # bytes of a stream read at a time, after which others have their turn
+MAX_BATCH_US = 1_000  # of one turn of the loop, for datagrams of other nodes
+REST_RATIO = 3  # pause after a batch, as a multiple of its duration: a quarter of the time at most
+READ_BYTES = 16 * 1024  # from a stream at a time
 BACKLOG = 64
-SEND_BUFFER_BYTES = (
-    128 * 1024
-)  # bytes of a stream that the kernel is asked to hold, so that a stuck one costs no more,
-RECEIVE_BUFFER_BYTES = 512 * 1024  # bytes of datagrams that the kernel is asked to hold
-MAX_QUEUED_FRAMES, MAX_QUEUED_BYTES = 128, 2 * 1024 * 1024  # queued for one address: a whole table, in pages
-MAX_QUEUES = 1_024  # addresses that something is queued for,
-MAX_TOTAL_QUEUED_BYTES = 16 * 1024 * 1024  # and bytes for all of them together
-DIAL_TIMEOUT_S, WRITE_TIMEOUT_S = 2.0, 5.0  # for a connection to come up, and for a frame to be taken
-MAX_QUEUED_US = 15_000_000  # for which frames wait for a road; what they say is no news any more
-IDLE_TIMEOUT_US = 10_000_000  # for which a stream of ours stands without a frame
-INBOUND_IDLE_TIMEOUT_S = 60.0  # the same for one of another's,
-FRAME_TIMEOUT_S = 10.0  # and for the rest of a frame that has begun
-MIN_BACKOFF_US, MAX_BACKOFF_US = 100_000, 5_000_000  # pauses between dials
+SEND_BUFFER_BYTES = 128 * 1024  # of a stream; bounds what a stuck one costs the kernel
+RECEIVE_BUFFER_BYTES = 512 * 1024  # of the datagram socket
+MAX_QUEUED_FRAMES, MAX_QUEUED_BYTES = 128, 2 * 1024 * 1024  # for one address: a whole table, in pages
+MAX_QUEUES = 1_024  # addresses with queued frames
+MAX_TOTAL_QUEUED_BYTES = 16 * 1024 * 1024  # for all addresses together
+DIAL_TIMEOUT_S, WRITE_TIMEOUT_S = 2.0, 5.0  # to connect, and to write one frame
+MAX_QUEUED_US = 15_000_000  # frames without a connection are dropped: what they report is out of date
+IDLE_TIMEOUT_US = 10_000_000  # of an outbound stream without frames
+INBOUND_IDLE_TIMEOUT_S = 60.0  # of an inbound stream without frames
+FRAME_TIMEOUT_S = 10.0  # for the rest of a frame that has begun
+MIN_BACKOFF_US, MAX_BACKOFF_US = 100_000, 5_000_000  # between dials
 SWEEP_INTERVAL_S = 0.5
-INBOUND_PREFIX = "~"  # begins the name of a connection of another's, at which no address does
+INBOUND_PREFIX = "~"  # of the names of inbound connections; no address starts with it
 
 MessageHandler = Callable[[Heard], None]
 LogLine = Callable[[str, str], None]
@@ -59,10 +55,13 @@
 
 
 class PeerQueue:
-    """What is to be written to one address.
+    """Frames to be written to one address.
 
     Attributes:
-        conn: None while there is none.
+        conn: None while there is no connection.
+        waiting_since_us: When the oldest frame began to wait.
+        last_used_us: When a frame was last written.
+        next_dial_us: No dial before that; -1 for none.
     """
 
     __slots__ = ("address", "backoff_us", "bytes", "conn", "dialing", "frames", "next_dial_us",
@@ -77,7 +76,7 @@
         self.backoff_us, self.next_dial_us = 0, -1
 
     def put(self, frame: bytes, now_us: int) -> int:
-        """Queue a frame; how many older ones had to go for it."""
+        """Queue a frame; return how many older ones were dropped for it."""
         dropped = 0
         if not self.frames:
             self.waiting_since_us = now_us
@@ -91,30 +90,40 @@
         return dropped
 
     def clear(self) -> int:
-        """Nothing is queued any more; how many frames were."""
+        """Drop all queued frames; return how many there were."""
         dropped = len(self.frames)
         self.frames.clear()
         self.bytes = 0
         return dropped
 
     def back_off(self, now_us: int, rng: Random) -> None:
-        """A dial came to nothing: a longer pause, up to half of it more."""
+        """Postpone the next dial after a failure, with up to 50 % jitter."""
         self.backoff_us = min(max(2 * self.backoff_us, MIN_BACKOFF_US), MAX_BACKOFF_US)
         self.next_dial_us = now_us + self.backoff_us + int(rng.random() * self.backoff_us / 2)
 
 
 class PeerTransport:
-    """All roads of one node.
+    """The connections of this node with all others.
 
     Attributes:
-        counts: What was said, heard and dropped, by kind.
+        counts: Messages and bytes that were sent, received and dropped, by kind.
     """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, clock: Clock, on_message: MessageHandler, log: LogLine,
         spawn: Spawn, max_streams: int, rng: Random,
     ) -> None:  # fmt: skip
-        """most: streams each way."""
+        """Create a transport; `open` binds its sockets.
+
+        Args:
+            loop: The event loop.
+            clock: The node's clock.
+            on_message: Called with each message.
+            log: Writes a line of a topic to the node's log.
+            spawn: Starts a task that the node keeps track of.
+            max_streams: Limit in each direction.
+            rng: Draws the jitter.
+        """
         self._loop, self._clock, self._on_message, self._log, self._spawn = (
             loop,
             clock,
@@ -129,26 +138,30 @@
         self._accept_task: asyncio.Task[None] | None = None
         self._host = ""
         self._queues: dict[tuple[str, int], PeerQueue] = {}
-        self._outbound_count = 0  # streams of ours that are up or being dialed
+        self._outbound_count = 0  # outbound streams, connected or being dialed
         self._inbound: dict[str, socket.socket] = {}
-        self._inbound_queues: dict[str, PeerQueue] = {}  # to connections of others
+        self._inbound_queues: dict[str, PeerQueue] = {}  # replies on inbound streams
         self._last_inbound_number = 0
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._rest_timer: asyncio.TimerHandle | None = None
 
     @property
     def is_open(self) -> bool:
-        """Is anything bound?"""
+        """Return whether the sockets are bound."""
         return self._datagrams is not None
 
     @property
     def streams(self) -> tuple[int, int]:
-        """Ours and others'."""
+        """Return the number of outbound and inbound streams."""
         return self._outbound_count, len(self._inbound)
 
     # --- Opening and closing ----------------------------------------------------------------------------
     def open(self, address: tuple[str, int]) -> None:
-        """Bind both sockets. OSError: the address can't be had, and nothing is held."""
+        """Bind both sockets.
+
+        Raises:
+            OSError: The address can't be bound; no socket is left open.
+        """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         listener = listen_on(address, BACKLOG)
         datagrams = socket.socket(family, socket.SOCK_DGRAM)
@@ -166,7 +179,7 @@
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def close(self) -> None:
-        """Nothing is said or heard any more; the address is free."""
+        """Close all sockets; the address is free again."""
         for timer in (self._sweep_timer, self._rest_timer):
             if timer is not None:
                 timer.cancel()
@@ -186,9 +199,9 @@
         self._inbound.clear()
         self._inbound_queues.clear()
 
-    # --- Saying -----------------------------------------------------------------------------------------
+    # --- Sending ----------------------------------------------------------------------------------------
     def send(self, message: Say) -> None:
-        """Send a message, now or when its road is there; what can't be sent is counted, and lost."""
+        """Send a message, now or once there is a connection; what can't be sent is counted and lost."""
         if self._datagrams is None:
             self.counts["closed"] += 1
         elif message.road is Road.DATAGRAM:
@@ -196,13 +209,14 @@
         elif message.to.startswith(INBOUND_PREFIX):
             queue = self._inbound_queues.get(message.to)
             if queue is None:
-                self.counts["gone"] += 1  # whoever asked has left
+                self.counts["gone"] += 1  # the other side has closed that connection
             else:
                 self._enqueue(queue, message.data)
         else:
             self._send_stream(message)
 
     def _send_datagram(self, message: Say) -> None:
+        """Send one datagram; lost if the kernel does not take it."""
         address = parse_address(message.to)
         if address is None:
             self.counts["address"] += 1
@@ -210,13 +224,14 @@
         assert self._datagrams is not None
         try:
             self._datagrams.sendto(message.data, address)
-        except OSError:  # no room with the kernel, no road there: a datagram may be lost
+        except OSError:  # no buffer space or no route: datagrams may be lost
             self.counts["unsent"] += 1
             return
         self.counts["said"] += 1
         self.counts["said_bytes"] += len(message.data)
 
     def _send_stream(self, message: Say) -> None:
+        """Queue a frame for an address."""
         address = parse_address(message.to)
         if address is None:
             self.counts["address"] += 1
@@ -230,6 +245,7 @@
         self._enqueue(queue, message.data)
 
     def _enqueue(self, queue: PeerQueue, frame: bytes) -> None:
+        """Queue a frame within the total limit and start to write."""
         if sum(q.bytes for q in self._queues.values()) + len(frame) > MAX_TOTAL_QUEUED_BYTES:
             self.counts["full"] += 1
             return
@@ -237,7 +253,7 @@
         self._start_sending(queue)
 
     def _drop_idle_queue(self) -> bool:
-        """Let go of an address that nothing is under way to; whether there was one."""
+        """Drop the queue of an address without a connection; return whether there was one."""
         for address, queue in self._queues.items():
             if queue.conn is None and not queue.dialing:
                 self.counts["pushed_out"] += queue.clear()
@@ -246,7 +262,7 @@
         return False
 
     def _start_sending(self, queue: PeerQueue) -> None:
-        """Write what is queued, over a connection that is there or has to be made first."""
+        """Write what is queued; connect first if there is no connection."""
         if not queue.frames or queue.writing or queue.dialing:
             return
         if queue.conn is not None:
@@ -260,25 +276,26 @@
             self._spawn(self._dial(queue))
 
     def _close_idle(self) -> bool:
-        """Make room for a stream: end the one of ours that has been idle for longest."""
+        """Close the outbound stream that has been idle for longest; return whether there was one."""
         idle = [q for q in self._queues.values() if q.conn is not None and not q.writing]
         if idle:
             self._close_outbound(min(idle, key=lambda q: q.last_used_us))
         return bool(idle)
 
     async def _dial(self, queue: PeerQueue) -> None:
+        """Connect to the address of a queue."""
         sock: socket.socket | None = None
         up = False
         try:
             sock = new_tcp_socket(queue.address)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
             if self._host not in ("0.0.0.0", "::") and (":" in self._host) == (":" in queue.address[0]):
-                # from the address that we go by: the other side, and what lies between, can tell whose it is
+                # from this node's own address, by which the other side and the network identify it
                 sock.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
                 sock.bind((self._host, 0))
             async with asyncio.timeout(DIAL_TIMEOUT_S):
                 await self._loop.sock_connect(sock, queue.address)
-            up = self._queues.get(queue.address) is queue  # else all has been closed meanwhile
+            up = self._queues.get(queue.address) is queue  # otherwise the transport was closed meanwhile
         except (OSError, TimeoutError):
             self.counts["undialed"] += 1
             queue.back_off(self._clock.read_now(), self._rng)
@@ -294,7 +311,7 @@
             self._start_sending(queue)
 
     async def _read_replies(self, queue: PeerQueue, sock: socket.socket) -> None:
-        """What comes back on a stream of ours, and its end."""
+        """Read from an outbound stream until it ends."""
         try:
             await self._read_frames(spelt(*queue.address), sock, lambda: queue.conn is sock, None)
         except (OSError, TimeoutError):
@@ -304,7 +321,7 @@
                 self._close_outbound(queue)
 
     async def _write(self, queue: PeerQueue, sock: socket.socket) -> None:
-        """Write until nothing is queued. A frame that breaks off comes first on the next connection."""
+        """Write until the queue is empty. A frame that is cut off is the first on the next connection."""
         frame = b""
         try:
             while queue.frames and queue.conn is sock:
@@ -328,6 +345,7 @@
             queue.writing = False
 
     def _close_outbound(self, queue: PeerQueue) -> None:
+        """Close the connection of a queue."""
         sock, queue.conn = queue.conn, None
         if sock is None:
             return
@@ -336,7 +354,7 @@
         close_socket(sock)
 
     def _sweep(self) -> None:
-        """Dial again what waits, let go of what has waited for too long, close what is idle."""
+        """Dial again for waiting frames, drop those that have waited too long, close idle streams."""
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self._clock.now()
         for address, queue in list(self._queues.items()):
@@ -348,15 +366,15 @@
                 self._close_outbound(queue)
                 del self._queues[address]
 
-    # --- Hearing: datagrams -----------------------------------------------------------------------------
+    # --- Receiving datagrams ----------------------------------------------------------------------------
     def _on_readable(self) -> None:
-        """Take datagrams for a while; then rest, if there may be more."""
+        """Receive datagrams for a limited time; pause if there may be more."""
         assert self._datagrams is not None
         began_us = self._clock.read_now()
         more = True
         while more and self._clock.read_now() - began_us < MAX_BATCH_US:
             more = self._receive_datagram()
-            if self._datagrams is None:  # a defect of whoever heard it, or the end
+            if self._datagrams is None:  # a handler has closed the transport
                 return
         if more:
             took_us = self._clock.read_now() - began_us
@@ -367,17 +385,19 @@
             self.counts["rests"] += 1
 
     def _resume_reading(self) -> None:
+        """End the pause."""
         self._rest_timer = None
         if self._datagrams is not None:
             self._loop.add_reader(self._datagrams.fileno(), self._on_readable)
 
     def _receive_datagram(self) -> bool:
+        """Receive one datagram; return whether there may be more."""
         assert self._datagrams is not None
         try:
             data, sender = self._datagrams.recvfrom(MAX_DATAGRAM + 1)
         except BlockingIOError:
             return False
-        except OSError:  # what a datagram of ours met on its way (ECONNREFUSED) is told here
+        except OSError:  # an ICMP error of an earlier send (ECONNREFUSED) is reported here
             return True
         if len(data) > MAX_DATAGRAM:
             self.counts["oversized"] += 1
@@ -386,21 +406,23 @@
         return True
 
     def _deliver(self, sender: str, data: bytes, road: Road) -> None:
+        """Pass a message on; an exception of its handler is logged."""
         self.counts["heard"] += 1
         self.counts["heard_bytes"] += len(data)
         try:
             self._on_message(Heard(sender, data, road))
-        except Exception as error:  # a defect costs its own message
+        except Exception as error:  # a defect costs only its own message
             self._log("fault", f"a message failed: {type(error).__name__}: {error}")
 
-    # --- Hearing: streams -------------------------------------------------------------------------------
+    # --- Receiving streams ------------------------------------------------------------------------------
     async def _accept(self, listener: socket.socket) -> None:
+        """Accept streams from other nodes; close the oldest one where there are too many."""
         while listener.fileno() >= 0:
             try:
                 sock, _ = await self._loop.sock_accept(listener)
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                while len(self._inbound) >= self._max_streams:  # whoever has been there longest goes
+                while len(self._inbound) >= self._max_streams:  # the oldest one is closed
                     self._close_inbound(next(iter(self._inbound)))
                     self.counts["turned_out"] += 1
                 self._last_inbound_number += 1
@@ -409,11 +431,12 @@
                 queue = self._inbound_queues[name] = PeerQueue(("", 0), self._clock.now())
                 queue.conn = sock
                 self._spawn(self._serve_inbound(name, sock))
-            except Exception as error:  # no descriptor left, or what nobody thought of: others go on
+            except Exception as error:  # no descriptor, or a defect: keep accepting
                 self._log("cluster", f"could not accept another node's connection: {error}")
                 await asyncio.sleep(0.1)
 
     async def _serve_inbound(self, name: str, sock: socket.socket) -> None:
+        """Read from an inbound stream until it ends."""
         try:
             await self._read_frames(name, sock, lambda: name in self._inbound, INBOUND_IDLE_TIMEOUT_S)
         except (OSError, TimeoutError):
@@ -424,7 +447,14 @@
     async def _read_frames(
         self, sender: str, sock: socket.socket, is_current: Callable[[], bool], idle_timeout_s: float | None
     ) -> None:
-        """Hear the frames of a stream until it ends, is spoilt, or says nothing for too long."""
+        """Deliver the frames of a stream until it ends, is malformed, or is idle for too long.
+
+        Args:
+            sender: Names the sender of the messages.
+            sock: The stream.
+            is_current: Returns whether the connection is still in use.
+            idle_timeout_s: Between frames; None for no limit.
+        """
         splitter = Splitter()
         buffer = bytearray(READ_BYTES)
         while is_current():
@@ -434,7 +464,7 @@
                 return
             began_us = self._clock.read_now()
             for frame in splitter.feed(bytes(buffer[:n])):
-                if is_current():  # one of them may have been the end of all
+                if is_current():  # a frame's handler may have closed the transport
                     self._deliver(sender, frame, Road.STREAM)
             if splitter.broken is not None:
                 self.counts["unframed"] += 1
@@ -444,6 +474,7 @@
                 await asyncio.sleep(min(took_us * REST_RATIO / 1e6, 0.1))
 
     def _close_inbound(self, name: str) -> None:
+        """Close an inbound stream and drop its replies."""
         queue = self._inbound_queues.pop(name, None)
         sock = self._inbound.pop(name, None)
         if queue is not None:
@@ -452,14 +483,11 @@
             close_socket(sock)
 
 
-IP_BIND_ADDRESS_NO_PORT = 24  # of Linux' ip(7); Python has no name for it before 3.12
+IP_BIND_ADDRESS_NO_PORT = 24  # from Linux ip(7); the socket module has it from 3.12 on
 
 
 def parse_address(text: str) -> tuple[str, int] | None:
-    """Host and port of an address that a node has announced, None where it is none.
-
-    What comes here was said by others.
-    """
+    """Return host and port of an address that a node has announced; None if it is malformed."""
     try:
         return address_of(text)
     except ValueError:
--- a/granitewell/net/status.py
+++ b/granitewell/net/status.py
@@ -1,10 +1,9 @@
-"""The socket on which a running node says what it judges and holds: GET /status and GET /metrics.
+"""The socket on which a running node reports its state: GET /status and GET /metrics.
 
-It owns the listener, its path, and the connections to it, which come out of the descriptors kept in reserve.
-It must never change the node or hold it up: a look is made in short steps with the loop between them, one at
-a time, and after each it rests for a multiple of what that took, giving answers from it meanwhile. A
-connection is closed when its time is up, whether or not it has read its answer. It is imported only where an
-operator file asks for it.
+Connections use descriptors that are kept in reserve. Reporting must not delay requests: a snapshot is built
+in short steps with turns of the loop between them, one at a time. After each, the server rests for a multiple
+of its duration and answers from the last snapshot. A connection is closed when its time is up, whether or not
+it has read its answer. The module is imported only if an operator file asks for a status.
 """
 
 from __future__ import annotations
@@ -23,45 +22,44 @@
 from granitewell.status.snapshot import look
 from granitewell.status.types import MAX_WORST, About, Place, Snapshot, Sockets, StatusSettings, place
 
-REST_RATIO = 19  # times what a look took, before the next one: at most a twentieth of the core,
-MAX_REST_US = 500_000  # unless it took more than a part of this
-MAX_CACHED_RESPONSES = 8  # made of one look: two paths, and what `worst` asks for
-MAX_CONNECTIONS_PER_S = 200  # connections taken a second, also where answers are there already
-BIND_RETRY_S = 0.25  # between two tries to have the place
-BACKLOG = 16  # that wait for a seat; a unix socket turns further ones away at once
-READ_BYTES = 2048  # bytes of a request read at a time
-MAX_DRAIN_BYTES = 64 * 1024  # read behind a request, so that closing does not reset its answer away
+REST_RATIO = 19  # rest after a snapshot, as a multiple of its duration: at most a twentieth of the processor
+MAX_REST_US = 500_000  # a longer snapshot is followed by no more rest than this
+MAX_CACHED_RESPONSES = 8  # per snapshot: two paths, and the values of `worst`
+MAX_CONNECTIONS_PER_S = 200  # also if the answers are cached
+BIND_RETRY_S = 0.25
+BACKLOG = 16  # a unix socket rejects further connections at once
+READ_BYTES = 2048
+MAX_DRAIN_BYTES = 64 * 1024  # read after a request: a close with unread bytes would reset the connection
 
 T = TypeVar("T")
 
 
 class StatusServer:
-    """The status socket of one node; closed until `take` opens it."""
+    """The status socket of one node; closed until `apply_settings` opens it."""
 
     def __init__(self, node: Node) -> None:
+        """Create a closed server for a node."""
         self._node, self._loop, self._clock = node, node._loop, node.clock
         self._settings = StatusSettings()
         self._listener: socket.socket | None = None
         self._accept_task: asyncio.Task[None] | None = None
-        self._retry_timer: asyncio.TimerHandle | None = None  # until the place can be had
-        self._bound: tuple[str, int, int] | None = None  # the path of its socket, and that file's identity
-        self._connections = 0  # connections
+        self._retry_timer: asyncio.TimerHandle | None = None  # for another attempt to bind
+        self._bound: tuple[str, int, int] | None = None  # path, device and inode of the socket
+        self._connections = 0
         self._slot_freed = asyncio.Event()
-        self._snapshot_lock = asyncio.Lock()  # one look at a time
-        self._snapshot: Snapshot | None = None  # of the last look, good for as long as the rest,
-        self._responses: dict[wire.Asked, bytes] = {}  # and the answers made of it
-        self._cost_us = self._snapshot_done_us = self._rest_until_us = (
-            0  # what it took, its end, and until when to rest
-        )
-        self.cluster: wire.Fleet | None = None  # whom to ask of the other nodes; None where there are none
+        self._snapshot_lock = asyncio.Lock()  # one snapshot at a time
+        self._snapshot: Snapshot | None = None  # the last one; in use while the server rests
+        self._responses: dict[wire.Asked, bytes] = {}  # built from the last snapshot
+        self._cost_us = self._snapshot_done_us = self._rest_until_us = 0  # of the last snapshot
+        self.cluster: wire.Fleet | None = None  # answers for the cluster; None for no cluster
 
     # --- Opening and closing ----------------------------------------------------------------------------
     def apply_settings(self, settings: StatusSettings) -> None:
-        """Serve as these settings say from now on. A place that can't be had costs a line, not the node."""
+        """Serve by these settings from now on. An address that can't be bound is logged and tried again."""
         was, self._settings = self._settings, settings
         was_open = self._listener is not None
         if was_open and settings.at == was.at:
-            self._slot_freed.set()  # there may be more seats now
+            self._slot_freed.set()  # more connections may be allowed now
             return
         self.close()
         if settings.at:
@@ -78,7 +76,7 @@
             self._node.log.write(self._clock.now(), "reload", line, always=True)
 
     def _retry(self) -> None:
-        """The process before this one, of an upgrade, may be gone from there by now."""
+        """Try again to bind: the previous process of an upgrade may have released the address."""
         if self._listener is not None or not self._settings.at:
             return
         try:
@@ -89,6 +87,7 @@
             self._retry_timer = self._loop.call_later(BIND_RETRY_S, self._retry)
 
     def _open(self, where: Place) -> None:
+        """Bind the address and start to accept."""
         sock = socket.socket(socket.AF_UNIX if where.path else socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
@@ -107,9 +106,9 @@
         self._accept_task = self._node._spawn(self._accept(sock))
 
     def close(self) -> None:
-        """Take no more connections, and take the path away if it is still this node's own.
+        """Accept no more connections, and remove the socket's path if it is still this node's own.
 
-        Those that are held end by themselves.
+        Open connections end by themselves.
         """
         if self._retry_timer is not None:
             self._retry_timer.cancel()
@@ -128,23 +127,23 @@
 
     # --- Connections ------------------------------------------------------------------------------------
     async def _accept(self, listener: socket.socket) -> None:
+        """Accept connections up to the configured number."""
         while True:
-            while (
-                self._connections >= self._settings.connections
-            ):  # further ones wait in the backlog, and cost
-                self._slot_freed.clear()  # no descriptor
+            # further connections wait in the backlog, where they cost no descriptor
+            while self._connections >= self._settings.connections:
+                self._slot_freed.clear()
                 await self._slot_freed.wait()
             try:
                 sock, _ = await self._loop.sock_accept(listener)
                 sock.setblocking(False)
                 self._node._spawn(self._serve(sock, self._settings))
                 self._connections += 1
-            except Exception as error:  # whatever it is, whoever looks next gets an answer
+            except Exception as error:  # any error: the server must go on
                 self._node.log_line("accept", f"could not accept for the status: {error}")
                 await asyncio.sleep(0.1)
 
     async def _serve(self, sock: socket.socket, settings: StatusSettings) -> None:
-        """One connection, within its time."""
+        """Serve one connection within its time."""
         try:
             async with asyncio.timeout(settings.seconds):
                 try:
@@ -156,9 +155,9 @@
                     raw = error.raw
                 except OSError:
                     raise
-                except Exception as error:  # whoever is on call must not take a defect for a dead node
+                except Exception as error:  # a defect must not look like a dead node
                     self._node.log_line("fault", f"the status failed: {type(error).__name__}: {error}")
-                    raw = wire.plainly("the look failed: see the node's log", 500)
+                    raw = wire.plainly("the snapshot failed: see the node's log", 500)
                 await self._loop.sock_sendall(sock, raw)
                 sock.shutdown(socket.SHUT_WR)
                 await self._drain(sock)
@@ -171,29 +170,29 @@
             self._loop.call_later(settings.connections / MAX_CONNECTIONS_PER_S, self._free)
 
     def _free(self) -> None:
+        """Make room for another connection."""
         self._connections -= 1
         self._slot_freed.set()
 
     async def _read_head(self, sock: socket.socket) -> bytes:
+        """Read the head of a request."""
         head = b""
         while b"\r\n\r\n" not in head and len(head) <= wire.MAX_HEAD:
             more = await self._loop.sock_recv(sock, READ_BYTES)
             if not more:
-                raise ConnectionError("left before it had asked")
+                raise ConnectionError("closed before the request was complete")
             head += more
         return head
 
     async def _drain(self, sock: socket.socket) -> None:
-        """Until the other side has closed: bytes that are left unread would reset the answer away."""
+        """Read until the other side closes: a close with unread bytes would reset the connection."""
         left = MAX_DRAIN_BYTES
         while left > 0 and (more := await self._loop.sock_recv(sock, READ_BYTES)):
             left -= len(more)
 
     # --- Answers ----------------------------------------------------------------------------------------
     async def _answer(self, asked: wire.Asked) -> bytes:
-        """A whole answer: of the look that the node rests of, in a form that there is or can still be made,
-        or of a new one.
-        """
+        """Return a complete answer: a cached one, or one from the last or a new snapshot."""
         if asked.path in wire.CLUSTER:
             return wire.of_cluster(asked, self.cluster, self._bound is not None)
         async with self._snapshot_lock:
@@ -215,7 +214,7 @@
             return self._responses[asked]
 
     async def _take_snapshot(self) -> None:
-        """Look anew, once the rest is over."""
+        """Build a new snapshot, once the rest is over."""
         await asyncio.sleep(max(self._rest_until_us - self._clock.read_now(), 0) / 1e6)
         self._snapshot, self._cost_us = None, 0
         self._responses.clear()
@@ -224,21 +223,22 @@
             snapshot = await self._run_in_steps(
                 look(node._core, socket_counts(node), node_info(node), began_us, MAX_WORST)
             )
-        finally:  # what was begun and not waited for has cost as much
+        finally:  # a cancelled snapshot counts, too
             self._snapshot_done_us = self._clock.read_now()
             self._schedule_rest()
         snapshot["took_ms"] = round((self._snapshot_done_us - began_us) / 1000, 3)
         self._snapshot = snapshot
 
     def _schedule_rest(self) -> None:
-        """For a multiple of what the last look and its forms have taken, and so short that who has to wait
-        for it has half of its time left.
+        """Set the end of the rest: a multiple of what the last snapshot and its answers have cost.
+
+        It is short enough that a request that has to wait for it keeps half of its time.
         """
         most_us = min(MAX_REST_US, self._settings.seconds * 500_000)
         self._rest_until_us = self._snapshot_done_us + int(min(self._cost_us * REST_RATIO, most_us))
 
     async def _run_in_steps(self, steps: Generator[None, None, T]) -> T:
-        """Run to the end, with a turn of the loop between two steps."""
+        """Run a generator to its end with a turn of the loop between steps; return its result."""
         while True:
             began_us = self._clock.read_now()
             try:
@@ -252,26 +252,26 @@
 
 
 def serve_status(node: Node, settings: StatusSettings) -> None:
-    """Open, move or close the status of a node."""
+    """Open, move or close the status socket of a node."""
     if node.status_server is None:
         node.status_server = StatusServer(node)
     node.status_server.apply_settings(settings)
 
 
 def temporary_folder() -> str:
-    """The private temporary directory, which the platform names."""
+    """Return the private temporary directory that the platform names."""
     return os.environ.get("TMPDIR") or "/tmp"
 
 
 def node_info(node: Node) -> About:
-    """What stays as it is."""
+    """Return what does not change while the node runs."""
     config = node._config
     return About(config.name, config.class_names, config.zone_names, config.kind_names, CLOCK_ORIGIN_US,
                  node.clock.unix_offset_us)  # fmt: skip
 
 
 def socket_counts(node: Node) -> Sockets:
-    """What the node holds now."""
+    """Return the numbers of connections and descriptors, and the state of discovery."""
     failed_us, failure = node.discovery.failure
     return Sockets(
         node.pool.idle, len(node.clients.connections), node.pool.open_count, node.limits.max_inbound,
@@ -283,8 +283,10 @@
 def bind_path(sock: socket.socket, path: str) -> None:
     """Bind to a path that only this user may connect to.
 
-    What stands there goes if it is a socket of this user's at which nobody listens; OSError says what it is
-    otherwise.
+    A socket of this user on which nobody listens is replaced.
+
+    Raises:
+        OSError: Something else is there; the error says what.
     """
     try:
         _bind(sock, path)
@@ -296,7 +298,8 @@
 
 
 def _bind(sock: socket.socket, path: str) -> None:
-    mask = os.umask(0o177)  # rather than chmod afterwards: there must be no moment at which others may
+    """Bind with permissions for this user only."""
+    mask = os.umask(0o177)  # not chmod afterwards: others must not have access at any moment
     try:
         sock.bind(path)
     finally:
@@ -304,7 +307,13 @@
 
 
 def _is_stale_socket(path: str) -> bool:
-    """Is this a socket of our own that an earlier process left behind? False where nothing stands there."""
+    """Return whether this is a socket that an earlier process of this user has left.
+
+    False if nothing is there.
+
+    Raises:
+        OSError: Something else is there, or somebody listens.
+    """
     try:
         found = os.lstat(path)
     except FileNotFoundError:
@@ -319,6 +328,6 @@
             probe.connect(path)
         except ConnectionRefusedError:
             return True
-        except OSError:  # its backlog is full, or it is another kind of socket
+        except OSError:  # the backlog is full, or it is another kind of socket
             pass
     raise OSError("somebody listens there already")
