--- a/granitewell/net/downstream.py
+++ b/granitewell/net/downstream.py
@@ -335,11 +335,11 @@
                 connection.streamed_body.unread_bytes <= http1.MAX_BUFFERED_BODY_BYTES
                 and streams_too_slowly(connection, connection.streamed_body, now)
             )
-            if too_slow_body or not self.client_connected(connection.id):
+            if too_slow_body or not self.check_connected(connection.id):
                 self.drop(connection)
         elif connection.busy and connection.resume_reading is not None:
             # reading is paused there, so ask the kernel whether the client has left
-            self.client_connected(connection.id)
+            self.check_connected(connection.id)
         elif connection.busy or connection.closing:
             return
         elif connection.parser.incomplete:
@@ -354,7 +354,7 @@
         ):
             self.close_gracefully(connection)
 
-    def client_connected(self, number: int) -> bool:
+    def check_connected(self, number: int) -> bool:
         """Return whether a client is still connected; drop the connection if it is not.
 
         Asks the kernel, as the end of the connection may be behind bytes that are not read yet.
--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -477,13 +477,13 @@
             if conn is None:
                 self._finish_call(effect.call, Outcome.UNCONNECTED)
                 return
-            self.clients.client_connected(effect.inbound)
+            self.clients.check_connected(effect.inbound)
             self.dispatch(c.CallDialed(effect.call))
             call.dialing = False
             if not call.may_write:
                 self.pool.release(conn, answered=False)
                 return
-        elif not (self.clients.client_connected(effect.inbound) and self._core.clear(effect.call)):
+        elif not (self.clients.check_connected(effect.inbound) and self._core.clear(effect.call)):
             self.pool.release(conn, answered=False)
             self._finish_call(effect.call, Outcome.MOOT)
             return
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,6 @@
-"""Two events that cross, each in the order that once went wrong: see docs/crossings.md.
+"""Two events that cross, each in the order that once led to a fault: see docs/crossings.md.
 
-The stand-ins hold one event back until the other has happened, so that each test has the same verdict every
-time.
+The stand-ins delay one event until the other has happened, so that each test has the same result every time.
 """
 
 from __future__ import annotations
@@ -27,30 +26,30 @@
 
 
 def cancelling(allowed: bool) -> dict[str, Any]:
-    """Settings under which the module may cancel what is out, or not."""
+    """Return settings under which the balancer may, or may not, cancel calls in progress."""
     text = settings()
     text["allowed"]["cancel"] = allowed
     return text
 
 
-# --- A client leaves ------------------------------------------------------------------------------------
+# --- Clients that leave ---------------------------------------------------------------------------------
 @pytest.mark.parametrize("cancel", [True, False])
-def test_what_a_client_wrote_ahead_goes_nowhere_once_it_has_left(tmp_path: Path, cancel: bool) -> None:
-    """Reading stops where many requests are written ahead.
+def test_pipelined_requests_of_a_client_that_has_left_are_not_forwarded(tmp_path: Path, cancel: bool) -> None:
+    """Guards against forwarding pipelined requests after their client has left.
 
-    The end of the connection stands behind them, unread, and each of them was sent on in turn for a client
-    that had long left.
+    Reading pauses when many requests are pipelined, so the end of the connection is unread behind them, and
+    each was forwarded in turn.
     """
 
     async def scenario(node: Node) -> None:
         desk, client = Desk(), client_of(node)
         serves(node, desk)
-        (inbound,) = node.clients.connections.values()
+        (connection,) = node.clients.connections.values()
         await sent(client, b"".join(GET % b"r%d" % k for k in range(9)))
-        await until(lambda: desk.asked and inbound.resume_reading is not None)
-        await sent(client, GET % b"more")  # never read before an answer is out
+        await until(lambda: desk.asked and connection.resume_reading is not None)
+        await sent(client, GET % b"more")  # not read before an answer is written
         client.close()
-        await until(lambda: peer_closed(inbound.sock))
+        await until(lambda: peer_closed(connection.sock))
         await desk.answer()
         await until(lambda: not node.clients.connections)
         await turns()
@@ -60,8 +59,8 @@
     played(tmp_path, scenario, settings=cancelling(cancel))
 
 
-def test_a_client_that_leaves_while_a_connection_comes_up_has_nothing_sent_on(tmp_path: Path) -> None:
-    """Where the settings do not let the module cancel, only what streamed was given up with its client."""
+def test_request_of_a_client_that_leaves_during_the_dial_is_not_forwarded(tmp_path: Path) -> None:
+    """Guards against dropping only streamed requests where the settings forbid cancelling."""
 
     async def scenario(node: Node) -> None:
         desk, client = Desk(), client_of(node)
@@ -75,12 +74,12 @@
             return conn
 
         node.pool.dial = late  # type: ignore[method-assign, assignment]
-        (inbound,) = node.clients.connections.values()
+        (connection,) = node.clients.connections.values()
         await sent(client, POST % b"r0")
         await dialed.wait()
         client.close()
-        await until(lambda: peer_closed(inbound.sock))
-        gate.set()  # in the very turn in which its end may lie unread
+        await until(lambda: peer_closed(connection.sock))
+        gate.set()  # in the turn in which the end of the connection may be unread
         await until(lambda: not node.clients.connections and not node._calls)
         await until(lambda: node.pool.idle)
         assert desk.ids == []
@@ -89,7 +88,7 @@
     played(tmp_path, scenario, settings=cancelling(False))
 
 
-def test_nor_on_a_connection_that_stands_idle(tmp_path: Path) -> None:
+def test_request_of_a_client_that_leaves_is_not_forwarded_on_an_idle_connection(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
         desk, first = Desk(), client_of(node)
         serves(node, desk)
@@ -98,17 +97,17 @@
         await desk.answer()
         assert (await heard(first, b"ok")).endswith(b"ok")
         client = client_of(node)
-        inbound = list(node.clients.connections.values())[-1]
+        connection = list(node.clients.connections.values())[-1]
         real = node.pool.acquire
 
-        def left(*args: object) -> object:  # it leaves between the decision and the first byte
+        def left(*args: object) -> object:  # the client stop_node between the decision and the first byte
             client.close()
-            assert peer_closed(inbound.sock)
+            assert peer_closed(connection.sock)
             return real(*args)  # type: ignore[arg-type]
 
         node.pool.acquire = left  # type: ignore[method-assign, assignment]
         await sent(client, POST % b"r1")
-        await until(lambda: inbound.id not in node.clients.connections and not node._calls)
+        await until(lambda: connection.id not in node.clients.connections and not node._calls)
         assert desk.ids == [b"r0"]
         first.close()
         await desk.close()
@@ -117,14 +116,14 @@
 
 
 # --- Discovery ------------------------------------------------------------------------------------------
-def sendable(node: Node, desk: Desk) -> bool | None:
-    """Does the node hold this endpoint for one to send to? None: it does not know it."""
+def may_send_to(node: Node, desk: Desk) -> bool | None:
+    """Return whether the node may send to this endpoint; None if it does not know it."""
     endpoint = node._core._fleet.get(desk.name)
     return None if endpoint is None else endpoint.told_us < 0
 
 
-async def ended(node: Node, *others: Desk | Bureau) -> None:
-    """End the watch, then what it speaks to."""
+async def end_watch(node: Node, *others: Desk | Bureau) -> None:
+    """End the watch, then close the stand-ins."""
     assert node.discovery._task is not None
     node.discovery._task.cancel()
     await turns()
@@ -132,137 +131,137 @@
         await other.close()
 
 
-def test_a_watch_that_goes_on_answering_with_nothing_in_it_is_not_believed_for_ever(tmp_path: Path) -> None:
-    """A list that stops returning entries without an error: only the whole list, asked for anew, tells."""
+def test_watch_with_empty_answers_is_replaced_by_a_full_list(tmp_path: Path) -> None:
+    """A watch that stops returning changes raises no error; only a new full list shows them."""
 
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.lists((desk, "ready"))
         node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
-        await until(lambda: sendable(node, desk) and bureau.watches)
+        await until(lambda: may_send_to(node, desk) and bureau.watches)
         bureau.empty, calls = True, len(bureau.watches)
-        await until(lambda: len(bureau.watches) > calls + 1)  # the watch that was open is over
+        await until(lambda: len(bureau.watches) > calls + 1)  # the watch that was open has ended
         bureau.lists((desk, "draining"))
-        await until(lambda: sendable(node, desk) is False)
-        await ended(node, bureau, desk)
+        await until(lambda: may_send_to(node, desk) is False)
+        await end_watch(node, bureau, desk)
 
     assert not [x for x in played(tmp_path, scenario) if x.startswith("discovery")]
 
 
-def test_revisions_that_run_backwards_are_asked_about_from_the_start(tmp_path: Path) -> None:
-    """An agent that begins anew has nothing newer than our revision for a long time."""
+def test_decreasing_revision_causes_a_request_for_the_full_list(tmp_path: Path) -> None:
+    """A restarted agent has nothing newer than the known revision for a long time."""
 
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.lists((desk, "ready"), revision=900)
         node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
-        await until(lambda: sendable(node, desk) and bureau.watches)
+        await until(lambda: may_send_to(node, desk) and bureau.watches)
         bureau.members, bureau.revision = [row(desk, "draining")], 2
-        await until(lambda: sendable(node, desk) is False and bureau.watches[-1] == 2)
-        # the answer to a watch from 900 was 2, with nothing in it: the next call was for the whole list
+        await until(lambda: may_send_to(node, desk) is False and bureau.watches[-1] == 2)
+        # the watch from 900 was answered with an empty 2: the next request was for the full list
         assert bureau.watches.count(2) == 1 and bureau.wholes == 2
-        await ended(node, bureau, desk)
+        await end_watch(node, bureau, desk)
 
     played(tmp_path, scenario)
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_and_the_list_stands_meanwhile(tmp_path: Path) -> None:
+def test_silent_watch_is_reopened_and_the_list_stays(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.lists((desk, "ready"))
         node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
-        await until(lambda: sendable(node, desk) and bureau.watches)
+        await until(lambda: may_send_to(node, desk) and bureau.watches)
         bureau.mute, calls = True, bureau.wholes
         bureau.lists((desk, "draining"))
-        await until(lambda: bureau.wholes >= calls + 2)  # asked, and asked again
-        assert sendable(node, desk)
+        await until(lambda: bureau.wholes >= calls + 2)  # requested, and requested again
+        assert may_send_to(node, desk)
         bureau.mute = False
-        await until(lambda: sendable(node, desk) is False)
-        await ended(node, bureau, desk)
+        await until(lambda: may_send_to(node, desk) is False)
+        await end_watch(node, bureau, desk)
 
     assert any("stays as it is" in x for x in played(tmp_path, scenario))
 
 
-@pytest.mark.parametrize("patience", [PUSHED_TIMEOUTS, POLLED_TIMEOUTS])
-def test_from_any_silence_on_the_list_is_there_before_the_news_count(patience: WatchTimeouts) -> None:
-    """Reckoned, not timed.
+@pytest.mark.parametrize("timeouts", [PUSHED_TIMEOUTS, POLLED_TIMEOUTS])
+def test_timeouts_read_the_list_again_before_changes_count(timeouts: WatchTimeouts) -> None:
+    """Calculated, not timed.
 
-    Pushed lists count at once where the agent answers again: the longest way from there to the next call's
-    answer is under the grace of a drain. Asked or pushed, a silent watch is found out, and a call lost,
-    within the 6 s; so is a watch that answers with nothing in it.
+    Pushed lists count as soon as the agent answers again: the longest delay from there to the answer to the
+    next request is below the grace of a drain. Polled or pushed, a silent watch, a lost request and a watch
+    with empty answers are detected within the 6 s.
     """
-    hung = patience.watch_ms / 1000 + patience.watch_grace_s
-    if patience is PUSHED_TIMEOUTS:
-        assert hung + patience.backoff_s[0] < 0.9
-        assert patience.list_timeout_s + patience.backoff_s[1] < 0.9
-    assert hung + patience.backoff_s[0] + patience.list_timeout_s < 6.0
-    assert FULL_LIST_INTERVAL_S + patience.watch_ms / 1000 + patience.watch_grace_s < 6.6
+    hung = timeouts.watch_ms / 1000 + timeouts.watch_grace_s
+    if timeouts is PUSHED_TIMEOUTS:
+        assert hung + timeouts.backoff_s[0] < 0.9
+        assert timeouts.list_timeout_s + timeouts.backoff_s[1] < 0.9
+    assert hung + timeouts.backoff_s[0] + timeouts.list_timeout_s < 6.0
+    assert FULL_LIST_INTERVAL_S + timeouts.watch_ms / 1000 + timeouts.watch_grace_s < 6.6
 
 
-def test_a_list_that_comes_slowly_and_in_pieces_is_read(tmp_path: Path) -> None:
+def test_list_that_arrives_slowly_in_pieces_is_read(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.piecemeal = 12
         bureau.lists((desk, "ready"))
         node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
-        await until(lambda: sendable(node, desk))
-        await ended(node, bureau, desk)
+        await until(lambda: may_send_to(node, desk))
+        await end_watch(node, bureau, desk)
 
     played(tmp_path, scenario)
 
 
-def begins(node: Node, bureau: Bureau) -> asyncio.Task[None]:
-    """The node as the program runs it, at an address of its own."""
+def start_node(node: Node, bureau: Bureau) -> asyncio.Task[None]:
+    """Start the node as the program does, at an address of its own."""
     node._config = replace(node._config, discovery=bureau.address, listen=("127.0.0.1", 0))
     node.clients.listener = node.clients.accept_task = None
     return node._spawn(node.run())
 
 
-async def leaves(node: Node, running: asyncio.Task[None], *others: Desk | Bureau) -> None:
+async def stop_node(node: Node, running: asyncio.Task[None], *others: Desk | Bureau) -> None:
     node._stopped.set()
     await running
-    await ended(node, *others)
+    await end_watch(node, *others)
 
 
 @pytest.mark.parametrize("mute", [False, True])
-def test_a_start_serves_by_what_discovery_has_not_by_the_list_of_before(
+def test_start_prefers_discovery_to_the_list_in_the_configuration(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, mute: bool
 ) -> None:
-    """The list in the configuration is for where the agent does not answer.
+    """The list in the configuration is used only if the agent does not answer.
 
-    It may be old, and what the agent has counts from the process's first moment.
+    It may be old, and what the agent knows counts from the start of the process.
     """
 
     async def scenario(node: Node) -> None:
         old, new, bureau = Desk(b"s-0"), Desk(b"s-1"), Bureau()
         bureau.lists((old, "draining"), (new, "ready"))
         bureau.mute, bureau.hold = mute, asyncio.Event()
-        if not mute:  # its word comes after a client's request, however slow this machine is
+        if not mute:  # discovery answers after a client's request, however slow the machine is
             monkeypatch.setattr(loop_module, "PUSHED_TIMEOUTS", replace(PUSHED_TIMEOUTS, list_timeout_s=60.0))
             monkeypatch.setattr(loop_module, "FIRST_LIST_TIMEOUT_S", 60.0)
         known = {"revision": 1, "complete": True, "members": [row(old, "ready")]}
         node._config = replace(node._config, known=known)
-        running = begins(node, bureau)
+        running = start_node(node, bureau)
         await until(lambda: node.clients.listener is not None and bureau.wholes)
         client = socket.create_connection(node.clients.listener.getsockname())  # type: ignore[union-attr]
         client.setblocking(False)
         await sent(client, GET % b"r0")
-        await turns(3000)  # in which a node that takes clients too soon has sent it on
+        await turns(3000)  # a node that accepts clients too soon would have forwarded it by now
         bureau.hold.set()
         await until(lambda: old.asked or new.asked)
         assert (old.ids, new.ids) == (([b"r0"], []) if mute else ([], [b"r0"]))
         bureau.mute = False
         client.close()
-        await leaves(node, running, bureau, old, new)
+        await stop_node(node, running, bureau, old, new)
 
     played(tmp_path, scenario)
 
 
-# --- Connections to endpoints -------------------------------------------------------------------------------
-def test_a_second_answer_is_never_the_answer_to_a_later_request(tmp_path: Path) -> None:
-    """It comes some milliseconds behind the first, on a connection that was lent again at once.
+# --- Connections to endpoints ---------------------------------------------------------------------------
+def test_second_response_is_not_taken_for_that_of_a_later_request(tmp_path: Path) -> None:
+    """Guards against lending a connection again at once after a response.
 
-    The later request was served with what belongs to the earlier one.
+    A second response arrived some milliseconds after the first, and a later request was answered with it.
     """
 
     async def scenario(node: Node) -> None:
@@ -275,7 +274,7 @@
         assert (await heard(one, b"mine")).endswith(b"mine")
         await sent(two, POST % b"r1")
         await until(lambda: len(desk.asked) == 2)
-        await desk.say(late, OK % (5, b"spare"))  # behind the later request, wherever that went
+        await desk.say(late, OK % (5, b"spare"))  # after the later request, wherever that was sent
         await turns()
         await desk.answer(b"yours")
         assert (await heard(two, b"yours")).endswith(b"yours")
@@ -283,7 +282,7 @@
         two.close()
         await desk.close()
 
-    # as though no time passed between the first answer and the later request
+    # as if no time passed between the first response and the later request
     held = pool_module.REUSE_DELAY_US
     pool_module.REUSE_DELAY_US = 60_000_000
     try:
@@ -292,7 +291,7 @@
         pool_module.REUSE_DELAY_US = held
 
 
-def test_a_connection_rests_after_an_answer_and_serves_again_then(tmp_path: Path) -> None:
+def test_connection_is_reused_after_a_delay(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
         desk, client = Desk(), client_of(node)
         serves(node, desk)
@@ -311,22 +310,22 @@
     played(tmp_path, scenario)
 
 
-# --- The stop -----------------------------------------------------------------------------------------------
+# --- Stop -----------------------------------------------------------------------------------------------
 def stopping(node: Node) -> None:
-    """As 500 ms after the stop signal: the listener has gone, what is held is served to its end."""
+    """Bring the node to 500 ms after the stop signal: no listener, requests are served to their end."""
     node.stop()
     node.clients.listener = None
 
 
-def test_requests_written_ahead_are_answered_though_the_stop_comes_between(tmp_path: Path) -> None:
-    """The answer after the stop ended the connection, and with it whole requests that had been read."""
+def test_pipelined_requests_are_answered_after_a_stop(tmp_path: Path) -> None:
+    """Guards against closing after the first answer, which lost complete requests that had been read."""
 
     async def scenario(node: Node) -> None:
         desk, client = Desk(), client_of(node)
         serves(node, desk)
-        (inbound,) = node.clients.connections.values()
+        (connection,) = node.clients.connections.values()
         await sent(client, b"".join(POST % b"r%d" % k for k in range(3)))
-        await until(lambda: desk.asked and len(inbound.queue) == 2)
+        await until(lambda: desk.asked and len(connection.queue) == 2)
         stopping(node)
         heads = []
         for k in range(3):
@@ -342,24 +341,23 @@
     played(tmp_path, scenario)
 
 
-def test_what_crosses_the_end_of_an_idle_connection_is_not_sent_on(tmp_path: Path) -> None:
-    """A client's request arrives in the moment in which the node ends its idle connection.
+def test_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(tmp_path: Path) -> None:
+    """A request arrives at the moment at which the node closes its idle connection.
 
-    The client hears an end without an answer, never a reset: a reset would take the answer before it away,
-    where that is still under way; and it asks elsewhere, so that nothing may go on from here.
+    The client must see an end without an answer, not a reset, which could destroy the previous answer while
+    that is on its way. As the client asks again elsewhere, nothing may be forwarded.
     """
 
     async def scenario(node: Node) -> None:
         desk, client = Desk(), client_of(node)
         serves(node, desk)
-        (inbound,) = node.clients.connections.values()
+        (connection,) = node.clients.connections.values()
         await sent(client, GET % b"r0")
         await until(lambda: desk.asked)
         await desk.answer()
-        await until(
-            lambda: inbound.answer_count and is_readable(client)
-        )  # written, and not read by its client yet
-        node.clients.check_timeouts(inbound, inbound.last_activity_us + KEEPALIVE_TIMEOUT_US, False)
+        # written, but not read by the client yet
+        await until(lambda: connection.answer_count and is_readable(client))
+        node.clients.check_timeouts(connection, connection.last_activity_us + KEEPALIVE_TIMEOUT_US, False)
         await sent(client, GET % b"crosses")
         assert (await heard(client, b"ok")).endswith(b"ok")
         assert await ends_well(client)
@@ -371,15 +369,15 @@
     played(tmp_path, scenario)
 
 
-def test_the_same_when_the_listener_closes(tmp_path: Path) -> None:
+def test_request_that_crosses_the_close_of_the_listener_is_not_forwarded(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
         desk, client = Desk(), client_of(node)
         serves(node, desk)
-        (inbound,) = node.clients.connections.values()
+        (connection,) = node.clients.connections.values()
         await sent(client, GET % b"r0")
         await until(lambda: desk.asked)
         await desk.answer()
-        await until(lambda: inbound.answer_count and is_readable(client))
+        await until(lambda: connection.answer_count and is_readable(client))
         node.clients.listener, listener = socket.create_server(("127.0.0.1", 0)), node.clients.listener
         node.clients.listener.setblocking(False)
         node.clients.stop_listening()
@@ -395,13 +393,13 @@
     played(tmp_path, scenario)
 
 
-def test_a_process_that_leaves_waits_for_the_clients_that_take_their_answers_slowly(tmp_path: Path) -> None:
-    """The process ended 200 ms after its last answer was made, whatever of it was still to be written."""
+def test_shutdown_waits_for_clients_that_read_slowly(tmp_path: Path) -> None:
+    """Guards against ending 200 ms after the last answer was built, whether or not it was written."""
 
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.lists((desk, "ready"))
-        running = begins(node, bureau)
+        running = start_node(node, bureau)
         await until(lambda: node.phase is c.Phase.READY and node.clients.listener is not None)
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -409,8 +407,8 @@
         client.setblocking(False)
         await sent(client, GET % b"r0")
         await until(lambda: desk.asked)
-        (inbound,) = node.clients.connections.values()
-        inbound.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        (connection,) = node.clients.connections.values()
+        connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         node.stop()
         body = bytes(60_000)
         await desk.answer(body)
@@ -419,18 +417,18 @@
         assert len(data) - data.index(b"\r\n\r\n") - 4 == len(body)
         client.close()
         await running
-        await ended(node, bureau, desk)
+        await end_watch(node, bureau, desk)
 
     played(tmp_path, scenario)
 
 
-def test_a_request_that_comes_as_the_process_leaves_is_refused_not_reset(tmp_path: Path) -> None:
-    """On a connection taken at the last moment, whose request comes when all else is answered."""
+def test_request_during_shutdown_is_refused_not_reset(tmp_path: Path) -> None:
+    """On a connection accepted last, whose request arrives when everything else is answered."""
 
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.lists((desk, "ready"))
-        running = begins(node, bureau)
+        running = start_node(node, bureau)
         await until(lambda: node.phase is c.Phase.READY and node.clients.listener is not None)
         client = socket.create_connection(node.clients.listener.getsockname())  # type: ignore[union-attr]
         client.setblocking(False)
@@ -442,26 +440,26 @@
         client.close()
         await running
         assert desk.ids == []
-        await ended(node, bureau, desk)
+        await end_watch(node, bureau, desk)
 
     played(tmp_path, scenario)
 
 
-def test_a_stop_during_the_start_is_a_stop(tmp_path: Path) -> None:
-    """The start went on, took the node for listening again, and left only when no time was left at all."""
+def test_stop_during_the_start_is_not_lost(tmp_path: Path) -> None:
+    """Guards against a start that goes on, counts as listening again, and ends only at the last deadline."""
 
     async def scenario(node: Node) -> None:
         desk, bureau = Desk(), Bureau()
         bureau.lists((desk, "ready"))
         bureau.mute = True
-        running = begins(node, bureau)
+        running = start_node(node, bureau)
         await until(lambda: bureau.wholes)
         node.stop()
         await until(lambda: node.phase is c.Phase.STOPPED)
         node.dispatch(c.Listening())
         assert not node._core._listening
         await running
-        await ended(node, bureau, desk)
+        await end_watch(node, bureau, desk)
 
     said = played(tmp_path, scenario)
     assert "phase: all is answered: leaving" in said
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange, against the real program on real sockets; and what no such record can show."""
+"""Plays every recorded exchange against the real program on real sockets, and tests what they can't show."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 @pytest.mark.parametrize("path", sorted(FOLDER.glob("*.txt")), ids=lambda p: p.stem)
-def test_exchange(path: Path) -> None:
+def test_recorded_exchange(path: Path) -> None:
     play(path)
 
 
-def test_more_idle_clients_than_descriptors_leave_room_for_the_next() -> None:
-    """The player allows 128 descriptors, 64 of them for clients: the longest idle has to go."""
+def test_longest_idle_client_is_closed_when_descriptors_run_out() -> None:
+    """The player allows 128 descriptors, 64 of them for clients."""
     player = Player()
     crowd: list[socket.socket] = []
     try:
@@ -57,11 +57,12 @@
             sock.close()
 
 
-def test_bytes_that_are_read_but_not_yet_heard_of_are_not_idleness(tmp_path: Path) -> None:
-    """The loop takes bytes from the kernel a turn before the reading task goes on.
+def test_connection_with_unprocessed_bytes_is_not_idle(tmp_path: Path) -> None:
+    """Guards against closing a connection between the loop's read and the turn of the reading task.
 
-    An inbound that was closed in between, to save a descriptor or at a stop, took a whole request with it; so
-    did one closed before the first request on it had come.
+    The loop takes bytes from the kernel a turn before the reading task runs. A connection that was closed in
+    between, to save a descriptor or at a stop, lost a complete request; so did one that was closed before its
+    first request had arrived.
     """
     config = load(write(tmp_path))
     seen: list[tuple[bool, bool]] = []
@@ -71,22 +72,22 @@
         node = Node(config, Core(config.settings, Balancer(config.settings, 1), 9), loop)
         with socket.create_server(("127.0.0.1", 0)) as server:
             client = socket.create_connection(server.getsockname())
-            ours, _ = server.accept()
-        node.clients.admit(ours)
-        (inbound,) = node.clients.connections.values()
+            server_side, _ = server.accept()
+        node.clients.admit(server_side)
+        (connection,) = node.clients.connections.values()
         await asyncio.sleep(0)
-        at = inbound.last_activity_us
-        # a new one; one left lying
-        seen.append((is_idle(inbound, at), is_idle(inbound, at + FIRST_REQUEST_TIMEOUT_US)))
-        inbound.is_new = False
-        seen.append((is_readable(ours), is_idle(inbound, at)))
+        at = connection.last_activity_us
+        # a new one; then one that is too old
+        seen.append((is_idle(connection, at), is_idle(connection, at + FIRST_REQUEST_TIMEOUT_US)))
+        connection.is_new = False
+        seen.append((is_readable(server_side), is_idle(connection, at)))
         client.sendall(b"GET /-/ready HTTP/1.1\r\n\r\n")
 
         def look() -> None:
-            if is_readable(ours):
+            if is_readable(server_side):
                 loop.call_soon(look)
             else:
-                seen.append((inbound.busy, is_idle(inbound, at)))
+                seen.append((connection.busy, is_idle(connection, at)))
 
         look()
         while len(seen) < 3:
@@ -98,11 +99,10 @@
     assert seen == [(False, True), (False, True), (False, False)]
 
 
-def test_the_whole_backlog_is_taken_in_a_turn(tmp_path: Path) -> None:
-    """At 1,200 new connections a second one connection a turn was too few.
+def test_whole_backlog_is_accepted_in_one_turn(tmp_path: Path) -> None:
+    """Guards against accepting one connection per turn, which is too few at 1,200 connections a second.
 
-    Requests waited in the kernel until their clients had left, and the node then sent on what nobody waited
-    for.
+    Requests waited in the kernel until their clients had left, and were then forwarded for nobody.
     """
     config = load(write(tmp_path))
     held: list[int] = []
@@ -120,16 +120,16 @@
             accepting.cancel()
             for client in clients:
                 client.close()
-            for inbound in list(node.clients.connections.values()):
-                node.clients.drop(inbound)
+            for connection in list(node.clients.connections.values()):
+                node.clients.drop(connection)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(scenario())
     assert held == [40]
 
 
-def test_what_is_closed_in_the_same_turn_is_no_fault(tmp_path: Path) -> None:
-    """A client dropped, or the listener closed, before their tasks ran again: those read a closed socket."""
+def test_sockets_closed_before_their_tasks_run_cause_no_fault(tmp_path: Path) -> None:
+    """Guards against reading a closed socket after a client is dropped or the listener is closed."""
     config = load(write(tmp_path))
     said: list[str] = []
 
@@ -138,24 +138,24 @@
         node = Node(config, Core(config.settings, Balancer(config.settings, 1), 9), loop)
         node.log_line = lambda topic, line: said.append(line)  # type: ignore[method-assign]
         listener = socket.create_server(("127.0.0.1", 0))
-        theirs = socket.create_connection(listener.getsockname())
+        client_side = socket.create_connection(listener.getsockname())
         node.clients.admit(listener.accept()[0])
-        for inbound in list(node.clients.connections.values()):
-            node.clients.drop(inbound)
+        for connection in list(node.clients.connections.values()):
+            node.clients.drop(connection)
         listener.setblocking(False)
         node._spawn(node.clients.accept(listener))
         listener.close()
         for _ in range(4):
             await asyncio.sleep(0)
-        theirs.close()
+        client_side.close()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(scenario())
     assert said == []
 
 
-def test_a_body_of_60_mb_is_not_taken_to_its_end() -> None:
-    """Each cost a tenth of a second of the core, with every other request waiting."""
+def test_rejected_body_of_60_mb_is_not_read_to_its_end() -> None:
+    """Each took a tenth of a second of the processor while every other request waited."""
     player, sent = Player(), 0
     try:
         player.step_start("a=ready", b"")
@@ -170,11 +170,11 @@
         player.close()
 
 
-def test_clients_that_asked_once_go_early_where_there_are_many(tmp_path: Path) -> None:
-    """They keep their connection for good, and clients can hold a third of the descriptors at most.
+def test_clients_with_one_request_are_closed_early_when_there_are_many(tmp_path: Path) -> None:
+    """Guards against clients that send one request and keep the connection forever.
 
-    On one day two thirds of all requests found no connection and never got here. Who asks again keeps its
-    own.
+    Clients can hold a third of the descriptors at most. On one day two thirds of all requests found no free
+    connection and never arrived. Clients that send further requests keep their connection.
     """
     config = load(write(tmp_path))
     left: list[int] = []
@@ -184,21 +184,24 @@
         node = Node(config, Core(config.settings, Balancer(config.settings, 1), 9), loop)
         ends = []
         for k in range(config.sockets // CROWDED_DIVISOR + 2):
-            ours, theirs = socket.socketpair()
-            ends.append(theirs)
-            ours.setblocking(False)
+            server_side, client_side = socket.socketpair()
+            ends.append(client_side)
+            server_side.setblocking(False)
             one = DownstreamConnection(
-                k, ours, RequestParser(node._header_names), node.clock.now() - SHORT_KEEPALIVE_TIMEOUT_US
+                k,
+                server_side,
+                RequestParser(node._header_names),
+                node.clock.now() - SHORT_KEEPALIVE_TIMEOUT_US,
             )
             node.clients.connections[k] = one
             one.answer_count, one.is_new = 1 if k < 10 else 2, False
             if k == 9:
-                node._sweep()  # not many yet: who asked once may ask again
+                node._sweep()  # not many yet: clients with one request may stay
                 assert not any(x.closing for x in node.clients.connections.values())
                 assert len(node.clients.connections) == 10
         node._sweep()
         left.extend(k for k, one in node.clients.connections.items() if not one.closing)
-        for end in ends[:10]:  # each hears the end of its connection
+        for end in ends[:10]:  # each sees the end of its connection
             assert end.recv(1) == b""
         for end in ends:
             end.close()
@@ -208,11 +211,11 @@
     assert left[0] == 10
 
 
-def test_who_makes_room_for_a_new_client(tmp_path: Path) -> None:
-    """The silent go first, then the one left longest; never one at work.
+def test_order_of_eviction_for_a_new_client(tmp_path: Path) -> None:
+    """Silent connections are closed first, then the longest inactive; never one with a request in progress.
 
-    Silent and half clients by the hundred held every descriptor for 2 and 10 s, while requests waited in
-    the backlog past their time.
+    Silent and partial clients by the hundred held every descriptor for 2 and 10 s, while requests waited in
+    the backlog past their deadline.
     """
     config = load(write(tmp_path))
     left: list[list[str]] = []
@@ -222,12 +225,12 @@
         node = Node(config, Core(config.settings, Balancer(config.settings, 1), 9), loop)
         names, ends = {}, []
         for name in ("new", "busy", "kept", "half", "silent"):
-            ours, theirs = socket.socketpair()
-            ends.append(theirs)
-            ours.setblocking(False)
+            server_side, client_side = socket.socketpair()
+            ends.append(client_side)
+            server_side.setblocking(False)
             node.clients._last_id += 1
             one = DownstreamConnection(
-                node.clients._last_id, ours, RequestParser(node._header_names), node.clock.now()
+                node.clients._last_id, server_side, RequestParser(node._header_names), node.clock.now()
             )
             node.clients.connections[one.id] = one
             names[one.id] = name
@@ -256,21 +259,22 @@
         (0.5, 0.1, 0.01, 2.0),
     ],
 )
-def test_a_node_is_ready_once_its_start_is_paid_for(
+def test_readiness_is_delayed_until_the_start_fits_the_cpu_limit(
     cpu_s: float, age_s: float, cores: float, debt_s: float
 ) -> None:
-    """With 0.4 core the limit stopped nodes for 250 ms under their first requests: one had no answer.
+    """Guards against throttling by the CPU limit while the first requests wait.
 
-    With 0.85 it did so for 150 ms, although the mean since the start was within it.
+    At 0.4 core nodes were stopped for 250 ms under their first requests, and one got no answer. At 0.85 it
+    was 150 ms, although the mean use since the start was within the limit.
     """
     assert startup_delay_s(cpu_s, age_s, cores) == pytest.approx(debt_s)
 
 
-def test_a_log_that_nobody_reads_blocks_nothing() -> None:
-    """A full pipe would hold the only thread, and with it every request."""
+def test_log_that_nobody_reads_does_not_block() -> None:
+    """A full pipe would block the only thread, and with it every request."""
     reader, writer = os.pipe()
     log = Log("n0", writer)
-    for k in range(3000):  # far more than a pipe holds
+    for k in range(3000):  # far more than fits into a pipe
         log.write(CLOCK_ORIGIN_US + k * 2_000_000, "module", "x" * 100)
     os.set_blocking(reader, False)
     assert os.read(reader, 60) == b"granitewell n0 0.000 module: " + b"x" * 31
@@ -278,7 +282,7 @@
     os.close(writer)
 
 
-def test_lines_of_one_topic_are_counted_when_left_out() -> None:
+def test_suppressed_log_lines_are_counted() -> None:
     reader, writer = os.pipe()
     log = Log("n0", writer)
     for at in (0, 1, 2, 1_000_000):
@@ -313,13 +317,13 @@
     assert (outcome(parser), report(parser, ("failed_ps", "pending"))) == (says, load)
 
 
-def test_the_claim_of_three_gigabytes_is_no_answer_before_they_come() -> None:
-    """Read to the limit of a body first, each such answer held its request and cost a read of 64 KiB."""
+def test_announced_length_of_three_gigabytes_is_rejected_at_once() -> None:
+    """Read up to the limit of a body, each such response held its request and cost a read of 64 KiB."""
     with pytest.raises(ValueError, match="too large"):
         ResponseParser().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx")
 
 
 @pytest.mark.parametrize("head", [b"A: ", b"Content-Length: 41943041\r\n\r\n"])
-def test_an_answer_without_end_is_no_answer(head: bytes) -> None:
+def test_response_without_end_is_rejected(head: bytes) -> None:
     with pytest.raises(ValueError):
         ResponseParser().feed(b"HTTP/1.1 200 OK\r\n" + head + b"x" * 70_000)
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -1,6 +1,6 @@
-"""Bad input on each door: malformed, cut at every byte, oversized, endless, one byte at a time.
+"""Invalid input at every entry: malformed, cut at every byte, oversized, endless, one byte at a time.
 
-Traffic gets its 4xx or a close, files a line that names file and field; memory stays within a figure.
+Traffic gets a 4xx answer or a close, files an error that names file and field; memory stays within a bound.
 """
 
 from __future__ import annotations
@@ -51,14 +51,14 @@
 ROOT = Path(__file__).resolve().parents[1]
 
 PIECE = 8192
-MAX_FED = 400_000  # bytes that a parser may take of something endless before it says no
-MAX_HELD = 600_000  # and what may be held of it meanwhile
+MAX_FED = 400_000  # bytes of endless input that a parser may read before it rejects it
+MAX_HELD = 600_000  # of memory meanwhile
 ASK = b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout-Ms: 2000\r\n%s\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
 
 def endless(feed: Callable[[bytes], object], pieces: Iterator[bytes]) -> int:
-    """Feed it until `feed` says that it is enough; how many bytes that took."""
+    """Feed pieces until `feed` returns true; return how many bytes that took."""
     fed = 0
     tracemalloc.start()
     try:
@@ -86,8 +86,8 @@
 
 
 @pytest.mark.parametrize("what", ENDLESS)
-def test_what_never_ends_behind_a_body_is_refused_from_clients(tmp_path: Path, what: str) -> None:
-    """Only the body was counted: what stands between its chunks or behind it could grow without bound."""
+def test_endless_chunk_framing_and_trailers_of_clients_are_rejected(tmp_path: Path, what: str) -> None:
+    """Guards against counting only the body: bytes between and after its chunks were not bounded."""
     parser, (begin, more) = RequestParser(HeaderNames(load(write(tmp_path)))), ENDLESS[what]
     got: list[object] = []
 
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("what", ENDLESS)
-def test_and_from_endpoints_and_discovery(what: str) -> None:
+def test_endless_chunk_framing_and_trailers_of_endpoints_and_discovery_are_rejected(what: str) -> None:
     begin, more = ENDLESS[what]
     for most in (65536, 4 * 1024 * 1024):
         parser, said = ResponseParser(most), list[str]()
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("what", ENDLESS)
-def test_and_from_operators(what: str) -> None:
+def test_endless_chunk_framing_and_trailers_of_operators_are_rejected(what: str) -> None:
     begin, more = ENDLESS[what]
     parser = ConsoleRequestParser()
 
@@ -138,11 +138,11 @@
 @pytest.mark.parametrize(("what", "most"), [
     ("body", 2), ("large body", 3), ("answer", 2), ("list", 2), ("head", 2), ("answer's head", 2),
 ])  # fmt: skip
-def test_what_comes_in_tiny_pieces_takes_no_more_memory(tmp_path: Path, what: str, most: int) -> None:
-    """Small chunks and short header lines are bounded by count, not only by bytes.
+def test_tiny_chunks_and_header_lines_take_no_extra_memory(tmp_path: Path, what: str, most: int) -> None:
+    """Guards against bounding small chunks and short header lines by bytes only.
 
-    A body in chunks of two bytes was held as so many objects, twenty times its size for each of some
-    hundred clients, where budgets count bytes; and a head of short lines as so many headers.
+    A body in chunks of two bytes was stored as so many objects, twenty times its size for each of some
+    hundred clients, while budgets count bytes; and a head of short lines as so many headers.
     """
     parser: Any = RequestParser(HeaderNames(load(write(tmp_path))))
     raw = ASK % CHUNKED
@@ -162,10 +162,10 @@
     assert held < most * 65_536, held
 
 
-def test_a_trailer_is_no_header(tmp_path: Path) -> None:
-    """One named like a header took its place.
+def test_trailer_is_not_taken_for_a_header(tmp_path: Path) -> None:
+    """Guards against a trailer that replaces the header of the same name.
 
-    A request was refused as one that came twice, or got another's key; and an endpoint's error that ended in
+    A request was rejected for a duplicate header, or got another's key. An endpoint's error that ended in
     Not-Started counted as one that never ran, which may be sent again.
     """
     parser = RequestParser(HeaderNames(load(write(tmp_path))))
@@ -187,12 +187,12 @@
 
 
 @pytest.mark.parametrize("raw", REQUESTS, ids=["get", "body", "chunks", "large"])
-def test_a_request_cut_at_any_byte_leaves_nothing_behind(tmp_path: Path, raw: bytes) -> None:
-    """No call that stays, no byte of the budget, no task, and no request that is still owed an answer."""
+def test_request_cut_at_any_byte_leaves_nothing_behind(tmp_path: Path, raw: bytes) -> None:
+    """No call, no byte of the budget, no task and no request that waits for an answer may remain."""
 
     async def scenario(node: Node) -> None:
         agent = Answers(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-        async with at_work(node, agent):
+        async with serving(node, agent):
             head = raw.index(b"\r\n\r\n") + 4
             for cut in [*range(min(head + 60, len(raw))), *range(head + 60, len(raw), 7919)]:
                 client = client_of(node)
@@ -219,15 +219,15 @@
 
 
 @pytest.mark.parametrize("raw", ANSWERS, ids=["length", "chunks", "interim"])
-def test_an_answer_cut_at_any_byte_is_served_whole_or_not_at_all(tmp_path: Path, raw: bytes) -> None:
-    """And the request, which may have run, goes nowhere again."""
+def test_response_cut_at_any_byte_is_served_completely_or_not_at_all(tmp_path: Path, raw: bytes) -> None:
+    """The request, which may have run, is not sent again."""
 
     async def scenario(node: Node) -> None:
         agent = Answers(raw)
-        async with at_work(node, agent):
+        async with serving(node, agent):
             for cut in range(len(raw) + 1):
                 agent.raw, before, got = raw[:cut], agent.asked, b""
-                while agent.asked == before:  # else it was turned away: so many have failed
+                while agent.asked == before:  # otherwise it was refused, as so many have failed
                     got = await exchanged(node, ASK % b"Connection: close\r\nContent-Length: 0\r\n")
                 whole = got.startswith(b"HTTP/1.1 200 ") and got.endswith(b"\r\n\r\nhello")
                 assert whole == (cut == len(raw)) and (whole or got.startswith(b"HTTP/1.1 502 ")), (cut, got)
@@ -238,7 +238,7 @@
 
 
 async def exchanged(node: Node, raw: bytes) -> bytes:
-    """What a client gets for this on a connection of its own, until that ends."""
+    """Return everything that a client receives for this, on a connection of its own."""
     client, loop, got = client_of(node), asyncio.get_running_loop(), b""
     await loop.sock_sendall(client, raw)
     while more := await loop.sock_recv(client, 4096):
@@ -248,7 +248,7 @@
 
 
 class Answers:
-    """An endpoint that answers each request with these bytes and then ends the connection."""
+    """An endpoint that answers each request with these bytes and closes the connection."""
 
     def __init__(self, raw: bytes) -> None:
         self.raw, self.asked = raw, 0
@@ -265,8 +265,8 @@
 
 
 @contextlib.asynccontextmanager
-async def at_work(node: Node, agent: Answers) -> AsyncIterator[None]:
-    """The node with this one endpoint."""
+async def serving(node: Node, agent: Answers) -> AsyncIterator[None]:
+    """Run the node with this endpoint."""
     server = await asyncio.start_server(agent, "127.0.0.1", 0)
     try:
         address = server.sockets[0].getsockname()
@@ -278,7 +278,7 @@
         server.close()
 
 
-def test_a_list_cut_at_any_byte_is_no_list(tmp_path: Path) -> None:
+def test_list_cut_at_any_byte_is_rejected(tmp_path: Path) -> None:
     entry = {"id": "s-1", "host_port": "10.1.0.18:9000", "phase": "ready", "up_since_ms": 5}
     body = json.dumps({"revision": 4, "complete": True, "members": [entry, entry]}).encode()
     reader = EndpointListReader(load(write(tmp_path)), lambda unix_us: unix_us)
@@ -292,16 +292,16 @@
     assert not reader._known_starts
 
 
-def test_an_operators_call_cut_at_any_byte_is_no_call() -> None:
-    """A ban must not be taken from half an id."""
+def test_operators_request_cut_at_any_byte_is_incomplete() -> None:
+    """A ban must not be taken from a part of an id."""
     raw = b"POST /dispatch-servers/disable HTTP/1.1\r\nContent-Length: 5\r\n\r\ns-abc"
     assert ConsoleRequestParser().feed(raw)
     assert not any(ConsoleRequestParser().feed(raw[:cut]) for cut in range(len(raw)))
 
 
-# --- Anything at all ---------------------------------------------------------------------------------------
-def spoilt(rng: Random, raw: bytes) -> bytes:
-    """Some bytes changed, left out, doubled or put elsewhere."""
+# --- Random input ---------------------------------------------------------------------------------------
+def mutated(rng: Random, raw: bytes) -> bytes:
+    """Return the bytes with some changed, removed, doubled or inserted."""
     data = bytearray(raw)
     for _ in range(rng.randrange(1, 6)):
         at = rng.randrange(len(data) + 1)
@@ -317,26 +317,26 @@
     return bytes(data)
 
 
-def test_spoilt_traffic_is_an_item_a_refusal_or_a_value_error(tmp_path: Path) -> None:
+def test_random_traffic_is_parsed_or_rejected(tmp_path: Path) -> None:
     rng, names = Random(7), HeaderNames(load(write(tmp_path)))
     for _ in range(6000):
         parser = RequestParser(names)
-        data, step = spoilt(rng, rng.choice(REQUESTS)[:400]), rng.choice([1, 3, 50, 4096])
+        data, step = mutated(rng, rng.choice(REQUESTS)[:400]), rng.choice([1, 3, 50, 4096])
         for at in range(0, len(data), step):
             for item in parser.feed(data[at : at + step]):
                 assert isinstance(item, Request | RejectedRequest | ReadinessRequest)
         answer = ResponseParser()
         with contextlib.suppress(ValueError):
-            answer.feed(spoilt(rng, rng.choice(ANSWERS)))
+            answer.feed(mutated(rng, rng.choice(ANSWERS)))
             report(answer, ("failed_ps",))
             outcome(answer)
         call = ConsoleRequestParser()
         with contextlib.suppress(RejectedCommandError):
-            call.feed(spoilt(rng, b"POST /dispatch-servers/enable HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-a"))
+            call.feed(mutated(rng, b"POST /dispatch-servers/enable HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-a"))
             call.endpoint()
 
 
-def test_a_byte_at_a_time_is_the_same(tmp_path: Path) -> None:
+def test_parsing_one_byte_at_a_time_gives_the_same_result(tmp_path: Path) -> None:
     names = HeaderNames(load(write(tmp_path)))
     for raw in REQUESTS:
         whole, single = RequestParser(names), RequestParser(names)
@@ -364,10 +364,10 @@
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_a_spoilt_file_is_taken_or_refused_with_its_name(tmp_path: Path, name: str) -> None:
-    """Cut, with bytes changed, nested, empty.
+def test_random_file_is_read_or_rejected_with_its_name(tmp_path: Path, name: str) -> None:
+    """Files are cut, changed, deeply nested or empty.
 
-    Never anything but the error of that file, in lines that name it.
+    The only exception is the error of that kind of file, with lines that name it.
     """
     source, reads, refused = FILES[name]
     path, rng = tmp_path / "file", Random(11)
@@ -392,7 +392,7 @@
     reads(path)
     cuts = [raw[:k] for k in range(0, len(raw), max(len(raw) // rows, 1))]
     deep = [b"[" * 100_000, b"\x00" * 5000, b"\xff\xfe", b"a = " + b"[" * 5000, b"{" * 900, b"9" * 6000]
-    for data in [b"", *cuts, *(spoilt(rng, raw) for _ in range(rows)), *deep]:
+    for data in [b"", *cuts, *(mutated(rng, raw) for _ in range(rows)), *deep]:
         path.write_bytes(data)
         try:
             reads(path)
@@ -402,8 +402,8 @@
 
 
 @pytest.mark.parametrize("name", ["configuration", "operator file", "scenario", "experiment", "day"])
-def test_a_pipe_in_a_files_place_is_refused_with_its_name(tmp_path: Path, name: str) -> None:
-    """It was waited for, without a word and without end."""
+def test_pipe_instead_of_a_file_is_rejected_with_its_name(tmp_path: Path, name: str) -> None:
+    """Guards against waiting for the pipe forever, without a message."""
     _, reads, refused = FILES[name]
     path, told = tmp_path / "file", list[str]()
     os.mkfifo(path)
@@ -419,9 +419,9 @@
     assert told and (str(path) in told[0] or "LB_CONFIG" in told[0])
 
 
-def test_spoilt_heads_at_the_status_door_get_an_answer_of_its_own() -> None:
+def test_random_heads_at_the_status_socket_get_a_4xx_answer() -> None:
     rng, good = Random(5), b"GET /status?worst=3 HTTP/1.1\r\nHost: localhost\r\nAccept: */*\r\n\r\n"
-    for data in [good[:k] for k in range(len(good))] + [spoilt(rng, good) for _ in range(4000)]:
+    for data in [good[:k] for k in range(len(good))] + [mutated(rng, good) for _ in range(4000)]:
         try:
             assert isinstance(wire.asked(data, 10, rng.random() < 0.5), wire.Asked)
         except wire.RejectedQueryError as error:
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""The adapter as a real process."""
+"""Runs the simulator adapter as a real process."""
 
 import os
 import struct
@@ -32,7 +32,7 @@
 
 
 def session(instances: tuple[int, ...]) -> bytes:
-    """A short day of the given instances; each hears only what concerns it."""
+    """A short day of the given instances; each gets only its own events."""
     frames = [w.frame(0.0)]
     first = [w.catalog(0, *(w.entry(h, cell=k % 3) for k, h in enumerate(HOSTS)))]
     for i in instances:
@@ -47,13 +47,13 @@
     return b"".join(frames)
 
 
-def test_end_of_input_is_a_clean_exit() -> None:
+def test_end_of_input_exits_with_0() -> None:
     done = run(w.frame(1.0) + w.frame(2.0))
     assert done.returncode == 0 and done.stderr == b""
     assert replies(done.stdout) == [[], []]
 
 
-def test_cut_off_input_is_one_plain_line() -> None:
+def test_truncated_input_is_reported_in_one_line() -> None:
     for data, says in (
         (w.frame(1.0)[:9], b"byte 9: input ended inside a header"),
         (w.frame(1.0, w.down(0))[:-2], b"byte 19: input ended"),
@@ -66,12 +66,12 @@
         assert says in done.stderr and done.stderr.count(b"\n") == 1
 
 
-def test_same_events_same_actions_whatever_the_hash_seed() -> None:
+def test_actions_do_not_depend_on_the_hash_seed() -> None:
     data = session((0, 1))
     assert run(data, "1").stdout == run(data, "77").stdout
 
 
-def test_instances_act_alike_alone_or_together() -> None:
+def test_instances_act_the_same_alone_or_together() -> None:
     together = [a for batch in replies(run(session((0, 1))).stdout) for a in batch]
     for i in (0, 1):
         alone = [a for batch in replies(run(session((i,))).stdout) for a in batch]
@@ -79,7 +79,7 @@
         assert alone == [a for a in together if a[1] == i]
 
 
-def test_killed_and_created_anew_in_one_batch_forgets_its_requests() -> None:
+def test_instance_recreated_in_one_batch_forgets_its_requests() -> None:
     hosts = w.catalog(0, *(w.entry(h) for h in HOSTS))
     boot = w.create(0, 5, w.boot()), w.view(0, 0, 0)
     data = w.frame(1.0, hosts, *boot) + w.frame(2.0, w.inbound(0, 9, 0, 500.0))
@@ -89,7 +89,7 @@
     assert not [a for a in second[3] if a[0] in ("report_failure", "push_back", "assign")]
 
 
-def test_broken_decisions_are_reported(monkeypatch: Any) -> None:
+def test_exception_in_a_decision_is_reported(monkeypatch: Any) -> None:
     from granitewell.balancing import simulator_adapter
 
     def boom(*_: Any) -> None:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""What the tasks of one node share: each test is one way in which that sharing went wrong, or could have."""
+"""State that the tasks of one node share: each test guards against one fault in that sharing."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from granitewell.status.types import StatusSettings
 from tests.shell import StandingClock, client_of, played, silent, turns, until
 
-LONG = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r%d\r\nRequest-Timeout-Ms: 2000\r\n"
+LARGE_REQUEST = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r%d\r\nRequest-Timeout-Ms: 2000\r\n"
         b"Content-Length: 900000\r\n\r\n")  # fmt: skip
 
 
-async def pushed(client: socket.socket, data: bytes) -> None:
+async def send_available(client: socket.socket, data: bytes) -> None:
     """Write as much as the other side takes."""
     loop = asyncio.get_running_loop()
     try:
@@ -38,23 +38,24 @@
         pass
 
 
-def test_a_client_dropped_while_its_body_has_no_room_leaves_nothing_behind(tmp_path: Path) -> None:
-    """Its reading task waited for room that nobody would make.
+def test_client_dropped_while_its_body_is_blocked_frees_its_task_and_buffers(tmp_path: Path) -> None:
+    """Guards against a reading task that waits forever for space in a body that nobody reads.
 
-    The task, its buffers and up to 128 KiB of the body stayed for as long as the process.
+    The task, its buffers and up to 128 KiB of the body stayed until the process ended.
     """
 
     async def scenario(node: Node) -> None:
         client = client_of(node)
-        (inbound,) = node.clients.connections.values()
-        held = inbound.parser.feed(LONG % 1)  # as though another request were out: it waits in the queue
-        inbound.queue.extend(held)
-        inbound.busy = True
-        await pushed(client, bytes(400_000))
-        flow = inbound.parser.streamed_body
+        (connection,) = node.clients.connections.values()
+        # as if another request were in progress: it stays in the queue
+        held = connection.parser.feed(LARGE_REQUEST % 1)
+        connection.queue.extend(held)
+        connection.busy = True
+        await send_available(client, bytes(400_000))
+        flow = connection.parser.streamed_body
         assert flow is not None
         await until(lambda: flow.unread_bytes > 65536)
-        node.clients.drop(inbound)
+        node.clients.drop(connection)
         await turns()
         assert not node._tasks and client.fileno() >= 0
         client.close()
@@ -62,26 +63,27 @@
     assert played(tmp_path, scenario) == []
 
 
-SMALL = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r%d\r\nRequest-Timeout-Ms: 100\r\n"
+SMALL_REQUEST = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r%d\r\nRequest-Timeout-Ms: 100\r\n"
          b"Content-Length: %d\r\n\r\n%s")  # fmt: skip
 SMALL_TIMEOUT_US = 100_000
-STEP_US = 1_000  # a new connection rests for some ms before anything is written on it
+STEP_US = 1_000  # a new connection is not used for some ms
 
 
-def test_requests_written_ahead_are_neither_lost_nor_held_by_the_megabyte(tmp_path: Path) -> None:
-    """More than four closed the connection, and with it requests that had been taken.
+def test_pipelined_requests_are_all_answered_and_their_memory_is_bounded(tmp_path: Path) -> None:
+    """Guards against lost pipelined requests and unbounded memory for their bodies.
 
-    And each of the four might hold 64 KiB that no budget counted, 300 KiB for each client.
+    More than four requests closed the connection and lost those that were read already, and each of the four
+    could hold 64 KiB that no budget counted, 300 KiB per client.
     """
 
     async def scenario(node: Node) -> None:
         endpoint, client = silent(node), client_of(node)
-        (inbound,) = node.clients.connections.values()
-        await pushed(client, b"".join(SMALL % (k, 60_000, bytes(60_000)) for k in range(40)))
+        (connection,) = node.clients.connections.values()
+        await send_available(client, b"".join(SMALL_REQUEST % (k, 60_000, bytes(60_000)) for k in range(40)))
         await turns()
-        assert inbound.id in node.clients.connections
-        assert 120_000 <= node._memory.buffered_bytes <= 2 * 65536  # the one that is out, and the next
-        answers = b""  # each gets its own once the time of the one before is over
+        assert connection.id in node.clients.connections
+        assert 120_000 <= node._memory.buffered_bytes <= 2 * 65536  # the current request, and the next
+        answers = b""  # each is answered when the deadline of the previous one has passed
         while answers.count(b"HTTP/1.1 502") < 3:
             answers += await asyncio.get_running_loop().sock_recv(client, 4096)
         client.close()
@@ -93,20 +95,22 @@
 
 
 @pytest.mark.parametrize("where", ["admit", "evict"])
-def test_the_listener_outlives_what_was_not_foreseen(tmp_path: Path, monkeypatch: Patch, where: str) -> None:
-    """A task that ends is one line of the log, and the node then takes nobody for months."""
+def test_accepting_goes_on_after_an_unexpected_exception(
+    tmp_path: Path, monkeypatch: Patch, where: str
+) -> None:
+    """Guards against an accept task that ends with one line in the log: the node then accepts nobody."""
 
     async def scenario(node: Node) -> None:
         real = getattr(node.clients, where)
-        broken = [RuntimeError("no such thing"), OSError(22, "reset already")]
+        pending_errors = [RuntimeError("no such thing"), OSError(22, "reset already")]
 
         def once(*args: Any) -> Any:
-            if broken:
-                raise broken.pop()
+            if pending_errors:
+                raise pending_errors.pop()
             return real(*args)
 
         monkeypatch.setattr(node.clients, where, once)
-        if where == "evict":  # which is asked where there is no room
+        if where == "evict":  # which is called if there is no capacity
             node.limits.max_inbound = 0
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
@@ -126,7 +130,7 @@
 
 
 class Agent:
-    """Discovery that answers each call at once with these bodies, the last one again and again."""
+    """A discovery agent that answers each request at once with these bodies, repeating the last one."""
 
     def __init__(self, *bodies: bytes) -> None:
         self.bodies, self.calls = list(bodies), 0
@@ -144,18 +148,18 @@
 NOTHING = b'{"revision":1,"complete":false,"members":[]}'
 
 
-def test_the_watch_outlives_what_was_not_foreseen(tmp_path: Path, monkeypatch: Patch) -> None:
-    """It ended with the first exception that was not in its list.
+def test_discovery_watch_goes_on_after_an_unexpected_exception(tmp_path: Path, monkeypatch: Patch) -> None:
+    """Guards against a watch that ends with an exception that is not in its list.
 
-    The list of endpoints then stayed as it was for good.
+    The list of endpoints then stayed unchanged forever.
     """
 
     async def scenario(node: Node) -> None:
-        read, broken = node._list_reader.read, [RuntimeError("no such thing")]
+        read, pending_errors = node._list_reader.read, [RuntimeError("no such thing")]
 
         def once(body: bytes) -> tuple[int, c.FleetNews]:
-            if broken:
-                raise broken.pop()
+            if pending_errors:
+                raise pending_errors.pop()
             return read(body)
 
         monkeypatch.setattr(node._list_reader, "read", once)
@@ -163,12 +167,12 @@
         server = await asyncio.start_server(agent, "127.0.0.1", 0)
         node.discovery.watch(server.sockets[0].getsockname(), PUSHED_TIMEOUTS)
         await until(lambda: node.discovery.answered_us >= 0)
-        await stopped(node, server)
+        await stop_watch(node, server)
 
     assert any("no such thing" in line for line in played(tmp_path, scenario))
 
 
-async def stopped(node: Node, server: asyncio.Server) -> None:
+async def stop_watch(node: Node, server: asyncio.Server) -> None:
     """End the watch, then the agent."""
     assert node.discovery._task is not None
     node.discovery._task.cancel()
@@ -176,8 +180,8 @@
     server.close()
 
 
-def test_an_agent_that_never_waits_does_not_get_the_core(tmp_path: Path) -> None:
-    """It was asked again at once, some thousands of times a second, beside the requests."""
+def test_agent_that_answers_watches_at_once_is_not_polled_without_pause(tmp_path: Path) -> None:
+    """Guards against thousands of watches a second, which take the processor from requests."""
 
     async def scenario(node: Node) -> None:
         agent = Agent(NOTHING)
@@ -188,15 +192,17 @@
         before, began = agent.calls, loop.time()
         await asyncio.sleep(10 * FAST_ANSWER_PAUSE_S)
         assert (agent.calls - before - 1) * FAST_ANSWER_PAUSE_S <= loop.time() - began
-        await stopped(node, server)
+        await stop_watch(node, server)
 
     assert played(tmp_path, scenario) == []
 
 
-def test_a_limit_below_the_configured_one_is_the_budget(tmp_path: Path, monkeypatch: Patch) -> None:
-    """Where the process itself may hold fewer descriptors than the file says, the file counted.
+def test_process_descriptor_limit_below_the_configured_one_applies(
+    tmp_path: Path, monkeypatch: Patch
+) -> None:
+    """Guards against a budget of descriptors above the limit of the process.
 
-    The node then ran into the limit, and neither discovery nor an endpoint could be reached.
+    The node ran into the limit, and could reach neither discovery nor an endpoint.
     """
     monkeypatch.setattr(resource, "getrlimit", lambda _: (100, 100))
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 512}
@@ -207,10 +213,10 @@
     assert played(tmp_path, scenario, limits=limits) == []
 
 
-def test_a_call_that_breaks_has_an_ending_at_once(tmp_path: Path, monkeypatch: Patch) -> None:
-    """An exception outside a short list ended the task alone.
+def test_call_that_raises_ends_at_once(tmp_path: Path, monkeypatch: Patch) -> None:
+    """Guards against an unexpected exception that ends only the call's task.
 
-    The request waited for its whole time, and one whose body flows, which has none, for good.
+    The request then waited until its deadline, and one with a streamed body, which has none, forever.
     """
 
     async def scenario(node: Node) -> None:
@@ -228,10 +234,10 @@
     assert any("no such thing" in line for line in played(tmp_path, scenario))
 
 
-def test_what_a_callback_raises_is_a_line_and_waits_for_nobody(tmp_path: Path) -> None:
-    """The loop's own handler writes a traceback to standard error.
+def test_exception_in_a_loop_callback_is_logged_without_blocking(tmp_path: Path) -> None:
+    """Guards against the loop's own handler, which writes a traceback to standard error.
 
-    That blocks the node where standard error is a pipe that nobody reads.
+    That blocks the node if standard error is a pipe that nobody reads.
     """
 
     async def scenario(node: Node) -> None:
@@ -246,10 +252,10 @@
     assert any("division" in line for line in played(tmp_path, scenario))
 
 
-def test_a_ban_whose_writing_breaks_is_no_yes(tmp_path: Path) -> None:
-    """An exception there was a fault line, and the effect behind it said yes all the same.
+def test_ban_that_could_not_be_stored_is_not_confirmed(tmp_path: Path) -> None:
+    """Guards against a ban that is confirmed although storing it has raised an exception.
 
-    The next process would not have known of that ban.
+    The node's next process would not have known of that ban.
     """
 
     class Broken(Handover):
@@ -270,26 +276,26 @@
     assert any("could not be written down" in line for line in played(tmp_path, scenario))
 
 
-def test_a_dropped_client_does_not_wait_for_the_collector(tmp_path: Path) -> None:
-    """A cancelled reading task and its inbound held each other.
+def test_dropped_connections_are_freed_without_the_garbage_collector(tmp_path: Path) -> None:
+    """Guards against a reference cycle between a cancelled reading task and its connection.
 
-    With thousands of clients that come and go, their buffers stood until the collector ran, 8 to 16 MB of a
-    limit of 40.
+    With thousands of clients that come and go, their buffers stayed until the garbage collector ran, 8 to 16
+    MB of a limit of 40.
     """
 
     def left() -> int:
         return sum(isinstance(x, DownstreamConnection) for x in gc.get_objects())
 
     async def scenario(node: Node) -> None:
-        gc.collect()  # what other tests have left behind is not this node's
+        gc.collect()  # discards what other tests have left
         before, clients = left(), [client_of(node) for _ in range(20)]
         await turns(3)
         gc.disable()
         try:
-            clients += [client_of(node) for _ in range(5)]  # whose tasks have not begun
-            for inbound in list(node.clients.connections.values()):
-                node.clients.drop(inbound)
-            del inbound
+            clients += [client_of(node) for _ in range(5)]  # their tasks have not started
+            for connection in list(node.clients.connections.values()):
+                node.clients.drop(connection)
+            del connection
             await turns(5)
             assert left() == before
         finally:
@@ -300,10 +306,10 @@
     played(tmp_path, scenario)
 
 
-def test_a_connection_taken_in_the_turn_of_a_stop_is_heard(tmp_path: Path) -> None:
-    """The accepting task was cancelled in the turn in which the loop had taken a connection for it.
+def test_connection_accepted_in_the_turn_of_a_stop_is_served(tmp_path: Path) -> None:
+    """Guards against cancelling the accept task in the turn in which the loop has a connection for it.
 
-    Nobody had that connection, and its client's request was turned back unread.
+    Nobody owned that connection, and its client's request was rejected unread.
     """
 
     async def scenario(node: Node) -> None:
@@ -321,7 +327,7 @@
 
             node._loop.add_reader(signal, stop)
             client = socket.create_connection(server.getsockname())
-            sent.send(b"x")  # both are seen by one look of the loop, the connection first
+            sent.send(b"x")  # the loop sees both in one poll, the connection first
             await until(lambda: node.clients.accept_task is None or node.clients.accept_task.done())
             assert len(node.clients.connections) == 1
         node._loop.remove_reader(signal)
@@ -331,10 +337,10 @@
     played(tmp_path, scenario)
 
 
-def test_a_listener_that_is_closed_takes_nobody(tmp_path: Path) -> None:
-    """The loop's pending accept held the socket open.
+def test_closed_listener_accepts_nobody(tmp_path: Path) -> None:
+    """Guards against a pending accept of the loop that holds the listener open.
 
-    A node that was leaving went on taking connections, and reset them when it left.
+    A node that was stopping accepted further connections, and reset them at its end.
     """
 
     async def scenario(node: Node) -> None:
@@ -354,12 +360,12 @@
     played(tmp_path, scenario)
 
 
-CHUNKED = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout-Ms: 2000\r\n"
+CHUNKED_REQUEST = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout-Ms: 2000\r\n"
            b"Transfer-Encoding: chunked\r\n\r\n")  # fmt: skip
 
 
 def pass_time(node: Node, clock: StandingClock, by_us: int) -> None:
-    """Let time pass, with every timer of the node as soon as it is due."""
+    """Let time pass, running every timer of the node when it is due."""
     until_us = clock.now() + by_us
     while node._timer is not None and node._timer_us < until_us:
         clock.advance(max(node._timer_us - clock.now(), 0) + 1)
@@ -367,11 +373,12 @@
     clock.advance(until_us - clock.now())
 
 
-def test_a_large_body_that_turns_malformed_ends_its_call_at_once(tmp_path: Path, monkeypatch: Patch) -> None:
-    """It could never be complete, yet its endpoint held a connection for it, and its client waited.
+def test_malformed_streamed_body_ends_its_call_at_once(tmp_path: Path, monkeypatch: Patch) -> None:
+    """Guards against a call that waits for a body that can't be completed any more.
 
-    Both lasted until the body counted as one that trickles. No time passes here but where the test says so:
-    the call ends by what the client has sent, and a machine that is slow makes no timer late.
+    The endpoint held a connection and the client waited until the body counted as too slow. Time passes only
+    where the test says so: the call ends because of what the client has sent, and a slow machine makes no
+    timer late.
     """
     monkeypatch.setattr("granitewell.net.loop.Clock", StandingClock)
 
@@ -379,16 +386,16 @@
         loop, clock = asyncio.get_running_loop(), node.clock
         assert isinstance(clock, StandingClock)
         endpoint, client = silent(node), client_of(node)
-        await loop.sock_sendall(client, CHUNKED + b"%x\r\n%s\r\n" % (70_000, bytes(70_000)))
+        await loop.sock_sendall(client, CHUNKED_REQUEST + b"%x\r\n%s\r\n" % (70_000, bytes(70_000)))
         await until(lambda: node._calls)
         await loop.sock_sendall(client, b"no chunk\r\n")
-        await until(lambda: not node.clients.connections and not node._tasks)  # nothing sweeps here
+        await until(lambda: not node.clients.connections and not node._tasks)  # no sweep runs here
         assert not node._calls and not node._core.held and node._memory.streams == 0
         client.close()
-        late, answers = client_of(node), b""  # the same written ahead, whose turn never comes
-        ahead = CHUNKED + b"%x\r\n%s\r\nno chunk\r\n" % (65_540, bytes(65_540))
-        await loop.sock_sendall(late, SMALL % (2, 2, b"hi") + ahead)
-        while not any(call.has_written for call in node._calls.values()):  # it may have run from there on
+        late, answers = client_of(node), b""  # the same, pipelined behind a request
+        ahead = CHUNKED_REQUEST + b"%x\r\n%s\r\nno chunk\r\n" % (65_540, bytes(65_540))
+        await loop.sock_sendall(late, SMALL_REQUEST % (2, 2, b"hi") + ahead)
+        while not any(call.has_written for call in node._calls.values()):  # from here on it may have run
             await turns()
             pass_time(node, clock, STEP_US)
         pass_time(node, clock, SMALL_TIMEOUT_US)
@@ -402,16 +409,14 @@
     assert {line.partition(":")[0] for line in played(tmp_path, scenario)} <= {"phase", "module", "bad"}
 
 
-def test_a_timer_that_comes_late_is_a_line_however_fast_the_machine(
-    tmp_path: Path, monkeypatch: Patch
-) -> None:
-    """What made the test above fail by chance: a machine without a free processor makes timers late."""
+def test_late_timer_is_logged(tmp_path: Path, monkeypatch: Patch) -> None:
+    """Checks the line that a machine without a free processor adds by chance to the test above."""
     monkeypatch.setattr("granitewell.net.loop.Clock", StandingClock)
 
     async def scenario(node: Node) -> None:
         assert isinstance(node.clock, StandingClock)
         endpoint, client = silent(node), client_of(node)
-        await asyncio.get_running_loop().sock_sendall(client, SMALL % (1, 2, b"hi"))
+        await asyncio.get_running_loop().sock_sendall(client, SMALL_REQUEST % (1, 2, b"hi"))
         await until(lambda: node._calls and node._timer is not None)
         node.clock.advance(node._timer_us + STALL_US - node.clock.now())
         node._on_timer()
@@ -422,34 +427,34 @@
     assert [line for line in played(tmp_path, scenario) if line.startswith("stall: 20 ms late")]
 
 
-def broken(*_: object) -> Any:
+def raise_error(*_: object) -> Any:
     raise RuntimeError("no such thing")
 
 
-PATIENT = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout-Ms: 9000\r\n"
+LONG_DEADLINE_REQUEST = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout-Ms: 9000\r\n"
            b"Content-Length: 2\r\n\r\nhi")  # fmt: skip
 
 
 @pytest.mark.parametrize(("what", "raw"), [
-    ("http1.final_response_bytes", SMALL % (1, 2, b"hi")),  # its answer can't be made,
-    ("downstream.Downstream._write", SMALL % (1, 2, b"hi")),  # nor be written,
+    ("http1.final_response_bytes", SMALL_REQUEST % (1, 2, b"hi")),  # its answer can't be built,
+    ("downstream.Downstream._write", SMALL_REQUEST % (1, 2, b"hi")),  # nor be written,
     ("downstream.Downstream.on_answer_written", b"GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n"),  # nor end
-    ("loop._OutboundCall", PATIENT),  # its call can't begin
-    ("http1.StreamedBody.take", LONG % 1 + bytes(70_000)),  # its body can't be read
+    ("loop._OutboundCall", LONG_DEADLINE_REQUEST),  # its call can't begin
+    ("http1.StreamedBody.take", LARGE_REQUEST % 1 + bytes(70_000)),  # its body can't be read
 ], ids=["answer", "write", "end", "call", "body"])  # fmt: skip
-def test_what_breaks_under_way_leaves_nothing_behind(
+def test_exception_during_a_request_leaves_nothing_behind(
     tmp_path: Path, monkeypatch: Patch, what: str, raw: bytes
 ) -> None:
-    """An effect that failed was a line of the log and nothing else.
+    """Guards against an effect whose exception is logged without further consequences.
 
-    Its client was held with no answer, its connection counted as at work for good, and its call as out.
+    The client got no answer, its connection counted as busy forever, and its call as in progress.
     """
 
     async def scenario(node: Node) -> None:
         endpoint, client = silent(node), client_of(node)
-        monkeypatch.setattr(f"granitewell.net.{what}", broken)
-        await pushed(client, raw)
-        async with asyncio.timeout(5.0):  # far less than the time of the request whose call can't begin
+        monkeypatch.setattr(f"granitewell.net.{what}", raise_error)
+        await send_available(client, raw)
+        async with asyncio.timeout(5.0):  # far less than the deadline of the request whose call can't begin
             while node.clients.connections and ("on_answer_written" in what or not is_readable(client)):
                 await asyncio.sleep(0.01)
         client.close()
@@ -460,14 +465,14 @@
     assert any(line.startswith("fault") for line in played(tmp_path, scenario))
 
 
-def test_a_dial_without_a_socket_holds_none(tmp_path: Path, monkeypatch: Patch) -> None:
-    """Each counted as held for good.
+def test_failed_socket_creation_is_not_counted_as_open(tmp_path: Path, monkeypatch: Patch) -> None:
+    """Guards against counting a connection whose socket could not be created.
 
-    After some hundred, of which an endpoint of an address family that the machine does not have is enough,
-    the node dialed nobody any more.
+    After some hundred such failures, for which one endpoint of an unsupported address family is enough, the
+    node dialed nobody any more.
     """
     monkeypatch.setattr(
-        "granitewell.net.pool.new_tcp_socket", lambda _: broken_with(OSError(24, "Too many open files"))
+        "granitewell.net.pool.new_tcp_socket", lambda _: raise_this(OSError(24, "Too many open files"))
     )
 
     async def scenario(node: Node) -> None:
@@ -478,12 +483,12 @@
     assert [line.partition(":")[0] for line in played(tmp_path, scenario)] == ["dial"] * 3
 
 
-def broken_with(error: Exception) -> Any:
+def raise_this(error: Exception) -> Any:
     raise error
 
 
-def test_the_status_outlives_what_was_not_foreseen(tmp_path: Path, monkeypatch: Patch) -> None:
-    """Whoever looked after that waited for good, at a socket that was there."""
+def test_status_server_goes_on_after_an_unexpected_exception(tmp_path: Path, monkeypatch: Patch) -> None:
+    """Guards against an accept task that ends: later callers wait forever at a socket that is still there."""
 
     async def scenario(node: Node) -> None:
         spawn, breaks = node._spawn, [True]
@@ -492,7 +497,7 @@
             if breaks and job.__name__ == "_serve":
                 job.close()
                 breaks.clear()
-                broken()
+                raise_error()
             return spawn(job)
 
         monkeypatch.setattr(node, "_spawn", once)
@@ -503,7 +508,7 @@
             await until(lambda: not breaks)
             client.setblocking(False)
             client.connect(place)
-            await pushed(client, b"GET /status HTTP/1.1\r\nHost: n\r\n\r\n")
+            await send_available(client, b"GET /status HTTP/1.1\r\nHost: n\r\n\r\n")
             await until(lambda: is_readable(client))
             assert client.recv(4096).startswith(b"HTTP/1.1 ")
         door.close()
@@ -512,21 +517,21 @@
 
 
 @pytest.mark.parametrize("what", ["loop.Node._check_handover", "downstream.too_slow"])
-def test_a_sweep_that_breaks_over_one_looks_at_the_others(
+def test_sweep_failure_over_one_connection_does_not_skip_the_others(
     tmp_path: Path, monkeypatch: Patch, what: str
 ) -> None:
-    """One exception kept all that stood behind it from being swept, each time.
+    """Guards against an exception over one connection that keeps those after it from being checked.
 
     Idle connections stayed until their clients left.
     """
 
     async def scenario(node: Node) -> None:
         half, idle = client_of(node), client_of(node)
-        await pushed(half, b"GET /tax")
+        await send_available(half, b"GET /tax")
         await turns()
-        for inbound in node.clients.connections.values():
-            inbound.last_activity_us -= 10_000_000
-        monkeypatch.setattr(f"granitewell.net.{what}", broken)
+        for connection in node.clients.connections.values():
+            connection.last_activity_us -= 10_000_000
+        monkeypatch.setattr(f"granitewell.net.{what}", raise_error)
         node._sweep()
         await until(lambda: len(node.clients.connections) <= ("_check_handover" in what))
         half.close()
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,9 +1,8 @@
-"""Every point at which the process can be stopped, and each byte at which a connection can.
+"""Stops the process at every step, and connections at every byte; then starts it again.
 
-Stop there, start again, and hold what was promised before against what is there after.
-
-A child is the program with one function wrapped: at its so-many-th call the process kills itself, or gets a
-signal, before or after. The next process is always the plain program, on the same listener and folder.
+What was promised before is compared with what holds after. A child process is the program with one function
+wrapped: before or after its n-th call it kills itself or gets a signal. The next process is always the plain
+program, on the same listener and folder.
 """
 
 from __future__ import annotations
@@ -46,8 +45,8 @@
 setattr(owner, name, wrapped)
 sys.exit(program.main())
 """
-# A signal that comes at the very end: the interpreter has given all handlers back, and a worker thread that
-# blocks no signal is still there. libc calls kill(0, SIGNAL) then, as the process leaves with 0: to the
+# A signal at the very end: the interpreter has restored all default handlers, and a worker thread that
+# blocks no signal still runs. As the process exits with 0, libc calls kill(0, SIGNAL), which signals the
 # process's own group.
 CHILD_AT_ITS_END = """
 import ctypes, os, sys, threading
@@ -64,17 +63,17 @@
 
 
 def at(target: str, when: str = "before", count: int = 1, *signals: int) -> tuple[str, ...]:
-    """A program that stops at this point."""
+    """Return the arguments of a program that stops at this point."""
     return "-c", CHILD, target, when, str(count), ",".join(str(int(x)) for x in signals or (KILL,))
 
 
-def named(program: object) -> str:
-    """For the list of tests."""
+def case_name(program: object) -> str:
+    """Return the name of a case in the list of tests."""
     return f"{program[2]}-{program[3]}" if isinstance(program, tuple) else ""
 
 
 class Ledger(Agent):
-    """An endpoint that counts how often each request has come whole."""
+    """An endpoint that counts how often it has received each complete request."""
 
     def __init__(self) -> None:
         self.ran = Counter[bytes]()
@@ -105,8 +104,8 @@
         made.close()
 
 
-def asked(site: Site, raw: bytes) -> bytes:
-    """What one client gets for this on a connection of its own; empty where it ends without an answer."""
+def answer_to(site: Site, raw: bytes) -> bytes:
+    """Send a request on a connection of its own; return the answer, empty if there is none."""
     with socket.create_connection(site.listener.getsockname(), LIMIT_S) as sock:
         sock.settimeout(LIMIT_S)
         try:
@@ -116,19 +115,19 @@
             return b""
 
 
-def booked(site: Site, rid: bytes) -> bytes:
-    return asked(site, BOOK % rid)
+def booking_answer(site: Site, rid: bytes) -> bytes:
+    return answer_to(site, BOOK % rid)
 
 
-def called(site: Site, console: Any, what: str) -> int:
+def console_status(site: Site, console: Any, what: str) -> int:
     try:
         return site.call(console, f"/dispatch-servers/{what}", "s-a")
     except (OSError, IndexError):
         return 0
 
 
-def said(site: Site, text: bytes) -> bool:
-    """Whether the process that was started last writes such a line, in a test's time."""
+def has_logged(site: Site, text: bytes) -> bool:
+    """Return whether the process that was started last logs such a line within the time limit."""
     process = site.started[-1]
     assert process.stderr is not None
     limit = threading.Timer(LIMIT_S, process.kill)
@@ -139,16 +138,16 @@
         limit.cancel()
 
 
-def ended(site: Site) -> int:
-    """The exit code of the process that was started last."""
+def exit_code(site: Site) -> int:
+    """Return the exit code of the process that was started last."""
     return site.started[-1].wait(LIMIT_S)
 
 
-# --- Killed ------------------------------------------------------------------------------------------------
-AT_THE_START = [
+# --- Kills ----------------------------------------------------------------------------------------------
+DURING_START = [
     at("granitewell.__main__:load", "after"),
     at("granitewell.__main__:Handover.enter"),
-    at("os:rename"),  # its file is there and locked, and not yet named
+    at("os:rename"),  # its file is locked, but not renamed yet
     at("os:rename", "after"),
     at("granitewell.net.loop:open_listener"),
     at("granitewell.net.loop:open_listener", "after"),
@@ -158,21 +157,21 @@
 ]
 
 
-@pytest.mark.parametrize("program", AT_THE_START, ids=named)
-def test_killed_at_the_start_the_next_one_keeps_the_bans(site: Site, program: tuple[str, ...]) -> None:
+@pytest.mark.parametrize("program", DURING_START, ids=case_name)
+def test_bans_survive_a_kill_during_the_start(site: Site, program: tuple[str, ...]) -> None:
     console = site.start()
     site.ready(console)
-    assert called(site, console, "disable") == 200
-    site.start(program=program)  # the next version, beside it
-    assert ended(site) == -KILL
-    assert site.call(console, "/ready") == 200 and booked(site, b"r1").startswith(b"HTTP/1.1 503")
+    assert console_status(site, console, "disable") == 200
+    site.start(program=program)  # the next version, next to it
+    assert exit_code(site) == -KILL
+    assert site.call(console, "/ready") == 200 and booking_answer(site, b"r1").startswith(b"HTTP/1.1 503")
     site.started[0].kill()
     site.started[0].wait(LIMIT_S)
     again = site.start()
     site.ready(again)
-    assert booked(site, b"r2").startswith(b"HTTP/1.1 503")  # the ban had its yes
-    assert called(site, again, "enable") == 200
-    site.until(lambda: booked(site, os.urandom(4).hex().encode()).startswith(b"HTTP/1.1 200"))
+    assert booking_answer(site, b"r2").startswith(b"HTTP/1.1 503")  # the ban was confirmed
+    assert console_status(site, again, "enable") == 200
+    site.until(lambda: booking_answer(site, os.urandom(4).hex().encode()).startswith(b"HTTP/1.1 200"))
     site.until(lambda: len([x for x in os.scandir(next(folders(site))) if x.name.startswith("run-")
                             and not x.name.endswith(".new")]) == 1)  # fmt: skip
 
@@ -181,39 +180,39 @@
     yield from Path(site.folder.name).glob("granitewell-*")
 
 
-IN_A_CALL = [
+DURING_CONSOLE_REQUEST = [
     at("granitewell.net.console:Console._handle"),  # read
     at("granitewell.net.loop:Node._keep_ban"),  # in force
-    at("os:rename", "before", 2),  # written, not yet named
+    at("os:rename", "before", 2),  # written, not renamed yet
     at("os:rename", "after", 2),
     at("granitewell.net.loop:Node._keep_ban", "after"),
-    at("granitewell.net.console:response_bytes", "after"),  # written down, not yet said
+    at("granitewell.net.console:response_bytes", "after"),  # stored, not confirmed yet
 ]
 
 
 @pytest.mark.parametrize("what", ["disable", "enable"])
-@pytest.mark.parametrize("program", IN_A_CALL, ids=named)
-def test_killed_in_an_operators_call_either_word_holds_and_no_half_one(
+@pytest.mark.parametrize("program", DURING_CONSOLE_REQUEST, ids=case_name)
+def test_ban_is_stored_completely_or_not_at_all_if_the_process_is_killed(
     site: Site, program: tuple[str, ...], what: str
 ) -> None:
-    """The call got no yes: the next process may know of it or not. What had its yes before, holds."""
+    """The call was not confirmed, so the next process may know of it or not. Confirmed calls hold."""
     first = site.start()
     site.ready(first)
     if what == "enable":
-        assert called(site, first, "disable") == 200
+        assert console_status(site, first, "disable") == 200
     console = site.start(program=program)
-    # its /ready is an answer, too, and must not be the one that it stops at
-    assert said(site, b"ready with")
-    assert called(site, console, what) == 0
-    assert ended(site) == -KILL
+    # the answer to /ready must not be the one at which it stops
+    assert has_logged(site, b"ready with")
+    assert console_status(site, console, what) == 0
+    assert exit_code(site) == -KILL
     site.started[0].kill()
     site.started[0].wait(LIMIT_S)
     last = site.start()
     site.ready(last)
-    assert booked(site, b"r1")[:12] in (b"HTTP/1.1 503", b"HTTP/1.1 200")
+    assert booking_answer(site, b"r1")[:12] in (b"HTTP/1.1 503", b"HTTP/1.1 200")
     for word, says in (("disable", b"HTTP/1.1 503"), ("enable", b"HTTP/1.1 200")):
-        assert called(site, last, word) == 200
-        site.until(lambda says=says: booked(site, os.urandom(4).hex().encode()).startswith(says))
+        assert console_status(site, last, word) == 200
+        site.until(lambda says=says: booking_answer(site, os.urandom(4).hex().encode()).startswith(says))
 
 
 WHILE_SERVING = [
@@ -221,7 +220,7 @@
     at("granitewell.net.downstream:Downstream._start_next_request"),
     at("granitewell.net.loop:Node.dispatch", "after", 5),
     at("granitewell.net.http1:request_bytes"),
-    at("granitewell.net.http1:ResponseParser.feed", "before", 3),  # discovery's come first
+    at("granitewell.net.http1:ResponseParser.feed", "before", 3),  # discovery's responses come first
     at("granitewell.net.http1:final_response_bytes"),
     at("granitewell.net.downstream:Downstream.write_response"),
     at("granitewell.net.downstream:Downstream.write_response", "after"),
@@ -229,21 +228,21 @@
 ]
 
 
-@pytest.mark.parametrize("program", WHILE_SERVING, ids=named)
-def test_killed_while_serving_nothing_runs_again(site: Site, program: tuple[str, ...]) -> None:
-    """What a killed process had taken is lost, and its client hears that at once; no other sends it again."""
+@pytest.mark.parametrize("program", WHILE_SERVING, ids=case_name)
+def test_requests_of_a_killed_process_are_not_repeated(site: Site, program: tuple[str, ...]) -> None:
+    """What a killed process had accepted is lost; its client notices at once, and no process repeats it."""
     site.start(program=program)
-    got = booked(site, b"r1")
-    assert got in (b"", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") and ended(site) == -KILL
+    got = booking_answer(site, b"r1")
+    assert got in (b"", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") and exit_code(site) == -KILL
     console = site.start()
     site.ready(console)
-    assert booked(site, b"r2").startswith(b"HTTP/1.1 200")
+    assert booking_answer(site, b"r2").startswith(b"HTTP/1.1 200")
     ran = site.agent.ran  # type: ignore[attr-defined]
     assert ran[b"r1"] <= 1 and ran[b"r2"] == 1
     assert ran[b"r1"] == 1 or got == b""
 
 
-IN_AN_UPGRADE = [
+DURING_UPGRADE = [
     (0, at("granitewell.net.loop:Node.stop"), "old, asked to stop"),
     (0, at("granitewell.net.loop:Node.stop", "after"), "old, stopping"),
     (0, at("granitewell.net.downstream:Downstream._release", "after"), "old, off the listener"),
@@ -253,13 +252,13 @@
 ]
 
 
-@pytest.mark.parametrize(("which", "program", "name"), IN_AN_UPGRADE, ids=[x[2] for x in IN_AN_UPGRADE])
-def test_killed_in_an_upgrade_the_other_one_serves(
+@pytest.mark.parametrize(("which", "program", "name"), DURING_UPGRADE, ids=[x[2] for x in DURING_UPGRADE])
+def test_other_process_serves_if_one_is_killed_during_an_upgrade(
     site: Site, which: int, program: tuple[str, ...], name: str
 ) -> None:
     plain = ("-m", "granitewell")
     old = site.start(program=plain if which else program)
-    site.until(lambda: asked(site, ASK % b"x").startswith(b"HTTP/1.1 200"))
+    site.until(lambda: answer_to(site, ASK % b"x").startswith(b"HTTP/1.1 200"))
     new = site.start(program=program if which else plain)
     if which:
         site.until(lambda: (ready(site, new), site.started[1].poll())[1] is not None)
@@ -272,9 +271,9 @@
     assert site.started[which].returncode == -KILL
     assert site.call(left, "/ready") == 200
     for k in range(5):
-        assert booked(site, b"u%d" % k).startswith(b"HTTP/1.1 200")
+        assert booking_answer(site, b"u%d" % k).startswith(b"HTTP/1.1 200")
     assert max(site.agent.ran.values()) == 1  # type: ignore[attr-defined]
-    again = site.start()  # and the platform may try once more
+    again = site.start()  # the platform may try again
     site.ready(again)
 
 
@@ -285,36 +284,38 @@
         return False
 
 
-IN_A_RELOAD = [
+DURING_RELOAD = [
     at("granitewell.__main__:reload", "after"),
     at("granitewell.net.loop:Node._apply_settings"),
     at("granitewell.net.loop:Node._apply_settings", "after"),
 ]
 
 
-@pytest.mark.parametrize("program", IN_A_RELOAD, ids=named)
-def test_killed_in_a_reload_the_next_one_has_the_file(site: Site, program: tuple[str, ...]) -> None:
+@pytest.mark.parametrize("program", DURING_RELOAD, ids=case_name)
+def test_next_process_uses_the_new_file_after_a_kill_during_a_reload(
+    site: Site, program: tuple[str, ...]
+) -> None:
     site.ready(site.start(program=program))
     path = Path(site.folder.name, "config0.json")
     path.write_text(path.read_text().replace('"taxi-lookup"', '"taxi-look"'))
     site.started[0].send_signal(signal.SIGHUP)
-    assert ended(site) == -KILL
+    assert exit_code(site) == -KILL
     site.ready(site.start())
-    assert booked(site, b"r1").startswith(b"HTTP/1.1 200")
+    assert booking_answer(site, b"r1").startswith(b"HTTP/1.1 200")
 
 
-# --- Signals -----------------------------------------------------------------------------------------------
-def test_a_reload_asked_for_while_it_starts_is_taken_up(site: Site) -> None:
-    """SIGHUP was ignored until the loop ran, and the file had been read before.
+# --- Signals --------------------------------------------------------------------------------------------
+def test_reload_requested_during_the_start_is_applied(site: Site) -> None:
+    """Guards against ignoring SIGHUP between reading the file and starting the loop.
 
-    The node kept the old settings, without a line, until the next SIGHUP.
+    The node kept the old settings, without a line in the log, until the next SIGHUP.
     """
     site.start(program=at("granitewell.__main__:load", "after", 1, signal.SIGHUP))
-    assert said(site, b"discovery is now")
+    assert has_logged(site, b"discovery is now")
 
 
 TERM, INT, HUP = signal.SIGTERM, signal.SIGINT, signal.SIGHUP
-EARLY_AND_LATE = [
+STOP_TIMES = [
     (at("granitewell.__main__:load", "before", 1, TERM), b""),
     (at("granitewell.__main__:load", "before", 1, INT), b""),
     (at("granitewell.__main__:Handover.enter", "after", 1, TERM), b""),
@@ -325,12 +326,12 @@
 ]
 
 
-@pytest.mark.parametrize(("program", "says"), EARLY_AND_LATE, ids=named)
-def test_asked_to_stop_at_any_time_it_leaves_with_0(site: Site, program: Any, says: bytes) -> None:
-    """SIGTERM and SIGHUP must not end the process by themselves, at any moment.
+@pytest.mark.parametrize(("program", "says"), STOP_TIMES, ids=case_name)
+def test_stop_at_any_time_exits_with_0(site: Site, program: Any, says: bytes) -> None:
+    """Guards against a default action of SIGTERM or SIGHUP that ends the process.
 
-    They did before its handlers were there, and once the loop was closed, with another code than that of a
-    stop that was asked for.
+    Before the handlers were installed, and after the loop was closed, the process ended with an exit code
+    other than that of a requested stop.
     """
     console = site.start(program=program)
     if "Runner.close" in program[2] or "Node.stop" in program[2]:
@@ -342,16 +343,16 @@
 
 
 @pytest.mark.parametrize("number", [TERM, INT, HUP], ids=lambda number: number.name)
-def test_a_signal_behind_the_interpreters_end_changes_no_exit_code(
+def test_signal_after_the_interpreters_shutdown_keeps_the_exit_code(
     site: Site, number: signal.Signals
 ) -> None:
-    """The default action ended the process, where a worker thread took what the main one blocks."""
+    """Guards against the default action where a worker thread receives what the main thread blocks."""
     site.ready(site.start(program=("-c", CHILD_AT_ITS_END, str(int(number)))))
     site.started[0].send_signal(signal.SIGTERM)
-    assert ended(site) == 0
+    assert exit_code(site) == 0
 
 
-# --- Shortages ---------------------------------------------------------------------------------------------
+# --- Shortages ------------------------------------------------------------------------------------------
 def full_pipe() -> tuple[int, int]:
     """A pipe that takes no more, and blocks who writes."""
     reader, writer = os.pipe()
@@ -364,19 +365,21 @@
     return reader, writer
 
 
-def test_a_full_log_pipe_stops_neither_the_node_nor_its_end(site: Site) -> None:
-    """Nobody reads what it writes, from its first line on."""
+def test_full_log_pipe_blocks_neither_requests_nor_the_exit(site: Site) -> None:
+    """Nobody reads the log, from the first line on."""
     reader, writer = full_pipe()
     console = site.start(stderr=writer)
     site.ready(console)
-    assert called(site, console, "disable") == 200 and booked(site, b"r1").startswith(b"HTTP/1.1 503")
+    assert console_status(site, console, "disable") == 200 and booking_answer(site, b"r1").startswith(
+        b"HTTP/1.1 503"
+    )
     site.started[0].send_signal(signal.SIGTERM)
-    assert ended(site) == 0
+    assert exit_code(site) == 0
     os.close(reader)
     os.close(writer)
 
 
-ODD = """
+NOISY_PROGRAM = """
 import sys, warnings
 from granitewell import __main__ as program
 from granitewell.net.loop import Node
@@ -393,13 +396,13 @@
 """
 
 
-def test_what_python_itself_has_to_say_waits_for_nobody(site: Site) -> None:
-    """A finaliser's exception, or a warning, went to a pipe that nobody read, and the node stood still."""
+def test_warnings_and_unraisable_exceptions_do_not_block(site: Site) -> None:
+    """Guards against Python's own output to a pipe that nobody reads, which blocked the node."""
     reader, writer = full_pipe()
-    console = site.start(program=("-W", "always", "-c", ODD), stderr=writer)
+    console = site.start(program=("-W", "always", "-c", NOISY_PROGRAM), stderr=writer)
     site.until(lambda: ready(site, console))
-    for k in range(30):  # for some sweeps
-        assert booked(site, b"r%d" % k).startswith(b"HTTP/1.1 200")
+    for k in range(30):  # during several sweeps
+        assert booking_answer(site, b"r%d" % k).startswith(b"HTTP/1.1 200")
         time.sleep(0.02)
     while select.select([reader], [], [], 0)[0]:
         os.read(reader, 65536)
@@ -408,12 +411,12 @@
     os.close(writer)
 
 
-def test_without_room_in_the_folder_a_ban_gets_no_yes_and_the_node_serves(site: Site) -> None:
-    """The shortage is a limit on the size of the files that this child writes."""
+def test_ban_is_not_confirmed_without_disk_space_and_the_node_serves(site: Site) -> None:
+    """The shortage is a limit on the size of files that this child writes."""
     limit = "import resource, runpy; resource.setrlimit(resource.RLIMIT_FSIZE, (0, 0)); "
     console = site.start(program=("-c", limit + "runpy.run_module('granitewell', run_name='__main__')"))
     site.ready(console)
-    assert called(site, console, "disable") == 500
+    assert console_status(site, console, "disable") == 500
     assert site.call(console, "/ready") == 200
     site.started[0].send_signal(signal.SIGTERM)
-    assert ended(site) == 0
+    assert exit_code(site) == 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,6 +1,6 @@
-"""Two processes on one inherited listening socket.
+"""Two processes of one node on an inherited listener.
 
-The start of the next, the stop of the old, and bans between them.
+Covers the start of the next process, the stop of the old one, and bans that both must keep.
 """
 
 from __future__ import annotations
@@ -36,18 +36,18 @@
 
 
 def answered(sock: socket.socket, rid: bytes) -> bytes:
-    """What comes back for one request on this connection."""
+    """Send a request on this connection and return the answer."""
     sock.settimeout(LIMIT_S)
     sock.sendall(ASK % rid)
     return sock.recv(4096)
 
 
 class Agent:
-    """Discovery and one endpoint, served by threads for as many processes as come."""
+    """Discovery and one endpoint, served by threads for any number of processes."""
 
     def __init__(self) -> None:
         self.discovery, self.endpoint = (socket.create_server(("127.0.0.1", 0)) for _ in range(2))
-        self.asked: list[int] = []  # ports from which requests have come
+        self.asked: list[int] = []  # ports that requests came from
         for server, serve in ((self.discovery, self._list), (self.endpoint, self._serve)):
             threading.Thread(target=self._accept, args=(server, serve), daemon=True).start()
 
@@ -96,13 +96,16 @@
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.folder = tempfile.TemporaryDirectory()
         self.started: list[subprocess.Popen[bytes]] = []
-        self.desks: list[socket.socket] = []  # that keep the consoles' addresses
+        self.desks: list[socket.socket] = []  # reserve the consoles' addresses
 
     def start(
         self, listen: socket.socket | None = None, fd: int | None = None, passed: socket.socket | None = None,
         program: tuple[str, ...] = ("-m", "granitewell"), stderr: int = subprocess.PIPE,
     ) -> tuple[str, int]:  # fmt: skip
-        """Start `run` once more, or something else with its configuration; the console's address."""
+        """Start another process of the node, or another program with its configuration.
+
+        Returns the console's address.
+        """
         passed = passed or self.listener
         self.desks.append(reserved())
         console: tuple[str, int] = self.desks[-1].getsockname()
@@ -123,7 +126,7 @@
         return console
 
     def call(self, console: tuple[Any, ...], path: str, body: str = "") -> int:
-        """An operator's call; 0 while nobody listens."""
+        """Send a request to a console; return its status, 0 if nobody listens."""
         try:
             with socket.create_connection(console, LIMIT_S) as sock:
                 verb = "POST" if body else "GET"
@@ -159,11 +162,11 @@
         made.close()
 
 
-def test_the_next_version_takes_over_without_a_closed_door(site: Site) -> None:
-    """The old process used to own the address.
+def test_next_version_takes_over_without_refusing_clients(site: Site) -> None:
+    """Guards against an old process that owns the address, so that the next one exits with 1.
 
-    The next one ended with exit code 1. Clients keep what they hold: a connection to the old one is answered
-    once more and told to close, never cut off.
+    Clients keep their connections: one to the old process is answered once more and told to close, never
+    reset.
     """
     old = site.start()
     site.ready(old)
@@ -178,14 +181,14 @@
         got = answered(sock, b"b%d" % k)
         assert got.startswith(b"HTTP/1.1 200") and b"Connection: close" in got
         sock.close()
-    for k in range(20):  # the door: each of these is a new connection
+    for k in range(20):  # each on a new connection
         with socket.create_connection(site.listener.getsockname(), LIMIT_S) as sock:
             assert answered(sock, b"c%d" % k).startswith(b"HTTP/1.1 200")
     assert site.started[0].wait(LIMIT_S) == 0
     assert site.call(new, "/ready") == 200 and site.started[1].poll() is None
 
 
-def test_a_ban_binds_both_processes_and_outlives_the_old_one(site: Site) -> None:
+def test_ban_applies_to_both_processes_and_outlives_the_old_one(site: Site) -> None:
     old = site.start()
     site.ready(old)
     assert site.call(old, "/dispatch-servers/disable", "s-a") == 200
@@ -197,7 +200,8 @@
         assert answered(sock, b"d").startswith(b"HTTP/1.1 503")
     third = site.start()
     site.ready(third)
-    assert site.call(third, "/dispatch-servers/enable", "s-a") == 200  # called at one, heard by the other
+    # requested at one process, applied by the other
+    assert site.call(third, "/dispatch-servers/enable", "s-a") == 200
 
     def served() -> bool:
         with socket.create_connection(site.listener.getsockname(), LIMIT_S) as sock:
@@ -209,8 +213,8 @@
 
 
 @pytest.mark.parametrize("what", ["no socket", "does not listen", "listens at"])
-def test_a_descriptor_that_is_not_the_listener_is_a_clear_error(site: Site, what: str) -> None:
-    """A node that took it all the same would accept nobody, or answer at another's address."""
+def test_inherited_descriptor_that_is_not_the_listener_is_an_error(site: Site, what: str) -> None:
+    """Otherwise the node would accept nobody, or answer at another address."""
     other = socket.create_server(("127.0.0.1", 0))
     idle = socket.socket()
     try:
@@ -229,8 +233,8 @@
         idle.close()
 
 
-class Said(Handover):
-    """A hand-over folder that says what its test wants, and what was claimed here."""
+class FakeHandover(Handover):
+    """A handover folder with claims that the test sets; notes the claim of this process."""
 
     def __init__(self, others: list[int]) -> None:
         super().__init__("", "n0")
@@ -243,22 +247,22 @@
         self.claimed = descriptors
 
 
-def test_two_processes_keep_to_one_limit_of_descriptors_and_leave_none_unused(tmp_path: Path) -> None:
-    """Cut in halves, the next process had room for 70 clients in a crowd.
+def test_two_processes_share_all_descriptors_within_one_limit(tmp_path: Path) -> None:
+    """Guards against dividing the descriptors in halves.
 
-    It accepted no more, and 74 requests of one upgrade ended at the door. Only the next one ever takes more:
-    what the old one leaves.
+    The next process then had room for 70 clients in a crowd and accepted no more, and 74 requests of one
+    upgrade failed at the listener. Only the next process ever gains: what the old one leaves.
     """
     config = load(write(tmp_path, limits={"cores": 1.0, "memory_mb": 80, "sockets": 384}))
     seen = []
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        files = Said([]), Said([384])
+        files = FakeHandover([]), FakeHandover([384])
         made = [Core(config.settings, Balancer(config.settings, 1), 9) for _ in files]
         old, new = (Node(config, core, loop, x) for core, x in zip(made, files, strict=True))
         new._is_older, old.clients.listener, old.pool.open_count = False, socket.socket(), 100
-        old._share_descriptors([-1])  # the next one has not said a word yet
+        old._share_descriptors([-1])  # the next process has made no claim yet
         new._share_descriptors([files[0].claimed])
         seen.append((old._own_descriptors, new._own_descriptors))
         old.clients.listener.close()
@@ -278,10 +282,11 @@
     assert olds == sorted(olds, reverse=True) and olds[1] < olds[0]
 
 
-def test_a_start_beside_another_process_rests_between_its_imports(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It took the CPU limit that both share, and the old process stood still for up to 130 ms.
+def test_start_next_to_another_process_pauses_between_imports(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against using up the CPU limit that both processes share.
 
-    Under load clients had no connection left meanwhile, and their requests were turned back unread.
+    The old process was stopped for up to 130 ms. Under load its clients then had no connection left, and
+    their requests were rejected unread.
     """
     worked, rested = [0.0], list[float]()
     monkeypatch.setattr(time, "process_time", lambda: worked[0])
@@ -298,14 +303,13 @@
     assert rested[:2] == pytest.approx(
         [startup_pacing.WORK_S * startup_pacing.REST, 0.05 * startup_pacing.REST]
     )
-    assert len(rested) == 3 and sum(rested) == pytest.approx(
-        startup_pacing.MAX_S
-    )  # a slow machine is ready in time
+    # a slow machine is ready in time
+    assert len(rested) == 3 and sum(rested) == pytest.approx(startup_pacing.MAX_S)
     assert sys.meta_path == finders
 
 
 @pytest.mark.parametrize("fd", ["4", ""])
-def test_only_a_start_that_may_be_beside_another_is_paced(tmp_path: Path, fd: str) -> None:
+def test_only_a_start_with_an_inherited_listener_is_paced(tmp_path: Path, fd: str) -> None:
     watch = tmp_path / "sitecustomize.py"
     watch.write_text("import sys, time\ntime.sleep = lambda s: print('rested', file=sys.stderr)\n")
     env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against the byte examples of the wire's page, and what malformed input gets."""
+"""Tests the codec against the byte examples of the protocol's page, and its handling of malformed input."""
 
 import math
 
@@ -38,7 +38,7 @@
     return data[:4] + len(data).to_bytes(4, "little") + data[8:]
 
 
-def test_events_of_the_page() -> None:
+def test_events_of_the_documentation() -> None:
     now, events = simulator_protocol.Decoder().batch(unhex(HEX_EVENTS))
     assert now == 8412.25
     assert events == [
@@ -48,7 +48,7 @@
     ]
 
 
-def test_reply_of_the_page() -> None:
+def test_reply_of_the_documentation() -> None:
     actions = [
         simulator_protocol.record(3, t.Send(RID, w.HOST_A, 80.0)),
         simulator_protocol.record(3, t.SetTimer(8912.25, 77)),
@@ -57,13 +57,13 @@
     assert simulator_protocol.reply(actions) == unhex(HEX_REPLY)
 
 
-def test_empty_batch_of_the_page() -> None:
+def test_empty_batch_of_the_documentation() -> None:
     now, events = simulator_protocol.Decoder().batch(unhex("00000000 10000000 00000000206ec040"))
     assert (now, events) == (8412.25, [])
     assert simulator_protocol.reply([]) == unhex("00000000 08000000")
 
 
-def test_host_list_of_the_page() -> None:
+def test_host_list_of_the_documentation() -> None:
     _, events = simulator_protocol.Decoder().batch(sized(unhex(HEX_LISTS)))
     ((inst, hosts),) = events
     assert inst == 3
@@ -92,7 +92,7 @@
         ("32 03000000", simulator_protocol.Stop()),
     ],
 )
-def test_other_events_of_the_page(text: str, event: simulator_protocol.Incoming) -> None:
+def test_other_events_of_the_documentation(text: str, event: simulator_protocol.Incoming) -> None:
     assert simulator_protocol.Decoder().batch(w.frame(1.0, unhex(text)))[1] == [(3, event)]
 
 
@@ -109,11 +109,11 @@
         (t.Cancel(RID, 0), "50 03000000 c4913a5d825b0300 0000"),
     ],
 )
-def test_other_actions_of_the_page(action: t.Action, text: str) -> None:
+def test_other_actions_of_the_documentation(action: t.Action, text: str) -> None:
     assert simulator_protocol.record(3, action) == unhex(text)
 
 
-def test_fault_of_the_page() -> None:
+def test_fault_of_the_documentation() -> None:
     expected = unhex("46 03000000 1200 696e646578206f7574206f662072616e6765")
     assert simulator_protocol.fault(3, "index out of range") == expected
 
@@ -144,7 +144,7 @@
         assert simulator_protocol.Decoder().batch(w.frame(1.0, raw))[1] == [(7, expected)]
 
 
-def test_absurd_numbers_are_absent() -> None:
+def test_impossible_numbers_count_as_absent() -> None:
     raw = w.inbound(0, 1, 0, 50.0, math.nan), w.inbound(0, 2, 0, 50.0, -4.0)
     events = simulator_protocol.Decoder().batch(w.frame(1.0, *raw))[1]
     assert [e.work_hint for _, e in events if isinstance(e, t.Request)] == [0.0, 0.0]
@@ -164,12 +164,12 @@
         (w.frame(1.0, w.catalog(1, w.entry(w.HOST_A, 9))), "unknown host state 9"),
     ],
 )
-def test_malformed_frames_say_where(frame: bytes, says: str) -> None:
+def test_malformed_frame_is_reported_with_its_position(frame: bytes, says: str) -> None:
     with pytest.raises(simulator_protocol.WireError, match=says):
         simulator_protocol.Decoder().batch(frame)
 
 
-def test_settings_are_read_and_new_keys_skipped() -> None:
+def test_settings_are_read_and_unknown_keys_ignored() -> None:
     s = simulator_protocol.parse_settings(w.boot())
     assert (s.proxies, s.max_attempts, s.fall_ms) == (2, 4, 2000.0)
     assert s.classes[2].effect is t.Effect.KEYED and s.classes[2].scope is t.Scope.CELL
@@ -190,6 +190,6 @@
         (w.boot(stats=[]), r"stats \[\] is no object"),
     ],
 )
-def test_bad_settings_name_the_key(text: bytes, says: str) -> None:
+def test_invalid_settings_are_reported_with_their_key(text: bytes, says: str) -> None:
     with pytest.raises(simulator_protocol.WireError, match=says):
         simulator_protocol.parse_settings(text)
