--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -375,12 +375,12 @@
             self._node.log_line(topic, line)
 
     # --- Events and effects -----------------------------------------------------------------------------
-    def _on_message(self, heard: Heard) -> None:
+    def _on_message(self, message: Heard) -> None:
         """Pass a message on to the machine that its (not yet authenticated) header names."""
-        if self.shared_counters is not None and kind_of(heard.data) == Kind.COUNT:
-            self.shared_counters.on_message(heard)
+        if self.shared_counters is not None and kind_of(message.data) == Kind.COUNT:
+            self.shared_counters.on_message(message)
         else:
-            self._handle_membership(heard)
+            self._handle_membership(message)
 
     def _handle_membership(self, event: object) -> None:
         """Give the membership machine an event and run the effects that it returns."""
@@ -454,19 +454,19 @@
             return
         # the role of a member that failed before this node joined is unknown: it may be acting, so it counts
         role = self._settings.role
-        ours = [entry for entry in machine.everyone() if entry.about is None or entry.about.role == role]
+        same_role = [entry for entry in machine.everyone() if entry.about is None or entry.about.role == role]
         self._handle_size_estimate(
-            Seen({entry.name: stands(entry.standing.state.name.lower(), entry.by) for entry in ours})
+            Seen({entry.name: stands(entry.standing.state.name.lower(), entry.by) for entry in same_role})
         )
-        self._update_shared_counters(ours)
+        self._update_shared_counters(same_role)
 
-    def _update_shared_counters(self, ours: list[Entry]) -> None:
+    def _update_shared_counters(self, same_role: list[Entry]) -> None:
         """Tell the shared counters which nodes may be acting, including those that are unreachable."""
         shared_counters, size_estimate = self.shared_counters, self.size_estimate
         if shared_counters is None or size_estimate is None:
             return
         out = {*size_estimate.names(Place.OUT)}
-        known = {entry.name: entry for entry in ours}
+        known = {entry.name: entry for entry in same_role}
         active = [n for place in (Place.UP, Place.SILENT, Place.AWAY) for n in size_estimate.names(place)]
         places = {}
         for name in (*active, *out):
@@ -541,10 +541,8 @@
         digest = persisted_record.gist(record)
         if not always and digest == self._last_digest:
             return  # suspicions change many times a second and don't concern the next process
-        self._last_digest, self._reserved_seq = (
-            digest,
-            incarnation.seq,
-        )  # half of the reserved numbers last longer than any write takes
+        # half of the reserved numbers last longer than any write takes
+        self._last_digest, self._reserved_seq = digest, incarnation.seq
         self._disk_writer.write(persisted_record.form(record))
 
     def _on_write_error(self, line: str) -> None:
--- a/granitewell/net/listener.py
+++ b/granitewell/net/listener.py
@@ -42,16 +42,14 @@
     return listener
 
 
-def startup_delay_s(cpu_s: float, process_age_s: float, cores: float) -> float:
+def startup_delay_s(cpu_s: float, age_s: float, cores: float) -> float:
     """Return the seconds until the CPU time spent on starting fits a CPU limit below one core.
 
     Such a limit is enforced over short periods. A node that is ready too early is throttled while its first
     requests wait, longer than the slack of their deadlines; this happens to a young process even if its mean
     use is within the limit. Zero or less means no delay.
     """
-    return (
-        min(max(cpu_s / cores, MIN_AGE_S) - process_age_s, MAX_STARTUP_DELAY_S) if cores < 1.0 else 0.0
-    )  # under 0: none
+    return min(max(cpu_s / cores, MIN_AGE_S) - age_s, MAX_STARTUP_DELAY_S) if cores < 1.0 else 0.0
 
 
 def process_age_s() -> float:
--- a/granitewell/net/status.py
+++ b/granitewell/net/status.py
@@ -147,10 +147,10 @@
         try:
             async with asyncio.timeout(settings.seconds):
                 try:
-                    asked = wire.asked(
+                    query = wire.asked(
                         await self._read_head(sock), settings.worst, sock.family == socket.AF_INET
                     )
-                    raw = await self._answer(asked)
+                    raw = await self._answer(query)
                 except wire.RejectedQueryError as error:
                     raw = error.raw
                 except OSError:
@@ -191,27 +191,27 @@
             left -= len(more)
 
     # --- Answers ----------------------------------------------------------------------------------------
-    async def _answer(self, asked: wire.Asked) -> bytes:
+    async def _answer(self, query: wire.Asked) -> bytes:
         """Return a complete answer: a cached one, or one from the last or a new snapshot."""
-        if asked.path in wire.CLUSTER:
-            return wire.of_cluster(asked, self.cluster, self._bound is not None)
+        if query.path in wire.CLUSTER:
+            return wire.of_cluster(query, self.cluster, self._bound is not None)
         async with self._snapshot_lock:
             resting = self._snapshot is not None and self._clock.read_now() < self._rest_until_us
-            if resting and asked in self._responses:
-                return self._responses[asked]
+            if resting and query in self._responses:
+                return self._responses[query]
             if not resting or len(self._responses) >= MAX_CACHED_RESPONSES:
                 await self._take_snapshot()
             assert self._snapshot is not None
             try:
-                body = await self._run_in_steps(wire.body(asked, self._snapshot))
-                if asked.path == wire.METRICS and self.cluster is not None:
+                body = await self._run_in_steps(wire.body(query, self._snapshot))
+                if query.path == wire.METRICS and self.cluster is not None:
                     body += fleet.text(self.cluster.view()).encode()
                     if (counted := self.cluster.counted("")) is not None:
                         body += shared.text(counted).encode()
             finally:
                 self._schedule_rest()
-            self._responses[asked] = wire.answer(body, wire.KINDS[asked.path])
-            return self._responses[asked]
+            self._responses[query] = wire.answer(body, wire.KINDS[query.path])
+            return self._responses[query]
 
     async def _take_snapshot(self) -> None:
         """Build a new snapshot, once the rest is over."""
@@ -234,8 +234,8 @@
 
         It is short enough that a request that has to wait for it keeps half of its time.
         """
-        most_us = min(MAX_REST_US, self._settings.seconds * 500_000)
-        self._rest_until_us = self._snapshot_done_us + int(min(self._cost_us * REST_RATIO, most_us))
+        max_rest_us = min(MAX_REST_US, self._settings.seconds * 500_000)
+        self._rest_until_us = self._snapshot_done_us + int(min(self._cost_us * REST_RATIO, max_rest_us))
 
     async def _run_in_steps(self, steps: Generator[None, None, T]) -> T:
         """Run a generator to its end with a turn of the loop between steps; return its result."""
