--- a/granitewell/lab/mutants/catalogue.py
+++ b/granitewell/lab/mutants/catalogue.py
@@ -175,8 +175,11 @@
     _record("leftover-bytes", "bytes behind an answer are taken for the next call's answer", "leftover_bytes",
             Patch(HTTP1, "self.reusable = False  # bytes beyond", "pass  # bytes beyond")),
     _record("closed-reused", "a connection that its endpoint has closed is used again", "idle_closed",
-            Patch(POOL, "and now - conn.idle_since_us < self.idle_timeout_us and not is_readable(conn.sock):",
-                  ":")),
+            Patch(POOL,
+                  """
+                and now - conn.idle_since_us < self.idle_timeout_us
+                and not is_readable(conn.sock)
+""", "\n")),
     _record("cut-answer-served", "an answer that ends before its length is served", "unsafe_ended_short",
             Patch(LOOP, "if not parser.end():", "if not parser.end() and not parser.status:")),
 )  # fmt: skip
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("path", sorted(FOLDER.glob("*.txt")), ids=lambda p: p.stem)
-def test_recorded_exchange(path: Path) -> None:
+def test_exchange(path: Path) -> None:
     play(path)
 
 
