--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -139,7 +139,12 @@
     asks = [request(names, *x) for x in ((b"GET", b"taxi-lookup"), (b"POST", b"ride-assign"),
                                          (b"GET", b"ride-assign"), (b"POST", b"taxi-lookup_b"))]  # fmt: skip
     assert all(isinstance(x, Request) for x in asks)
-    assert [(x.class_index, x.must_not_repeat) for x in asks] == [(0, False), (1, True), (1, False), (2, True)]
+    assert [(x.class_index, x.must_not_repeat) for x in asks] == [
+        (0, False),
+        (1, True),
+        (1, False),
+        (2, True),
+    ]
     names.drop_previous()
     bad = [request(names, b"GET", b"taxi-lookup"), request(names, b"POST", b"ride-assign")]
     assert [x.status for x in bad if isinstance(x, RejectedRequest)] == [404, 405]
