--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -1,8 +1,8 @@
-"""The platform's protocol: HTTP/1.1 bytes to and from the core's terms, for clients, endpoints and discovery.
+"""The platform's HTTP/1.1 protocol, between bytes and the core's terms, for clients, endpoints and discovery.
 
-This is the only file that knows header names, paths, status codes and the JSON of discovery, so that another
-front can reach the same core without it. It must never open or touch a socket, read a clock, keep state
-beyond one connection's parsing, or decide what becomes of a request. Parsing itself is httptools'.
+Header names, paths, status codes and the JSON of discovery are known only here, so that another protocol
+could serve the same core. Nothing here uses sockets or clocks, keeps state beyond one connection's parsing,
+or decides what becomes of a request. The parsing itself is done by httptools.
 """
 
 from __future__ import annotations
@@ -22,26 +22,44 @@
 from granitewell.config import Config, ConfigError, address
 from granitewell.core import Answer, FleetNews, Member, Verdict
 
-MAX_KEPT = 64 * 1024  # bytes of a body that are kept whole; a larger one is passed on as it comes
-MAX_BODY = 40 * 1024 * 1024  # bytes of any body
-MAX_HEAD = 16 * 1024  # bytes of request line and headers
-MAX_LIST = 4 * 1024 * 1024  # bytes of a list from discovery
-MAX_PLACES = 1_000  # zones, or kinds, that discovery can name
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a larger body is forwarded as it arrives
+MAX_BODY_BYTES = 40 * 1024 * 1024
+MAX_HEADER_BYTES = 16 * 1024  # of a request's first line and headers
+MAX_LIST_BYTES = 4 * 1024 * 1024  # of a list from discovery
+MAX_DISCOVERED_NAMES = 1_000  # of zones, and of server kinds
 READY_PATH = b"/-/ready"
 LIST_PATH = "/api/targets"
-_ID = re.compile(rb"[\x21-\x7e]{1,128}\Z")
+_REQUEST_ID = re.compile(rb"[\x21-\x7e]{1,128}\Z")
 _HEX = re.compile(rb"[0-9a-fA-F]{1,16}\Z")
-_NUMBERS = re.compile(r"[0-9.]+\Z|[0-9A-Fa-f:.]+(%\w+)?\Z")  # an address that is no name
-_MS = re.compile(rb"[0-9]{1,9}\Z")
-_SINGLE = frozenset({b"request-id", b"request-class", b"tenant", b"affinity-key", b"request-timeout-ms",
-                     b"client-retry", b"idempotency-key"})  # fmt: skip
-# by its idempotency key an endpoint knows a repeat, where a class may be repeated in its scope and window
-_PASSED = (b"request-class", b"tenant", b"affinity-key", b"client-retry", b"request-info", b"content-type",
-           b"idempotency-key")  # fmt: skip
-# all that is read of a head: what is not is not held, as a head of 16 KiB may name thousands
-_ASKED = frozenset({*_SINGLE, *_PASSED, b"content-length", b"expect"})
-_TOLD = frozenset({b"content-length", b"transfer-encoding", b"content-type", b"server-load", b"not-started"})
-MIN_PART = 4 * 1024  # bytes of a part of a body, under which the next goes with it
+_IP_ADDRESS = re.compile(r"[0-9.]+\Z|[0-9A-Fa-f:.]+(%\w+)?\Z")  # an IP address, not a host name
+_TIMEOUT_MS = re.compile(rb"[0-9]{1,9}\Z")
+_SINGLE_VALUE_HEADERS = frozenset(
+    {
+        b"request-id",
+        b"request-class",
+        b"tenant",
+        b"affinity-key",
+        b"request-timeout-ms",
+        b"client-retry",
+        b"idempotency-key",
+    }
+)
+# an endpoint recognises a repeat by its idempotency key, within the scope and window that the class allows
+_FORWARDED_HEADERS = (
+    b"request-class",
+    b"tenant",
+    b"affinity-key",
+    b"client-retry",
+    b"request-info",
+    b"content-type",
+    b"idempotency-key",
+)
+# other headers are not stored: 16 KiB may hold thousands of them
+_READ_REQUEST_HEADERS = frozenset({*_SINGLE_VALUE_HEADERS, *_FORWARDED_HEADERS, b"content-length", b"expect"})
+_READ_RESPONSE_HEADERS = frozenset(
+    {b"content-length", b"transfer-encoding", b"content-type", b"server-load", b"not-started"}
+)
+MIN_PART_BYTES = 4 * 1024  # smaller parts of a body are merged with the next one
 _STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
@@ -50,104 +68,126 @@
 }  # fmt: skip
 
 
-Parts = list[bytes | bytearray]
+BodyParts = list[bytes | bytearray]
 
 
-def gather(parts: Parts | deque[bytes | bytearray], data: bytes) -> None:
-    """Put it behind these parts.
+def append_coalesced(parts: BodyParts | deque[bytes | bytearray], data: bytes) -> None:
+    """Append data to the parts of a body, merging small parts.
 
-    Small ones go together: a body in chunks of two bytes would be twenty times as large as an object each.
+    As one object each, a body in chunks of two bytes would take twenty times its size.
     """
-    if parts and isinstance(parts[-1], bytearray) and len(parts[-1]) < MIN_PART:
+    if parts and isinstance(parts[-1], bytearray) and len(parts[-1]) < MIN_PART_BYTES:
         parts[-1] += data
     else:
-        parts.append(bytearray(data) if len(data) < MIN_PART else data)
+        parts.append(bytearray(data) if len(data) < MIN_PART_BYTES else data)
 
 
-class Flow:
-    """A body over 64 KiB, passed on as it comes.
+class StreamedBody:
+    """A body over 64 KiB that is forwarded as it arrives.
 
-    Up to that size what has come is kept, so that a call that never ran may be followed by another; from then
-    on a part is let go once it has been taken.
+    Up to that size all parts are kept, so that a call that never ran can be followed by another; beyond it a
+    part is discarded once it has been taken.
+
+    Attributes:
+        length: From the head; None for a chunked body.
+        taken_parts: How many parts the current call has taken.
+        received_bytes: All bytes so far.
+        unread_bytes: Those that the current call has not taken.
+        done: The body is complete.
+        discarded: Parts were discarded, so that no other call can be made.
+        fully_sent: The current call has written the whole body.
+        connection_id: The client's connection; set by `downstream`.
+        signals: Events that reader and writer wait for; set by `downstream`.
     """
 
-    __slots__ = ("came", "done", "inbound", "length", "let_go", "owner", "parts", "sent", "taken", "unread")
+    __slots__ = (
+        "received_bytes",
+        "done",
+        "connection_id",
+        "length",
+        "discarded",
+        "signals",
+        "parts",
+        "fully_sent",
+        "taken_parts",
+        "unread_bytes",
+    )
 
     def __init__(self, length: int | None) -> None:
-        self.length = length  # as its head says; None: it comes in chunks
+        self.length = length
         self.parts: deque[bytes | bytearray] = deque()
-        self.taken = 0  # parts that the call under way has
-        self.came = self.unread = 0  # bytes
-        self.done = self.let_go = False  # done: all has come
-        self.sent = False  # the call under way has written all of it
-        self.inbound = -1  # whose it is; the shell's, like
-        self.owner: Any = None  # what it waits with
+        self.taken_parts = 0
+        self.received_bytes = self.unread_bytes = 0
+        self.done = self.discarded = False
+        self.fully_sent = False
+        self.connection_id = -1
+        self.signals: Any = None
 
     def put(self, data: bytes) -> None:
-        """A further part has come."""
-        if self.taken < len(self.parts):
-            gather(self.parts, data)
-        else:  # the last one is with the call under way
-            self.parts.append(bytearray(data) if len(data) < MIN_PART else data)
-        self.came += len(data)
-        self.unread += len(data)
-
-    def begin(self) -> None:
-        """A call begins to take it, from the first byte."""
-        self.taken, self.unread, self.sent = 0, sum(map(len, self.parts)), False
+        """Add a part that has arrived."""
+        if self.taken_parts < len(self.parts):
+            append_coalesced(self.parts, data)
+        else:  # the current call has the last part, so it can't be extended
+            self.parts.append(bytearray(data) if len(data) < MIN_PART_BYTES else data)
+        self.received_bytes += len(data)
+        self.unread_bytes += len(data)
+
+    def rewind(self) -> None:
+        """Start over for a new call."""
+        self.taken_parts, self.unread_bytes, self.fully_sent = 0, sum(map(len, self.parts)), False
 
     def take(self) -> bytes | None:
-        """The next part for the call under way; None where no further one has come."""
-        if self.came > MAX_KEPT and self.taken:
-            for _ in range(self.taken):
+        """Return the next part for the current call; None if none is available."""
+        if self.received_bytes > MAX_BUFFERED_BODY_BYTES and self.taken_parts:
+            for _ in range(self.taken_parts):
                 self.parts.popleft()
-            self.taken, self.let_go = 0, True
-        if self.taken >= len(self.parts):
+            self.taken_parts, self.discarded = 0, True
+        if self.taken_parts >= len(self.parts):
             return None
-        part = self.parts[self.taken]
-        self.taken += 1
-        self.unread -= len(part)
+        part = self.parts[self.taken_parts]
+        self.taken_parts += 1
+        self.unread_bytes -= len(part)
         return bytes(part)
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
-    """A request as it goes on to an endpoint, byte for byte where the protocol says unchanged."""
+class ForwardedRequest:
+    """A request as an endpoint gets it; what the protocol calls unchanged is forwarded byte for byte."""
 
     method: bytes
     target: bytes
     request_id: bytes
-    passed: bytes  # further header lines, whole
+    passed: bytes  # further header lines, each with its end
     body: bytes
-    flow: Flow | None = None  # in place of a body over 64 KiB
+    streamed_body: StreamedBody | None = None  # replaces `body` over 64 KiB
     timeout_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A whole, valid request."""
+class Request:
+    """A valid request whose head, and body up to 64 KiB, are complete."""
 
     class_index: int
     tenant: int
     key: int
     timeout_ms: int
-    repeat: bool
-    message: Message
+    is_repeat: bool
+    message: ForwardedRequest
     keep_alive: bool
-    once: bool = False  # asked for by the method of what must not run twice
-    old: bool = False  # by HTTP/1.0: its answer can't come in chunks
+    must_not_repeat: bool = False  # its method is that of requests that must not run twice
+    is_http10: bool = False  # the answer can't be chunked
 
 
 @dataclass(frozen=True, slots=True)
-class ReadyAsk:
-    """Somebody asks whether the node is able to serve."""
+class ReadinessRequest:
+    """A query whether the node is ready to serve."""
 
     keep_alive: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Bad:
-    """A request that is answered here and goes nowhere."""
+class RejectedRequest:
+    """A request that is answered with an error and not forwarded."""
 
     status: int
     text: str
@@ -155,41 +195,48 @@
     header: str = ""
 
 
-Item = Ask | ReadyAsk | Bad
+ParsedItem = Request | ReadinessRequest | RejectedRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
-    """The body of an endpoint's 200."""
+class BufferedResponse:
+    """The body of an endpoint's 200 response."""
 
     body: bytes
     content_type: bytes = b""
 
 
 @dataclass(slots=True)
-class Head:
-    """The head of an endpoint's 200 whose body is passed on as it comes; inbound is the shell's."""
+class ResponseHead:
+    """The head of an endpoint's 200 response whose body is forwarded as it arrives.
+
+    Attributes:
+        length: None if it is unknown.
+        content_type: As sent by the endpoint.
+        connection_id: The client's connection; set by the node.
+    """
 
     length: int | None
     content_type: bytes = b""
-    inbound: int = -1
+    connection_id: int = -1
 
 
-class Names:
-    """The deployment's names as they stand in headers, by index.
+class HeaderNames:
+    """Classes and tenants by the names that headers carry.
 
-    `take` has other settings count at once for all connections; what they name no more counts until `forget`,
-    as clients change over later.
+    After `reconfigure`, new names count at once for all connections. Removed names stay valid until
+    `drop_previous`, as clients change over later.
     """
 
     def __init__(self, config: Config) -> None:
-        self._before: dict[bytes, tuple[int, bytes]] = {}  # by class: its index and the method it is asked by
+        # by class name: its index and its method
+        self._previous_classes: dict[bytes, tuple[int, bytes]] = {}
         self._classes: dict[bytes, tuple[int, bytes]] = {}
-        self.take(config)
+        self.reconfigure(config)
 
-    def take(self, config: Config) -> None:
-        """Other settings are in force."""
-        self._before |= self._classes
+    def reconfigure(self, config: Config) -> None:
+        """Apply other settings."""
+        self._previous_classes |= self._classes
         self._classes = {
             n.encode(): (k, b"GET" if e is Effect.SAFE else b"POST")
             for k, (n, e) in enumerate(zip(config.class_names, config.effects, strict=True))
@@ -198,166 +245,196 @@
         self.tenants = {n.encode(): k for k, n in enumerate(config.tenant_names) if n in config.live_tenants}
         self.reports = config.report_names
 
-    def forget(self) -> None:
-        """What the settings no longer name is unknown from now on."""
-        self._before = {}
+    def drop_previous(self) -> None:
+        """Forget the names that the settings no longer contain."""
+        self._previous_classes = {}
 
-    def asked(self, name: bytes) -> tuple[int, tuple[bytes, ...]] | None:
-        """The index of the class, and the methods by which it may be asked now; None: there is no such."""
-        rows = [x[name] for x in (self._classes, self._before) if name in x]
+    def lookup_class(self, name: bytes) -> tuple[int, tuple[bytes, ...]] | None:
+        """Return a class's index and the methods that are valid now; None for an unknown class."""
+        rows = [x[name] for x in (self._classes, self._previous_classes) if name in x]
         return (rows[0][0], tuple(dict.fromkeys(m for _, m in rows))) if rows else None
 
 
-# --- Clients ---
-class InboundParser:
-    """One client connection: bytes in, items out. After a Bad without keep_alive nothing more is read."""
+# --- Clients --------------------------------------------------------------------------------------------
+class RequestParser:
+    """Parses the requests on one client connection.
+
+    After a `RejectedRequest` without `keep_alive` nothing more is read.
 
-    def __init__(self, names: Names) -> None:
+    Attributes:
+        streamed_body: The body in progress, if it is over 64 KiB.
+        expects_continue: The client waits for an interim response before it sends the body.
+        in_body: The head of the current request is complete and its body is not.
+        size: Bytes of the current body so far.
+        broken: No further request can be found in the stream.
+        incomplete: A request has begun and is not complete.
+    """
+
+    def __init__(self, names: HeaderNames) -> None:
         self._names = names
         self._parser = httptools.HttpRequestParser(self)
-        self._items: list[Item] = []
-        self.flow: Flow | None = None  # the body under way, where it is over 64 KiB
-        self.expecting = False  # the client waits for a word before it sends its body
+        self._items: list[ParsedItem] = []
+        self.streamed_body: StreamedBody | None = None
+        self.expects_continue = False
         self.in_body = False
-        self.size = 0  # bytes of the body so far
-        self.broken = False  # no further request can be told from these bytes
-        self.partial = False  # a request has begun and is not whole
-        self._head = 0  # bytes of the head so far; begun anew where a request ends
-        self._between = 0  # bytes since the last one of the body: frames, trailers
+        self.size = 0
+        self.broken = False
+        self.incomplete = False
+        self._head_bytes = 0  # of the current head, as received
+        self._framing_bytes = 0  # since the last byte of the body: chunk framing, trailers
         self._reset()
 
     def _reset(self) -> None:
         self._target = b""
         self._headers: dict[bytes, bytes] = {}
-        self._lines = 0  # bytes of those headers
-        self._body: Parts = []
-        self.size, self.flow = 0, None
-        self._in_head, self._twice = True, False
-        self.in_body = self.expecting = False
-
-    def feed(self, data: bytes) -> list[Item]:
-        """What these bytes complete, in order."""
+        self._header_bytes = 0  # of all headers, also of those that are not stored
+        self._body: BodyParts = []
+        self.size, self.streamed_body = 0, None
+        self._in_head, self._has_duplicate = True, False
+        self.in_body = self.expects_continue = False
+
+    def feed(self, data: bytes) -> list[ParsedItem]:
+        """Parse bytes and return the items that they complete, in order."""
         self._items = []
         if not self.broken:
-            self._head += len(data) if self._in_head else 0
-            self._between += len(data)
+            self._head_bytes += len(data) if self._in_head else 0
+            self._framing_bytes += len(data)
             try:
                 self._parser.feed_data(data)
             except httptools.HttpParserUpgrade:
-                # the offer of another protocol is not taken up: this request is served, nothing behind it
+                # an upgrade is not accepted: this request is served, and nothing after it
                 self.broken = True
                 if self._items:
                     self._items[-1] = replace(self._items[-1], keep_alive=False)
             except httptools.HttpParserError:
-                self._refuse(400, "malformed HTTP")
-            # a header line that never ends reaches no callback: count what has come in
-            if self._in_head and self._head > MAX_HEAD:
-                self._refuse(431, "headers over 16 KiB")
-            if self.in_body and self._between > MAX_KEPT + MAX_HEAD:
-                self._refuse(431, "trailers over 16 KiB")
+                self._reject(400, "malformed HTTP")
+            # a header line without an end reaches no callback, so count the input
+            if self._in_head and self._head_bytes > MAX_HEADER_BYTES:
+                self._reject(431, "headers over 16 KiB")
+            if self.in_body and self._framing_bytes > MAX_BUFFERED_BODY_BYTES + MAX_HEADER_BYTES:
+                self._reject(431, "trailers over 16 KiB")
         return self._items
 
-    def _refuse(self, status: int, text: str) -> None:
+    def _reject(self, status: int, text: str) -> None:
         if not self.broken:
             self.broken = True
-            self._items.append(Bad(status, text))
+            self._items.append(RejectedRequest(status, text))
 
-    # httptools calls these
+    # --- Callbacks of httptools -------------------------------------------------------------------------
     def on_message_begin(self) -> None:
+        """Start a request."""
         self._reset()
-        self.partial = True
+        self.incomplete = True
 
     def on_url(self, url: bytes) -> None:
+        """Add a piece of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Store a header that is read later, and count all of them."""
         if not self._in_head:
-            return  # a trailer is no header, and nothing here reads it
-        low = name.lower()
-        self._lines += len(name) + len(value) + 4
-        if low in _ASKED:
-            self._twice = self._twice or (low in _SINGLE and low in self._headers)
-            self._headers[low] = value.strip()
+            return  # trailers are ignored
+        lowered = name.lower()
+        self._header_bytes += len(name) + len(value) + 4
+        if lowered in _READ_REQUEST_HEADERS:
+            self._has_duplicate = self._has_duplicate or (
+                lowered in _SINGLE_VALUE_HEADERS and lowered in self._headers
+            )
+            self._headers[lowered] = value.strip()
 
     def on_headers_complete(self) -> None:
+        """Check the announced length; a long body is streamed."""
         self._in_head = False
-        if len(self._target) + self._lines > MAX_HEAD:
-            self._refuse(431, "headers over 16 KiB")
+        if len(self._target) + self._header_bytes > MAX_HEADER_BYTES:
+            self._reject(431, "headers over 16 KiB")
         length = self._headers.get(b"content-length", b"0")
-        self.in_body, self._between = True, 0
-        if length.isdigit() and (len(length) > 9 or int(length) > MAX_BODY):
-            self._refuse(413, f"body over {MAX_BODY >> 20} MiB")
-        elif length.isdigit() and int(length) > MAX_KEPT and not self.broken:
-            self._begin_flow(int(length))
-        self.expecting = not self.broken and self._headers.get(b"expect", b"").lower() == b"100-continue"
-
-    def _begin_flow(self, length: int | None) -> None:
-        """The request is handed in now; its body follows."""
-        item = self._judge(self._parser.should_keep_alive())
-        if isinstance(item, Ask):
-            self.flow = Flow(length)
+        self.in_body, self._framing_bytes = True, 0
+        if length.isdigit() and (len(length) > 9 or int(length) > MAX_BODY_BYTES):
+            self._reject(413, f"body over {MAX_BODY_BYTES >> 20} MiB")
+        elif length.isdigit() and int(length) > MAX_BUFFERED_BODY_BYTES and not self.broken:
+            self._begin_streaming(int(length))
+        self.expects_continue = (
+            not self.broken and self._headers.get(b"expect", b"").lower() == b"100-continue"
+        )
+
+    def _begin_streaming(self, length: int | None) -> None:
+        """Hand out the request now; its body follows."""
+        item = self._validate(self._parser.should_keep_alive())
+        if isinstance(item, Request):
+            self.streamed_body = StreamedBody(length)
             for part in self._body:
-                self.flow.put(bytes(part))
+                self.streamed_body.put(bytes(part))
             self._body = []
-            self._items.append(replace(item, message=replace(item.message, body=b"", flow=self.flow)))
-        else:  # what is refused is not waited for
+            self._items.append(
+                replace(item, message=replace(item.message, body=b"", streamed_body=self.streamed_body))
+            )
+        else:  # the body of a rejected request is not awaited
             self.broken = True
             self._items.append(replace(item, keep_alive=False))
 
     def on_body(self, body: bytes) -> None:
+        """Add a piece of the body, or reject a body that is too large."""
         self.size += len(body)
-        self._between = 0
-        self.expecting = False
+        self._framing_bytes = 0
+        self.expects_continue = False
         if self.broken:
             return
-        if self.size > MAX_BODY:
-            self._refuse(413, f"body over {MAX_BODY >> 20} MiB")
-        elif self.flow is not None:
-            self.flow.put(body)
+        if self.size > MAX_BODY_BYTES:
+            self._reject(413, f"body over {MAX_BODY_BYTES >> 20} MiB")
+        elif self.streamed_body is not None:
+            self.streamed_body.put(body)
         else:
-            gather(self._body, body)
-            if self.size > MAX_KEPT:
-                self._begin_flow(None)
+            append_coalesced(self._body, body)
+            if self.size > MAX_BUFFERED_BODY_BYTES:
+                self._begin_streaming(None)
 
     def on_message_complete(self) -> None:
-        self.partial = self.in_body = self.expecting = False
-        if self.flow is not None:
-            self.flow.done = True
-            self._in_head, self._head = True, 0
+        """Finish the request."""
+        self.incomplete = self.in_body = self.expects_continue = False
+        if self.streamed_body is not None:
+            self.streamed_body.done = True
+            self._in_head, self._head_bytes = True, 0
         elif not self.broken:
-            self._items.append(self._judge(self._parser.should_keep_alive()))
-            self._in_head, self._head = True, 0
+            self._items.append(self._validate(self._parser.should_keep_alive()))
+            self._in_head, self._head_bytes = True, 0
 
-    def _judge(self, keep: bool) -> Item:
+    def _validate(self, keep: bool) -> ParsedItem:
+        """Return the request, or the reason why it is rejected."""
         names, headers, method = self._names, self._headers, self._parser.get_method()
         if self._parser.get_http_version() not in ("1.1", "1.0"):
-            return Bad(400, "not HTTP/1.1")
+            return RejectedRequest(400, "not HTTP/1.1")
         path = self._target.partition(b"?")[0]
         if path == READY_PATH:
-            return ReadyAsk(keep) if method == b"GET" else Bad(405, "GET only", keep, "Allow: GET\r\n")
+            return (
+                ReadinessRequest(keep)
+                if method == b"GET"
+                else RejectedRequest(405, "GET only", keep, "Allow: GET\r\n")
+            )
         name = path.split(b"/")[1] if path.startswith(b"/") else b""
-        asked = names.asked(name)
-        if asked is None:
-            return Bad(404, "no class has this path", keep)
-        index, methods = asked
+        known_class = names.lookup_class(name)
+        if known_class is None:
+            return RejectedRequest(404, "no class has this path", keep)
+        index, methods = known_class
         if method not in methods:
             allow = methods[0].decode()
-            return Bad(405, f"this class takes {allow}", keep, f"Allow: {allow}\r\n")
-        if self._twice:
-            return Bad(400, "a header came twice", keep)
+            return RejectedRequest(405, f"this class takes {allow}", keep, f"Allow: {allow}\r\n")
+        if self._has_duplicate:
+            return RejectedRequest(400, "a header came twice", keep)
         request_id = headers.get(b"request-id", b"")
-        if not _ID.match(request_id):
-            return Bad(400, "Request-Id is missing or malformed", keep)
-        # a class that does not exist differs, too: served by its path it would look as though it had run
+        if not _REQUEST_ID.match(request_id):
+            return RejectedRequest(400, "Request-Id is missing or malformed", keep)
+        # also if the header names an unknown class: served by its path, the request would seem to have run
         if headers.get(b"request-class", name) != name:
-            return Bad(400, "Request-Class and path differ", keep)
+            return RejectedRequest(400, "Request-Class and path differ", keep)
         timeout = headers.get(b"request-timeout-ms", b"")
-        if not _MS.match(timeout) or int(timeout) == 0:
-            return Bad(400, "Request-Timeout-Ms is missing or malformed", keep)
+        if not _TIMEOUT_MS.match(timeout) or int(timeout) == 0:
+            return RejectedRequest(400, "Request-Timeout-Ms is missing or malformed", keep)
         tenant = names.tenants.get(headers.get(b"tenant", b""), len(names.tenants))
-        passed = b"".join(b"%s: %s\r\n" % (k, headers[k]) for k in _PASSED if k in headers)
-        message = Message(method, self._target, request_id, passed, b"".join(self._body), None, int(timeout))
-        return Ask(
+        passed = b"".join(b"%s: %s\r\n" % (k, headers[k]) for k in _FORWARDED_HEADERS if k in headers)
+        message = ForwardedRequest(
+            method, self._target, request_id, passed, b"".join(self._body), None, int(timeout)
+        )
+        return Request(
             index, tenant, _key(headers.get(b"affinity-key", b"")), int(timeout),
             headers.get(b"client-retry") == b"1", message, keep, method != b"GET",
             self._parser.get_http_version() == "1.0",
@@ -365,32 +442,34 @@
 
 
 def _key(text: bytes) -> int:
-    """The key as a number that is the same at every node; 0 for none."""
+    """Return the affinity key as a number that is the same on every node; 0 for none."""
     if not text:
         return 0
     return int(text, 16) if _HEX.match(text) else int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
 
 def response(status: int, body: bytes, close: bool, headers: str = "") -> bytes:
-    """A whole answer."""
+    """Return a complete response."""
     end = "Connection: close\r\n" if close else ""
     head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Length: {len(body)}\r\n{headers}{end}\r\n"
     return head.encode("latin-1") + body
 
 
-def bad_bytes(bad: Bad) -> bytes:
-    """The answer to a request that goes nowhere."""
-    return response(bad.status, bad.text.encode() + b"\r\n", not bad.keep_alive, bad.header)
+def rejection_bytes(rejected: RejectedRequest) -> bytes:
+    """Return the response to a rejected request."""
+    return response(
+        rejected.status, rejected.text.encode() + b"\r\n", not rejected.keep_alive, rejected.header
+    )
 
 
-def ready_bytes(ready: bool, close: bool) -> bytes:
-    """The answer of the ready path."""
+def readiness_bytes(ready: bool, close: bool) -> bytes:
+    """Return the response to a readiness request."""
     return response(200 if ready else 503, b"ready\r\n" if ready else b"not ready\r\n", close)
 
 
-def answer_bytes(answer: Answer, close: bool) -> bytes:
-    """A final answer. A refusal is a 503, a failure a 502: the protocol reads no more into them."""
-    if answer.verdict is Verdict.SERVED and isinstance(answer.answer, Served):
+def final_response_bytes(answer: Answer, close: bool) -> bytes:
+    """Return the response for the core's answer: 503 for a refusal, 502 for a failure."""
+    if answer.verdict is Verdict.SERVED and isinstance(answer.answer, BufferedResponse):
         kind = answer.answer.content_type.decode("latin-1")
         return response(200, answer.answer.body, close, f"Content-Type: {kind}\r\n" if kind else "")
     if answer.verdict is Verdict.SAME_ID:
@@ -401,13 +480,13 @@
     return response(502, b"", close)
 
 
-# --- Endpoints ---
-def call_bytes(message: Message, host: tuple[str, int], left_us: int) -> bytes:
-    """The request as an endpoint gets it."""
+# --- Endpoints ------------------------------------------------------------------------------------------
+def request_bytes(message: ForwardedRequest, host: tuple[str, int], left_us: int) -> bytes:
+    """Return the request as it is sent to an endpoint; a streamed body follows separately."""
     bodied = message.body or message.method != b"GET"
     length = b"Content-Length: %d\r\n" % len(message.body) if bodied else b""
-    if message.flow is not None:
-        size = message.flow.length
+    if message.streamed_body is not None:
+        size = message.streamed_body.length
         length = b"Transfer-Encoding: chunked\r\n" if size is None else b"Content-Length: %d\r\n" % size
         left_us = min(left_us, message.timeout_ms * 1000)
     return b"%s %s HTTP/1.1\r\nHost: %s:%d\r\nRequest-Id: %s\r\nRequest-Timeout-Ms: %d\r\n%s%s\r\n%s" % (
@@ -417,12 +496,12 @@
 
 
 def chunk_bytes(data: bytes) -> bytes:
-    """A part of a body of unknown length, as HTTP/1.1 frames it; of no bytes: its end."""
+    """Return data as one chunk of a chunked body; empty data ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def begin_bytes(head: Head, chunked: bool, close: bool) -> bytes:
-    """The head of a 200 whose body follows."""
+def response_head_bytes(head: ResponseHead, chunked: bool, close: bool) -> bytes:
+    """Return the head of a 200 response whose body follows."""
     kind = b"Content-Type: %s\r\n" % head.content_type if head.content_type else b""
     frame = b"Transfer-Encoding: chunked\r\n" if chunked else b""
     if head.length is not None:
@@ -431,57 +510,70 @@
 
 
 class ResponseParser:
-    """One answer on one connection.
+    """Parses one response on one connection.
 
-    What comes is gathered up to `most` bytes; `take` hands out what is there and begins anew, for one that is
-    passed on as it comes.
+    The body is gathered up to a limit. For a response that is forwarded as it arrives, `take` returns what
+    has been gathered and starts over.
+
+    Attributes:
+        status: 0 until the head is complete.
+        headers: Those that are used, in lower case.
+        length_unknown: The length of the body is not announced.
+        done: The response is complete.
+        reusable: The connection may carry another call.
     """
 
-    def __init__(self, most: int = MAX_KEPT) -> None:
+    def __init__(self, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
+        """Create a parser whose body may have `max_body_bytes`, unless it is streamed."""
         self._parser = httptools.HttpResponseParser(self)
-        self._most = most
+        self._max_body_bytes = max_body_bytes
         self.status = 0
         self.headers: dict[bytes, bytes] = {}
-        self._parts: Parts = []
-        self._size = self._head = 0
-        self._between = 0  # bytes since the last one of the body: frames, trailers
-        self._in_body = self.endless = False  # endless: its length is not told beforehand
+        self._parts: BodyParts = []
+        self._size = self._head_bytes = 0
+        self._framing_bytes = 0  # since the last byte of the body: chunk framing, trailers
+        self._in_body = self.length_unknown = False
         self.done = False
         self.reusable = False
 
     @property
     def body(self) -> bytes:
+        """Return what has been gathered of the body."""
         return b"".join(self._parts)
 
     @property
-    def flows(self) -> bool:
-        """Is this the body of a 200, which may be passed on as it comes?"""
-        return self._most == MAX_KEPT and self._in_body and self.status == 200
+    def is_streamable(self) -> bool:
+        """Return whether this is the body of a 200 response, which may be forwarded as it arrives."""
+        return self._max_body_bytes == MAX_BUFFERED_BODY_BYTES and self._in_body and self.status == 200
 
     @property
-    def large(self) -> bool:
-        """Is it sure that the body is over what is kept whole?"""
-        return self.flows and self._size > self._most
+    def exceeds_buffer(self) -> bool:
+        """Return whether the body is known to be larger than what is buffered."""
+        return self.is_streamable and self._size > self._max_body_bytes
 
-    def head(self) -> Head:
-        """The head of an answer that flows."""
+    def head(self) -> ResponseHead:
+        """Return the head for a response that is streamed."""
         length = self.headers.get(b"content-length")
-        return Head(int(length) if length else None, self.headers.get(b"content-type", b""))
+        return ResponseHead(int(length) if length else None, self.headers.get(b"content-type", b""))
 
-    def pour(self) -> int:
-        """It is passed on from now on: from here its bytes count as they come. Those that have come."""
+    def start_streaming(self) -> int:
+        """Count only received bytes from now on, not the announced length; return those so far."""
         self._size = sum(map(len, self._parts))
         return self._size
 
     def take(self) -> bytes:
-        """What has come of the body since the last time."""
+        """Return what has arrived of the body since the last call."""
         parts, self._parts = self._parts, []
         return bytes(parts[0]) if len(parts) == 1 else b"".join(parts)
 
     def feed(self, data: bytes) -> bool:
-        """True once the answer is whole. ValueError: this is no answer."""
-        self._head += 0 if self._in_body else len(data)
-        self._between += len(data)
+        """Parse bytes; return True once the response is complete.
+
+        Raises:
+            ValueError: The bytes are not a valid response, or it is too large.
+        """
+        self._head_bytes += 0 if self._in_body else len(data)
+        self._framing_bytes += len(data)
         while data:
             try:
                 self._parser.feed_data(data)
@@ -490,62 +582,72 @@
                 self.reusable = False
                 if self.done:
                     break
-                # a 101 that nobody asked for is a 1xx like any other: the answer comes behind its head
+                # an unrequested 101 is treated like any other 1xx: the response follows its head
                 data = data.partition(b"\r\n\r\n")[2] if self.status == 101 else b""
                 if not data:
-                    raise ValueError(f"no HTTP: {error}") from None
+                    raise ValueError(f"not valid HTTP: {error}") from None
                 self._parser, self.status = httptools.HttpResponseParser(self), 0
-        if self._size > (MAX_BODY if self.flows else self._most):
+        if self._size > (MAX_BODY_BYTES if self.is_streamable else self._max_body_bytes):
             raise ValueError("the body is too large")
-        if not self._in_body and self._head > 2 * MAX_HEAD:
+        if not self._in_body and self._head_bytes > 2 * MAX_HEADER_BYTES:
             raise ValueError("the headers are too large")
-        if self._in_body and not self.done and self._between > MAX_KEPT + MAX_HEAD:
+        if (
+            self._in_body
+            and not self.done
+            and self._framing_bytes > MAX_BUFFERED_BODY_BYTES + MAX_HEADER_BYTES
+        ):
             raise ValueError("the trailers are too large")
         return self.done
 
     def end(self) -> bool:
-        """The other side has ended the connection: True where that is how its answer ends."""
+        """Handle the end of the connection; return True if that is a valid end of the response."""
         framed = b"content-length" in self.headers or b"transfer-encoding" in self.headers
         self.reusable = False
         self.done = self.done or (self._in_body and not framed)
         return self.done
 
-    # httptools calls these
+    # --- Callbacks of httptools -------------------------------------------------------------------------
     def on_message_begin(self) -> None:
+        """Start a response, or note bytes after a complete one."""
         if self.done:
-            self.reusable = False  # bytes beyond the answer: nothing can be trusted to follow in step
+            self.reusable = False  # bytes beyond the answer: a later response could not be told apart
             return
         self.headers, self._in_body = {}, False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        low = name.lower()
-        if low in _TOLD and not self.done and not self._in_body:  # behind the body it is a trailer, and
-            self.headers[low] = value.strip()  # counts for nothing
+        """Store a header that is used."""
+        lowered = name.lower()
+        # after the body it is a trailer, which is ignored
+        if lowered in _READ_RESPONSE_HEADERS and not self.done and not self._in_body:
+            self.headers[lowered] = value.strip()
 
     def on_headers_complete(self) -> None:
+        """Take the status and the announced length."""
         if not self.done:
             self.status = self._parser.get_status_code()
             self._in_body = self.status >= 200
             length = self.headers.get(b"content-length", b"0")
-            if self._in_body and int(length) > self._most:  # known before a byte of it has come
+            if self._in_body and int(length) > self._max_body_bytes:  # announced in the head
                 self._size = int(length)
             elif self._in_body and b"content-length" not in self.headers:
-                self.endless = True
+                self.length_unknown = True
 
     def on_body(self, body: bytes) -> None:
+        """Gather a piece of the body."""
         if not self.done:
             self._size += len(body)
-            self._between = 0
-            gather(self._parts, body)
+            self._framing_bytes = 0
+            append_coalesced(self._parts, body)
 
     def on_message_complete(self) -> None:
-        if not self.done and self.status >= 200:  # a 1xx is not yet the answer
+        """Finish the response, unless it is an interim one."""
+        if not self.done and self.status >= 200:  # a 1xx is an interim response
             self.done = True
             self.reusable = self._parser.should_keep_alive()
 
 
 def outcome(parser: ResponseParser) -> Outcome:
-    """PROTOCOL's table for an answer that came back whole."""
+    """Return the outcome of a complete response, by the platform's protocol."""
     if parser.status == 200:
         return Outcome.OK
     if parser.status in (503, 504) and parser.headers.get(b"not-started") == b"1":
@@ -553,13 +655,13 @@
     return Outcome.ERROR
 
 
-def served(parser: ResponseParser) -> Served:
-    """What a client gets of a 200."""
-    return Served(parser.body, parser.headers.get(b"content-type", b""))
+def buffered_response(parser: ResponseParser) -> BufferedResponse:
+    """Return the part of a 200 response that the client gets."""
+    return BufferedResponse(parser.body, parser.headers.get(b"content-type", b""))
 
 
 def report(parser: ResponseParser, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The load report in the order of the settings' fields; absent or malformed is no report."""
+    """Return the load report in the order of the settings' fields; () if it is absent or malformed."""
     text = parser.headers.get(b"server-load")
     if not text or not fields:
         return ()
@@ -571,91 +673,106 @@
     return values if all(map(math.isfinite, values)) else ()
 
 
-# --- Discovery ---
-def list_bytes(host: tuple[str, int], after: int | None, wait_ms: int) -> bytes:
-    """The call for the whole list, or the watch for what is newer than a revision."""
+# --- Discovery ------------------------------------------------------------------------------------------
+def list_request_bytes(host: tuple[str, int], after: int | None, wait_ms: int) -> bytes:
+    """Return the request for the full list, or a watch for changes after a revision."""
     query = "" if after is None else f"?after={after}&wait_ms={wait_ms}"
     return f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {host[0]}:{host[1]}\r\n\r\n".encode()
 
 
-class FleetReader:
-    """Discovery's JSON to the core's members.
-
-    Names not in the settings get stable indices behind theirs.
+class EndpointListReader:
+    """Converts discovery's JSON to the core's members.
 
-    Attributes:
-        ours: A moment of Unix time on the core's clock, as the two stand now.
+    Names that are not in the settings get stable indices after those that are.
     """
 
-    def __init__(self, config: Config, ours: Callable[[int], int]) -> None:
+    def __init__(self, config: Config, to_local_us: Callable[[int], int]) -> None:
+        """Create a reader.
+
+        Args:
+            config: Names the known zones and server kinds.
+            to_local_us: Converts Unix time to the core's clock, as the two stand now.
+        """
         self._zones: dict[str, int] = {}
         self._kinds: dict[str, int] = {}
-        self._starts: dict[bytes, tuple[float, int]] = {}  # of the listed: Unix time as told, and ours
-        self.take(config)
-        self._ours = ours
-
-    def take(self, config: Config) -> int:
-        """Other settings: the names known so far keep their indices. The index of the node's own zone."""
-        for names, places in ((config.zone_names, self._zones), (config.kind_names, self._kinds)):
+        # by endpoint: its start in Unix time, and on the core's clock
+        self._known_starts: dict[bytes, tuple[float, int]] = {}
+        self.reconfigure(config)
+        self._to_local_us = to_local_us
+
+    def reconfigure(self, config: Config) -> int:
+        """Apply other settings; known names keep their indices. Return the index of the node's own zone."""
+        for names, indices in ((config.zone_names, self._zones), (config.kind_names, self._kinds)):
             for name in names:
-                places.setdefault(name, len(places))
+                indices.setdefault(name, len(indices))
         own = config.settings.zone
         return self._zones[config.zone_names[own]] if 0 <= own < len(config.zone_names) else own
 
     def read(self, body: bytes) -> tuple[int, FleetNews]:
-        """Revision and news. ValueError: not discovery's form, and the old list must stay."""
+        """Parse a list; return its revision and the news.
+
+        Raises:
+            ValueError: The list is malformed; the previous one stays in force.
+        """
         try:
-            top = json.loads(body)
+            document = json.loads(body)
         except RecursionError:
             raise ValueError("nested too deep") from None
-        return self.parsed(top)
+        return self.parse(document)
+
+    def parse(self, document: Mapping[str, Any], view: View | None = None) -> tuple[int, FleetNews]:
+        """Convert a list from parsed JSON; return its revision and the news.
 
-    def parsed(self, top: Mapping[str, Any], view: View | None = None) -> tuple[int, FleetNews]:
-        """The same from parsed JSON; every way in which it can be malformed is a ValueError."""
+        Raises:
+            ValueError: The list is malformed in any way.
+        """
         try:
-            form = view or (View.FULL if top["complete"] is True else View.DELTA)
+            form = view or (View.FULL if document["complete"] is True else View.DELTA)
             starts: dict[bytes, tuple[float, int]] = {}
-            revision = int(top["revision"])
-            members = tuple(self._member(m, starts) for m in top["members"])
+            revision = int(document["revision"])
+            members = tuple(self._member(m, starts) for m in document["members"])
         except (TypeError, KeyError, AttributeError, ConfigError, OverflowError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
-        self._starts = self._starts | starts if form is View.DELTA else starts
+        self._known_starts = self._known_starts | starts if form is View.DELTA else starts
         for m in members:
             if m.state is State.GONE:
-                self._starts.pop(m.id, None)
+                self._known_starts.pop(m.id, None)
         return revision, FleetNews(form, members)
 
-    def _started(self, eid: bytes, up_ms: float, starts: dict[bytes, tuple[float, int]]) -> int:
-        """On the core's clock; 0 stays 0. Reckoned once for each start.
+    def _start_time_us(self, endpoint_id: bytes, up_ms: float, starts: dict[bytes, tuple[float, int]]) -> int:
+        """Return an endpoint's start on the core's clock; 0 stays 0.
 
-        A value that moves with the clocks would read as a restart, and one offset for the whole run would
-        make each start after a step of the wall clock look colder or warmer than it is.
+        Converted once per start: a value that follows corrections of the clocks would look like a restart,
+        and one offset for the whole run would, after a step of the wall clock, make each start look earlier
+        or later than it was.
         """
-        known = self._starts.get(eid)
+        known = self._known_starts.get(endpoint_id)
         if known is None or known[0] != up_ms:
-            known = up_ms, max(self._ours(int(up_ms * 1000)), 1) if up_ms > 0 else 0
-        starts[eid] = known
+            known = up_ms, max(self._to_local_us(int(up_ms * 1000)), 1) if up_ms > 0 else 0
+        starts[endpoint_id] = known
         return known[1]
 
     def _member(self, m: Mapping[str, Any], starts: dict[bytes, tuple[float, int]]) -> Member:
+        """Convert one entry."""
         up_ms, scale = float(m.get("up_since_ms") or 0), float(m.get("size") or 1.0)
-        eid, where = str(m["id"]).encode(), address(m["host_port"], "host_port")
-        if not _NUMBERS.match(where[0]):
-            raise ValueError(f"host_port: {where[0]} is a name, and nobody here looks names up")
+        endpoint_id, where = str(m["id"]).encode(), address(m["host_port"], "host_port")
+        if not _IP_ADDRESS.match(where[0]):
+            raise ValueError(f"host_port: found the host name {where[0]}, allowed: an IP address")
         return Member(
-            eid, where,
-            _place(self._zones, str(m.get("locality"))),
-            _place(self._kinds, str(m.get("flavor"))),
+            endpoint_id, where,
+            _index_of(self._zones, str(m.get("locality"))),
+            _index_of(self._kinds, str(m.get("flavor"))),
             int(m.get("cell") or 0),
-            _STATES.get(m["phase"], State.DRAINING),  # an unknown phase wants no new work from us
-            scale if math.isfinite(scale) else 1.0, self._started(eid, up_ms, starts),
+            _STATES.get(m["phase"], State.DRAINING),  # an unknown phase gets no new requests
+            scale if math.isfinite(scale) else 1.0, self._start_time_us(endpoint_id, up_ms, starts),
         )  # fmt: skip
 
 
-def _place(places: dict[str, int], name: str) -> int:
-    """The index of a name; those beyond all bounds share one, as memory must not grow with names ever
-    heard.
+def _index_of(indices: dict[str, int], name: str) -> int:
+    """Return the index of a name, adding it if needed.
+
+    Names beyond the limit share one index, so that memory does not grow with every name ever seen.
     """
-    if name not in places and len(places) >= MAX_PLACES:
-        return MAX_PLACES
-    return places.setdefault(name, len(places))
+    if name not in indices and len(indices) >= MAX_DISCOVERED_NAMES:
+        return MAX_DISCOVERED_NAMES
+    return indices.setdefault(name, len(indices))
--- a/granitewell/net/shared_counters.py
+++ b/granitewell/net/shared_counters.py
@@ -1,8 +1,8 @@
-"""The shell of what nodes share: it joins the counts to the node's clients, to the roads and to the view.
+"""Runs the counters that the nodes share: connects the state machine with requests, transport and status.
 
-It owns the timer, and in which words a subject hears of requests and of members. It must never judge a count,
-and costs a request no more than a note in a table. Letters go over the cluster's roads: by datagram, sealed
-as all are. A process counts from its start; it speaks while it is the member.
+Requests are counted from the start of the process; messages are exchanged only while the process is the
+cluster member. Counting costs a request no more than one table update. Messages are sealed datagrams of the
+cluster's transport.
 """
 
 from __future__ import annotations
@@ -22,105 +22,125 @@
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
 
-NOBODY = "-"  # the key of requests that name no tenant that counts
-MAX_KEYS = 200  # in one answer
+NO_TENANT_KEY = "-"  # the key of requests without a known tenant
+MAX_KEYS_IN_VIEW = 200  # in one answer; further keys are left out
 
 
-class Shared:
-    """What one process shares with the others."""
+class SharedCounters:
+    """The shared counters of one process."""
 
     def __init__(self, node: Node, name: str, keys: Keys, figures: Figures) -> None:
+        """Start to count the node's requests.
+
+        Args:
+            node: The serving node.
+            name: The node's name in the cluster.
+            keys: Keys that seal messages.
+            figures: Settings of the counters.
+        """
         rng = Random(int.from_bytes(os.urandom(16), "big"))
         self._node, self._clock = node, node.clock
         birth = 1 + int(rng.random() * (1 << 60))
         self.counts = Counts(name, 0, birth, keys, figures, rng, node.clock.now())
         self._loop = asyncio.get_running_loop()
-        self._say: Callable[[SendMessage], None] | None = None
+        self._send: Callable[[SendMessage], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._timer_us = -1
-        node.clients.limit = self._taken
+        node.clients.rate_limit = self._count_request
 
-    def _taken(self, tenant: int, _: int) -> int:
-        """A request has come whole, and the core is about to hear of it."""
+    def _count_request(self, tenant: int, _: int) -> int:
+        """Count a complete request before the core sees it; -1 means no limit applies."""
         names = self._node._config.tenant_names
-        key = names[tenant] if 0 <= tenant < len(names) else NOBODY
+        key = names[tenant] if 0 <= tenant < len(names) else NO_TENANT_KEY
         self.counts.handle(self._clock.now(), Took(key))
         return -1
 
-    # --- The fleet --------------------------------------------------------------------------------------
-    def begin(self, life: int, say: Callable[[SendMessage], None]) -> None:
-        """This process is the member now."""
-        self.counts.life, self._say = life, say
-        self._arm()
+    # --- The cluster ------------------------------------------------------------------------------------
+    def start(self, incarnation: int, send: Callable[[SendMessage], None]) -> None:
+        """Exchange messages from now on: this process has become the cluster member."""
+        self.counts.life, self._send = incarnation, send
+        self._arm_timer()
 
-    def end(self) -> None:
-        """It is no more."""
-        self._say = None
+    def stop(self) -> None:
+        """Exchange no more messages."""
+        self._send = None
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def members(self, places: Mapping[str, str], out: Container[str], unnamed: int) -> None:
-        """All who may act, by name, with the address of those that are up.
+    def set_peers(self, places: Mapping[str, str], out: Container[str], unnamed: int) -> None:
+        """Set the nodes that may be acting.
 
-        Who does no more; and how many may that nobody has named.
+        Args:
+            places: By name, the address of each node that is up; "" for one that is not.
+            out: Names of the nodes that are no longer counted.
+            unnamed: How many more nodes may be acting whose names are unknown.
         """
         peers = {name: Peer(at, bool(at), name in out) for name, at in places.items()}
-        self._tell(Peers(peers, unnamed))
+        self._handle(Peers(peers, unnamed))
 
     def rekey(self, keys: Keys) -> None:
-        """Other keys count."""
-        self._tell(Rekey(keys))
+        """Seal messages with other keys."""
+        self._handle(Rekey(keys))
 
-    def heard(self, heard: MessageReceived) -> None:
-        """A letter of ours has come."""
-        self._tell(heard)
+    def on_message(self, on_message: MessageReceived) -> None:
+        """Handle a counter message of another node."""
+        self._handle(on_message)
 
-    def _tell(self, event: object) -> None:
+    def _handle(self, event: object) -> None:
+        """Give the state machine an event and send the messages that it returns."""
         for effect in self.counts.handle(self._clock.now(), event):
-            if isinstance(effect, SendMessage) and self._say is not None:
-                self._say(effect)
-        self._arm()
+            if isinstance(effect, SendMessage) and self._send is not None:
+                self._send(effect)
+        self._arm_timer()
 
-    def _arm(self) -> None:
+    def _arm_timer(self) -> None:
+        """Set the timer to the state machine's next deadline."""
         wake = self.counts.wake_us
-        if self._say is None or wake < 0 or (self._timer is not None and self._timer_us <= wake):
+        if self._send is None or wake < 0 or (self._timer is not None and self._timer_us <= wake):
             return
         if self._timer is not None:
             self._timer.cancel()
         self._timer_us = wake
-        wait_us = max(wake - self._clock.fresh(), 0)
-        self._timer = self._loop.call_later(-(-wait_us // 1000) / 1000, self._woken)
+        wait_us = max(wake - self._clock.read_now(), 0)
+        self._timer = self._loop.call_later(-(-wait_us // 1000) / 1000, self._on_timer)
 
-    def _woken(self) -> None:
+    def _on_timer(self) -> None:
+        """Wake the state machine."""
         self._timer = None
-        self._tell(TimerFired())
+        self._handle(TimerFired())
 
-    # --- For whoever asks -------------------------------------------------------------------------------
+    # --- Queries ----------------------------------------------------------------------------------------
     def view(self, key: str) -> dict[str, Any]:
-        """Figures of all keys, or of one with the part that each node has; plain JSON."""
-        now, counts = self._clock.fresh(), self.counts
+        """Return the figures of all keys, or of one key with each node's part, as plain JSON."""
+        now, counts = self._clock.read_now(), self.counts
         figures = counts.figures
         keys = [key] if key else counts.keys()
-        made: dict[str, Any] = {
+        view: dict[str, Any] = {
             "version": 1, "name": counts.name, "machine_us": time.monotonic_ns() // 1000,
             "window_s": figures.window_us / 1e6,
-            "speaks": self._say is not None, "cut": len(keys) > MAX_KEYS, "keys": [],
+            "speaks": self._send is not None, "cut": len(keys) > MAX_KEYS_IN_VIEW, "keys": [],
             "letters": dict(sorted(counts.counts.items())),
             "assumed": {"ceiling_per_s": figures.ceiling_per_s, "growth": figures.growth,
                         "floor_per_s": figures.floor_per_s, "drift_ppm": figures.drift_ppm},
         }  # fmt: skip
-        whole = [None] if not key else []
-        for one in (*whole, *keys[:MAX_KEYS]):
-            found = counts.figure(now, one)
-            row: dict[str, Any] = {"key": one, "low": found.low, "high": found.high, "unnamed": found.unnamed}
-            if key or one is None:
-                row["parts"] = [_part(p) for p in found.parts]
-            made["keys"].append(row)
-        return made
-
-
-def _part(part: Part) -> dict[str, Any]:
+        totals = [None] if not key else []
+        for row_key in (*totals, *keys[:MAX_KEYS_IN_VIEW]):
+            figure = counts.figure(now, row_key)
+            row: dict[str, Any] = {
+                "key": row_key,
+                "low": figure.low,
+                "high": figure.high,
+                "unnamed": figure.unnamed,
+            }
+            if key or row_key is None:
+                row["parts"] = [_part_row(p) for p in figure.parts]
+            view["keys"].append(row)
+        return view
+
+
+def _part_row(part: Part) -> dict[str, Any]:
+    """Return one node's part of a figure as plain JSON."""
     age_s = part.age_us / 1e6 if part.age_us >= 0 else None
     return {"name": part.name, "low": part.low, "high": part.high, "age_s": age_s, "unheard": part.unheard,
             "edge": part.edge, "others": part.others}  # fmt: skip
--- a/tests/quotas/test_quotas.py
+++ b/tests/quotas/test_quotas.py
@@ -241,6 +241,8 @@
     a.handle(0, KeysChanged(other))
     for k in range(400):
         a.try_acquire(k * 1_000, KEY)
-    assert isinstance(open_(next(e for e in a.handle(S, TimerFired()) if isinstance(e, SendMessage)).data, other), Frame)
+    assert isinstance(
+        open_(next(e for e in a.handle(S, TimerFired()) if isinstance(e, SendMessage)).data, other), Frame
+    )
     assert set(PLANTS) == {*FOUND_BY_RANDOM_FAULTS, "back-forgotten", "stall-spends", "floor-lent"}
     assert CODEC.decode(CODEC.encode(Back(KEY, 1, [2]))) == Back(KEY, 1, [2])
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -1,6 +1,6 @@
-"""Bad input on each door: malformed, cut at every byte, oversized, endless, one byte at a time.
+"""Invalid input at every entry: malformed, cut at every byte, oversized, endless, one byte at a time.
 
-Traffic gets its 4xx or a close, files a line that names file and field; memory stays within a figure.
+Traffic gets a 4xx answer or a close, files an error that names file and field; memory stays within a bound.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 from granitewell.lab.experiments.store import Kept, Store, StoreError
 from granitewell.lab.scenario import ScenarioError, draw
 from granitewell.lab.scenario import load as scenario_file
-from granitewell.net.console import CallParser, RejectedCommandError
+from granitewell.net.console import ConsoleRequestParser, RejectedCommandError
 from granitewell.net.http1 import (
-    Ask,
-    Bad,
-    FleetReader,
-    InboundParser,
-    Names,
-    ReadyAsk,
+    EndpointListReader,
+    HeaderNames,
+    ReadinessRequest,
+    RejectedRequest,
+    Request,
+    RequestParser,
     ResponseParser,
     outcome,
     report,
@@ -51,14 +51,14 @@
 ROOT = Path(__file__).resolve().parents[1]
 
 PIECE = 8192
-MAX_FED = 400_000  # bytes that a parser may take of something endless before it says no
-MAX_HELD = 600_000  # and what may be held of it meanwhile
+MAX_FED = 400_000  # bytes of endless input that a parser may read before it rejects it
+MAX_HELD = 600_000  # of memory meanwhile
 ASK = b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout-Ms: 2000\r\n%s\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
 
 def endless(feed: Callable[[bytes], object], pieces: Iterator[bytes]) -> int:
-    """Feed it until `feed` says that it is enough; how many bytes that took."""
+    """Feed pieces until `feed` returns true; return how many bytes that took."""
     fed = 0
     tracemalloc.start()
     try:
@@ -86,9 +86,9 @@
 
 
 @pytest.mark.parametrize("what", ENDLESS)
-def test_what_never_ends_behind_a_body_is_refused_from_clients(tmp_path: Path, what: str) -> None:
-    """Only the body was counted: what stands between its chunks or behind it could grow without bound."""
-    parser, (begin, more) = InboundParser(Names(load(write(tmp_path)))), ENDLESS[what]
+def test_endless_chunk_framing_and_trailers_of_clients_are_rejected(tmp_path: Path, what: str) -> None:
+    """Guards against counting only the body: bytes between and after its chunks were not bounded."""
+    parser, (begin, more) = RequestParser(HeaderNames(load(write(tmp_path)))), ENDLESS[what]
     got: list[object] = []
 
     def feed(data: bytes) -> object:
@@ -96,11 +96,11 @@
         return got
 
     fed = endless(feed, ever(ASK % CHUNKED + begin, more))
-    assert [x.status for x in got if isinstance(x, Bad)] in ([431], [400]) and fed <= MAX_FED
+    assert [x.status for x in got if isinstance(x, RejectedRequest)] in ([431], [400]) and fed <= MAX_FED
 
 
 @pytest.mark.parametrize("what", ENDLESS)
-def test_and_from_endpoints_and_discovery(what: str) -> None:
+def test_endless_chunk_framing_and_trailers_of_endpoints_and_discovery_are_rejected(what: str) -> None:
     begin, more = ENDLESS[what]
     for most in (65536, 4 * 1024 * 1024):
         parser, said = ResponseParser(most), list[str]()
@@ -117,9 +117,9 @@
 
 
 @pytest.mark.parametrize("what", ENDLESS)
-def test_and_from_operators(what: str) -> None:
+def test_endless_chunk_framing_and_trailers_of_operators_are_rejected(what: str) -> None:
     begin, more = ENDLESS[what]
-    parser = CallParser()
+    parser = ConsoleRequestParser()
 
     def feed(data: bytes) -> bool:
         try:
@@ -138,13 +138,13 @@
 @pytest.mark.parametrize(("what", "most"), [
     ("body", 2), ("large body", 3), ("answer", 2), ("list", 2), ("head", 2), ("answer's head", 2),
 ])  # fmt: skip
-def test_what_comes_in_tiny_pieces_takes_no_more_memory(tmp_path: Path, what: str, most: int) -> None:
-    """Small chunks and short header lines are bounded by count, not only by bytes.
+def test_tiny_chunks_and_header_lines_take_no_extra_memory(tmp_path: Path, what: str, most: int) -> None:
+    """Guards against bounding small chunks and short header lines by bytes only.
 
-    A body in chunks of two bytes was held as so many objects, twenty times its size for each of some
-    hundred clients, where budgets count bytes; and a head of short lines as so many headers.
+    A body in chunks of two bytes was stored as so many objects, twenty times its size for each of some
+    hundred clients, while budgets count bytes; and a head of short lines as so many headers.
     """
-    parser: Any = InboundParser(Names(load(write(tmp_path))))
+    parser: Any = RequestParser(HeaderNames(load(write(tmp_path))))
     raw = ASK % CHUNKED
     if what in ("answer", "list", "answer's head"):
         parser = ResponseParser(*[4 << 20] if what == "list" else [])
@@ -162,15 +162,15 @@
     assert held < most * 65_536, held
 
 
-def test_a_trailer_is_no_header(tmp_path: Path) -> None:
-    """One named like a header took its place.
+def test_trailer_is_not_taken_for_a_header(tmp_path: Path) -> None:
+    """Guards against a trailer that replaces the header of the same name.
 
-    A request was refused as one that came twice, or got another's key; and an endpoint's error that ended in
+    A request was rejected for a duplicate header, or got another's key. An endpoint's error that ended in
     Not-Started counted as one that never ran, which may be sent again.
     """
-    parser = InboundParser(Names(load(write(tmp_path))))
+    parser = RequestParser(HeaderNames(load(write(tmp_path))))
     (ask,) = parser.feed(ASK % CHUNKED + b"1\r\nx\r\n0\r\nRequest-Id: r2\r\nAffinity-Key: 7\r\n\r\n")
-    assert isinstance(ask, Ask) and ask.message.request_id == b"r1" and ask.key == 0
+    assert isinstance(ask, Request) and ask.message.request_id == b"r1" and ask.key == 0
     answer = ResponseParser()
     assert answer.feed(b"HTTP/1.1 503 X\r\n" + CHUNKED + b"\r\n1\r\nx\r\n0\r\nNot-Started: 1\r\n\r\n")
     assert outcome(answer) is Outcome.ERROR
@@ -187,12 +187,12 @@
 
 
 @pytest.mark.parametrize("raw", REQUESTS, ids=["get", "body", "chunks", "large"])
-def test_a_request_cut_at_any_byte_leaves_nothing_behind(tmp_path: Path, raw: bytes) -> None:
-    """No call that stays, no byte of the budget, no task, and no request that is still owed an answer."""
+def test_request_cut_at_any_byte_leaves_nothing_behind(tmp_path: Path, raw: bytes) -> None:
+    """No call, no byte of the budget, no task and no request that waits for an answer may remain."""
 
     async def scenario(node: Node) -> None:
         agent = Answers(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-        async with at_work(node, agent):
+        async with serving(node, agent):
             head = raw.index(b"\r\n\r\n") + 4
             for cut in [*range(min(head + 60, len(raw))), *range(head + 60, len(raw), 7919)]:
                 client = client_of(node)
@@ -200,12 +200,12 @@
                 if cut % 2:
                     await turns(5)
                 client.close()
-            await until(lambda: not node.clients.held and not node._calls and not node._core.held)
-            await until(lambda: not node._budget.kept and not node._budget.flows)
+            await until(lambda: not node.clients.connections and not node._calls and not node._core.held)
+            await until(lambda: not node._memory.buffered_bytes and not node._memory.streams)
             balancer = node._core._balancer
             assert isinstance(balancer, Balancer) and not balancer._held
             await until(lambda: not balancer._out)
-            await until(lambda: node.pool.held == sum(map(len, node.pool.idle.values())))
+            await until(lambda: node.pool.open_count == sum(map(len, node.pool.idle.values())))
             assert len(node._tasks) == 0
 
     assert not [line for line in played(tmp_path, scenario) if line.startswith("fault")]
@@ -219,15 +219,15 @@
 
 
 @pytest.mark.parametrize("raw", ANSWERS, ids=["length", "chunks", "interim"])
-def test_an_answer_cut_at_any_byte_is_served_whole_or_not_at_all(tmp_path: Path, raw: bytes) -> None:
-    """And the request, which may have run, goes nowhere again."""
+def test_response_cut_at_any_byte_is_served_completely_or_not_at_all(tmp_path: Path, raw: bytes) -> None:
+    """The request, which may have run, is not sent again."""
 
     async def scenario(node: Node) -> None:
         agent = Answers(raw)
-        async with at_work(node, agent):
+        async with serving(node, agent):
             for cut in range(len(raw) + 1):
                 agent.raw, before, got = raw[:cut], agent.asked, b""
-                while agent.asked == before:  # else it was turned away: so many have failed
+                while agent.asked == before:  # otherwise it was refused, as so many have failed
                     got = await exchanged(node, ASK % b"Connection: close\r\nContent-Length: 0\r\n")
                 whole = got.startswith(b"HTTP/1.1 200 ") and got.endswith(b"\r\n\r\nhello")
                 assert whole == (cut == len(raw)) and (whole or got.startswith(b"HTTP/1.1 502 ")), (cut, got)
@@ -238,7 +238,7 @@
 
 
 async def exchanged(node: Node, raw: bytes) -> bytes:
-    """What a client gets for this on a connection of its own, until that ends."""
+    """Return everything that a client receives for this, on a connection of its own."""
     client, loop, got = client_of(node), asyncio.get_running_loop(), b""
     await loop.sock_sendall(client, raw)
     while more := await loop.sock_recv(client, 4096):
@@ -248,7 +248,7 @@
 
 
 class Answers:
-    """An endpoint that answers each request with these bytes and then ends the connection."""
+    """An endpoint that answers each request with these bytes and closes the connection."""
 
     def __init__(self, raw: bytes) -> None:
         self.raw, self.asked = raw, 0
@@ -265,8 +265,8 @@
 
 
 @contextlib.asynccontextmanager
-async def at_work(node: Node, agent: Answers) -> AsyncIterator[None]:
-    """The node with this one endpoint."""
+async def serving(node: Node, agent: Answers) -> AsyncIterator[None]:
+    """Run the node with this endpoint."""
     server = await asyncio.start_server(agent, "127.0.0.1", 0)
     try:
         address = server.sockets[0].getsockname()
@@ -278,10 +278,10 @@
         server.close()
 
 
-def test_a_list_cut_at_any_byte_is_no_list(tmp_path: Path) -> None:
+def test_list_cut_at_any_byte_is_rejected(tmp_path: Path) -> None:
     entry = {"id": "s-1", "host_port": "10.1.0.18:9000", "phase": "ready", "up_since_ms": 5}
     body = json.dumps({"revision": 4, "complete": True, "members": [entry, entry]}).encode()
-    reader = FleetReader(load(write(tmp_path)), lambda unix_us: unix_us)
+    reader = EndpointListReader(load(write(tmp_path)), lambda unix_us: unix_us)
     raw = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     for cut in range(len(raw)):
         parser = ResponseParser(4 * 1024 * 1024)
@@ -289,19 +289,19 @@
     for cut in range(len(body)):
         with pytest.raises(ValueError):
             reader.read(body[:cut])
-    assert not reader._starts
+    assert not reader._known_starts
 
 
-def test_an_operators_call_cut_at_any_byte_is_no_call() -> None:
-    """A ban must not be taken from half an id."""
+def test_operators_request_cut_at_any_byte_is_incomplete() -> None:
+    """A ban must not be taken from a part of an id."""
     raw = b"POST /dispatch-servers/disable HTTP/1.1\r\nContent-Length: 5\r\n\r\ns-abc"
-    assert CallParser().feed(raw)
-    assert not any(CallParser().feed(raw[:cut]) for cut in range(len(raw)))
+    assert ConsoleRequestParser().feed(raw)
+    assert not any(ConsoleRequestParser().feed(raw[:cut]) for cut in range(len(raw)))
 
 
-# --- Anything at all ---------------------------------------------------------------------------------------
-def spoilt(rng: Random, raw: bytes) -> bytes:
-    """Some bytes changed, left out, doubled or put elsewhere."""
+# --- Random input ---------------------------------------------------------------------------------------
+def mutated(rng: Random, raw: bytes) -> bytes:
+    """Return the bytes with some changed, removed, doubled or inserted."""
     data = bytearray(raw)
     for _ in range(rng.randrange(1, 6)):
         at = rng.randrange(len(data) + 1)
@@ -317,33 +317,33 @@
     return bytes(data)
 
 
-def test_spoilt_traffic_is_an_item_a_refusal_or_a_value_error(tmp_path: Path) -> None:
-    rng, names = Random(7), Names(load(write(tmp_path)))
+def test_random_traffic_is_parsed_or_rejected(tmp_path: Path) -> None:
+    rng, names = Random(7), HeaderNames(load(write(tmp_path)))
     for _ in range(6000):
-        parser = InboundParser(names)
-        data, step = spoilt(rng, rng.choice(REQUESTS)[:400]), rng.choice([1, 3, 50, 4096])
+        parser = RequestParser(names)
+        data, step = mutated(rng, rng.choice(REQUESTS)[:400]), rng.choice([1, 3, 50, 4096])
         for at in range(0, len(data), step):
             for item in parser.feed(data[at : at + step]):
-                assert isinstance(item, Ask | Bad | ReadyAsk)
+                assert isinstance(item, Request | RejectedRequest | ReadinessRequest)
         answer = ResponseParser()
         with contextlib.suppress(ValueError):
-            answer.feed(spoilt(rng, rng.choice(ANSWERS)))
+            answer.feed(mutated(rng, rng.choice(ANSWERS)))
             report(answer, ("failed_ps",))
             outcome(answer)
-        call = CallParser()
+        call = ConsoleRequestParser()
         with contextlib.suppress(RejectedCommandError):
-            call.feed(spoilt(rng, b"POST /dispatch-servers/enable HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-a"))
+            call.feed(mutated(rng, b"POST /dispatch-servers/enable HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-a"))
             call.endpoint()
 
 
-def test_a_byte_at_a_time_is_the_same(tmp_path: Path) -> None:
-    names = Names(load(write(tmp_path)))
+def test_parsing_one_byte_at_a_time_gives_the_same_result(tmp_path: Path) -> None:
+    names = HeaderNames(load(write(tmp_path)))
     for raw in REQUESTS:
-        whole, single = InboundParser(names), InboundParser(names)
+        whole, single = RequestParser(names), RequestParser(names)
         at_once = whole.feed(raw)
         one_by_one = [x for k in range(len(raw)) for x in single.feed(raw[k : k + 1])]
         assert len(at_once) == len(one_by_one) == 1
-        assert isinstance(at_once[0], Ask) and isinstance(one_by_one[0], Ask)
+        assert isinstance(at_once[0], Request) and isinstance(one_by_one[0], Request)
         assert at_once[0].message.body == one_by_one[0].message.body
 
 
@@ -364,10 +364,10 @@
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_a_spoilt_file_is_taken_or_refused_with_its_name(tmp_path: Path, name: str) -> None:
-    """Cut, with bytes changed, nested, empty.
+def test_random_file_is_read_or_rejected_with_its_name(tmp_path: Path, name: str) -> None:
+    """Files are cut, changed, deeply nested or empty.
 
-    Never anything but the error of that file, in lines that name it.
+    The only exception is the error of that kind of file, with lines that name it.
     """
     source, reads, refused = FILES[name]
     path, rng = tmp_path / "file", Random(11)
@@ -392,7 +392,7 @@
     reads(path)
     cuts = [raw[:k] for k in range(0, len(raw), max(len(raw) // rows, 1))]
     deep = [b"[" * 100_000, b"\x00" * 5000, b"\xff\xfe", b"a = " + b"[" * 5000, b"{" * 900, b"9" * 6000]
-    for data in [b"", *cuts, *(spoilt(rng, raw) for _ in range(rows)), *deep]:
+    for data in [b"", *cuts, *(mutated(rng, raw) for _ in range(rows)), *deep]:
         path.write_bytes(data)
         try:
             reads(path)
@@ -402,8 +402,8 @@
 
 
 @pytest.mark.parametrize("name", ["configuration", "operator file", "scenario", "experiment", "day"])
-def test_a_pipe_in_a_files_place_is_refused_with_its_name(tmp_path: Path, name: str) -> None:
-    """It was waited for, without a word and without end."""
+def test_pipe_instead_of_a_file_is_rejected_with_its_name(tmp_path: Path, name: str) -> None:
+    """Guards against waiting for the pipe forever, without a message."""
     _, reads, refused = FILES[name]
     path, told = tmp_path / "file", list[str]()
     os.mkfifo(path)
@@ -419,9 +419,9 @@
     assert told and (str(path) in told[0] or "LB_CONFIG" in told[0])
 
 
-def test_spoilt_heads_at_the_status_door_get_an_answer_of_its_own() -> None:
+def test_random_heads_at_the_status_socket_get_a_4xx_answer() -> None:
     rng, good = Random(5), b"GET /status?worst=3 HTTP/1.1\r\nHost: localhost\r\nAccept: */*\r\n\r\n"
-    for data in [good[:k] for k in range(len(good))] + [spoilt(rng, good) for _ in range(4000)]:
+    for data in [good[:k] for k in range(len(good))] + [mutated(rng, good) for _ in range(4000)]:
         try:
             assert isinstance(wire.asked(data, 10, rng.random() < 0.5), wire.Asked)
         except wire.RejectedQueryError as error:
