--- a/benchmarks/status_cost.py
+++ b/benchmarks/status_cost.py
@@ -55,18 +55,18 @@
     core = c.Core(made.settings, Balancer(made.settings, 7), HELD)
     now = HEAD_START_US
     members = tuple(
-        c.Member(b"10.%d.%d.%d:9000" % (k >> 16, k >> 8 & 255, k & 255), ("10.0.0.1", 9000), k % 2, 0, 0,
-                 State.READY, 1.0, 0)
+        c.DiscoveredEndpoint(b"10.%d.%d.%d:9000" % (k >> 16, k >> 8 & 255, k & 255), ("10.0.0.1", 9000),
+                             k % 2, 0, 0, State.READY, 1.0, 0)
         for k in range(fleet)
     )  # fmt: skip
     core.handle(now, c.Listening())
-    core.handle(now, c.FleetNews(View.FULL, members))
+    core.handle(now, c.EndpointListUpdate(View.FULL, members))
     balancer = core._balancer
     assert isinstance(balancer, Balancer)
     for server in balancer._order[::50]:
         server.pairs[0].fail, server.pairs[0].fail_at, server.pairs[0].since = 0.9, now / 1000, now / 1000
     for k in range(HELD):  # each with a call out, more than a node's descriptors would allow
-        core.handle(now + k * 50, c.Arrived(k, k % 3, 0, 0, 60_000_000, None))
+        core.handle(now + k * 50, c.RequestReceived(k, k % 3, 0, 0, 60_000_000, None))
     return core, made
 
 
--- a/granitewell/balancing/balancer.py
+++ b/granitewell/balancing/balancer.py
@@ -20,9 +20,11 @@
 
 from granitewell.balancing.interface import (
     Abandoned,
-    Acting,
     Action,
+    ActiveGateways,
+    BodyComplete,
     Cancel,
+    DecisionError,
     Effect,
     Ended,
     Event,
@@ -32,21 +34,19 @@
     Host,
     Hosts,
     Log,
-    MalformedMessageError,
     Outcome,
     PeerMessage,
-    Probed,
+    ProbeEnded,
     Refuse,
     Request,
     RequestClass,
-    Resettled,
     Scope,
     Send,
     SetTimer,
     Settings,
+    SettingsChanged,
     State,
     Timer,
-    Uploaded,
     View,
     Watch,
 )
@@ -177,13 +177,13 @@
 class _Held:
     """A request that is still owed its final answer."""
 
-    __slots__ = ("id", "index", "cls", "tenant", "key", "due", "came", "tries", "met", "flows")
+    __slots__ = ("id", "index", "cls", "tenant", "key", "due", "came", "tries", "met", "body_incomplete")
 
     def __init__(self, event: Request, cls: RequestClass, now: float) -> None:
         self.id, self.cls, self.tenant, self.key = event.id, cls, event.tenant, event.key
         self.index = event.class_index
         self.due = event.due_ms if event.due_ms == event.due_ms else now
-        self.came, self.flows = now, event.flows  # flows: its body has not come whole
+        self.came, self.body_incomplete = now, event.body_incomplete  # flows: its body has not come whole
         self.tries: list[_Try] = []
         self.met = False  # a host has had it, even if only to turn it away
 
@@ -198,8 +198,9 @@
         self._do: list[Action] = []
         self._handlers: dict[type, Callable[[Any], None]] = {
             Request: self._request, Ended: self._ended, Timer: self._timer, Abandoned: self._abandoned,
-            Hosts: self._hosts, Probed: _never_asked_for, Uploaded: self._uploaded, Acting: self._acting,
-            FirstByte: self._first_byte, PeerMessage: _never_asked_for, Resettled: self._resettled,
+            Hosts: self._hosts, ProbeEnded: _never_asked_for, BodyComplete: self._uploaded,
+            ActiveGateways: self._acting, FirstByte: self._first_byte, PeerMessage: _never_asked_for,
+            SettingsChanged: self._resettled,
         }  # fmt: skip
         self._held: dict[int, _Held] = {}
         self._out: dict[tuple[int, int], _Try] = {}
@@ -241,9 +242,9 @@
         self._shed: list[list[float]] = []  # odds of being refused
         self._allow: list[list[float]] = []  # by tenant: tokens, and since when
         self._retries = MAX_RETRY_TOKENS
-        self._resettled(Resettled(settings))
+        self._resettled(SettingsChanged(settings))
 
-    def _resettled(self, event: Resettled) -> None:
+    def _resettled(self, event: SettingsChanged) -> None:
         """Other settings: what is known of the classes stays, rows for new ones come behind."""
         self._set, self._nodes, kinds = event.settings, event.settings.acting, event.settings.classes
         for row in (self._mix, self._shed):
@@ -254,12 +255,13 @@
         self._cum, self._sound = [[] for _ in kinds], [[] for _ in kinds]
         # what keeps well inside the aim hurts nobody, however quick the others are
         self._health.take(
-            [c.effect is Effect.SAFE for c in kinds], [MIN_PATIENCE_RATIO * c.aim_ms for c in kinds],
+            [c.effect is Effect.SAFE for c in kinds],
+            [MIN_PATIENCE_RATIO * c.latency_target_ms for c in kinds],
             (s.pairs for s in self._servers.values()),
         )  # fmt: skip
         self._weigh()
 
-    def _acting(self, event: Acting) -> None:
+    def _acting(self, event: ActiveGateways) -> None:
         self._nodes = event
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -277,7 +279,7 @@
                 self._copy(late)
         except Exception as error:  # a defect: what was decided stands, what else is due has its turn soon
             self._armed = self._now + MIN_RETRY_INTERVAL_MS
-            raise MalformedMessageError([*self._do, SetTimer(self._armed, 0)]) from error
+            raise DecisionError([*self._do, SetTimer(self._armed, 0)]) from error
         return self._do
 
     # --- Timers: one agenda, one armed timer ------------------------------------------------------------
@@ -394,7 +396,10 @@
                 self._ill[k] = sorted(ill, key=lambda s: -s.pairs[k].tried)  # last: the longest ago
         self._worth = list(accumulate(best))
         # known or not, a warm host bears one request after the other, and its part of the allowances
-        aim, self._most = max(c.aim_ms for c in self._set.classes), max(self._most, len(self._order))
+        aim, self._most = (
+            max(c.latency_target_ms for c in self._set.classes),
+            max(self._most, len(self._order)),
+        )
         allowed = (
             sum(t.allowance_per_s for t in self._set.tenants)
             / 1000
@@ -579,7 +584,7 @@
             self._do.append(Fail(event.id))
             return
         cls = self._set.classes[event.class_index]
-        req = _Held(event, replace(cls, effect=Effect.UNSAFE) if event.once else cls, self._now)
+        req = _Held(event, replace(cls, effect=Effect.UNSAFE) if event.non_idempotent else cls, self._now)
         self._held[req.id] = req
         self._retries = min(self._retries + RETRY_BUDGET_RATIO, MAX_RETRY_TOKENS)
         over = self._over(event.tenant)
@@ -608,7 +613,7 @@
         Queues in front of the hosts would make every answer late, and clients' retries would keep it so after
         the cause has gone. What is worth least for its work is refused first.
         """
-        aims = [c.aim_ms for c in self._set.classes]
+        aims = [c.latency_target_ms for c in self._set.classes]
         stuck = 0  # overdue attempts, held by ill hosts: not a queue before the others
         for t in self._out.values():
             if not t.late and self._now - t.at > aims[t.cls]:
@@ -720,8 +725,8 @@
                 self._send(req, server)
 
     def _send(self, req: _Held, server: _Server) -> None:
-        t = _Try(server, math.inf if req.flows else self._now, req)
-        if not req.flows:
+        t = _Try(server, math.inf if req.body_incomplete else self._now, req)
+        if not req.body_incomplete:
             self._health.sent(t)
         self._out[req.id, len(req.tries)] = t
         req.tries.append(t)
@@ -748,7 +753,7 @@
         t.out, uncounted = False, (Outcome.CANCELLED, Outcome.MOOT, Outcome.FULL)  # FULL: see _dispatch
         if not t.late and t.at < math.inf and not sick and event.outcome not in uncounted:
             self._judged += 1.0
-            late = event.elapsed_ms > self._set.classes[t.cls].aim_ms
+            late = event.elapsed_ms > self._set.classes[t.cls].latency_target_ms
             self._late += late or event.outcome is Outcome.TIMEOUT
         if event.report:
             self._hear(server, event.report)
@@ -784,7 +789,7 @@
             self._floor = max(min(self._floor * 1.0005, self._latency), 0.01)
         if req is None:
             return
-        aim = req.cls.aim_ms or 5 * self._latency
+        aim = req.cls.latency_target_ms or 5 * self._latency
         self._samples.append((event.elapsed_ms, max(aim, 1.0)))
         if self._now - req.came > aim and self._now - self._sized_at >= LATE_SIZING_INTERVAL_MS:
             self._resize()
@@ -799,11 +804,11 @@
         if event.id in self._held:
             self._drop(self._held[event.id])
 
-    def _uploaded(self, event: Uploaded) -> None:
+    def _uploaded(self, event: BodyComplete) -> None:
         """The body of a request is whole: what is out for it begins now."""
         req = self._held.get(event.id)
         if req is not None:
-            req.flows, req.due = False, event.due_ms
+            req.body_incomplete, req.due = False, event.due_ms
             self._at(event.due_ms, self._due, req)
         t = self._out.get((event.id, event.attempt))
         if t is not None:
--- a/granitewell/balancing/interface.py
+++ b/granitewell/balancing/interface.py
@@ -71,7 +71,7 @@
 class RequestClass:
     """One class of requests."""
 
-    aim_ms: float
+    latency_target_ms: float
     deadline_ms: float
     effect: Effect
     worth: float = 1.0
@@ -89,7 +89,7 @@
     allowance_per_s: float
 
 
-class MalformedMessageError(Exception):
+class DecisionError(Exception):
     """The decisions have failed on an event, for the reason behind this (`__cause__`).
 
     What they had decided by then stands and has to be carried out: they count on it.
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Acting:
+class ActiveGateways:
     """How many gateways act on the same hosts, this one included.
 
     Attributes:
@@ -152,9 +152,9 @@
     weights_live: bool = False
 
     @property
-    def acting(self) -> Acting:
+    def acting(self) -> ActiveGateways:
         """The gateways that act, where nobody tells."""
-        return Acting(self.proxies, float(self.proxies))
+        return ActiveGateways(self.proxies, float(self.proxies))
 
 
 @dataclass(frozen=True, slots=True)
@@ -188,9 +188,9 @@
     key: int
     due_ms: float
     work_hint: float  # 0: none
-    repeat: bool = False
-    once: bool = False  # unsafe to repeat whatever its class
-    flows: bool = False  # its body still comes: a try of it begins with Uploaded
+    is_retry: bool = False
+    non_idempotent: bool = False  # unsafe to repeat whatever its class
+    body_incomplete: bool = False  # its body still comes: a try of it begins with Uploaded
 
 
 @dataclass(frozen=True, slots=True)
@@ -223,7 +223,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeEnded:
     """The result of one Probe."""
 
     host: bytes
@@ -248,7 +248,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Resettled:
+class SettingsChanged:
     """Other settings count for what comes from now on.
 
     Classes and tenants keep their index, new ones come behind; one that has been dropped keeps its place and
@@ -259,7 +259,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Uploaded:
+class BodyComplete:
     """The body of a request has come whole, from which its time counts.
 
     Attempt: the one that is out for it, -1 for none.
@@ -271,15 +271,15 @@
 
 
 Event = (
-    Resettled
-    | Acting
-    | Uploaded
+    SettingsChanged
+    | ActiveGateways
+    | BodyComplete
     | Hosts
     | Request
     | Abandoned
     | FirstByte
     | Ended
-    | Probed
+    | ProbeEnded
     | PeerMessage
     | Timer
 )
@@ -352,7 +352,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendPeerMessage:
     """Send a message to one gateway, or to all where target is None."""
 
     target: int | None
@@ -366,4 +366,4 @@
     line: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Close | Watch | Fetch | SetTimer | Tell | Log
+Action = Send | Refuse | Fail | Cancel | Probe | Close | Watch | Fetch | SetTimer | SendPeerMessage | Log
--- a/granitewell/balancing/settings_validation.py
+++ b/granitewell/balancing/settings_validation.py
@@ -25,7 +25,7 @@
     if not settings.classes:
         raise ValueError("classes: empty")
     for i, cls in enumerate(settings.classes):
-        _number(f"classes[{i}].aim_ms", cls.aim_ms, 0)
+        _number(f"classes[{i}].aim_ms", cls.latency_target_ms, 0)
         _number(f"classes[{i}].deadline_ms", cls.deadline_ms, 0)
         _number(f"classes[{i}].worth", cls.worth, 0)
         _number(f"classes[{i}].late_share", cls.late_share, 0)
--- a/granitewell/balancing/simulator_protocol.py
+++ b/granitewell/balancing/simulator_protocol.py
@@ -150,7 +150,7 @@
             load = _LOADS[n].unpack_from(b, pos + 22) if n else ()
             if why not in _OUTCOMES:
                 raise WireError(f"byte {pos + 11}: unknown outcome {why}")
-            return pos + 22 + 4 * n, (i, t.Probed(host, _OUTCOMES[why], _finite(ms), load))
+            return pos + 22 + 4 * n, (i, t.ProbeEnded(host, _OUTCOMES[why], _finite(ms), load))
         if code == 20:
             _, i, rid, leg, _, ms = _FIRST.unpack_from(b, pos)
             return pos + 29, (i, t.FirstByte(rid, leg, _finite(ms)))
@@ -284,7 +284,7 @@
         return _FLAG.pack(110, inst, 1 if a.active else 0)
     if isinstance(a, t.Fetch):
         return _INST.pack(90, inst)
-    if isinstance(a, t.Tell):
+    if isinstance(a, t.SendPeerMessage):
         return _SAY.pack(100, inst, 0xFFFFFFFF if a.target is None else a.target, len(a.data)) + a.data
     assert isinstance(a, t.Log)
     raw = a.line.encode()[:65535]
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -18,45 +18,45 @@
 
 from granitewell.balancing import interface as t
 from granitewell.balancing.interface import Effect, Outcome, Scope, State, View
-from granitewell.core.tables import Call, Endpoint, Held
+from granitewell.core.tables import Call, Endpoint, PendingRequest
 from granitewell.core.types import (
     AbandonCall,
-    Acting,
-    Answer,
-    Arrived,
-    BanAsked,
-    BanLifted,
-    BansHeard,
-    Begin,
-    CallBegan,
+    ActiveNodes,
+    BanReply,
+    BanRequested,
+    BanResult,
+    BansLoaded,
     CallDialed,
     CallDialing,
     CallEnded,
-    CallPart,
     CloseIdle,
+    DiscoveredEndpoint,
+    DownstreamClosed,
     Effects,
+    EndpointListUpdate,
+    EndResponse,
     Event,
-    Finish,
-    FleetNews,
-    InboundGone,
-    KeepBan,
-    Leave,
-    LetGo,
+    ExitProcess,
     Listening,
-    Member,
-    Note,
-    Pass,
+    LogLine,
+    PersistBan,
     Phase,
-    Ruled,
-    Ruling,
-    Serving,
-    Settled,
+    ReadyToServe,
+    RequestBodyComplete,
+    RequestBodyReleased,
+    RequestReceived,
+    ResponsePart,
+    ResponseStarted,
+    ResponseStatus,
+    SendResponse,
+    SendResponsePart,
+    SettingsChanged,
     StartCall,
-    StopAsked,
+    StartResponse,
     StopListening,
-    Verdict,
-    Whole,
-    Woken,
+    StopRequested,
+    TimerExpired,
+    UnbanRequested,
     WriteCall,
 )
 
@@ -83,12 +83,12 @@
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT})
 
 
-def _text(eid: bytes) -> str:
+def _printable_id(endpoint_id: bytes) -> str:
     """An endpoint's id for the log."""
-    return eid.decode(errors="replace")
+    return endpoint_id.decode(errors="replace")
 
 
-class Decider(Protocol):
+class LoadBalancer(Protocol):
     """What the core needs of granitewell.balancing.balancer.Balancer."""
 
     def handle(self, now: float, event: t.Event) -> list[t.Action]: ...
@@ -97,93 +97,107 @@
 class Core:
     """The node's state. handle(now_us, event) gives the effects to run, in order."""
 
-    def __init__(self, settings: t.Settings, balancer: Decider, most_held: int) -> None:
+    def __init__(self, settings: t.Settings, balancer: LoadBalancer, max_pending_requests: int) -> None:
         self.phase = Phase.STARTING
         self.stats: Counter[str] = Counter()
-        self._set, self._balancer, self._most_held = settings, balancer, most_held
+        self._settings, self._balancer, self._max_pending_requests = settings, balancer, max_pending_requests
         self._now = 0
-        self._out: list[Effects] = []
-        self._work: deque[t.Event] = deque()  # for the module, also what its own actions have brought about
-        self._requests: dict[int, Held] = {}
-        self._by_inbound: dict[int, Held] = {}
-        self._names: set[bytes] = set()  # the clients' ids of the requests that are open
+        self._effects: list[Effects] = []
+        self._balancer_events: deque[t.Event] = (
+            deque()
+        )  # for the module, also what its own actions have brought about
+        self._requests: dict[int, PendingRequest] = {}
+        self._requests_by_downstream: dict[int, PendingRequest] = {}
+        self._open_request_ids: set[bytes] = set()  # the clients' ids of the requests that are open
         self._calls: dict[int, Call] = {}
-        self._fleet: dict[bytes, Endpoint] = {}
+        self._endpoints: dict[bytes, Endpoint] = {}
         self._bans: dict[bytes, int] = {}  # whatever the list says of them, and since when
-        self._back_us: dict[bytes, int] = {}  # when the ban of an endpoint ended
-        self._named: dict[bytes, None] = {}  # endpoints that a list has named, the last named last
+        self._unbanned_at_us: dict[bytes, int] = {}  # when the ban of an endpoint ended
+        self._known_endpoint_ids: dict[
+            bytes, None
+        ] = {}  # endpoints that a list has named, the last named last
         self._timers: list[tuple[int, int, str, Any]] = []
-        self._last_id = self._seq = 0
-        self._listening = self._beating = False
-        self._nodes: t.Acting | None = None  # as the nodes see themselves; None where nobody says so
-        self._module_us = -1  # when the module's timer is due; -1: none
-        self.leave_by_us = -1  # once it is asked to stop: when the process must be gone
+        self._last_id = self._timer_sequence = 0
+        self._listening = self._stats_timer_started = False
+        self._active_nodes: t.ActiveGateways | None = (
+            None  # as the nodes see themselves; None where nobody says so
+        )
+        self._balancer_timer_us = -1  # when the module's timer is due; -1: none
+        self.exit_deadline_us = -1  # once it is asked to stop: when the process must be gone
 
     # --- The only way in --------------------------------------------------------------------------------
     def handle(self, now_us: int, event: Event) -> list[Effects]:
         """Apply one event. No exception leaves here: a fault costs its own request, not the process."""
         self._now = max(now_us, self._now)
-        self._out = []
+        self._effects = []
         call = self._calls.get(getattr(event, "call", -1))  # its end takes it out of the table
         try:
             self._apply(event)
         except Exception:
-            self._fault(f"the reducer failed on {type(event).__name__}")
-            request = call.request if call else self._by_inbound.get(getattr(event, "inbound", -1))
+            self._log_exception(f"the reducer failed on {type(event).__name__}")
+            request = (
+                call.request
+                if call
+                else self._requests_by_downstream.get(getattr(event, "downstream_id", -1))
+            )
             if request is not None and request.open:
-                self._close(request, Verdict.FAILED)
-            elif isinstance(event, Arrived) and not any(isinstance(x, Answer) for x in self._out):
-                self._out.append(Answer(event.inbound, Verdict.FAILED))  # it broke before it had a place
-        self._settle()
-        return self._out
+                self._finish_request(request, ResponseStatus.FAILED)
+            elif isinstance(event, RequestReceived) and not any(
+                isinstance(x, SendResponse) for x in self._effects
+            ):
+                self._effects.append(
+                    SendResponse(event.downstream_id, ResponseStatus.FAILED)
+                )  # it broke before it had a place
+        self._update_phase()
+        return self._effects
 
     def _apply(self, event: Event) -> None:
-        if isinstance(event, Arrived):
-            self._arrived(event)
+        if isinstance(event, RequestReceived):
+            self._request_received(event)
         elif isinstance(event, CallEnded):
             call = self._calls.get(event.call)
             if call is not None:
-                self._end(call, event.outcome, event.report, event.answer)
-        elif isinstance(event, Woken):
-            self._woken()
+                self._end_call(call, event.outcome, event.report, event.response)
+        elif isinstance(event, TimerExpired):
+            self._run_timers()
         elif isinstance(event, CallDialing):
             if event.call in self._calls:
                 self._calls[event.call].dialing = True
         elif isinstance(event, CallDialed):
-            self._dialed(event.call)
-        elif isinstance(event, CallBegan):
-            self._began(event)
-        elif isinstance(event, CallPart):
+            self._call_dialed(event.call)
+        elif isinstance(event, ResponseStarted):
+            self._begin_response(event)
+        elif isinstance(event, ResponsePart):
             call = self._calls.get(event.call)
-            if call is not None and call.streams:
-                self._out.append(Pass(call.request.inbound, event.part))
-        elif isinstance(event, InboundGone):
-            self._gone(event.inbound)
-        elif isinstance(event, Whole):
-            self._whole(event.inbound)
-        elif isinstance(event, LetGo):
-            if event.inbound in self._by_inbound:
-                self._by_inbound[event.inbound].let_go = True
-        elif isinstance(event, FleetNews):
-            self._news(event)
+            if call is not None and call.response_started:
+                self._effects.append(SendResponsePart(call.request.downstream_id, event.part))
+        elif isinstance(event, DownstreamClosed):
+            self._downstream_closed(event.downstream_id)
+        elif isinstance(event, RequestBodyComplete):
+            self._body_complete(event.downstream_id)
+        elif isinstance(event, RequestBodyReleased):
+            if event.downstream_id in self._requests_by_downstream:
+                self._requests_by_downstream[event.downstream_id].body_released = True
+        elif isinstance(event, EndpointListUpdate):
+            self._update_endpoints(event)
         elif isinstance(event, Listening):
             if self.phase is Phase.STARTING:  # else a stop has come before
                 self._listening = True
-        elif isinstance(event, BanAsked | BanLifted):
-            self._ruled(event)
-        elif isinstance(event, BansHeard):
-            self._heard(event)
-        elif isinstance(event, Settled):
-            self._set, self._most_held = event.settings, event.most_held
-            self._work.append(t.Resettled(event.settings))
-            if self._nodes is not None:
-                self._work.append(self._nodes)
-        elif isinstance(event, Acting):
-            self._nodes = t.Acting(max(event.most, 1), max(event.up, 1.0), event.parts)
-            self._work.append(self._nodes)
+        elif isinstance(event, BanRequested | UnbanRequested):
+            self._change_ban(event)
+        elif isinstance(event, BansLoaded):
+            self._load_bans(event)
+        elif isinstance(event, SettingsChanged):
+            self._settings, self._max_pending_requests = event.settings, event.max_pending_requests
+            self._balancer_events.append(t.SettingsChanged(event.settings))
+            if self._active_nodes is not None:
+                self._balancer_events.append(self._active_nodes)
+        elif isinstance(event, ActiveNodes):
+            self._active_nodes = t.ActiveGateways(max(event.most, 1), max(event.up, 1.0), event.parts)
+            self._balancer_events.append(self._active_nodes)
         else:
             self._stop(event)
-        self._think()
+        self._run_balancer()
 
     @property
     def wake_us(self) -> int:
@@ -191,24 +205,24 @@
         return self._timers[0][0] if self._timers else -1
 
     @property
-    def held(self) -> int:
+    def pending_count(self) -> int:
         """Requests that are owed an answer."""
         return len(self._requests)
 
-    def _note(self, topic: str, line: str) -> None:
-        self._out.append(Note(topic, line))
+    def _log(self, topic: str, line: str) -> None:
+        self._effects.append(LogLine(topic, line))
 
-    def _fault(self, what: str) -> None:
+    def _log_exception(self, what: str) -> None:
         self.stats["faults"] += 1
-        told = traceback.format_exc().partition("\nThe above exception")[0]  # the cause, where there is one
-        self._note("fault", f"{what}: {' | '.join(told.strip().splitlines()[-5:])}")
+        trace = traceback.format_exc().partition("\nThe above exception")[0]  # the cause, where there is one
+        self._log("fault", f"{what}: {' | '.join(trace.strip().splitlines()[-5:])}")
 
     # --- Timers -----------------------------------------------------------------------------------------
-    def _at(self, when_us: int, what: str, arg: Any = None) -> None:
-        self._seq += 1
-        heappush(self._timers, (when_us, self._seq, what, arg))
+    def _schedule(self, when_us: int, what: str, arg: Any = None) -> None:
+        self._timer_sequence += 1
+        heappush(self._timers, (when_us, self._timer_sequence, what, arg))
 
-    def _woken(self) -> None:
+    def _run_timers(self) -> None:
         """Run what is due.
 
         Calls that end with their request are heard of before the module's own timer of the same moment, as on
@@ -221,183 +235,211 @@
         for when, _, what, arg in due:
             if what == "call":
                 call = self._calls.get(arg)
-                if call is not None and not call.streams:  # a stream that has begun has no time of its own
-                    self._out.append(AbandonCall(call.id))
+                if (
+                    call is not None and not call.response_started
+                ):  # a stream that has begun has no time of its own
+                    self._effects.append(AbandonCall(call.id))
                     # nothing has been written to a connection that is not up: this one never ran
-                    self._end(call, Outcome.UNCONNECTED if call.dialing else Outcome.TIMEOUT)
+                    self._end_call(call, Outcome.UNCONNECTED if call.dialing else Outcome.TIMEOUT)
             elif what == "module":
-                self._think()
-                if when == self._module_us:
-                    self._module_us = -1
-                    self._ask(t.Timer(arg))
+                self._run_balancer()
+                if when == self._balancer_timer_us:
+                    self._balancer_timer_us = -1
+                    self._call_balancer(t.Timer(arg))
             elif what == "guard":
-                self._overdue(arg)
+                self._fail_overdue(arg)
             elif what == "beat":
-                self._beat()
+                self._log_stats()
             elif what == "accepted":
-                self._out.append(StopListening())
-                self._at(self._now + READ_AFTER_CLOSE_US, "heard")
+                self._effects.append(StopListening())
+                self._schedule(self._now + READ_AFTER_CLOSE_US, "heard")
             elif what == "heard":
                 self._listening = False
             elif what == "leave" and self.phase is Phase.DRAINING:
-                self._note("phase", f"no time is left: leaving, {len(self._requests)} are answered unserved")
+                self._log("phase", f"no time is left: leaving, {len(self._requests)} are answered unserved")
                 for request in list(self._requests.values()):
-                    self._close(request, Verdict.FAIL_FAST if self._harmless(request) else Verdict.FAILED)
+                    self._finish_request(
+                        request,
+                        ResponseStatus.REJECTED
+                        if self._is_safe_to_reject(request)
+                        else ResponseStatus.FAILED,
+                    )
                 self.phase = Phase.STOPPED
-                self._out.append(Leave())
+                self._effects.append(ExitProcess())
 
-    def _overdue(self, rid: int) -> None:
+    def _fail_overdue(self, request_id: int) -> None:
         """Rule 1, against a module that forgets or fails: the core's own last word, inside the slack."""
-        request = self._requests.get(rid)
-        if request is not None and not request.streams:
-            self._note("overdue", f"request {rid} had no answer at its due time: answered as failed")
-            self._close(request, Verdict.FAILED)
-            self._work.append(t.Abandoned(rid))
-
-    def _beat(self) -> None:
-        self._at(self._now + STATS_INTERVAL_US, "beat")
-        ready = sum(e.told_us < 0 for e in self._fleet.values())
+        request = self._requests.get(request_id)
+        if request is not None and not request.response_started:
+            self._log("overdue", f"request {request_id} had no answer at its due time: answered as failed")
+            self._finish_request(request, ResponseStatus.FAILED)
+            self._balancer_events.append(t.Abandoned(request_id))
+
+    def _log_stats(self) -> None:
+        self._schedule(self._now + STATS_INTERVAL_US, "beat")
+        ready = sum(e.unavailable_since_us < 0 for e in self._endpoints.values())
         figures = " ".join(f"{k}={v}" for k, v in sorted(self.stats.items()))
-        self._note("beat", f"held={len(self._requests)} calls={len(self._calls)} endpoints={ready} {figures}")
+        self._log("beat", f"held={len(self._requests)} calls={len(self._calls)} endpoints={ready} {figures}")
 
     # --- Phases -----------------------------------------------------------------------------------------
-    def _settle(self) -> None:
+    def _update_phase(self) -> None:
         """Move on to the phase that the state allows."""
-        able = self._listening and any(e.told_us < 0 for e in self._fleet.values())
-        if self.phase is Phase.STARTING and able:
+        can_serve = self._listening and any(e.unavailable_since_us < 0 for e in self._endpoints.values())
+        if self.phase is Phase.STARTING and can_serve:
             self.phase = Phase.READY
-            self._note("phase", f"ready with {len(self._fleet)} endpoints, {len(self._bans)} banned")
-            self._out.append(Serving())
-        if not self._beating and self._listening:
-            self._beating = True
-            self._at(self._now + STATS_INTERVAL_US, "beat")
+            self._log("phase", f"ready with {len(self._endpoints)} endpoints, {len(self._bans)} banned")
+            self._effects.append(ReadyToServe())
+        if not self._stats_timer_started and self._listening:
+            self._stats_timer_started = True
+            self._schedule(self._now + STATS_INTERVAL_US, "beat")
         if self.phase is Phase.DRAINING and not self._listening and not self._requests:
-            self._note("phase", "all is answered: leaving")
+            self._log("phase", "all is answered: leaving")
             self.phase = Phase.STOPPED
-            self._out.append(Leave())
+            self._effects.append(ExitProcess())
 
-    def _stop(self, event: StopAsked) -> None:
+    def _stop(self, event: StopRequested) -> None:
         if self.phase in (Phase.DRAINING, Phase.STOPPED):
             return
         self.phase = Phase.DRAINING
-        self._note("phase", f"asked to stop with {len(self._requests)} requests held")
-        longest = max(int(c.deadline_ms * 1000) for c in self._set.classes)
+        self._log("phase", f"asked to stop with {len(self._requests)} requests held")
+        longest = max(int(c.deadline_ms * 1000) for c in self._settings.classes)
         end = self._now + min(longest, MAX_DRAIN_DEADLINE_US) + SHUTDOWN_MARGIN_US
         if event.shared:  # the other process takes what comes; here clients use up the connections they hold
-            self._out.append(StopListening())
-            self._at(end - SHARED_LISTENER_DRAIN_US, "heard")
+            self._effects.append(StopListening())
+            self._schedule(end - SHARED_LISTENER_DRAIN_US, "heard")
         else:
-            self._at(self._now + ACCEPT_AFTER_STOP_US, "accepted")
-        self._at(end, "leave")
-        self.leave_by_us = end + RESPONSE_FLUSH_US
+            self._schedule(self._now + ACCEPT_AFTER_STOP_US, "accepted")
+        self._schedule(end, "leave")
+        self.exit_deadline_us = end + RESPONSE_FLUSH_US
 
     # --- Requests ---------------------------------------------------------------------------------------
-    def _arrived(self, event: Arrived) -> None:
+    def _request_received(self, event: RequestReceived) -> None:
         self.stats["taken"] += 1
         closing = self.phase is not Phase.READY and self.phase is not Phase.STARTING
         if self.phase is Phase.STOPPED:
             # the process ends at any moment: what it began would run, and nobody would hear how it went
-            self._out.append(Answer(event.inbound, Verdict.FAIL_FAST, None, 0, closing))
+            self._effects.append(SendResponse(event.downstream_id, ResponseStatus.REJECTED, None, 0, closing))
             return
-        if len(self._requests) >= self._most_held:
+        if len(self._requests) >= self._max_pending_requests:
             self.stats["table_full"] += 1
-            self._note("full", f"the table holds {len(self._requests)} requests: turned away")
-            wait = int(self._set.max_retry_after_ms * 1000) if self._set.retry_after else 0
-            self._out.append(Answer(event.inbound, Verdict.FAIL_FAST, None, wait, closing))
+            self._log("full", f"the table holds {len(self._requests)} requests: turned away")
+            wait = int(self._settings.max_retry_after_ms * 1000) if self._settings.retry_after else 0
+            self._effects.append(
+                SendResponse(event.downstream_id, ResponseStatus.REJECTED, None, wait, closing)
+            )
             return
-        if event.beyond_us >= 0:
+        if event.limit_retry_after_us >= 0:
             self.stats["beyond"] += 1
-            wait = min(event.beyond_us, int(self._set.max_retry_after_ms * 1000))
-            wait = wait if self._set.retry_after else 0
-            self._out.append(Answer(event.inbound, Verdict.FAIL_FAST, None, wait, closing))
+            wait = min(event.limit_retry_after_us, int(self._settings.max_retry_after_ms * 1000))
+            wait = wait if self._settings.retry_after else 0
+            self._effects.append(
+                SendResponse(event.downstream_id, ResponseStatus.REJECTED, None, wait, closing)
+            )
             return
-        if event.name in self._names:
+        if event.client_request_id in self._open_request_ids:
             # whoever sends the id of another's open request must not be served as though its own had run
-            self.stats[Verdict.SAME_ID.value] += 1
-            self._note("same-id", f"a request with the id of request {event.name.decode(errors='replace')}, "
-                       "which is open: not taken")  # fmt: skip
-            self._out.append(Answer(event.inbound, Verdict.SAME_ID, None, 0, closing))
+            self.stats[ResponseStatus.DUPLICATE_ID.value] += 1
+            self._log(
+                "same-id",
+                f"a request with the id of request {event.client_request_id.decode(errors='replace')}, "
+                "which is open: not taken",
+            )
+            self._effects.append(
+                SendResponse(event.downstream_id, ResponseStatus.DUPLICATE_ID, None, 0, closing)
+            )
             return
         self._last_id += 1
-        cls = self._set.classes[event.class_index]
-        once = event.once and cls.effect is Effect.SAFE  # a client that has not heard of other settings
-        if once:
+        cls = self._settings.classes[event.class_index]
+        non_idempotent = (
+            event.non_idempotent and cls.effect is Effect.SAFE
+        )  # a client that has not heard of other settings
+        if non_idempotent:
             cls = replace(cls, effect=Effect.UNSAFE)
         # a time without end would hold its place in every table; no client of the class waits longer
         wait = min(event.timeout_us, max(int(cls.deadline_ms * 1000), MIN_TIMEOUT_LIMIT_US))
-        told = self._now + wait  # the module holds it for no longer, be its body whole or not
-        due = self._now + STREAMED_BODY_TIMEOUT_US if event.flows else told
-        request = Held(self._last_id, event, cls, due, wait, self._set.max_attempts)
-        if event.name:
-            self._names.add(event.name)
-        self._requests[request.id] = self._by_inbound[event.inbound] = request
-        if not event.flows:
-            self._at(due + OVERDUE_GRACE_US, "guard", request.id)
-        self._work.append(t.Request(
-            request.id, event.class_index, event.tenant, event.key, told / 1000, 0.0, event.repeat, once,
-            event.flows,
+        balancer_due_us = self._now + wait  # the module holds it for no longer, be its body whole or not
+        due = self._now + STREAMED_BODY_TIMEOUT_US if event.body_incomplete else balancer_due_us
+        request = PendingRequest(self._last_id, event, cls, due, wait, self._settings.max_attempts)
+        if event.client_request_id:
+            self._open_request_ids.add(event.client_request_id)
+        self._requests[request.id] = self._requests_by_downstream[event.downstream_id] = request
+        if not event.body_incomplete:
+            self._schedule(due + OVERDUE_GRACE_US, "guard", request.id)
+        self._balancer_events.append(t.Request(
+            request.id, event.class_index, event.tenant, event.key, balancer_due_us / 1000, 0.0,
+            event.is_retry, non_idempotent, event.body_incomplete,
         ))  # fmt: skip
 
-    def _whole(self, inbound: int) -> None:
+    def _body_complete(self, downstream_id: int) -> None:
         """The body has come: the request's time begins, and that of the call that is out for it."""
-        request = self._by_inbound.get(inbound)
-        if request is None or not request.flows:
+        request = self._requests_by_downstream.get(downstream_id)
+        if request is None or not request.body_incomplete:
             return
-        request.flows = False
-        request.due_us = self._now + request.wait_us
-        self._at(request.due_us + OVERDUE_GRACE_US, "guard", request.id)
+        request.body_incomplete = False
+        request.due_us = self._now + request.timeout_us
+        self._schedule(request.due_us + OVERDUE_GRACE_US, "guard", request.id)
         out = [call for call in request.calls if call.outcome is None]
         for call in out:
             call.at_us, call.due_us = self._now, request.due_us
-            self._at(call.due_us, "call", call.id)
+            self._schedule(call.due_us, "call", call.id)
         number = out[-1].number if out else -1
-        self._work.append(t.Uploaded(request.id, number, request.due_us / 1000))
-
-    def _close(self, request: Held, verdict: Verdict, answer: object = None, wait_us: int = 0) -> None:
+        self._balancer_events.append(t.BodyComplete(request.id, number, request.due_us / 1000))
+
+    def _finish_request(
+        self,
+        request: PendingRequest,
+        status: ResponseStatus,
+        response: object = None,
+        retry_after_us: int = 0,
+    ) -> None:
         """Give the one final answer, or end the one that has begun."""
-        self._forget(request)
-        self.stats[verdict.value] += 1
+        self._remove_request(request)
+        self.stats[status.value] += 1
         closing = self.phase is Phase.DRAINING
-        if request.streams:
-            self._out.append(Finish(request.inbound, verdict is Verdict.SERVED, answer, closing))
+        if request.response_started:
+            self._effects.append(
+                EndResponse(request.downstream_id, status is ResponseStatus.SERVED, response, closing)
+            )
         else:
-            self._out.append(Answer(request.inbound, verdict, answer, wait_us, closing))
+            self._effects.append(
+                SendResponse(request.downstream_id, status, response, retry_after_us, closing)
+            )
 
-    def _forget(self, request: Held) -> None:
+    def _remove_request(self, request: PendingRequest) -> None:
         request.open = False
-        self._names.discard(request.name)
+        self._open_request_ids.discard(request.client_request_id)
         del self._requests[request.id]
-        del self._by_inbound[request.inbound]
+        del self._requests_by_downstream[request.downstream_id]
 
-    def _gone(self, inbound: int) -> None:
-        request = self._by_inbound.get(inbound)
+    def _downstream_closed(self, downstream_id: int) -> None:
+        request = self._requests_by_downstream.get(downstream_id)
         if request is not None:
             self.stats["abandoned"] += 1
-            self._forget(request)
+            self._remove_request(request)
             for call in request.calls:
                 # the module let go of it when it began; a body that flows will never be whole, be the module
                 # free to cancel or not; and nothing new begins for a client that has left
-                lost = call.streams or request.flows or request.forgotten or call.dialing
+                lost = call.response_started or request.body_incomplete or request.given_up or call.dialing
                 if lost and call.outcome is None:
-                    self._out.append(AbandonCall(call.id))
-                    self._end(call, Outcome.CANCELLED)
-            self._work.append(t.Abandoned(request.id))
+                    self._effects.append(AbandonCall(call.id))
+                    self._end_call(call, Outcome.CANCELLED)
+            self._balancer_events.append(t.Abandoned(request.id))
 
     # --- Outbound calls ---------------------------------------------------------------------------------
-    def _sendable(self, endpoint: Endpoint) -> bool:
+    def _is_available(self, endpoint: Endpoint) -> bool:
         """Rule 3 and the operators' bans: may a first byte go to this endpoint now?
 
         The grace that the rule leaves counts from when the agent had the news, which this node may hear late:
         none of it is used.
         """
-        return endpoint.told_us < 0 and endpoint.member.id not in self._bans
+        return endpoint.unavailable_since_us < 0 and endpoint.member.id not in self._bans
 
-    def _repeatable(self, request: Held, endpoint: Endpoint, this: Call | None = None) -> bool:
+    def _may_run_at(self, request: PendingRequest, endpoint: Endpoint, this: Call | None = None) -> bool:
         """Rule 2: may this request go out (again) to this endpoint, given its other calls?"""
         ran = [c for c in request.calls if c.outcome not in NEVER_RAN and c is not this]
-        if request.let_go or (request.one_feed and any(c.outcome is None for c in ran)):
+        if request.body_released or (request.body_streamed and any(c.outcome is None for c in ran)):
             return False  # what has been let go can't be sent again, and one body feeds one call
-        if not self._set.parallel_tries and any(c.outcome is None for c in ran):
+        if not self._settings.parallel_tries and any(c.outcome is None for c in ran):
             return False
         if not ran or request.cls.effect is Effect.SAFE:
             return True
@@ -409,43 +451,43 @@
 
     def _send(self, action: t.Send) -> None:
         """Start a call, or tell the module that it was moot where a rule forbids it."""
-        request, endpoint = self._requests.get(action.id), self._fleet.get(action.host)
-        if request is None or endpoint is None or request.streams:
-            self._note("guard", f"held back a send: request {action.id} or its endpoint is not known")
+        request, endpoint = self._requests.get(action.id), self._endpoints.get(action.host)
+        if request is None or endpoint is None or request.response_started:
+            self._log("guard", f"held back a send: request {action.id} or its endpoint is not known")
             self.stats["guarded"] += 1
             return
         number = len(request.calls)
         if number >= request.attempts:
             # to call this moot would let a module that sends after every ending do so for ever
-            self._note("guard", f"request {request.id} has had its {number} attempts: answered as failed")
+            self._log("guard", f"request {request.id} has had its {number} attempts: answered as failed")
             self.stats["guarded"] += 1
-            self._close(request, Verdict.FAILED)
-            self._work.append(t.Abandoned(request.id))
+            self._finish_request(request, ResponseStatus.FAILED)
+            self._balancer_events.append(t.Abandoned(request.id))
             return
         self._last_id += 1
         due = request.due_us
-        if action.timeout_ms > 0.0 and not request.flows:
+        if action.timeout_ms > 0.0 and not request.body_incomplete:
             due = min(due, self._now + round(action.timeout_ms * 1000))
         call = Call(self._last_id, request, number, endpoint, self._now, due)
-        allowed = self._sendable(endpoint) and self._repeatable(request, endpoint)
+        allowed = self._is_available(endpoint) and self._may_run_at(request, endpoint)
         request.calls.append(call)
         self._calls[call.id] = call
         if not allowed:
-            self._note("guard", f"held back a send of request {action.id}: a rule forbids it")
+            self._log("guard", f"held back a send of request {action.id}: a rule forbids it")
             self.stats["guarded"] += 1
-            self._end(call, Outcome.MOOT)
+            self._end_call(call, Outcome.MOOT)
             return
         self.stats["sent"] += 1
-        if not request.flows:
-            self._at(due, "call", call.id)
+        if not request.body_incomplete:
+            self._schedule(due, "call", call.id)
         to = endpoint.member
-        self._out.append(
-            StartCall(call.id, to.id, to.address, request.message, due, to.protocol, request.inbound)
+        self._effects.append(
+            StartCall(call.id, to.id, to.address, request.message, due, to.protocol, request.downstream_id)
         )
 
-    def clear(self, cid: int) -> bool:
+    def may_write_call(self, call_id: int) -> bool:
         """The last look before the first byte, where no dial lies between: is this call still to be made?"""
-        call = self._calls.get(cid)
+        call = self._calls.get(call_id)
         return call is not None and self._may_write(call)
 
     def _may_write(self, call: Call) -> bool:
@@ -456,49 +498,49 @@
         """
         request, endpoint = call.request, call.endpoint
         return (
-            request.open and not request.streams
+            request.open and not request.response_started
             and call.due_us - self._now >= MIN_REMAINING_US
             and call.address == endpoint.member.address
-            and self._sendable(endpoint)
-            and self._repeatable(request, endpoint, call)
+            and self._is_available(endpoint)
+            and self._may_run_at(request, endpoint, call)
         )  # fmt: skip
 
-    def _dialed(self, cid: int) -> None:
+    def _call_dialed(self, call_id: int) -> None:
         """A dial takes time: whatever held when it began is asked again."""
-        call = self._calls.get(cid)
+        call = self._calls.get(call_id)
         if call is None:
             return
         call.dialing = False
         self.stats["dialed"] += 1
         if self._may_write(call):
-            self._out.append(WriteCall(cid))
+            self._effects.append(WriteCall(call_id))
         else:
-            self._out.append(AbandonCall(cid))
-            self._end(call, Outcome.MOOT)
+            self._effects.append(AbandonCall(call_id))
+            self._end_call(call, Outcome.MOOT)
 
-    def _began(self, event: CallBegan) -> None:
+    def _begin_response(self, event: ResponseStarted) -> None:
         """The first answer that begins is the request's; every other call of it is of no more use."""
         call = self._calls.get(event.call)
         if call is None:
             return
         request = call.request
-        if not request.open or request.streams:
-            self._out.append(AbandonCall(call.id))
-            self._end(call, Outcome.CANCELLED, event.report)
+        if not request.open or request.response_started:
+            self._effects.append(AbandonCall(call.id))
+            self._end_call(call, Outcome.CANCELLED, event.report)
             return
-        request.streams = call.streams = True
+        request.response_started = call.response_started = True
         self.stats["begun"] += 1
-        self._out.append(Begin(request.inbound, event.answer))
+        self._effects.append(StartResponse(request.downstream_id, event.response))
         # to the module it has ended: what counts is the first byte, and the rest goes at its client's pace
-        self._work.append(t.Ended(request.id, call.number, call.endpoint.member.id, Outcome.OK,
+        self._balancer_events.append(t.Ended(request.id, call.number, call.endpoint.member.id, Outcome.OK,
                                   (self._now - call.at_us) / 1000, True, event.report))  # fmt: skip
         for other in request.calls:
             if other is not call and other.outcome is None:
-                self._out.append(AbandonCall(other.id))
-                self._end(other, Outcome.CANCELLED)
+                self._effects.append(AbandonCall(other.id))
+                self._end_call(other, Outcome.CANCELLED)
 
-    def _end(
-        self, call: Call, outcome: Outcome, report: tuple[float, ...] = (), answer: object = None
+    def _end_call(
+        self, call: Call, outcome: Outcome, report: tuple[float, ...] = (), response: object = None
     ) -> None:
         """The one ending of a call; the first OK of an open request is its answer."""
         del self._calls[call.id]
@@ -507,75 +549,86 @@
         self.stats["reports"] += bool(report)
         request = call.request
         try:
-            if request.open and call.streams:
+            if request.open and call.response_started:
                 # what has begun can't begin again elsewhere: it ends here, whole or visibly not
-                self._close(request, Verdict.SERVED if outcome is Outcome.OK else Verdict.FAILED, answer)
-            elif outcome is Outcome.OK and request.open and not request.streams:
-                self._close(request, Verdict.SERVED, answer)
-            elif request.open and (request.let_go or request.forgotten) and outcome is not Outcome.OK:
+                self._finish_request(
+                    request,
+                    ResponseStatus.SERVED if outcome is Outcome.OK else ResponseStatus.FAILED,
+                    response,
+                )
+            elif outcome is Outcome.OK and request.open and not request.response_started:
+                self._finish_request(request, ResponseStatus.SERVED, response)
+            elif request.open and (request.body_released or request.given_up) and outcome is not Outcome.OK:
                 # it can go nowhere else: answered at once
-                self._close(request, Verdict.FAIL_FAST if self._harmless(request) else Verdict.FAILED)
+                self._finish_request(
+                    request,
+                    ResponseStatus.REJECTED if self._is_safe_to_reject(request) else ResponseStatus.FAILED,
+                )
         finally:  # whatever broke: the module counts it as out until it hears of this
-            if not call.streams:
-                self._work.append(t.Ended(
+            if not call.response_started:
+                self._balancer_events.append(t.Ended(
                     request.id, call.number, call.endpoint.member.id, outcome,
                     (self._now - call.at_us) / 1000, not request.open, report,
                 ))  # fmt: skip
 
     # --- Fleet ------------------------------------------------------------------------------------------
-    def _news(self, event: FleetNews) -> None:
+    def _update_endpoints(self, event: EndpointListUpdate) -> None:
         named = {m.id for m in event.members}
         if event.view is not View.DELTA:
-            for eid, known in self._fleet.items():
-                if eid not in named:
-                    self._mark(known)
+            for endpoint_id, known in self._endpoints.items():
+                if endpoint_id not in named:
+                    self._mark_unavailable(known)
         for member in event.members:
-            endpoint = self._fleet.get(member.id)
+            endpoint = self._endpoints.get(member.id)
             if endpoint is None:
-                endpoint = self._fleet[member.id] = Endpoint(member)
+                endpoint = self._endpoints[member.id] = Endpoint(member)
             else:
                 was, endpoint.member = endpoint.member, member
                 if (was.address, was.started_us) != (member.address, member.started_us):
-                    self._out.append(CloseIdle(member.id))  # another process answers there now
+                    self._effects.append(CloseIdle(member.id))  # another process answers there now
             if member.state is State.READY:
-                endpoint.told_us = -1
+                endpoint.unavailable_since_us = -1
             else:
-                self._mark(endpoint)
+                self._mark_unavailable(endpoint)
         old = [
             k
-            for k, e in self._fleet.items()
-            if 0 <= e.told_us < self._now - ENDPOINT_RETENTION_US and k not in named
+            for k, e in self._endpoints.items()
+            if 0 <= e.unavailable_since_us < self._now - ENDPOINT_RETENTION_US and k not in named
         ]
-        for eid in old:
-            del self._fleet[eid]
-        self._remember(named)
-        self._work.append(t.Hosts(event.view, tuple(self._host(m) for m in event.members)))
+        for endpoint_id in old:
+            del self._endpoints[endpoint_id]
+        self._remember_endpoint_ids(named)
+        self._balancer_events.append(
+            t.Hosts(event.view, tuple(self._host_for_balancer(m) for m in event.members))
+        )
 
-    def _remember(self, named: Iterable[bytes]) -> None:
+    def _remember_endpoint_ids(self, named: Iterable[bytes]) -> None:
         """An operator may name what is gone.
 
         Of those that are, a node that runs for long forgets the oldest: successors have new ids.
         """
-        for eid in named:
-            self._named.pop(eid, None)
-            self._named[eid] = None
-        spare = len(self._named) - MAX_KNOWN_ENDPOINTS
+        for endpoint_id in named:
+            self._known_endpoint_ids.pop(endpoint_id, None)
+            self._known_endpoint_ids[endpoint_id] = None
+        spare = len(self._known_endpoint_ids) - MAX_KNOWN_ENDPOINTS
         if spare > 0:
-            for eid in [k for k in self._named if k not in self._fleet and k not in self._bans][:spare]:
-                del self._named[eid]
-                self._back_us.pop(eid, None)
+            for endpoint_id in [
+                k for k in self._known_endpoint_ids if k not in self._endpoints and k not in self._bans
+            ][:spare]:
+                del self._known_endpoint_ids[endpoint_id]
+                self._unbanned_at_us.pop(endpoint_id, None)
 
-    def _host(self, m: Member) -> t.Host:
+    def _host_for_balancer(self, m: DiscoveredEndpoint) -> t.Host:
         """An endpoint as the module sees it: gone while it is banned, and just started when it is back."""
         state = State.GONE if m.id in self._bans else m.state
-        started = max(m.started_us, self._back_us.get(m.id, 0))
+        started = max(m.started_us, self._unbanned_at_us.get(m.id, 0))
         return t.Host(m.id, m.zone, m.kind, m.cell, state, m.scale, started / 1000)
 
-    def _mark(self, endpoint: Endpoint) -> None:
+    def _mark_unavailable(self, endpoint: Endpoint) -> None:
         """It drains or is gone: the first such news counts, and what lies idle there is of no more use."""
-        if endpoint.told_us < 0:
-            endpoint.told_us = self._now
-            self._out.append(CloseIdle(endpoint.member.id))
+        if endpoint.unavailable_since_us < 0:
+            endpoint.unavailable_since_us = self._now
+            self._effects.append(CloseIdle(endpoint.member.id))
 
     # --- Bans -------------------------------------------------------------------------------------------
     @property
@@ -583,112 +636,118 @@
         """The endpoints that the operators have taken out."""
         return frozenset(self._bans)
 
-    def _ruled(self, event: BanAsked | BanLifted) -> None:
+    def _change_ban(self, event: BanRequested | UnbanRequested) -> None:
         """An operator's call. A repeat changes nothing, yet is written down again: that may have failed."""
-        eid, banned = event.endpoint, isinstance(event, BanAsked)
-        if eid not in self._named and eid not in self._bans:
-            self._out.append(Ruled(event.caller, Ruling.UNKNOWN))
+        endpoint_id, banned = event.endpoint, isinstance(event, BanRequested)
+        if endpoint_id not in self._known_endpoint_ids and endpoint_id not in self._bans:
+            self._effects.append(BanReply(event.caller, BanResult.UNKNOWN))
             return
-        was = eid in self._bans
+        was = endpoint_id in self._bans
         if banned:
-            self._ban(eid)
+            self._ban(endpoint_id)
         elif was:
-            self._unban(eid, self._now)
+            self._unban(endpoint_id, self._now)
         if banned or was:
-            self._out.append(KeepBan(eid, banned))
-        self._out.append(Ruled(event.caller, Ruling.DONE))
+            self._effects.append(PersistBan(endpoint_id, banned))
+        self._effects.append(BanReply(event.caller, BanResult.DONE))
 
-    def _heard(self, event: BansHeard) -> None:
-        for eid in event.bans - self._bans.keys():
-            self._ban(eid)
-        for eid in self._bans.keys() - event.bans:
+    def _load_bans(self, event: BansLoaded) -> None:
+        for endpoint_id in event.bans - self._bans.keys():
+            self._ban(endpoint_id)
+        for endpoint_id in self._bans.keys() - event.bans:
             # what is written down of an earlier time is no call back: the ban could not be written then. One
             # that is not written down at all may be a file that can't be read
-            if event.back_us.get(eid, -1) > self._bans[eid]:
-                self._unban(eid, event.back_us[eid])
-        self._back_us |= {k: min(v, self._now) for k, v in event.back_us.items() if k not in self._bans}
-
-    def _ban(self, eid: bytes) -> None:
-        if eid in self._bans:
+            if event.back_us.get(endpoint_id, -1) > self._bans[endpoint_id]:
+                self._unban(endpoint_id, event.back_us[endpoint_id])
+        self._unbanned_at_us |= {
+            k: min(v, self._now) for k, v in event.back_us.items() if k not in self._bans
+        }
+
+    def _ban(self, endpoint_id: bytes) -> None:
+        if endpoint_id in self._bans:
             return
-        self._bans[eid] = self._now
+        self._bans[endpoint_id] = self._now
         self.stats["bans"] += 1
-        self._note("ban", f"{_text(eid)} is banned: nothing new goes there")
-        self._out.append(CloseIdle(eid))
-        for call in [c for c in self._calls.values() if c.endpoint.member.id == eid and c.dialing]:
-            self._out.append(AbandonCall(call.id))
-            self._end(call, Outcome.MOOT)
-        self._retell(eid)
-
-    def _unban(self, eid: bytes, since_us: int) -> None:
-        del self._bans[eid]
-        self._back_us[eid] = min(since_us, self._now)
-        self._note("ban", f"{_text(eid)} is back, held for just started")
-        self._retell(eid)
-
-    def _retell(self, eid: bytes) -> None:
-        endpoint = self._fleet.get(eid)
+        self._log("ban", f"{_printable_id(endpoint_id)} is banned: nothing new goes there")
+        self._effects.append(CloseIdle(endpoint_id))
+        for call in [c for c in self._calls.values() if c.endpoint.member.id == endpoint_id and c.dialing]:
+            self._effects.append(AbandonCall(call.id))
+            self._end_call(call, Outcome.MOOT)
+        self._update_balancer_host(endpoint_id)
+
+    def _unban(self, endpoint_id: bytes, since_us: int) -> None:
+        del self._bans[endpoint_id]
+        self._unbanned_at_us[endpoint_id] = min(since_us, self._now)
+        self._log("ban", f"{_printable_id(endpoint_id)} is back, held for just started")
+        self._update_balancer_host(endpoint_id)
+
+    def _update_balancer_host(self, endpoint_id: bytes) -> None:
+        endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
-            self._work.append(t.Hosts(View.DELTA, (self._host(endpoint.member),)))
+            self._balancer_events.append(t.Hosts(View.DELTA, (self._host_for_balancer(endpoint.member),)))
 
     # --- The module's door ------------------------------------------------------------------------------
-    def _think(self) -> None:
-        while self._work:
-            self._ask(self._work.popleft())
+    def _run_balancer(self) -> None:
+        while self._balancer_events:
+            self._call_balancer(self._balancer_events.popleft())
 
-    def _ask(self, event: t.Event) -> None:
-        whole = True
+    def _call_balancer(self, event: t.Event) -> None:
+        succeeded = True
         try:
             actions: Iterable[t.Action] = self._balancer.handle(self._now / 1000, event)
         except Exception as error:
-            whole = False
+            succeeded = False
             actions = (
-                error.actions if isinstance(error, t.MalformedMessageError) else ()
+                error.actions if isinstance(error, t.DecisionError) else ()
             )  # the module counts on those
-            self._fault(f"the decisions failed on {type(event).__name__}")
+            self._log_exception(f"the decisions failed on {type(event).__name__}")
         for action in actions:
             try:
-                self._act(action)
+                self._apply_action(action)
             except Exception:  # one action's fault must not lose those behind it
-                self._fault(f"{type(action).__name__} failed")
-        request = None if whole else self._requests.get(getattr(event, "id", -1))
+                self._log_exception(f"{type(action).__name__} failed")
+        request = None if succeeded else self._requests.get(getattr(event, "id", -1))
         if request is not None and all(c.outcome is not None for c in request.calls):
-            self._close(request, Verdict.FAILED)
-            self._work.append(t.Abandoned(request.id))
+            self._finish_request(request, ResponseStatus.FAILED)
+            self._balancer_events.append(t.Abandoned(request.id))
 
-    def _act(self, action: t.Action) -> None:
+    def _apply_action(self, action: t.Action) -> None:
         if isinstance(action, t.Send):
             self._send(action)
         elif isinstance(action, t.SetTimer):
-            self._module_us = max(int(action.at_ms * 1000) + 1, self._now)  # an early Timer would be ignored
-            self._at(self._module_us, "module", action.mark)
+            self._balancer_timer_us = max(
+                int(action.at_ms * 1000) + 1, self._now
+            )  # an early Timer would be ignored
+            self._schedule(self._balancer_timer_us, "module", action.mark)
         elif isinstance(action, t.Refuse | t.Fail):
             request = self._requests.get(action.id)
-            if request is None or request.streams:
+            if request is None or request.response_started:
                 return
-            if request.flows and any(c.outcome is None for c in request.calls):
-                request.forgotten = True  # its time has not begun, and an endpoint has part of it
+            if request.body_incomplete and any(c.outcome is None for c in request.calls):
+                request.given_up = True  # its time has not begun, and an endpoint has part of it
                 return
-            harmless = self._harmless(request)
+            harmless = self._is_safe_to_reject(request)
             if isinstance(action, t.Refuse) and not harmless:
-                self._note("guard", f"request {request.id} may have run: failed in place of a refusal")
+                self._log("guard", f"request {request.id} may have run: failed in place of a refusal")
             if isinstance(action, t.Fail) or not harmless:
-                self._close(request, Verdict.FAILED)
+                self._finish_request(request, ResponseStatus.FAILED)
             else:
-                self._close(request, Verdict.FAIL_FAST, None, max(round(action.retry_after_ms * 1000), 0))
+                self._finish_request(
+                    request, ResponseStatus.REJECTED, None, max(round(action.retry_after_ms * 1000), 0)
+                )
         elif isinstance(action, t.Cancel):
             for call in list(self._calls.values()):
                 if call.request.id == action.id and call.number == action.attempt:
-                    self._out.append(AbandonCall(call.id))
-                    self._end(call, Outcome.CANCELLED)
+                    self._effects.append(AbandonCall(call.id))
+                    self._end_call(call, Outcome.CANCELLED)
         elif isinstance(action, t.Close):
-            self._out.append(CloseIdle(action.host))
+            self._effects.append(CloseIdle(action.host))
         elif isinstance(action, t.Log):
-            self._note("module", action.line)
+            self._log("module", action.line)
         elif not isinstance(action, t.Watch | t.Fetch):  # the watch on discovery never ends by itself
-            self._note("guard", f"{type(action).__name__} is not something that this node does")
+            self._log("guard", f"{type(action).__name__} is not something that this node does")
 
-    def _harmless(self, request: Held) -> bool:
+    def _is_safe_to_reject(self, request: PendingRequest) -> bool:
         """Rule 2: a refusal invites a retry, so nothing that must not run twice may have run."""
         if request.cls.effect is Effect.SAFE or all(c.outcome in NEVER_RAN for c in request.calls):
             return True
--- a/granitewell/core/types.py
+++ b/granitewell/core/types.py
@@ -23,63 +23,67 @@
     STOPPED = "stopped"
 
 
-class Ruling(Enum):
+class BanResult(Enum):
     """What becomes of an operator's call."""
 
     DONE = "done"
     UNKNOWN = "unknown"  # no list has ever named this endpoint
 
 
-class Verdict(Enum):
+class ResponseStatus(Enum):
     """What a final answer says."""
 
     SERVED = "served"
-    FAIL_FAST = "fail-fast"  # refused: a retry does no harm
+    REJECTED = "fail-fast"  # refused: a retry does no harm
     FAILED = "failed"
-    SAME_ID = "same_id"  # not taken: a request with this id is open
+    DUPLICATE_ID = "same_id"  # not taken: a request with this id is open
 
 
 # --- Events ---
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class RequestReceived:
     """An inbound has handed in a whole request; message is the front's own and passes unread.
 
     An inbound is whatever carries one request at a time: a connection of HTTP/1.1, a stream of a protocol
     that has several on a connection. Its number is unique over all fronts of the process.
     """
 
-    inbound: int
+    downstream_id: int
     class_index: int
     tenant: int
     key: int
     timeout_us: int
     message: object
-    repeat: bool = False
-    name: bytes = b""  # the client's id for it; b"" for none
-    once: bool = False  # the client holds it for unsafe to repeat, whatever its class
-    flows: bool = False  # its body still comes and is passed on as it does; its time begins with Whole
-    beyond_us: int = -1  # a limit's verdict: it is more than may be taken, and this is when to ask again
+    is_retry: bool = False
+    client_request_id: bytes = b""  # the client's id for it; b"" for none
+    non_idempotent: bool = False  # the client holds it for unsafe to repeat, whatever its class
+    body_incomplete: bool = (
+        False  # its body still comes and is passed on as it does; its time begins with Whole
+    )
+    limit_retry_after_us: int = (
+        -1
+    )  # a limit's verdict: it is more than may be taken, and this is when to ask again
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class RequestBodyComplete:
     """The body of a request that flows has come whole."""
 
-    inbound: int
+    downstream_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class LetGo:
+class RequestBodyReleased:
     """The beginning of such a body is held no more: it can't be sent again from here on."""
 
-    inbound: int
+    downstream_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class InboundGone:
+class DownstreamClosed:
     """The client has closed: nothing more is owed there."""
 
-    inbound: int
+    downstream_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,20 +107,20 @@
     call: int
     outcome: Outcome
     report: tuple[float, ...] = ()
-    answer: object = None
+    response: object = None
 
 
 @dataclass(frozen=True, slots=True)
-class CallBegan:
+class ResponseStarted:
     """The head of a 200 has come whose body follows in parts: answer is the front's to pass on as it is."""
 
     call: int
-    answer: object = None
+    response: object = None
     report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class CallPart:
+class ResponsePart:
     """A further part of an answer that has begun."""
 
     call: int
@@ -124,7 +128,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class DiscoveredEndpoint:
     """One endpoint as discovery tells it; started_us is on this node's clock, 0 for long ago.
 
     Protocol names the kind of connection that its calls go over; the shell has one carrier a kind.
@@ -142,11 +146,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetNews:
+class EndpointListUpdate:
     """A list of endpoints, or what changed in it."""
 
     view: View
-    members: tuple[Member, ...]
+    members: tuple[DiscoveredEndpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -155,12 +159,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Woken:
+class TimerExpired:
     """The time of Core.wake_us has come."""
 
 
 @dataclass(frozen=True, slots=True)
-class StopAsked:
+class StopRequested:
     """The platform wants this node to leave.
 
     Attributes:
@@ -172,7 +176,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BanAsked:
+class BanRequested:
     """An operator wants nothing more sent to an endpoint; caller is the console's own."""
 
     caller: int
@@ -180,7 +184,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BanLifted:
+class UnbanRequested:
     """An operator wants an endpoint used again."""
 
     caller: int
@@ -188,7 +192,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BansHeard:
+class BansLoaded:
     """What is written down of bans, by an earlier process of this node or one beside it.
 
     Those in force, and since when which endpoints are back.
@@ -199,15 +203,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class SettingsChanged:
     """Other settings are in force. A class and a tenant keep their index for good; new ones come behind."""
 
     settings: Settings
-    most_held: int
+    max_pending_requests: int
 
 
 @dataclass(frozen=True, slots=True)
-class Acting:
+class ActiveNodes:
     """How many nodes act on the same endpoints, as the nodes themselves see it.
 
     The most that may (budgets are divided by it), and those that share the traffic, smoothed (the forecast
@@ -224,24 +228,24 @@
 
 
 Event = (
-    Arrived
-    | Whole
-    | LetGo
-    | InboundGone
+    RequestReceived
+    | RequestBodyComplete
+    | RequestBodyReleased
+    | DownstreamClosed
     | CallDialing
     | CallDialed
-    | CallBegan
-    | CallPart
+    | ResponseStarted
+    | ResponsePart
     | CallEnded
-    | FleetNews
+    | EndpointListUpdate
     | Listening
-    | Woken
-    | StopAsked
-    | BanAsked
-    | BanLifted
-    | BansHeard
-    | Settled
-    | Acting
+    | TimerExpired
+    | StopRequested
+    | BanRequested
+    | UnbanRequested
+    | BansLoaded
+    | SettingsChanged
+    | ActiveNodes
 )
 
 
@@ -256,7 +260,7 @@
     message: object
     due_us: int
     protocol: str = "http1"
-    inbound: int = -1  # whose request it is
+    downstream_id: int = -1  # whose request it is
 
 
 @dataclass(frozen=True, slots=True)
@@ -274,39 +278,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class SendResponse:
     """The one final answer of a request."""
 
-    inbound: int
-    verdict: Verdict
-    answer: object = None
+    downstream_id: int
+    status: ResponseStatus
+    response: object = None
     retry_after_us: int = 0
     close: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class StartResponse:
     """The one final answer of a request begins; its parts follow. Nothing else can be its answer now."""
 
-    inbound: int
-    answer: object
+    downstream_id: int
+    response: object
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class SendResponsePart:
     """The next part of an answer that has begun."""
 
-    inbound: int
+    downstream_id: int
     part: object
 
 
 @dataclass(frozen=True, slots=True)
-class Finish:
+class EndResponse:
     """An answer that has begun ends: whole, or so that the client can tell that it is not."""
 
-    inbound: int
-    whole: bool
-    answer: object = None  # what stands behind the last part (trailers); the front's own
+    downstream_id: int
+    complete: bool
+    response: object = None  # what stands behind the last part (trailers); the front's own
     close: bool = False
 
 
@@ -318,7 +322,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogLine:
     """A log line; topic limits how often such a line is written."""
 
     topic: str
@@ -331,7 +335,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepBan:
+class PersistBan:
     """Write down that an endpoint is banned, or that it is not any more."""
 
     endpoint: bytes
@@ -339,20 +343,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ruled:
+class BanReply:
     """The answer to an operator's call, once what comes before it among the effects is done."""
 
     caller: int
-    ruling: Ruling
+    result: BanResult
 
 
 @dataclass(frozen=True, slots=True)
-class Serving:
+class ReadyToServe:
     """Requests would be served from now on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class ExitProcess:
     """All is answered, or no time is left: end the process."""
 
 
@@ -360,15 +364,15 @@
     StartCall
     | WriteCall
     | AbandonCall
-    | Answer
-    | Begin
-    | Pass
-    | Finish
+    | SendResponse
+    | StartResponse
+    | SendResponsePart
+    | EndResponse
     | CloseIdle
-    | Note
+    | LogLine
     | StopListening
-    | Leave
-    | KeepBan
-    | Ruled
-    | Serving
+    | ExitProcess
+    | PersistBan
+    | BanReply
+    | ReadyToServe
 )
--- a/granitewell/lab/mutants/catalogue.py
+++ b/granitewell/lab/mutants/catalogue.py
@@ -52,15 +52,18 @@
 
 
 # --- Pieces that several defects change -------------------------------------------------------------------
-_GUARD = _core('self._at(due + OVERDUE_GRACE_US, "guard", request.id)', "pass")
+_GUARD = _core('self._schedule(due + OVERDUE_GRACE_US, "guard", request.id)', "pass")
 _MODULE_DUE = _policy("self._at(req.due, self._due, req)", "pass")
-_CALL_DUE = _core('self._at(due, "call", call.id)', "pass")
-_ANSWER = "self._out.append(Answer(request.inbound, verdict, answer, wait_us, closing))"
+_CALL_DUE = _core('self._schedule(due, "call", call.id)', "pass")
+_ANSWER = (
+    "self._effects.append(\n                "
+    "SendResponse(request.downstream_id, status, response, retry_after_us, closing)\n            )"
+)
 _DRAINING_IS_READY = _policy(
     "server.listed, server.ready = host.state is not State.GONE, host.state is State.READY",
     "server.listed = server.ready = host.state is not State.GONE",
 )
-_NOT_TOLD = "return endpoint.told_us < 0 and"
+_NOT_TOLD = "return endpoint.unavailable_since_us < 0 and"
 _TRUE = "if True:\n            return True"
 _COLD = _TRUE.replace("True:", "server.started <= 0.0 or self._now - server.started >= self._set.ramp_ms:")
 _RAN = _TRUE.replace("True:", "not ran or req.cls.effect is Effect.SAFE:")
@@ -84,10 +87,12 @@
     Defect(
         "answers-swapped", "an answer goes to the inbound that has waited longest",
         ("answer", "body"), ("calm",),
-        (_core(_ANSWER, _ANSWER.replace("request.inbound", "min(self._by_inbound, default=0)")),),
+        (_core(_ANSWER, _ANSWER.replace("request.downstream_id",
+                                        "min(self._requests_by_downstream, default=0)")),),
     ),
     _record("answer-twice", "every final answer is given twice", "served",
-            _core(_ANSWER, "self._out += [Answer(request.inbound, verdict, answer, wait_us, closing)] * 2")),
+            _core(_ANSWER, "self._effects += [SendResponse(request.downstream_id, status, response, "
+                           "retry_after_us, closing)] * 2")),
     Defect(
         "leaves-early", "asked to stop, the node ends without waiting for what it still holds",
         ("lost",), ("grey-class-hang-unsafe+term",),
@@ -97,7 +102,7 @@
     Defect(
         "stops-at-once", "asked to stop, the node does not hear who is still coming",
         ("lost",), ("node-loss",),
-        (_core('self._at(self._now + ACCEPT_AFTER_STOP_US, "accepted")', "self._listening = False"),),
+        (_core('self._schedule(self._now + ACCEPT_AFTER_STOP_US, "accepted")', "self._listening = False"),),
     ),
 )  # fmt: skip
 
@@ -139,11 +144,11 @@
         "dialed-unchecked", "a connection that comes up is written to, whether or not anyone waits still",
         ("after",), ("busy+impatient+far",),
         (_core("if self._may_write(call):", "if True:"),
-         _core(" or request.forgotten or call.dialing", " or request.forgotten"),
+         _core(" or request.given_up or call.dialing", " or request.given_up"),
          _policy("self._drop(self._held[event.id])", "del self._held[event.id]")),
     ),
     _record("same-id", "a second request with an open request's id is taken", "same_id",
-            _core("if event.name in self._names:", "if False:")),
+            _core("if event.client_request_id in self._open_request_ids:", "if False:")),
     _record("bare-503", "a 503 counts as proof that the request never ran, whoever worded it",
             "unsafe_bare_503",
             Patch(HTTP1, ' and parser.headers.get(b"not-started") == b"1":', ":")),
@@ -154,13 +159,15 @@
         "drain-turned", "what drains is spared for the time of its grace, and sent to after it",
         ("drain",), ("deploy", "shrink"),
         (_DRAINING_IS_READY,
-         _core(_NOT_TOLD, "return (endpoint.told_us < 0 or self._now - endpoint.told_us > 1e6) and")),
+         _core(_NOT_TOLD, "return (endpoint.unavailable_since_us < 0 or "
+                          "self._now - endpoint.unavailable_since_us > 1e6) and")),
     ),
     Defect(
         "drain-margin-added", "what drains is sent to for its grace and a little longer",
         ("drain",), ("deploy", "shrink"),
         (_DRAINING_IS_READY,
-         _core(_NOT_TOLD, "return (endpoint.told_us < 0 or self._now - endpoint.told_us < 1.1e6) and")),
+         _core(_NOT_TOLD, "return (endpoint.unavailable_since_us < 0 or "
+                          "self._now - endpoint.unavailable_since_us < 1.1e6) and")),
     ),
     Defect(
         "drain-unheeded", "what drains is sent to as long as it is there", ("drain",), ("deploy", "shrink"),
@@ -205,7 +212,7 @@
     Defect(
         "abandoned-kept", "a request whose client has left goes on as if it had not",
         ("after", "figure"), ("overload+impatient",),
-        (_core("            self._work.append(t.Abandoned(request.id))\n\n    # --- Outbound",
+        (_core("            self._balancer_events.append(t.Abandoned(request.id))\n\n    # --- Outbound",
                "            pass\n\n    # --- Outbound"),),
     ),
 )  # fmt: skip
--- a/granitewell/lab/simulation/client_traffic.py
+++ b/granitewell/lab/simulation/client_traffic.py
@@ -23,8 +23,8 @@
 IDLE_US = 2_000_000  # after which a node closes a client's idle connection (granitewell.net.loop)
 ADMIT_AGAIN_US = 20_000  # and after which it looks again whether it has room for one more
 VERDICTS = {
-    c.Verdict.SERVED: "served", c.Verdict.FAIL_FAST: "refused", c.Verdict.FAILED: "failed",
-    c.Verdict.SAME_ID: "failed",
+    c.ResponseStatus.SERVED: "served", c.ResponseStatus.REJECTED: "refused",
+    c.ResponseStatus.FAILED: "failed", c.ResponseStatus.DUPLICATE_ID: "failed",
 }  # fmt: skip
 
 
@@ -174,7 +174,7 @@
             self._send(attempt)
 
     # --- And back ---------------------------------------------------------------------------------------
-    def answer(self, connection: ClientConnection, effect: c.Answer, close: bool) -> None:
+    def answer(self, connection: ClientConnection, effect: c.SendResponse, close: bool) -> None:
         """A node writes a final answer."""
         connection.done, connection.read = True, False
         us = self._net.client(connection.zone, connection.node, False)
@@ -184,14 +184,14 @@
             )
 
     def _answered(
-        self, connection: ClientConnection, attempt: ClientAttempt | None, effect: c.Answer, close: bool
+        self, connection: ClientConnection, attempt: ClientAttempt | None, effect: c.SendResponse, close: bool
     ) -> None:
         if attempt is None or attempt.connection is not connection:
             return  # the client has left
         rid, now = attempt.ask.rid, self._engine.now_us
-        verdict = VERDICTS[effect.verdict]
+        verdict = VERDICTS[effect.status]
         self._seen.answered(
-            now, rid, connection.node.name, verdict, effect.retry_after_us, effect.answer == rid
+            now, rid, connection.node.name, verdict, effect.retry_after_us, effect.response == rid
         )
         attempt.connection = connection.attempt = None
         if connection.open and not close:
--- a/granitewell/lab/simulation/node.py
+++ b/granitewell/lab/simulation/node.py
@@ -47,10 +47,10 @@
         self._waiting: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
         self.limit_cpu(spec.cpu)
         self._run: dict[type, Callable[[Any], None]] = {
-            c.StartCall: self.out.start, c.Answer: self._answer, c.WriteCall: self.out.go,
-            c.AbandonCall: self.out.abandon, c.CloseIdle: self.out.close_idle, c.Note: self._note,
-            c.StopListening: self._stop_listening, c.Leave: self._leave,
-            c.Serving: lambda _: None,
+            c.StartCall: self.out.start, c.SendResponse: self._answer, c.WriteCall: self.out.go,
+            c.AbandonCall: self.out.abandon, c.CloseIdle: self.out.close_idle, c.LogLine: self._note,
+            c.StopListening: self._stop_listening, c.ExitProcess: self._leave,
+            c.ReadyToServe: lambda _: None,
         }  # fmt: skip
 
     # --- CPU and stalls ---------------------------------------------------------------------------------
@@ -111,9 +111,9 @@
 
     def _woken(self) -> None:
         self._timer_us = -1
-        self.dispatch(c.Woken())
+        self.dispatch(c.TimerExpired())
 
-    def _note(self, effect: c.Note) -> None:
+    def _note(self, effect: c.LogLine) -> None:
         self.notes[effect.topic] += 1
         self._world.note(self.name, effect.topic, effect.line)
 
@@ -124,14 +124,14 @@
         self.dispatch(c.Listening())
         self._look()
 
-    def news(self, event: c.FleetNews) -> None:
+    def news(self, event: c.EndpointListUpdate) -> None:
         """Discovery has written something."""
         self.dispatch(event)
         self._look()
 
     def stop(self) -> None:
         """SIGTERM."""
-        self.dispatch(c.StopAsked())
+        self.dispatch(c.StopRequested())
 
     def probe(self, site: Site) -> None:
         """The decider wants to hear of an endpoint: see probing."""
@@ -147,7 +147,7 @@
             self.ready = True
             self._world.node_ready(self)
 
-    def _leave(self, _: c.Leave) -> None:
+    def _leave(self, _: c.ExitProcess) -> None:
         self._engine.at(self._engine.now_us + EXIT_US, self._exit)
 
     def _exit(self) -> None:
@@ -186,7 +186,7 @@
         """A whole request has been read."""
         if connection.id not in self.connections:
             return  # its client has left in the meantime
-        self.dispatch(c.Arrived(
+        self.dispatch(c.RequestReceived(
             connection.id, ask.cls, self._world.tenants[ask.tenant], ask.key, ask.timeout_us // 1000 * 1000,
             ask, ask.retry, ask.rid.encode(),
         ))  # fmt: skip
@@ -194,10 +194,10 @@
     def client_gone(self, connection: ClientConnection) -> None:
         """The client has closed."""
         if self.connections.pop(connection.id, None) is not None:
-            self.dispatch(c.InboundGone(connection.id))
+            self.dispatch(c.DownstreamClosed(connection.id))
 
-    def _answer(self, effect: c.Answer) -> None:
-        connection = self.connections.get(effect.inbound)
+    def _answer(self, effect: c.SendResponse) -> None:
+        connection = self.connections.get(effect.downstream_id)
         if connection is None:
             return  # the client has left
         close = effect.close or not self.listening
--- a/granitewell/lab/simulation/node_host.py
+++ b/granitewell/lab/simulation/node_host.py
@@ -32,24 +32,24 @@
     """Discovery's lines as the core takes them. All nodes share the objects: there are many of them."""
 
     def __init__(self) -> None:
-        self._made: dict[t.Line, c.Member] = {}
-        self._last: tuple[tuple[t.Line, ...], View, c.FleetNews] | None = None
+        self._made: dict[t.Line, c.DiscoveredEndpoint] = {}
+        self._last: tuple[tuple[t.Line, ...], View, c.EndpointListUpdate] | None = None
 
-    def news(self, lines: tuple[t.Line, ...], view: View) -> c.FleetNews:
+    def news(self, lines: tuple[t.Line, ...], view: View) -> c.EndpointListUpdate:
         """These lines as news."""
         last = self._last
         if last is not None and last[0] is lines and last[1] is view:
             return last[2]
-        news = c.FleetNews(view, tuple(self._member(x) for x in lines))
+        news = c.EndpointListUpdate(view, tuple(self._member(x) for x in lines))
         self._last = lines, view, news
         return news
 
-    def _member(self, line: t.Line) -> c.Member:
+    def _member(self, line: t.Line) -> c.DiscoveredEndpoint:
         made = self._made.get(line)
         if made is None:
             # on sockets discovery says whole milliseconds, and 0 for long ago
             started = line.started_us // 1000 * 1000 + HEAD_START_US if line.started_us > 0 else 0
-            made = self._made[line] = c.Member(
+            made = self._made[line] = c.DiscoveredEndpoint(
                 line.id.encode(), (line.id, 1), line.zone, line.kind, line.cell, STATES[line.state], 1.0,
                 started,
             )  # fmt: skip
--- a/granitewell/lab/simulation/play.py
+++ b/granitewell/lab/simulation/play.py
@@ -16,7 +16,7 @@
 
 from granitewell.balancing.balancer import Balancer
 from granitewell.balancing.interface import Settings
-from granitewell.core import Decider
+from granitewell.core import LoadBalancer
 from granitewell.lab.day import Day
 from granitewell.lab.simulation import policies, published
 from granitewell.lab.simulation.node_host import NodeHost
@@ -28,7 +28,7 @@
 STEP_US = 50_000  # between two looks whether anything is still owed
 GRACE_US = 5_000_000  # past the last deadlines, when a day ends whatever is still owed
 
-_OTHERS: dict[str, Callable[[Settings, int], Decider]] = {
+_OTHERS: dict[str, Callable[[Settings, int], LoadBalancer]] = {
     "module": Balancer,
     "random": policies.RandomChoice,
     "round-robin": policies.RoundRobin,
@@ -90,7 +90,7 @@
     policy: str = "module",
     witness: Witness | None = None,
     trace: IO[str] | None = None,
-    decider: Callable[[Settings, int], Decider] | None = None,
+    decider: Callable[[Settings, int], LoadBalancer] | None = None,
     only: Sequence[int] | None = None,
     invariants: Sequence[Invariant] = (),
 ) -> Played:
@@ -117,8 +117,8 @@
     return _played(world, policy, witness, time.process_time() - begun)
 
 
-def _by(decider: Callable[[Settings, int], Decider]) -> Maker:
-    def make(world: World, node_host: NodeHost, settings: Settings, seed: int) -> Decider:
+def _by(decider: Callable[[Settings, int], LoadBalancer]) -> Maker:
+    def make(world: World, node_host: NodeHost, settings: Settings, seed: int) -> LoadBalancer:
         return decider(settings, seed)
 
     return make
--- a/granitewell/lab/simulation/policies.py
+++ b/granitewell/lab/simulation/policies.py
@@ -25,7 +25,7 @@
     Host,
     Hosts,
     Outcome,
-    Probed,
+    ProbeEnded,
     Refuse,
     Request,
     Send,
@@ -62,7 +62,7 @@
         self._held: dict[int, Held] = {}
         self._handlers = {
             Request: self._request, Ended: self._ended, Hosts: self._news, Abandoned: self._abandoned,
-            Probed: self.probed,
+            ProbeEnded: self.probed,
         }  # fmt: skip
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -84,7 +84,7 @@
     def saw(self, event: Ended) -> None:
         """An attempt has ended, one that was sent."""
 
-    def probed(self, event: Probed) -> None:
+    def probed(self, event: ProbeEnded) -> None:
         """A probe has ended."""
 
     def gone(self, host: bytes) -> None:
--- a/granitewell/lab/simulation/probing.py
+++ b/granitewell/lab/simulation/probing.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from granitewell.balancing.interface import Action, Event, Outcome, Probe, Probed
-from granitewell.core import Decider
+from granitewell.balancing.interface import Action, Event, Outcome, Probe, ProbeEnded
+from granitewell.core import LoadBalancer
 
 if TYPE_CHECKING:
     from granitewell.lab.simulation.node import Node
@@ -20,9 +20,9 @@
 class Probing:
     """A decider whose Probe actions are carried out."""
 
-    def __init__(self, inner: Decider) -> None:
+    def __init__(self, inner: LoadBalancer) -> None:
         self._inner = inner
-        self._heard: list[Probed] = []
+        self._heard: list[ProbeEnded] = []
         self._node: Node | None = None
         self._sites: Mapping[bytes, Site] = {}
 
@@ -33,7 +33,7 @@
 
     def _hear(self, host: bytes, ok: bool, report: tuple[float, ...]) -> None:
         # elapsed time is not measured: no decider here asks for it
-        self._heard.append(Probed(host, Outcome.OK if ok else Outcome.ERROR, 0.0, report))
+        self._heard.append(ProbeEnded(host, Outcome.OK if ok else Outcome.ERROR, 0.0, report))
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """What the decider wants done, less its probes."""
--- a/granitewell/lab/simulation/published.py
+++ b/granitewell/lab/simulation/published.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 from statistics import median
 
-from granitewell.balancing.interface import Ended, Field, Outcome, Probe, Probed, Settings
+from granitewell.balancing.interface import Ended, Field, Outcome, Probe, ProbeEnded, Settings
 from granitewell.lab.simulation.policies import Held, Plain
 
 # --- Envoy: configuration reference of cluster.v3.OutlierDetection, defaults ---
@@ -200,7 +200,7 @@
         if event.report:
             self._heard[event.host] = self.now, event.report
 
-    def probed(self, event: Probed) -> None:
+    def probed(self, event: ProbeEnded) -> None:
         """A probe's end: one that failed brings nothing."""
         if event.outcome is Outcome.OK:
             self._heard[event.host] = self.now, event.report
--- a/granitewell/lab/simulation/world.py
+++ b/granitewell/lab/simulation/world.py
@@ -12,7 +12,7 @@
 from typing import IO
 
 from granitewell.balancing.interface import Settings
-from granitewell.core import Decider
+from granitewell.core import LoadBalancer
 from granitewell.lab.day import Day
 from granitewell.lab.emulator import types as t
 from granitewell.lab.emulator.clients import Clients
@@ -31,7 +31,7 @@
 
 MAX_NOTES = 20  # kept of the lines that nodes write of their own faults
 
-Maker = Callable[["World", NodeHost, Settings, int], Decider]  # world, seat, settings, seed
+Maker = Callable[["World", NodeHost, Settings, int], LoadBalancer]  # world, seat, settings, seed
 
 
 class World:
@@ -90,7 +90,7 @@
         """Tries that have not ended, and attempts that an endpoint has not done with."""
         return self.client_traffic.owed + sum(s.held for s in self.sites.values())
 
-    def decider(self, node_host: NodeHost, settings: Settings, seed: int) -> Decider:
+    def decider(self, node_host: NodeHost, settings: Settings, seed: int) -> LoadBalancer:
         """The decisions of a node's new process."""
         return self._maker(self, node_host, settings, seed)
 
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -452,7 +452,7 @@
         for effect in self.census.handle(self._clock.now(), event):
             if isinstance(effect, Count):
                 self._dirty = True
-                self._node.dispatch(c.Acting(effect.most, effect.up))
+                self._node.dispatch(c.ActiveNodes(effect.most, effect.up))
             elif isinstance(effect, Line):
                 self._line(effect)
         self._arm()
--- a/granitewell/net/console.py
+++ b/granitewell/net/console.py
@@ -149,7 +149,7 @@
         self._seats: dict[int, socket.socket] = {}  # callers whose call is not whole yet, the oldest first
         self._held: set[asyncio.Task[None]] = set()
         self._last = 0
-        self._rulings: dict[int, c.Ruling] = {}
+        self._rulings: dict[int, c.BanResult] = {}
         self.unkept = ""  # why the last ban could not be written down
         self._listener = bound(address, BACKLOG)
         self._accepting = loop.create_task(self._accept())
@@ -159,9 +159,9 @@
         self._accepting.cancel()
         self._listener.close()
 
-    def ruled(self, effect: c.Ruled) -> None:
+    def ruled(self, effect: c.BanReply) -> None:
         """The core has taken a call."""
-        self._rulings[effect.caller] = effect.ruling
+        self._rulings[effect.caller] = effect.result
 
     # --- Connections ------------------------------------------------------------------------------------
     async def _accept(self) -> None:
@@ -235,10 +235,10 @@
         eid = parser.endpoint()
         banned = parser.path == DISABLE
         self.unkept = ""
-        self._node.dispatch(c.BanAsked(number, eid) if banned else c.BanLifted(number, eid))
+        self._node.dispatch(c.BanRequested(number, eid) if banned else c.UnbanRequested(number, eid))
         ruling = self._rulings.pop(number, None)
         name = eid.decode()
-        if ruling is c.Ruling.UNKNOWN:
+        if ruling is c.BanResult.UNKNOWN:
             return answer(404, f"{name} was never listed")
         if ruling is None or self.unkept:
             return answer(500, self.unkept or "the call failed: see the node's log")
--- a/granitewell/net/discovery.py
+++ b/granitewell/net/discovery.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from granitewell.balancing.interface import View
-from granitewell.core import FleetNews
+from granitewell.core import EndpointListUpdate
 from granitewell.net import http1
 from granitewell.net.clock import Clock
 from granitewell.net.sockets import BUFFER, end, tcp
@@ -58,7 +58,7 @@
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, clock: Clock, reader: http1.FleetReader,
-        hear: Callable[[FleetNews], None], say: Callable[[str, str], None],
+        hear: Callable[[EndpointListUpdate], None], say: Callable[[str, str], None],
         spawn: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]],
     ) -> None:  # fmt: skip
         self._loop, self._clock, self._reader = loop, clock, reader
--- a/granitewell/net/downstream.py
+++ b/granitewell/net/downstream.py
@@ -354,7 +354,7 @@
         flow.owner.more.set()
         if inbound.flow is flow and flow.done:
             inbound.flow, inbound.buffer = None, bytearray(BUFFER)
-            self._dispatch(c.Whole(inbound.id))
+            self._dispatch(c.RequestBodyComplete(inbound.id))
         if not flow.done:
             if len(inbound.buffer) != self._budget.piece():
                 inbound.buffer = bytearray(self._budget.piece())
@@ -378,14 +378,14 @@
             if flow is not None:
                 flow.inbound, flow.owner = inbound.id, flow.owner or Waits()
             beyond_us = self.limit(item.tenant, item.class_index) if self.limit is not None else -1
-            self._dispatch(c.Arrived(
+            self._dispatch(c.RequestReceived(
                 inbound.id, item.class_index, item.tenant, item.key, item.timeout_ms * 1000, item.message,
                 item.repeat, item.message.request_id, item.once,
                 flow is not None, beyond_us,
             ))  # fmt: skip
             if flow is not None and flow.done:  # it came whole while another request was out
                 inbound.flow = None
-                self._dispatch(c.Whole(inbound.id))
+                self._dispatch(c.RequestBodyComplete(inbound.id))
         elif isinstance(item, http1.ReadyAsk):
             ready = self._ready()
             self.reply(inbound, http1.ready_bytes(ready, not item.keep_alive), not item.keep_alive)
@@ -393,9 +393,9 @@
             self.say("bad", f"answered {item.status}: {item.text}")
             self.reply(inbound, http1.bad_bytes(item), not item.keep_alive)
 
-    def answer(self, effect: c.Answer) -> None:
+    def answer(self, effect: c.SendResponse) -> None:
         """Write the core's answer, if its client is still there."""
-        inbound = self.held.get(effect.inbound)
+        inbound = self.held.get(effect.downstream_id)
         if inbound is not None:
             # behind an answer that came before the whole request nothing can be read in step; what was
             # written ahead has been taken, and it is the last answer that ends the connection
@@ -403,15 +403,15 @@
             close = ends or not inbound.keep or inbound.flow is not None
             self.reply(inbound, http1.answer_bytes(effect, close), close)
 
-    def finished(self, effect: c.Finish) -> None:
+    def finished(self, effect: c.EndResponse) -> None:
         """An answer that was passed on as it came has ended.
 
         One that is not whole ends with its connection, by which its client can tell.
         """
-        inbound = self.held.get(effect.inbound)
+        inbound = self.held.get(effect.downstream_id)
         if inbound is None:
             return
-        if not effect.whole:
+        if not effect.complete:
             self.cut(inbound)
             return
         self.answered(inbound, effect.close or not inbound.keep or inbound.flow is not None)
@@ -472,7 +472,7 @@
             task, inbound.task = inbound.task, None
             if task is not None and task is not asyncio.current_task(self._loop):
                 task.cancel()
-            self._dispatch(c.InboundGone(inbound.id))
+            self._dispatch(c.DownstreamClosed(inbound.id))
 
     def cut(self, inbound: Inbound) -> None:
         """Reset a client's connection: an answer whose end is that of its connection would look whole.
--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -20,7 +20,7 @@
 
 from granitewell.balancing.interface import Effect, Outcome, State, View
 from granitewell.config import Config, ConfigError, address
-from granitewell.core import Answer, FleetNews, Member, Verdict
+from granitewell.core import DiscoveredEndpoint, EndpointListUpdate, ResponseStatus, SendResponse
 
 MAX_KEPT = 64 * 1024  # bytes of a body that are kept whole; a larger one is passed on as it comes
 MAX_BODY = 40 * 1024 * 1024  # bytes of any body
@@ -388,14 +388,14 @@
     return response(200 if ready else 503, b"ready\r\n" if ready else b"not ready\r\n", close)
 
 
-def answer_bytes(answer: Answer, close: bool) -> bytes:
+def answer_bytes(answer: SendResponse, close: bool) -> bytes:
     """A final answer. A refusal is a 503, a failure a 502: the protocol reads no more into them."""
-    if answer.verdict is Verdict.SERVED and isinstance(answer.answer, Served):
-        kind = answer.answer.content_type.decode("latin-1")
-        return response(200, answer.answer.body, close, f"Content-Type: {kind}\r\n" if kind else "")
-    if answer.verdict is Verdict.SAME_ID:
+    if answer.status is ResponseStatus.SERVED and isinstance(answer.response, Served):
+        kind = answer.response.content_type.decode("latin-1")
+        return response(200, answer.response.body, close, f"Content-Type: {kind}\r\n" if kind else "")
+    if answer.status is ResponseStatus.DUPLICATE_ID:
         return response(409, b"", close)
-    if answer.verdict is Verdict.FAIL_FAST:
+    if answer.status is ResponseStatus.REJECTED:
         wait = f"Retry-After: {answer.retry_after_us / 1e6:.3f}\r\n" if answer.retry_after_us else ""
         return response(503, b"", close, wait)
     return response(502, b"", close)
@@ -602,7 +602,7 @@
         own = config.settings.zone
         return self._zones[config.zone_names[own]] if 0 <= own < len(config.zone_names) else own
 
-    def read(self, body: bytes) -> tuple[int, FleetNews]:
+    def read(self, body: bytes) -> tuple[int, EndpointListUpdate]:
         """Revision and news. ValueError: not discovery's form, and the old list must stay."""
         try:
             top = json.loads(body)
@@ -610,7 +610,7 @@
             raise ValueError("nested too deep") from None
         return self.parsed(top)
 
-    def parsed(self, top: Mapping[str, Any], view: View | None = None) -> tuple[int, FleetNews]:
+    def parsed(self, top: Mapping[str, Any], view: View | None = None) -> tuple[int, EndpointListUpdate]:
         """The same from parsed JSON; every way in which it can be malformed is a ValueError."""
         try:
             form = view or (View.FULL if top["complete"] is True else View.DELTA)
@@ -623,7 +623,7 @@
         for m in members:
             if m.state is State.GONE:
                 self._starts.pop(m.id, None)
-        return revision, FleetNews(form, members)
+        return revision, EndpointListUpdate(form, members)
 
     def _started(self, eid: bytes, up_ms: float, starts: dict[bytes, tuple[float, int]]) -> int:
         """On the core's clock; 0 stays 0. Reckoned once for each start.
@@ -637,12 +637,12 @@
         starts[eid] = known
         return known[1]
 
-    def _member(self, m: Mapping[str, Any], starts: dict[bytes, tuple[float, int]]) -> Member:
+    def _member(self, m: Mapping[str, Any], starts: dict[bytes, tuple[float, int]]) -> DiscoveredEndpoint:
         up_ms, scale = float(m.get("up_since_ms") or 0), float(m.get("size") or 1.0)
         eid, where = str(m["id"]).encode(), address(m["host_port"], "host_port")
         if not _NUMBERS.match(where[0]):
             raise ValueError(f"host_port: {where[0]} is a name, and nobody here looks names up")
-        return Member(
+        return DiscoveredEndpoint(
             eid, where,
             _place(self._zones, str(m.get("locality"))),
             _place(self._kinds, str(m.get("flavor"))),
--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -137,7 +137,7 @@
         await self._left.wait()
         if self.console is not None:
             self.console.close()
-        await self.clients.close(self._core.leave_by_us)
+        await self.clients.close(self._core.exit_deadline_us)
 
     async def _fleet(self) -> None:
         """The first list.
@@ -171,7 +171,7 @@
 
     def stop(self) -> None:
         """The stop signal has come."""
-        self.dispatch(c.StopAsked(self._shared))
+        self.dispatch(c.StopRequested(self._shared))
         self._look()
 
     @property
@@ -199,7 +199,7 @@
         for broken in kept.broken:
             self.say("handover", f"passed over: {broken}")
         back = {k: self.clock.by_machine(v) for k, v in kept.back_us.items()}
-        self.dispatch(c.BansHeard(kept.bans, back))
+        self.dispatch(c.BansLoaded(kept.bans, back))
         self._beside(self._handover.others())
 
     def _beside(self, others: list[int]) -> None:
@@ -233,7 +233,7 @@
         """What connections may have of so many descriptors."""
         return max(sockets - RESERVE - (SEATS if self._config.console else 0), 8)
 
-    def _keep_ban(self, effect: c.KeepBan) -> None:
+    def _keep_ban(self, effect: c.PersistBan) -> None:
         if self._handover is None:
             return
         wrong = "the ban could not be written down: see the node's log"  # unless it is known that it was
@@ -271,7 +271,7 @@
         self._pooled()
         self._changed += 1
         self._loop.call_later(CHANGE_OVER_S, self._forget, self._changed)
-        self.dispatch(c.Settled(settings, config.most_held))
+        self.dispatch(c.SettingsChanged(settings, config.most_held))
         came, went = sorted(config.live - old.live), sorted(old.live - config.live)
         words = [f"; {word}: {', '.join(x)}" for word, x in (("added", came), ("dropped", went)) if x]
         self.say("reload", f"the settings are taken up{''.join(words)}")
@@ -320,8 +320,11 @@
         if isinstance(effect, c.StartCall):
             self._calls.pop(effect.call, None)
             self.dispatch(c.CallEnded(effect.call, Outcome.UNCONNECTED))
-        elif isinstance(effect, c.Answer | c.Begin | c.Finish) and effect.inbound in self.clients.held:
-            self.clients.drop(self.clients.held[effect.inbound])
+        elif (
+            isinstance(effect, c.SendResponse | c.StartResponse | c.EndResponse)
+            and effect.downstream_id in self.clients.held
+        ):
+            self.clients.drop(self.clients.held[effect.downstream_id])
 
     def _arm(self, wake_us: int) -> None:
         if self._timer is not None:
@@ -339,20 +342,20 @@
             self.say("stall", f"{late_us // 1000} ms late, with {work_us // 1000} ms of own work")
         self._cpu_us = cpu_us
         self._timer = None
-        self.dispatch(c.Woken())
+        self.dispatch(c.TimerExpired())
 
     def _run(self, effect: c.Effects) -> None:
         if isinstance(effect, c.StartCall):
             call = self._calls[effect.call] = _Call(effect)
             call.task = self._spawn(self._carry(call))
-        elif isinstance(effect, c.Answer):
+        elif isinstance(effect, c.SendResponse):
             self.clients.answer(effect)
-        elif isinstance(effect, c.Begin):
-            assert isinstance(effect.answer, http1.Head)
-            effect.answer.inbound = effect.inbound
-        elif isinstance(effect, c.Finish):
+        elif isinstance(effect, c.StartResponse):
+            assert isinstance(effect.response, http1.Head)
+            effect.response.inbound = effect.downstream_id
+        elif isinstance(effect, c.EndResponse):
             self.clients.finished(effect)
-        elif isinstance(effect, c.Note):
+        elif isinstance(effect, c.LogLine):
             self.say(effect.topic, effect.line)
         elif isinstance(effect, c.WriteCall):
             self._calls[effect.call].go = True
@@ -362,12 +365,12 @@
             self.pool.close_idle(effect.endpoint)
         elif isinstance(effect, c.StopListening):
             self.clients.stop_listening()
-        elif isinstance(effect, c.KeepBan):
+        elif isinstance(effect, c.PersistBan):
             self._keep_ban(effect)
-        elif isinstance(effect, c.Ruled):
+        elif isinstance(effect, c.BanReply):
             if self.console is not None:
                 self.console.ruled(effect)
-        elif isinstance(effect, c.Serving):
+        elif isinstance(effect, c.ReadyToServe):
             self.clients.open()
         else:
             self._left.set()
@@ -423,13 +426,13 @@
             if conn is None:
                 self._finish(effect.call, Outcome.UNCONNECTED)
                 return
-            self.clients.waits(effect.inbound)
+            self.clients.waits(effect.downstream_id)
             self.dispatch(c.CallDialed(effect.call))
             call.dialing = False
             if not call.go:
                 self.pool.put(conn, answered=False)
                 return
-        elif not (self.clients.waits(effect.inbound) and self._core.clear(effect.call)):
+        elif not (self.clients.waits(effect.downstream_id) and self._core.may_write_call(effect.call)):
             self.pool.put(conn, answered=False)
             self._finish(effect.call, Outcome.MOOT)
             return
@@ -484,7 +487,9 @@
         """A task that writes a request's body as it comes."""
         self._budget.flows += 1
         inbound, waits = flow.inbound, flow.owner
-        return self._spawn(pump(self._loop, conn.sock, flow, waits, lambda: self.dispatch(c.LetGo(inbound))))
+        return self._spawn(
+            pump(self._loop, conn.sock, flow, waits, lambda: self.dispatch(c.RequestBodyReleased(inbound)))
+        )
 
     async def _rest(self, conn: Conn, parser: http1.ResponseParser, n: int) -> bool:
         """What is still missing of an answer that has begun, as far as that is gathered.
@@ -514,7 +519,7 @@
         """
         head = parser.head()
         parser.pour()
-        self.dispatch(c.CallBegan(number, head, http1.report(parser, self._names.reports)))
+        self.dispatch(c.ResponseStarted(number, head, http1.report(parser, self._names.reports)))
         inbound = self.clients.held.get(head.inbound)
         if inbound is None:
             self._finish(number, Outcome.CANCELLED)
--- a/granitewell/status/metrics.py
+++ b/granitewell/status/metrics.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 
 from granitewell.balancing.interface import Outcome
-from granitewell.core import Phase, Verdict
+from granitewell.core import Phase, ResponseStatus
 from granitewell.status.types import OLDER, Snapshot, Use
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 PREFIX = "granitewell_"
-ENDS = (*(v.value for v in Verdict), "abandoned", "table_full")
+ENDS = (*(v.value for v in ResponseStatus), "abandoned", "table_full")
 CALL = "call_"
 BATCH = 100  # lines made at a time
 
--- a/granitewell/status/snapshot.py
+++ b/granitewell/status/snapshot.py
@@ -183,7 +183,7 @@
                 yield
 
     def _see_fleet(self) -> Steps[None]:
-        for n, endpoint in enumerate(list(self._core._fleet.values()), 1):
+        for n, endpoint in enumerate(list(self._core._endpoints.values()), 1):
             eid, state = endpoint.member.id, _told(endpoint)
             self._states[state] += 1
             idle = len(self._sockets.idle.get(eid, ()))
@@ -216,7 +216,7 @@
         k, n = self._hosts.get(eid), self._calls.get(eid)
         return {
             "endpoint": short(_text(eid)), "address": short("%s:%d" % member.address),
-            "state": _told(endpoint), "since_s": self._ago_s(endpoint.told_us),
+            "state": _told(endpoint), "since_s": self._ago_s(endpoint.unavailable_since_us),
             "started_s": self._ago_s(member.started_us), "zone": _named(self._about.zones, member.zone),
             "kind": _named(self._about.kinds, member.kind), "cell": member.cell,
             "in_prefix": None if k is None else bool(self._inside[k]),
@@ -297,7 +297,7 @@
 
 def _told(endpoint: Endpoint) -> Literal["ready", "draining", "gone"]:
     """What discovery last said: ready, draining, or that it is gone, be it by leaving it out of its list."""
-    if endpoint.told_us < 0:
+    if endpoint.unavailable_since_us < 0:
         return "ready"
     return "draining" if endpoint.member.state is State.DRAINING else "gone"
 
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -44,8 +44,8 @@
     def ids(self) -> list[bytes]:
         return [rid for rid, _ in self.asked]
 
-    def member(self, state: State = State.READY) -> c.Member:
-        return c.Member(self.name, self.listener.getsockname(), 0, 0, 0, state, 1.0, 0)
+    def member(self, state: State = State.READY) -> c.DiscoveredEndpoint:
+        return c.DiscoveredEndpoint(self.name, self.listener.getsockname(), 0, 0, 0, state, 1.0, 0)
 
     async def _accept(self) -> None:
         loop = asyncio.get_running_loop()
@@ -85,7 +85,7 @@
 
 def serves(node: Node, *desks: Desk) -> None:
     """The node knows of these endpoints, and is ready."""
-    node.dispatch(c.FleetNews(View.FULL, tuple(d.member() for d in desks)))
+    node.dispatch(c.EndpointListUpdate(View.FULL, tuple(d.member() for d in desks)))
     node.dispatch(c.Listening())
 
 
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -20,7 +20,7 @@
 from granitewell.balancing.interface import Outcome, Settings
 from granitewell.cli.lab_sim import hunt as hunt_command
 from granitewell.cli.lab_sim import sim as sim_command
-from granitewell.core import Decider
+from granitewell.core import LoadBalancer
 from granitewell.lab import day as d
 from granitewell.lab.judge import Judge
 from granitewell.lab.simulation import hunt as hunting
@@ -82,7 +82,7 @@
     scripts: list[Script] = []
     judge = Judge(day)
 
-    def made(settings: Settings, seed: int) -> Decider:
+    def made(settings: Settings, seed: int) -> LoadBalancer:
         scripts.append(Script())
         return scripts[-1]
 
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -63,7 +63,8 @@
         self.checker.peak = CAPACITY
         self.now = 10_000_000
         self.members = [
-            c.Member(x, ("127.0.0.1", 80 + k), 0, 0, k, State.READY, 1.0, 0) for k, x in enumerate(IDS)
+            c.DiscoveredEndpoint(x, ("127.0.0.1", 80 + k), 0, 0, k, State.READY, 1.0, 0)
+            for k, x in enumerate(IDS)
         ]
         self.out: dict[int, dict[int, Out]] = {k: {} for k in range(nodes)}  # by node, by call
         self.answers: dict[int, int] = {}
@@ -75,14 +76,14 @@
         self._went: set[int] = set()
         self.told(View.FULL, self.members)
         for k in range(nodes):
-            self.feed(k, c.FleetNews(View.FULL, tuple(self.members)))
+            self.feed(k, c.EndpointListUpdate(View.FULL, tuple(self.members)))
             self.feed(k, c.Listening())
 
     # --- What the checker hears -------------------------------------------------------------------------
     def judge(self, event: t.Event, *actions: t.Action) -> None:
         self.checker.step(self.now / 1000, event, actions)
 
-    def told(self, view: View, members: list[c.Member]) -> None:
+    def told(self, view: View, members: list[c.DiscoveredEndpoint]) -> None:
         """The list, and over it the operators' word."""
         hosts = [Host(m.id, m.zone, m.kind, m.cell, State.GONE if m.id in self.banned else m.state, 1.0,
                       m.started_us / 1000) for m in members]  # fmt: skip
@@ -109,21 +110,23 @@
             call = calls.pop(effect.call, None)
             if call is not None:
                 self.over(call, Outcome.CANCELLED)
-        elif isinstance(effect, c.Answer):
-            self.answered(effect.inbound)
-            if effect.verdict is c.Verdict.SERVED:
-                if effect.inbound in self.checker.open:
+        elif isinstance(effect, c.SendResponse):
+            self.answered(effect.downstream_id)
+            if effect.status is c.ResponseStatus.SERVED:
+                if effect.downstream_id in self.checker.open:
                     raise BrokenRuleError(
-                        f"rule 1: {effect.inbound} was served without an answer of an endpoint"
+                        f"rule 1: {effect.downstream_id} was served without an answer of an endpoint"
                     )
             else:
-                refused = effect.verdict is c.Verdict.FAIL_FAST
-                self.judge(t.Timer(0), t.Refuse(effect.inbound) if refused else t.Fail(effect.inbound))
-        elif isinstance(effect, c.Begin):
-            self.answered(effect.inbound)
-            self.begun.add(effect.inbound)
-            self.judge(t.FirstByte(effect.inbound, 0, 0.0))
-        elif isinstance(effect, c.Note) and effect.topic in ("fault", "overdue", "guard"):
+                refused = effect.status is c.ResponseStatus.REJECTED
+                self.judge(
+                    t.Timer(0), t.Refuse(effect.downstream_id) if refused else t.Fail(effect.downstream_id)
+                )
+        elif isinstance(effect, c.StartResponse):
+            self.answered(effect.downstream_id)
+            self.begun.add(effect.downstream_id)
+            self.judge(t.FirstByte(effect.downstream_id, 0, 0.0))
+        elif isinstance(effect, c.LogLine) and effect.topic in ("fault", "overdue", "guard"):
             raise BrokenRuleError(f"the node says {effect.topic}: {effect.line}")
 
     dials = True  # a call needs a new connection; False: an idle one is there, and it is written at once
@@ -155,7 +158,7 @@
                 break
             at, node = min(due)
             self.now = max(at, self.now)
-            self.feed(node, c.Woken())
+            self.feed(node, c.TimerExpired())
             self.judge(t.Timer(0))
         self.now = until
         self.judge(t.Timer(0))
@@ -182,7 +185,7 @@
         self.judge(t.Request(inbound, cls, 0, 0, due, 0.0))
         if flows:
             self.flows.add(inbound)
-        self.feed(node, c.Arrived(inbound, cls, 0, 0, TIME_US, str(inbound), flows=flows))
+        self.feed(node, c.RequestReceived(inbound, cls, 0, 0, TIME_US, str(inbound), body_incomplete=flows))
 
     def on_safe(self, node: int) -> None:
         self.arrive(node, SAFE)
@@ -246,7 +249,7 @@
 
     def on_began(self, which: int) -> None:
         node, number, _ = self.call(which)
-        self.feed(node, c.CallBegan(number, "head"))
+        self.feed(node, c.ResponseStarted(number, "head"))
 
     @property
     def went(self) -> set[int]:
@@ -257,23 +260,23 @@
         self.flows.discard(inbound)
         self.judge(t.Abandoned(inbound))
         for node in range(len(self.cores)):
-            self.feed(node, c.InboundGone(inbound))
+            self.feed(node, c.DownstreamClosed(inbound))
 
     def on_whole(self, inbound: int) -> None:
         self.flows.discard(inbound)
         if inbound in self.checker.open:
             due = (self.now + TIME_US) / 1000
             self.checker.open[inbound] = replace(self.checker.open[inbound], due_ms=due)
-        self.feed(0, c.Whole(inbound))
+        self.feed(0, c.RequestBodyComplete(inbound))
 
     def on_let_go(self, inbound: int) -> None:
         self.let_go.add(inbound)
-        self.feed(0, c.LetGo(inbound))
+        self.feed(0, c.RequestBodyReleased(inbound))
 
     def news(self, which: int, **changes: Any) -> None:
         self.members[which] = replace(self.members[which], **changes)
         for node in range(len(self.cores)):
-            self.feed(node, c.FleetNews(View.DELTA, (self.members[which],)))
+            self.feed(node, c.EndpointListUpdate(View.DELTA, (self.members[which],)))
         self.told(View.DELTA, [self.members[which]])
 
     def on_drain(self, which: int) -> None:
@@ -288,7 +291,7 @@
         there = [m for m in self.members if m.state is not State.GONE]
         self.told(View.FULL, there)
         for node in range(len(self.cores)):
-            self.feed(node, c.FleetNews(View.FULL, tuple(there)))
+            self.feed(node, c.EndpointListUpdate(View.FULL, tuple(there)))
 
     def on_back(self, which: int) -> None:
         self.news(which, state=State.READY)
@@ -303,21 +306,21 @@
     def on_ban(self, which: int) -> None:
         self.banned.add(IDS[which])
         self.told(View.DELTA, [self.members[which]])
-        self.feed(0, c.BanAsked(1, IDS[which]))
+        self.feed(0, c.BanRequested(1, IDS[which]))
 
     def on_lift(self, which: int) -> None:
         self.banned.discard(IDS[which])
         self.told(View.DELTA, [replace(self.members[which], started_us=self.now)])
-        self.feed(0, c.BanLifted(1, IDS[which]))
+        self.feed(0, c.UnbanRequested(1, IDS[which]))
 
     def on_reload(self, _: int) -> None:
         """From now on the safe class must not run twice; open requests keep what they came with."""
         classes = tuple(replace(x, effect=Effect.UNSAFE) for x in self.settings.classes)
         later = replace(self.settings, classes=classes, max_attempts=2)
-        self.feed(0, c.Settled(later, 500))
+        self.feed(0, c.SettingsChanged(later, 500))
 
     def on_stop(self, _: int) -> None:
-        self.feed(0, c.StopAsked())
+        self.feed(0, c.StopRequested())
 
     def on_wait(self, _: int) -> None:
         self.pass_(WAIT_US)
--- a/tests/shell.py
+++ b/tests/shell.py
@@ -46,8 +46,8 @@
 def silent(node: Node) -> socket.socket:
     """An endpoint that takes requests and never answers; the node knows of it and is ready."""
     server = socket.create_server(("127.0.0.1", 0), backlog=64)
-    member = c.Member(b"s-0", server.getsockname(), 0, 0, 0, State.READY, 1.0, 0)
-    node.dispatch(c.FleetNews(View.FULL, (member,)))
+    member = c.DiscoveredEndpoint(b"s-0", server.getsockname(), 0, 0, 0, State.READY, 1.0, 0)
+    node.dispatch(c.EndpointListUpdate(View.FULL, (member,)))
     node.dispatch(c.Listening())
     return server
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -19,8 +19,10 @@
 SAFE, UNSAFE, KEYED = 0, 1, 2
 
 
-def member(k: int, state: State = State.READY, port: int = 80, started: int = 0, cell: int = 0) -> c.Member:
-    return c.Member(b"s-%d" % k, ("127.0.0.1", port + k), 0, 0, cell, state, 1.0, started)
+def member(
+    k: int, state: State = State.READY, port: int = 80, started: int = 0, cell: int = 0
+) -> c.DiscoveredEndpoint:
+    return c.DiscoveredEndpoint(b"s-%d" % k, ("127.0.0.1", port + k), 0, 0, cell, state, 1.0, started)
 
 
 class Script:
@@ -38,29 +40,29 @@
     return [t.Send(event.id, b"s-0")]
 
 
-def core(script: c.Decider, most: int = 100, **changes: Any) -> c.Core:
+def core(script: c.LoadBalancer, most: int = 100, **changes: Any) -> c.Core:
     node = c.Core(w.settings(parallel_tries=True, may_cancel=True, **changes), script, most)
-    node.handle(0, c.FleetNews(View.FULL, (member(0), member(1, cell=1))))
+    node.handle(0, c.EndpointListUpdate(View.FULL, (member(0), member(1, cell=1))))
     node.handle(0, c.Listening())
     return node
 
 
 def ask(node: c.Core, now: int, inbound: int, cls: int = UNSAFE, timeout: int = 900_000) -> list[c.Effects]:
-    return node.handle(now, c.Arrived(inbound, cls, 0, 0, timeout, "message"))
+    return node.handle(now, c.RequestReceived(inbound, cls, 0, 0, timeout, "message"))
 
 
 def calls(effects: list[c.Effects]) -> list[c.StartCall]:
     return [e for e in effects if isinstance(e, c.StartCall)]
 
 
-def answers(effects: list[c.Effects]) -> list[c.Verdict]:
-    return [e.verdict for e in effects if isinstance(e, c.Answer)]
+def answers(effects: list[c.Effects]) -> list[c.ResponseStatus]:
+    return [e.status for e in effects if isinstance(e, c.SendResponse)]
 
 
 def wake(node: c.Core, until: int) -> list[c.Effects]:
     out: list[c.Effects] = []
     while 0 <= node.wake_us <= until:
-        out += node.handle(node.wake_us, c.Woken())
+        out += node.handle(node.wake_us, c.TimerExpired())
     return out
 
 
@@ -68,7 +70,7 @@
     node = core(Script(Request=lambda e: [*send(e), t.Send(e.id, b"s-1")]))
     first, second = calls(ask(node, 1, 7, SAFE))
     (answer,) = node.handle(2, c.CallEnded(second.call, Outcome.OK, (), "body"))
-    assert answer == c.Answer(7, c.Verdict.SERVED, "body")
+    assert answer == c.SendResponse(7, c.ResponseStatus.SERVED, "body")
     assert node.handle(3, c.CallEnded(first.call, Outcome.OK, (), "late")) == []
     assert node.handle(4, c.CallEnded(first.call, Outcome.OK, (), "twice")) == []
 
@@ -86,10 +88,10 @@
 def test_a_refusal_of_what_may_have_run_becomes_a_failure() -> None:
     node = core(Script(Request=send, Ended=lambda e: [t.Refuse(e.id, 100.0)]))
     (call,) = calls(ask(node, 1, 7))
-    assert answers(node.handle(2, c.CallEnded(call.call, Outcome.RESET))) == [c.Verdict.FAILED]
+    assert answers(node.handle(2, c.CallEnded(call.call, Outcome.RESET))) == [c.ResponseStatus.FAILED]
     (call,) = calls(ask(node, 3, 8))
     assert node.handle(4, c.CallEnded(call.call, Outcome.FULL)) == [
-        c.Answer(8, c.Verdict.FAIL_FAST, None, 100_000)
+        c.SendResponse(8, c.ResponseStatus.REJECTED, None, 100_000)
     ]
 
 
@@ -118,14 +120,14 @@
     """
     node = core(Script(Request=send))
     assert calls(ask(node, 999, 7))
-    news = node.handle(1000, c.FleetNews(View.DELTA, (member(0, State.DRAINING),)))
+    news = node.handle(1000, c.EndpointListUpdate(View.DELTA, (member(0, State.DRAINING),)))
     assert c.CloseIdle(b"s-0") in news
     assert not calls(ask(node, 1000, 8))
-    node.handle(300_000, c.FleetNews(View.DELTA, (member(0, State.DRAINING),)))
+    node.handle(300_000, c.EndpointListUpdate(View.DELTA, (member(0, State.DRAINING),)))
     assert not calls(ask(node, 300_001, 9))
-    node.handle(500_000, c.FleetNews(View.DELTA, (member(0),)))
+    node.handle(500_000, c.EndpointListUpdate(View.DELTA, (member(0),)))
     assert calls(ask(node, 500_001, 10))
-    node.handle(500_002, c.FleetNews(View.FULL, (member(1),)))  # gone by not being listed
+    node.handle(500_002, c.EndpointListUpdate(View.FULL, (member(1),)))  # gone by not being listed
     assert not calls(ask(node, 500_003, 11))
 
 
@@ -143,11 +145,11 @@
     def goes(*between: tuple[int, c.Event], cls: int = UNSAFE, first_at: int = -1) -> bool:
         script = Script(Request=send, Ended=lambda e: send(e) if e.attempt == 0 and not e.final else [])
         node = c.Core(settings, script, 100)
-        node.handle(0, c.FleetNews(View.FULL, (member(0), member(1, cell=1))))
+        node.handle(0, c.EndpointListUpdate(View.FULL, (member(0), member(1, cell=1))))
         node.handle(0, c.Listening())
         (call,) = calls(ask(node, max(first_at, 10), 7, cls))
         if first_at >= 0:  # a further attempt, after one that may have run
-            assert node.clear(call.call)
+            assert node.may_write_call(call.call)
             (call,) = calls(node.handle(first_at + 50_000, c.CallEnded(call.call, Outcome.RESET)))
         now = 50_100
         if dialing:
@@ -157,14 +159,14 @@
         if dialing:
             return c.WriteCall(call.call) in node.handle(now, c.CallDialed(call.call))
         node.handle(now, c.Listening())  # time passes
-        return node.clear(call.call)
+        return node.may_write_call(call.call)
 
     moved = replace(member(0), address=("127.0.0.9", 9))
     assert goes()
-    assert not goes((60_000, c.InboundGone(7)))
-    assert not goes((60_000, c.FleetNews(View.DELTA, (member(0, State.DRAINING),))))
-    assert not goes((60_000, c.FleetNews(View.DELTA, (moved,))))
-    assert not goes((60_000, c.BanAsked(1, b"s-0")))
+    assert not goes((60_000, c.DownstreamClosed(7)))
+    assert not goes((60_000, c.EndpointListUpdate(View.DELTA, (member(0, State.DRAINING),))))
+    assert not goes((60_000, c.EndpointListUpdate(View.DELTA, (moved,))))
+    assert not goes((60_000, c.BanRequested(1, b"s-0")))
     assert not goes((899_500, c.Listening()))
     assert goes((90_000, c.Listening()), cls=KEYED, first_at=10)
     assert not goes((100_011, c.Listening()), cls=KEYED, first_at=10)  # the window has closed during the dial
@@ -183,12 +185,12 @@
     one = dial(1, 0)
     assert node.handle(9, c.CallDialed(one)) == [c.WriteCall(one)]
     two = dial(2, 10)
-    assert c.AbandonCall(two) in node.handle(20, c.InboundGone(2))
+    assert c.AbandonCall(two) in node.handle(20, c.DownstreamClosed(2))
     assert node.handle(30, c.CallDialed(two)) == []
     three = dial(3, 40)
     assert c.AbandonCall(three) in node.handle(40 + 899_500, c.CallDialed(three))
     four = dial(4, 900_000)
-    node.handle(900_001, c.FleetNews(View.DELTA, (member(0, State.GONE),)))
+    node.handle(900_001, c.EndpointListUpdate(View.DELTA, (member(0, State.GONE),)))
     assert c.AbandonCall(four) in node.handle(900_001 + 400_000, c.CallDialed(four))
     moot = [e.outcome for e in script.seen if isinstance(e, t.Ended) and e.outcome is Outcome.MOOT]
     assert len(moot) == 2
@@ -211,8 +213,8 @@
     node = core(Script())
     ask(node, 0, 7)
     assert answers(wake(node, 899_999)) == []
-    assert answers(wake(node, 900_000 + 49_000)) == [c.Verdict.FAILED]
-    assert node.held == 0
+    assert answers(wake(node, 900_000 + 49_000)) == [c.ResponseStatus.FAILED]
+    assert node.pending_count == 0
 
 
 @pytest.mark.parametrize("where", ["Request", "Ended", "Timer", "Hosts"])
@@ -226,9 +228,9 @@
     effects = ask(node, 1, 7) + wake(node, 1000)
     for call in calls(effects):
         effects += node.handle(2, c.CallEnded(call.call, Outcome.ERROR))
-    effects += node.handle(3, c.FleetNews(View.FULL, (member(0),))) + wake(node, 2_000_000)
-    assert answers(effects) == [c.Verdict.FAILED]
-    assert [e for e in effects if isinstance(e, c.Note) and "no such thing" in e.line]
+    effects += node.handle(3, c.EndpointListUpdate(View.FULL, (member(0),))) + wake(node, 2_000_000)
+    assert answers(effects) == [c.ResponseStatus.FAILED]
+    assert [e for e in effects if isinstance(e, c.LogLine) and "no such thing" in e.line]
 
 
 def real(start: int = 0) -> tuple[c.Core, Balancer]:
@@ -236,7 +238,7 @@
     settings = w.settings(parallel_tries=True, may_cancel=True)
     balancer = Balancer(settings, 1)
     node = c.Core(settings, balancer, 100)
-    node.handle(start, c.FleetNews(View.FULL, (member(0), member(1, started=start))))
+    node.handle(start, c.EndpointListUpdate(View.FULL, (member(0), member(1, started=start))))
     node.handle(start, c.Listening())
     return node, balancer
 
@@ -255,7 +257,9 @@
 
     monkeypatch.setattr(balancer, where, boom)
     effects = wake(node, 3_000_000)
-    assert [e for e in effects if isinstance(e, c.Note) and e.topic == "fault" and "no such thing" in e.line]
+    assert [
+        e for e in effects if isinstance(e, c.LogLine) and e.topic == "fault" and "no such thing" in e.line
+    ]
     assert len(balancer._bins) >= 10
     assert calls(ask(node, 3_000_001, 7))
 
@@ -276,7 +280,7 @@
     balancer._health.overdue = boom  # type: ignore[method-assign]
     (call,) = calls(ask(node, 1, 7))
     effects = node.handle(2000, c.CallEnded(call.call, Outcome.OK, (), "a"))
-    assert answers(effects) == [c.Verdict.SERVED]
+    assert answers(effects) == [c.ResponseStatus.SERVED]
     assert not balancer._out and all(s.inflight == 0 for s in balancer._servers.values())
     assert node.wake_us >= 0  # its timer runs
 
@@ -286,7 +290,7 @@
 
     def served(start: int, last: int) -> int:
         node, balancer = real(start)
-        node._last_id, node._seq, balancer._seq = last, last, last
+        node._last_id, node._timer_sequence, balancer._seq = last, last, last
         node.stats["taken"] = last
         seen: list[c.Effects] = []
         for k in range(600):
@@ -295,8 +299,8 @@
             for call in calls(effects):
                 effects += node.handle(now + 3_000, c.CallEnded(call.call, Outcome.OK, (), "a"))
             seen += effects
-        assert not [e for e in seen if isinstance(e, c.Note) and e.topic in ("fault", "guard", "overdue")]
-        return answers(seen).count(c.Verdict.SERVED)
+        assert not [e for e in seen if isinstance(e, c.LogLine) and e.topic in ("fault", "guard", "overdue")]
+        return answers(seen).count(c.ResponseStatus.SERVED)
 
     first = served(3_600_000_000, 0)
     assert first > 500
@@ -307,16 +311,16 @@
 def test_a_reducer_that_breaks_answers_the_request_it_broke_on(monkeypatch: pytest.MonkeyPatch) -> None:
     node = core(Script(Request=send))
     (call,) = calls(ask(node, 1, 7))
-    monkeypatch.setattr(node, "_end", lambda *_: 1 / 0)
-    assert answers(node.handle(2, c.CallEnded(call.call, Outcome.OK))) == [c.Verdict.FAILED]
-    assert answers(ask(node, 3, 99, cls=77)) == [c.Verdict.FAILED]  # a class that does not exist
+    monkeypatch.setattr(node, "_end_call", lambda *_: 1 / 0)
+    assert answers(node.handle(2, c.CallEnded(call.call, Outcome.OK))) == [c.ResponseStatus.FAILED]
+    assert answers(ask(node, 3, 99, cls=77)) == [c.ResponseStatus.FAILED]  # a class that does not exist
 
 
 def test_a_client_that_leaves_is_owed_nothing() -> None:
     node = core(Script(Request=send, Abandoned=lambda e: [t.Cancel(e.id, 0)]))
     (call,) = calls(ask(node, 1, 7))
-    assert node.handle(2, c.InboundGone(7)) == [c.AbandonCall(call.call)]
-    assert node.handle(3, c.InboundGone(7)) == []
+    assert node.handle(2, c.DownstreamClosed(7)) == [c.AbandonCall(call.call)]
+    assert node.handle(3, c.DownstreamClosed(7)) == []
     assert answers(wake(node, 2_000_000)) == []
 
 
@@ -328,8 +332,10 @@
     """
     script = Script(Request=send, Abandoned=lambda e: [t.Cancel(e.id, 0)] if may_cancel else [])
     node = core(script)
-    (call,) = calls(node.handle(1, c.Arrived(7, SAFE, 0, 0, 900_000, "message", flows=True)))
-    assert node.handle(2, c.InboundGone(7)) == [c.AbandonCall(call.call)]
+    (call,) = calls(
+        node.handle(1, c.RequestReceived(7, SAFE, 0, 0, 900_000, "message", body_incomplete=True))
+    )
+    assert node.handle(2, c.DownstreamClosed(7)) == [c.AbandonCall(call.call)]
     assert not node._calls
     assert [e.outcome for e in script.seen if isinstance(e, t.Ended)] == [Outcome.CANCELLED]
 
@@ -339,7 +345,7 @@
     node = core(script, most=1, retry_after=True, max_retry_after_ms=1200.0)
     ask(node, 1, 7)
     effects = ask(node, 2, 8)
-    assert c.Answer(8, c.Verdict.FAIL_FAST, None, 1_200_000) in effects
+    assert c.SendResponse(8, c.ResponseStatus.REJECTED, None, 1_200_000) in effects
     assert sum(isinstance(e, t.Request) for e in script.seen) == 1
 
 
@@ -352,9 +358,9 @@
 
 def test_a_new_process_or_address_makes_idle_connections_useless() -> None:
     node = core(Script())
-    assert node.handle(1, c.FleetNews(View.DELTA, (member(0),))) == []
+    assert node.handle(1, c.EndpointListUpdate(View.DELTA, (member(0),))) == []
     for changed in (member(0, port=90), member(0, port=90, started=5)):
-        assert node.handle(2, c.FleetNews(View.DELTA, (changed,))) == [c.CloseIdle(b"s-0")]
+        assert node.handle(2, c.EndpointListUpdate(View.DELTA, (changed,))) == [c.CloseIdle(b"s-0")]
 
 
 def test_phases_from_start_to_exit() -> None:
@@ -366,37 +372,37 @@
     assert phase() is c.Phase.STARTING
     node.handle(0, c.Listening())
     assert phase() is c.Phase.STARTING  # nobody to send to: not able to serve
-    node.handle(0, c.FleetNews(View.CACHED, (member(0),)))
+    node.handle(0, c.EndpointListUpdate(View.CACHED, (member(0),)))
     assert phase() is c.Phase.READY
     (call,) = calls(ask(node, 1, 7, timeout=5_000_000))
-    node.handle(2, c.StopAsked())
+    node.handle(2, c.StopRequested())
     assert phase() is c.Phase.DRAINING
     assert c.StopListening() in wake(node, 550_000)
     late = calls(ask(node, 560_000, 8))  # on a connection taken at the last moment
     assert node.handle(570_000, c.CallEnded(call.call, Outcome.OK, (), "a")) == [
-        c.Answer(7, c.Verdict.SERVED, "a", 0, True)
+        c.SendResponse(7, c.ResponseStatus.SERVED, "a", 0, True)
     ]
-    assert not [e for e in wake(node, 700_000) if isinstance(e, c.Leave)]
+    assert not [e for e in wake(node, 700_000) if isinstance(e, c.ExitProcess)]
     last = node.handle(710_000, c.CallEnded(late[0].call, Outcome.OK))
-    assert isinstance(last[-1], c.Leave) and phase() is c.Phase.STOPPED
+    assert isinstance(last[-1], c.ExitProcess) and phase() is c.Phase.STOPPED
 
 
 def test_an_idle_node_hears_the_last_connections_before_it_leaves() -> None:
     """What was in the backlog when the listener closed may hold a whole request that is not read yet."""
     node = core(Script(Request=send))
-    node.handle(0, c.StopAsked())
+    node.handle(0, c.StopRequested())
     assert [type(e) for e in wake(node, 599_000)] == [c.StopListening]
     (call,) = calls(ask(node, 599_000, 7))
-    assert not [e for e in wake(node, 700_000) if isinstance(e, c.Leave)]
-    assert type(node.handle(700_001, c.CallEnded(call.call, Outcome.OK))[0]) is c.Answer
+    assert not [e for e in wake(node, 700_000) if isinstance(e, c.ExitProcess)]
+    assert type(node.handle(700_001, c.CallEnded(call.call, Outcome.OK))[0]) is c.SendResponse
 
 
 def test_a_stop_leaves_before_the_platform_kills() -> None:
     node = core(Script())
     ask(node, 1, 7, timeout=60_000_000)
-    node.handle(2, c.StopAsked())
+    node.handle(2, c.StopRequested())
     effects = wake(node, 1_000_000 + 700_000)  # the longest deadline is 1 s, and SIGKILL 0.7 s behind it
-    assert any(isinstance(e, c.Leave) for e in effects)
+    assert any(isinstance(e, c.ExitProcess) for e in effects)
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -405,7 +411,7 @@
     rng = random.Random(seed)
     settings = w.settings(parallel_tries=True, may_cancel=True)
     node = c.Core(settings, Balancer(settings, seed), 100)
-    node.handle(0, c.FleetNews(View.CACHED, tuple(map(member, range(4)))))
+    node.handle(0, c.EndpointListUpdate(View.CACHED, tuple(map(member, range(4)))))
     node.handle(0, c.Listening())
     open_calls: dict[int, int] = {}  # call: inbound
     class_of: dict[int, int] = {}
@@ -424,10 +430,10 @@
                 assert class_of[inbound_of[e.call]] != UNSAFE or maybe_ran[inbound_of[e.call]] == 1
             elif isinstance(e, c.AbandonCall):
                 open_calls.pop(e.call, None)
-            elif isinstance(e, c.Answer):
-                ended[e.inbound] += 1
-                assert now <= due[e.inbound] + 50_000
-            elif isinstance(e, c.Note):
+            elif isinstance(e, c.SendResponse):
+                ended[e.downstream_id] += 1
+                assert now <= due[e.downstream_id] + 50_000
+            elif isinstance(e, c.LogLine):
                 assert e.topic not in ("fault", "overdue"), e.line
 
     for _ in range(600):
@@ -435,7 +441,7 @@
         while 0 <= node.wake_us <= now:
             at, real = node.wake_us, now
             now = at
-            run(node.handle(at, c.Woken()))
+            run(node.handle(at, c.TimerExpired()))
             now = real
         what = rng.random()
         if what < 0.4:
@@ -444,7 +450,7 @@
             timeout = rng.choice([1_000, 200_000, 900_000])
             due[inbound] = now + timeout
             key = rng.randrange(9)
-            run(node.handle(now, c.Arrived(inbound, class_of[inbound], 0, key, timeout, inbound)))
+            run(node.handle(now, c.RequestReceived(inbound, class_of[inbound], 0, key, timeout, inbound)))
         elif what < 0.8 and open_calls:
             call = rng.choice(sorted(open_calls))
             outcome = rng.choice([o for o in Outcome if o not in (Outcome.CANCELLED, Outcome.TIMEOUT)])
@@ -456,16 +462,16 @@
             leaver = rng.randrange(1, inbound + 1)
             if not ended[leaver]:
                 gone.add(leaver)
-            run(node.handle(now, c.InboundGone(leaver)))
+            run(node.handle(now, c.DownstreamClosed(leaver)))
         else:
             news = tuple(member(k, rng.choice(list(State))) for k in range(rng.randrange(5)))
-            run(node.handle(now, c.FleetNews(rng.choice([View.FULL, View.DELTA]), news)))
+            run(node.handle(now, c.EndpointListUpdate(rng.choice([View.FULL, View.DELTA]), news)))
     now += 2_000_000
-    while 0 <= node.wake_us <= now and node.held:
+    while 0 <= node.wake_us <= now and node.pending_count:
         real, now = now, node.wake_us
-        run(node.handle(now, c.Woken()))
+        run(node.handle(now, c.TimerExpired()))
         now = real
-    assert node.held == 0
+    assert node.pending_count == 0
     for k in range(1, inbound + 1):
         assert ended[k] == (k not in gone), k
 
@@ -473,23 +479,25 @@
 def streaming(node: c.Core) -> tuple[c.StartCall, list[c.Effects]]:
     """A request whose answer has begun on its first call."""
     call = calls(ask(node, 0, 1, SAFE))[0]
-    return call, node.handle(50_000, c.CallBegan(call.call, "head"))
+    return call, node.handle(50_000, c.ResponseStarted(call.call, "head"))
 
 
 def test_an_answer_in_parts_begins_once_and_ends_once_and_has_no_time_of_its_own() -> None:
     script = Script(Request=send)
     node = core(script)
     call, effects = streaming(node)
-    assert effects == [c.Begin(1, "head")]
+    assert effects == [c.StartResponse(1, "head")]
     # the module has its ending with the first byte: how quickly the client reads says nothing of the endpoint
     ended_for_it = [e for e in script.seen if isinstance(e, t.Ended)]
     assert [(e.outcome, e.elapsed_ms, e.final) for e in ended_for_it] == [(Outcome.OK, 50.0, True)]
-    assert node.handle(60_000, c.CallPart(call.call, b"a")) == [c.Pass(1, b"a")]
-    assert not [e for e in wake(node, 30_000_000) if isinstance(e, c.Answer | c.AbandonCall | c.Finish)]
-    assert node.handle(31_000_000, c.CallPart(call.call, b"b")) == [c.Pass(1, b"b")]
+    assert node.handle(60_000, c.ResponsePart(call.call, b"a")) == [c.SendResponsePart(1, b"a")]
+    assert not [
+        e for e in wake(node, 30_000_000) if isinstance(e, c.SendResponse | c.AbandonCall | c.EndResponse)
+    ]
+    assert node.handle(31_000_000, c.ResponsePart(call.call, b"b")) == [c.SendResponsePart(1, b"b")]
     ended = c.CallEnded(call.call, Outcome.OK, (), "tail")
-    assert node.handle(32_000_000, ended) == [c.Finish(1, True, "tail")]
-    assert node.held == 0 and node.stats["served"] == 1
+    assert node.handle(32_000_000, ended) == [c.EndResponse(1, True, "tail")]
+    assert node.pending_count == 0 and node.stats["served"] == 1
     assert len([e for e in script.seen if isinstance(e, t.Ended)]) == 1
 
 
@@ -500,15 +508,15 @@
     node = core(Script(Request=send, Ended=again))
     call, _ = streaming(node)
     effects = node.handle(60_000, c.CallEnded(call.call, Outcome.RESET))
-    assert [e for e in effects if not isinstance(e, c.Note)] == [c.Finish(1, False)]
-    assert node.stats["failed"] == 1 and node.held == 0
+    assert [e for e in effects if not isinstance(e, c.LogLine)] == [c.EndResponse(1, False)]
+    assert node.stats["failed"] == 1 and node.pending_count == 0
 
 
 def test_a_client_that_leaves_a_begun_answer_ends_its_call() -> None:
     node = core(Script(Request=send))
     call, _ = streaming(node)
-    assert node.handle(60_000, c.InboundGone(1)) == [c.AbandonCall(call.call)]
-    assert node.handle(61_000, c.CallPart(call.call, b"x")) == []
+    assert node.handle(60_000, c.DownstreamClosed(1)) == [c.AbandonCall(call.call)]
+    assert node.handle(61_000, c.ResponsePart(call.call, b"x")) == []
 
 
 def test_the_first_answer_that_begins_ends_the_second_copy() -> None:
@@ -517,9 +525,9 @@
 
     node = core(Script(Request=twice))
     first, second = calls(ask(node, 0, 1, SAFE))
-    effects = node.handle(10_000, c.CallBegan(second.call, "head"))
-    assert effects == [c.Begin(1, "head"), c.AbandonCall(first.call)]
-    assert node.handle(11_000, c.CallBegan(first.call, "late head")) == []
+    effects = node.handle(10_000, c.ResponseStarted(second.call, "head"))
+    assert effects == [c.StartResponse(1, "head"), c.AbandonCall(first.call)]
+    assert node.handle(11_000, c.ResponseStarted(first.call, "late head")) == []
     assert node.stats["call_cancelled"] == 1
 
 
@@ -529,13 +537,13 @@
 
     node = core(Script(Request=send, Ended=late))
     _, effects = streaming(node)
-    assert [e for e in effects if not isinstance(e, c.Note)] == [c.Begin(1, "head")]
-    assert node.held == 1
+    assert [e for e in effects if not isinstance(e, c.LogLine)] == [c.StartResponse(1, "head")]
+    assert node.pending_count == 1
 
 
 def test_the_kind_of_connection_is_passed_to_the_shell() -> None:
     node = core(Script(Request=send))
-    node.handle(0, c.FleetNews(View.FULL, (replace(member(0), protocol="h3"),)))
+    node.handle(0, c.EndpointListUpdate(View.FULL, (replace(member(0), protocol="h3"),)))
     assert calls(ask(node, 0, 1, SAFE))[0].protocol == "h3"
 
 
@@ -554,25 +562,27 @@
     script = Script()
     node = core(script)
     for now in (10, 20):
-        effects = node.handle(now, c.BanAsked(1, b"s-0"))
-        assert effects[-2:] == [c.KeepBan(b"s-0", True), c.Ruled(1, c.Ruling.DONE)]
+        effects = node.handle(now, c.BanRequested(1, b"s-0"))
+        assert effects[-2:] == [c.PersistBan(b"s-0", True), c.BanReply(1, c.BanResult.DONE)]
     assert told(script)[b"s-0"] == (State.GONE, 0.0)
-    node.handle(30, c.FleetNews(View.DELTA, (member(0, State.GONE),)))
-    node.handle(40, c.FleetNews(View.FULL, (member(0, port=90, started=35), member(1))))
+    node.handle(30, c.EndpointListUpdate(View.DELTA, (member(0, State.GONE),)))
+    node.handle(40, c.EndpointListUpdate(View.FULL, (member(0, port=90, started=35), member(1))))
     assert told(script)[b"s-0"][0] is State.GONE and node.bans == {b"s-0"}
-    effects = node.handle(5_000, c.BanLifted(2, b"s-0"))
-    assert effects[-2:] == [c.KeepBan(b"s-0", False), c.Ruled(2, c.Ruling.DONE)]
-    node.handle(6_000, c.FleetNews(View.FULL, (member(0, started=35), member(1))))
+    effects = node.handle(5_000, c.UnbanRequested(2, b"s-0"))
+    assert effects[-2:] == [c.PersistBan(b"s-0", False), c.BanReply(2, c.BanResult.DONE)]
+    node.handle(6_000, c.EndpointListUpdate(View.FULL, (member(0, started=35), member(1))))
     assert told(script)[b"s-0"] == (State.READY, 5.0) and not node.bans
-    node.handle(9_000, c.FleetNews(View.DELTA, (member(0, started=8_000),)))
+    node.handle(9_000, c.EndpointListUpdate(View.DELTA, (member(0, started=8_000),)))
     assert told(script)[b"s-0"] == (State.READY, 8.0)
 
 
 def test_an_endpoint_that_no_list_has_named_is_owed_a_no() -> None:
     node = core(Script())
-    assert node.handle(1, c.BanAsked(1, b"s-9")) == [c.Ruled(1, c.Ruling.UNKNOWN)]
-    node.handle(2, c.FleetNews(View.FULL, (member(1),)))
-    assert node.handle(3, c.BanAsked(1, b"s-0"))[-1] == c.Ruled(1, c.Ruling.DONE)  # gone, yet once listed
+    assert node.handle(1, c.BanRequested(1, b"s-9")) == [c.BanReply(1, c.BanResult.UNKNOWN)]
+    node.handle(2, c.EndpointListUpdate(View.FULL, (member(1),)))
+    assert node.handle(3, c.BanRequested(1, b"s-0"))[-1] == c.BanReply(
+        1, c.BanResult.DONE
+    )  # gone, yet once listed
 
 
 def test_nothing_is_sent_to_a_banned_endpoint_whatever_the_module_says() -> None:
@@ -585,19 +595,19 @@
     (dialed,) = calls(ask(node, 1, 1))
     node.handle(2, c.CallDialing(dialed.call))
     (pooled,) = calls(ask(node, 3, 2))
-    assert node.clear(pooled.call)
-    effects = node.handle(4, c.BanAsked(1, b"s-0"))
+    assert node.may_write_call(pooled.call)
+    effects = node.handle(4, c.BanRequested(1, b"s-0"))
     assert c.AbandonCall(dialed.call) in effects and c.CloseIdle(b"s-0") in effects
-    assert not node.clear(pooled.call)
+    assert not node.may_write_call(pooled.call)
     assert not calls(ask(node, 5, 3)) and node.stats["guarded"] == 1
 
 
 def test_bans_of_the_process_beside_this_one_bind_here() -> None:
     script = Script()
     node = core(script)
-    node.handle(10, c.BansHeard(frozenset({b"s-0", b"s-7"}), {b"s-1": 4}))
+    node.handle(10, c.BansLoaded(frozenset({b"s-0", b"s-7"}), {b"s-1": 4}))
     assert node.bans == {b"s-0", b"s-7"} and told(script)[b"s-0"][0] is State.GONE
-    node.handle(20, c.BansHeard(frozenset(), {b"s-0": 15}))
+    node.handle(20, c.BansLoaded(frozenset(), {b"s-0": 15}))
     assert node.bans == {b"s-7"}  # nothing is said of it any more: a file that can't be read is no call back
     assert told(script)[b"s-0"] == (State.READY, 0.015)
 
@@ -605,22 +615,22 @@
 def test_a_ban_that_could_not_be_written_down_is_not_lifted_by_an_older_file() -> None:
     """It was out and back before; its file still says so when the next ban finds the folder full."""
     node = core(Script())
-    node.handle(50, c.BanAsked(1, b"s-0"))
-    node.handle(60, c.BansHeard(frozenset(), {b"s-0": 40}))
+    node.handle(50, c.BanRequested(1, b"s-0"))
+    node.handle(60, c.BansLoaded(frozenset(), {b"s-0": 40}))
     assert node.bans == {b"s-0"}
-    node.handle(70, c.BansHeard(frozenset(), {b"s-0": 65}))
+    node.handle(70, c.BansLoaded(frozenset(), {b"s-0": 65}))
     assert not node.bans
 
 
 def test_what_is_remembered_of_endpoints_is_bounded() -> None:
     """Successors have new ids: a node that runs for months would hold every one that there ever was."""
     node = core(Script())
-    node.handle(1, c.BanAsked(1, b"s-0"))
+    node.handle(1, c.BanRequested(1, b"s-0"))
     for k in range(2, 13_000):
-        node.handle(k * 100_000, c.FleetNews(View.FULL, (member(k),)))
-    assert len(node._named) < 11_000 and node.bans == {b"s-0"}
-    assert node.handle(1_300_000_000, c.BanAsked(1, b"s-12500"))[-1] == c.Ruled(1, c.Ruling.DONE)
-    assert node.handle(1_300_000_001, c.BanAsked(1, b"s-1")) == [c.Ruled(1, c.Ruling.UNKNOWN)]
+        node.handle(k * 100_000, c.EndpointListUpdate(View.FULL, (member(k),)))
+    assert len(node._known_endpoint_ids) < 11_000 and node.bans == {b"s-0"}
+    assert node.handle(1_300_000_000, c.BanRequested(1, b"s-12500"))[-1] == c.BanReply(1, c.BanResult.DONE)
+    assert node.handle(1_300_000_001, c.BanRequested(1, b"s-1")) == [c.BanReply(1, c.BanResult.UNKNOWN)]
 
 
 def test_a_stop_beside_another_process_leaves_the_listener_at_once_and_its_clients_late() -> None:
@@ -629,15 +639,15 @@
     The listener is the other process's too, so that nothing is lost there.
     """
     node = core(Script())
-    assert c.StopListening() in node.handle(1, c.StopAsked(shared=True))
-    assert not any(isinstance(e, c.Leave) for e in wake(node, 600_000))
+    assert c.StopListening() in node.handle(1, c.StopRequested(shared=True))
+    assert not any(isinstance(e, c.ExitProcess) for e in wake(node, 600_000))
     ask(node, 600_001, 5)
-    assert any(isinstance(e, c.Leave) for e in wake(node, 4_000_000)) and node.held == 0
+    assert any(isinstance(e, c.ExitProcess) for e in wake(node, 4_000_000)) and node.pending_count == 0
 
 
 def flowing(node: c.Core, cls: int = UNSAFE) -> c.StartCall:
     """A request whose body still comes, out on its first call."""
-    (call,) = calls(node.handle(1, c.Arrived(1, cls, 0, 0, 900_000, "message", flows=True)))
+    (call,) = calls(node.handle(1, c.RequestReceived(1, cls, 0, 0, 900_000, "message", body_incomplete=True)))
     return call
 
 
@@ -649,11 +659,11 @@
     script = Script(Request=send)
     node = core(script)
     flowing(node)
-    assert not [e for e in wake(node, 10_000_000) if isinstance(e, c.Answer | c.AbandonCall)]
-    node.handle(10_000_000, c.Whole(1))
-    assert script.seen[-1] == t.Uploaded(1, 0, 10_900.0)
-    assert not [e for e in wake(node, 10_899_000) if isinstance(e, c.Answer)]
-    assert answers(wake(node, 10_930_000)) == [c.Verdict.FAILED]
+    assert not [e for e in wake(node, 10_000_000) if isinstance(e, c.SendResponse | c.AbandonCall)]
+    node.handle(10_000_000, c.RequestBodyComplete(1))
+    assert script.seen[-1] == t.BodyComplete(1, 0, 10_900.0)
+    assert not [e for e in wake(node, 10_899_000) if isinstance(e, c.SendResponse)]
+    assert answers(wake(node, 10_930_000)) == [c.ResponseStatus.FAILED]
 
 
 def test_a_body_that_was_let_go_is_sent_nowhere_else() -> None:
@@ -664,9 +674,9 @@
 
     node = core(Script(Request=send, Ended=again))
     (second,) = calls(node.handle(2, c.CallEnded(flowing(node).call, Outcome.UNCONNECTED)))
-    node.handle(3, c.LetGo(1))
+    node.handle(3, c.RequestBodyReleased(1))
     effects = node.handle(4, c.CallEnded(second.call, Outcome.UNCONNECTED))
-    assert answers(effects) == [c.Verdict.FAIL_FAST] and not calls(effects) and node.held == 0
+    assert answers(effects) == [c.ResponseStatus.REJECTED] and not calls(effects) and node.pending_count == 0
 
 
 def test_one_body_feeds_one_call_at_a_time() -> None:
@@ -680,20 +690,22 @@
 
 def test_nor_does_it_feed_a_second_copy_once_it_is_whole() -> None:
     """Two calls took turns at the same parts: neither endpoint got the body that the client had sent."""
-    node = core(Script(Request=send, Uploaded=lambda e: [t.Send(e.id, b"s-1")]))
+    node = core(Script(Request=send, BodyComplete=lambda e: [t.Send(e.id, b"s-1")]))
     flowing(node, SAFE)
-    assert not calls(node.handle(2, c.Whole(1))) and node.stats["guarded"] == 1
+    assert not calls(node.handle(2, c.RequestBodyComplete(1))) and node.stats["guarded"] == 1
 
 
 def test_what_the_module_gives_up_while_its_body_comes_ends_with_its_call() -> None:
     """The module's patience counts from the head; an endpoint has part of the body, and may still answer."""
     node = core(Script(Request=lambda e: [*send(e), t.Fail(e.id)]))
     call = flowing(node)
-    assert node.held == 1
-    assert answers(node.handle(5, c.CallEnded(call.call, Outcome.OK, (), "body"))) == [c.Verdict.SERVED]
+    assert node.pending_count == 1
+    assert answers(node.handle(5, c.CallEnded(call.call, Outcome.OK, (), "body"))) == [
+        c.ResponseStatus.SERVED
+    ]
     node = core(Script(Request=lambda e: [*send(e), t.Fail(e.id)]))
     call = flowing(node)
-    assert node.handle(6, c.InboundGone(1)) == [c.AbandonCall(call.call)]
+    assert node.handle(6, c.DownstreamClosed(1)) == [c.AbandonCall(call.call)]
 
 
 def test_whatever_breaks_at_a_calls_end_the_module_hears_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -709,9 +721,11 @@
         monkeypatch.undo()
         raise RuntimeError("no such thing")
 
-    monkeypatch.setattr(node, "_close", broken)
-    assert answers(node.handle(2, c.CallEnded(call.call, Outcome.OK, (), "body"))) == [c.Verdict.FAILED]
-    node.handle(3, c.Woken())
+    monkeypatch.setattr(node, "_finish_request", broken)
+    assert answers(node.handle(2, c.CallEnded(call.call, Outcome.OK, (), "body"))) == [
+        c.ResponseStatus.FAILED
+    ]
+    node.handle(3, c.TimerExpired())
     assert [e.outcome for e in script.seen if isinstance(e, t.Ended)] == [Outcome.OK]
 
 
@@ -721,7 +735,7 @@
     Its request ran, and the process ended without a word of it.
     """
     node = core(Script(Request=send))
-    node.handle(1, c.StopAsked(True))
+    node.handle(1, c.StopRequested(True))
     out = wake(node, 10_000_000)
-    assert c.Leave() in out
-    assert ask(node, 10_000_001, 7) == [c.Answer(7, c.Verdict.FAIL_FAST, None, 0, True)]
+    assert c.ExitProcess() in out
+    assert ask(node, 10_000_001, 7) == [c.SendResponse(7, c.ResponseStatus.REJECTED, None, 0, True)]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -54,7 +54,7 @@
         await desk.answer()
         await until(lambda: not node.clients.held)
         await turns()
-        assert desk.ids == [b"r0"] and not node._core.held
+        assert desk.ids == [b"r0"] and not node._core.pending_count
         await desk.close()
 
     played(tmp_path, scenario, settings=cancelling(cancel))
@@ -119,8 +119,8 @@
 # --- Discovery ------------------------------------------------------------------------------------------
 def sendable(node: Node, desk: Desk) -> bool | None:
     """Does the node hold this endpoint for one to send to? None: it does not know it."""
-    endpoint = node._core._fleet.get(desk.name)
-    return None if endpoint is None else endpoint.told_us < 0
+    endpoint = node._core._endpoints.get(desk.name)
+    return None if endpoint is None else endpoint.unavailable_since_us < 0
 
 
 async def ended(node: Node, *others: Desk | Bureau) -> None:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -101,10 +101,10 @@
         from granitewell.net.discovery import PUSHED
 
         node.discovery.at(bureau.address, PUSHED)
-        await until(lambda: node._core._fleet)
-        assert node._core._fleet[desk.name].told_us < 0  # the last entry counts
+        await until(lambda: node._core._endpoints)
+        assert node._core._endpoints[desk.name].unavailable_since_us < 0  # the last entry counts
         bureau.lists()  # rightly empty
-        await until(lambda: node._core._fleet[desk.name].told_us >= 0)
+        await until(lambda: node._core._endpoints[desk.name].unavailable_since_us >= 0)
         assert node.discovery._task is not None
         node.discovery._task.cancel()
         await bureau.close()
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -200,7 +200,7 @@
                 if cut % 2:
                     await turns(5)
                 client.close()
-            await until(lambda: not node.clients.held and not node._calls and not node._core.held)
+            await until(lambda: not node.clients.held and not node._calls and not node._core.pending_count)
             await until(lambda: not node._budget.kept and not node._budget.flows)
             balancer = node._core._balancer
             assert isinstance(balancer, Balancer) and not balancer._held
@@ -232,7 +232,7 @@
                 whole = got.startswith(b"HTTP/1.1 200 ") and got.endswith(b"\r\n\r\nhello")
                 assert whole == (cut == len(raw)) and (whole or got.startswith(b"HTTP/1.1 502 ")), (cut, got)
                 assert agent.asked == before + 1
-            assert not node._calls and not node._core.held
+            assert not node._calls and not node._core.pending_count
 
     assert not [line for line in played(tmp_path, scenario) if line.startswith("fault")]
 
@@ -270,8 +270,8 @@
     server = await asyncio.start_server(agent, "127.0.0.1", 0)
     try:
         address = server.sockets[0].getsockname()
-        member = c.Member(b"s-0", address, 0, 0, 0, State.READY, 1.0, 0)
-        node.dispatch(c.FleetNews(View.FULL, (member,)))
+        member = c.DiscoveredEndpoint(b"s-0", address, 0, 0, 0, State.READY, 1.0, 0)
+        node.dispatch(c.EndpointListUpdate(View.FULL, (member,)))
         node.dispatch(c.Listening())
         yield
     finally:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -92,26 +92,26 @@
 
 
 def _twice(self: c.Core, request: Any, *rest: Any) -> None:
-    c.Core._close(self, request, *rest)
-    self._out.append(self._out[-1])
+    c.Core._finish_request(self, request, *rest)
+    self._effects.append(self._effects[-1])
 
 
 def _no_timers(self: c.Core, when_us: int, what: str, arg: Any = None) -> None:
     if what not in ("guard", "call"):
-        c.Core._at(self, when_us, what, arg)
+        c.Core._schedule(self, when_us, what, arg)
 
 
 def _deaf(self: c.Core, now_us: int, event: c.Event) -> list[c.Effects]:
-    return [] if isinstance(event, c.LetGo) else c.Core.handle(self, now_us, event)
+    return [] if isinstance(event, c.RequestBodyReleased) else c.Core.handle(self, now_us, event)
 
 
 def _anywhere(self: c.Core, call: Any) -> bool:
-    return bool(call.request.open) and self._sendable(call.endpoint)
+    return bool(call.request.open) and self._is_available(call.endpoint)
 
 
-def _dialed(self: c.Core, cid: int) -> None:
+def _call_dialed(self: c.Core, cid: int) -> None:
     if cid in self._calls:
-        self._out.append(c.WriteCall(cid))
+        self._effects.append(c.WriteCall(cid))
 
 
 def _listed(self: Balancer, host: Any) -> None:
@@ -122,26 +122,26 @@
 def _unbanned(self: c.Core, member: Any) -> Any:
     bans, self._bans = self._bans, {}
     try:
-        return c.Core._host(self, member)
+        return c.Core._host_for_balancer(self, member)
     finally:
         self._bans = bans
 
 
-ALWAYS = {"_sendable": lambda *_: True}
-AGAIN = {"_repeatable": lambda *_: True}
+ALWAYS = {"_is_available": lambda *_: True}
+AGAIN = {"_may_run_at": lambda *_: True}
 DEFECTS: dict[str, tuple[str, type[c.Core], type[Balancer], str]] = {
-    "answer-twice": ("answers", core(_close=_twice), Balancer, "rule 1"),
-    "deadlines-lost": ("answers", core(_at=_no_timers), module(_due=lambda *_: None), "rule 1"),
+    "answer-twice": ("answers", core(_finish_request=_twice), Balancer, "rule 1"),
+    "deadlines-lost": ("answers", core(_schedule=_no_timers), module(_due=lambda *_: None), "rule 1"),
     "unsafe-guard": ("answers", core(**AGAIN), module(_may_send=lambda *_: True), "rule 2"),
     "refuses-what-ran": (
         "answers",
-        core(_harmless=lambda *_: True),
+        core(_is_safe_to_reject=lambda *_: True),
         module(_may_refuse=lambda *_: True),
         "rule 2",
     ),
     "drain-unheeded": ("list", core(**ALWAYS), module(_list=_listed), "rule 3"),
-    "dialed-unchecked": ("list", core(_dialed=_dialed), Balancer, "rule"),
-    "ban-unheeded": ("bans", core(**ALWAYS, _host=_unbanned), Balancer, "rule 3"),
+    "dialed-unchecked": ("list", core(_call_dialed=_call_dialed), Balancer, "rule"),
+    "ban-unheeded": ("bans", core(**ALWAYS, _host_for_balancer=_unbanned), Balancer, "rule 3"),
     "let-go-unheard": ("large", core(handle=_deaf), Balancer, "rule 2"),
     "moved-unseen": ("list", core(_may_write=_anywhere), Balancer, "rule 3"),
     "cold-as-warm": ("cold", c.Core, module(_cold_room=lambda *_: True), "rule 4"),
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -144,23 +144,23 @@
     One that was safe is repeated, one more attempt than before is not made.
     """
     node = core(Script(Request=send, Ended=lambda e: [] if e.final else send(e)), max_attempts=2)
-    (first,) = calls(node.handle(1, c.Arrived(1, SAFE, 0, 0, 900_000, "m")))
+    (first,) = calls(node.handle(1, c.RequestReceived(1, SAFE, 0, 0, 900_000, "m")))
     was = w.settings(parallel_tries=True, may_cancel=True, max_attempts=5)
     unsafe = (replace(was.classes[0], effect=Effect.UNSAFE), *was.classes[1:])
-    node.handle(2, c.Settled(replace(was, classes=unsafe), 100))
+    node.handle(2, c.SettingsChanged(replace(was, classes=unsafe), 100))
     (second,) = calls(node.handle(3, c.CallEnded(first.call, Outcome.ERROR)))
     effects = node.handle(4, c.CallEnded(second.call, Outcome.ERROR))
-    assert [e.verdict for e in effects if isinstance(e, c.Answer)] == [c.Verdict.FAILED]
-    (third,) = calls(node.handle(5, c.Arrived(2, SAFE, 0, 0, 900_000, "m")))
+    assert [e.status for e in effects if isinstance(e, c.SendResponse)] == [c.ResponseStatus.FAILED]
+    (third,) = calls(node.handle(5, c.RequestReceived(2, SAFE, 0, 0, 900_000, "m")))
     assert not calls(node.handle(6, c.CallEnded(third.call, Outcome.ERROR)))  # it came under the new rules
 
 
 def test_a_client_that_holds_it_for_unsafe_is_believed() -> None:
     script = Script(Request=send, Ended=send)
     node = core(script)
-    (first,) = calls(node.handle(1, c.Arrived(1, SAFE, 0, 0, 900_000, "m", once=True)))
+    (first,) = calls(node.handle(1, c.RequestReceived(1, SAFE, 0, 0, 900_000, "m", non_idempotent=True)))
     assert not calls(node.handle(2, c.CallEnded(first.call, Outcome.RESET)))
-    assert [e.once for e in script.seen if isinstance(e, t.Request)] == [True]
+    assert [e.non_idempotent for e in script.seen if isinstance(e, t.Request)] == [True]
 
 
 def test_the_module_serves_a_class_that_came_later_and_keeps_what_it_knew() -> None:
@@ -175,7 +175,9 @@
         if rid % 200 == 0:
             kinds.append(t.RequestClass(150.0, 800.0, rng.choice([Effect.SAFE, Effect.UNSAFE])))
             kinds[0] = replace(kinds[0], effect=rng.choice([Effect.SAFE, Effect.UNSAFE]))
-            one.handle(now, t.Resettled(replace(base, classes=tuple(kinds), max_attempts=rng.randint(1, 5))))
+            one.handle(
+                now, t.SettingsChanged(replace(base, classes=tuple(kinds), max_attempts=rng.randint(1, 5)))
+            )
         actions = one.handle(now, t.Request(rid, rng.randrange(len(kinds)), 0, 0, now + 800.0, 0.0))
         sent = [a for a in actions if isinstance(a, t.Send)]
         assert len(sent) == 1
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -153,7 +153,7 @@
     async def scenario(node: Node) -> None:
         read, broken = node._reader.read, [RuntimeError("no such thing")]
 
-        def once(body: bytes) -> tuple[int, c.FleetNews]:
+        def once(body: bytes) -> tuple[int, c.EndpointListUpdate]:
             if broken:
                 raise broken.pop()
             return read(body)
@@ -383,7 +383,7 @@
         await until(lambda: node._calls)
         await loop.sock_sendall(client, b"no chunk\r\n")
         await until(lambda: not node.clients.held and not node._tasks)  # nothing sweeps here
-        assert not node._calls and not node._core.held and node._budget.flows == 0
+        assert not node._calls and not node._core.pending_count and node._budget.flows == 0
         client.close()
         late, answers = client_of(node), b""  # the same written ahead, whose turn never comes
         ahead = CHUNKED + b"%x\r\n%s\r\nno chunk\r\n" % (65_540, bytes(65_540))
@@ -395,7 +395,7 @@
         while more := await loop.sock_recv(late, 4096):
             answers += more
         assert answers.count(b"HTTP/1.1 502") == answers.count(b"HTTP/1.1 400") == 1
-        assert not node._core.held and not node._core._calls
+        assert not node._core.pending_count and not node._core._calls
         late.close()
         endpoint.close()
 
@@ -454,7 +454,12 @@
                 await asyncio.sleep(0.01)
         client.close()
         await until(lambda: not node.clients.held and not node._tasks)
-        assert not node._calls and not node._core.held and node._budget.flows == 0 and not node._core._calls
+        assert (
+            not node._calls
+            and not node._core.pending_count
+            and node._budget.flows == 0
+            and not node._core._calls
+        )
         endpoint.close()
 
     assert any(line.startswith("fault") for line in played(tmp_path, scenario))
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -272,11 +272,12 @@
     made = Settings(classes, 3, 5, 1000.0, 0.12, 23_000.0, 3.0, 1000.0, parallel_tries=True)
     core = c.Core(made, Balancer(made, 7), 20_000)
     core.handle(HOUR, c.Listening())
-    core.handle(HOUR, c.FleetNews(View.FULL, tuple(
-        c.Member(x.encode(), ("10.0.0.1", 9), k % 2, 0, 0, State.READY, 1.0, 0) for k, x in enumerate(ids)
+    core.handle(HOUR, c.EndpointListUpdate(View.FULL, tuple(
+        c.DiscoveredEndpoint(x.encode(), ("10.0.0.1", 9), k % 2, 0, 0, State.READY, 1.0, 0)
+        for k, x in enumerate(ids)
     )))  # fmt: skip
     for k in range(requests):
-        core.handle(HOUR + k, c.Arrived(k, k % 2, 0, 0, 60_000_000, None))
+        core.handle(HOUR + k, c.RequestReceived(k, k % 2, 0, 0, 60_000_000, None))
     return core
 
 
@@ -329,10 +330,12 @@
         for n in range(10_000):
             next(steps)
             state = State.DRAINING if state is State.READY else State.READY
-            news = tuple(c.Member(b"n%d" % (n + k), ("h", k), 0, 0, 0, state, 1.0, 0) for k in range(50))
-            core.handle(HOUR + n, c.FleetNews(View.FULL if n % 2 else View.DELTA, news))
-            core.handle(HOUR + n, c.InboundGone(n))
-            core.handle(HOUR + n, c.Arrived(10_000 + n, 0, 0, 0, 1000, None))
+            news = tuple(
+                c.DiscoveredEndpoint(b"n%d" % (n + k), ("h", k), 0, 0, 0, state, 1.0, 0) for k in range(50)
+            )
+            core.handle(HOUR + n, c.EndpointListUpdate(View.FULL if n % 2 else View.DELTA, news))
+            core.handle(HOUR + n, c.DownstreamClosed(n))
+            core.handle(HOUR + n, c.RequestReceived(10_000 + n, 0, 0, 0, 1000, None))
     assert n > 20 and done.value.value["fleet"]["gone"] > 500
 
 
