--- a/benchmarks/status_cost.py
+++ b/benchmarks/status_cost.py
@@ -63,8 +63,12 @@
     core.handle(now, c.EndpointListUpdate(View.FULL, members))
     balancer = core._balancer
     assert isinstance(balancer, Balancer)
-    for server in balancer._order[::50]:
-        server.pairs[0].fail, server.pairs[0].fail_at, server.pairs[0].since = 0.9, now / 1000, now / 1000
+    for server in balancer._ready_hosts[::50]:
+        (
+            server.class_health[0].failure_ratio,
+            server.class_health[0].failure_ratio_at_ms,
+            server.class_health[0].unhealthy_since_ms,
+        ) = 0.9, now / 1000, now / 1000
     for k in range(HELD):  # each with a call out, more than a node's descriptors would allow
         core.handle(now + k * 50, c.RequestReceived(k, k % 3, 0, 0, 60_000_000, None))
     return core, made
--- a/granitewell/lab/mutants/catalogue.py
+++ b/granitewell/lab/mutants/catalogue.py
@@ -53,7 +53,7 @@
 
 # --- Pieces that several defects change -------------------------------------------------------------------
 _GUARD = _core('self._schedule(due + OVERDUE_GRACE_US, "guard", request.id)', "pass")
-_MODULE_DUE = _policy("self._at(req.due, self._due, req)", "pass")
+_MODULE_DUE = _policy("self._schedule(req.due_ms, self._deadline_reached, req)", "pass")
 _CALL_DUE = _core('self._schedule(due, "call", call.id)', "pass")
 _ANSWER = (
     "self._effects.append(\n                "
@@ -65,8 +65,10 @@
 )
 _NOT_TOLD = "return endpoint.unavailable_since_us < 0 and"
 _TRUE = "if True:\n            return True"
-_COLD = _TRUE.replace("True:", "server.started <= 0.0 or self._now - server.started >= self._set.ramp_ms:")
-_RAN = _TRUE.replace("True:", "not ran or req.cls.effect is Effect.SAFE:")
+_COLD = _TRUE.replace(
+    "True:", "server.started_ms <= 0.0 or self._now - server.started_ms >= self._settings.ramp_ms:"
+)
+_RAN = _TRUE.replace("True:", "not ran or req.request_class.effect is Effect.SAFE:")
 
 ONE_ANSWER = (
     Defect(
@@ -76,8 +78,8 @@
     Defect(
         "failure-forgotten", "the module does not say that a request has failed, and no guard timer runs",
         ("answer",), ("grey-class-hang-unsafe", "deploy"),
-        (_GUARD, _policy("if self._may_refuse(req) else Fail(req.id))",
-                         'if self._may_refuse(req) else Log(""))')),
+        (_GUARD, _policy("if self._may_reject(req) else Fail(req.id))",
+                         'if self._may_reject(req) else Log(""))')),
     ),
     Defect(
         "time-doubled", "the client's time is read as twice as long",
@@ -112,14 +114,15 @@
         ("unsafe",), ("deploy", "chaos"),
         (_core("if request.cls.effect is Effect.UNSAFE or self._now - ran[0].at_us",
                "if request.cls.effect is not Effect.UNSAFE and self._now - ran[0].at_us"),
-         _policy("if req.cls.effect is Effect.UNSAFE or self._now - first.at",
-                 "if req.cls.effect is not Effect.UNSAFE and self._now - first.at")),
+         _policy("req.request_class.effect is Effect.UNSAFE\n            or self._now - first",
+                 "req.request_class.effect is not Effect.UNSAFE\n            and self._now - first")),
     ),
     Defect(
         "reset-never-ran", "a connection that broke counts as proof that the request never ran",
         ("unsafe", "refusal"), ("deploy", "chaos"),
         (_core("frozenset({Outcome.FULL,", "frozenset({Outcome.RESET, Outcome.FULL,"),
-         _policy("t.ran = event.outcome not in (", "t.ran = event.outcome not in (Outcome.RESET, ")),
+         _policy("t.may_have_run = event.outcome not in (",
+                 "t.may_have_run = event.outcome not in (Outcome.RESET, ")),
     ),
     Defect(
         "timeout-never-ran", "a call whose time is over counts as one that never connected",
@@ -136,16 +139,17 @@
         "attempts-unbounded", "neither a count nor a budget bounds the attempts of a request",
         ("attempts",), ("overload", "grey-class-error"),
         (_core("if number >= request.attempts:", "if False:"),
-         _policy("self._pick(req) if len(req.tries) < self._set.max_attempts and", "self._pick(req) if"),
-         _policy("tries_left = len(req.tries) < self._set.max_attempts", "tries_left = True"),
-         _policy("if self._retries < 0.0:", "if False:")),
+         _policy("self._pick_host(req)\n            if len(req.attempts) < self._settings.max_attempts and",
+                 "self._pick_host(req)\n            if"),
+         _policy("tries_left = len(req.attempts) < self._settings.max_attempts", "tries_left = True"),
+         _policy("if self._retry_tokens < 0.0:", "if False:")),
     ),
     Defect(
         "dialed-unchecked", "a connection that comes up is written to, whether or not anyone waits still",
         ("after",), ("busy+impatient+far",),
         (_core("if self._may_write(call):", "if True:"),
          _core(" or request.given_up or call.dialing", " or request.given_up"),
-         _policy("self._drop(self._held[event.id])", "del self._held[event.id]")),
+         _policy("self._abandon(self._pending[event.id])", "del self._pending[event.id]")),
     ),
     _record("same-id", "a second request with an open request's id is taken", "same_id",
             _core("if event.client_request_id in self._open_request_ids:", "if False:")),
@@ -177,7 +181,7 @@
         "cold-as-warm", "an endpoint that has just started is sent as much as any other",
         ("cold",), ("deploy",),
         (_policy(_COLD, _TRUE),
-         _policy("if server.started <= 0.0 or self._set.ramp_ms <= 0:", "if True:")),
+         _policy("if server.started_ms <= 0.0 or self._settings.ramp_ms <= 0:", "if True:")),
     ),
     _record("leftover-bytes", "bytes behind an answer are taken for the next call's answer", "leftover_bytes",
             Patch(HTTP1, "self.reusable = False  # bytes beyond", "pass  # bytes beyond")),
@@ -191,7 +195,8 @@
     Defect(
         "full-as-ran", "an endpoint's turning away counts as a request that may have run",
         ("figure",), ("deploy",),
-        (_policy("t.ran = event.outcome not in (Outcome.FULL, ", "t.ran = event.outcome not in ("),),
+        (_policy("t.may_have_run = event.outcome not in (Outcome.FULL, ",
+                 "t.may_have_run = event.outcome not in ("),),
     ),
     Defect(
         "delta-as-full", "what changed in the list is taken for the whole list",
@@ -203,11 +208,12 @@
         "failures-unseen", "failures leave no mark on the endpoint where they happened",
         ("figure",), ("grey-class-error",),
         (Patch(HEALTH,
-               "pair.own(now) * (1 - FAILURE_EWMA_WEIGHT) + bad * FAILURE_EWMA_WEIGHT, now", "0.0, now"),),
+               "health.current_failure_ratio(now) * (1 - FAILURE_EWMA_WEIGHT) + weight * FAILURE_EWMA_WEIGHT",
+               "0.0"),),
     ),
     Defect(
         "never-sheds", "nothing is turned away however late all answers are", ("figure",), ("overload",),
-        (_policy("self._level = min(max(level, 0.0), MAX_SHED_RATIO)", "self._level = 0.0"),),
+        (_policy("self._shed_level = min(max(level, 0.0), MAX_SHED_RATIO)", "self._shed_level = 0.0"),),
     ),
     Defect(
         "abandoned-kept", "a request whose client has left goes on as if it had not",
--- a/granitewell/status/snapshot.py
+++ b/granitewell/status/snapshot.py
@@ -61,7 +61,7 @@
     endpoint what is known of it.
     """
 
-    def judged(
+    def diagnostics(
         self,
     ) -> tuple[dict[str, float], list[bool], Iterable[tuple[int, float]], Iterable[Host]]: ...
 
@@ -130,7 +130,7 @@
         held: Iterable[tuple[int, float]] = ()
         hosts: Iterable[Host] = ()
         if isinstance(self._core._balancer, Judging):
-            figures, full, held, hosts = self._core._balancer.judged()
+            figures, full, held, hosts = self._core._balancer.diagnostics()
         yield from self._see_held(held)
         yield from self._see_calls()
         yield from self._see_hosts(hosts, full)
@@ -304,4 +304,4 @@
 
 def _cause(cause: Cause, since: float, failures: float, own: float) -> str:
     """What speaks most against the pair. Ill without failures enough of its own, it is ill with its zone."""
-    return "zone" if since > 0.0 and cause is Cause.WELL and own < failures else cause.value
+    return "zone" if since > 0.0 and cause is Cause.HEALTHY and own < failures else cause.value
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -243,7 +243,7 @@
     return node, balancer
 
 
-@pytest.mark.parametrize("where", ["_resize", "_weigh", "_control", "_tell"])
+@pytest.mark.parametrize("where", ["_resize", "_update_weights", "_update_shedding", "_log_state"])
 def test_a_defect_in_the_periodic_work_does_not_end_it(where: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """One exception there, and the prefix stayed as it was until the next start.
 
@@ -260,7 +260,7 @@
     assert [
         e for e in effects if isinstance(e, c.LogLine) and e.topic == "fault" and "no such thing" in e.line
     ]
-    assert len(balancer._bins) >= 10
+    assert len(balancer._arrival_counts) >= 10
     assert calls(ask(node, 3_000_001, 7))
 
 
@@ -281,7 +281,7 @@
     (call,) = calls(ask(node, 1, 7))
     effects = node.handle(2000, c.CallEnded(call.call, Outcome.OK, (), "a"))
     assert answers(effects) == [c.ResponseStatus.SERVED]
-    assert not balancer._out and all(s.inflight == 0 for s in balancer._servers.values())
+    assert not balancer._in_flight and all(s.in_flight == 0 for s in balancer._servers.values())
     assert node.wake_us >= 0  # its timer runs
 
 
@@ -290,7 +290,7 @@
 
     def served(start: int, last: int) -> int:
         node, balancer = real(start)
-        node._last_id, node._timer_sequence, balancer._seq = last, last, last
+        node._last_id, node._timer_sequence, balancer._timer_sequence = last, last, last
         node.stats["taken"] = last
         seen: list[c.Effects] = []
         for k in range(600):
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -13,21 +13,23 @@
     UNHEALTHY_FAILURE_RATIO,
     Call,
     Cause,
-    Health,
-    Pair,
+    ClassHealth,
+    HealthTracker,
 )
 
 SAFE, UNSAFE = 0, 1
 ENDS = [o for o in Outcome]
 
 
-def health() -> Health[Call]:
-    made: Health[Call] = Health((True, False))
-    made.mean, made.known = [10.0, 30.0], [100.0, 100.0]
+def health() -> HealthTracker[Call]:
+    made: HealthTracker[Call] = HealthTracker((True, False))
+    made.mean_ms, made.response_counts = [10.0, 30.0], [100.0, 100.0]
     return made
 
 
-def play(h: Health[Call], pairs: list[Pair], cls: int, outcome: Outcome, now: float, n: int = 1) -> None:
+def play(
+    h: HealthTracker[Call], pairs: list[ClassHealth], cls: int, outcome: Outcome, now: float, n: int = 1
+) -> None:
     for _ in range(n):
         call = Call(pairs, cls, 0, now)
         h.sent(call)
@@ -36,41 +38,41 @@
 
 def test_a_class_that_fails_leaves_the_other_class_well() -> None:
     h = health()
-    pairs = h.pairs()
+    pairs = h.new_host()
     for k in range(8):  # the zone as a whole answers
         play(h, pairs, SAFE, Outcome.ERROR, 10.0 * k)
         play(h, pairs, UNSAFE, Outcome.OK, 10.0 * k)
-    assert h.sick(pairs, SAFE, 0, 100.0) and not h.sick(pairs, UNSAFE, 0, 100.0)
-    assert h.fails(pairs, UNSAFE, 0, 100.0) == 0.0
+    assert h.is_unhealthy(pairs, SAFE, 0, 100.0) and not h.is_unhealthy(pairs, UNSAFE, 0, 100.0)
+    assert h.failure_ratio(pairs, UNSAFE, 0, 100.0) == 0.0
 
 
 def test_a_connection_that_does_not_come_up_speaks_against_all_classes() -> None:
     h = health()
-    pairs = h.pairs()
+    pairs = h.new_host()
     play(h, pairs, SAFE, Outcome.UNCONNECTED, 0.0, 3)
-    assert h.sick(pairs, UNSAFE, 0, 5.0) and pairs[UNSAFE].cause is Cause.REFUSING
+    assert h.is_unhealthy(pairs, UNSAFE, 0, 5.0) and pairs[UNSAFE].cause is Cause.REFUSING
 
 
 def test_calls_out_beyond_patience_speak_before_their_time_is_up_and_once() -> None:
     h = health()
-    pairs = h.pairs()
+    pairs = h.new_host()
     calls = [Call(pairs, SAFE, 0, 0.0) for _ in range(4)]
     for call in calls:
         h.sent(call)
     assert h.overdue(PATIENCE_LATENCY_RATIO * 10.0 - 1.0) == []
     assert h.overdue(PATIENCE_LATENCY_RATIO * 10.0 + 1.0) == calls
     assert h.overdue(PATIENCE_LATENCY_RATIO * 10.0 + 500.0) == []
-    assert h.sick(pairs, SAFE, 0, 70.0) and pairs[SAFE].cause is Cause.SILENT
+    assert h.is_unhealthy(pairs, SAFE, 0, 70.0) and pairs[SAFE].cause is Cause.UNRESPONSIVE
     for call in calls:  # answers that came too late clear nobody
         h.ended(call, Outcome.OK, 80.0)
-    assert h.sick(pairs, SAFE, 0, 80.0) and pairs[SAFE].cause is Cause.SLOW
+    assert h.is_unhealthy(pairs, SAFE, 0, 80.0) and pairs[SAFE].cause is Cause.SLOW
 
 
 def test_quick_classes_have_a_least_patience() -> None:
     # with answers of 1 ms a call out for 7 ms would else make its host ill: a busy machine is enough for that
-    h: Health[Call] = Health((True, False), (100.0, 0.0))
-    h.mean, h.known = [1.0, 1.0], [100.0, 100.0]
-    pairs = h.pairs()
+    h: HealthTracker[Call] = HealthTracker((True, False), (100.0, 0.0))
+    h.mean_ms, h.response_counts = [1.0, 1.0], [100.0, 100.0]
+    pairs = h.new_host()
     quick, other = Call(pairs, SAFE, 0, 0.0), Call(pairs, UNSAFE, 0, 0.0)
     h.sent(quick)
     h.sent(other)
@@ -80,59 +82,59 @@
 
 def test_a_class_not_known_yet_is_not_suspected() -> None:
     h = health()
-    h.known[SAFE] = MIN_RESPONSES - 1
-    call = Call(h.pairs(), SAFE, 0, 0.0)
+    h.response_counts[SAFE] = MIN_RESPONSES - 1
+    call = Call(h.new_host(), SAFE, 0, 0.0)
     h.sent(call)
     assert h.overdue(1e6) == []
 
 
 def test_where_most_hosts_look_ill_the_fleet_is_full_and_none_is() -> None:
     h = health()
-    hosts = [(h.pairs(), zone) for zone in range(10)]
+    hosts = [(h.new_host(), zone) for zone in range(10)]
     for n, (pairs, _) in enumerate(hosts):
         play(h, pairs, SAFE, Outcome.ERROR if n < 6 else Outcome.OK, 0.0, 6)
-    assert len(h.review(hosts, 5.0)) == 6 and not h.full[SAFE]
-    assert h.sick(*hosts[0][:1], SAFE, 0, 5.0)
+    assert len(h.review(hosts, 5.0)) == 6 and not h.fleet_overloaded[SAFE]
+    assert h.is_unhealthy(*hosts[0][:1], SAFE, 0, 5.0)
     play(h, hosts[6][0], SAFE, Outcome.ERROR, 6.0, 6)
     assert [(n, k) for n, k, _ in h.review(hosts, 10.0)] == [(6, SAFE)]
-    assert h.full[SAFE] and not h.sick(hosts[0][0], SAFE, 0, 10.0)
-    assert not h.full[UNSAFE] and 6 <= MAX_UNHEALTHY_RATIO * 10 < 7
+    assert h.fleet_overloaded[SAFE] and not h.is_unhealthy(hosts[0][0], SAFE, 0, 10.0)
+    assert not h.fleet_overloaded[UNSAFE] and 6 <= MAX_UNHEALTHY_RATIO * 10 < 7
 
 
 def test_what_was_ill_as_a_whole_comes_back_by_safe_requests() -> None:
     h = health()
-    pairs = h.pairs()
+    pairs = h.new_host()
     for cls in (SAFE, UNSAFE):
         play(h, pairs, cls, Outcome.TIMEOUT, 0.0, 8)
-    assert h.sick(pairs, UNSAFE, 0, 10.0)
-    before = pairs[UNSAFE].fail
+    assert h.is_unhealthy(pairs, UNSAFE, 0, 10.0)
+    before = pairs[UNSAFE].failure_ratio
     play(h, pairs, SAFE, Outcome.OK, 20.0)
-    assert pairs[UNSAFE].fail < 0.6 * before
+    assert pairs[UNSAFE].failure_ratio < 0.6 * before
     play(h, pairs, SAFE, Outcome.OK, 30.0, 12)
-    assert not h.sick(pairs, UNSAFE, 0, 40.0)
+    assert not h.is_unhealthy(pairs, UNSAFE, 0, 40.0)
 
 
 def test_a_class_ill_by_itself_is_not_cleared_by_another() -> None:
     h = health()
-    pairs = h.pairs()
+    pairs = h.new_host()
     play(h, pairs, UNSAFE, Outcome.TIMEOUT, 0.0, 8)
     play(h, pairs, SAFE, Outcome.OK, 10.0, 40)
-    assert h.fails(pairs, UNSAFE, 9, 20.0) > 0.8
+    assert h.failure_ratio(pairs, UNSAFE, 9, 20.0) > 0.8
 
 
 def test_most_of_a_zone_unanswered_speaks_against_all_its_hosts() -> None:
     h = health()
-    pairs, other = h.pairs(), h.pairs()
+    pairs, other = h.new_host(), h.new_host()
     play(h, pairs, SAFE, Outcome.RESET, 0.0, 12)
-    assert h.fails(other, UNSAFE, 0, 5.0) > UNHEALTHY_FAILURE_RATIO
-    assert h.fails(other, UNSAFE, 1, 5.0) == 0.0
+    assert h.failure_ratio(other, UNSAFE, 0, 5.0) > UNHEALTHY_FAILURE_RATIO
+    assert h.failure_ratio(other, UNSAFE, 1, 5.0) == 0.0
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 1), st.sampled_from(ENDS), st.integers(0, 400)),
                 max_size=80))  # fmt: skip
 def test_shares_stay_shares_and_calls_are_counted(days: list[tuple[int, int, Outcome, int]]) -> None:
     h = health()
-    hosts = [(h.pairs(), zone % 2) for zone in range(3)]
+    hosts = [(h.new_host(), zone % 2) for zone in range(3)]
     now, out = 0.0, list[Call]()
     told: list[Call] = []
     for host, cls, outcome, step in days:
@@ -145,9 +147,9 @@
             h.ended(out.pop(0), outcome, now)
         for row, at in hosts:
             for k in range(2):
-                assert 0.0 <= h.fails(row, k, at, now) <= 1.0
+                assert 0.0 <= h.failure_ratio(row, k, at, now) <= 1.0
         h.review(hosts, now)
     assert len({id(c) for c in told}) == len(told)
     for pairs, _ in hosts:
         for k in range(2):
-            assert pairs[k].inflight == sum(c.pairs is pairs and c.cls == k for c in out)
+            assert pairs[k].in_flight == sum(c.class_health is pairs and c.class_index == k for c in out)
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -203,8 +203,8 @@
             await until(lambda: not node.clients.held and not node._calls and not node._core.pending_count)
             await until(lambda: not node._budget.kept and not node._budget.flows)
             balancer = node._core._balancer
-            assert isinstance(balancer, Balancer) and not balancer._held
-            await until(lambda: not balancer._out)
+            assert isinstance(balancer, Balancer) and not balancer._pending
+            await until(lambda: not balancer._in_flight)
             await until(lambda: node.pool.held == sum(map(len, node.pool.idle.values())))
             assert len(node._tasks) == 0
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -115,7 +115,7 @@
 
 
 def _listed(self: Balancer, host: Any) -> None:
-    Balancer._list(self, host)
+    Balancer._update_host(self, host)
     self._servers[host.id].ready = True
 
 
@@ -131,20 +131,25 @@
 AGAIN = {"_may_run_at": lambda *_: True}
 DEFECTS: dict[str, tuple[str, type[c.Core], type[Balancer], str]] = {
     "answer-twice": ("answers", core(_finish_request=_twice), Balancer, "rule 1"),
-    "deadlines-lost": ("answers", core(_schedule=_no_timers), module(_due=lambda *_: None), "rule 1"),
+    "deadlines-lost": (
+        "answers",
+        core(_schedule=_no_timers),
+        module(_deadline_reached=lambda *_: None),
+        "rule 1",
+    ),
     "unsafe-guard": ("answers", core(**AGAIN), module(_may_send=lambda *_: True), "rule 2"),
     "refuses-what-ran": (
         "answers",
         core(_is_safe_to_reject=lambda *_: True),
-        module(_may_refuse=lambda *_: True),
+        module(_may_reject=lambda *_: True),
         "rule 2",
     ),
-    "drain-unheeded": ("list", core(**ALWAYS), module(_list=_listed), "rule 3"),
+    "drain-unheeded": ("list", core(**ALWAYS), module(_update_host=_listed), "rule 3"),
     "dialed-unchecked": ("list", core(_call_dialed=_call_dialed), Balancer, "rule"),
     "ban-unheeded": ("bans", core(**ALWAYS, _host_for_balancer=_unbanned), Balancer, "rule 3"),
     "let-go-unheard": ("large", core(handle=_deaf), Balancer, "rule 2"),
     "moved-unseen": ("list", core(_may_write=_anywhere), Balancer, "rule 3"),
-    "cold-as-warm": ("cold", c.Core, module(_cold_room=lambda *_: True), "rule 4"),
+    "cold-as-warm": ("cold", c.Core, module(_has_warmup_budget=lambda *_: True), "rule 4"),
 }
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -58,9 +58,9 @@
 
 def model(latency: float, rtt: float, samples: list[float], aim: float, rate: float, n: int = 40) -> int:
     b = balancer(n)
-    b._latency, b._rtt = latency, rtt
-    b._samples.extend((ms, aim) for ms in samples)
-    return b._model(rate)
+    b._mean_latency_ms, b._mean_rejection_ms = latency, rtt
+    b._latency_samples.extend((ms, aim) for ms in samples)
+    return b._slots_needed(rate)
 
 
 def test_model_without_traffic_needs_one_slot() -> None:
@@ -87,40 +87,40 @@
 
 def test_no_samples_or_no_hosts_is_no_fault() -> None:
     b = balancer(0)
-    assert b._model(5.0) == 1
+    assert b._slots_needed(5.0) == 1
     b._resize()
-    assert b._size == 0
+    assert b._prefix_size == 0
     b = balancer(7)
     b._resize()
-    assert b._size == 7  # nothing measured yet: every host
+    assert b._prefix_size == 7  # nothing measured yet: every host
 
 
 def test_prefix_shrinks_seldom_and_grows_at_once() -> None:
     b = balancer(20)
-    b._samples.extend([(10.0, 200.0)] * 100)
-    b._latency = b._floor = 10.0
-    b._answers = 1000
-    b._bins.extend([100] * 20)
+    b._latency_samples.extend([(10.0, 200.0)] * 100)
+    b._mean_latency_ms = b._best_latency_ms = 10.0
+    b._response_count = 1000
+    b._arrival_counts.extend([100] * 20)
     sizes = []
     for k in range(100):
         b._now = 10000.0 + k * SCALE_IN_INTERVAL_MS / 10
         b._resize()
-        sizes.append(b._size)
+        sizes.append(b._prefix_size)
     assert sizes[0] == 20 and sizes[-1] < 14
     assert len(set(sizes)) <= 11  # one shrinking each SCALE_IN_INTERVAL_MS at most
-    b._share_late = 0.5
+    b._late_ratio = 0.5
     b._resize()
-    assert b._size == 20
+    assert b._prefix_size == 20
 
 
 def test_forecast_follows_a_line_and_stays_bounded() -> None:
     b = balancer()
     assert b._forecast() == 0.0
-    b._bins.extend([10] * 10)
+    b._arrival_counts.extend([10] * 10)
     assert math.isclose(b._forecast(), 10 / SIZING_PERIOD_MS)
-    b._bins.extend(range(10, 20))
+    b._arrival_counts.extend(range(10, 20))
     assert b._forecast() > 19 / SIZING_PERIOD_MS
-    b._bins.extend([100] * 10 + [0] * 10)
+    b._arrival_counts.extend([100] * 10 + [0] * 10)
     assert b._forecast() == 0.0
 
 
@@ -266,7 +266,7 @@
                 open_.append((now + 900.0, s))
             else:
                 answer(b, now, s, 10.0)
-        levels.append(b._level)
+        levels.append(b._shed_level)
     return count, levels
 
 
@@ -300,17 +300,17 @@
 def test_the_unseen_load_does_not_count_speed_twice() -> None:
     # odds follow speed; were the load of others held for even, a fast host would win nearly every time
     b = balancer(2)
-    fast, slow = b._order
-    fast.ratio, slow.ratio, b._others = 1.0, 2.0, 20.0
+    fast, slow = b._ready_hosts
+    fast.latency_ratio, slow.latency_ratio, b._others_in_flight = 1.0, 2.0, 20.0
     assert b._score(fast, 0) > 0.8 * b._score(slow, 0)
-    fast.inflight = 2
+    fast.in_flight = 2
     assert b._score(fast, 0) > b._score(slow, 0) - 2.0
 
 
 def test_slopes_that_chance_would_show_do_not_move_the_forecast() -> None:
     b = balancer()
-    b._bins.extend([4, 6] * 9 + [7, 6])
-    assert b._forecast() == pytest.approx(sum(b._bins) / 20 / SIZING_PERIOD_MS)
+    b._arrival_counts.extend([4, 6] * 9 + [7, 6])
+    assert b._forecast() == pytest.approx(sum(b._arrival_counts) / 20 / SIZING_PERIOD_MS)
 
 
 @pytest.mark.parametrize(("price", "least", "most"), [(0.02, 0.7, 0.98), (0.0, 0.2, 0.55)])
@@ -333,7 +333,7 @@
     assert least < near / total < most
     for k in range(2000, 2060):  # at once, with none answered
         b.handle(8000.0, Request(k, 0, 0, 0, 9000.0, 0.0))
-    far = [t.server.zone for (rid, _), t in b._out.items() if rid >= 2000]
+    far = [t.server.zone for (rid, _), t in b._in_flight.items() if rid >= 2000]
     assert any(z != 1 for z in far)
 
 
@@ -366,7 +366,7 @@
             answer(b, now, s, 600.0 if late and k // 2 % 6 == 0 else 20.0)
     assert refused[0] > 20
     assert refused[0] > 2 * refused[1]
-    assert b._level < 0.05
+    assert b._shed_level < 0.05
 
 
 def test_hosts_that_turn_away_with_an_empty_queue_cause_no_shedding() -> None:
@@ -382,22 +382,22 @@
         actions = b.handle(now, Timer(0)) + b.handle(now, Request(k, 0, 0, 0, now + 900.0, 0.0))
         refused += sum(isinstance(a, Refuse) for a in actions)
         for s in sends(actions):
-            tried = len(b._held[s.id].tries)
+            tried = len(b._pending[s.id].attempts)
             away = s.host in picky and k % 2 == 0 and tried == 1
             outcome = Outcome.FULL if away else Outcome.OK
             b.handle(now, Ended(s.id, tried - 1, s.host, outcome, 1.0 if away else 15.0, not away))
-    assert refused == 0 and b._level == 0.0
+    assert refused == 0 and b._shed_level == 0.0
 
 
 def test_shedding_ends_soon_once_answers_come_in_time() -> None:
     """It went on for ten seconds after its cause, and what it refused came back as retries."""
     b = balancer(6)
-    b._level = 0.6
-    b._latency = 190.0  # a mean over a hundred answers tells of queues that have gone
+    b._shed_level = 0.6
+    b._mean_latency_ms = 190.0  # a mean over a hundred answers tells of queues that have gone
     for _ in range(12):  # three seconds
-        b._judged += 50.0
-        b._control()
-    assert b._level < 0.05
+        b._judged_count += 50.0
+        b._update_shedding()
+    assert b._shed_level < 0.05
 
 
 def test_a_request_that_no_host_has_had_is_given_up_before_half_its_time() -> None:
@@ -409,7 +409,7 @@
 
 def test_requests_in_flight_are_bounded_while_shedding() -> None:
     b = balancer(6)
-    b._level, b._limit = 0.1, 5.0
+    b._shed_level, b._in_flight_limit = 0.1, 5.0
     sent = sum(len(sends(b.handle(1.0, Request(k, 0, 0, 0, 900.0, 0.0)))) for k in range(100))
     assert 5 <= sent < 30
 
@@ -420,12 +420,12 @@
     for k in range(40):
         b.handle(1.0, Request(k, 0, 0, 0, 5000.0, 0.0))
     b._now = 900.0  # all 40 are past their aim of 200
-    b._control()
-    assert b._limit < 10.0  # at hosts that are well they are the queue that the bound is for
-    for s in b._order[:3]:
-        s.pairs[0].fail, s.pairs[0].fail_at = 0.9, 900.0
-    b._control()
-    assert b._limit >= sum(s.inflight for s in b._order[:3]) > 5
+    b._update_shedding()
+    assert b._in_flight_limit < 10.0  # at hosts that are well they are the queue that the bound is for
+    for s in b._ready_hosts[:3]:
+        s.class_health[0].failure_ratio, s.class_health[0].failure_ratio_at_ms = 0.9, 900.0
+    b._update_shedding()
+    assert b._in_flight_limit >= sum(s.in_flight for s in b._ready_hosts[:3]) > 5
 
 
 def test_reports_of_any_kind_do_no_harm() -> None:
@@ -441,7 +441,7 @@
                 report = bad if s.host == host(0).id else (0.5, 1.0, 20.0, 30.0)
                 b.handle(now, Ended(k, 0, s.host, Outcome.OK, 20.0, True, report))
         assert len(used) == 4
-        assert all(math.isfinite(b._score(s, 0)) and 0.3 < s.ratio < 11.0 for s in b._order)
+        assert all(math.isfinite(b._score(s, 0)) and 0.3 < s.latency_ratio < 11.0 for s in b._ready_hosts)
 
 
 # --- misuse ---
@@ -478,8 +478,8 @@
         for s in sends(b.handle(now, Request(k, 0, 0, k, now + 400.0, 0.0))):
             b.handle(now, Ended(k, 0, s.host, Outcome.OK, 5.0, True))
         b.handle(now, Timer(0))
-    assert not b._held and not b._out
-    assert len(b._servers) <= 5 and len(b._agenda) < 1000
+    assert not b._pending and not b._in_flight
+    assert len(b._servers) <= 5 and len(b._timers) < 1000
 
 
 def test_superseded_timers_do_not_multiply() -> None:
@@ -507,7 +507,7 @@
     b = balancer()
     lines = []
     for k in range(400):
-        b._level = 0.1 * (k % 7)
+        b._shed_level = 0.1 * (k % 7)
         lines += [a for a in b.handle(50.0 * k, Timer(0)) if isinstance(a, Log)]
     assert 2 <= len(lines) <= 11
     assert "prefix" in lines[-1].line and "shedding" in lines[-1].line
@@ -522,14 +522,14 @@
         b.handle(now, Timer(0))
         for s in sends(b.handle(now, Request(k, k % 2, 0, 0, now + 900.0, 0.0))):
             answer(b, now, s, 10.0)
-    bears = b._warm_rate
+    bears = b._peak_host_rate
     assert bears > 0.0
     for k in range(3000, 5000):
         now += 4.0
         b.handle(now, Timer(0))
         for s in sends(b.handle(now, Request(k, k % 2, 0, 0, now + 900.0, 0.0))):
             answer(b, now, s, 500.0, Outcome.ERROR)
-    assert b._warm_rate > 0.8 * bears
+    assert b._peak_host_rate > 0.8 * bears
 
 
 def test_a_lost_zone_is_found_out_by_one_try_at_a_time() -> None:
@@ -557,13 +557,13 @@
     b = Balancer(w.settings(), 1)
     started = [host(0), host(1, started=1.0)]
     b.handle(0.0, Hosts(View.FULL, tuple(started)))
-    b._now, b._others = 1000.0, 10.0
-    warm, cold = sorted(b._order, key=lambda s: s.started)
-    assert b._share(cold) < 0.4
+    b._now, b._others_in_flight = 1000.0, 10.0
+    warm, cold = sorted(b._ready_hosts, key=lambda s: s.started_ms)
+    assert b._capacity_share(cold) < 0.4
     assert b._score(cold, 0) < b._score(warm, 0)  # others keep to its budget, so there must be room
-    warm.load_at = cold.load_at = 1000.0  # but what it reports counts
-    warm.load, cold.load = 10.0, 10.0
+    warm.reported_load_at_ms = cold.reported_load_at_ms = 1000.0  # but what it reports counts
+    warm.reported_load, cold.reported_load = 10.0, 10.0
     assert b._score(cold, 0) > 2.0 * b._score(warm, 0)
-    b._others = 0.0
-    warm.load = cold.load = 0.0
+    b._others_in_flight = 0.0
+    warm.reported_load = cold.reported_load = 0.0
     assert b._score(cold, 0) > 2.0 * b._score(warm, 0)  # and where nobody waits it is the slower one
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -184,7 +184,7 @@
         outcome = Outcome.OK if rng.random() < 0.9 else Outcome.ERROR
         one.handle(now + 1.0, t.Ended(rid, 0, sent[0].host, outcome, 1.0, True))
         one.handle(now + 1.5, t.Timer(0))
-    figures, full, _, rows = one.judged()
+    figures, full, _, rows = one.diagnostics()
     assert len(full) == len(kinds) == 13 and all(len(row[4]) == 13 for row in rows)
     assert 0.0 < figures["mean_ms"] < 2.0
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -283,14 +283,20 @@
 
 def spoil(core: c.Core, n: int, k: int, share: float) -> None:
     """The module's review has found this pair ill 2 s ago."""
-    pair = core._balancer._order[n].pairs[k]  # type: ignore[attr-defined]
-    pair.fail, pair.fail_at, pair.since = share, HOUR / 1000, HOUR / 1000 - 2000
+    pair = core._balancer._ready_hosts[n].class_health[k]  # type: ignore[attr-defined]
+    pair.failure_ratio, pair.failure_ratio_at_ms, pair.unhealthy_since_ms = (
+        share,
+        HOUR / 1000,
+        HOUR / 1000 - 2000,
+    )
 
 
 def inside(core: c.Core) -> str:
     """What a look must leave as it was."""
     balancer: Any = core._balancer
-    pairs = [[getattr(pair, x) for x in pair.__slots__] for s in balancer._order for pair in s.pairs]
+    pairs = [
+        [getattr(pair, x) for x in pair.__slots__] for s in balancer._ready_hosts for pair in s.class_health
+    ]
     found = repr([vars(core), vars(balancer), balancer._rng.getstate(), pairs])
     return sha256(found.encode()).hexdigest()  # a difference in megabytes would take minutes to show
 
@@ -344,8 +350,8 @@
     spoil(core, 0, 0, 0.9)
     spoil(core, 1, 1, 0.99)
     health = core._balancer._health  # type: ignore[attr-defined]
-    health.full[1] = True
-    health._zones[0] = 0.95, HOUR / 1000
+    health.fleet_overloaded[1] = True
+    health._zone_failure_ratios[0] = 0.95, HOUR / 1000
     snap, _ = taken(look(core, NONE, ABOUT, HOUR, 6))
     states = {(p["endpoint"], p["class"]): (p["state"], p["cause"]) for p in snap["pairs"]}
     assert states["a", "taxi-lookup"] == ("ill", "zone") and states["b", "ride-assign"] == ("full", "well")
