--- a/granitewell/balancing/balancer.py
+++ b/granitewell/balancing/balancer.py
@@ -1,7 +1,8 @@
-"""Every decision of the balancer. Types, events and actions: granitewell/balancing/interface.py.
+"""The load balancer: selects hosts, retries, sheds load and answers requests that no host can serve.
 
-A gateway gives Balancer.handle each event and carries out the actions it returns. Nothing here does
-I/O or reads a clock, and instances share nothing. Times are in milliseconds.
+A gateway passes each event to Balancer.handle and carries out the actions that it returns; their types are in
+granitewell/balancing/interface.py. There is no I/O and no clock, and instances share nothing. Times are in
+milliseconds. Numbers such as 4.5 are sections of the algorithm's description, rules are the platform's.
 """
 
 from __future__ import annotations
@@ -124,11 +125,11 @@
 PEAK_RATE_DECAY_MS = 120000.0  # time constant with which the highest measured rate is forgotten
 
 
-def _ignore(_: Event) -> None: ...  # probes, and messages between gateways
+def _ignore(_: Event) -> None: ...  # results of probes and messages between gateways, which are not used
 
 
 class _HostState:
-    """What this gateway knows of one host."""
+    """What this gateway knows about one host."""
 
     __slots__ = ("id", "zone", "kind", "cell", "ready", "listed", "started_ms", "in_flight", "tokens",
                  "tokens_at_ms", "ratio_sum", "weight_sum", "ratio_at_ms", "latency_ratio", "class_health",
@@ -136,27 +137,25 @@
 
     def __init__(self, host: Host, class_health: list[ClassHealth]) -> None:
         self.id, self.in_flight, self.tokens, self.tokens_at_ms = host.id, 0, 0.0, 0.0
-        self.class_health = class_health  # its health, by class
+        self.class_health = class_health  # by index of the class
         self.zone, self.kind, self.cell = host.zone, host.kind, host.cell
         self.started_ms, self.rank, self.listed, self.ready = -1.0, 0, True, False
         self.forget()
 
     def forget(self) -> None:
-        """A new process: what was learned of the old one does not count."""
-        self.ratio_sum = self.weight_sum = self.ratio_at_ms = (
-            0.0  # sums behind the ratio, and when they last decayed
-        )
-        self.latency_ratio = 1.0  # service time against the tier's
+        """Forget what was learned about the host: it has a new process."""
+        # weighted sums behind the ratio, and when they were last decayed
+        self.ratio_sum = self.weight_sum = self.ratio_at_ms = 0.0
+        self.latency_ratio = 1.0  # its latencies relative to the means of their classes
         for health in self.class_health:
             health.forget()
-        self.reported_load = self.reported_load_at_ms = (
-            0.0  # others' requests there by its report, and since when
-        )
-        self.reports_service_time = False  # whether it reports service times
+        # requests of other gateways by its last report, and the time of the report
+        self.reported_load = self.reported_load_at_ms = 0.0
+        self.reports_service_time = False
 
 
 class _Attempt(Call):
-    """One attempt: where and when, and whether it may have run."""
+    """One attempt of a request at a host."""
 
     __slots__ = ("server", "may_have_run", "late", "request_id")
 
@@ -166,7 +165,7 @@
 
 
 class _ServiceTime:
-    """The mean time in ms that a class's answers take."""
+    """Running mean of a class's response times in ms."""
 
     __slots__ = ("n", "ms")
 
@@ -179,7 +178,7 @@
 
 
 class _PendingRequest:
-    """A request that is still owed its final answer."""
+    """A request without a final response."""
 
     __slots__ = (
         "id",
@@ -198,12 +197,9 @@
         self.id, self.request_class, self.tenant, self.key = event.id, cls, event.tenant, event.key
         self.class_index = event.class_index
         self.due_ms = event.due_ms if event.due_ms == event.due_ms else now
-        self.received_at_ms, self.body_incomplete = (
-            now,
-            event.body_incomplete,
-        )  # flows: its body has not come whole
+        self.received_at_ms, self.body_incomplete = now, event.body_incomplete
         self.attempts: list[_Attempt] = []
-        self.reached_host = False  # a host has had it, even if only to turn it away
+        self.reached_host = False  # a host has received it, even if it rejected it
 
 
 class Balancer:
@@ -223,8 +219,9 @@
         self._pending: dict[int, _PendingRequest] = {}
         self._in_flight: dict[tuple[int, int], _Attempt] = {}
         self._health: HealthTracker[_Attempt] = HealthTracker((), ())
-        self._trial_hosts: list[list[_HostState]] = []  # by class, where a safe request may find out,
-        self._next_trial_at_ms = -math.inf  # and from when on the next one may
+        # by class: hosts where a safe request may test their health; then when the next test may start
+        self._trial_hosts: list[list[_HostState]] = []
+        self._next_trial_at_ms = -math.inf
         self._timers: list[tuple[float, int, Callable[[Any], None], Any]] = []
         self._timer_sequence, self._armed_at_ms = 0, math.inf
         # rate forecast
@@ -235,22 +232,20 @@
         self._sized_at_ms, self._prefix = -math.inf, ActivePrefix()
         # hosts
         self._service_times: list[_ServiceTime] = []
-        self._mean_service_ms = self._mean_reported_ms = (
-            0.0  # ms, mean part of an answer's time that depends on its host
-        )
-        self._kind_ratio_sums: dict[int, list[float]] = {}  # kind: sums as for a host
+        # mean over the classes' response times, and mean of the reported service times
+        self._mean_service_ms = self._mean_reported_ms = 0.0
+        self._kind_ratio_sums: dict[int, list[float]] = {}  # by kind of host: ratio_sum and weight_sum
         self._report_index = {f: k for k, f in enumerate(settings.report_fields)}
         self._hosts_by_cell: dict[int, list[_HostState]] = {}
-        self._hash_ring: list[_HostState] = []  # hosts by their places on the ring of keys
+        self._hash_ring: list[_HostState] = []  # hosts by their points on the hash ring of keys
         self._hash_ring_positions: list[int] = []
-        self._cumulative_weights: list[list[float]] = []  # by class, odds of the hosts in order, summed up
-        self._cumulative_health: list[list[float]] = []  # and their health
-        self._cumulative_best_health: list[
-            float
-        ] = []  # and the hosts that are well for some class, summed up
-        self._health_rows: list[
-            tuple[list[ClassHealth], int]
-        ] = []  # the hosts in order, as health takes them
+        # running sums over the ready hosts in order. By class: weights of the random selection, and health
+        # from 0 to 1; then the health of each host for the class that it serves best.
+        self._cumulative_weights: list[list[float]] = []
+        self._cumulative_health: list[list[float]] = []
+        self._cumulative_best_health: list[float] = []
+        # the ready hosts in order, in the form that the health tracker takes
+        self._health_rows: list[tuple[list[ClassHealth], int]] = []
         self._servers: dict[bytes, _HostState] = {}
         self._ready_hosts: list[_HostState] = []
         self._best_latency_ms, self._late_ratio = math.inf, 0.0
@@ -259,24 +254,25 @@
             0,
             0.0,
             0.0,
-        )  # most hosts at a time
-        self._others_in_flight = self._min_host_rate = (
-            0.0  # requests of others at a mean host; what a warm one bears at least
         )
+        # requests of other gateways at a mean host; least rate that a warm host is presumed to serve
+        self._others_in_flight = self._min_host_rate = 0.0
         self._discovery_failures, self._arrived_in_period, self._started = 0, 0, False
         self._logged_state, self._logged_at_ms = (0, 0.0), -math.inf
         # admission
         self._late_count = self._judged_count = self._shed_level = self._completion_rate = 0.0
-        self._in_flight_limit = math.inf  # answers a ms, and most in flight while shedding
-        self._marginal_worth = 1.0  # worth per work of what is shed next, against the mean
-        self._arrival_mix: list[list[float]] = []  # arrivals inside and beyond allowances
-        self._shed_ratios: list[list[float]] = []  # odds of being refused
-        self._allowance_buckets: list[list[float]] = []  # by tenant: tokens, and since when
+        self._in_flight_limit = math.inf  # applies while load is shed
+        self._marginal_worth = 1.0  # worth per work of what is shed next, relative to the mean
+        # by class, for requests within and beyond their tenant's allowance: arrivals, and shedding
+        # probability
+        self._arrival_mix: list[list[float]] = []
+        self._shed_ratios: list[list[float]] = []
+        self._allowance_buckets: list[list[float]] = []  # by tenant: tokens, and when they were counted
         self._retry_tokens = MAX_RETRY_TOKENS
         self._settings_changed(SettingsChanged(settings))
 
     def _settings_changed(self, event: SettingsChanged) -> None:
-        """Other settings: what is known of the classes stays, rows for new ones come behind."""
+        """Apply new settings: what is known about the classes stays, new classes are appended."""
         self._settings, self._active_gateways, kinds = (
             event.settings,
             event.settings.acting,
@@ -290,7 +286,7 @@
         self._service_times += (_ServiceTime() for _ in kinds[len(self._service_times) :])
         self._trial_hosts = [[] for _ in kinds]
         self._cumulative_weights, self._cumulative_health = [[] for _ in kinds], [[] for _ in kinds]
-        # what keeps well inside the aim hurts nobody, however quick the others are
+        # a call well within the latency target does no harm, however fast the others are
         self._health.set_classes(
             [c.effect is Effect.SAFE for c in kinds],
             [MIN_PATIENCE_RATIO * c.latency_target_ms for c in kinds],
@@ -302,7 +298,16 @@
         self._active_gateways = event
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """The only way in. The clock may stand still; where it steps back, the latest time counts."""
+        """Process one event and return the actions to carry out.
+
+        Args:
+            now: Time in ms. If it goes back, the latest time so far is used.
+            event: What has happened.
+
+        Raises:
+            DecisionError: Processing failed; it carries the actions that were decided before and must be
+                carried out.
+        """
         self._now = max(now, self._now)
         self._actions = []
         if not self._started:
@@ -314,14 +319,14 @@
                 )
         try:
             self._handlers[type(event)](event)
-            for late in self._health.overdue(self._now):  # behind the event: it may end the wait for it
+            for late in self._health.overdue(self._now):  # after the event, which may end an overdue call
                 self._send_hedge(late)
-        except Exception as error:  # a defect: what was decided stands, what else is due has its turn soon
+        except Exception as error:  # a defect: what was decided stands, and other due timers run soon
             self._armed_at_ms = self._now + MIN_RETRY_INTERVAL_MS
             raise DecisionError([*self._actions, SetTimer(self._armed_at_ms, 0)]) from error
         return self._actions
 
-    # --- Timers: one agenda, one armed timer ------------------------------------------------------------
+    # --- Timers: one queue, of which only the next one is armed ------------------------------------------
     def _schedule(self, when: float, what: Callable[[Any], None], arg: Any) -> None:
         self._timer_sequence += 1
         heappush(self._timers, (when, self._timer_sequence, what, arg))
@@ -331,31 +336,31 @@
 
     def _timer(self, _: Timer) -> None:
         if self._now < self._armed_at_ms:
-            return  # a superseded timer: arming anew here would multiply timers without end
-        agenda = self._timers
+            return  # superseded by an earlier timer; arming another one here would multiply timers
+        timers = self._timers
         self._armed_at_ms = math.inf
-        while agenda and (agenda[0][0] <= self._now or self._is_obsolete(agenda[0])):
-            _when, _timer_sequence, what, arg = heappop(agenda)
+        while timers and (timers[0][0] <= self._now or self._is_obsolete(timers[0])):
+            _when, _timer_sequence, what, arg = heappop(timers)
             what(arg)
-        if agenda and agenda[0][0] < self._armed_at_ms:
-            self._armed_at_ms = agenda[0][0]
+        if timers and timers[0][0] < self._armed_at_ms:
+            self._armed_at_ms = timers[0][0]
             self._actions.append(SetTimer(self._armed_at_ms, 0))
 
     def _is_obsolete(self, entry: tuple[float, int, Callable[[Any], None], Any]) -> bool:
-        """A deadline whose request has its answer needs no timer."""
+        """Whether a timer is the deadline of a request that has its response."""
         return entry[2] == self._deadline_reached and entry[3].id not in self._pending
 
-    # --- Size of the prefix (4.2 to 4.4): sizing.py -----------------------------------------------------
+    # --- Size of the prefix (4.2 to 4.4), see prefix_sizing.py ------------------------------------------
     @property
     def _prefix_size(self) -> int:
         return self._prefix.size
 
     def _forecast(self) -> float:
-        """Requests a ms at this gateway a set-up time ahead."""
+        """Forecast of requests per ms at this gateway, one host set-up time ahead."""
         return forecast(self._arrival_counts)
 
     def _slots_needed(self, rate: float) -> int:
-        """The slots that bear such a rate within the targets_ms."""
+        """The number of slots that serve such a rate within the latency targets."""
         return slots_needed(
             rate,
             self._mean_latency_ms,
@@ -366,7 +371,7 @@
         )
 
     def _resize(self) -> None:
-        """Grow the prefix at once, shrink it seldom."""
+        """Recompute the size of the prefix: it grows at once and shrinks slowly."""
         self._sized_at_ms = self._now
         need = self._slots_needed(BURST_RATIO * self._active_gateways.up * self._forecast())
         slow = (
@@ -379,28 +384,28 @@
         )
 
     def _healthy_prefix(self, want: float) -> int:
-        """The least prefix that holds so many healthy hosts, for each class: a sick one counts for little."""
+        """The smallest prefix with so many healthy hosts for every class; unhealthy ones count for little."""
         return min(
-            max(bisect_left(sound, want - 1e-9) for sound in self._cumulative_health) + 1,
+            max(bisect_left(sums, want - 1e-9) for sums in self._cumulative_health) + 1,
             len(self._ready_hosts),
         )
 
     def _period(self, _: None) -> None:
-        self._schedule(
-            self._now + SIZING_PERIOD_MS, self._period, None
-        )  # first: no defect below may end this for good
+        # scheduled first, so that an exception below does not end the periodic work
+        self._schedule(self._now + SIZING_PERIOD_MS, self._period, None)
         self._arrival_counts.append(self._arrived_in_period)
-        worth = (
+        healthy_hosts = (
             self._cumulative_best_health[self._prefix_size - 1]
             if 0 < self._prefix_size <= len(self._cumulative_best_health)
             else 0.0
         )
-        if worth > 0.0:
-            self._host_rate += (self._served_in_period / SIZING_PERIOD_MS / worth - self._host_rate) * min(
-                SIZING_PERIOD_MS / RATE_DECAY_MS, 1.0
-            )
-            # a warm host bears at least what hosts were seen to bear, each held for warm. It does not fall
-            # with the demand, nor where the ill or shedding keep answers away: the cold would get ever less
+        if healthy_hosts > 0.0:
+            self._host_rate += (
+                self._served_in_period / SIZING_PERIOD_MS / healthy_hosts - self._host_rate
+            ) * min(SIZING_PERIOD_MS / RATE_DECAY_MS, 1.0)
+            # A warm host can serve at least what hosts have served, all of them counted as warm. This does
+            # not fall with the demand, nor while unhealthy hosts or shedding reduce the responses: otherwise
+            # hosts that warm up, whose budget depends on it, would get less and less.
             self._peak_host_rate = max(
                 self._host_rate, self._peak_host_rate * (1.0 - SIZING_PERIOD_MS / PEAK_RATE_DECAY_MS)
             )
@@ -421,7 +426,7 @@
         self._log_state()
 
     def _log_state(self) -> None:
-        """A line for on call when the prefix or the shedding has changed, once in a while."""
+        """Log the state if the prefix or the shedding has changed, at most once per LOG_INTERVAL_MS."""
         state = (self._prefix_size, round(self._shed_level, 1))
         if state != self._logged_state and self._now - self._logged_at_ms >= LOG_INTERVAL_MS:
             self._logged_state, self._logged_at_ms = state, self._now
@@ -429,17 +434,17 @@
                 health.unhealthy_since_ms > 0.0 for s in self._ready_hosts for health in s.class_health
             )
             self._actions.append(Log(
-                f"prefix {self._prefix_size} of {len(self._ready_hosts)} hosts, {unhealthy} sick pairs, "
+                f"prefix {self._prefix_size} of {len(self._ready_hosts)} hosts, {unhealthy} unhealthy pairs, "
                 f"c {self._prefix.slots:.2f}; late {self._late_ratio:.0%}, shedding {self._shed_level:.0%}, "
                 f"mean {self._mean_latency_ms:.0f} ms"
             ))  # fmt: skip
 
-    # --- Pick (4.5) -------------------------------------------------------------------------------------
+    # --- Host selection (4.5) ---------------------------------------------------------------------------
     def _update_weights(self) -> None:
-        """The odds of a draw: a host's speed, less its failures, by the share of it that is warm.
+        """Recompute the weights of the random selection: speed, warm capacity and health of each host.
 
-        Departure from uniform picks: one mu for all overloads the slow hosts of an unlike fleet. All alike:
-        uniform.
+        This differs from the uniform selection of 4.5, which assumes one service rate for all hosts and so
+        overloads the slow ones of a mixed fleet. With equal hosts the selection is uniform.
         """
         for s in self._ready_hosts:
             self._update_latency_ratio(s)
@@ -466,11 +471,11 @@
                         and s.class_health[k].last_sent_ms < self._now - TRIAL_INTERVAL_MS)
                     or s.class_health[k].last_sent_ms < s.started_ms > self._now - self._settings.ramp_ms
                 ]  # fmt: skip
-                self._trial_hosts[k] = sorted(
-                    trial_hosts, key=lambda s: -s.class_health[k].last_sent_ms
-                )  # last: the longest ago
+                # the host that has waited longest comes last, as hosts are taken from the end
+                self._trial_hosts[k] = sorted(trial_hosts, key=lambda s: -s.class_health[k].last_sent_ms)
         self._cumulative_best_health = list(accumulate(best))
-        # known or not, a warm host bears one request after the other, and its part of the allowances
+        # even without measurements a warm host can serve one request after the other, and its part of the
+        # tenants' allowances
         target_ms, self._max_ready_hosts = (
             max(c.latency_target_ms for c in self._settings.classes),
             max(self._max_ready_hosts, len(self._ready_hosts)),
@@ -486,23 +491,22 @@
             / self._active_gateways.most
         )
 
-    def _draw_host(self, low: int, high: int, cum: list[float]) -> _HostState:
-        """A host of the order's part, by its odds."""
-        base = cum[low - 1] if low else 0.0
-        at = base + self._rng.random() * (cum[high - 1] - base)
-        return self._ready_hosts[min(bisect(cum, at, low, high), high - 1)]
+    def _draw_host(self, low: int, high: int, cumulative_weights: list[float]) -> _HostState:
+        """Draw a random host from a range of the ready hosts, by their weights."""
+        base = cumulative_weights[low - 1] if low else 0.0
+        at = base + self._rng.random() * (cumulative_weights[high - 1] - base)
+        return self._ready_hosts[min(bisect(cumulative_weights, at, low, high), high - 1)]
 
     def _pick_host(self, req: _PendingRequest) -> _HostState | None:
-        """The better of a few random hosts of the prefix; behind it when those are busy."""
+        """Pick the best of a few random hosts of the prefix, or of the other hosts if those are busy."""
         if (
             self._trial_hosts[req.class_index]
             and self._now >= self._next_trial_at_ms
             and not req.attempts
             and self._retry_tokens >= 1.0
         ):
-            trial_host = self._trial_hosts[
-                req.class_index
-            ].pop()  # one safe request finds out; a second copy soon stands in
+            # test an unhealthy or new host with this safe request; a hedged copy follows if it hangs
+            trial_host = self._trial_hosts[req.class_index].pop()
             self._next_trial_at_ms = self._now + TRIAL_INTERVAL_MS
             if (
                 not trial_host.class_health[req.class_index].in_flight
@@ -516,9 +520,8 @@
         )
         if best is not None and best_score <= 0.0:
             return best
-        busy = max(
-            len(self._in_flight) / max(n, 1), 1.0
-        )  # no more than a mean share of what is out is not busy
+        # a host with no more than the mean number of requests in flight is not busy
+        busy = max(len(self._in_flight) / max(n, 1), 1.0)
         for low, high in ((0, n), (n, len(self._ready_hosts))):
             seen = 0
             for _ in range(MAX_DRAWS if high > low else 0):
@@ -533,7 +536,7 @@
                     break
             if best is not None and best.in_flight <= busy:
                 return best
-        if best is None and req.attempts:  # a repeat may be tied to a small group: look at all of it
+        if best is None and req.attempts:  # a retry may be limited to a small group: check all of it
             ran = next((t.server for t in req.attempts if t.may_have_run), None)
             group = self._hosts_by_cell.get(ran.cell, []) if ran is not None else []
             left = [s for s in group if self._may_send(req, s) and self._has_warmup_budget(s)]
@@ -541,10 +544,14 @@
         return best
 
     def _pick_by_key(self, req: _PendingRequest) -> tuple[_HostState | None, float]:
-        """Departure from random picks, where hosts remember keys and the request has one.
+        """Pick a host by consistent hashing, if hosts cache keys and the request has one.
+
+        The key's point on the hash ring selects the same host at every gateway. While that host is loaded,
+        the next one on the ring is used, so that a hot key does not overload one host.
 
-        Its place on a ring of hosts, the same at every gateway, or a next one while that is crowded: no hot
-        key makes a hot host.
+        Returns:
+            A host with score 0.0 if one is not loaded; else the first possible one with its reduced score,
+            which competes with random hosts, or None.
         """
         at = bisect(self._hash_ring_positions, (req.key * 0x9E3779B97F4A7C15 & (1 << 64) - 1) >> 32)
         most = MAX_AFFINITY_LOAD_RATIO * (
@@ -567,18 +574,18 @@
         return first, least
 
     def _score(self, s: _HostState, class_index: int) -> float:
-        """How long a request would take there, in mean service times: the queue and the health as known."""
+        """Expected time of a request at a host in mean service times, from its queue, speed and health."""
         fresh = (
             math.exp((s.reported_load_at_ms - self._now) / REPORT_DECAY_MS) if s.reported_load_at_ms else 0.0
         )
         health, held = s.class_health[class_index], s.in_flight
-        for k, other in enumerate(
-            s.class_health
-        ):  # what hangs there in another class is no queue before this one
+        # calls of another class that hang there do not delay this class
+        for k, other in enumerate(s.class_health):
             if other is not health and other.in_flight and self._is_unhealthy(s, k):
                 held -= other.in_flight
-        # others send by speed too: held for even, their load would count speed twice and swamp fast hosts. At
-        # a cold one they keep to its budget: held for as long as elsewhere, the queue would leave it idle
+        # Other gateways also prefer fast hosts. If their load were presumed to be even, speed would count
+        # twice and fast hosts would be overloaded. At a host that warms up they stay within its budget;
+        # presuming as long a queue as elsewhere would leave it idle.
         slow = max(s.latency_ratio, 1.0 / self._capacity_share(s))
         queue = (
             held
@@ -589,16 +596,17 @@
         if s.zone != self._settings.zone and self._settings.cross_zone_price > 0.0:
             score += min((CROSS_ZONE_SCORE_RATIO - 1.0) * score, MAX_CROSS_ZONE_PENALTY * s.latency_ratio)
         if health.in_flight and self._mean_latency_ms:
-            # hung: it owes answers and gives none. Grows smoothly, so that a short pause costs little
+            # unresponsive: calls are in flight and none returns. Grows smoothly, so a short pause costs
+            # little
             silent = (self._now - health.waiting_since_ms) / (
                 UNRESPONSIVE_LATENCY_RATIO * self._mean_latency_ms * max(s.latency_ratio, 1.0)
             )
             score *= 1.0 + silent**3
         return score
 
-    # --- Host health and cold budget --------------------------------------------------------------------
+    # --- Health, speed and slow start of hosts ----------------------------------------------------------
     def _failure_cost(self, s: _HostState, class_index: int) -> float:
-        """How many times slower its failures make a host look to a class."""
+        """Factor by which the failures of a class at a host raise its score."""
         return 1.0 + FAILURE_COST_RATIO * self._health.failure_ratio(
             s.class_health, class_index, s.zone, self._now
         )
@@ -607,7 +615,7 @@
         return self._health.is_unhealthy(s.class_health, class_index, s.zone, self._now)
 
     def _update_latency_ratio(self, s: _HostState) -> None:
-        """Its service time against the tier's: what it showed lately, else what its kind shows."""
+        """Update a host's latency ratio from its recent responses, else from those of its kind."""
         kind = self._kind_ratio_sums.setdefault(s.kind, [0.0, 0.0])
         keep = math.exp((s.ratio_at_ms - self._now) / SPEED_DECAY_MS)
         s.ratio_sum, s.weight_sum, s.ratio_at_ms = s.ratio_sum * keep, s.weight_sum * keep, self._now
@@ -618,31 +626,28 @@
         )
 
     def _record_latency(self, t: _Attempt, ms: float) -> None:
-        """One attempt's time against what its class lets expect."""
+        """Record the latency of one response relative to the mean of its class."""
         if not self._service_times[t.class_index].n:
-            return  # nothing to hold the class's first answer against
-        part = max(self._service_times[t.class_index].ms, 0.1)
-        self._mean_service_ms += (part - self._mean_service_ms) / min(
+            return  # the first response of the class has nothing to compare with
+        expected_ms = max(self._service_times[t.class_index].ms, 0.1)
+        self._mean_service_ms += (expected_ms - self._mean_service_ms) / min(
             self._response_count + 1, EWMA_WINDOW_RESPONSES
         )
-        latency_ratio = min(ms / part, MAX_LATENCY_RATIO)
-        if (
-            not t.server.reports_service_time or latency_ratio > MIN_OUTLIER_RATIO
-        ):  # a reported service time is free of the queue, but late
-            self._add_latency_sample(t.server, latency_ratio, min(part / self._mean_service_ms, 5.0))
+        latency_ratio = min(ms / expected_ms, MAX_LATENCY_RATIO)
+        # reported service times are better, as they exclude queueing, but they come late
+        if not t.server.reports_service_time or latency_ratio > MIN_OUTLIER_RATIO:
+            self._add_latency_sample(t.server, latency_ratio, min(expected_ms / self._mean_service_ms, 5.0))
 
     def _add_latency_sample(self, s: _HostState, latency_ratio: float, weight: float) -> None:
         self._update_latency_ratio(s)
         s.ratio_sum, s.weight_sum = s.ratio_sum + latency_ratio * weight, s.weight_sum + weight
         if s.started_ms <= 0.0 or self._now - s.started_ms >= self._settings.ramp_ms:
-            kind, keep = (
-                self._kind_ratio_sums[s.kind],
-                1 - 1 / EWMA_WINDOW_RESPONSES,
-            )  # known by its warm hosts: it tells the cold
+            # only warm hosts describe their kind, which is then presumed of those that warm up
+            kind, keep = self._kind_ratio_sums[s.kind], 1 - 1 / EWMA_WINDOW_RESPONSES
             kind[0], kind[1] = kind[0] * keep + latency_ratio * weight, kind[1] * keep + weight
 
     def _record_load_report(self, s: _HostState, report: tuple[float, ...]) -> None:
-        """A load report, late and noisy: what others have there, and how long it serves."""
+        """Record a load report, which is late and noisy: the load by other gateways and the service time."""
 
         def get(field: Field) -> float:
             k = self._report_index.get(field, 99)
@@ -664,16 +669,19 @@
             )
 
     def _capacity_share(self, server: _HostState) -> float:
-        """The part of its capacity that a host is sure to have now."""
+        """The part of its capacity that a host is guaranteed to have now: it grows while it warms up."""
         if server.started_ms <= 0.0 or self._settings.ramp_ms <= 0:
             return 1.0
         age = min(max((self._now - server.started_ms) / self._settings.ramp_ms, 0.0), 1.0)
         return self._settings.cold_from + (1.0 - self._settings.cold_from) * age
 
     def _has_warmup_budget(self, server: _HostState) -> bool:
-        """Rule 4: a cold host gets tokens at a part of the multiple of its share of what a warm host bears
-        from this gateway, so the gateways together stay under the multiple of its capacity. The first fill is
-        random: gateways that hear of a start together do not spend together.
+        """Rule 4: whether a host that warms up may get another request, by a token bucket.
+
+        The tokens accrue at the platform's multiple of the host's capacity share, times the rate that a warm
+        host serves for this gateway, times WARMUP_BUDGET_RATIO. All gateways together so stay under the
+        multiple of its capacity. The first fill is random, so that gateways that learn of a start at the same
+        time do not all send at once.
         """
         if server.started_ms <= 0.0 or self._now - server.started_ms >= self._settings.ramp_ms:
             return True
@@ -718,7 +726,7 @@
         self._dispatch(req)
 
     def _is_over_allowance(self, tenant: int) -> bool:
-        """Is the request beyond its tenant's allowance, by this gateway's part of it?"""
+        """Whether a request exceeds this gateway's part of its tenant's allowance."""
         if tenant >= len(self._settings.tenants):
             return False
         rate = self._active_gateways.share(tenant, self._settings.tenants[tenant].allowance_per_s / 1000)
@@ -729,16 +737,16 @@
         return over
 
     def _update_shedding(self) -> None:
-        """Load shedding, when more than a few answers are late or overdue.
+        """Adapt load shedding to the ratio of late and overdue responses.
 
-        Queues in front of the hosts would make every answer late, and clients' retries would keep it so after
-        the cause has gone. What is worth least for its work is refused first.
+        Without it, queues in front of the hosts would make every response late, and clients' retries would
+        keep it so after the cause has ended. Requests worth least for their work are rejected first.
         """
         targets_ms = [c.latency_target_ms for c in self._settings.classes]
-        stuck = 0  # overdue attempts, held by ill hosts: not a queue before the others
+        stuck = 0  # overdue attempts at unhealthy hosts, which do not queue at the other hosts
         for t in self._in_flight.values():
             if not t.late and self._now - t.started_at_ms > targets_ms[t.class_index]:
-                t.late = True  # counts once: hung hosts hold many for long, and the others have room
+                t.late = True  # counted once: a few unresponsive hosts hold many, while others have capacity
                 if not self._is_unhealthy(t.server, t.class_index):
                     self._late_count += 1.0
                     self._judged_count += 1.0
@@ -752,9 +760,8 @@
         self._shed_level = min(max(level, 0.0), MAX_SHED_RATIO)
         seen = max(sum(map(sum, self._arrival_mix)), 1.0)
         target_ms = sum(sum(m) * a for m, a in zip(self._arrival_mix, targets_ms, strict=True)) / seen
-        capacity = (
-            self._completion_rate * IN_FLIGHT_TARGET_RATIO * target_ms
-        )  # Little: so many in flight leave within that part of the aim
+        # by Little's law so many requests in flight complete within that part of the latency target
+        capacity = self._completion_rate * IN_FLIGHT_TARGET_RATIO * target_ms
         self._in_flight_limit = capacity + 2 * math.sqrt(capacity) + 2.0 + stuck
         ranks = []
         for k, cls in enumerate(self._settings.classes):
@@ -769,13 +776,13 @@
         mean = sum(r[0] * r[3] for r in ranks) / max(total, 0.1)
         left, margin = self._shed_level * total, 0.0
         for worth, k, over, work in ranks:
-            if work > 0.05 * total and (left > 0.001 * total or not margin):  # what is shed next
+            if work > 0.05 * total and (left > 0.001 * total or not margin):  # shed next
                 margin = min(max(worth / max(mean, 1e-9), 0.2), 1.0)
             self._shed_ratios[k][over] = min(left / work, MAX_SHED_RATIO) if work > 0.0 else 0.0
             left -= self._shed_ratios[k][over] * work
         self._marginal_worth = margin or 1.0
 
-    # --- Attempts and repeats ---------------------------------------------------------------------------
+    # --- Attempts and retries ---------------------------------------------------------------------------
     def _may_send(self, req: _PendingRequest, server: _HostState) -> bool:
         """Rules 2 and 3: may this request be sent to this host now?"""
         if not server.ready:
@@ -799,7 +806,7 @@
         )
 
     def _may_reject(self, req: _PendingRequest) -> bool:
-        """Rule 2: is it sure that the client's retry does no harm?"""
+        """Rule 2: whether a retry by the client certainly does no harm."""
         ran = [t for t in req.attempts if t.may_have_run]
         if not ran or req.request_class.effect is Effect.SAFE:
             return True
@@ -807,7 +814,7 @@
         return keyed_all and self._now - ran[0].started_at_ms < req.request_class.window_ms
 
     def _reject_or_fail(self, req: _PendingRequest) -> None:
-        """The final answer of a request that is still held: refused where that is safe, else failed."""
+        """End a pending request: rejected if that is safe, otherwise failed."""
         del self._pending[req.id]
         wait = (
             self._settings.max_retry_after_ms
@@ -817,12 +824,12 @@
         self._actions.append(Refuse(req.id, wait) if self._may_reject(req) else Fail(req.id))
 
     def _deadline_reached(self, req: _PendingRequest) -> None:
-        """Rule 1: whatever else happens, the final answer is given when the client gives up."""
+        """Rule 1: a request that is still pending at its deadline gets its final response."""
         if req.id in self._pending and self._now >= req.due_ms:
             self._reject_or_fail(req)
 
     def _dispatch(self, req: _PendingRequest) -> None:
-        """Send a held request on, wait for a host, or end it."""
+        """Send a pending request to a host, wait for a host, or end the request."""
         if req.id not in self._pending:
             return
         server = (
@@ -842,16 +849,16 @@
             if tries_left and self._ready_hosts and self._now + HOST_WAIT_MS < end and self._may_reject(req):
                 self._schedule(self._now + HOST_WAIT_MS, self._dispatch, req)
             else:
-                # to be turned away is late once it has cost a request its tries: a host that does so with an
-                # empty queue shows no want of room at all of them
+                # Rejections count as late only once a request has used up its attempts: a host may reject
+                # requests with an empty queue, which does not show that all hosts are overloaded.
                 self._late_count += 1.0
                 self._judged_count += 1.0
                 self._reject_or_fail(req)
 
     def _send_hedge(self, late: _Attempt) -> None:
-        """A second copy of a safe request that is out beyond all patience, where its host is to blame.
+        """Send a hedged copy of a safe request whose attempt is overdue at an unhealthy host.
 
-        A full fleet gets none. The budget is that of the repeats.
+        An overloaded fleet gets none, as no host counts as unhealthy then. Copies use the retry budget.
         """
         req, unhealthy = self._pending.get(late.request_id), self._is_unhealthy(late.server, late.class_index)
         if req is None or not unhealthy or not self._settings.parallel_tries or self._retry_tokens < 1.0:
@@ -873,9 +880,7 @@
         self._in_flight[req.id, len(req.attempts)] = t
         req.attempts.append(t)
         server.in_flight += 1
-        mean = max(
-            self._mean_latency_ms, 0.1
-        )  # a class that has shown nothing yet costs as much as a mean request
+        mean = max(self._mean_latency_ms, 0.1)  # also the cost of a class without any response yet
         server.tokens -= min(max((self._service_times[req.class_index].ms or mean) / mean, 0.2), 5.0)
         self._actions.append(Send(req.id, server.id, max(req.due_ms - self._now, 0.001)))
 
@@ -890,11 +895,9 @@
             self._servers.pop(server.id, None)
         req = self._pending.get(event.id)
         unhealthy = self._is_unhealthy(server, t.class_index)
-        if (
-            t.started_at_ms < math.inf
-        ):  # else it ended before its body was whole: no word on its host's health
+        if t.started_at_ms < math.inf:  # else it ended before the body was complete, which is no evidence
             self._health.ended(t, event.outcome, self._now)
-        if not unhealthy and event.outcome is Outcome.OK:  # a call that hung says nothing of its host's speed
+        if not unhealthy and event.outcome is Outcome.OK:  # a call that hung is no measure of speed
             self._record_latency(t, event.elapsed_ms)
         t.pending, uncounted = False, (Outcome.CANCELLED, Outcome.MOOT, Outcome.FULL)  # FULL: see _dispatch
         if not t.late and t.started_at_ms < math.inf and not unhealthy and event.outcome not in uncounted:
@@ -921,7 +924,7 @@
         if event.final:
             self._abandon(req)
         elif event.outcome is not Outcome.OK and not any(x.pending for x in req.attempts):
-            if event.outcome not in (Outcome.UNCONNECTED, Outcome.MOOT):  # the host had work with it
+            if event.outcome not in (Outcome.UNCONNECTED, Outcome.MOOT):  # the host had to handle it
                 self._retry_tokens -= REJECTION_FAILURE_WEIGHT if event.outcome is Outcome.FULL else 1.0
             if self._retry_tokens < 0.0:
                 self._reject_or_fail(req)
@@ -929,14 +932,13 @@
                 self._schedule(self._now + MIN_RETRY_INTERVAL_MS, self._dispatch, req)
 
     def _update_latency_model(self, event: Ended, req: _PendingRequest | None) -> None:
-        """An answer feeds the model; one past its aim asks for a new size."""
+        """Feed a response into the latency model; a late one triggers a new sizing of the prefix."""
         self._response_count += 1
         self._mean_latency_ms += (event.elapsed_ms - self._mean_latency_ms) / min(
             self._response_count, EWMA_WINDOW_RESPONSES
         )
-        if (
-            self._response_count >= EWMA_WINDOW_RESPONSES
-        ):  # the best mean seen, let go slowly so that a lucky one does not stay
+        # the best mean so far rises slowly, so that a lucky one does not stay
+        if self._response_count >= EWMA_WINDOW_RESPONSES:
             self._best_latency_ms = max(min(self._best_latency_ms * 1.0005, self._mean_latency_ms), 0.01)
         if req is None:
             return
@@ -949,7 +951,7 @@
             self._resize()
 
     def _abandon(self, req: _PendingRequest) -> None:
-        """Nobody waits for it any more: what is still out for it is of no use."""
+        """Drop a request that needs no further response, and cancel its pending attempts."""
         del self._pending[req.id]
         if self._settings.may_cancel:
             self._actions += [Cancel(req.id, k) for k, t in enumerate(req.attempts) if t.pending]
@@ -959,7 +961,7 @@
             self._abandon(self._pending[event.id])
 
     def _body_complete(self, event: BodyComplete) -> None:
-        """The body of a request is whole: what is out for it begins now."""
+        """The body of a request is complete: its pending attempt counts from now."""
         req = self._pending.get(event.id)
         if req is not None:
             req.body_incomplete, req.due_ms = False, event.due_ms
@@ -970,7 +972,7 @@
             self._health.sent(t)
 
     def _first_byte(self, event: FirstByte) -> None:
-        """The stream has the request now: no deadline, no answer of ours."""
+        """A streamed response has started: the request needs no deadline and no response from here."""
         self._pending.pop(event.id, None)
 
     # --- Discovery --------------------------------------------------------------------------------------
@@ -989,10 +991,10 @@
         for server in [s for s in self._servers.values() if not s.listed and s.in_flight <= 0]:
             del self._servers[server.id]
         order = sorted((s for s in self._servers.values() if s.ready), key=lambda s: s.id)
-        fleet_overloaded = self._prefix_size >= len(self._ready_hosts)
+        uses_all_hosts = self._prefix_size >= len(self._ready_hosts)
         self._ready_hosts, self._prefix.size = (
             order,
-            len(order) if fleet_overloaded else min(self._prefix_size, len(order)),
+            len(order) if uses_all_hosts else min(self._prefix_size, len(order)),
         )
         self._health_rows = [(s.class_health, s.zone) for s in order]
         self._hosts_by_cell = {}
@@ -1011,7 +1013,7 @@
             server = self._servers[host.id] = _HostState(host, self._health.new_host())
         server.zone, server.kind, server.cell = host.zone, host.kind, host.cell
         server.listed, server.ready = host.state is not State.GONE, host.state is State.READY
-        # A start is never taken back: an update without one (0) says nothing of a start that is known.
+        # an update without a start time (0) does not replace a known start time
         if host.started_ms != server.started_ms and not host.started_ms <= 0.0 < server.started_ms:
             if server.started_ms >= 0.0:
                 server.forget()
@@ -1021,10 +1023,12 @@
         self._actions.append(Watch(True))
 
     def diagnostics(self) -> tuple[dict[str, float], list[bool], Any, Any]:
-        """For on call, changing nothing.
+        """The balancer's state for the status page; changes nothing.
 
-        Figures, full classes, each held request (class, came) and each ready host (id, in the prefix, warm
-        share, speed ratio, Health.judged), the last two one by one.
+        Returns:
+            Figures by name; by class, whether the fleet is overloaded; an iterator over the pending requests
+            (class, time received); an iterator over the ready hosts (id, in the prefix, capacity share,
+            latency ratio, HealthTracker.diagnostics).
         """
         figures = {"prefix": self._prefix_size, "c": self._prefix.slots, "shedding": self._shed_level,
                    "late": self._late_ratio, "mean_ms": self._mean_latency_ms,
--- a/granitewell/core/__init__.py
+++ b/granitewell/core/__init__.py
@@ -1,6 +1,6 @@
-"""The core: the one place where the state of requests, calls and the fleet changes.
+"""The core: the state of requests, outbound calls and endpoints, and the rules by which it changes.
 
-It owns the reducer, its tables and its terms. It must never do I/O, read a clock or know a protocol's bytes.
+It consists of the reducer, its tables and its types, does no I/O, reads no clock and knows no protocol.
 """
 
 from granitewell.core.reducer import (
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -1,10 +1,10 @@
-"""The reducer: every change of the node's state happens in Core.handle, events in and effects out.
+"""The reducer: Core.handle takes an event, changes the node's state and returns the effects to carry out.
 
-It owns the request table, the outbound calls, the fleet, the timers, the phase and the Balancer, and it
-guards the platform's rules a second time, whatever the module asks for. It must never do I/O, read a clock,
-know a byte of any protocol (messages and answers pass through as opaque objects), or decide where a request
-goes: that is granitewell.balancing's. Time is whole microseconds, given by the caller; the module's float
-milliseconds exist only at its door (_ask and _act).
+Core holds the request table, the outbound calls, the endpoints, the timers, the phase and the balancer. It
+checks the platform's rules a second time, whatever the balancer asks for. It does no I/O, reads no clock and
+knows no protocol: messages and responses pass through as opaque objects. Where a request goes is decided by
+granitewell.balancing. Times are whole microseconds, given by the caller. The balancer uses float
+milliseconds, which are converted in _call_balancer and _apply_action.
 """
 
 from __future__ import annotations
@@ -84,7 +84,7 @@
 
 
 def _printable_id(endpoint_id: bytes) -> str:
-    """An endpoint's id for the log."""
+    """Return an endpoint's id as text for the log."""
     return endpoint_id.decode(errors="replace")
 
 
@@ -103,34 +103,34 @@
         self._settings, self._balancer, self._max_pending_requests = settings, balancer, max_pending_requests
         self._now = 0
         self._effects: list[Effects] = []
-        self._balancer_events: deque[t.Event] = (
-            deque()
-        )  # for the module, also what its own actions have brought about
+        # events for the balancer, including those that its own actions cause
+        self._balancer_events: deque[t.Event] = deque()
         self._requests: dict[int, PendingRequest] = {}
         self._requests_by_downstream: dict[int, PendingRequest] = {}
-        self._open_request_ids: set[bytes] = set()  # the clients' ids of the requests that are open
+        self._open_request_ids: set[bytes] = set()  # the clients' ids of the open requests
         self._calls: dict[int, Call] = {}
         self._endpoints: dict[bytes, Endpoint] = {}
-        self._bans: dict[bytes, int] = {}  # whatever the list says of them, and since when
+        self._bans: dict[bytes, int] = {}  # banned endpoints, listed or not, and when they were banned
         self._unbanned_at_us: dict[bytes, int] = {}  # when the ban of an endpoint ended
-        self._known_endpoint_ids: dict[
-            bytes, None
-        ] = {}  # endpoints that a list has named, the last named last
+        # endpoints that a list has contained, the most recently listed last
+        self._known_endpoint_ids: dict[bytes, None] = {}
         self._timers: list[tuple[int, int, str, Any]] = []
         self._last_id = self._timer_sequence = 0
         self._listening = self._stats_timer_started = False
-        self._active_nodes: t.ActiveGateways | None = (
-            None  # as the nodes see themselves; None where nobody says so
-        )
-        self._balancer_timer_us = -1  # when the module's timer is due; -1: none
-        self.exit_deadline_us = -1  # once it is asked to stop: when the process must be gone
+        # as reported by the nodes themselves; None if there is no such report
+        self._active_nodes: t.ActiveGateways | None = None
+        self._balancer_timer_us = -1  # when the balancer's timer is due; -1: none
+        self.exit_deadline_us = -1  # after a stop request: when the process must have ended; -1 before
 
-    # --- The only way in --------------------------------------------------------------------------------
+    # --- Events -----------------------------------------------------------------------------------------
     def handle(self, now_us: int, event: Event) -> list[Effects]:
-        """Apply one event. No exception leaves here: a fault costs its own request, not the process."""
+        """Apply one event and return the effects to carry out, in order.
+
+        Raises no exception: a defect fails the request that it happened on, not the process.
+        """
         self._now = max(now_us, self._now)
         self._effects = []
-        call = self._calls.get(getattr(event, "call", -1))  # its end takes it out of the table
+        call = self._calls.get(getattr(event, "call", -1))  # looked up now: applying CallEnded removes it
         try:
             self._apply(event)
         except Exception:
@@ -145,9 +145,8 @@
             elif isinstance(event, RequestReceived) and not any(
                 isinstance(x, SendResponse) for x in self._effects
             ):
-                self._effects.append(
-                    SendResponse(event.downstream_id, ResponseStatus.FAILED)
-                )  # it broke before it had a place
+                # the exception came before the request was in the table
+                self._effects.append(SendResponse(event.downstream_id, ResponseStatus.FAILED))
         self._update_phase()
         return self._effects
 
@@ -181,7 +180,7 @@
         elif isinstance(event, EndpointListUpdate):
             self._update_endpoints(event)
         elif isinstance(event, Listening):
-            if self.phase is Phase.STARTING:  # else a stop has come before
+            if self.phase is Phase.STARTING:  # otherwise a stop was requested before
                 self._listening = True
         elif isinstance(event, BanRequested | UnbanRequested):
             self._change_ban(event)
@@ -201,12 +200,12 @@
 
     @property
     def wake_us(self) -> int:
-        """When Woken is due; -1 for never."""
+        """When TimerExpired is due; -1 for never."""
         return self._timers[0][0] if self._timers else -1
 
     @property
     def pending_count(self) -> int:
-        """Requests that are owed an answer."""
+        """Number of requests without a final response."""
         return len(self._requests)
 
     def _log(self, topic: str, line: str) -> None:
@@ -214,7 +213,7 @@
 
     def _log_exception(self, what: str) -> None:
         self.stats["faults"] += 1
-        trace = traceback.format_exc().partition("\nThe above exception")[0]  # the cause, where there is one
+        trace = traceback.format_exc().partition("\nThe above exception")[0]  # the cause, if there is one
         self._log("fault", f"{what}: {' | '.join(trace.strip().splitlines()[-5:])}")
 
     # --- Timers -----------------------------------------------------------------------------------------
@@ -223,10 +222,10 @@
         heappush(self._timers, (when_us, self._timer_sequence, what, arg))
 
     def _run_timers(self) -> None:
-        """Run what is due.
+        """Run the timers that are due.
 
-        Calls that end with their request are heard of before the module's own timer of the same moment, as on
-        the simulator's wire.
+        At the same time, calls that time out are reported to the balancer before its own timer, as the
+        platform's simulator does.
         """
         due = []
         while self._timers and self._timers[0][0] <= self._now:
@@ -235,11 +234,9 @@
         for when, _, what, arg in due:
             if what == "call":
                 call = self._calls.get(arg)
-                if (
-                    call is not None and not call.response_started
-                ):  # a stream that has begun has no time of its own
+                if call is not None and not call.response_started:  # a started response has no timeout
                     self._effects.append(AbandonCall(call.id))
-                    # nothing has been written to a connection that is not up: this one never ran
+                    # nothing was written to a connection that is still being dialed: the call never ran
                     self._end_call(call, Outcome.UNCONNECTED if call.dialing else Outcome.TIMEOUT)
             elif what == "module":
                 self._run_balancer()
@@ -256,7 +253,10 @@
             elif what == "heard":
                 self._listening = False
             elif what == "leave" and self.phase is Phase.DRAINING:
-                self._log("phase", f"no time is left: leaving, {len(self._requests)} are answered unserved")
+                self._log(
+                    "phase",
+                    f"exit deadline reached: leaving, {len(self._requests)} requests answered unserved",
+                )
                 for request in list(self._requests.values()):
                     self._finish_request(
                         request,
@@ -268,10 +268,14 @@
                 self._effects.append(ExitProcess())
 
     def _fail_overdue(self, request_id: int) -> None:
-        """Rule 1, against a module that forgets or fails: the core's own last word, inside the slack."""
+        """Rule 1: fail a request that the balancer has not answered by its deadline.
+
+        Guards against a balancer that loses a request or raises; still inside the slack that the platform
+        allows.
+        """
         request = self._requests.get(request_id)
         if request is not None and not request.response_started:
-            self._log("overdue", f"request {request_id} had no answer at its due time: answered as failed")
+            self._log("overdue", f"request {request_id} had no response by its deadline: answered as failed")
             self._finish_request(request, ResponseStatus.FAILED)
             self._balancer_events.append(t.Abandoned(request_id))
 
@@ -283,7 +287,7 @@
 
     # --- Phases -----------------------------------------------------------------------------------------
     def _update_phase(self) -> None:
-        """Move on to the phase that the state allows."""
+        """Enter the next phase if the state allows it."""
         can_serve = self._listening and any(e.unavailable_since_us < 0 for e in self._endpoints.values())
         if self.phase is Phase.STARTING and can_serve:
             self.phase = Phase.READY
@@ -304,7 +308,9 @@
         self._log("phase", f"asked to stop with {len(self._requests)} requests held")
         longest = max(int(c.deadline_ms * 1000) for c in self._settings.classes)
         end = self._now + min(longest, MAX_DRAIN_DEADLINE_US) + SHUTDOWN_MARGIN_US
-        if event.shared:  # the other process takes what comes; here clients use up the connections they hold
+        # Another process accepts new connections if the listener is shared. This one only serves requests on
+        # the connections that it has.
+        if event.shared:
             self._effects.append(StopListening())
             self._schedule(end - SHARED_LISTENER_DRAIN_US, "heard")
         else:
@@ -317,12 +323,12 @@
         self.stats["taken"] += 1
         closing = self.phase is not Phase.READY and self.phase is not Phase.STARTING
         if self.phase is Phase.STOPPED:
-            # the process ends at any moment: what it began would run, and nobody would hear how it went
+            # the process may end at any moment: the request might run without the client learning the result
             self._effects.append(SendResponse(event.downstream_id, ResponseStatus.REJECTED, None, 0, closing))
             return
         if len(self._requests) >= self._max_pending_requests:
             self.stats["table_full"] += 1
-            self._log("full", f"the table holds {len(self._requests)} requests: turned away")
+            self._log("full", f"the request table is full with {len(self._requests)} requests: rejected")
             wait = int(self._settings.max_retry_after_ms * 1000) if self._settings.retry_after else 0
             self._effects.append(
                 SendResponse(event.downstream_id, ResponseStatus.REJECTED, None, wait, closing)
@@ -337,29 +343,28 @@
             )
             return
         if event.client_request_id in self._open_request_ids:
-            # whoever sends the id of another's open request must not be served as though its own had run
+            # a client that reuses the id of an open request must not get that request's response
             self.stats[ResponseStatus.DUPLICATE_ID.value] += 1
             self._log(
                 "same-id",
-                f"a request with the id of request {event.client_request_id.decode(errors='replace')}, "
-                "which is open: not taken",
+                "a request has the id of the open request "
+                f"{event.client_request_id.decode(errors='replace')}: rejected",
             )
             self._effects.append(
                 SendResponse(event.downstream_id, ResponseStatus.DUPLICATE_ID, None, 0, closing)
             )
             return
         self._last_id += 1
-        cls = self._settings.classes[event.class_index]
-        non_idempotent = (
-            event.non_idempotent and cls.effect is Effect.SAFE
-        )  # a client that has not heard of other settings
+        request_class = self._settings.classes[event.class_index]
+        # the client may not know yet that the settings have changed
+        non_idempotent = event.non_idempotent and request_class.effect is Effect.SAFE
         if non_idempotent:
-            cls = replace(cls, effect=Effect.UNSAFE)
-        # a time without end would hold its place in every table; no client of the class waits longer
-        wait = min(event.timeout_us, max(int(cls.deadline_ms * 1000), MIN_TIMEOUT_LIMIT_US))
-        balancer_due_us = self._now + wait  # the module holds it for no longer, be its body whole or not
+            request_class = replace(request_class, effect=Effect.UNSAFE)
+        # an unbounded timeout would keep its entry in every table; no client of the class waits longer
+        wait = min(event.timeout_us, max(int(request_class.deadline_ms * 1000), MIN_TIMEOUT_LIMIT_US))
+        balancer_due_us = self._now + wait  # the balancer's deadline, whether the body is complete or not
         due = self._now + STREAMED_BODY_TIMEOUT_US if event.body_incomplete else balancer_due_us
-        request = PendingRequest(self._last_id, event, cls, due, wait, self._settings.max_attempts)
+        request = PendingRequest(self._last_id, event, request_class, due, wait, self._settings.max_attempts)
         if event.client_request_id:
             self._open_request_ids.add(event.client_request_id)
         self._requests[request.id] = self._requests_by_downstream[event.downstream_id] = request
@@ -371,7 +376,7 @@
         ))  # fmt: skip
 
     def _body_complete(self, downstream_id: int) -> None:
-        """The body has come: the request's time begins, and that of the call that is out for it."""
+        """The body is complete: start the timeouts of the request and of its pending call."""
         request = self._requests_by_downstream.get(downstream_id)
         if request is None or not request.body_incomplete:
             return
@@ -380,7 +385,7 @@
         self._schedule(request.due_us + OVERDUE_GRACE_US, "guard", request.id)
         out = [call for call in request.calls if call.outcome is None]
         for call in out:
-            call.at_us, call.due_us = self._now, request.due_us
+            call.started_at_us, call.due_us = self._now, request.due_us
             self._schedule(call.due_us, "call", call.id)
         number = out[-1].number if out else -1
         self._balancer_events.append(t.BodyComplete(request.id, number, request.due_us / 1000))
@@ -392,7 +397,7 @@
         response: object = None,
         retry_after_us: int = 0,
     ) -> None:
-        """Give the one final answer, or end the one that has begun."""
+        """Send the final response, or end one that was started."""
         self._remove_request(request)
         self.stats[status.value] += 1
         closing = self.phase is Phase.DRAINING
@@ -417,8 +422,9 @@
             self.stats["abandoned"] += 1
             self._remove_request(request)
             for call in request.calls:
-                # the module let go of it when it began; a body that flows will never be whole, be the module
-                # free to cancel or not; and nothing new begins for a client that has left
+                # The balancer does not cancel a call whose response has started. A body that was still
+                # arriving will never be complete, even if the balancer may not cancel calls. And no new
+                # connection is used for a client that has left.
                 lost = call.response_started or request.body_incomplete or request.given_up or call.dialing
                 if lost and call.outcome is None:
                     self._effects.append(AbandonCall(call.id))
@@ -427,39 +433,44 @@
 
     # --- Outbound calls ---------------------------------------------------------------------------------
     def _is_available(self, endpoint: Endpoint) -> bool:
-        """Rule 3 and the operators' bans: may a first byte go to this endpoint now?
+        """Rule 3 and the operators' bans: may a call be written to this endpoint now?
 
-        The grace that the rule leaves counts from when the agent had the news, which this node may hear late:
-        none of it is used.
+        The rule allows a grace period after an endpoint starts to drain. It counts from when the discovery
+        agent was notified, which this node may learn late, so none of it is used.
         """
         return endpoint.unavailable_since_us < 0 and endpoint.member.id not in self._bans
 
     def _may_run_at(self, request: PendingRequest, endpoint: Endpoint, this: Call | None = None) -> bool:
-        """Rule 2: may this request go out (again) to this endpoint, given its other calls?"""
+        """Rule 2: may this request be sent (again) to this endpoint, given its other calls?"""
         ran = [c for c in request.calls if c.outcome not in NEVER_RAN and c is not this]
         if request.body_released or (request.body_streamed and any(c.outcome is None for c in ran)):
-            return False  # what has been let go can't be sent again, and one body feeds one call
+            return (
+                False  # a released body can't be sent again, and a streamed body goes to one call at a time
+            )
         if not self._settings.parallel_tries and any(c.outcome is None for c in ran):
             return False
-        if not ran or request.cls.effect is Effect.SAFE:
+        if not ran or request.request_class.effect is Effect.SAFE:
             return True
-        if request.cls.effect is Effect.UNSAFE or self._now - ran[0].at_us > request.cls.window_ms * 1000:
+        if (
+            request.request_class.effect is Effect.UNSAFE
+            or self._now - ran[0].started_at_us > request.request_class.window_ms * 1000
+        ):
             return False
         was, now = ran[0].endpoint.member, endpoint.member
-        scope = request.cls.scope
+        scope = request.request_class.scope
         return scope is Scope.ALL or (was.zone == now.zone if scope is Scope.ZONE else was.cell == now.cell)
 
     def _send(self, action: t.Send) -> None:
-        """Start a call, or tell the module that it was moot where a rule forbids it."""
+        """Start a call, or report it to the balancer as moot if a rule forbids it."""
         request, endpoint = self._requests.get(action.id), self._endpoints.get(action.host)
         if request is None or endpoint is None or request.response_started:
-            self._log("guard", f"held back a send: request {action.id} or its endpoint is not known")
+            self._log("guard", f"blocked a send: request {action.id} or its endpoint is not known")
             self.stats["guarded"] += 1
             return
         number = len(request.calls)
         if number >= request.attempts:
-            # to call this moot would let a module that sends after every ending do so for ever
-            self._log("guard", f"request {request.id} has had its {number} attempts: answered as failed")
+            # a moot call would let a balancer that retries after every call do so forever
+            self._log("guard", f"request {request.id} has used its {number} attempts: answered as failed")
             self.stats["guarded"] += 1
             self._finish_request(request, ResponseStatus.FAILED)
             self._balancer_events.append(t.Abandoned(request.id))
@@ -473,7 +484,7 @@
         request.calls.append(call)
         self._calls[call.id] = call
         if not allowed:
-            self._log("guard", f"held back a send of request {action.id}: a rule forbids it")
+            self._log("guard", f"blocked a send of request {action.id}: a rule forbids it")
             self.stats["guarded"] += 1
             self._end_call(call, Outcome.MOOT)
             return
@@ -486,15 +497,16 @@
         )
 
     def may_write_call(self, call_id: int) -> bool:
-        """The last look before the first byte, where no dial lies between: is this call still to be made?"""
+        """Whether a call on an idle connection may still be written; asked just before its first byte."""
         call = self._calls.get(call_id)
         return call is not None and self._may_write(call)
 
     def _may_write(self, call: Call) -> bool:
-        """The one gate before a first byte, asked in the turn in which it goes, of every call.
+        """Whether a call may be written to its connection.
 
-        First or further, on an idle connection or a dialed one. An endpoint that has moved is not there: what
-        answers at its old address by now may be another one, which drains or is banned.
+        Every call passes this check right before its first byte: first attempts and retries, on idle
+        connections and new ones. A call to an endpoint that has moved is not written: its old address may now
+        belong to another endpoint, which drains or is banned.
         """
         request, endpoint = call.request, call.endpoint
         return (
@@ -506,7 +518,7 @@
         )  # fmt: skip
 
     def _call_dialed(self, call_id: int) -> None:
-        """A dial takes time: whatever held when it began is asked again."""
+        """Write the call, or abandon it if it may no longer be written: dialing takes time."""
         call = self._calls.get(call_id)
         if call is None:
             return
@@ -519,7 +531,7 @@
             self._end_call(call, Outcome.MOOT)
 
     def _begin_response(self, event: ResponseStarted) -> None:
-        """The first answer that begins is the request's; every other call of it is of no more use."""
+        """Start the response from the first call that has one, and abandon the request's other calls."""
         call = self._calls.get(event.call)
         if call is None:
             return
@@ -531,9 +543,12 @@
         request.response_started = call.response_started = True
         self.stats["begun"] += 1
         self._effects.append(StartResponse(request.downstream_id, event.response))
-        # to the module it has ended: what counts is the first byte, and the rest goes at its client's pace
-        self._balancer_events.append(t.Ended(request.id, call.number, call.endpoint.member.id, Outcome.OK,
-                                  (self._now - call.at_us) / 1000, True, event.report))  # fmt: skip
+        # For the balancer the call has ended: the time to the first byte depends on the endpoint, the rest on
+        # how fast the client reads.
+        self._balancer_events.append(t.Ended(
+            request.id, call.number, call.endpoint.member.id, Outcome.OK,
+            (self._now - call.started_at_us) / 1000, True, event.report,
+        ))  # fmt: skip
         for other in request.calls:
             if other is not call and other.outcome is None:
                 self._effects.append(AbandonCall(other.id))
@@ -542,7 +557,7 @@
     def _end_call(
         self, call: Call, outcome: Outcome, report: tuple[float, ...] = (), response: object = None
     ) -> None:
-        """The one ending of a call; the first OK of an open request is its answer."""
+        """End a call; the first OK of an open request becomes its response."""
         del self._calls[call.id]
         call.outcome = outcome
         self.stats[f"call_{outcome.value}"] += 1
@@ -550,7 +565,7 @@
         request = call.request
         try:
             if request.open and call.response_started:
-                # what has begun can't begin again elsewhere: it ends here, whole or visibly not
+                # a started response can't be restarted elsewhere: it ends here, complete or visibly cut off
                 self._finish_request(
                     request,
                     ResponseStatus.SERVED if outcome is Outcome.OK else ResponseStatus.FAILED,
@@ -559,19 +574,19 @@
             elif outcome is Outcome.OK and request.open and not request.response_started:
                 self._finish_request(request, ResponseStatus.SERVED, response)
             elif request.open and (request.body_released or request.given_up) and outcome is not Outcome.OK:
-                # it can go nowhere else: answered at once
+                # it can't be sent to another endpoint: answer at once
                 self._finish_request(
                     request,
                     ResponseStatus.REJECTED if self._is_safe_to_reject(request) else ResponseStatus.FAILED,
                 )
-        finally:  # whatever broke: the module counts it as out until it hears of this
+        finally:  # also after an exception: the balancer counts the call as in flight until notified
             if not call.response_started:
                 self._balancer_events.append(t.Ended(
                     request.id, call.number, call.endpoint.member.id, outcome,
-                    (self._now - call.at_us) / 1000, not request.open, report,
+                    (self._now - call.started_at_us) / 1000, not request.open, report,
                 ))  # fmt: skip
 
-    # --- Fleet ------------------------------------------------------------------------------------------
+    # --- Endpoints --------------------------------------------------------------------------------------
     def _update_endpoints(self, event: EndpointListUpdate) -> None:
         named = {m.id for m in event.members}
         if event.view is not View.DELTA:
@@ -603,9 +618,9 @@
         )
 
     def _remember_endpoint_ids(self, named: Iterable[bytes]) -> None:
-        """An operator may name what is gone.
+        """Remember the listed ids: an operator may also ban an endpoint that is gone.
 
-        Of those that are, a node that runs for long forgets the oldest: successors have new ids.
+        Successors have new ids, so a node that runs for long forgets the oldest ids of those that are gone.
         """
         for endpoint_id in named:
             self._known_endpoint_ids.pop(endpoint_id, None)
@@ -619,13 +634,13 @@
                 self._unbanned_at_us.pop(endpoint_id, None)
 
     def _host_for_balancer(self, m: DiscoveredEndpoint) -> t.Host:
-        """An endpoint as the module sees it: gone while it is banned, and just started when it is back."""
+        """An endpoint as the balancer sees it: gone while banned, newly started when the ban ends."""
         state = State.GONE if m.id in self._bans else m.state
         started = max(m.started_us, self._unbanned_at_us.get(m.id, 0))
         return t.Host(m.id, m.zone, m.kind, m.cell, state, m.scale, started / 1000)
 
     def _mark_unavailable(self, endpoint: Endpoint) -> None:
-        """It drains or is gone: the first such news counts, and what lies idle there is of no more use."""
+        """Record when an endpoint started to drain or was gone, and close its idle connections."""
         if endpoint.unavailable_since_us < 0:
             endpoint.unavailable_since_us = self._now
             self._effects.append(CloseIdle(endpoint.member.id))
@@ -633,11 +648,14 @@
     # --- Bans -------------------------------------------------------------------------------------------
     @property
     def bans(self) -> frozenset[bytes]:
-        """The endpoints that the operators have taken out."""
+        """The endpoints that operators have banned."""
         return frozenset(self._bans)
 
     def _change_ban(self, event: BanRequested | UnbanRequested) -> None:
-        """An operator's call. A repeat changes nothing, yet is written down again: that may have failed."""
+        """Handle an operator's request to ban or unban an endpoint.
+
+        A repeated request changes nothing but is persisted again, as the earlier write may have failed.
+        """
         endpoint_id, banned = event.endpoint, isinstance(event, BanRequested)
         if endpoint_id not in self._known_endpoint_ids and endpoint_id not in self._bans:
             self._effects.append(BanReply(event.caller, BanResult.UNKNOWN))
@@ -655,12 +673,12 @@
         for endpoint_id in event.bans - self._bans.keys():
             self._ban(endpoint_id)
         for endpoint_id in self._bans.keys() - event.bans:
-            # what is written down of an earlier time is no call back: the ban could not be written then. One
-            # that is not written down at all may be a file that can't be read
-            if event.back_us.get(endpoint_id, -1) > self._bans[endpoint_id]:
-                self._unban(endpoint_id, event.back_us[endpoint_id])
+            # An entry older than the ban does not lift it: the ban itself could not be written. Nor does a
+            # missing entry, as the file may be unreadable.
+            if event.unbanned_at_us.get(endpoint_id, -1) > self._bans[endpoint_id]:
+                self._unban(endpoint_id, event.unbanned_at_us[endpoint_id])
         self._unbanned_at_us |= {
-            k: min(v, self._now) for k, v in event.back_us.items() if k not in self._bans
+            k: min(v, self._now) for k, v in event.unbanned_at_us.items() if k not in self._bans
         }
 
     def _ban(self, endpoint_id: bytes) -> None:
@@ -668,7 +686,7 @@
             return
         self._bans[endpoint_id] = self._now
         self.stats["bans"] += 1
-        self._log("ban", f"{_printable_id(endpoint_id)} is banned: nothing new goes there")
+        self._log("ban", f"{_printable_id(endpoint_id)} is banned: it gets no new calls")
         self._effects.append(CloseIdle(endpoint_id))
         for call in [c for c in self._calls.values() if c.endpoint.member.id == endpoint_id and c.dialing]:
             self._effects.append(AbandonCall(call.id))
@@ -678,7 +696,7 @@
     def _unban(self, endpoint_id: bytes, since_us: int) -> None:
         del self._bans[endpoint_id]
         self._unbanned_at_us[endpoint_id] = min(since_us, self._now)
-        self._log("ban", f"{_printable_id(endpoint_id)} is back, held for just started")
+        self._log("ban", f"{_printable_id(endpoint_id)} is no longer banned, treated as newly started")
         self._update_balancer_host(endpoint_id)
 
     def _update_balancer_host(self, endpoint_id: bytes) -> None:
@@ -686,7 +704,7 @@
         if endpoint is not None:
             self._balancer_events.append(t.Hosts(View.DELTA, (self._host_for_balancer(endpoint.member),)))
 
-    # --- The module's door ------------------------------------------------------------------------------
+    # --- Balancer ---------------------------------------------------------------------------------------
     def _run_balancer(self) -> None:
         while self._balancer_events:
             self._call_balancer(self._balancer_events.popleft())
@@ -697,14 +715,13 @@
             actions: Iterable[t.Action] = self._balancer.handle(self._now / 1000, event)
         except Exception as error:
             succeeded = False
-            actions = (
-                error.actions if isinstance(error, t.DecisionError) else ()
-            )  # the module counts on those
-            self._log_exception(f"the decisions failed on {type(event).__name__}")
+            # the balancer relies on the actions that it decided on before it failed
+            actions = error.actions if isinstance(error, t.DecisionError) else ()
+            self._log_exception(f"the balancer failed on {type(event).__name__}")
         for action in actions:
             try:
                 self._apply_action(action)
-            except Exception:  # one action's fault must not lose those behind it
+            except Exception:  # a defect in one action must not lose the later ones
                 self._log_exception(f"{type(action).__name__} failed")
         request = None if succeeded else self._requests.get(getattr(event, "id", -1))
         if request is not None and all(c.outcome is not None for c in request.calls):
@@ -715,20 +732,20 @@
         if isinstance(action, t.Send):
             self._send(action)
         elif isinstance(action, t.SetTimer):
-            self._balancer_timer_us = max(
-                int(action.at_ms * 1000) + 1, self._now
-            )  # an early Timer would be ignored
+            # rounded up: the balancer ignores a Timer that comes early
+            self._balancer_timer_us = max(int(action.at_ms * 1000) + 1, self._now)
             self._schedule(self._balancer_timer_us, "module", action.mark)
         elif isinstance(action, t.Refuse | t.Fail):
             request = self._requests.get(action.id)
             if request is None or request.response_started:
                 return
             if request.body_incomplete and any(c.outcome is None for c in request.calls):
-                request.given_up = True  # its time has not begun, and an endpoint has part of it
+                # its timeout has not started, and an endpoint already has a part of the body
+                request.given_up = True
                 return
             harmless = self._is_safe_to_reject(request)
             if isinstance(action, t.Refuse) and not harmless:
-                self._log("guard", f"request {request.id} may have run: failed in place of a refusal")
+                self._log("guard", f"request {request.id} may have run: failed instead of rejected")
             if isinstance(action, t.Fail) or not harmless:
                 self._finish_request(request, ResponseStatus.FAILED)
             else:
@@ -744,11 +761,11 @@
             self._effects.append(CloseIdle(action.host))
         elif isinstance(action, t.Log):
             self._log("module", action.line)
-        elif not isinstance(action, t.Watch | t.Fetch):  # the watch on discovery never ends by itself
-            self._log("guard", f"{type(action).__name__} is not something that this node does")
+        elif not isinstance(action, t.Watch | t.Fetch):  # discovery is always watched
+            self._log("guard", f"{type(action).__name__} is not supported by this node")
 
     def _is_safe_to_reject(self, request: PendingRequest) -> bool:
-        """Rule 2: a refusal invites a retry, so nothing that must not run twice may have run."""
-        if request.cls.effect is Effect.SAFE or all(c.outcome in NEVER_RAN for c in request.calls):
+        """Rule 2: a rejection invites a retry, so no request that must not run twice may have run."""
+        if request.request_class.effect is Effect.SAFE or all(c.outcome in NEVER_RAN for c in request.calls):
             return True
-        return request.cls.effect is Effect.KEYED and request.cls.scope is Scope.ALL
+        return request.request_class.effect is Effect.KEYED and request.request_class.scope is Scope.ALL
--- a/granitewell/core/tables.py
+++ b/granitewell/core/tables.py
@@ -1,6 +1,6 @@
-"""The rows of the core's tables: calls, requests, endpoints.
+"""The rows of the core's tables: calls, requests and endpoints.
 
-It owns what is remembered of each. It must never hold a rule: those are the reducer's.
+They hold state only. The rules that change it are in the reducer.
 """
 
 from __future__ import annotations
@@ -13,42 +13,53 @@
 class Call:
     """One outbound call: an attempt of a request."""
 
-    __slots__ = ("address", "at_us", "dialing", "due_us", "endpoint", "id", "number", "outcome", "request",
-                 "response_started")  # fmt: skip
+    __slots__ = ("address", "started_at_us", "dialing", "due_us", "endpoint", "id", "number", "outcome",
+                 "request", "response_started")  # fmt: skip
 
     def __init__(
         self, call_id: int, request: PendingRequest, number: int, endpoint: Endpoint, at: int, due: int
     ) -> None:
         self.id, self.request, self.number, self.endpoint = call_id, request, number, endpoint
-        self.at_us, self.due_us = at, due
-        self.address = endpoint.member.address  # to which it goes, whatever the list says meanwhile
+        self.started_at_us, self.due_us = at, due
+        self.address = endpoint.member.address  # fixed for the call, even if the endpoint moves meanwhile
         self.outcome: Outcome | None = None
         self.dialing = False
-        self.response_started = False  # its answer has begun and follows in parts
+        self.response_started = False  # the response is being streamed in parts
 
 
 class PendingRequest:
-    """A request that has been taken; open until its final answer."""
+    """A request that was accepted; open until its final response."""
 
-    __slots__ = ("attempts", "calls", "cls", "due_us", "body_incomplete", "given_up", "id", "downstream_id",
-                 "body_released", "message", "client_request_id", "body_streamed", "open", "response_started",
-                 "timeout_us")  # fmt: skip
+    __slots__ = ("attempts", "calls", "request_class", "due_us", "body_incomplete", "given_up", "id",
+                 "downstream_id", "body_released", "message", "client_request_id", "body_streamed", "open",
+                 "response_started", "timeout_us")  # fmt: skip
 
     def __init__(
-        self, request_id: int, event: RequestReceived, cls: t.RequestClass, due: int, wait: int, attempts: int
+        self,
+        request_id: int,
+        event: RequestReceived,
+        request_class: t.RequestClass,
+        due: int,
+        wait: int,
+        attempts: int,
     ) -> None:
-        self.attempts = attempts  # at most; as of its arrival, like its class
-        self.id, self.downstream_id, self.cls, self.due_us = request_id, event.downstream_id, cls, due
+        self.attempts = attempts  # upper bound; fixed when the request arrives, like its class
+        self.id, self.downstream_id, self.request_class, self.due_us = (
+            request_id,
+            event.downstream_id,
+            request_class,
+            due,
+        )
         self.message, self.client_request_id = event.message, event.client_request_id
         self.calls: list[Call] = []
         self.open = True
-        # for which its client waits, at most; of a body that flows, from its last byte
+        # how long the client waits; if the body is streamed, counted from its last byte
         self.timeout_us = wait
-        self.body_streamed = event.body_incomplete  # its body is held once, and feeds one call at a time
-        self.body_incomplete = event.body_incomplete  # it has not come whole yet
-        self.body_released = False  # nor is its beginning held any more
-        self.given_up = False  # the module has given it up while its body was on the way
-        self.response_started = False  # its answer has begun
+        self.body_streamed = event.body_incomplete  # the body is buffered once, for one call at a time
+        self.body_incomplete = event.body_incomplete  # the body is still arriving
+        self.body_released = False  # the beginning of the body is no longer buffered
+        self.given_up = False  # the balancer gave up while the body was still arriving
+        self.response_started = False  # the response to the client has begun
 
 
 class Endpoint:
@@ -58,4 +69,4 @@
 
     def __init__(self, member: DiscoveredEndpoint) -> None:
         self.member = member
-        self.unavailable_since_us = -1  # since when it is known to drain or be gone; -1: it is ready
+        self.unavailable_since_us = -1  # when it became draining or gone; -1 while it is ready
--- a/granitewell/core/types.py
+++ b/granitewell/core/types.py
@@ -1,8 +1,7 @@
-"""The core's terms: phases, verdicts, events in and effects out.
+"""Types of the core: phases, response statuses, events and effects.
 
-It owns their shapes. It must never hold behaviour or know a byte of any protocol: messages, answers and
-parts are objects of the front or carrier that made them and pass through unread. Times are whole
-microseconds on the node's monotonic clock.
+They hold no behaviour and know no protocol: messages, responses and their parts are objects of the protocol
+code that created them and pass through unread. Times are whole microseconds on the node's monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,37 +14,44 @@
 
 
 class Phase(Enum):
-    """From start to exit; Core.phase is the one object that has it."""
+    """Life cycle of the node; only Core.phase holds it."""
 
     STARTING = "starting"  # no listener, or no endpoint to send to
     READY = "ready"
-    DRAINING = "draining"  # asked to stop: takes what still arrives, answers all, closes what it answers
+    DRAINING = "draining"  # stop requested: answers what still arrives, then closes each connection
     STOPPED = "stopped"
 
 
 class BanResult(Enum):
-    """What becomes of an operator's call."""
+    """Result of an operator's request to ban or unban an endpoint."""
 
     DONE = "done"
-    UNKNOWN = "unknown"  # no list has ever named this endpoint
+    UNKNOWN = "unknown"  # no endpoint list has contained this endpoint
 
 
 class ResponseStatus(Enum):
-    """What a final answer says."""
+    """Status of a final response."""
 
     SERVED = "served"
-    REJECTED = "fail-fast"  # refused: a retry does no harm
+    REJECTED = "fail-fast"  # not executed, or safe to repeat: a retry does no harm
     FAILED = "failed"
-    DUPLICATE_ID = "same_id"  # not taken: a request with this id is open
+    DUPLICATE_ID = "same_id"  # rejected: a request with this id is open
 
 
 # --- Events ---
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """An inbound has handed in a whole request; message is the front's own and passes unread.
+    """A client has sent a request.
 
-    An inbound is whatever carries one request at a time: a connection of HTTP/1.1, a stream of a protocol
-    that has several on a connection. Its number is unique over all fronts of the process.
+    Attributes:
+        downstream_id: What the request came on and its response goes to, unique in the process: a connection
+            of HTTP/1.1, or a stream of a protocol that multiplexes requests on a connection.
+        message: The protocol code's own object; passes unread.
+        client_request_id: The client's id of the request; b"" for none.
+        non_idempotent: The client treats the request as unsafe to repeat, whatever its class.
+        body_incomplete: The body is still arriving and is forwarded as it does; the request's timeout starts
+            with RequestBodyComplete.
+        limit_retry_after_us: If not negative, the request exceeds a rate limit, and this is when to retry.
     """
 
     downstream_id: int
@@ -55,54 +61,50 @@
     timeout_us: int
     message: object
     is_retry: bool = False
-    client_request_id: bytes = b""  # the client's id for it; b"" for none
-    non_idempotent: bool = False  # the client holds it for unsafe to repeat, whatever its class
-    body_incomplete: bool = (
-        False  # its body still comes and is passed on as it does; its time begins with Whole
-    )
-    limit_retry_after_us: int = (
-        -1
-    )  # a limit's verdict: it is more than may be taken, and this is when to ask again
+    client_request_id: bytes = b""
+    non_idempotent: bool = False
+    body_incomplete: bool = False
+    limit_retry_after_us: int = -1
 
 
 @dataclass(frozen=True, slots=True)
 class RequestBodyComplete:
-    """The body of a request that flows has come whole."""
+    """The body of a request that was received incomplete has arrived completely."""
 
     downstream_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestBodyReleased:
-    """The beginning of such a body is held no more: it can't be sent again from here on."""
+    """The beginning of a streamed body is no longer buffered: it can't be sent again."""
 
     downstream_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class DownstreamClosed:
-    """The client has closed: nothing more is owed there."""
+    """The client has closed its connection or stream: it gets no response."""
 
     downstream_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallDialing:
-    """No idle connection was fit for this call: one is being dialed."""
+    """A new connection is being dialed for this call, as no idle one could be used."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallDialed:
-    """A new connection for this call is up; nothing has been written."""
+    """A new connection for this call is established; nothing has been written."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    """An outbound call has ended at the endpoint or on the way there."""
+    """An outbound call has ended, at the endpoint or on the way there."""
 
     call: int
     outcome: Outcome
@@ -112,7 +114,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The head of a 200 has come whose body follows in parts: answer is the front's to pass on as it is."""
+    """The head of a 200 response has arrived; its body follows in parts.
+
+    The response is the protocol code's own object and passes unread.
+    """
 
     call: int
     response: object = None
@@ -121,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponsePart:
-    """A further part of an answer that has begun."""
+    """A further part of a started response."""
 
     call: int
     part: object
@@ -129,9 +134,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveredEndpoint:
-    """One endpoint as discovery tells it; started_us is on this node's clock, 0 for long ago.
+    """One endpoint as discovery lists it.
 
-    Protocol names the kind of connection that its calls go over; the shell has one carrier a kind.
+    Attributes:
+        started_us: Start of its process on this node's clock; 0 for long ago.
+        protocol: Kind of connection used for its calls.
     """
 
     id: bytes
@@ -147,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A list of endpoints, or what changed in it."""
+    """The list of endpoints, or the changes in it."""
 
     view: View
     members: tuple[DiscoveredEndpoint, ...]
@@ -155,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listening:
-    """Clients can connect."""
+    """The listener is open: clients can connect."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,11 +172,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """The platform wants this node to leave.
+    """The platform asks this node to stop.
 
     Attributes:
-        shared: Another process accepts from the same listener, so that nothing is lost by accepting no more
-            at once.
+        shared: Another process accepts from the same listener, so no connection is lost if this one stops
+            accepting at once.
     """
 
     shared: bool = False
@@ -177,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BanRequested:
-    """An operator wants nothing more sent to an endpoint; caller is the console's own."""
+    """An operator bans an endpoint from further calls; caller identifies the console's request."""
 
     caller: int
     endpoint: bytes
@@ -185,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnbanRequested:
-    """An operator wants an endpoint used again."""
+    """An operator lifts the ban of an endpoint; caller identifies the console's request."""
 
     caller: int
     endpoint: bytes
@@ -193,18 +200,20 @@
 
 @dataclass(frozen=True, slots=True)
 class BansLoaded:
-    """What is written down of bans, by an earlier process of this node or one beside it.
+    """The persisted bans, written by an earlier process of this node or by another one next to it.
 
-    Those in force, and since when which endpoints are back.
+    Attributes:
+        bans: The endpoints that are banned.
+        unbanned_at_us: When the bans of others were lifted.
     """
 
     bans: frozenset[bytes]
-    back_us: Mapping[bytes, int]
+    unbanned_at_us: Mapping[bytes, int]
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings are in force. A class and a tenant keep their index for good; new ones come behind."""
+    """New settings apply. Classes and tenants keep their index for good; new ones are appended."""
 
     settings: Settings
     max_pending_requests: int
@@ -212,14 +221,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveNodes:
-    """How many nodes act on the same endpoints, as the nodes themselves see it.
+    """How many nodes send to the same endpoints, as reported by the nodes themselves.
 
-    The most that may (budgets are divided by it), and those that share the traffic, smoothed (the forecast
-    counts with them). Until it is told the settings say so; it outlives other settings.
+    Until the first report the settings apply; a report stays in force when the settings change.
 
     Attributes:
-        parts: Of each tenant's allowance that this node has a right to, by index; a tenant beyond them has
-            the most-th part.
+        most: Upper bound of the number of nodes; budgets are divided by it.
+        up: Smoothed number of nodes that share the traffic; the forecast uses it.
+        parts: Part of each tenant's allowance that belongs to this node, by index. A tenant without an entry
+            has 1/most of its allowance here.
     """
 
     most: int
@@ -252,7 +262,7 @@
 # --- Effects ---
 @dataclass(frozen=True, slots=True)
 class StartCall:
-    """Write the message to the endpoint: at once on an idle connection, else dial and report CallDialed."""
+    """Send a message to an endpoint: at once on an idle connection, else dial and report CallDialed."""
 
     call: int
     endpoint: bytes
@@ -260,26 +270,26 @@
     message: object
     due_us: int
     protocol: str = "http1"
-    downstream_id: int = -1  # whose request it is
+    downstream_id: int = -1  # where the request came from
 
 
 @dataclass(frozen=True, slots=True)
 class WriteCall:
-    """The dialed connection is to be used now."""
+    """Write the call to its dialed connection."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class AbandonCall:
-    """Nobody waits for this call; its connection must not be used again unless nothing was written."""
+    """Give up a call; its connection must not be reused unless nothing was written to it."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendResponse:
-    """The one final answer of a request."""
+    """Send the final response of a request."""
 
     downstream_id: int
     status: ResponseStatus
@@ -290,7 +300,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartResponse:
-    """The one final answer of a request begins; its parts follow. Nothing else can be its answer now."""
+    """Start the final response of a request; its parts follow, and no other response is possible."""
 
     downstream_id: int
     response: object
@@ -298,7 +308,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendResponsePart:
-    """The next part of an answer that has begun."""
+    """Send the next part of a started response."""
 
     downstream_id: int
     part: object
@@ -306,11 +316,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndResponse:
-    """An answer that has begun ends: whole, or so that the client can tell that it is not."""
+    """End a started response: complete, or in a way that shows the client that it is not."""
 
     downstream_id: int
     complete: bool
-    response: object = None  # what stands behind the last part (trailers); the front's own
+    response: object = None  # what follows the last part (trailers); the protocol code's own object
     close: bool = False
 
 
@@ -323,7 +333,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A log line; topic limits how often such a line is written."""
+    """A log line; the rate of lines is limited by topic."""
 
     topic: str
     line: str
@@ -331,12 +341,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StopListening:
-    """Take what has arrived, then no more connections; close each inbound once nothing is owed there."""
+    """Accept the connections that have arrived, then no more; close each client once it is answered."""
 
 
 @dataclass(frozen=True, slots=True)
 class PersistBan:
-    """Write down that an endpoint is banned, or that it is not any more."""
+    """Persist that an endpoint is banned, or that its ban was lifted."""
 
     endpoint: bytes
     banned: bool
@@ -344,7 +354,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BanReply:
-    """The answer to an operator's call, once what comes before it among the effects is done."""
+    """Answer an operator's request, after the effects that precede this one."""
 
     caller: int
     result: BanResult
@@ -352,12 +362,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadyToServe:
-    """Requests would be served from now on."""
+    """The node is ready to serve requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExitProcess:
-    """All is answered, or no time is left: end the process."""
+    """End the process: all requests are answered, or the exit deadline is reached."""
 
 
 Effects = (
--- a/granitewell/lab/mutants/catalogue.py
+++ b/granitewell/lab/mutants/catalogue.py
@@ -112,8 +112,8 @@
     Defect(
         "unsafe-guard", "an unsafe request that may have run goes out again",
         ("unsafe",), ("deploy", "chaos"),
-        (_core("if request.cls.effect is Effect.UNSAFE or self._now - ran[0].at_us",
-               "if request.cls.effect is not Effect.UNSAFE and self._now - ran[0].at_us"),
+        (_core("request.request_class.effect is Effect.UNSAFE\n            or self._now - ran[0]",
+               "request.request_class.effect is not Effect.UNSAFE\n            and self._now - ran[0]"),
          _policy("req.request_class.effect is Effect.UNSAFE\n            or self._now - first",
                  "req.request_class.effect is not Effect.UNSAFE\n            and self._now - first")),
     ),
--- a/granitewell/status/snapshot.py
+++ b/granitewell/status/snapshot.py
@@ -155,10 +155,10 @@
             if k == len(self._out):
                 self._out.append(0)
                 self._dialing.append(0)
-                self._first.append(call.at_us)
+                self._first.append(call.started_at_us)
             self._out[k] += 1
             self._dialing[k] += call.dialing
-            self._first[k] = min(self._first[k], call.at_us)
+            self._first[k] = min(self._first[k], call.started_at_us)
             if not n % STEP:
                 yield
 
