--- a/granitewell/balancing/balancer.py
+++ b/granitewell/balancing/balancer.py
@@ -373,7 +373,7 @@
     def _resize(self) -> None:
         """Recompute the size of the prefix: it grows at once and shrinks slowly."""
         self._sized_at_ms = self._now
-        need = self._slots_needed(BURST_RATIO * self._active_gateways.up * self._forecast())
+        need = self._slots_needed(BURST_RATIO * self._active_gateways.active_count * self._forecast())
         slow = (
             self._mean_latency_ms / self._best_latency_ms
             if self._response_count >= EWMA_WINDOW_RESPONSES
@@ -412,7 +412,7 @@
         self._completion_rate += (self._served_in_period / SIZING_PERIOD_MS - self._completion_rate) * 0.2
         self._arrived_in_period = self._served_in_period = 0
         self._others_in_flight = (
-            (self._active_gateways.most - 1) * len(self._in_flight) / max(self._prefix_size, 1)
+            (self._active_gateways.max_count - 1) * len(self._in_flight) / max(self._prefix_size, 1)
         )
         for n, k, health in self._health.review(self._health_rows, self._now):
             name = self._ready_hosts[n].id
@@ -488,7 +488,7 @@
         )
         self._min_host_rate = (
             max(1.0 / (self._mean_latency_ms or target_ms or 500.0), presumed_rate)
-            / self._active_gateways.most
+            / self._active_gateways.max_count
         )
 
     def _draw_host(self, low: int, high: int, cumulative_weights: list[float]) -> _HostState:
--- a/granitewell/balancing/interface.py
+++ b/granitewell/balancing/interface.py
@@ -1,6 +1,6 @@
-"""Settings, hosts, events and actions of the balancer. No logic lives here.
+"""Settings, hosts, events and actions of the balancer, without any logic.
 
-Times are milliseconds on one clock that only advances; hosts are opaque, sortable ids.
+Times are milliseconds on a monotonic clock; host ids are opaque and sortable.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 
 class Effect(Enum):
-    """What repeating a request does."""
+    """Whether a request may run more than once."""
 
-    SAFE = "safe"  # may be repeated at will
-    KEYED = "keyed"  # a group of hosts drops repeats for a while
+    SAFE = "safe"  # idempotent
+    KEYED = "keyed"  # a group of hosts ignores duplicates for some time, by an idempotency key
     UNSAFE = "unsafe"  # must never run twice
 
 
 class Scope(Enum):
-    """Which hosts drop the repeats of a keyed request."""
+    """Which hosts ignore duplicates of a keyed request together."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +26,7 @@
 
 
 class State(Enum):
-    """What the host list says of a host."""
+    """State of a host in the host list."""
 
     GONE = "gone"
     READY = "ready"
@@ -34,12 +34,12 @@
 
 
 class View(Enum):
-    """How a host list relates to the one before."""
+    """How a host list relates to the previous one."""
 
-    CACHED = "cached"  # whole list, possibly stale
-    FULL = "full"  # whole list
+    CACHED = "cached"  # complete list, possibly stale
+    FULL = "full"  # complete list
     DELTA = "delta"  # changed hosts only
-    FAILED = "failed"  # a call to discovery failed or the subscription dropped
+    FAILED = "failed"  # no list: a discovery call failed or the subscription ended
 
 
 class Outcome(Enum):
@@ -47,16 +47,16 @@
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # turned away unseen; never ran
+    FULL = "full"  # rejected by the host; never ran
     TIMEOUT = "timeout"  # no answer in time; may have run
     UNCONNECTED = "unconnected"  # no connection; never ran
     RESET = "reset"  # the connection broke; may have run
-    CANCELLED = "cancelled"  # called off by us; may have run
+    CANCELLED = "cancelled"  # cancelled by this gateway; may have run
     MOOT = "moot"  # never sent
 
 
 class Field(Enum):
-    """What a host's load report can hold."""
+    """Fields of a host's load report."""
 
     INFLIGHT = "inflight"
     QUEUE = "queue"
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """A class of requests."""
 
     latency_target_ms: float
     deadline_ms: float
@@ -90,39 +90,41 @@
 
 
 class DecisionError(Exception):
-    """The decisions have failed on an event, for the reason behind this (`__cause__`).
+    """The balancer failed while processing an event; `__cause__` has the reason.
 
-    What they had decided by then stands and has to be carried out: they count on it.
+    The actions decided before the failure must be carried out, as the balancer's state depends on them.
     """
 
     def __init__(self, actions: list[Action]) -> None:
-        super().__init__("the decisions failed")
+        super().__init__("the balancer failed")
         self.actions = actions
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveGateways:
-    """How many gateways act on the same hosts, this one included.
+    """How many gateways send to the same hosts, including this one.
+
+    Until the first such event, and again after each SettingsChanged, both counts are Settings.proxies.
 
     Attributes:
-        most: The most that may; every budget that they share is divided by it.
-        up: Those that share the traffic, smoothed; the forecast is multiplied by it.
-        parts: Of each tenant's allowance that is this gateway's, by index; a tenant beyond them has the
-            most-th part. Until it is told both counts are Settings.proxies, and again from each Resettled on.
+        max_count: Upper bound of their number; budgets that they share are divided by it. active_count:
+        Smoothed number of those that share the traffic; the forecast is multiplied by it. parts: Part of each
+        tenant's allowance that belongs to this gateway, by index. A tenant without an entry
+            has 1/max_count of its allowance here.
     """
 
-    most: int
-    up: float
+    max_count: int
+    active_count: float
     parts: tuple[float, ...] = ()
 
     def share(self, tenant: int, whole: float) -> float:
-        """What of a tenant's whole allowance is this gateway's."""
-        return whole * self.parts[tenant] if tenant < len(self.parts) else whole / self.most
+        """This gateway's part of a tenant's allowance."""
+        return whole * self.parts[tenant] if tenant < len(self.parts) else whole / self.max_count
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is told at its start."""
+    """Settings of a balancer."""
 
     classes: tuple[RequestClass, ...]
     proxies: int
@@ -153,13 +155,13 @@
 
     @property
     def acting(self) -> ActiveGateways:
-        """The gateways that act, where nobody tells."""
+        """The presumed number of gateways, as long as it is not reported."""
         return ActiveGateways(self.proxies, float(self.proxies))
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """One line of the host list."""
+    """An entry of the host list."""
 
     id: bytes
     zone: int
@@ -167,12 +169,12 @@
     cell: int
     state: State
     scale: float
-    started_ms: float  # 0: a long time back
+    started_ms: float  # 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
 class Hosts:
-    """News of the host list."""
+    """The host list, or changes in it."""
 
     view: View
     hosts: tuple[Host, ...]
@@ -180,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client request; it must get exactly one final answer by due_ms."""
+    """A client request; it must get exactly one final response by due_ms."""
 
     id: int
     class_index: int
@@ -189,20 +191,20 @@
     due_ms: float
     work_hint: float  # 0: none
     is_retry: bool = False
-    non_idempotent: bool = False  # unsafe to repeat whatever its class
-    body_incomplete: bool = False  # its body still comes: a try of it begins with Uploaded
+    non_idempotent: bool = False  # must not run twice, whatever its class
+    body_incomplete: bool = False  # its body is still arriving: attempts count from BodyComplete
 
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
-    """The client left; nothing more is owed."""
+    """The client has disconnected; the request needs no response."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class FirstByte:
-    """A streamed answer has begun; the request belongs to the stream now."""
+    """A streamed response has started; the balancer no longer handles the request."""
 
     id: int
     attempt: int
@@ -211,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """One attempt has ended; exactly one for each Send."""
+    """An attempt has ended; exactly one such event follows each Send."""
 
     id: int
     attempt: int
@@ -224,7 +226,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """The result of one Probe."""
+    """A Probe has ended."""
 
     host: bytes
     outcome: Outcome
@@ -249,10 +251,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings count for what comes from now on.
+    """New settings apply to the events that follow.
 
-    Classes and tenants keep their index, new ones come behind; one that has been dropped keeps its place and
-    gets no more requests.
+    Classes and tenants keep their index, new ones are appended; a removed one keeps its place and gets no
+    more requests.
     """
 
     settings: Settings
@@ -260,9 +262,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyComplete:
-    """The body of a request has come whole, from which its time counts.
+    """The body of a request has arrived completely; its time counts from now.
 
-    Attempt: the one that is out for it, -1 for none.
+    Attributes:
+        attempt: The pending attempt of the request; -1 for none.
     """
 
     id: int
@@ -287,16 +290,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; attempts of a request count 0, 1, 2 in the order of their sends."""
+    """Start an attempt; attempts of a request are numbered from 0 in the order of their sends."""
 
     id: int
     host: bytes
-    timeout_ms: float = 0.0  # 0: until the client gives up
+    timeout_ms: float = 0.0  # 0: until the request's deadline
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not done, a retry does no harm."""
+    """Final response: rejected; a retry does no harm."""
 
     id: int
     retry_after_ms: float = 0.0
@@ -304,14 +307,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, no promise about effects."""
+    """Final response: failed; the request may have run."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     id: int
     attempt: int
@@ -319,14 +322,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check a host."""
+    """Send a health check to a host."""
 
     host: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Close idle connections to a host."""
+    """Close the idle connections to a host."""
 
     host: bytes
 
@@ -340,12 +343,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask once for the whole host list."""
+    """Request the complete host list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a Timer event at or past a time."""
+    """Request a Timer event at or after a time."""
 
     at_ms: float
     mark: int
@@ -353,7 +356,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send a message to one gateway, or to all where target is None."""
+    """Send a message to one gateway, or to all if target is None."""
 
     target: int | None
     data: bytes
@@ -361,7 +364,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """A log line."""
 
     line: str
 
--- a/granitewell/balancing/outlier_detection.py
+++ b/granitewell/balancing/outlier_detection.py
@@ -1,12 +1,12 @@
-"""What is known of the health of each class at each host, from what passes: the judgement, not the choice.
+"""Passive health checks: how healthy each request class is at each host, judged from its calls.
 
-It owns the evidence by (host, class) and by zone, and the state that is judged from it. It must never pick a
-host, repeat or refuse a request (that is policy.py's), do I/O or read a clock. Times are in milliseconds.
+The evidence is kept by (host, class) and by zone. Hosts are selected, and requests retried or rejected, in
+balancer.py. There is no I/O and no clock. Times are in milliseconds.
 
-The smallest set that explains the evidence is blamed: a call that errs, is reset or stays out too long speaks
-against its class at its host alone; a connection that does not come up, against all classes there; most of a
-zone's calls unanswered, against the zone. If most hosts look ill, none is: then the fleet is full, and calls
-that stay out say so.
+Evidence counts against the smallest set that explains it. An error, a reset or an overdue call counts against
+its class at its host; a failed connection against all classes of the host; and if most calls of a zone remain
+unanswered, that counts against all hosts of the zone. If most hosts look unhealthy, the fleet is overloaded
+and no host counts as unhealthy.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 
 
 class Cause(Enum):
-    """What speaks most against a class at a host."""
+    """Main evidence against a class at a host."""
 
     HEALTHY = "well"
-    SLOW = "slow"  # answers come, far later than the class's mean
-    UNRESPONSIVE = "silent"  # answers do not come
+    SLOW = "slow"  # responses come, but much later than the class's mean
+    UNRESPONSIVE = "silent"  # no responses
     FAILING = "failing"
     RESETTING = "resetting"
-    REFUSING = "refusing"  # connections do not come up
+    REFUSING = "refusing"  # connections fail
     FULL = "turning away"
 
 
@@ -55,7 +55,7 @@
 
 
 class ClassHealth:
-    """One class at one host."""
+    """Health of one class at one host."""
 
     __slots__ = (
         "cause",
@@ -69,19 +69,18 @@
 
     def __init__(self) -> None:
         self.in_flight = 0
-        self.last_sent_ms = -math.inf  # when it last got a request
+        self.last_sent_ms = -math.inf  # when the last request was sent
         self.forget()
 
     def forget(self) -> None:
-        """A new process: what was learned of the old one does not count."""
-        self.failure_ratio = self.failure_ratio_at_ms = (
-            0.0  # share of attempts that failed, and when that was so
-        )
-        self.waiting_since_ms = 0.0  # since when it owes an answer and has given none
+        """Forget the evidence: the host has a new process."""
+        # moving average of failed attempts, and the time of its last update
+        self.failure_ratio = self.failure_ratio_at_ms = 0.0
+        self.waiting_since_ms = 0.0  # since when calls are pending without any response
         self.cause, self.unhealthy_since_ms = Cause.HEALTHY, 0.0
 
     def current_failure_ratio(self, now: float) -> float:
-        """Its share of failures as far as it is still remembered."""
+        """The failure ratio, decayed since its last update."""
         return (
             self.failure_ratio * math.exp((self.failure_ratio_at_ms - now) / FAILURE_DECAY_MS)
             if self.failure_ratio
@@ -90,7 +89,7 @@
 
 
 class Call:
-    """An outbound call as far as health is concerned; the caller adds to it what else it keeps of one."""
+    """What health needs to know about an outbound call; the caller may subclass it."""
 
     __slots__ = ("started_at_ms", "class_index", "pending", "was_overdue", "class_health", "zone")
 
@@ -110,25 +109,30 @@
 
 
 class HealthTracker(Generic[CallT]):
-    """The evidence of one gateway.
+    """Health of all hosts, from the calls of one gateway.
 
-    `mean[k]` is the mean time in ms of class k's answers, `known[k]` their number, as the caller learns them
-    from hosts that are well.
+    The caller keeps `mean_ms[k]`, the mean latency of class k's responses from healthy hosts, and
+    `response_counts[k]`, their number.
     """
 
     def __init__(self, safe: Iterable[bool], min_patience_ms: Iterable[float] = ()) -> None:
-        """safe: by class, whether it may be repeated; least: ms, the patience that each has at least."""
+        """Start without hosts.
+
+        Args:
+            safe: By class, whether its requests are safe to repeat.
+            min_patience_ms: By class, the least time after which a call is overdue.
+        """
         self.mean_ms: list[float] = []
         self.response_counts: list[float] = []
-        self.fleet_overloaded: list[bool] = []  # so many hosts look ill that the fleet must be full
-        self._recent_calls: list[deque[CallT]] = []  # not yet over their patience
+        self.fleet_overloaded: list[bool] = []  # by class: most hosts look unhealthy
+        self._recent_calls: list[deque[CallT]] = []  # by class, not yet overdue, oldest first
         self._zone_failure_ratios: dict[int, tuple[float, float]] = {}
         self.set_classes(safe, min_patience_ms, ())
 
     def set_classes(
         self, safe: Iterable[bool], min_patience_ms: Iterable[float], hosts: Iterable[list[ClassHealth]]
     ) -> None:
-        """Other classes: new ones come behind, in the rows of these hosts too."""
+        """Apply new settings of the classes; new classes are appended, also to the rows of these hosts."""
         self._is_safe, known_classes = tuple(safe), len(self.mean_ms)
         self._min_patience_ms = tuple(min_patience_ms) or (0.0,) * len(self._is_safe)
         new = len(self._is_safe) - known_classes
@@ -140,17 +144,17 @@
             class_health += (ClassHealth() for _ in self._is_safe[len(class_health) :])
 
     def new_host(self) -> list[ClassHealth]:
-        """The rows of a new host, by class."""
+        """Return the health of a new host, by class."""
         return [ClassHealth() for _ in self._is_safe]
 
     # --- Judgement --------------------------------------------------------------------------------------
     def failure_ratio(
         self, class_health: list[ClassHealth], class_index: int, zone: int, now: float
     ) -> float:
-        """A class's share of failures at a host, forgotten with time.
+        """The failure ratio of a class at a host, decayed with time.
 
-        Where most of a zone's attempts go unanswered, its hosts count as failing before each has cost a
-        request.
+        If most attempts in a zone remain unanswered, the zone's ratio applies to all of its hosts, so that
+        not each of them has to fail a request first.
         """
         failure_ratio = class_health[class_index].current_failure_ratio(now)
         zone_ratio, at = self._zone_failure_ratios.get(zone, _NO_FAILURES)
@@ -163,7 +167,7 @@
     def failure_ratios(
         self, hosts: list[tuple[list[ClassHealth], int]], class_index: int, now: float
     ) -> list[float]:
-        """`fails` of a class at all of these (pairs, zone), at little cost where nothing fails."""
+        """The failure ratio of a class at each of these (class_health, zone); cheap without failures."""
         if any(zone_ratio > UNHEALTHY_ZONE_RATIO for zone_ratio, _ in self._zone_failure_ratios.values()):
             return [self.failure_ratio(class_health, class_index, zone, now) for class_health, zone in hosts]
         return [
@@ -174,7 +178,7 @@
         ]
 
     def is_unhealthy(self, class_health: list[ClassHealth], class_index: int, zone: int, now: float) -> bool:
-        """Does the class there say nothing of the fleet, as it is the host that is ill?"""
+        """Whether a class is unhealthy at a host, in a fleet that is not overloaded."""
         return (
             not self.fleet_overloaded[class_index]
             and self.failure_ratio(class_health, class_index, zone, now) > UNHEALTHY_FAILURE_RATIO
@@ -183,10 +187,12 @@
     def review(
         self, hosts: list[tuple[list[ClassHealth], int]], now: float
     ) -> list[tuple[int, int, ClassHealth]]:
-        """Now and then, over (pairs, zone) of all ready hosts.
+        """Update which hosts are unhealthy, and whether the fleet is overloaded.
+
+        Called periodically with (class_health, zone) of all ready hosts.
 
-        Whether the fleet is full, and whose state has changed since the last review (host's index, class,
-        row).
+        Returns:
+            The changes since the last review: index of the host, class, its health there.
         """
         changed = []
         for k in range(len(self._is_safe)):
@@ -203,7 +209,7 @@
 
     # --- Evidence ---------------------------------------------------------------------------------------
     def sent(self, call: CallT) -> None:
-        """A request goes there."""
+        """Record that a call was sent."""
         health = call.class_health[call.class_index]
         if not health.in_flight:
             health.waiting_since_ms = call.started_at_ms
@@ -212,7 +218,7 @@
         self._recent_calls[call.class_index].append(call)
 
     def ended(self, call: Call, outcome: Outcome, now: float) -> None:
-        """It has ended there, by itself or by us."""
+        """Record that a call has ended, by itself or cancelled."""
         call.pending = False
         health = call.class_health[call.class_index]
         health.in_flight -= 1
@@ -236,9 +242,9 @@
         )
 
     def overdue(self, now: float) -> list[CallT]:
-        """The calls that have now been out beyond all patience, each of them told once.
+        """Return the calls that have become overdue, each of them once.
 
-        They speak against their hosts long before their time is up.
+        They count as failures of their hosts long before they time out.
         """
         found: list[CallT] = []
         for k, recent in enumerate(self._recent_calls):
@@ -252,7 +258,7 @@
         return found
 
     def _record_success(self, call: Call, now: float) -> None:
-        """An answer speaks for its host; one that came too late says that it is slow."""
+        """Record a response: it lowers the failure ratio, unless the call was overdue."""
         health = call.class_health[call.class_index]
         if call.was_overdue:
             health.cause = Cause.SLOW
@@ -260,8 +266,8 @@
         was_unhealthy = health.current_failure_ratio(now) > UNHEALTHY_FAILURE_RATIO
         self._record_failure(call, call.class_index, 0.0, health.cause, now)
         if was_unhealthy and self._is_safe[call.class_index]:
-            # what was ill as a whole comes back as a whole: found out with a safe request, never with one
-            # that must not run twice
+            # A host that was unhealthy for all classes recovers for all. This is tested with a safe request,
+            # never with one that must not run twice.
             for k, other in enumerate(call.class_health):
                 if not self._is_safe[k] and other.failure_ratio_at_ms < call.started_at_ms:
                     other.failure_ratio *= RECOVERY_FAILURE_RATIO
@@ -276,23 +282,24 @@
         if weight:
             health.cause = cause
 
-    # --- For on call ------------------------------------------------------------------------------------
+    # --- Diagnostics ------------------------------------------------------------------------------------
     def diagnostics(
         self, class_health: list[ClassHealth], zone: int, now: float
     ) -> list[tuple[Cause, float, float, float, int, float]]:
-        """A host's rows by class, changing nothing.
+        """Describe a host's health by class; changes nothing.
 
-        Cause, since when it is ill (0: it is not), its share of failures, what of that is its own and not its
-        zone's, requests in flight, when it got the last.
+        Returns:
+            By class: cause, time since which it is unhealthy (0 if it is not), failure ratio, the host's own
+            failure ratio without its zone's, requests in flight, time of the last request.
         """
         return [
             (
-                p.cause,
-                p.unhealthy_since_ms,
+                health.cause,
+                health.unhealthy_since_ms,
                 self.failure_ratio(class_health, k, zone, now),
-                p.current_failure_ratio(now),
-                p.in_flight,
-                p.last_sent_ms,
+                health.current_failure_ratio(now),
+                health.in_flight,
+                health.last_sent_ms,
             )
-            for k, p in enumerate(class_health)
+            for k, health in enumerate(class_health)
         ]
--- a/granitewell/balancing/settings_validation.py
+++ b/granitewell/balancing/settings_validation.py
@@ -1,4 +1,4 @@
-"""Checks of Settings that come from outside; decides nothing."""
+"""Validation of the balancer's settings."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 
 def validate(settings: Settings) -> None:
-    """Raise ValueError naming the first field that makes no sense."""
+    """Check all fields.
+
+    Raises:
+        ValueError: A field is out of range; the message names the first one.
+    """
     _number("proxies", settings.proxies, 1)
     _number("max_attempts", settings.max_attempts, 1)
     _number("cold_from", settings.cold_from, 0.001, 1)
--- a/granitewell/balancing/simulator_adapter.py
+++ b/granitewell/balancing/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Hosts many balancers on the simulator's wire. Decides nothing."""
+"""Runs balancers for the platform's simulator, which speaks a binary protocol on stdin and stdout."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """One whole frame, or None at the end of input between frames."""
+    """Read one complete frame; None at the end of the input."""
     head = stream.read(simulator_protocol.HEADER.size)
     if not head:
         return None
@@ -29,15 +29,15 @@
     return head + body
 
 
-class Link:
+class BalancerInstances:
     """The balancers of one process, by instance number."""
 
     def __init__(self) -> None:
         self.decoder = simulator_protocol.Decoder()
-        self.balancers: dict[int, Balancer | None] = {}  # None: its decisions broke
+        self.balancers: dict[int, Balancer | None] = {}  # None: an exception has ended it
 
     def answer(self, frame: bytes) -> bytes:
-        """Hand each event to its instance; the actions in the order they came."""
+        """Pass each event of a frame to its instance; return the frame of their actions, in order."""
         now, events = self.decoder.batch(frame)
         out: list[bytes] = []
         for inst, event in events:
@@ -54,19 +54,21 @@
                     )
                 balancer = self.balancers[inst]
                 if balancer is not None:
-                    out.extend([simulator_protocol.record(inst, a) for a in balancer.handle(now, event)])
+                    out.extend(
+                        [simulator_protocol.encode_action(inst, a) for a in balancer.handle(now, event)]
+                    )
             except simulator_protocol.WireError:
                 raise
             except Exception:
-                out.append(simulator_protocol.fault(inst, traceback.format_exc()))
+                out.append(simulator_protocol.encode_fault(inst, traceback.format_exc()))
                 self.balancers[inst] = None
-        return simulator_protocol.reply(out)
+        return simulator_protocol.encode_reply(out)
 
 
 def main() -> int:
-    """Serve until the input ends."""
-    gc.disable()  # reference cycles do not arise per request; pauses would be charged to requests
-    link, stdin, stdout = Link(), sys.stdin.buffer, sys.stdout.buffer
+    """Answer frames until the input ends; return the exit code."""
+    gc.disable()  # requests create no reference cycles, and pauses would count as their latency
+    link, stdin, stdout = BalancerInstances(), sys.stdin.buffer, sys.stdout.buffer
     try:
         while (frame := read_frame(stdin)) is not None:
             stdout.write(link.answer(frame))
--- a/granitewell/balancing/simulator_protocol.py
+++ b/granitewell/balancing/simulator_protocol.py
@@ -1,6 +1,6 @@
-"""The codec of the simulator's wire: frames to interface types and back.
+"""Codec of the simulator's binary protocol: decodes frames into events and encodes actions.
 
-Only this file knows record codes and the wire's names.
+Record codes and the protocol's field names appear in this module only.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class WireError(Exception):
-    """A frame or settings that can't be read; the text says what and where."""
+    """A frame or settings document is malformed; the message says where."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """An instance starts with no state."""
+    """A new instance starts, without any state."""
 
     settings: t.Settings
     seed: int
@@ -73,20 +73,20 @@
 _SCOPES = {"all": t.Scope.ALL, "zone": t.Scope.ZONE, "cell": t.Scope.CELL}
 
 
-def _finite(value: float) -> float:
-    """A number that is safe to compute with; the absurd counts as absent."""
+def _finite_or_zero(value: float) -> float:
+    """Return a number, or 0 if it is negative, not finite or absurdly large."""
     return value if 0.0 <= value < 1e15 else 0.0
 
 
 class Decoder:
-    """Reads batches; keeps the numbered host lists, which belong to the process."""
+    """Decodes frames; keeps the numbered host lists, which all instances of the process share."""
 
     def __init__(self) -> None:
         self._catalogs: dict[int, tuple[t.Host, ...]] = {}
         self._settings: dict[bytes, t.Settings] = {}
 
     def batch(self, frame: bytes) -> tuple[float, list[tuple[int, Incoming]]]:
-        """The clock and the events of one whole frame, with their instances, in order."""
+        """Decode one complete frame into its time and its events in order, each with its instance."""
         count, length, now = HEADER.unpack_from(frame)
         if length != len(frame):
             raise WireError(f"byte 4: the frame says {length} bytes and has {len(frame)}")
@@ -115,10 +115,10 @@
             load = _LOADS[n].unpack_from(b, pos + 33) if n else ()
             if why not in _OUTCOMES:
                 raise WireError(f"byte {pos + 13}: unknown outcome {why}")
-            return end, (i, t.Ended(rid, leg, host, _OUTCOMES[why], _finite(ms), final != 0, load))
+            return end, (i, t.Ended(rid, leg, host, _OUTCOMES[why], _finite_or_zero(ms), final != 0, load))
         if code == 30:
             _, i, rid, cls, tenant, key, due, hint, bits = _INBOUND.unpack_from(b, pos)
-            work = _finite(hint) if bits & 1 else 0.0
+            work = _finite_or_zero(hint) if bits & 1 else 0.0
             return pos + 44, (i, t.Request(rid, cls, tenant, key, due, work, bits & 2 != 0))
         if code == 90:
             _, i, mark = _ID.unpack_from(b, pos)
@@ -150,10 +150,10 @@
             load = _LOADS[n].unpack_from(b, pos + 22) if n else ()
             if why not in _OUTCOMES:
                 raise WireError(f"byte {pos + 11}: unknown outcome {why}")
-            return pos + 22 + 4 * n, (i, t.ProbeEnded(host, _OUTCOMES[why], _finite(ms), load))
+            return pos + 22 + 4 * n, (i, t.ProbeEnded(host, _OUTCOMES[why], _finite_or_zero(ms), load))
         if code == 20:
             _, i, rid, leg, _, ms = _FIRST.unpack_from(b, pos)
-            return pos + 29, (i, t.FirstByte(rid, leg, _finite(ms)))
+            return pos + 29, (i, t.FirstByte(rid, leg, _finite_or_zero(ms)))
         if code == 70:
             _, i, seed, n = _CREATE.unpack_from(b, pos)
             end = pos + 17 + n
@@ -174,18 +174,22 @@
 ) -> t.Host:
     if state not in _STATES:
         raise WireError(f"byte {at + 11}: unknown host state {state}")
-    return t.Host(hid, zone, kind, cell, _STATES[state], _finite(scale), _finite(started))
+    return t.Host(hid, zone, kind, cell, _STATES[state], _finite_or_zero(scale), _finite_or_zero(started))
 
 
-def _need(obj: Any, key: str, path: str = "") -> Any:
+def _require(obj: Any, key: str, path: str = "") -> Any:
     if not isinstance(obj, dict) or key not in obj:
         raise WireError(f"settings: {path}{key} is missing")
     return obj[key]
 
 
-def _figure(obj: Any, key: str, path: str, default: float | None = None) -> float:
-    """A number; without a default it has to be there, with one it may be null. WireError names the key."""
-    value = _need(obj, key, path) if default is None else obj.get(key)
+def _number(obj: Any, key: str, path: str, default: float | None = None) -> float:
+    """Read a number. Without a default the key is required; with one it may be missing or null.
+
+    Raises:
+        WireError: The key is missing, or its value is not a number.
+    """
+    value = _require(obj, key, path) if default is None else obj.get(key)
     value = default if value is None else value
     try:
         return float(value)
@@ -194,25 +198,29 @@
 
 
 def _class(c: Any, path: str) -> t.RequestClass:
-    effect, scope = _need(c, "effect", path), c.get("keyScope", "all")
+    effect, scope = _require(c, "effect", path), c.get("keyScope", "all")
     if effect not in _EFFECTS:
         raise WireError(f"settings: {path}effect {effect!r} is unknown")
     if effect == "token" and scope not in _SCOPES:
         raise WireError(f"settings: {path}keyScope {scope!r} is unknown")
     return t.RequestClass(
-        _figure(c, "aimMs", path), _figure(c, "giveUpMs", path), _EFFECTS[effect],
-        _figure(c, "value", path, 1.0), _figure(c, "lateShare", path, 0.0),
-        _SCOPES.get(scope, t.Scope.CELL), _figure(c, "windowMs", path, 0.0), bool(c.get("stream")),
+        _number(c, "aimMs", path), _number(c, "giveUpMs", path), _EFFECTS[effect],
+        _number(c, "value", path, 1.0), _number(c, "lateShare", path, 0.0),
+        _SCOPES.get(scope, t.Scope.CELL), _number(c, "windowMs", path, 0.0), bool(c.get("stream")),
     )  # fmt: skip
 
 
 def parse_settings(text: bytes) -> t.Settings:
-    """The settings of a create record; WireError names the key that is missing or wrong."""
+    """Parse the settings of a create record.
+
+    Raises:
+        WireError: A key is missing or wrong; the message names it.
+    """
     try:
         d = json.loads(text)
     except ValueError as error:
         raise WireError(f"settings: not JSON: {error}") from None
-    allowed, rules = _need(d, "allowed"), _need(d, "contract")
+    allowed, rules = _require(d, "allowed"), _require(d, "contract")
     price = d.get("penalties", {})
     stats = d.get("stats", {})
     if not isinstance(stats, dict):
@@ -220,35 +228,35 @@
     fields = stats.get("fields", []) if stats.get("how") != "silent" else []
     try:
         settings = t.Settings(
-            classes=tuple(_class(c, f"classes[{k}].") for k, c in enumerate(_need(d, "classes"))),
-            proxies=int(_figure(d, "balancers", "")),
-            max_attempts=int(_figure(allowed, "maxAttempts", "allowed.")),
-            drain_grace_ms=_figure(rules, "drainGraceMs", "contract."),
-            cold_from=_figure(rules, "coldFrom", "contract."),
-            ramp_ms=_figure(rules, "rampTimeMs", "contract."),
-            fall_multiple=_figure(rules, "fallMultiple", "contract."),
-            fall_ms=_figure(rules, "fallMs", "contract."),
+            classes=tuple(_class(c, f"classes[{k}].") for k, c in enumerate(_require(d, "classes"))),
+            proxies=int(_number(d, "balancers", "")),
+            max_attempts=int(_number(allowed, "maxAttempts", "allowed.")),
+            drain_grace_ms=_number(rules, "drainGraceMs", "contract."),
+            cold_from=_number(rules, "coldFrom", "contract."),
+            ramp_ms=_number(rules, "rampTimeMs", "contract."),
+            fall_multiple=_number(rules, "fallMultiple", "contract."),
+            fall_ms=_number(rules, "fallMs", "contract."),
             tenants=tuple(
-                t.Tenant(_figure(x, "share", f"tenants[{k}]."), _figure(x, "allowancePerS", f"tenants[{k}]."))
+                t.Tenant(_number(x, "share", f"tenants[{k}]."), _number(x, "allowancePerS", f"tenants[{k}]."))
                 for k, x in enumerate(d.get("tenants", []))
-                if _need(x, "allowancePerS", f"tenants[{k}].") is not None
+                if _require(x, "allowancePerS", f"tenants[{k}].") is not None
             ),
             index=int(d.get("selfIndex", 0)),
             zone=int(d.get("zone", 0)),
             must_ask=d.get("discovery") == "on_request",
-            must_ask_in_ms=_figure(rules, "mustAskInMs", "contract.", 10000.0),
+            must_ask_in_ms=_number(rules, "mustAskInMs", "contract.", 10000.0),
             parallel_tries=bool(allowed.get("parallelTries", False)),
             may_cancel=bool(allowed.get("cancel", False)),
             may_probe=bool(allowed.get("probes", False)),
             retry_after=bool(allowed.get("retryAfter", False)),
-            max_retry_after_ms=_figure(allowed, "maxRetryAfterMs", "allowed.", 0.0),
-            over_share_worth=_figure(d, "overShareWorth", "", 1.0),
+            max_retry_after_ms=_number(allowed, "maxRetryAfterMs", "allowed.", 0.0),
+            over_share_worth=_number(d, "overShareWorth", "", 1.0),
             worth_by_work=d.get("worthBy") == "work",
             report_fields=tuple(_FIELDS.get(f, t.Field.UNKNOWN) for f in fields),
             warm_keys=bool(d.get("familyInfo", {}).get("warmKeys", False)),
-            cross_zone_price=_figure(price, "crossZone", "penalties.", 0.0),
-            handshake_price=_figure(price, "handshake", "penalties.", 0.0),
-            connection_price=_figure(price, "connection", "penalties.", 0.0),
+            cross_zone_price=_number(price, "crossZone", "penalties.", 0.0),
+            handshake_price=_number(price, "handshake", "penalties.", 0.0),
+            connection_price=_number(price, "connection", "penalties.", 0.0),
             weights_live=d.get("weightKind") == "live",
         )
         validate(settings)
@@ -257,14 +265,14 @@
     return settings
 
 
-def fault(inst: int, text: str) -> bytes:
-    """The internal_error record."""
+def encode_fault(inst: int, text: str) -> bytes:
+    """Encode the internal_error record."""
     raw = text.encode()[:65535]
     return _TEXT.pack(70, inst, len(raw)) + raw
 
 
-def record(inst: int, a: t.Action) -> bytes:
-    """One action as a record."""
+def encode_action(inst: int, a: t.Action) -> bytes:
+    """Encode one action as a record."""
     kind = type(a)
     if kind is t.Send:
         return _ASSIGN.pack(60, inst, a.id, a.timeout_ms, a.host)  # type: ignore[union-attr]
@@ -291,8 +299,8 @@
     return _TEXT.pack(120, inst, len(raw)) + raw
 
 
-def reply(records: Iterable[bytes]) -> bytes:
-    """One reply frame."""
+def encode_reply(records: Iterable[bytes]) -> bytes:
+    """Encode a reply frame."""
     parts = list(records)
     body = b"".join(parts)
     return _REPLY.pack(len(parts), _REPLY.size + len(body)) + body
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -192,7 +192,9 @@
             if self._active_nodes is not None:
                 self._balancer_events.append(self._active_nodes)
         elif isinstance(event, ActiveNodes):
-            self._active_nodes = t.ActiveGateways(max(event.most, 1), max(event.up, 1.0), event.parts)
+            self._active_nodes = t.ActiveGateways(
+                max(event.max_count, 1), max(event.active_count, 1.0), event.parts
+            )
             self._balancer_events.append(self._active_nodes)
         else:
             self._stop(event)
--- a/granitewell/core/types.py
+++ b/granitewell/core/types.py
@@ -226,14 +226,14 @@
     Until the first report the settings apply; a report stays in force when the settings change.
 
     Attributes:
-        most: Upper bound of the number of nodes; budgets are divided by it.
-        up: Smoothed number of nodes that share the traffic; the forecast uses it.
+        max_count: Upper bound of the number of nodes; budgets are divided by it.
+        active_count: Smoothed number of nodes that share the traffic; the forecast uses it.
         parts: Part of each tenant's allowance that belongs to this node, by index. A tenant without an entry
-            has 1/most of its allowance here.
+            has 1/max_count of its allowance here.
     """
 
-    most: int
-    up: float
+    max_count: int
+    active_count: float
     parts: tuple[float, ...] = ()
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -96,7 +96,7 @@
         raise RuntimeError("no such thing")
 
     monkeypatch.setattr("granitewell.balancing.balancer.Balancer.handle", boom)
-    link = simulator_adapter.Link()
+    link = simulator_adapter.BalancerInstances()
     link.answer(w.frame(1.0, w.create(0, 1, w.boot())))
     (action,) = w.read_reply(link.answer(w.frame(2.0, w.due(0, 0))))
     assert action[:2] == ("internal_error", 0) and b"no such thing" in action[2]
--- a/tests/test_sizing.py
+++ b/tests/test_sizing.py
@@ -99,7 +99,7 @@
 
 
 def test_slots_stay_under_what_is_known_of_the_hosts() -> None:
-    prefix = ActivePrefix(most_slots=2.0)
+    prefix = ActivePrefix(max_slots=2.0)
     for k in range(60):
         prefix.resize(k * SCALE_IN_INTERVAL_MS, 40, 10, 1.0, 0.0, reach(10))  # type: ignore[arg-type]
     assert prefix.slots == 2.0 and prefix.size == 10
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -50,17 +50,17 @@
 
 def test_reply_of_the_page() -> None:
     actions = [
-        simulator_protocol.record(3, t.Send(RID, w.HOST_A, 80.0)),
-        simulator_protocol.record(3, t.SetTimer(8912.25, 77)),
-        simulator_protocol.record(5, t.Log("two servers known")),
+        simulator_protocol.encode_action(3, t.Send(RID, w.HOST_A, 80.0)),
+        simulator_protocol.encode_action(3, t.SetTimer(8912.25, 77)),
+        simulator_protocol.encode_action(5, t.Log("two servers known")),
     ]
-    assert simulator_protocol.reply(actions) == unhex(HEX_REPLY)
+    assert simulator_protocol.encode_reply(actions) == unhex(HEX_REPLY)
 
 
 def test_empty_batch_of_the_page() -> None:
     now, events = simulator_protocol.Decoder().batch(unhex("00000000 10000000 00000000206ec040"))
     assert (now, events) == (8412.25, [])
-    assert simulator_protocol.reply([]) == unhex("00000000 08000000")
+    assert simulator_protocol.encode_reply([]) == unhex("00000000 08000000")
 
 
 def test_host_list_of_the_page() -> None:
@@ -110,12 +110,12 @@
     ],
 )
 def test_other_actions_of_the_page(action: t.Action, text: str) -> None:
-    assert simulator_protocol.record(3, action) == unhex(text)
+    assert simulator_protocol.encode_action(3, action) == unhex(text)
 
 
 def test_fault_of_the_page() -> None:
     expected = unhex("46 03000000 1200 696e646578206f7574206f662072616e6765")
-    assert simulator_protocol.fault(3, "index out of range") == expected
+    assert simulator_protocol.encode_fault(3, "index out of range") == expected
 
 
 def test_catalog_number_reused_within_a_batch() -> None:
