--- a/granitewell/balancing/balancer.py
+++ b/granitewell/balancing/balancer.py
@@ -578,17 +578,17 @@
         fresh = (
             math.exp((s.reported_load_at_ms - self._now) / REPORT_DECAY_MS) if s.reported_load_at_ms else 0.0
         )
-        health, held = s.class_health[class_index], s.in_flight
+        health, in_flight = s.class_health[class_index], s.in_flight
         # calls of another class that hang there do not delay this class
         for k, other in enumerate(s.class_health):
             if other is not health and other.in_flight and self._is_unhealthy(s, k):
-                held -= other.in_flight
+                in_flight -= other.in_flight
         # Other gateways also prefer fast hosts. If their load were presumed to be even, speed would count
         # twice and fast hosts would be overloaded. At a host that warms up they stay within its budget;
         # presuming as long a queue as elsewhere would leave it idle.
         slow = max(s.latency_ratio, 1.0 / self._capacity_share(s))
         queue = (
-            held
+            in_flight
             + fresh * s.reported_load
             + (1.0 - fresh) * self._others_in_flight * s.latency_ratio / (slow * slow)
         )
@@ -598,10 +598,10 @@
         if health.in_flight and self._mean_latency_ms:
             # unresponsive: calls are in flight and none returns. Grows smoothly, so a short pause costs
             # little
-            silent = (self._now - health.waiting_since_ms) / (
+            unanswered_ratio = (self._now - health.waiting_since_ms) / (
                 UNRESPONSIVE_LATENCY_RATIO * self._mean_latency_ms * max(s.latency_ratio, 1.0)
             )
-            score *= 1.0 + silent**3
+            score *= 1.0 + unanswered_ratio**3
         return score
 
     # --- Health, speed and slow start of hosts ----------------------------------------------------------
@@ -654,10 +654,10 @@
             value = report[k] if k < len(report) else math.nan
             return value if 0.0 <= value < 1e6 else math.nan
 
-        held = get(Field.INFLIGHT)
-        held = get(Field.QUEUE) if math.isnan(held) else held
-        if not math.isnan(held):
-            s.reported_load, s.reported_load_at_ms = max(held - s.in_flight, 0.0), self._now
+        in_flight = get(Field.INFLIGHT)
+        in_flight = get(Field.QUEUE) if math.isnan(in_flight) else in_flight
+        if not math.isnan(in_flight):
+            s.reported_load, s.reported_load_at_ms = max(in_flight - s.in_flight, 0.0), self._now
         service = get(Field.SERVICE_MS)
         if service > 0.0:
             s.reports_service_time = True
@@ -729,7 +729,7 @@
         """Whether a request exceeds this gateway's part of its tenant's allowance."""
         if tenant >= len(self._settings.tenants):
             return False
-        rate = self._active_gateways.share(tenant, self._settings.tenants[tenant].allowance_per_s / 1000)
+        rate = self._active_gateways.part_of(tenant, self._settings.tenants[tenant].allowance_per_s / 1000)
         bucket = self._allowance_buckets[tenant]
         tokens = min(bucket[0] + (self._now - bucket[1]) * rate, max(rate * ALLOWANCE_BURST_MS, 1.0))
         over = tokens < 1.0
@@ -840,13 +840,18 @@
         if server is not None:
             self._send(req, server)
         elif not any(t.pending for t in req.attempts):
-            tries_left = len(req.attempts) < self._settings.max_attempts
+            attempts_left = len(req.attempts) < self._settings.max_attempts
             end = (
                 req.due_ms
                 if req.reached_host
                 else req.received_at_ms + UNSENT_TIMEOUT_RATIO * (req.due_ms - req.received_at_ms)
             )
-            if tries_left and self._ready_hosts and self._now + HOST_WAIT_MS < end and self._may_reject(req):
+            if (
+                attempts_left
+                and self._ready_hosts
+                and self._now + HOST_WAIT_MS < end
+                and self._may_reject(req)
+            ):
                 self._schedule(self._now + HOST_WAIT_MS, self._dispatch, req)
             else:
                 # Rejections count as late only once a request has used up its attempts: a host may reject
@@ -1033,11 +1038,11 @@
         figures = {"prefix": self._prefix_size, "c": self._prefix.slots, "shedding": self._shed_level,
                    "late": self._late_ratio, "mean_ms": self._mean_latency_ms,
                    "repeats": self._retry_tokens}  # fmt: skip
-        held, rows = list(self._pending.values()), self._health.diagnostics
+        pending, rows = list(self._pending.values()), self._health.diagnostics
         return (
             figures,
             list(self._health.fleet_overloaded),
-            ((r.class_index, r.received_at_ms) for r in held),
+            ((r.class_index, r.received_at_ms) for r in pending),
             (
                 (s.id, s.rank < self._prefix_size, self._capacity_share(s), s.latency_ratio,
                  rows(s.class_health, s.zone, self._now))
--- a/granitewell/balancing/interface.py
+++ b/granitewell/balancing/interface.py
@@ -107,19 +107,19 @@
     Until the first such event, and again after each SettingsChanged, both counts are Settings.proxies.
 
     Attributes:
-        max_count: Upper bound of their number; budgets that they share are divided by it. active_count:
-        Smoothed number of those that share the traffic; the forecast is multiplied by it. parts: Part of each
-        tenant's allowance that belongs to this gateway, by index. A tenant without an entry
-            has 1/max_count of its allowance here.
+        max_count: Upper bound of their number; budgets that they share are divided by it.
+        active_count: Smoothed number of those that share the traffic; the forecast is multiplied by it.
+        parts: Part of each tenant's allowance that belongs to this gateway, by index. A tenant without an
+            entry has 1/max_count of its allowance here.
     """
 
     max_count: int
     active_count: float
     parts: tuple[float, ...] = ()
 
-    def share(self, tenant: int, whole: float) -> float:
+    def part_of(self, tenant: int, allowance: float) -> float:
         """This gateway's part of a tenant's allowance."""
-        return whole * self.parts[tenant] if tenant < len(self.parts) else whole / self.max_count
+        return allowance * self.parts[tenant] if tenant < len(self.parts) else allowance / self.max_count
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitewell/lab/mutants/catalogue.py
+++ b/granitewell/lab/mutants/catalogue.py
@@ -141,7 +141,7 @@
         (_core("if number >= request.attempts:", "if False:"),
          _policy("self._pick_host(req)\n            if len(req.attempts) < self._settings.max_attempts and",
                  "self._pick_host(req)\n            if"),
-         _policy("tries_left = len(req.attempts) < self._settings.max_attempts", "tries_left = True"),
+         _policy("attempts_left = len(req.attempts) < self._settings.max_attempts", "attempts_left = True"),
          _policy("if self._retry_tokens < 0.0:", "if False:")),
     ),
     Defect(
