--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The reducer by plain events: no socket, no clock. Each test names what the core guards against."""
+"""Tests of the reducer by events alone, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Script:
-    """A module that does what it is told: what to do with each kind of event."""
+    """A balancer that follows a script: a function for each type of event."""
 
     def __init__(self, **plays: Callable[[Any], list[t.Action]]) -> None:
         self.plays, self.seen = plays, list[t.Event]()
@@ -66,7 +66,7 @@
     return out
 
 
-def test_the_first_ok_is_the_answer_and_a_later_one_is_nobodys() -> None:
+def test_the_first_successful_call_is_the_response_and_later_ones_are_dropped() -> None:
     node = core(Script(Request=lambda e: [*send(e), t.Send(e.id, b"s-1")]))
     first, second = calls(ask(node, 1, 7, SAFE))
     (answer,) = node.handle(2, c.CallEnded(second.call, Outcome.OK, (), "body"))
@@ -76,8 +76,8 @@
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
-def test_an_unsafe_request_goes_out_again_only_if_it_never_ran(outcome: Outcome) -> None:
-    """Rule 2, against a module that would send again after anything."""
+def test_an_unsafe_request_is_retried_only_if_it_never_ran(outcome: Outcome) -> None:
+    """Rule 2, with a balancer that retries after any outcome."""
     script = Script(Request=send, Ended=lambda e: [] if e.final or e.attempt else send(e))
     node = core(script)
     (call,) = calls(ask(node, 1, 7))
@@ -85,7 +85,7 @@
     assert bool(again) == (outcome in c.NEVER_RAN)
 
 
-def test_a_refusal_of_what_may_have_run_becomes_a_failure() -> None:
+def test_rejecting_a_request_that_may_have_run_becomes_a_failure() -> None:
     node = core(Script(Request=send, Ended=lambda e: [t.Refuse(e.id, 100.0)]))
     (call,) = calls(ask(node, 1, 7))
     assert answers(node.handle(2, c.CallEnded(call.call, Outcome.RESET))) == [c.ResponseStatus.FAILED]
@@ -95,7 +95,7 @@
     ]
 
 
-def test_a_keyed_request_stays_in_its_cell_and_window() -> None:
+def test_a_keyed_request_is_retried_only_in_its_cell_and_window() -> None:
     script = Script(Request=send, Ended=lambda e: [t.Send(e.id, b"s-1"), t.Send(e.id, b"s-0")])
     node = core(script)
     (call,) = calls(ask(node, 1, 7, KEYED))
@@ -104,7 +104,7 @@
     assert not calls(node.handle(500_000, c.CallEnded(again.call, Outcome.ERROR)))  # the window is 400 ms
 
 
-def test_no_more_calls_than_the_site_allows() -> None:
+def test_a_request_makes_no_more_calls_than_allowed() -> None:
     node = core(Script(Request=send, Ended=send))
     effects, sent = ask(node, 1, 7), 0
     while found := calls(effects):
@@ -113,10 +113,10 @@
     assert sent == 4
 
 
-def test_an_endpoint_that_drains_gets_nothing_new_once_that_is_known() -> None:
-    """Rule 3. Its grace counts from when discovery's agent had the news, which may be heard late.
+def test_a_draining_endpoint_gets_no_new_calls_once_that_is_known() -> None:
+    """Rule 3. Its grace period counts from when the discovery agent was notified.
 
-    Once it is heard none of the grace is used.
+    The node may learn of it late, so it uses none of the grace period.
     """
     node = core(Script(Request=send))
     assert calls(ask(node, 999, 7))
@@ -127,16 +127,16 @@
     assert not calls(ask(node, 300_001, 9))
     node.handle(500_000, c.EndpointListUpdate(View.DELTA, (member(0),)))
     assert calls(ask(node, 500_001, 10))
-    node.handle(500_002, c.EndpointListUpdate(View.FULL, (member(1),)))  # gone by not being listed
+    node.handle(500_002, c.EndpointListUpdate(View.FULL, (member(1),)))  # gone, as it is not listed
     assert not calls(ask(node, 500_003, 11))
 
 
 @pytest.mark.parametrize("dialing", [True, False])
 def test_every_call_passes_one_gate_before_its_first_byte(dialing: bool) -> None:
-    """First or further, pooled or dialed.
+    """First attempts and retries, on pooled and on new connections.
 
-    The client is there, the endpoint may be sent to and has not moved, time is left, the class still allows
-    it. Pooled calls were asked of the endpoint alone.
+    Each must be checked for its client, its endpoint's state and address, its remaining time and its class.
+    Calls on pooled connections were once checked for the endpoint only.
     """
     base = w.settings(parallel_tries=True, may_cancel=False)
     classes = (*base.classes[:KEYED], replace(base.classes[KEYED], window_ms=100.0))
@@ -148,7 +148,7 @@
         node.handle(0, c.EndpointListUpdate(View.FULL, (member(0), member(1, cell=1))))
         node.handle(0, c.Listening())
         (call,) = calls(ask(node, max(first_at, 10), 7, cls))
-        if first_at >= 0:  # a further attempt, after one that may have run
+        if first_at >= 0:  # a retry, after an attempt that may have run
             assert node.may_write_call(call.call)
             (call,) = calls(node.handle(first_at + 50_000, c.CallEnded(call.call, Outcome.RESET)))
         now = 50_100
@@ -172,8 +172,8 @@
     assert not goes((100_011, c.Listening()), cls=KEYED, first_at=10)  # the window has closed during the dial
 
 
-def test_a_dial_is_looked_at_again_before_the_first_byte() -> None:
-    """A dial takes time, in which the client leaves, the time runs out or the endpoint drains."""
+def test_a_dialed_call_is_checked_again_before_its_first_byte() -> None:
+    """During a dial the client may leave, the time may run out, or the endpoint may start to drain."""
     script = Script(Request=send, Abandoned=lambda e: [t.Cancel(e.id, 0)])
     node = core(script)
 
@@ -197,8 +197,8 @@
 
 
 @pytest.mark.parametrize(("dialing", "says"), [(True, Outcome.UNCONNECTED), (False, Outcome.TIMEOUT)])
-def test_a_call_out_of_time_is_given_up(dialing: bool, says: Outcome) -> None:
-    """One that was still being dialed never ran; any other may have."""
+def test_a_call_that_times_out_is_abandoned(dialing: bool, says: Outcome) -> None:
+    """A call that was still being dialed never ran; any other may have run."""
     script = Script(Request=send)
     node = core(script)
     (call,) = calls(ask(node, 1, 7))
@@ -208,8 +208,8 @@
     assert [e.outcome for e in script.seen if isinstance(e, t.Ended)] == [says]
 
 
-def test_a_module_that_forgets_a_request_does_not_cost_its_answer() -> None:
-    """Rule 1: the core has the last word, inside the platform's slack of 50 ms."""
+def test_a_request_that_the_balancer_forgets_is_answered_as_failed() -> None:
+    """Rule 1: the core itself responds within the 50 ms of slack that the platform allows."""
     node = core(Script())
     ask(node, 0, 7)
     assert answers(wake(node, 899_999)) == []
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("where", ["Request", "Ended", "Timer", "Hosts"])
-def test_decisions_that_break_cost_their_own_request_only(where: str) -> None:
+def test_an_exception_in_the_balancer_fails_only_its_own_request(where: str) -> None:
     def boom(_: Any) -> list[t.Action]:
         raise RuntimeError("no such thing")
 
@@ -234,7 +234,7 @@
 
 
 def real(start: int = 0) -> tuple[c.Core, Balancer]:
-    """A node with the module itself, ready, with two endpoints, one of which has just started."""
+    """A ready node with the real balancer and two endpoints, one of which has just started."""
     settings = w.settings(parallel_tries=True, may_cancel=True)
     balancer = Balancer(settings, 1)
     node = c.Core(settings, balancer, 100)
@@ -244,11 +244,10 @@
 
 
 @pytest.mark.parametrize("where", ["_resize", "_update_weights", "_update_shedding", "_log_state"])
-def test_a_defect_in_the_periodic_work_does_not_end_it(where: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """One exception there, and the prefix stayed as it was until the next start.
-
-    For months, where nobody looks.
-    """
+def test_an_exception_in_the_periodic_work_does_not_stop_it(
+    where: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """After one exception the prefix was no longer resized until the process restarted."""
     node, balancer = real()
 
     def boom() -> None:
@@ -264,11 +263,11 @@
     assert calls(ask(node, 3_000_001, 7))
 
 
-def test_what_was_decided_before_a_defect_stands(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The actions of an event were dropped with the exception.
+def test_actions_decided_before_an_exception_are_carried_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An exception must not drop the actions that were decided before it.
 
-    The module counted a call as out that nobody made, and the endpoint as busy for good; what else was due
-    waited for the next request.
+    Otherwise the balancer counts a call as in flight that was never made, its endpoint stays busy for good,
+    and other due work waits for the next request.
     """
     node, balancer = real()
     overdue = balancer._health.overdue
@@ -285,8 +284,8 @@
     assert node.wake_us >= 0  # its timer runs
 
 
-def test_after_years_and_a_thousand_million_requests_it_decides_as_on_its_first_day() -> None:
-    """Times are whole microseconds and numbers without bound in the core, and floats at the module's door."""
+def test_years_of_uptime_and_billions_of_requests_do_not_change_decisions() -> None:
+    """The core uses integers without bound, but the balancer's times are floats, which lose precision."""
 
     def served(start: int, last: int) -> int:
         node, balancer = real(start)
@@ -308,7 +307,7 @@
         assert abs(served(start, last) - first) < 20
 
 
-def test_a_reducer_that_breaks_answers_the_request_it_broke_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_reducer_answers_the_request_as_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     node = core(Script(Request=send))
     (call,) = calls(ask(node, 1, 7))
     monkeypatch.setattr(node, "_end_call", lambda *_: 1 / 0)
@@ -316,7 +315,7 @@
     assert answers(ask(node, 3, 99, cls=77)) == [c.ResponseStatus.FAILED]  # a class that does not exist
 
 
-def test_a_client_that_leaves_is_owed_nothing() -> None:
+def test_a_client_that_disconnects_gets_no_response() -> None:
     node = core(Script(Request=send, Abandoned=lambda e: [t.Cancel(e.id, 0)]))
     (call,) = calls(ask(node, 1, 7))
     assert node.handle(2, c.DownstreamClosed(7)) == [c.AbandonCall(call.call)]
@@ -325,10 +324,10 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_the_call_of_a_body_that_will_never_be_whole_ends_with_its_client(may_cancel: bool) -> None:
-    """Where calls may not be called off it stayed for good.
+def test_a_call_with_an_incomplete_body_ends_when_its_client_disconnects(may_cancel: bool) -> None:
+    """Such a call has no timeout before the body's last byte.
 
-    It has no time-out of its own before its last byte.
+    Where calls may not be cancelled it stayed for good.
     """
     script = Script(Request=send, Abandoned=lambda e: [t.Cancel(e.id, 0)] if may_cancel else [])
     node = core(script)
@@ -340,7 +339,7 @@
     assert [e.outcome for e in script.seen if isinstance(e, t.Ended)] == [Outcome.CANCELLED]
 
 
-def test_a_full_table_refuses_without_asking_the_module() -> None:
+def test_a_full_request_table_rejects_without_the_balancer() -> None:
     script = Script()
     node = core(script, most=1, retry_after=True, max_retry_after_ms=1200.0)
     ask(node, 1, 7)
@@ -349,14 +348,14 @@
     assert sum(isinstance(e, t.Request) for e in script.seen) == 1
 
 
-def test_a_time_without_end_is_cut() -> None:
-    """A client that names eleven days would hold its place in every table for as long."""
+def test_an_excessive_timeout_is_limited() -> None:
+    """A client that asks for a timeout of eleven days would keep its table entries for as long."""
     node = core(Script(Request=send))
     (call,) = calls(ask(node, 0, 1, timeout=999_999_999_000))
     assert call.due_us == c.MIN_TIMEOUT_LIMIT_US
 
 
-def test_a_new_process_or_address_makes_idle_connections_useless() -> None:
+def test_a_new_process_or_address_closes_idle_connections() -> None:
     node = core(Script())
     assert node.handle(1, c.EndpointListUpdate(View.DELTA, (member(0),))) == []
     for changed in (member(0, port=90), member(0, port=90, started=5)):
@@ -371,7 +370,7 @@
 
     assert phase() is c.Phase.STARTING
     node.handle(0, c.Listening())
-    assert phase() is c.Phase.STARTING  # nobody to send to: not able to serve
+    assert phase() is c.Phase.STARTING  # no endpoint yet: unable to serve
     node.handle(0, c.EndpointListUpdate(View.CACHED, (member(0),)))
     assert phase() is c.Phase.READY
     (call,) = calls(ask(node, 1, 7, timeout=5_000_000))
@@ -387,8 +386,8 @@
     assert isinstance(last[-1], c.ExitProcess) and phase() is c.Phase.STOPPED
 
 
-def test_an_idle_node_hears_the_last_connections_before_it_leaves() -> None:
-    """What was in the backlog when the listener closed may hold a whole request that is not read yet."""
+def test_an_idle_node_reads_the_last_connections_before_it_exits() -> None:
+    """A connection in the backlog when the listener closed may hold a complete request, not read yet."""
     node = core(Script(Request=send))
     node.handle(0, c.StopRequested())
     assert [type(e) for e in wake(node, 599_000)] == [c.StopListening]
@@ -397,7 +396,7 @@
     assert type(node.handle(700_001, c.CallEnded(call.call, Outcome.OK))[0]) is c.SendResponse
 
 
-def test_a_stop_leaves_before_the_platform_kills() -> None:
+def test_a_stopped_node_exits_before_the_platform_kills_it() -> None:
     node = core(Script())
     ask(node, 1, 7, timeout=60_000_000)
     node.handle(2, c.StopRequested())
@@ -406,8 +405,8 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_random_days_end_each_request_once_and_run_no_ride_twice(seed: int) -> None:
-    """The real module under the core, with endpoints, clients and discovery that do as they like."""
+def test_random_events_end_each_request_once_and_run_no_unsafe_request_twice(seed: int) -> None:
+    """The core with the real balancer, and random events of endpoints, clients and discovery."""
     rng = random.Random(seed)
     settings = w.settings(parallel_tries=True, may_cancel=True)
     node = c.Core(settings, Balancer(settings, seed), 100)
@@ -477,17 +476,18 @@
 
 
 def streaming(node: c.Core) -> tuple[c.StartCall, list[c.Effects]]:
-    """A request whose answer has begun on its first call."""
+    """A request whose response has started on its first call."""
     call = calls(ask(node, 0, 1, SAFE))[0]
     return call, node.handle(50_000, c.ResponseStarted(call.call, "head"))
 
 
-def test_an_answer_in_parts_begins_once_and_ends_once_and_has_no_time_of_its_own() -> None:
+def test_a_streamed_response_starts_and_ends_once_and_has_no_timeout() -> None:
     script = Script(Request=send)
     node = core(script)
     call, effects = streaming(node)
     assert effects == [c.StartResponse(1, "head")]
-    # the module has its ending with the first byte: how quickly the client reads says nothing of the endpoint
+    # for the balancer the call ends with the first byte: how fast the client reads is not the endpoint's
+    # doing
     ended_for_it = [e for e in script.seen if isinstance(e, t.Ended)]
     assert [(e.outcome, e.elapsed_ms, e.final) for e in ended_for_it] == [(Outcome.OK, 50.0, True)]
     assert node.handle(60_000, c.ResponsePart(call.call, b"a")) == [c.SendResponsePart(1, b"a")]
@@ -501,7 +501,7 @@
     assert len([e for e in script.seen if isinstance(e, t.Ended)]) == 1
 
 
-def test_an_answer_that_breaks_off_is_seen_to_and_is_sent_nowhere_again() -> None:
+def test_a_streamed_response_that_breaks_off_is_not_retried() -> None:
     def again(event: t.Ended) -> list[t.Action]:
         return [t.Send(event.id, event.host), t.Refuse(event.id), t.Fail(event.id)]
 
@@ -512,14 +512,14 @@
     assert node.stats["failed"] == 1 and node.pending_count == 0
 
 
-def test_a_client_that_leaves_a_begun_answer_ends_its_call() -> None:
+def test_a_client_that_disconnects_during_a_response_ends_its_call() -> None:
     node = core(Script(Request=send))
     call, _ = streaming(node)
     assert node.handle(60_000, c.DownstreamClosed(1)) == [c.AbandonCall(call.call)]
     assert node.handle(61_000, c.ResponsePart(call.call, b"x")) == []
 
 
-def test_the_first_answer_that_begins_ends_the_second_copy() -> None:
+def test_the_first_response_to_start_abandons_the_other_call() -> None:
     def twice(event: t.Request) -> list[t.Action]:
         return [t.Send(event.id, member(0).id), t.Send(event.id, member(1).id)]
 
@@ -531,7 +531,7 @@
     assert node.stats["call_cancelled"] == 1
 
 
-def test_a_module_that_refuses_what_has_begun_changes_nothing() -> None:
+def test_rejecting_a_started_response_has_no_effect() -> None:
     def late(event: t.Ended) -> list[t.Action]:
         return [t.Refuse(event.id), t.Fail(event.id), t.Send(event.id, member(1).id)]
 
@@ -541,23 +541,22 @@
     assert node.pending_count == 1
 
 
-def test_the_kind_of_connection_is_passed_to_the_shell() -> None:
+def test_the_protocol_of_an_endpoint_is_passed_on_with_the_call() -> None:
     node = core(Script(Request=send))
     node.handle(0, c.EndpointListUpdate(View.FULL, (replace(member(0), protocol="h3"),)))
     assert calls(ask(node, 0, 1, SAFE))[0].protocol == "h3"
 
 
 def told(script: Script) -> dict[bytes, tuple[State, float]]:
-    """What the module was last told of each endpoint: its state and its start."""
+    """State and start of each endpoint as last reported to the balancer."""
     hosts = [h for e in script.seen if isinstance(e, t.Hosts) for h in e.hosts]
     return {h.id: (h.state, h.started_ms) for h in hosts}
 
 
-def test_a_ban_outlives_the_list_and_ends_with_one_call() -> None:
-    """The list says `ready` of a process that runs.
+def test_a_ban_outlasts_list_updates_and_ends_with_one_request() -> None:
+    """The list shows a running process as ready, but the ban takes precedence over every update.
 
-    The operators' word stands against it, however often the list comes, and one call back ends it however
-    often it was called out. What is back is taken for cold.
+    One request lifts a ban, however often it was repeated. The endpoint then counts as newly started.
     """
     script = Script()
     node = core(script)
@@ -576,17 +575,17 @@
     assert told(script)[b"s-0"] == (State.READY, 8.0)
 
 
-def test_an_endpoint_that_no_list_has_named_is_owed_a_no() -> None:
+def test_banning_an_endpoint_that_was_never_listed_is_an_error() -> None:
     node = core(Script())
     assert node.handle(1, c.BanRequested(1, b"s-9")) == [c.BanReply(1, c.BanResult.UNKNOWN)]
     node.handle(2, c.EndpointListUpdate(View.FULL, (member(1),)))
     assert node.handle(3, c.BanRequested(1, b"s-0"))[-1] == c.BanReply(
         1, c.BanResult.DONE
-    )  # gone, yet once listed
+    )  # gone, but listed before
 
 
-def test_nothing_is_sent_to_a_banned_endpoint_whatever_the_module_says() -> None:
-    """A dial that is under way when the ban comes must not end in a first byte.
+def test_nothing_is_sent_to_a_banned_endpoint_whatever_the_balancer_decides() -> None:
+    """A call that is being dialed when the ban comes must not be written.
 
     Nor may a call that is about to use an idle connection.
     """
@@ -602,18 +601,21 @@
     assert not calls(ask(node, 5, 3)) and node.stats["guarded"] == 1
 
 
-def test_bans_of_the_process_beside_this_one_bind_here() -> None:
+def test_bans_of_another_process_of_the_node_apply() -> None:
     script = Script()
     node = core(script)
     node.handle(10, c.BansLoaded(frozenset({b"s-0", b"s-7"}), {b"s-1": 4}))
     assert node.bans == {b"s-0", b"s-7"} and told(script)[b"s-0"][0] is State.GONE
     node.handle(20, c.BansLoaded(frozenset(), {b"s-0": 15}))
-    assert node.bans == {b"s-7"}  # nothing is said of it any more: a file that can't be read is no call back
+    assert node.bans == {b"s-7"}  # a missing entry may be an unreadable file, which lifts no ban
     assert told(script)[b"s-0"] == (State.READY, 0.015)
 
 
-def test_a_ban_that_could_not_be_written_down_is_not_lifted_by_an_older_file() -> None:
-    """It was out and back before; its file still says so when the next ban finds the folder full."""
+def test_a_ban_that_could_not_be_persisted_is_not_lifted_by_an_older_file() -> None:
+    """The endpoint was banned and unbanned before, and the disk is full when the next ban is written.
+
+    Its file then still has the older entry.
+    """
     node = core(Script())
     node.handle(50, c.BanRequested(1, b"s-0"))
     node.handle(60, c.BansLoaded(frozenset(), {b"s-0": 40}))
@@ -622,8 +624,8 @@
     assert not node.bans
 
 
-def test_what_is_remembered_of_endpoints_is_bounded() -> None:
-    """Successors have new ids: a node that runs for months would hold every one that there ever was."""
+def test_the_memory_of_known_endpoints_is_bounded() -> None:
+    """Successors have new ids: a node that runs for months must not remember all of them."""
     node = core(Script())
     node.handle(1, c.BanRequested(1, b"s-0"))
     for k in range(2, 13_000):
@@ -633,10 +635,10 @@
     assert node.handle(1_300_000_001, c.BanRequested(1, b"s-1")) == [c.BanReply(1, c.BanResult.UNKNOWN)]
 
 
-def test_a_stop_beside_another_process_leaves_the_listener_at_once_and_its_clients_late() -> None:
-    """What a client writes to a connection that it holds is turned back where that is closed.
+def test_a_stop_with_a_shared_listener_stops_listening_at_once_and_serves_open_connections() -> None:
+    """Another process accepts from the same listener, so closing it at once loses no connection.
 
-    The listener is the other process's too, so that nothing is lost there.
+    Requests on open connections would be lost if these were closed, so they are still served.
     """
     node = core(Script())
     assert c.StopListening() in node.handle(1, c.StopRequested(shared=True))
@@ -646,15 +648,15 @@
 
 
 def flowing(node: c.Core, cls: int = UNSAFE) -> c.StartCall:
-    """A request whose body still comes, out on its first call."""
+    """A request whose body is still arriving, with its first call pending."""
     (call,) = calls(node.handle(1, c.RequestReceived(1, cls, 0, 0, 900_000, "message", body_incomplete=True)))
     return call
 
 
-def test_the_time_of_a_body_that_flows_runs_from_its_last_byte() -> None:
-    """A client that takes ten seconds to send is owed its whole time after that.
+def test_the_timeout_of_a_streamed_request_starts_at_its_last_byte() -> None:
+    """A client that takes ten seconds to send its body still has its full timeout after that.
 
-    Neither its request nor the endpoint that waits for it is late meanwhile.
+    Until then neither the request nor the endpoint counts as late.
     """
     script = Script(Request=send)
     node = core(script)
@@ -666,8 +668,8 @@
     assert answers(wake(node, 10_930_000)) == [c.ResponseStatus.FAILED]
 
 
-def test_a_body_that_was_let_go_is_sent_nowhere_else() -> None:
-    """What is no longer held can't be repeated; its last byte was never written, so a refusal is safe."""
+def test_a_request_whose_body_was_released_is_not_retried() -> None:
+    """A released body can't be sent again. Its last byte was never written, so a rejection is safe."""
 
     def again(event: t.Ended) -> list[t.Action]:
         return [] if event.final else send(event)
@@ -679,7 +681,7 @@
     assert answers(effects) == [c.ResponseStatus.REJECTED] and not calls(effects) and node.pending_count == 0
 
 
-def test_one_body_feeds_one_call_at_a_time() -> None:
+def test_a_streamed_body_goes_to_one_call_at_a_time() -> None:
     def twice(event: t.Request) -> list[t.Action]:
         return [t.Send(event.id, b"s-0"), t.Send(event.id, b"s-1")]
 
@@ -688,15 +690,15 @@
     assert node.stats["sent"] == 1 and node.stats["guarded"] == 1
 
 
-def test_nor_does_it_feed_a_second_copy_once_it_is_whole() -> None:
-    """Two calls took turns at the same parts: neither endpoint got the body that the client had sent."""
+def test_a_streamed_body_goes_to_no_second_call_once_it_is_complete() -> None:
+    """Two calls would take alternate parts, and neither endpoint would get the complete body."""
     node = core(Script(Request=send, BodyComplete=lambda e: [t.Send(e.id, b"s-1")]))
     flowing(node, SAFE)
     assert not calls(node.handle(2, c.RequestBodyComplete(1))) and node.stats["guarded"] == 1
 
 
-def test_what_the_module_gives_up_while_its_body_comes_ends_with_its_call() -> None:
-    """The module's patience counts from the head; an endpoint has part of the body, and may still answer."""
+def test_a_request_given_up_during_its_body_ends_with_its_call() -> None:
+    """The balancer's deadline counts from the head; an endpoint with a part of the body may still respond."""
     node = core(Script(Request=lambda e: [*send(e), t.Fail(e.id)]))
     call = flowing(node)
     assert node.pending_count == 1
@@ -708,10 +710,12 @@
     assert node.handle(6, c.DownstreamClosed(1)) == [c.AbandonCall(call.call)]
 
 
-def test_whatever_breaks_at_a_calls_end_the_module_hears_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It counts its calls by that word alone.
+def test_an_exception_at_the_end_of_a_call_still_notifies_the_balancer(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Without it the balancer would count the call as in flight for good.
 
-    And the client would have heard of nothing until its time was over.
+    The client would have got no response until its timeout.
     """
     script = Script(Request=send)
     node = core(script)
@@ -729,10 +733,10 @@
     assert [e.outcome for e in script.seen if isinstance(e, t.Ended)] == [Outcome.OK]
 
 
-def test_what_comes_once_the_node_leaves_is_not_begun() -> None:
-    """While the last answers go out a client could still be heard.
+def test_a_request_that_arrives_while_the_node_exits_is_rejected() -> None:
+    """While the last responses are sent, a client could still send a request.
 
-    Its request ran, and the process ended without a word of it.
+    It ran, but the process ended before the response.
     """
     node = core(Script(Request=send))
     node.handle(1, c.StopRequested(True))
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""The judgement of health by host and class, on its own. Each test fails without the code it guards."""
+"""Tests of health by host and class. Each test fails without the code that it guards."""
 
 from __future__ import annotations
 
@@ -36,24 +36,24 @@
         h.ended(call, outcome, now + 1.0)
 
 
-def test_a_class_that_fails_leaves_the_other_class_well() -> None:
+def test_a_class_that_fails_leaves_the_other_class_healthy() -> None:
     h = health()
     pairs = h.new_host()
-    for k in range(8):  # the zone as a whole answers
+    for k in range(8):  # keeps the zone itself healthy
         play(h, pairs, SAFE, Outcome.ERROR, 10.0 * k)
         play(h, pairs, UNSAFE, Outcome.OK, 10.0 * k)
     assert h.is_unhealthy(pairs, SAFE, 0, 100.0) and not h.is_unhealthy(pairs, UNSAFE, 0, 100.0)
     assert h.failure_ratio(pairs, UNSAFE, 0, 100.0) == 0.0
 
 
-def test_a_connection_that_does_not_come_up_speaks_against_all_classes() -> None:
+def test_a_failed_connection_counts_against_all_classes() -> None:
     h = health()
     pairs = h.new_host()
     play(h, pairs, SAFE, Outcome.UNCONNECTED, 0.0, 3)
     assert h.is_unhealthy(pairs, UNSAFE, 0, 5.0) and pairs[UNSAFE].cause is Cause.REFUSING
 
 
-def test_calls_out_beyond_patience_speak_before_their_time_is_up_and_once() -> None:
+def test_overdue_calls_count_once_and_before_they_time_out() -> None:
     h = health()
     pairs = h.new_host()
     calls = [Call(pairs, SAFE, 0, 0.0) for _ in range(4)]
@@ -63,13 +63,13 @@
     assert h.overdue(PATIENCE_LATENCY_RATIO * 10.0 + 1.0) == calls
     assert h.overdue(PATIENCE_LATENCY_RATIO * 10.0 + 500.0) == []
     assert h.is_unhealthy(pairs, SAFE, 0, 70.0) and pairs[SAFE].cause is Cause.UNRESPONSIVE
-    for call in calls:  # answers that came too late clear nobody
+    for call in calls:  # late responses do not clear the host
         h.ended(call, Outcome.OK, 80.0)
     assert h.is_unhealthy(pairs, SAFE, 0, 80.0) and pairs[SAFE].cause is Cause.SLOW
 
 
-def test_quick_classes_have_a_least_patience() -> None:
-    # with answers of 1 ms a call out for 7 ms would else make its host ill: a busy machine is enough for that
+def test_fast_classes_have_a_minimum_patience() -> None:
+    # with responses of 1 ms a call pending for 7 ms would otherwise count: a busy machine is enough for that
     h: HealthTracker[Call] = HealthTracker((True, False), (100.0, 0.0))
     h.mean_ms, h.response_counts = [1.0, 1.0], [100.0, 100.0]
     pairs = h.new_host()
@@ -80,7 +80,7 @@
     assert h.overdue(101.0) == [quick]
 
 
-def test_a_class_not_known_yet_is_not_suspected() -> None:
+def test_a_class_without_enough_responses_is_not_suspected() -> None:
     h = health()
     h.response_counts[SAFE] = MIN_RESPONSES - 1
     call = Call(h.new_host(), SAFE, 0, 0.0)
@@ -88,7 +88,7 @@
     assert h.overdue(1e6) == []
 
 
-def test_where_most_hosts_look_ill_the_fleet_is_full_and_none_is() -> None:
+def test_if_most_hosts_look_unhealthy_the_fleet_is_overloaded_and_none_is() -> None:
     h = health()
     hosts = [(h.new_host(), zone) for zone in range(10)]
     for n, (pairs, _) in enumerate(hosts):
@@ -101,7 +101,7 @@
     assert not h.fleet_overloaded[UNSAFE] and 6 <= MAX_UNHEALTHY_RATIO * 10 < 7
 
 
-def test_what_was_ill_as_a_whole_comes_back_by_safe_requests() -> None:
+def test_a_host_unhealthy_for_all_classes_recovers_by_safe_requests() -> None:
     h = health()
     pairs = h.new_host()
     for cls in (SAFE, UNSAFE):
@@ -114,7 +114,7 @@
     assert not h.is_unhealthy(pairs, UNSAFE, 0, 40.0)
 
 
-def test_a_class_ill_by_itself_is_not_cleared_by_another() -> None:
+def test_a_class_that_alone_is_unhealthy_is_not_cleared_by_another() -> None:
     h = health()
     pairs = h.new_host()
     play(h, pairs, UNSAFE, Outcome.TIMEOUT, 0.0, 8)
@@ -122,7 +122,7 @@
     assert h.failure_ratio(pairs, UNSAFE, 9, 20.0) > 0.8
 
 
-def test_most_of_a_zone_unanswered_speaks_against_all_its_hosts() -> None:
+def test_a_mostly_unanswered_zone_counts_against_all_its_hosts() -> None:
     h = health()
     pairs, other = h.new_host(), h.new_host()
     play(h, pairs, SAFE, Outcome.RESET, 0.0, 12)
@@ -132,7 +132,9 @@
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 1), st.sampled_from(ENDS), st.integers(0, 400)),
                 max_size=80))  # fmt: skip
-def test_shares_stay_shares_and_calls_are_counted(days: list[tuple[int, int, Outcome, int]]) -> None:
+def test_failure_ratios_stay_in_range_and_calls_are_counted(
+    days: list[tuple[int, int, Outcome, int]],
+) -> None:
     h = health()
     hosts = [(h.new_host(), zone % 2) for zone in range(3)]
     now, out = 0.0, list[Call]()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Behaviours of the module, without the bench. Each test fails without the code it guards."""
+"""Tests of the balancer by events alone. Each test fails without the code that it guards."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     return out
 
 
-# --- the latency model, by hand ---
+# --- Latency model, compared with values calculated by hand ---
 
 
 def model(latency: float, rtt: float, samples: list[float], aim: float, rate: float, n: int = 40) -> int:
@@ -79,23 +79,23 @@
     assert 5 < n <= 9
 
 
-def test_model_bounds_what_no_count_of_slots_can_mend() -> None:
-    # service alone takes 500 against an aim of 200: waits count against its own percentile instead
+def test_model_stays_bounded_if_service_times_alone_miss_the_target() -> None:
+    # service alone takes 500 ms, the target is 200 ms: the service time's own percentile is the bound instead
     n = model(501.0, 1.0, [500.0] * 100, 200.0, 0.1)
     assert 50 < n < 80
 
 
-def test_no_samples_or_no_hosts_is_no_fault() -> None:
+def test_no_samples_or_no_hosts_is_handled() -> None:
     b = balancer(0)
     assert b._slots_needed(5.0) == 1
     b._resize()
     assert b._prefix_size == 0
     b = balancer(7)
     b._resize()
-    assert b._prefix_size == 7  # nothing measured yet: every host
+    assert b._prefix_size == 7  # nothing measured yet: all hosts
 
 
-def test_prefix_shrinks_seldom_and_grows_at_once() -> None:
+def test_prefix_shrinks_slowly_and_grows_at_once() -> None:
     b = balancer(20)
     b._latency_samples.extend([(10.0, 200.0)] * 100)
     b._mean_latency_ms = b._best_latency_ms = 10.0
@@ -124,23 +124,23 @@
     assert b._forecast() == 0.0
 
 
-# --- final answers and repeats ---
+# --- Final responses and retries ---
 
 
-def test_a_request_without_hosts_is_refused_by_its_deadline() -> None:
+def test_a_request_without_hosts_is_rejected_by_its_deadline() -> None:
     b = balancer(0)
     actions = b.handle(1.0, Request(1, 1, 0, 0, 300.0, 0.0)) + timers(b, 2.0, 300.0)
     assert [a for a in actions if isinstance(a, Refuse | Fail)] == [Refuse(1)]
 
 
-def test_a_silent_host_ends_in_a_failure_at_the_deadline() -> None:
+def test_an_unresponsive_host_fails_the_request_at_its_deadline() -> None:
     b = balancer()
     assert len(sends(b.handle(1.0, Request(1, 1, 0, 0, 300.0, 0.0)))) == 1
     assert not [a for a in timers(b, 2.0, 299.0) if isinstance(a, Send | Refuse | Fail)]
     assert Fail(1) in b.handle(300.0, Timer(0))
 
 
-def test_never_ran_is_retried_elsewhere_after_a_wait() -> None:
+def test_a_request_that_never_ran_is_retried_after_a_wait() -> None:
     b = balancer()
     (first,) = sends(b.handle(1.0, Request(1, 1, 0, 0, 900.0, 0.0)))
     assert not sends(b.handle(2.0, Ended(1, 0, first.host, Outcome.FULL, 1.0, False)))
@@ -148,14 +148,14 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED])
-def test_unsafe_that_may_have_run_fails_and_is_never_refused(outcome: Outcome) -> None:
+def test_an_unsafe_request_that_may_have_run_fails_and_is_never_rejected(outcome: Outcome) -> None:
     b = balancer()
     (first,) = sends(b.handle(1.0, Request(1, 1, 0, 0, 900.0, 0.0)))
     actions = b.handle(9.0, Ended(1, 0, first.host, outcome, 8.0, False)) + timers(b, 10.0, 950.0)
     assert [a for a in actions if isinstance(a, Send | Refuse | Fail)] == [Fail(1)]
 
 
-def test_keyed_is_resent_within_its_cell_and_window_only() -> None:
+def test_a_keyed_request_is_retried_only_within_its_cell_and_window() -> None:
     for seed in range(8):
         b = balancer(seed=seed)
         (first,) = sends(b.handle(1.0, Request(1, 2, 0, 0, 900.0, 0.0)))
@@ -167,7 +167,7 @@
         assert [a for a in late if isinstance(a, Send | Refuse | Fail)] == [Fail(1)]
 
 
-def test_an_abandoned_request_gets_nothing_more() -> None:
+def test_an_abandoned_request_gets_no_further_action() -> None:
     b = balancer()
     (first,) = sends(b.handle(1.0, Request(1, 0, 0, 0, 300.0, 0.0)))
     b.handle(2.0, Abandoned(1))
@@ -175,10 +175,10 @@
     assert not [a for a in actions if isinstance(a, Send | Refuse | Fail)]
 
 
-# --- drains, cold hosts, discovery ---
+# --- Draining hosts, slow start, discovery ---
 
 
-def test_nothing_new_goes_to_a_draining_or_gone_host() -> None:
+def test_a_draining_or_gone_host_gets_no_new_requests() -> None:
     b = balancer(2)
     b.handle(1.0, Hosts(View.DELTA, (host(0, State.DRAINING),)))
     got = {s.host for k in range(50) for s in sends(b.handle(2.0, Request(k, 0, 0, 0, 900.0, 0.0)))}
@@ -188,14 +188,14 @@
     assert got == {host(0).id}
 
 
-def test_a_gateway_that_measured_nothing_spares_a_cold_host() -> None:
+def test_a_gateway_without_measurements_spares_a_host_that_warms_up() -> None:
     b = balancer(3)
     b.handle(1.0, Hosts(View.DELTA, (host(0, started=0.5),)))
     got = [s.host for k in range(200) for s in sends(b.handle(2.0, Request(k, 0, 0, 0, 900.0, 0.0)))]
     assert got.count(host(0).id) <= 1 and len(got) == 200
 
 
-def test_discovery_is_watched_and_asked_anew_with_growing_waits() -> None:
+def test_discovery_is_watched_and_retried_with_backoff() -> None:
     b = balancer(3, must_ask=True, must_ask_in_ms=10000.0)
     asked = [a for a in timers(b, 0.0, 5001.0, 50.0) if isinstance(a, Watch)]
     assert asked == [Watch(True)]
@@ -210,7 +210,7 @@
     assert gaps[0] < gaps[-1] <= 10000.0 + 50.0
 
 
-def test_a_key_keeps_its_home_at_every_gateway_unless_it_is_crowded() -> None:
+def test_a_key_maps_to_one_host_at_every_gateway_unless_that_is_loaded() -> None:
     homes = set()
     for seed in range(6):
         b = balancer(40, seed=seed, warm_keys=True)
@@ -220,15 +220,15 @@
     assert max(map(crowd.count, set(crowd))) < 15
 
 
-# --- pick and shedding ---
+# --- Host selection and load shedding ---
 
 
 def answer(b: Balancer, now: float, s: Send, ms: float, outcome: Outcome = Outcome.OK) -> None:
     b.handle(now, Ended(s.id, 0, s.host, outcome, ms, outcome is Outcome.OK))
 
 
-def test_a_slow_host_and_a_failing_host_get_fewer() -> None:
-    """Over several seeds: in one of thirty chance alone gives the slow host a fair part."""
+def test_a_slow_host_and_a_failing_host_get_fewer_requests() -> None:
+    """Over several seeds, as chance alone gives the slow host a fair share in one of thirty."""
     count: dict[bytes, int] = {}
     for seed in range(1, 6):
         b = balancer(6, seed=seed)
@@ -246,9 +246,10 @@
 
 
 def hung_class(b: Balancer, n: int = 6) -> tuple[dict[tuple[int, bytes], int], list[float]]:
-    """Half of the hosts leave class 0 unanswered from 2 s on.
+    """Half of the hosts don't answer class 0 from 2 s on.
 
-    What each got of each class after 4 s, and the shedding level over time.
+    Returns:
+        Requests of each class that each host got after 4 s, and the shedding level over time.
     """
     open_: list[tuple[float, Send]] = []
     count: dict[tuple[int, bytes], int] = {}
@@ -270,16 +271,16 @@
     return count, levels
 
 
-def test_a_class_that_hangs_at_half_of_the_hosts_leaves_the_other_class_there() -> None:
+def test_a_class_that_hangs_at_half_of_the_hosts_does_not_move_the_other_class() -> None:
     count, levels = hung_class(balancer(6, seed=3))
     ill = [host(k).id for k in range(3)]
     well = [host(k).id for k in range(3, 6)]
     assert sum(count.get((0, h), 0) for h in ill) < 0.1 * sum(count.get((0, h), 0) for h in well)
     assert sum(count.get((1, h), 0) for h in ill) > 0.7 * sum(count.get((1, h), 0) for h in well)
-    assert max(levels) < 0.05  # hung calls show no want of room at the others
+    assert max(levels) < 0.05  # hung calls do not show that the other hosts are overloaded
 
 
-def test_a_lost_zone_is_left_before_each_of_its_hosts_has_cost_a_request() -> None:
+def test_a_lost_zone_is_avoided_before_each_of_its_hosts_has_failed_a_request() -> None:
     b = Balancer(w.settings(), 5)
     b.handle(0.0, Hosts(View.FULL, tuple(host(k, zone=k % 2) for k in range(80))))
     lost: set[bytes] = set()
@@ -297,8 +298,9 @@
     assert len(lost) < 25 and sent < 40
 
 
-def test_the_unseen_load_does_not_count_speed_twice() -> None:
-    # odds follow speed; were the load of others held for even, a fast host would win nearly every time
+def test_the_estimated_load_of_other_gateways_does_not_count_speed_twice() -> None:
+    # Weights follow speed. If the load of other gateways were presumed even, a fast host would win nearly
+    # always.
     b = balancer(2)
     fast, slow = b._ready_hosts
     fast.latency_ratio, slow.latency_ratio, b._others_in_flight = 1.0, 2.0, 20.0
@@ -307,17 +309,17 @@
     assert b._score(fast, 0) > b._score(slow, 0) - 2.0
 
 
-def test_slopes_that_chance_would_show_do_not_move_the_forecast() -> None:
+def test_slopes_within_chance_do_not_move_the_forecast() -> None:
     b = balancer()
     b._arrival_counts.extend([4, 6] * 9 + [7, 6])
     assert b._forecast() == pytest.approx(sum(b._arrival_counts) / 20 / SIZING_PERIOD_MS)
 
 
 @pytest.mark.parametrize(("price", "least", "most"), [(0.02, 0.7, 0.98), (0.0, 0.2, 0.55)])
-def test_hosts_of_the_own_zone_come_first_while_they_have_room(
+def test_hosts_of_the_own_zone_come_first_while_they_have_capacity(
     price: float, least: float, most: float
 ) -> None:
-    """Crossing zones has a price, and two thirds of all requests paid it; but a zone that is full spills."""
+    """Crossing zones has a price, which two thirds of all requests paid; a full zone must still overflow."""
     b = Balancer(w.settings(zone=1, cross_zone_price=price), 5)
     b.handle(0.0, Hosts(View.FULL, tuple(host(k, zone=k % 3) for k in range(9))))
     near = total = 0
@@ -331,13 +333,13 @@
             total += 1
             near += s.host in {host(j).id for j in (1, 4, 7)}
     assert least < near / total < most
-    for k in range(2000, 2060):  # at once, with none answered
+    for k in range(2000, 2060):  # at once, without responses
         b.handle(8000.0, Request(k, 0, 0, 0, 9000.0, 0.0))
     far = [t.server.zone for (rid, _), t in b._in_flight.items() if rid >= 2000]
     assert any(z != 1 for z in far)
 
 
-def test_a_hung_host_is_left_alone_but_for_a_few() -> None:
+def test_a_hung_host_gets_only_a_few_requests() -> None:
     b = balancer(6, seed=3)
     lost = 0
     for k in range(2000):
@@ -351,7 +353,7 @@
     assert 0 < lost < 30
 
 
-def test_shedding_takes_the_least_worth_and_ends_with_its_cause() -> None:
+def test_shedding_rejects_the_least_worth_and_ends_with_its_cause() -> None:
     b = balancer(6)
     refused = {0: 0, 1: 0}
     for k in range(1800):
@@ -369,11 +371,11 @@
     assert b._shed_level < 0.05
 
 
-def test_hosts_that_turn_away_with_an_empty_queue_cause_no_shedding() -> None:
-    """Half of the hosts turned a third away at once.
+def test_hosts_that_reject_with_an_empty_queue_cause_no_shedding() -> None:
+    """Half of the hosts reject a third of their requests at once.
 
-    Each such answer counted as late and as a failure: three quarters of all was refused, while the hosts left
-    over queued and those that turn away stood idle.
+    When each rejection counted as late and as a failure, three quarters of all requests were rejected, while
+    the other hosts queued and the rejecting ones were idle.
     """
     b = balancer(10)
     picky, refused = {host(k).id for k in range(5)}, 0
@@ -389,19 +391,19 @@
     assert refused == 0 and b._shed_level == 0.0
 
 
-def test_shedding_ends_soon_once_answers_come_in_time() -> None:
-    """It went on for ten seconds after its cause, and what it refused came back as retries."""
+def test_shedding_ends_soon_once_responses_are_in_time() -> None:
+    """Shedding went on for ten seconds after its cause, and rejected requests came back as retries."""
     b = balancer(6)
     b._shed_level = 0.6
-    b._mean_latency_ms = 190.0  # a mean over a hundred answers tells of queues that have gone
+    b._mean_latency_ms = 190.0  # a mean over a hundred responses still includes queues of the past
     for _ in range(12):  # three seconds
         b._judged_count += 50.0
         b._update_shedding()
     assert b._shed_level < 0.05
 
 
-def test_a_request_that_no_host_has_had_is_given_up_before_half_its_time() -> None:
-    """Refused or failed later it costs more, and the client has no time left for its next try."""
+def test_a_request_that_reached_no_host_is_rejected_before_half_its_time() -> None:
+    """A later rejection costs more, and the client has no time left for its next attempt."""
     b = balancer(0)
     actions = b.handle(1.0, Request(1, 1, 0, 0, 301.0, 0.0)) + timers(b, 2.0, 150.0)
     assert Refuse(1) in actions
@@ -414,21 +416,21 @@
     assert 5 <= sent < 30
 
 
-def test_attempts_that_hung_hosts_hold_do_not_fill_the_bound() -> None:
-    # without this, a few hung hosts make a gateway refuse what healthy hosts have room for
+def test_attempts_at_hung_hosts_do_not_use_up_the_in_flight_limit() -> None:
+    # otherwise a few hung hosts make a gateway reject requests that healthy hosts could serve
     b = balancer(6)
     for k in range(40):
         b.handle(1.0, Request(k, 0, 0, 0, 5000.0, 0.0))
-    b._now = 900.0  # all 40 are past their aim of 200
+    b._now = 900.0  # all 40 have missed their latency target of 200 ms
     b._update_shedding()
-    assert b._in_flight_limit < 10.0  # at hosts that are well they are the queue that the bound is for
+    assert b._in_flight_limit < 10.0  # at healthy hosts they are the queue that the limit is for
     for s in b._ready_hosts[:3]:
         s.class_health[0].failure_ratio, s.class_health[0].failure_ratio_at_ms = 0.9, 900.0
     b._update_shedding()
     assert b._in_flight_limit >= sum(s.in_flight for s in b._ready_hosts[:3]) > 5
 
 
-def test_reports_of_any_kind_do_no_harm() -> None:
+def test_malformed_load_reports_do_no_harm() -> None:
     fields = (Field.UTIL, Field.QUEUE, Field.SERVED_PER_S, Field.SERVICE_MS)
     for bad in ((), (0.0,) * 4, (math.nan,) * 4, (math.inf,) * 4, (-5.0,) * 4, (1e30,) * 4, (0.5,)):
         b = balancer(4, report_fields=fields)
@@ -444,17 +446,17 @@
         assert all(math.isfinite(b._score(s, 0)) and 0.3 < s.latency_ratio < 11.0 for s in b._ready_hosts)
 
 
-# --- misuse ---
+# --- Invalid input ---
 
 
-def test_the_clock_may_step_back() -> None:
+def test_the_clock_may_go_back() -> None:
     b = balancer()
     b.handle(100.0, Timer(0))
     (s,) = sends(b.handle(50.0, Request(1, 0, 0, 0, 300.0, 0.0)))
     assert s.timeout_ms == pytest.approx(200.0)
 
 
-def test_a_duplicate_id_is_passed_over() -> None:
+def test_a_duplicate_request_id_is_ignored() -> None:
     b = balancer()
     assert len(sends(b.handle(1.0, Request(1, 0, 0, 0, 300.0, 0.0)))) == 1
     assert not sends(b.handle(2.0, Request(1, 0, 0, 0, 300.0, 0.0)))
@@ -486,7 +488,7 @@
     b = balancer()
     armed: list[float] = []
     fired = 0
-    for k in range(300):  # deadlines that keep moving nearer arm timers that later ones supersede
+    for k in range(300):  # ever nearer deadlines supersede the armed timers
         actions = b.handle(1.0 + k, Request(k, 1, 0, 0, 2000.0 - 3 * k, 0.0))
         armed += [a.at_ms for a in actions if isinstance(a, SetTimer)]
     while armed and fired < 20000 and min(armed) < 6000.0:
@@ -497,13 +499,13 @@
     assert fired < 1000
 
 
-def test_an_unknown_class_ends_in_one_answer() -> None:
+def test_an_unknown_class_gets_one_response() -> None:
     b = balancer()
     actions = b.handle(1.0, Request(1, 9, 0, 0, 300.0, 0.0))
     assert [a for a in actions if not isinstance(a, SetTimer)] == [Fail(1)]
 
 
-def test_log_lines_come_seldom() -> None:
+def test_log_lines_are_rate_limited() -> None:
     b = balancer()
     lines = []
     for k in range(400):
@@ -513,8 +515,8 @@
     assert "prefix" in lines[-1].line and "shedding" in lines[-1].line
 
 
-def test_what_a_warm_host_bears_does_not_fall_when_answers_stay_away() -> None:
-    # else the cold, whose share rests on it, get ever less while they are all that is left
+def test_the_rate_of_a_warm_host_does_not_fall_with_missing_responses() -> None:
+    # otherwise hosts that warm up, whose budget depends on it, would get less and less
     b = balancer(6, seed=2)
     now = 0.0
     for k in range(3000):
@@ -532,8 +534,8 @@
     assert b._peak_host_rate > 0.8 * bears
 
 
-def test_a_lost_zone_is_found_out_by_one_try_at_a_time() -> None:
-    """A gateway that tries each of twenty ill hosts twice a second spends its safe requests on them."""
+def test_a_lost_zone_is_tested_by_one_attempt_at_a_time() -> None:
+    """A gateway that tests each of twenty unhealthy hosts twice a second wastes its safe requests."""
     b = Balancer(w.settings(parallel_tries=True), 5)
     b.handle(0.0, Hosts(View.FULL, tuple(host(k, zone=k % 3) for k in range(60))))
     tries, down = 0, list[tuple[float, Send]]()
@@ -549,21 +551,21 @@
                 tries += now > 4000.0
             else:
                 answer(b, now, s, 20.0)
-    assert 4 < tries < 24  # in eight seconds; each host at a time of its own made it 31 to 43
+    assert 4 < tries < 24  # in eight seconds; with a test interval per host it was 31 to 43
 
 
-def test_a_cold_host_is_not_held_for_as_busy_as_the_warm() -> None:
-    """Thirty gateways' unseen load, held for the same everywhere, left cold hosts idle, warm ones full."""
+def test_a_host_that_warms_up_is_not_presumed_as_busy_as_warm_ones() -> None:
+    """The load of thirty gateways, presumed even, left new hosts idle and overloaded warm ones."""
     b = Balancer(w.settings(), 1)
     started = [host(0), host(1, started=1.0)]
     b.handle(0.0, Hosts(View.FULL, tuple(started)))
     b._now, b._others_in_flight = 1000.0, 10.0
     warm, cold = sorted(b._ready_hosts, key=lambda s: s.started_ms)
     assert b._capacity_share(cold) < 0.4
-    assert b._score(cold, 0) < b._score(warm, 0)  # others keep to its budget, so there must be room
-    warm.reported_load_at_ms = cold.reported_load_at_ms = 1000.0  # but what it reports counts
+    assert b._score(cold, 0) < b._score(warm, 0)  # others keep to its budget, so it must have capacity
+    warm.reported_load_at_ms = cold.reported_load_at_ms = 1000.0  # but reported load counts in full
     warm.reported_load, cold.reported_load = 10.0, 10.0
     assert b._score(cold, 0) > 2.0 * b._score(warm, 0)
     b._others_in_flight = 0.0
     warm.reported_load = cold.reported_load = 0.0
-    assert b._score(cold, 0) > 2.0 * b._score(warm, 0)  # and where nobody waits it is the slower one
+    assert b._score(cold, 0) > 2.0 * b._score(warm, 0)  # and without any load it is the slower one
--- a/tests/test_sizing.py
+++ b/tests/test_sizing.py
@@ -1,4 +1,4 @@
-"""The sizing that the balancer and the data plane share."""
+"""Tests of the prefix sizing that the balancer and the data plane share."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 @given(st.lists(st.integers(0, 1000), max_size=20), st.floats(0.0, 10_000.0))
-def test_a_forecast_is_never_below_zero_nor_twice_the_most(counts: list[int], setup: float) -> None:
+def test_a_forecast_stays_between_zero_and_twice_the_maximum(counts: list[int], setup: float) -> None:
     assert 0.0 <= forecast(counts, setup) <= 2 * max(counts, default=0) / SIZING_PERIOD_MS
 
 
 def test_a_forecast_looks_a_set_up_time_ahead() -> None:
-    line = list(range(100, 140, 2))  # steep enough to be no chance
+    line = list(range(100, 140, 2))  # too steep for chance
     assert math.isclose(forecast(line), (138 + 2 * HOST_SETUP_MS / SIZING_PERIOD_MS) / SIZING_PERIOD_MS)
     assert math.isclose(forecast(line, 500.0), 142 / SIZING_PERIOD_MS)
     assert math.isclose(
@@ -45,7 +45,7 @@
 
 
 def test_eq_1_by_hand() -> None:
-    """d1 = 0.5, d1 + d2 + delta = 6, u at its 99th percentile: the wait that the aim leaves, and no more."""
+    """d1 = 0.5, d1 + d2 + delta = 6, u at its 99th percentile: the wait just meets the latency target."""
 
     class Fixed(Random):
         def random(self) -> float:
@@ -71,7 +71,7 @@
     ),
     st.integers(1, 30),
 )
-def test_a_prefix_grows_at_once_and_shrinks_seldom(
+def test_a_prefix_grows_at_once_and_shrinks_slowly(
     steps: list[tuple[float, int, float, float]], hosts: int
 ) -> None:
     prefix, now, shrunk_at = ActivePrefix(21.0), 0.0, -math.inf
@@ -89,7 +89,7 @@
             shrunk_at = now
 
 
-def test_slots_are_learned_while_it_is_calm_and_let_go_when_it_is_not() -> None:
+def test_slots_grow_while_latency_is_low_and_are_reset_when_it_is_not() -> None:
     prefix = ActivePrefix()
     for k in range(60):
         prefix.resize(k * SCALE_IN_INTERVAL_MS, 4, 10, 1.0, 0.0, reach(10))  # type: ignore[arg-type]
@@ -98,7 +98,7 @@
     assert prefix.size == 10
 
 
-def test_slots_stay_under_what_is_known_of_the_hosts() -> None:
+def test_slots_stay_under_the_known_slots_of_the_hosts() -> None:
     prefix = ActivePrefix(max_slots=2.0)
     for k in range(60):
         prefix.resize(k * SCALE_IN_INTERVAL_MS, 40, 10, 1.0, 0.0, reach(10))  # type: ignore[arg-type]
