--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -18,7 +18,7 @@
 )
 
 SAFE, UNSAFE = 0, 1
-ENDS = [o for o in Outcome]
+OUTCOMES = [o for o in Outcome]
 
 
 def health() -> HealthTracker[Call]:
@@ -27,7 +27,7 @@
     return made
 
 
-def play(
+def send_and_end(
     h: HealthTracker[Call], pairs: list[ClassHealth], cls: int, outcome: Outcome, now: float, n: int = 1
 ) -> None:
     for _ in range(n):
@@ -40,8 +40,8 @@
     h = health()
     pairs = h.new_host()
     for k in range(8):  # keeps the zone itself healthy
-        play(h, pairs, SAFE, Outcome.ERROR, 10.0 * k)
-        play(h, pairs, UNSAFE, Outcome.OK, 10.0 * k)
+        send_and_end(h, pairs, SAFE, Outcome.ERROR, 10.0 * k)
+        send_and_end(h, pairs, UNSAFE, Outcome.OK, 10.0 * k)
     assert h.is_unhealthy(pairs, SAFE, 0, 100.0) and not h.is_unhealthy(pairs, UNSAFE, 0, 100.0)
     assert h.failure_ratio(pairs, UNSAFE, 0, 100.0) == 0.0
 
@@ -49,7 +49,7 @@
 def test_a_failed_connection_counts_against_all_classes() -> None:
     h = health()
     pairs = h.new_host()
-    play(h, pairs, SAFE, Outcome.UNCONNECTED, 0.0, 3)
+    send_and_end(h, pairs, SAFE, Outcome.UNCONNECTED, 0.0, 3)
     assert h.is_unhealthy(pairs, UNSAFE, 0, 5.0) and pairs[UNSAFE].cause is Cause.REFUSING
 
 
@@ -92,10 +92,10 @@
     h = health()
     hosts = [(h.new_host(), zone) for zone in range(10)]
     for n, (pairs, _) in enumerate(hosts):
-        play(h, pairs, SAFE, Outcome.ERROR if n < 6 else Outcome.OK, 0.0, 6)
+        send_and_end(h, pairs, SAFE, Outcome.ERROR if n < 6 else Outcome.OK, 0.0, 6)
     assert len(h.review(hosts, 5.0)) == 6 and not h.fleet_overloaded[SAFE]
     assert h.is_unhealthy(*hosts[0][:1], SAFE, 0, 5.0)
-    play(h, hosts[6][0], SAFE, Outcome.ERROR, 6.0, 6)
+    send_and_end(h, hosts[6][0], SAFE, Outcome.ERROR, 6.0, 6)
     assert [(n, k) for n, k, _ in h.review(hosts, 10.0)] == [(6, SAFE)]
     assert h.fleet_overloaded[SAFE] and not h.is_unhealthy(hosts[0][0], SAFE, 0, 10.0)
     assert not h.fleet_overloaded[UNSAFE] and 6 <= MAX_UNHEALTHY_RATIO * 10 < 7
@@ -105,43 +105,47 @@
     h = health()
     pairs = h.new_host()
     for cls in (SAFE, UNSAFE):
-        play(h, pairs, cls, Outcome.TIMEOUT, 0.0, 8)
+        send_and_end(h, pairs, cls, Outcome.TIMEOUT, 0.0, 8)
     assert h.is_unhealthy(pairs, UNSAFE, 0, 10.0)
     before = pairs[UNSAFE].failure_ratio
-    play(h, pairs, SAFE, Outcome.OK, 20.0)
+    send_and_end(h, pairs, SAFE, Outcome.OK, 20.0)
     assert pairs[UNSAFE].failure_ratio < 0.6 * before
-    play(h, pairs, SAFE, Outcome.OK, 30.0, 12)
+    send_and_end(h, pairs, SAFE, Outcome.OK, 30.0, 12)
     assert not h.is_unhealthy(pairs, UNSAFE, 0, 40.0)
 
 
 def test_a_class_that_alone_is_unhealthy_is_not_cleared_by_another() -> None:
     h = health()
     pairs = h.new_host()
-    play(h, pairs, UNSAFE, Outcome.TIMEOUT, 0.0, 8)
-    play(h, pairs, SAFE, Outcome.OK, 10.0, 40)
+    send_and_end(h, pairs, UNSAFE, Outcome.TIMEOUT, 0.0, 8)
+    send_and_end(h, pairs, SAFE, Outcome.OK, 10.0, 40)
     assert h.failure_ratio(pairs, UNSAFE, 9, 20.0) > 0.8
 
 
 def test_a_mostly_unanswered_zone_counts_against_all_its_hosts() -> None:
     h = health()
     pairs, other = h.new_host(), h.new_host()
-    play(h, pairs, SAFE, Outcome.RESET, 0.0, 12)
+    send_and_end(h, pairs, SAFE, Outcome.RESET, 0.0, 12)
     assert h.failure_ratio(other, UNSAFE, 0, 5.0) > UNHEALTHY_FAILURE_RATIO
     assert h.failure_ratio(other, UNSAFE, 1, 5.0) == 0.0
 
 
-@given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 1), st.sampled_from(ENDS), st.integers(0, 400)),
-                max_size=80))  # fmt: skip
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 2), st.integers(0, 1), st.sampled_from(OUTCOMES), st.integers(0, 400)),
+        max_size=80,
+    )
+)
 def test_failure_ratios_stay_in_range_and_calls_are_counted(
-    days: list[tuple[int, int, Outcome, int]],
+    events: list[tuple[int, int, Outcome, int]],
 ) -> None:
     h = health()
     hosts = [(h.new_host(), zone % 2) for zone in range(3)]
     now, out = 0.0, list[Call]()
-    told: list[Call] = []
-    for host, cls, outcome, step in days:
+    overdue: list[Call] = []
+    for host, cls, outcome, step in events:
         now += step
-        told += h.overdue(now)
+        overdue += h.overdue(now)
         pairs, zone = hosts[host]
         out.append(Call(pairs, cls, zone, now))
         h.sent(out[-1])
@@ -151,7 +155,7 @@
             for k in range(2):
                 assert 0.0 <= h.failure_ratio(row, k, at, now) <= 1.0
         h.review(hosts, now)
-    assert len({id(c) for c in told}) == len(told)
+    assert len({id(c) for c in overdue}) == len(overdue)
     for pairs, _ in hosts:
         for k in range(2):
             assert pairs[k].in_flight == sum(c.class_health is pairs and c.class_index == k for c in out)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -56,7 +56,9 @@
 # --- Latency model, compared with values calculated by hand ---
 
 
-def model(latency: float, rtt: float, samples: list[float], aim: float, rate: float, n: int = 40) -> int:
+def slots_needed(
+    latency: float, rtt: float, samples: list[float], aim: float, rate: float, n: int = 40
+) -> int:
     b = balancer(n)
     b._mean_latency_ms, b._mean_rejection_ms = latency, rtt
     b._latency_samples.extend((ms, aim) for ms in samples)
@@ -64,24 +66,24 @@
 
 
 def test_model_without_traffic_needs_one_slot() -> None:
-    assert model(11.0, 1.0, [11.0] * 100, 200.0, 0.0) == 1
+    assert slots_needed(11.0, 1.0, [11.0] * 100, 200.0, 0.0) == 1
 
 
 def test_model_at_and_above_rho_one_adds_slots() -> None:
     # mu = 1/(11-1) = 0.1 a ms; a rate of 0.4 makes rho exactly 1 at 4 slots, so 4 can't pass
-    assert model(11.0, 1.0, [11.0] * 100, 1e9, 0.4) == 5
+    assert slots_needed(11.0, 1.0, [11.0] * 100, 1e9, 0.4) == 5
 
 
 def test_model_wait_by_hand() -> None:
     # rate 0.4, mu 0.1: at 5 slots ln rho = -0.223; the 99th percentile wait is about
     # 0.5 + (4.6/0.223 - 1) * (1 + 5) = 118 ms, over the aim of 60 less 11; at 8 slots it is 34 ms.
-    n = model(11.0, 1.0, [11.0] * 100, 60.0, 0.4)
+    n = slots_needed(11.0, 1.0, [11.0] * 100, 60.0, 0.4)
     assert 5 < n <= 9
 
 
 def test_model_stays_bounded_if_service_times_alone_miss_the_target() -> None:
     # service alone takes 500 ms, the target is 200 ms: the service time's own percentile is the bound instead
-    n = model(501.0, 1.0, [500.0] * 100, 200.0, 0.1)
+    n = slots_needed(501.0, 1.0, [500.0] * 100, 200.0, 0.1)
     assert 50 < n < 80
 
 
@@ -211,13 +213,15 @@
 
 
 def test_a_key_maps_to_one_host_at_every_gateway_unless_that_is_loaded() -> None:
-    homes = set()
+    hosts = set()
     for seed in range(6):
         b = balancer(40, seed=seed, warm_keys=True)
-        homes |= {s.host for s in sends(b.handle(1.0, Request(1, 0, 0, 77, 900.0, 0.0)))}
-    assert len(homes) == 1
-    crowd = [s.host for k in range(60) for s in sends(b.handle(2.0, Request(9 + k, 0, 0, 77, 900.0, 0.0)))]
-    assert max(map(crowd.count, set(crowd))) < 15
+        hosts |= {s.host for s in sends(b.handle(1.0, Request(1, 0, 0, 77, 900.0, 0.0)))}
+    assert len(hosts) == 1
+    loaded_hosts = [
+        s.host for k in range(60) for s in sends(b.handle(2.0, Request(9 + k, 0, 0, 77, 900.0, 0.0)))
+    ]
+    assert max(map(loaded_hosts.count, set(loaded_hosts))) < 15
 
 
 # --- Host selection and load shedding ---
@@ -245,7 +249,7 @@
     assert count[host(1).id] < fair / 2  # quick errors do not make it look fast
 
 
-def hung_class(b: Balancer, n: int = 6) -> tuple[dict[tuple[int, bytes], int], list[float]]:
+def run_with_hung_class(b: Balancer, n: int = 6) -> tuple[dict[tuple[int, bytes], int], list[float]]:
     """Half of the hosts don't answer class 0 from 2 s on.
 
     Returns:
@@ -272,7 +276,7 @@
 
 
 def test_a_class_that_hangs_at_half_of_the_hosts_does_not_move_the_other_class() -> None:
-    count, levels = hung_class(balancer(6, seed=3))
+    count, levels = run_with_hung_class(balancer(6, seed=3))
     ill = [host(k).id for k in range(3)]
     well = [host(k).id for k in range(3, 6)]
     assert sum(count.get((0, h), 0) for h in ill) < 0.1 * sum(count.get((0, h), 0) for h in well)
@@ -283,19 +287,19 @@
 def test_a_lost_zone_is_avoided_before_each_of_its_hosts_has_failed_a_request() -> None:
     b = Balancer(w.settings(), 5)
     b.handle(0.0, Hosts(View.FULL, tuple(host(k, zone=k % 2) for k in range(80))))
-    lost: set[bytes] = set()
+    lost_hosts: set[bytes] = set()
     sent = 0
     for k in range(400):
         now = 10.0 * k
         b.handle(now, Timer(0))
         for s in sends(b.handle(now, Request(k, 1, 0, 0, now + 900.0, 0.0))):
             if now > 1000.0 and s.host[3] % 2:
-                lost.add(s.host)
+                lost_hosts.add(s.host)
                 sent += 1
                 answer(b, now, s, 5.0, Outcome.RESET)
             else:
                 answer(b, now, s, 20.0)
-    assert len(lost) < 25 and sent < 40
+    assert len(lost_hosts) < 25 and sent < 40
 
 
 def test_the_estimated_load_of_other_gateways_does_not_count_speed_twice() -> None:
@@ -341,16 +345,16 @@
 
 def test_a_hung_host_gets_only_a_few_requests() -> None:
     b = balancer(6, seed=3)
-    lost = 0
+    lost_hosts = 0
     for k in range(2000):
         now = 5.0 * k
         b.handle(now, Timer(0))
         for s in sends(b.handle(now, Request(k, 1, 0, 0, now + 3000.0, 0.0))):
             if s.host == host(0).id and now > 2000.0:
-                lost += 1
+                lost_hosts += 1
             else:
                 answer(b, now, s, 20.0)
-    assert 0 < lost < 30
+    assert 0 < lost_hosts < 30
 
 
 def test_shedding_rejects_the_least_worth_and_ends_with_its_cause() -> None:
@@ -378,14 +382,14 @@
     the other hosts queued and the rejecting ones were idle.
     """
     b = balancer(10)
-    picky, refused = {host(k).id for k in range(5)}, 0
+    rejecting, refused = {host(k).id for k in range(5)}, 0
     for k in range(3000):
         now = 3.0 * k
         actions = b.handle(now, Timer(0)) + b.handle(now, Request(k, 0, 0, 0, now + 900.0, 0.0))
         refused += sum(isinstance(a, Refuse) for a in actions)
         for s in sends(actions):
             tried = len(b._pending[s.id].attempts)
-            away = s.host in picky and k % 2 == 0 and tried == 1
+            away = s.host in rejecting and k % 2 == 0 and tried == 1
             outcome = Outcome.FULL if away else Outcome.OK
             b.handle(now, Ended(s.id, tried - 1, s.host, outcome, 1.0 if away else 15.0, not away))
     assert refused == 0 and b._shed_level == 0.0
@@ -524,30 +528,30 @@
         b.handle(now, Timer(0))
         for s in sends(b.handle(now, Request(k, k % 2, 0, 0, now + 900.0, 0.0))):
             answer(b, now, s, 10.0)
-    bears = b._peak_host_rate
-    assert bears > 0.0
+    rate = b._peak_host_rate
+    assert rate > 0.0
     for k in range(3000, 5000):
         now += 4.0
         b.handle(now, Timer(0))
         for s in sends(b.handle(now, Request(k, k % 2, 0, 0, now + 900.0, 0.0))):
             answer(b, now, s, 500.0, Outcome.ERROR)
-    assert b._peak_host_rate > 0.8 * bears
+    assert b._peak_host_rate > 0.8 * rate
 
 
 def test_a_lost_zone_is_tested_by_one_attempt_at_a_time() -> None:
     """A gateway that tests each of twenty unhealthy hosts twice a second wastes its safe requests."""
     b = Balancer(w.settings(parallel_tries=True), 5)
     b.handle(0.0, Hosts(View.FULL, tuple(host(k, zone=k % 3) for k in range(60))))
-    tries, down = 0, list[tuple[float, Send]]()
+    tries, refused_calls = 0, list[tuple[float, Send]]()
     for k in range(600):
         now = 20.0 * k
-        while down and down[0][0] <= now:
-            at, s = down.pop(0)
+        while refused_calls and refused_calls[0][0] <= now:
+            at, s = refused_calls.pop(0)
             answer(b, at, s, 250.0, Outcome.UNCONNECTED)
         b.handle(now, Timer(0))
         for s in sends(b.handle(now, Request(k, 0, 0, 0, now + 900.0, 0.0))):
             if now > 2000.0 and s.host[3] % 3 == 0:
-                down.append((now + 250.0, s))
+                refused_calls.append((now + 250.0, s))
                 tries += now > 4000.0
             else:
                 answer(b, now, s, 20.0)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -25,7 +25,7 @@
 from tests import wirekit as w
 from tests.play import LIMIT_S, Player, settings
 from tests.test_config import write
-from tests.test_core import SAFE, Script, calls, core, send
+from tests.test_core import SAFE, ScriptedBalancer, calls, core, send
 
 NEW = {"name": "taxi-lookup_b", "effect": "side_effect", "aimMs": 500.0, "giveUpMs": 900.0, "value": 2.0}
 
@@ -143,7 +143,7 @@
 
     One that was safe is repeated, one more attempt than before is not made.
     """
-    node = core(Script(Request=send, Ended=lambda e: [] if e.final else send(e)), max_attempts=2)
+    node = core(ScriptedBalancer(Request=send, Ended=lambda e: [] if e.final else send(e)), max_attempts=2)
     (first,) = calls(node.handle(1, c.RequestReceived(1, SAFE, 0, 0, 900_000, "m")))
     was = w.settings(parallel_tries=True, may_cancel=True, max_attempts=5)
     unsafe = (replace(was.classes[0], effect=Effect.UNSAFE), *was.classes[1:])
@@ -156,7 +156,7 @@
 
 
 def test_a_client_that_holds_it_for_unsafe_is_believed() -> None:
-    script = Script(Request=send, Ended=send)
+    script = ScriptedBalancer(Request=send, Ended=send)
     node = core(script)
     (first,) = calls(node.handle(1, c.RequestReceived(1, SAFE, 0, 0, 900_000, "m", non_idempotent=True)))
     assert not calls(node.handle(2, c.CallEnded(first.call, Outcome.RESET)))
--- a/tests/test_sizing.py
+++ b/tests/test_sizing.py
@@ -47,12 +47,12 @@
 def test_eq_1_by_hand() -> None:
     """d1 = 0.5, d1 + d2 + delta = 6, u at its 99th percentile: the wait just meets the latency target."""
 
-    class Fixed(Random):
+    class FixedRandom(Random):
         def random(self) -> float:
             return 0.99
 
     samples = [(11.0, 60.0)] * 100
-    need = slots_needed(0.4, 11.0, 1.0, samples, 40, Fixed())
+    need = slots_needed(0.4, 11.0, 1.0, samples, 40, FixedRandom())
 
     def wait(n: int) -> float:
         return 0.5 + (math.log(0.01) / math.log(0.4 / (n * 0.1)) - 1.0) * 6.0
@@ -60,7 +60,7 @@
     assert wait(need) + 11.0 < 60.0 <= wait(need - 1) + 11.0
 
 
-def reach(most: int) -> object:
+def prefix_for(most: int) -> object:
     return lambda servers: min(max(math.ceil(servers - 1e-9), 1), most)
 
 
@@ -75,11 +75,11 @@
     steps: list[tuple[float, int, float, float]], hosts: int
 ) -> None:
     prefix, now, shrunk_at = ActivePrefix(21.0), 0.0, -math.inf
-    reaches = reach(hosts)
+    prefix_for_size = prefix_for(hosts)
     for gap, need, slow, late in steps:
         now += gap
         before = prefix.size
-        prefix.resize(now, need, hosts, slow, late, reaches)  # type: ignore[arg-type]
+        prefix.resize(now, need, hosts, slow, late, prefix_for_size)  # type: ignore[arg-type]
         assert 1 <= prefix.size <= hosts
         assert prefix.slots <= 21.0
         if prefix.size < before:
@@ -92,14 +92,14 @@
 def test_slots_grow_while_latency_is_low_and_are_reset_when_it_is_not() -> None:
     prefix = ActivePrefix()
     for k in range(60):
-        prefix.resize(k * SCALE_IN_INTERVAL_MS, 4, 10, 1.0, 0.0, reach(10))  # type: ignore[arg-type]
+        prefix.resize(k * SCALE_IN_INTERVAL_MS, 4, 10, 1.0, 0.0, prefix_for(10))  # type: ignore[arg-type]
     assert prefix.size < 4 and prefix.slots > 0.4 * SLOTS_GROWTH_RATIO
-    prefix.resize(60 * SCALE_IN_INTERVAL_MS + 1.0, 4, 10, 1.0, 0.2, reach(10))  # type: ignore[arg-type]
+    prefix.resize(60 * SCALE_IN_INTERVAL_MS + 1.0, 4, 10, 1.0, 0.2, prefix_for(10))  # type: ignore[arg-type]
     assert prefix.size == 10
 
 
 def test_slots_stay_under_the_known_slots_of_the_hosts() -> None:
     prefix = ActivePrefix(max_slots=2.0)
     for k in range(60):
-        prefix.resize(k * SCALE_IN_INTERVAL_MS, 40, 10, 1.0, 0.0, reach(10))  # type: ignore[arg-type]
+        prefix.resize(k * SCALE_IN_INTERVAL_MS, 40, 10, 1.0, 0.0, prefix_for(10))  # type: ignore[arg-type]
     assert prefix.slots == 2.0 and prefix.size == 10
