--- a/granitewell/balancing/balancer.py
+++ b/granitewell/balancing/balancer.py
@@ -89,7 +89,7 @@
 PRIOR_WEIGHT = 2.0  # responses that the ratio of a host's kind counts for, until the host has shown its own
 # Bounds of a host's latency ratio: latencies include queueing, and the weights must not swing with it.
 MIN_LATENCY_RATIO, MAX_LATENCY_RATIO = 0.4, 10.0
-# Part of the latency target that a call may be out before its host is suspected, however fast the others are.
+# Part of the latency target that a call may be pending before its host is suspected, however fast others are.
 MIN_PATIENCE_RATIO = 0.2
 # Between two safe requests that test whether an unhealthy host has recovered, whichever host it is. A lost
 # zone has many unhealthy hosts, every gateway tests them, and each test waits for a connection that fails.
@@ -203,7 +203,7 @@
 
 
 class Balancer:
-    """The decisions of one gateway: handle(now, event) gives the actions to carry out."""
+    """Load balancer of one gateway."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         validate(settings)
@@ -374,19 +374,19 @@
         """Recompute the size of the prefix: it grows at once and shrinks slowly."""
         self._sized_at_ms = self._now
         need = self._slots_needed(BURST_RATIO * self._active_gateways.active_count * self._forecast())
-        slow = (
+        latency_ratio = (
             self._mean_latency_ms / self._best_latency_ms
             if self._response_count >= EWMA_WINDOW_RESPONSES
             else math.inf
         )
         self._prefix.resize(
-            self._now, need, len(self._ready_hosts), slow, self._late_ratio, self._healthy_prefix
+            self._now, need, len(self._ready_hosts), latency_ratio, self._late_ratio, self._healthy_prefix
         )
 
-    def _healthy_prefix(self, want: float) -> int:
+    def _healthy_prefix(self, healthy_hosts: float) -> int:
         """The smallest prefix with so many healthy hosts for every class; unhealthy ones count for little."""
         return min(
-            max(bisect_left(sums, want - 1e-9) for sums in self._cumulative_health) + 1,
+            max(bisect_left(sums, healthy_hosts - 1e-9) for sums in self._cumulative_health) + 1,
             len(self._ready_hosts),
         )
 
@@ -539,8 +539,8 @@
         if best is None and req.attempts:  # a retry may be limited to a small group: check all of it
             ran = next((t.server for t in req.attempts if t.may_have_run), None)
             group = self._hosts_by_cell.get(ran.cell, []) if ran is not None else []
-            left = [s for s in group if self._may_send(req, s) and self._has_warmup_budget(s)]
-            best = min(left, key=lambda s: self._score(s, req.class_index)) if left else None
+            usable = [s for s in group if self._may_send(req, s) and self._has_warmup_budget(s)]
+            best = min(usable, key=lambda s: self._score(s, req.class_index)) if usable else None
         return best
 
     def _pick_by_key(self, req: _PendingRequest) -> tuple[_HostState | None, float]:
@@ -554,10 +554,10 @@
             which competes with random hosts, or None.
         """
         at = bisect(self._hash_ring_positions, (req.key * 0x9E3779B97F4A7C15 & (1 << 64) - 1) >> 32)
-        most = MAX_AFFINITY_LOAD_RATIO * (
+        max_score = MAX_AFFINITY_LOAD_RATIO * (
             1.0 + len(self._in_flight) / max(self._prefix_size, 1) + self._others_in_flight
         )
-        first, least = None, math.inf
+        first, first_score = None, math.inf
         for k in range(MAX_AFFINITY_CANDIDATES):
             s = self._hash_ring[(at + k) % len(self._hash_ring)]
             if (
@@ -567,15 +567,15 @@
                 and self._has_warmup_budget(s)
             ):
                 score = self._score(s, req.class_index)
-                if score <= most:
+                if score <= max_score:
                     return s, 0.0
                 if first is None:
-                    first, least = s, score * AFFINITY_SCORE_RATIO
-        return first, least
+                    first, first_score = s, score * AFFINITY_SCORE_RATIO
+        return first, first_score
 
     def _score(self, s: _HostState, class_index: int) -> float:
         """Expected time of a request at a host in mean service times, from its queue, speed and health."""
-        fresh = (
+        report_weight = (
             math.exp((s.reported_load_at_ms - self._now) / REPORT_DECAY_MS) if s.reported_load_at_ms else 0.0
         )
         health, in_flight = s.class_health[class_index], s.in_flight
@@ -586,13 +586,13 @@
         # Other gateways also prefer fast hosts. If their load were presumed to be even, speed would count
         # twice and fast hosts would be overloaded. At a host that warms up they stay within its budget;
         # presuming as long a queue as elsewhere would leave it idle.
-        slow = max(s.latency_ratio, 1.0 / self._capacity_share(s))
+        slowness = max(s.latency_ratio, 1.0 / self._capacity_share(s))
         queue = (
             in_flight
-            + fresh * s.reported_load
-            + (1.0 - fresh) * self._others_in_flight * s.latency_ratio / (slow * slow)
+            + report_weight * s.reported_load
+            + (1.0 - report_weight) * self._others_in_flight * s.latency_ratio / (slowness * slowness)
         )
-        score = (1.0 + queue) * slow * self._failure_cost(s, class_index)
+        score = (1.0 + queue) * slowness * self._failure_cost(s, class_index)
         if s.zone != self._settings.zone and self._settings.cross_zone_price > 0.0:
             score += min((CROSS_ZONE_SCORE_RATIO - 1.0) * score, MAX_CROSS_ZONE_PENALTY * s.latency_ratio)
         if health.in_flight and self._mean_latency_ms:
@@ -758,8 +758,8 @@
         level = self._shed_level * (1 - (FAST_SHED_DECAY_RATIO if fast else SHED_DECAY_RATIO)) - 0.002
         level += gain * max(late_ratio - TOLERATED_LATE_RATIO * self._marginal_worth, 0.0)
         self._shed_level = min(max(level, 0.0), MAX_SHED_RATIO)
-        seen = max(sum(map(sum, self._arrival_mix)), 1.0)
-        target_ms = sum(sum(m) * a for m, a in zip(self._arrival_mix, targets_ms, strict=True)) / seen
+        arrivals = max(sum(map(sum, self._arrival_mix)), 1.0)
+        target_ms = sum(sum(m) * a for m, a in zip(self._arrival_mix, targets_ms, strict=True)) / arrivals
         # by Little's law so many requests in flight complete within that part of the latency target
         capacity = self._completion_rate * IN_FLIGHT_TARGET_RATIO * target_ms
         self._in_flight_limit = capacity + 2 * math.sqrt(capacity) + 2.0 + stuck
@@ -774,12 +774,12 @@
         ranks.sort()
         total = sum(r[3] for r in ranks)
         mean = sum(r[0] * r[3] for r in ranks) / max(total, 0.1)
-        left, margin = self._shed_level * total, 0.0
+        remaining, margin = self._shed_level * total, 0.0
         for worth, k, over, work in ranks:
-            if work > 0.05 * total and (left > 0.001 * total or not margin):  # shed next
+            if work > 0.05 * total and (remaining > 0.001 * total or not margin):  # shed next
                 margin = min(max(worth / max(mean, 1e-9), 0.2), 1.0)
-            self._shed_ratios[k][over] = min(left / work, MAX_SHED_RATIO) if work > 0.0 else 0.0
-            left -= self._shed_ratios[k][over] * work
+            self._shed_ratios[k][over] = min(remaining / work, MAX_SHED_RATIO) if work > 0.0 else 0.0
+            remaining -= self._shed_ratios[k][over] * work
         self._marginal_worth = margin or 1.0
 
     # --- Attempts and retries ---------------------------------------------------------------------------
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -95,7 +95,7 @@
 
 
 class Core:
-    """The node's state. handle(now_us, event) gives the effects to run, in order."""
+    """The node's state and the rules by which events change it."""
 
     def __init__(self, settings: t.Settings, balancer: LoadBalancer, max_pending_requests: int) -> None:
         self.phase = Phase.STARTING
