--- a/tests/lab/test_ranking.py
+++ b/tests/lab/test_ranking.py
@@ -106,7 +106,7 @@
 def test_one_that_leaves_serves_to_the_end_of_its_drain_and_stays_for_what_it_holds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Core, "_sendable", lambda *_: True)  # nodes that send to what drains
+    monkeypatch.setattr(Core, "_is_available", lambda *_: True)  # nodes that send to what drains
     begin, end, longest = 2_000_001, 4_000_000, 2_500_000
     day = small_day(length_us=8_000_000)
     slow = replace(day.discovery, notice_us=3_000_000)
