--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -757,7 +757,7 @@
         up_ms, scale = float(m.get("up_since_ms") or 0), float(m.get("size") or 1.0)
         endpoint_id, where = str(m["id"]).encode(), address(m["host_port"], "host_port")
         if not _IP_ADDRESS.match(where[0]):
-            raise ValueError(f"host_port: found the host name {where[0]}, allowed: an IP address")
+            raise ValueError(f"host_port: {where[0]} is a name, allowed: an IP address")
         return Member(
             endpoint_id, where,
             _index_of(self._zones, str(m.get("locality"))),
