--- a/granitewell/membership/anti_entropy.py
+++ b/granitewell/membership/anti_entropy.py
@@ -181,7 +181,7 @@
         local.send(address, 0, Hello(number, local.config.address), transport=Transport.STREAM)
 
     def hello_limited(self, address: str) -> None:
-        """Start an exchange on another member's account; limited to one per second."""
+        """Start an exchange in response to a received message; limited to one per second."""
         if self._requested_limit.take(self._local.now_us):
             self.hello(address)
 
--- a/granitewell/membership/refutation.py
+++ b/granitewell/membership/refutation.py
@@ -6,9 +6,9 @@
 holder may be its previous process, whose death is not yet detected, or a duplicate. It probes the holder by
 datagram, by stream and through helpers. An answer shows a duplicate: the process logs that and waits until
 the other one is dead. A missing answer alone proves nothing, since the local process may be the partitioned
-one. Only if the holder's address is its own, at which nothing else can run now, is the holder gone, and the
-process takes the next generation at once. Otherwise it waits until the other members have declared the holder
-dead.
+one. Only if the holder's address is its own, at which nothing else can run now, is the holder gone after a
+few unanswered probes, and the process takes the next generation. Otherwise it waits until the other members
+have declared the holder dead, or, if there is no other member, for a suspicion timeout.
 
 A member that was partitioned long enough to be declared dead, and finds that a later generation holds its
 name, does the same. So a name never alternates between two running processes.
