--- a/granitewell/balancing/balancer.py
+++ b/granitewell/balancing/balancer.py
@@ -1,8 +1,9 @@
-"""The load balancer: selects hosts, retries, sheds load and answers requests that no host can serve.
+"""Load balancing decisions; types, events and actions are in granitewell/balancing/interface.py.
 
-A gateway passes each event to Balancer.handle and carries out the actions that it returns; their types are in
-granitewell/balancing/interface.py. There is no I/O and no clock, and instances share nothing. Times are in
-milliseconds. Numbers such as 4.5 are sections of the algorithm's description, rules are the platform's.
+The balancer selects hosts, retries, sheds load and answers requests that no host can serve. A gateway passes
+each event to Balancer.handle and carries out the actions that it returns. There is no I/O and no clock, and
+instances share nothing. Times are in milliseconds. Numbers such as 4.5 are sections of the algorithm's
+description; rules are the platform's.
 """
 
 from __future__ import annotations
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -142,7 +142,7 @@
             if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
                 texts = [a.value for a in node.args if isinstance(a, ast.Constant)]
                 words = [x for x in texts if isinstance(x, str)]
-                if node.func.attr in ("say", "_note", "write") and words:
+                if node.func.attr in ("say", "_log", "write") and words:
                     found.add(words[0])
     return found
 
