--- a/granitewell/net/peers.py
+++ b/granitewell/net/peers.py
@@ -37,7 +37,8 @@
 BACKLOG = 64
 SEND_BUFFER_BYTES = 128 * 1024  # of a stream; bounds what a stuck one costs the kernel
 RECEIVE_BUFFER_BYTES = 512 * 1024  # of the datagram socket
-MAX_QUEUED_FRAMES, MAX_QUEUED_BYTES = 128, 2 * 1024 * 1024  # for one address: a full membership table, in pages
+# for one address: enough for a full membership table, in pages
+MAX_QUEUED_FRAMES, MAX_QUEUED_BYTES = 128, 2 * 1024 * 1024
 MAX_QUEUES = 1_024  # addresses with queued frames
 MAX_TOTAL_QUEUED_BYTES = 16 * 1024 * 1024  # for all addresses together
 DIAL_TIMEOUT_S, WRITE_TIMEOUT_S = 2.0, 5.0  # to connect, and to write one frame
