--- a/granitewell/lab/mutants/bench.py
+++ b/granitewell/lab/mutants/bench.py
@@ -290,6 +290,6 @@
 
 def harmless() -> Defect:
     """A change that no figure may show: other random numbers in the module."""
-    patch = Patch("granitewell/balancing/balancer.py", "self._set, self._rng = settings, Random(seed)",
-                  "self._set, self._rng = settings, Random(seed + 1)")  # fmt: skip
+    patch = Patch("granitewell/balancing/balancer.py", "self._settings, self._rng = settings, Random(seed)",
+                  "self._settings, self._rng = settings, Random(seed + 1)")  # fmt: skip
     return Defect("harmless", "other random numbers in the module", (), (), (patch,))
