--- a/benchmarks/counts_cost.py
+++ b/benchmarks/counts_cost.py
@@ -18,8 +18,8 @@
 from granitewell.lab.cluster.world import Boot, Cluster, Node, Spec
 from granitewell.lab.engine import stream
 from granitewell.protocols.peers.frames import Key, Keys
-from granitewell.shared_counters.state_machine import Counts
-from granitewell.shared_counters.types import Figures, Peer, Peers, Took
+from granitewell.shared_counters.state_machine import SharedCounters
+from granitewell.shared_counters.types import CounterSettings, Peer, Peers, UsageRecorded
 
 KEYS = Keys(Key(b"a key for virtual time alone"))
 TENANTS, PER_S = 50, 2_000.0
@@ -28,10 +28,10 @@
 
 def request_us(keys: int) -> float:
     """Of one request, median over batches."""
-    counts = Counts("a", 1, 1, KEYS, Figures(), Random(1), 0)
+    counts = SharedCounters("a", 1, 1, KEYS, CounterSettings(), Random(1), 0)
     rng, names, now, batches = Random(2), [f"tenant-{k}" for k in range(keys)], 0, []
     for _ in range(60):
-        events = [Took(names[int(rng.random() * keys)]) for _ in range(2_000)]
+        events = [UsageRecorded(names[int(rng.random() * keys)]) for _ in range(2_000)]
         began = time.perf_counter()
         for event in events:
             now += 500
@@ -51,15 +51,17 @@
             self.cluster.start(node)
             self._use(node, stream(1, name))
 
-    def _make(self, boot: Boot) -> list[Counts]:
-        made = Counts(boot.id, 1, 1 + int(boot.rng.random() * 1e9), KEYS, Figures(), boot.rng, boot.now_us)
+    def _make(self, boot: Boot) -> list[SharedCounters]:
+        made = SharedCounters(
+            boot.id, 1, 1 + int(boot.rng.random() * 1e9), KEYS, CounterSettings(), boot.rng, boot.now_us
+        )
         made.handle(boot.now_us, Peers({n: Peer(n, True) for n in self.names}))
         return [made]
 
     def _use(self, node: Node, rng: Random) -> None:
         wait_us = 1 + int(rng.expovariate(PER_S / len(self.names)) * 1e6)
         self.cluster.engine.at(self.cluster.now_us + wait_us, self._use, node, rng)
-        self.cluster.tell(node, Took(f"tenant-{int(rng.random() * TENANTS)}"))
+        self.cluster.tell(node, UsageRecorded(f"tenant-{int(rng.random() * TENANTS)}"))
 
 
 def main() -> int:
@@ -73,10 +75,10 @@
         fleet.cluster.run(seconds * 1_000_000)
         a_second = [n.count.said_bytes / seconds for n in fleet.cluster.nodes.values()]
         machine = fleet.cluster.nodes["n0"].machines[0]
-        assert isinstance(machine, Counts)
+        assert isinstance(machine, SharedCounters)
         began = time.perf_counter()
         for _ in range(20):
-            figure = machine.figure(fleet.cluster.now_us, "tenant-0")
+            figure = machine.bounds(fleet.cluster.now_us, "tenant-0")
         figure_us = (time.perf_counter() - began) / 20 * 1e6
         ages = sorted(p.age_us / 1e3 for p in figure.parts if p.name != "n0")
         said = f"{sum(a_second) / nodes / 1e3:6.1f} KB/s a node"
--- a/granitewell/lab/cluster/counts.py
+++ b/granitewell/lab/cluster/counts.py
@@ -17,8 +17,8 @@
 from granitewell.lab.cluster.world import Boot, Cluster, Node, Spec
 from granitewell.lab.engine import stream
 from granitewell.protocols.peers.frames import Key, Keys
-from granitewell.shared_counters.state_machine import Counts
-from granitewell.shared_counters.types import Figure, Figures, Peer, Peers, Took
+from granitewell.shared_counters.state_machine import SharedCounters
+from granitewell.shared_counters.types import CounterSettings, Peer, Peers, UsageBounds, UsageRecorded
 
 KEYS = Keys(Key(b"a key for virtual time alone"))
 KINDS = ("kill", "lose", "stall", "cut", "oneway", "alone", "link", "snap")
@@ -30,8 +30,9 @@
 ONCE = 0.1  # of the uses have a key that comes never again
 NAMED, MANY = 8, 60  # keys that come again; on every other day many, so that one letter does not hold all
 RATE = 40.0  # uses a second of the busiest node; the next three have a half each, then it begins anew
-FIGURES = Figures(window_us=8_000_000, width_us=250_000, ceiling_per_s=200.0, floor_per_s=60.0, growth=4.0,
-                  keys=6)  # fmt: skip
+FIGURES = CounterSettings(
+    window_us=8_000_000, width_us=250_000, ceiling_per_s=200.0, floor_per_s=60.0, growth=4.0, keys=6
+)
 LOSSES = (0.0, 0.0, 0.2, 0.4)
 ROADS_US = ((300, 2_000), (40_000, 150_000))  # delay and jitter
 
@@ -90,9 +91,9 @@
             self._next_use(node, RATE / 2 ** (k % 4), stream(case.seed, "use", name))
         self.cluster.engine.at(1_000_000, self._look)
 
-    def _make(self, boot: Boot) -> list[Counts]:
+    def _make(self, boot: Boot) -> list[SharedCounters]:
         birth = 1 + int(boot.rng.random() * (1 << 50))
-        machine = Counts(boot.id, boot.count + 1, birth, KEYS, self.figures, boot.rng, boot.now_us)
+        machine = SharedCounters(boot.id, boot.count + 1, birth, KEYS, self.figures, boot.rng, boot.now_us)
         machine.handle(boot.now_us, Peers({n: Peer(n, True) for n in self.names}))
         return [machine]
 
@@ -106,7 +107,7 @@
         key = f"once-{engine.now_us}" if once else self.keys[int(rng.random() ** 3 * len(self.keys))]
         for one in (key, None):
             self.used.setdefault(one, []).append(engine.now_us)
-        self.cluster.tell(node, Took(key))
+        self.cluster.tell(node, UsageRecorded(key))
 
     def _next_use(self, node: Node, rate: float, rng: Random) -> None:
         wait_us = 1 + int(rng.expovariate(rate) * 1e6)
@@ -123,17 +124,20 @@
         which = int(self._rng.random() * 1.4 * len(self.keys))
         self._judge(node, None if which > len(self.keys) else [*self.keys, "never"][which])
         figure = self._judge(node, self.keys[0])
-        self.widths.append(figure.width)
+        self.widths.append(figure.relative_width)
         if FIGURES.window_us + 2_000_000 < cluster.now_us < CALM_US:
-            self.calm.append(figure.width)
+            self.calm.append(figure.relative_width)
 
-    def _judge(self, node: Node, key: str | None) -> Figure:
+    def _judge(self, node: Node, key: str | None) -> UsageBounds:
         machine = node.machines[0]
-        assert isinstance(machine, Counts)
-        figure, true = machine.figure(node.clock.local(self.cluster.now_us), key), self.true(node, key)
+        assert isinstance(machine, SharedCounters)
+        figure, true = machine.bounds(node.clock.local(self.cluster.now_us), key), self.true(node, key)
         self.looks += 1
         if not figure.low <= true <= figure.high and not self.broken:
-            parts = [f"{p.name} {p.low}..{p.high} {p.unheard}/{p.edge}/{p.others}" for p in figure.parts]
+            parts = [
+                f"{p.name} {p.low}..{p.high} {p.unreported}/{p.window_edge}/{p.untracked}"
+                for p in figure.parts
+            ]
             told = f"{key or 'all'} is {true}, told was {figure.low} to {figure.high}"
             self.broken = f"{self.cluster.now_us / 1e6:.3f} s {node.id}: {told}: {', '.join(parts)}"
         return figure
--- a/granitewell/lab/cluster/counts_plants.py
+++ b/granitewell/lab/cluster/counts_plants.py
@@ -11,7 +11,7 @@
 
 from granitewell.lab.cluster.plants import patched
 from granitewell.shared_counters import remote_counts, state_machine
-from granitewell.shared_counters.types import OTHERS
+from granitewell.shared_counters.types import OVERFLOW_SLOT
 
 PLANTS = {
     "merge-adds": "what is heard again is added to what is known",
@@ -27,82 +27,106 @@
 }
 
 
-def _merge(self: remote_counts.Life, word: Any, whole: Any = remote_counts.Life.merge) -> None:
-    before = {i: dict(cell) for i, cell in self.cells.items()}
+def _merge(
+    self: remote_counts.RemoteProcess, word: Any, whole: Any = remote_counts.RemoteProcess.merge
+) -> None:
+    before = {i: dict(cell) for i, cell in self.counts_by_slice.items()}
     whole(self, word)
     for one in word.slices:
         for number, count in zip(one.used[::2], one.used[1::2], strict=False):
             if number in before.get(one.index, {}):
-                self.cells[one.index][number] = before[one.index][number] + count
+                self.counts_by_slice[one.index][number] = before[one.index][number] + count
 
 
-def _inside(from_us: int, to_us: int, start_us: int, end_us: int, whole: Any = remote_counts._inside) -> int:
+def _inside(
+    from_us: int, to_us: int, start_us: int, end_us: int, whole: Any = remote_counts._overlap_us
+) -> int:
     return 0 if to_us >= end_us else int(whole(from_us, to_us, start_us, end_us))
 
 
 def _init(
-    self: state_machine.Counts,
+    self: state_machine.SharedCounters,
     name: str,
     life: int,
     birth: int,
     *rest: Any,
-    whole: Any = state_machine.Counts.__init__,
+    whole: Any = state_machine.SharedCounters.__init__,
 ) -> None:
     whole(self, name, life, 1 + sum(name.encode()), *rest)
 
 
 def _heard(
-    self: remote_counts.Node, asked_us: int, now_us: int, word: Any, whole: Any = remote_counts.Node.heard
+    self: remote_counts.RemoteNode,
+    asked_us: int,
+    now_us: int,
+    word: Any,
+    whole: Any = remote_counts.RemoteNode.receive,
 ) -> None:
     whole(self, now_us, now_us, word)
 
 
-def _when(self: remote_counts.Life, up_us: int, now_us: int) -> tuple[int, int]:
-    return self.high_us + up_us, self.high_us + up_us
+def _when(self: remote_counts.RemoteProcess, up_us: int, now_us: int) -> tuple[int, int]:
+    return self.latest_start_us + up_us, self.latest_start_us + up_us
 
 
 def _copied(
-    self: remote_counts.Node, asked_us: int, now_us: int, word: Any, whole: Any = remote_counts.Node.heard
+    self: remote_counts.RemoteNode,
+    asked_us: int,
+    now_us: int,
+    word: Any,
+    whole: Any = remote_counts.RemoteNode.receive,
 ) -> None:
     whole(self, asked_us + word.ago_most_us, now_us + word.ago_least_us, word)
 
 
 def _cell(
-    self: remote_counts.Life, index: int, key: str | None, numbers: Any, whole: Any = remote_counts.Life.cell
+    self: remote_counts.RemoteProcess,
+    index: int,
+    key: str | None,
+    numbers: Any,
+    whole: Any = remote_counts.RemoteProcess.slice_bounds,
 ) -> tuple[int, int]:
     low, high = whole(self, index, key, numbers)
-    cell = self.cells.get(index, {})
-    unknown: int = sum(n for s, n in cell.items() if s != OTHERS and s not in self.slots)
+    cell = self.counts_by_slice.get(index, {})
+    unknown: int = sum(n for s, n in cell.items() if s != OVERFLOW_SLOT and s not in self.slots)
     return low, high - unknown if key is not None and high > low else high
 
 
 def _others(
-    self: remote_counts.Life, index: int, key: str | None, numbers: Any, whole: Any = remote_counts.Life.cell
+    self: remote_counts.RemoteProcess,
+    index: int,
+    key: str | None,
+    numbers: Any,
+    whole: Any = remote_counts.RemoteProcess.slice_bounds,
 ) -> tuple[int, int]:
     low, high = whole(self, index, key, numbers)
     return low, low
 
 
-def _gap(self: remote_counts.Life, word: Any, whole: Any = remote_counts.Life.merge) -> None:
+def _gap(
+    self: remote_counts.RemoteProcess, word: Any, whole: Any = remote_counts.RemoteProcess.merge
+) -> None:
     whole(self, word)
     self.upto = max(self.upto, word.upto)
 
 
-def _since(from_us: int, to_us: int, start_us: int, end_us: int, whole: Any = remote_counts._inside) -> int:
+def _since(
+    from_us: int, to_us: int, start_us: int, end_us: int, whole: Any = remote_counts._overlap_us
+) -> int:
     return int(whole(from_us, to_us, start_us, end_us)) if to_us >= end_us else 0
 
 
 _PATCHES: dict[str, tuple[tuple[Any, str, Any], ...]] = {
-    "merge-adds": ((remote_counts.Life, "merge", _merge),),
-    "silent-forgotten": ((remote_counts, "_inside", _inside),),
-    "life-kept": ((state_machine.Counts, "__init__", _init),),
-    "dated-heard": ((remote_counts.Node, "heard", _heard),),
-    "edge-in": ((remote_counts.Life, "when", _when),),
-    "copy-now": ((remote_counts.Node, "heard", _copied),),
-    "slot-trusted": ((remote_counts.Life, "cell", _cell),),
-    "gap-skipped": ((remote_counts.Life, "merge", _gap),),
-    "before-empty": ((remote_counts, "_inside", _since),),
-    "others-dropped": ((remote_counts.Life, "cell", _others),),
+    "merge-adds": ((remote_counts.RemoteProcess, "merge", _merge),),
+    "silent-forgotten": ((remote_counts, "_overlap_us", _inside),),
+    "life-kept": ((state_machine.SharedCounters, "__init__", _init),),
+    "dated-heard": ((remote_counts.RemoteNode, "receive", _heard),),
+    "edge-in": ((remote_counts.RemoteProcess, "time_bounds", _when),),
+    "copy-now": ((remote_counts.RemoteNode, "receive", _copied),),
+    "slot-trusted": ((remote_counts.RemoteProcess, "slice_bounds", _cell),),
+    "gap-skipped": ((remote_counts.RemoteProcess, "merge", _gap),),
+    "before-empty": ((remote_counts, "_overlap_us", _since),),
+    "others-dropped": ((remote_counts.RemoteProcess, "slice_bounds", _others),),
 }
 
 
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -66,7 +66,7 @@
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
     from granitewell.net.shared_counters import Shared
-    from granitewell.shared_counters.types import Figures
+    from granitewell.shared_counters.types import CounterSettings
 
 TRY_S = 0.05  # between two looks whether the lock is free
 DISK_S = 2.0  # for the last note of a process
@@ -94,7 +94,7 @@
 class Cluster:
     """The member that this process is, waits to be, or was."""
 
-    def __init__(self, node: Node, settings: ClusterSettings, counts: Figures | None = None) -> None:
+    def __init__(self, node: Node, settings: ClusterSettings, counts: CounterSettings | None = None) -> None:
         """counts: what the nodes count together, None for nothing.
 
         OSError: the address can't be had, or the keys can't be read.
@@ -589,7 +589,9 @@
         return ""
 
 
-def join(joined: list[Cluster], node: Node, settings: ClusterSettings, counts: Figures | None = None) -> None:
+def join(
+    joined: list[Cluster], node: Node, settings: ClusterSettings, counts: CounterSettings | None = None
+) -> None:
     """Begin, or take other settings up. OSError: the address or the keys can't be had."""
     if joined:
         joined[0].take(settings)
--- a/granitewell/net/shared_counters.py
+++ b/granitewell/net/shared_counters.py
@@ -15,8 +15,8 @@
 from typing import TYPE_CHECKING, Any
 
 from granitewell.protocols.peers.frames import Keys
-from granitewell.shared_counters.state_machine import Counts
-from granitewell.shared_counters.types import Figures, Part, Peer, Peers, Rekey, Took
+from granitewell.shared_counters.state_machine import SharedCounters
+from granitewell.shared_counters.types import CounterSettings, NodeUsage, Peer, Peers, Rekey, UsageRecorded
 from granitewell.state_machine import Heard, Say, Woken
 
 if TYPE_CHECKING:
@@ -29,11 +29,11 @@
 class Shared:
     """What one process shares with the others."""
 
-    def __init__(self, node: Node, name: str, keys: Keys, figures: Figures) -> None:
+    def __init__(self, node: Node, name: str, keys: Keys, figures: CounterSettings) -> None:
         rng = Random(int.from_bytes(os.urandom(16), "big"))
         self._node, self._clock = node, node.clock
         birth = 1 + int(rng.random() * (1 << 60))
-        self.counts = Counts(name, 0, birth, keys, figures, rng, node.clock.now())
+        self.counts = SharedCounters(name, 0, birth, keys, figures, rng, node.clock.now())
         self._loop = asyncio.get_running_loop()
         self._say: Callable[[Say], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -44,13 +44,13 @@
         """A request has come whole, and the core is about to hear of it."""
         names = self._node._config.tenant_names
         key = names[tenant] if 0 <= tenant < len(names) else NOBODY
-        self.counts.handle(self._clock.now(), Took(key))
+        self.counts.handle(self._clock.now(), UsageRecorded(key))
         return -1
 
     # --- The fleet --------------------------------------------------------------------------------------
     def begin(self, life: int, say: Callable[[Say], None]) -> None:
         """This process is the member now."""
-        self.counts.life, self._say = life, say
+        self.counts.incarnation, self._say = life, say
         self._arm()
 
     def end(self) -> None:
@@ -100,19 +100,19 @@
     def view(self, key: str) -> dict[str, Any]:
         """Figures of all keys, or of one with the part that each node has; plain JSON."""
         now, counts = self._clock.fresh(), self.counts
-        figures = counts.figures
+        figures = counts.settings
         keys = [key] if key else counts.keys()
         made: dict[str, Any] = {
             "version": 1, "name": counts.name, "machine_us": time.monotonic_ns() // 1000,
             "window_s": figures.window_us / 1e6,
             "speaks": self._say is not None, "cut": len(keys) > MAX_KEYS, "keys": [],
-            "letters": dict(sorted(counts.counts.items())),
+            "letters": dict(sorted(counts.message_counts.items())),
             "assumed": {"ceiling_per_s": figures.ceiling_per_s, "growth": figures.growth,
                         "floor_per_s": figures.floor_per_s, "drift_ppm": figures.drift_ppm},
         }  # fmt: skip
         whole = [None] if not key else []
         for one in (*whole, *keys[:MAX_KEYS]):
-            found = counts.figure(now, one)
+            found = counts.bounds(now, one)
             row: dict[str, Any] = {"key": one, "low": found.low, "high": found.high, "unnamed": found.unnamed}
             if key or one is None:
                 row["parts"] = [_part(p) for p in found.parts]
@@ -120,7 +120,7 @@
         return made
 
 
-def _part(part: Part) -> dict[str, Any]:
+def _part(part: NodeUsage) -> dict[str, Any]:
     age_s = part.age_us / 1e6 if part.age_us >= 0 else None
-    return {"name": part.name, "low": part.low, "high": part.high, "age_s": age_s, "unheard": part.unheard,
-            "edge": part.edge, "others": part.others}  # fmt: skip
+    return {"name": part.name, "low": part.low, "high": part.high, "age_s": age_s, "unheard": part.unreported,
+            "edge": part.window_edge, "others": part.untracked}  # fmt: skip
--- a/granitewell/operator/counts.py
+++ b/granitewell/operator/counts.py
@@ -1,7 +1,7 @@
 """The `[counts]` table.
 
 It owns what an operator may say of the counts that nodes share. It must never hold a default: those are
-`counts.terms.Figures`'.
+`shared_counters.types.CounterSettings`'.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from granitewell.operator.problem import Problem
 from granitewell.operator.table import Table
-from granitewell.shared_counters.types import Figures
+from granitewell.shared_counters.types import CounterSettings
 
-PLAIN = Figures()
+PLAIN = CounterSettings()
 MAX_SLICES = 480  # in a window: an answer to whoever knows nothing stays a few letters
 
 
@@ -34,7 +34,7 @@
     )] = PLAIN.width_us / 1e6  # fmt: skip
     every_s: Annotated[float, Meta(
         ge=0.05, le=60.0, description="Between two questions to one node, at least.", extra={"restart": True},
-    )] = PLAIN.every_us / 1e6  # fmt: skip
+    )] = PLAIN.poll_interval_us / 1e6  # fmt: skip
     keys: Annotated[int, Meta(
         ge=1, le=120, description="Tenants that a node counts by themselves; what others use is one figure, "
         "and widens theirs.", extra={"restart": True},
@@ -59,11 +59,11 @@
         "many parts in a million.", extra={"restart": True},
     )] = PLAIN.drift_ppm  # fmt: skip
 
-    def figures(self) -> Figures | None:
+    def figures(self) -> CounterSettings | None:
         """The same for the node; None: nothing is counted."""
         if not self.window_s:
             return None
-        return Figures(
+        return CounterSettings(
             round(self.window_s * 1e6), round(self.slice_s * 1e6), round(self.every_s * 1e6), self.keys,
             self.ceiling_per_s, self.growth, self.floor_per_s, self.bytes_per_s, self.drift_ppm,
         )  # fmt: skip
--- a/granitewell/shared_counters/remote_counts.py
+++ b/granitewell/shared_counters/remote_counts.py
@@ -13,14 +13,14 @@
 from dataclasses import dataclass, field
 
 from granitewell.protocols.peers.counts import Slot, Word
-from granitewell.shared_counters.types import OTHERS, Figures, Part
+from granitewell.shared_counters.types import OVERFLOW_SLOT, CounterSettings, NodeUsage
 
-MAX_LIVES = 8  # of one name that are told apart
-LONG_AGO = -(1 << 62)
+MAX_PROCESSES_PER_NODE = 8  # of one name that are told apart
+LONG_AGO_US = -(1 << 62)
 
 
 @dataclass(slots=True)
-class Life:
+class RemoteProcess:
     """One process of a name.
 
     Attributes:
@@ -30,64 +30,66 @@
         drift: Parts in a million by which two clocks may differ in speed.
     """
 
-    life: int
+    incarnation: int
     birth: int
     width_us: int
-    drift: int
+    drift_ppm: int
     first: int = -1  # the oldest slice that was ever told of
     upto: int = 0
-    slots_known: int = 0
-    open_us: int = -1
-    low_us: int = LONG_AGO
-    high_us: int = 1 << 62
-    at_us: int = 0
-    cells: dict[int, dict[int, int]] = field(default_factory=dict)
+    slots_version: int = 0
+    open_slice_us: int = -1
+    earliest_start_us: int = LONG_AGO_US
+    latest_start_us: int = 1 << 62
+    measured_at_us: int = 0
+    counts_by_slice: dict[int, dict[int, int]] = field(default_factory=dict)
     slots: dict[int, Slot] = field(default_factory=dict)
 
-    def when(self, up_us: int, now_us: int) -> tuple[int, int]:
+    def time_bounds(self, up_us: int, now_us: int) -> tuple[int, int]:
         """Between which moments it had run for so long: the farther from the measuring, the wider apart."""
-        away_us = max(now_us - self.at_us, 0) + max(self.at_us - self.low_us - up_us, 0)
-        drift_us = away_us * self.drift // 1_000_000 + (1 if self.drift else 0)
-        return self.low_us + up_us - drift_us, self.high_us + up_us + drift_us
+        away_us = max(now_us - self.measured_at_us, 0) + max(
+            self.measured_at_us - self.earliest_start_us - up_us, 0
+        )
+        drift_us = away_us * self.drift_ppm // 1_000_000 + (1 if self.drift_ppm else 0)
+        return self.earliest_start_us + up_us - drift_us, self.latest_start_us + up_us + drift_us
 
-    def measure(self, first_us: int, last_us: int, up_us: int, now_us: int) -> None:
+    def update_start(self, first_us: int, last_us: int, up_us: int, now_us: int) -> None:
         """It had run for up_us at some moment between these two."""
-        first, last = first_us - up_us, last_us - up_us
-        if self.low_us != LONG_AGO:
-            low, high = self.when(up_us, now_us)
+        first, latest = first_us - up_us, last_us - up_us
+        if self.earliest_start_us != LONG_AGO_US:
+            low, high = self.time_bounds(up_us, now_us)
             low, high = low - up_us, high - up_us
-            if first <= high and low <= last:
-                first, last = max(low, first), min(high, last)
-        self.low_us, self.high_us, self.at_us = first, last, now_us
+            if first <= high and low <= latest:
+                first, latest = max(low, first), min(high, latest)
+        self.earliest_start_us, self.latest_start_us, self.measured_at_us = first, latest, now_us
 
-    def merge(self, word: Word) -> None:
+    def merge(self, report: Word) -> None:
         """Take up what is new of it."""
-        for slot in word.new:
+        for slot in report.new:
             known = self.slots.get(slot.number)
             if known is None or known.version < slot.version:
                 self.slots[slot.number] = slot
-        if word.since <= self.slots_known:  # else some before them were lost
-            self.slots_known = max(self.slots_known, word.slots)
-        for one in word.slices:
-            cell = self.cells.setdefault(one.index, {})
+        if report.since <= self.slots_version:  # else some before them were lost
+            self.slots_version = max(self.slots_version, report.slots)
+        for one in report.slices:
+            counts = self.counts_by_slice.setdefault(one.index, {})
             for number, count in zip(one.used[::2], one.used[1::2], strict=False):
-                cell[number] = max(cell.get(number, 0), count)
+                counts[number] = max(counts.get(number, 0), count)
         if self.first < 0:
-            self.first = self.upto = word.first
-        if self.first <= word.first <= self.upto <= word.upto:  # else some before it were lost
-            self.upto = word.upto
-            if word.open:
-                self.open_us = max(word.up_us, self.open_us)
+            self.first = self.upto = report.first
+        if self.first <= report.first <= self.upto <= report.upto:  # else some before it were lost
+            self.upto = report.upto
+            if report.open:
+                self.open_slice_us = max(report.up_us, self.open_slice_us)
 
     @property
-    def known_us(self) -> int:
+    def known_until_us(self) -> int:
         """Up to where its own time is known."""
-        return max(self.upto * self.width_us, self.open_us)
+        return max(self.upto * self.width_us, self.open_slice_us)
 
-    def forget(self, oldest: int) -> None:
+    def discard_expired(self, oldest: int) -> None:
         """Slices below can't be in any window any more."""
-        for index in [k for k in self.cells if k < oldest]:
-            del self.cells[index]
+        for index in [k for k in self.counts_by_slice if k < oldest]:
+            del self.counts_by_slice[index]
         for number in [n for n, s in self.slots.items() if 0 <= s.ended < oldest]:
             del self.slots[number]
 
@@ -96,109 +98,117 @@
         return sorted((s for s in self.slots.values() if s.version > version), key=lambda s: s.version)
 
     # --- Bounds -----------------------------------------------------------------------------------------
-    def numbers(self, key: str | None) -> list[Slot]:
+    def slots_of(self, key: str | None) -> list[Slot]:
         """Slots that the key has had."""
         return [s for s in self.slots.values() if s.key == key] if key is not None else []
 
-    def cell(self, index: int, key: str | None, numbers: list[Slot]) -> tuple[int, int]:
+    def slice_bounds(self, index: int, key: str | None, slots: list[Slot]) -> tuple[int, int]:
         """Between what a key's use in a slice lies; None: of all keys.
 
         Args:
             numbers: Slots of that key.
         """
-        cell = self.cells.get(index)
-        if not cell:
+        counts = self.counts_by_slice.get(index)
+        if not counts:
             return 0, 0
         if key is None:
-            total = sum(cell.values())
+            total = sum(counts.values())
             return total, total
-        low = sum(cell.get(s.number, 0) for s in numbers)
-        if any(s.born < index and (s.ended < 0 or index < s.ended) for s in numbers):
+        low = sum(counts.get(s.number, 0) for s in slots)
+        if any(s.born < index and (s.ended < 0 or index < s.ended) for s in slots):
             return low, low
         # in the slot of the others, or in one of which we have not heard yet what it is
-        return low, low + sum(n for s, n in cell.items() if s == OTHERS or s not in self.slots)
+        return low, low + sum(n for s, n in counts.items() if s == OVERFLOW_SLOT or s not in self.slots)
 
-    def peak(self, key: str | None, numbers: list[Slot]) -> int:
+    def peak_count(self, key: str | None, slots: list[Slot]) -> int:
         """The most of a key in one slice."""
-        return max((self.cell(i, key, numbers)[1] for i in self.cells), default=0)
+        return max((self.slice_bounds(i, key, slots)[1] for i in self.counts_by_slice), default=0)
 
 
-class Node:
+class RemoteNode:
     """All lives of a name that a window may touch."""
 
-    __slots__ = ("_figures", "gone_us", "lives")
+    __slots__ = ("_settings", "gone_us", "processes")
 
-    def __init__(self, figures: Figures) -> None:
-        self._figures = figures
-        self.lives: dict[int, Life] = {}  # by birth
+    def __init__(self, settings: CounterSettings) -> None:
+        self._settings = settings
+        self.processes: dict[int, RemoteProcess] = {}  # by birth
         self.gone_us = -1  # since when it takes nothing, -1: it may
 
     @property
-    def last(self) -> Life | None:
+    def latest(self) -> RemoteProcess | None:
         """The one that began last.
 
         A life's number is no help: a node that has lost its folder begins with the first again.
         """
-        return self.newest(0)
+        return self.latest_except(0)
 
-    def newest(self, but: int) -> Life | None:
+    def latest_except(self, except_birth: int) -> RemoteProcess | None:
         """The same without the process of that birth."""
-        lives = [x for x in self.lives.values() if x.birth != but]
-        return max(lives, key=lambda x: x.low_us) if lives else None
+        processes = [x for x in self.processes.values() if x.birth != except_birth]
+        return max(processes, key=lambda x: x.earliest_start_us) if processes else None
 
-    def heard(self, asked_us: int, now_us: int, word: Word) -> None:
+    def receive(self, asked_us: int, now_us: int, report: Word) -> None:
         """A word has come."""
-        life = self.lives.get(word.birth)
-        if life is None:
-            drift = self._figures.drift_ppm
-            life = self.lives[word.birth] = Life(word.life, word.birth, word.width_us, drift)
-        life.measure(asked_us - word.ago_most_us, now_us - word.ago_least_us, word.up_us, now_us)
-        life.merge(word)
-        while len(self.lives) > MAX_LIVES:
-            del self.lives[min(self.lives, key=lambda b: self.lives[b].low_us)]
-
-    def forget(self, now_us: int) -> None:
+        process = self.processes.get(report.birth)
+        if process is None:
+            drift_ppm = self._settings.drift_ppm
+            process = self.processes[report.birth] = RemoteProcess(
+                report.life, report.birth, report.width_us, drift_ppm
+            )
+        process.update_start(
+            asked_us - report.ago_most_us, now_us - report.ago_least_us, report.up_us, now_us
+        )
+        process.merge(report)
+        while len(self.processes) > MAX_PROCESSES_PER_NODE:
+            del self.processes[min(self.processes, key=lambda b: self.processes[b].earliest_start_us)]
+
+    def discard_expired(self, now_us: int) -> None:
         """What can't be in the window any more: slices, and lives before the last."""
-        start = now_us - self._figures.window_us
-        last = self.last
-        for birth, life in list(self.lives.items()):
-            life.forget((start - life.when(0, now_us)[1]) // life.width_us)
-            if life is not last and life.when(life.known_us, now_us)[1] < start:
-                del self.lives[birth]
-
-    def part(self, name: str, key: str | None, now_us: int) -> Part:
+        start = now_us - self._settings.window_us
+        latest = self.latest
+        for birth, process in list(self.processes.items()):
+            process.discard_expired((start - process.time_bounds(0, now_us)[1]) // process.width_us)
+            if process is not latest and process.time_bounds(process.known_until_us, now_us)[1] < start:
+                del self.processes[birth]
+
+    def usage_bounds(self, name: str, key: str | None, now_us: int) -> NodeUsage:
         """Its part of a figure."""
-        figures, start = self._figures, now_us - self._figures.window_us
-        low = high = edge = others = unheard_us = 0
+        settings, start = self._settings, now_us - self._settings.window_us
+        low = high = window_edge = untracked = unreported_us = 0
         busiest = 0.0  # a second
-        from_us = LONG_AGO
-        for life in sorted(self.lives.values(), key=lambda x: x.low_us):
-            numbers, width = life.numbers(key), life.width_us
-            busiest = max(busiest, life.peak(key, numbers) / width * 1e6)
+        from_us = LONG_AGO_US
+        for process in sorted(self.processes.values(), key=lambda x: x.earliest_start_us):
+            slots, width = process.slots_of(key), process.width_us
+            busiest = max(busiest, process.peak_count(key, slots) / width * 1e6)
             # before the first slice that it told of nothing is known of it, nor since the life before
-            unheard_us += _inside(from_us, life.when(max(life.first, 0) * width, now_us)[1], start, now_us)
-            for index in life.cells:
-                sure, may = life.cell(index, key, numbers)
-                ends_us = (index + 1) * width if index < life.upto else max(life.open_us, index * width)
-                if life.when(ends_us, now_us)[1] <= start:
+            unreported_us += _overlap_us(
+                from_us, process.time_bounds(max(process.first, 0) * width, now_us)[1], start, now_us
+            )
+            for index in process.counts_by_slice:
+                certain, possible = process.slice_bounds(index, key, slots)
+                ends_us = (
+                    (index + 1) * width if index < process.upto else max(process.open_slice_us, index * width)
+                )
+                if process.time_bounds(ends_us, now_us)[1] <= start:
                     continue
-                high += may
-                if life.when(index * width, now_us)[0] > start:
-                    low += sure
-                    others += may - sure
+                high += possible
+                if process.time_bounds(index * width, now_us)[0] > start:
+                    low += certain
+                    untracked += possible - certain
                 else:
-                    edge += may
-            from_us = max(life.when(life.known_us, now_us)[0], from_us)
+                    window_edge += possible
+            from_us = max(process.time_bounds(process.known_until_us, now_us)[0], from_us)
         until_us = now_us if self.gone_us < 0 else min(self.gone_us, now_us)
-        unheard_us += _inside(from_us, until_us, start, now_us)
-        rate = figures.ceiling_per_s
-        if self.lives:
-            rate = min(rate, max(figures.floor_per_s, figures.growth * busiest))
-        unheard = int(unheard_us * rate / 1e6) + 1 if unheard_us else 0
-        age_us = max(now_us - from_us, 0) if self.lives else -1
-        return Part(name, low, high + unheard, age_us, unheard, edge, others)
+        unreported_us += _overlap_us(from_us, until_us, start, now_us)
+        rate = settings.ceiling_per_s
+        if self.processes:
+            rate = min(rate, max(settings.floor_per_s, settings.growth * busiest))
+        unreported = int(unreported_us * rate / 1e6) + 1 if unreported_us else 0
+        age_us = max(now_us - from_us, 0) if self.processes else -1
+        return NodeUsage(name, low, high + unreported, age_us, unreported, window_edge, untracked)
 
 
-def _inside(from_us: int, to_us: int, start_us: int, end_us: int) -> int:
+def _overlap_us(from_us: int, to_us: int, start_us: int, end_us: int) -> int:
     """How much of a stretch lies in a window."""
     return max(min(to_us, end_us) - max(from_us, start_us), 0)
--- a/granitewell/shared_counters/types.py
+++ b/granitewell/shared_counters/types.py
@@ -11,11 +11,11 @@
 from granitewell.protocols.peers.counts import MAX_KEY
 from granitewell.protocols.peers.frames import Keys
 
-OTHERS = 0  # the slot of keys that have none of their own
+OVERFLOW_SLOT = 0  # the slot of keys that have none of their own
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class CounterSettings:
     """window_us: over which use is summed; width_us: of a slice.
 
     Attributes:
@@ -29,7 +29,7 @@
 
     window_us: int = 60_000_000
     width_us: int = 500_000
-    every_us: int = 250_000
+    poll_interval_us: int = 250_000
     keys: int = 64
     ceiling_per_s: float = 2_000.0
     growth: float = 2.0
@@ -59,7 +59,7 @@
 
 # --- Events ---------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Took:
+class UsageRecorded:
     """We have taken that many of a key."""
 
     key: str
@@ -83,7 +83,7 @@
 
 # --- What is told ---------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
-class Part:
+class NodeUsage:
     """One node's part of a figure.
 
     Attributes:
@@ -95,13 +95,13 @@
     low: int
     high: int
     age_us: int
-    unheard: int
-    edge: int
-    others: int
+    unreported: int
+    window_edge: int
+    untracked: int
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class UsageBounds:
     """The true sum over all nodes in the window that ends now lies in [low, high].
 
     Attributes:
@@ -111,11 +111,11 @@
     key: str
     low: int
     high: int
-    parts: tuple[Part, ...]
+    parts: tuple[NodeUsage, ...]
     unnamed: int = 0
 
     @property
-    def width(self) -> float:
+    def relative_width(self) -> float:
         """Of the middle; 0 where nothing was used."""
         middle = (self.low + self.high) / 2
         return (self.high - self.low) / middle if middle else 0.0
--- a/tests/shared_counters/test_shared_counters.py
+++ b/tests/shared_counters/test_shared_counters.py
@@ -17,10 +17,17 @@
 from granitewell.lab.judge.counts import NEVER, CountsJudge, Told
 from granitewell.protocols.peers.counts import LETTERS, Ask, Slice, Slot, Word
 from granitewell.protocols.peers.frames import MAX_DATAGRAM, Frame, Key, Keys, Kind, open_, seal
-from granitewell.shared_counters.local_counts import CANDIDATES, Own
-from granitewell.shared_counters.remote_counts import Life
-from granitewell.shared_counters.state_machine import WORDS, Counts
-from granitewell.shared_counters.types import OTHERS, Figures, Peer, Peers, Rekey, Took
+from granitewell.shared_counters.local_counts import CANDIDATES_PER_SLOT, LocalCounts
+from granitewell.shared_counters.remote_counts import RemoteProcess
+from granitewell.shared_counters.state_machine import MAX_MESSAGES_PER_ANSWER, SharedCounters
+from granitewell.shared_counters.types import (
+    OVERFLOW_SLOT,
+    CounterSettings,
+    Peer,
+    Peers,
+    Rekey,
+    UsageRecorded,
+)
 from granitewell.state_machine import Heard, Say, Woken
 from granitewell.status import shared
 
@@ -28,9 +35,9 @@
 
 
 def node(
-    name: str, now: int = 0, figures: Figures = FIGURES, others: tuple[str, ...] = ("a", "b", "c")
-) -> Counts:
-    made = Counts(name, 1, 100 + ord(name[0]) + now, KEYS, figures, Random(name), now)
+    name: str, now: int = 0, figures: CounterSettings = FIGURES, others: tuple[str, ...] = ("a", "b", "c")
+) -> SharedCounters:
+    made = SharedCounters(name, 1, 100 + ord(name[0]) + now, KEYS, figures, Random(name), now)
     made.handle(now, Peers({n: Peer(n, True) for n in others}))
     return made
 
@@ -39,7 +46,7 @@
     return [e for e in effects if isinstance(e, Say) and to in ("", e.to)]
 
 
-def exchange(now: int, asks: Counts, answers: Counts, lose: tuple[int, ...] = ()) -> int:
+def exchange(now: int, asks: SharedCounters, answers: SharedCounters, lose: tuple[int, ...] = ()) -> int:
     """Asks wakes, and its question to answers is answered; how many letters came back."""
     back = 0
     for say in said(asks.handle(now, Woken()), answers.name):
@@ -69,10 +76,10 @@
 
 
 def test_what_was_lost_between_two_words_is_not_known() -> None:
-    life = Life(1, 9, 10, 0)
+    life = RemoteProcess(1, 9, 10, 0)
     for first, upto in ((0, 1), (4, 6)):
         life.merge(Word(1, 1, 9, 10 * upto + 5, 10, first, upto, "", 0, 0, 0, 0, True))
-    assert life.upto == 1 and life.known_us == 15
+    assert life.upto == 1 and life.known_until_us == 15
 
 
 @pytest.mark.parametrize("plant", ["slot-trusted", "gap-skipped"])
@@ -116,10 +123,10 @@
 
 
 def state(order: list[Word]) -> tuple[Any, ...]:
-    life = Life(1, 9, 10, 0)
+    life = RemoteProcess(1, 9, 10, 0)
     for word in order:
         life.merge(word)
-    return {i: dict(c) for i, c in life.cells.items()}, life.slots
+    return {i: dict(c) for i, c in life.counts_by_slice.items()}, life.slots
 
 
 @settings(max_examples=60, deadline=None)
@@ -134,38 +141,40 @@
 @settings(max_examples=60, deadline=None)
 @given(words(), st.randoms(use_true_random=False))
 def test_merges_are_monotone_and_what_is_whole_is_whole(said: list[Word], rng: Any) -> None:
-    life, last = Life(1, 9, 10, 0), (0, 0)
+    life, last = RemoteProcess(1, 9, 10, 0), (0, 0)
     truth = {s.index: sum(s.used[1::2]) for w in said for s in w.slices}
     for word in rng.choices(said, k=12):
         life.merge(word)
-        now = life.upto, sum(sum(c.values()) for c in life.cells.values())
+        now = life.upto, sum(sum(c.values()) for c in life.counts_by_slice.values())
         assert now[0] >= last[0] and now[1] >= last[1]
         last = now
         if life.first >= 0:
             for index in range(life.first, life.upto):
-                assert sum(life.cells.get(index, {}).values()) == truth.get(index, 0)
+                assert sum(life.counts_by_slice.get(index, {}).values()) == truth.get(index, 0)
 
 
 # --- Letters --------------------------------------------------------------------------------------------
 def test_who_knows_nothing_learns_a_whole_window_and_then_only_what_is_new() -> None:
-    figures = Figures(window_us=8 * S, width_us=250_000, keys=40)
+    figures = CounterSettings(window_us=8 * S, width_us=250_000, keys=40)
     a, b = node("a", figures=figures), node("b", 10 * S, figures)
     now = 3 * S
     for k in range(4_000):
         now += 2_000
-        a.handle(now, Took(f"a-rather-long-name-of-a-tenant-{k % 50}"))
+        a.handle(now, UsageRecorded(f"a-rather-long-name-of-a-tenant-{k % 50}"))
     came = exchange(now, b, a)
-    assert 1 < came <= WORDS and all(len(x.data) <= MAX_DATAGRAM for x in said(a.handle(now, Woken())))
+    assert 1 < came <= MAX_MESSAGES_PER_ANSWER and all(
+        len(x.data) <= MAX_DATAGRAM for x in said(a.handle(now, Woken()))
+    )
     for _ in range(12):
         now += 250_000
         exchange(now, b, a)
-    life = b.nodes["a"].last
-    assert life is not None and life.upto == a.own.now_index and life.slots_known == a.own.version
-    theirs = {i: dict(c) for i, c in life.cells.items() if i >= a.own.oldest}
-    assert theirs == {i: c for i, c in a.own.cells.items() if i >= a.own.oldest}
-    before = a.counts["said_bytes"]
+    life = b.nodes["a"].latest
+    assert life is not None and life.upto == a.local.current_slice and life.slots_version == a.local.version
+    theirs = {i: dict(c) for i, c in life.counts_by_slice.items() if i >= a.local.oldest_slice}
+    assert theirs == {i: c for i, c in a.local.counts_by_slice.items() if i >= a.local.oldest_slice}
+    before = a.message_counts["said_bytes"]
     now += 250_000
-    assert exchange(now, b, a) == 1 and a.counts["said_bytes"] - before < 400
+    assert exchange(now, b, a) == 1 and a.message_counts["said_bytes"] - before < 400
 
 
 def test_a_lost_letter_of_several_is_asked_for_again_and_hides_nothing_meanwhile() -> None:
@@ -173,24 +182,24 @@
 
     Until it is told again their use may be anybody's.
     """
-    figures = Figures(window_us=8 * S, width_us=250_000, keys=40, floor_per_s=1.0, growth=1.0)
+    figures = CounterSettings(window_us=8 * S, width_us=250_000, keys=40, floor_per_s=1.0, growth=1.0)
     a, b = node("a", 0, figures, ("b",)), node("b", 0, figures, ("a",))
     now = 20 * S
     for k in range(3_000):
         now += 1_000
-        a.handle(now, Took(f"a-rather-long-name-of-a-tenant-{k % 40}"))
+        a.handle(now, UsageRecorded(f"a-rather-long-name-of-a-tenant-{k % 40}"))
     now += 250_000
     assert exchange(now, b, a, lose=(0,)) > 2
     key, true = "a-rather-long-name-of-a-tenant-0", 75
-    life = b.nodes["a"].last
-    assert life is not None and life.slots_known == 0
-    figure = b.figure(now, key)
+    life = b.nodes["a"].latest
+    assert life is not None and life.slots_version == 0
+    figure = b.bounds(now, key)
     assert figure.low <= true <= figure.high
     for _ in range(4):
         now += 250_000
         exchange(now, b, a)
-    figure = b.figure(now, key)
-    assert life.slots_known == a.own.version and figure.low <= true <= figure.high <= true + 40
+    figure = b.bounds(now, key)
+    assert life.slots_version == a.local.version and figure.low <= true <= figure.high <= true + 40
 
 
 def test_a_node_that_begins_again_learns_from_others_what_its_name_has_used() -> None:
@@ -198,19 +207,19 @@
     now = S
     for _ in range(100):
         now += 20_000
-        a.handle(now, Took("k"))
+        a.handle(now, UsageRecorded("k"))
         if not _ % 10:
             exchange(now, b, a)
-    again = Counts("a", 2, 7, KEYS, FIGURES, Random(1), now)
+    again = SharedCounters("a", 2, 7, KEYS, FIGURES, Random(1), now)
     again.handle(now, Peers({"b": Peer("b", True)}))
-    wide = again.figure(now, "k")
+    wide = again.bounds(now, "k")
     for _ in range(20):
         now += 250_000
         exchange(now, again, b)
         exchange(now, b, again)
-    figure = again.figure(now, "k")
+    figure = again.bounds(now, "k")
     assert wide.low == 0 and wide.high >= 100 and 80 <= figure.low <= 100 <= figure.high < wide.high
-    assert b.figure(now, "k").low <= 100 <= b.figure(now, "k").high
+    assert b.bounds(now, "k").low <= 100 <= b.bounds(now, "k").high
 
 
 def test_one_that_only_another_hears_is_asked_of_that_other() -> None:
@@ -218,79 +227,83 @@
     now = S
     for k in range(160):
         now += 25_000
-        a.handle(now, Took("k"))
+        a.handle(now, UsageRecorded("k"))
         if k % 8 == 0:
             exchange(now, b, a)  # c hears nothing of a
             exchange(now, c, b)
-    part = next(p for p in c.figure(now, "k").parts if p.name == "a")
+    part = next(p for p in c.bounds(now, "k").parts if p.name == "a")
     assert 0 <= part.age_us < 2 * S and part.low >= 100
 
 
 def test_who_is_gone_for_good_is_folded_away_and_no_ghost_of_it_returns() -> None:
     a, b = node("a", others=("b",)), node("b", others=("a",))
-    a.handle(S, Took("k", 5))
+    a.handle(S, UsageRecorded("k", 5))
     exchange(2 * S, b, a)
     ask = said(b.handle(3 * S, Woken()))[0]
     late = said(a.handle(3 * S, Heard("b", ask.data)))[0]
     b.handle(4 * S, Peers({"a": Peer("a", False, True)}))
-    assert b.figure(4 * S).low == 5
+    assert b.bounds(4 * S).low == 5
     b.handle(13 * S, Peers({"a": Peer("a", False, True)}))
-    assert not b.nodes and b.figure(13 * S).high == 0
+    assert not b.nodes and b.bounds(13 * S).high == 0
     b.handle(14 * S, Peers({}))
     b.handle(14 * S, Heard("a", late.data))
-    assert not b.nodes and b.figure(14 * S).high == 0
+    assert not b.nodes and b.bounds(14 * S).high == 0
 
 
 # --- Bounds ---------------------------------------------------------------------------------------------
 def test_a_hundred_thousand_keys_that_come_once_cost_no_memory_and_push_nobody_out() -> None:
-    figures = Figures(keys=16)
-    own = Own(figures, 0)
+    figures = CounterSettings(keys=16)
+    own = LocalCounts(figures, 0)
     now = 0
     for k in range(100_000):
         now += 500
-        own.took(now, f"once-{k}", 1)
-        own.took(now, "hot", 1)
-    assert [s.key for s in own.slots.values()] == ["hot"] and len(own._came) <= CANDIDATES * figures.keys
-    assert sum(c.get(OTHERS, 0) for c in own.cells.values()) == 100_001  # the first of hot among them
-    assert len(own.cells) <= figures.slices
+        own.add(now, f"once-{k}", 1)
+        own.add(now, "hot", 1)
+    assert [s.key for s in own.slots.values()] == ["hot"] and len(
+        own._seen_once
+    ) <= CANDIDATES_PER_SLOT * figures.keys
+    assert (
+        sum(c.get(OVERFLOW_SLOT, 0) for c in own.counts_by_slice.values()) == 100_001
+    )  # the first of hot among them
+    assert len(own.counts_by_slice) <= figures.slices
 
 
 @pytest.mark.parametrize("key", ["x" * 97, "\u00e9" * 49, "\U0001f695" * 96, ""])
 def test_a_key_that_no_letter_can_name_counts_among_the_others_and_spoils_no_word(key: str) -> None:
     a, b = node("a", others=("b",)), node("b", others=("a",))
     for k in range(4):
-        a.handle(S + k, Took(key))
-        a.handle(S + k, Took("k"))
+        a.handle(S + k, UsageRecorded(key))
+        a.handle(S + k, UsageRecorded("k"))
     exchange(2 * S, b, a)
-    assert b.figure(2 * S).low == 8 and b.counts["dropped malformed"] == 0
-    assert [s.key for s in a.own.slots.values()] == ["k"]
+    assert b.bounds(2 * S).low == 8 and b.message_counts["dropped malformed"] == 0
+    assert [s.key for s in a.local.slots.values()] == ["k"]
 
 
 def test_counts_beyond_what_a_float_holds_are_exact() -> None:
     a, b = node("a", others=("b",)), node("b", others=("a",))
     for count in (1, (1 << 53) + 1):
-        a.handle(S, Took("k", count))
+        a.handle(S, UsageRecorded("k", count))
     exchange(2 * S, b, a)
-    assert b.figure(2 * S).low == (1 << 53) + 2
+    assert b.bounds(2 * S).low == (1 << 53) + 2
 
 
 def test_a_node_with_many_requests_asks_as_often_as_one_with_none() -> None:
     a, now = node("a"), 0
     while now < 2 * S:
         now += 1_000
-        a.handle(now, Took("k"))
+        a.handle(now, UsageRecorded("k"))
         if a.wake_us <= now:
             a.handle(now, Woken())
-    assert a.counts["ask said"] >= 3 * 7  # of each of three, every 250 ms
+    assert a.message_counts["ask said"] >= 3 * 7  # of each of three, every 250 ms
 
 
 def test_what_is_said_stays_within_its_bytes() -> None:
-    figures = Figures(window_us=8 * S, width_us=250_000, bytes_per_s=2_000)
+    figures = CounterSettings(window_us=8 * S, width_us=250_000, bytes_per_s=2_000)
     others = tuple(f"n{k}" for k in range(100))
     a = node("a", 0, figures, others)
     for now in range(0, 20 * S, 20_000):
         a.handle(now, Woken())
-    assert a.counts["said_bytes"] <= 2_000 * 20 + 2_000 and a.counts["slowed"] > 0
+    assert a.message_counts["said_bytes"] <= 2_000 * 20 + 2_000 and a.message_counts["slowed"] > 0
 
 
 @pytest.mark.parametrize(
@@ -305,8 +318,8 @@
 )  # fmt: skip
 def test_what_is_no_letter_for_us_is_counted_and_changes_nothing(data: bytes, why: str) -> None:
     a = node("a")
-    assert a.handle(S, Heard("b", data)) == [] and a.counts[f"dropped {why}"] == 1
-    assert not any(n.lives for n in a.nodes.values())
+    assert a.handle(S, Heard("b", data)) == [] and a.message_counts[f"dropped {why}"] == 1
+    assert not any(n.processes for n in a.nodes.values())
 
 
 @pytest.mark.parametrize(
@@ -328,7 +341,10 @@
     assert isinstance(asked, Ask)
     body = LETTERS.write(replace(word, number=asked.number))
     a.handle(S, Heard("b", seal(Kind.COUNT, body, KEYS, "b")))
-    assert not a.nodes["b"].lives and sum(n for k, n in a.counts.items() if k.startswith("dropped")) == 1
+    assert (
+        not a.nodes["b"].processes
+        and sum(n for k, n in a.message_counts.items() if k.startswith("dropped")) == 1
+    )
 
 
 @settings(max_examples=150, deadline=None)
@@ -388,9 +404,9 @@
 
 
 def test_slots_are_told_in_the_order_of_their_changes() -> None:
-    own = Own(Figures(window_us=2 * S, width_us=250_000), 0)
+    own = LocalCounts(CounterSettings(window_us=2 * S, width_us=250_000), 0)
     for key in ("a", "a", "b", "b"):
-        own.took(S, key, 1)
-    own.took(4 * S, "b", 1)
+        own.add(S, key, 1)
+    own.add(4 * S, "b", 1)
     assert [(s.key, s.ended >= 0) for s in own.slots_after(0)] == [("a", True), ("b", True)]
     assert own.slots_after(own.version) == [] and own.slots_after(3)[0] == Slot(2, "b", 4, 16, 4)
