--- a/granitewell/shared_counters/__init__.py
+++ b/granitewell/shared_counters/__init__.py
@@ -1,21 +1,23 @@
-"""What all nodes together have used, by key, in a window of time that slides: with bounds that are sure.
+"""Usage counts per key, summed over all nodes in a sliding time window, with guaranteed bounds.
 
-It owns the subject of counts: each node's own slices of use, what is known of the others', and between which
-two figures the true sum lies. It must never decide what follows from a count, and knows no other subject.
+The package counts usage, replicates the counts between nodes, and bounds the true sum from below and above.
+What follows from a count is decided elsewhere.
 
-Theory of operation. There is no leader and no sum that is passed on: each process counts its own use in
-slices of time, by its own clock, and a slice that is over never changes. Others hold copies of slices; which
-of two copies is right is never a question, as only one process writes them and a count in a slice only grows.
-So letters may be lost, doubled, late or out of order, and merging them is taking the maximum.
+The counts form a state-based CRDT, a grow-only counter per slice of time. There is no leader, and no sum is
+passed on: each process counts its own usage in slices of time, by its own clock, and a completed slice never
+changes. Other nodes hold copies of the slices. Only one process writes a slice and its counts only grow, so
+two copies are merged by taking the maximum. Messages may therefore be lost, duplicated, delayed or reordered.
 
-A node asks each other one in turn for what is new. The answer says how long the other process had run when it
-was written, and that moment lies between our asking and our hearing: so its slices have a place on our clock,
-known to within a round trip, and no two clocks need agree. A figure is then a pair. Low: slices that lie in
-the window for sure. High: slices that may lie in it, and for all time of which we have no word (since the
-last one; before a life's first one; of a node that was never heard) the most that a node can take.
+A node polls every other node in turn for what is new. A report says how long the reporting process had been
+running when it was written, and that moment lies between the request and the receipt of the report. This
+places the slices on the receiver's clock to within one round trip, and no two clocks need to agree. The usage
+is reported as a pair of bounds. The lower bound counts the slices that are certainly within the window. The
+upper bound counts the slices that may be within it, plus, for all time that no report covers, the most that a
+node can use. Such time lies after the last report, before the first report of a process, and is the whole
+window for a node that was never heard.
 
-What that is, is the one thing that is assumed and not known, and stands in the operator file: no node takes
-more than `ceiling_per_s` of all keys, nor of one key more than `growth` times its busiest slice in the
-window, or `floor_per_s` where that is more. A silent node widens the figure, up to what it can have taken in
-a whole window, and is never forgotten by silence.
+That maximum is the only assumption, and is set in the configuration: no node uses more than `ceiling_per_s`
+over all keys, nor more of one key than `growth` times the rate of its busiest slice in the window, or
+`floor_per_s` if that is higher. A silent node is never dropped for its silence: it widens the bounds, up to
+what it can have used in a whole window.
 """
--- a/granitewell/shared_counters/local_counts.py
+++ b/granitewell/shared_counters/local_counts.py
@@ -1,11 +1,12 @@
-"""A process's own use, in slices of its own time.
+"""Usage of this process, counted in slices of its own time.
 
-It owns which keys have a place of their own and what was used when. It must never know another node. Memory
-is bounded by the window and `keys`, however many keys come.
+This module assigns slots to keys and counts usage by slice and slot. It knows no other node. Its memory is
+bounded by the window and the `keys` setting, however many different keys are used.
 
-A key gets a slot once it has come twice within a window, if one is free; until then, and where none is, its
-use goes to the slot of the others. So a hundred thousand keys that come once cost nothing and push nobody
-out. A slot that was not used for a window is given up: nothing in the window tells of it any more.
+A key gets a slot when it is used for the second time within a window, if a slot is free. Until then, and
+while no slot is free, its usage is counted in the overflow slot, so that a hundred thousand keys that are
+used once need no memory and evict no other key. A slot that was not used for a window is released, because
+no slice in the window refers to it any more.
 """
 
 from __future__ import annotations
@@ -14,14 +15,22 @@
 from granitewell.shared_counters.types import OVERFLOW_SLOT, CounterSettings, key_fits
 
 USES_BEFORE_SLOT = 2
-CANDIDATES_PER_SLOT = 8  # times `keys`, of which it is remembered that they came once
+CANDIDATES_PER_SLOT = 8  # how many keys that were used once are remembered, per slot
 
 
 class LocalCounts:
-    """figures: window, width and keys.
+    """Usage of this process within the window.
+
+    Args:
+        settings: Settings of the counters.
+        started_us: Time of the start of the process on its own clock, in microseconds.
 
     Attributes:
-        began_us: Of the process, by its clock.
+        started_us: Time of the start of the process on its own clock, in microseconds.
+        counts_by_slice: Counts by slice and slot.
+        slots: Slots by number, in the order of their last change.
+        version: Version of the slots, raised by each change.
+        current_slice: Slice that was open at the last call of `advance`.
     """
 
     __slots__ = (
@@ -39,21 +48,21 @@
 
     def __init__(self, settings: CounterSettings, started_us: int) -> None:
         self._settings, self.started_us = settings, started_us
-        self.counts_by_slice: dict[int, dict[int, int]] = {}  # by slice, by slot
-        self.slots: dict[int, Slot] = {}  # in the order of their last change
+        self.counts_by_slice: dict[int, dict[int, int]] = {}
+        self.slots: dict[int, Slot] = {}
         self.version = 0
         self.current_slice = 0
         self._slot_by_key: dict[str, int] = {}
         self._last_used: dict[int, int] = {}  # slice in which a slot was last used
-        self._seen_once: dict[str, int] = {}  # keys without a slot: the slice in which they came
+        self._seen_once: dict[str, int] = {}  # keys used once, without a slot: slice of that use
         self._next_number = OVERFLOW_SLOT + 1
 
     def uptime_us(self, now_us: int) -> int:
-        """How long the process has run."""
+        """Return how long the process has been running, in microseconds."""
         return max(now_us - self.started_us, 0)
 
     def add(self, now_us: int, key: str, count: int) -> None:
-        """So much of a key."""
+        """Count usage of a key."""
         index = self.advance(now_us)
         slot = self._slot_by_key.get(key)
         if slot is None:
@@ -64,7 +73,7 @@
         counts[slot] = counts.get(slot, 0) + count
 
     def advance(self, now_us: int) -> int:
-        """The slice that is open now; what has left the window goes."""
+        """Discard what has left the window; return the slice that is open now."""
         index = self.uptime_us(now_us) // self._settings.width_us
         if index != self.current_slice:
             self.current_slice = index
@@ -81,12 +90,12 @@
 
     @property
     def oldest_slice(self) -> int:
-        """The first slice that a window which ends now may still touch."""
+        """The first slice that may overlap a window ending now."""
         return max(self.current_slice - self._settings.slices, 0)
 
     def _slot_for(self, key: str, index: int) -> int:
         if not key_fits(key):
-            return OVERFLOW_SLOT  # no letter could name it, and one that tried would be dropped whole
+            return OVERFLOW_SLOT  # receivers reject a whole message that names it
         seen = self._seen_once.pop(key, None)
         if seen is not None and len(self._slot_by_key) < self._settings.keys:
             number, self._next_number = self._next_number, self._next_number + 1
@@ -104,14 +113,14 @@
         self._store_slot(Slot(number, slot.key, slot.born, index, 0))
 
     def _store_slot(self, slot: Slot) -> None:
-        """Slots that change come last, so that what is new stands behind what is known."""
+        """Store a changed slot last, so that `slots_after` finds the newest changes at the end."""
         self.version += 1
         self.slots.pop(slot.number, None)
         self.slots[slot.number] = Slot(slot.number, slot.key, slot.born, slot.ended, self.version)
 
-    # --- For others -------------------------------------------------------------------------------------
+    # --- Replication ------------------------------------------------------------------------------------
     def slots_after(self, version: int) -> list[Slot]:
-        """Those that have changed since, the earliest change first."""
+        """Return the slots that have changed since a version, the earliest change first."""
         found = []
         for slot in reversed(self.slots.values()):
             if slot.version <= version:
--- a/granitewell/shared_counters/state_machine.py
+++ b/granitewell/shared_counters/state_machine.py
@@ -1,11 +1,11 @@
-"""The counter that a shell runs: asks the other nodes in turn, answers them, and tells figures.
+"""State machine of the shared counters: polls the other nodes, answers their polls, and computes bounds.
 
-It owns whom to ask when, what an answer holds, and how many bytes that may cost. It must never touch a socket
-or read a clock, and raises nothing on what comes from outside.
+This module decides which node is polled when, what a report contains, and how many bytes are spent on it. It
+uses no socket and no clock of its own, and no message from outside makes it raise an error.
 
-A question has a number, and the answer to it repeats that: so it is known when it was asked. Answers that
-come twice, late or out of order are taken as any other, since merging them changes nothing that is known
-already; an answer to no question of ours is dropped, as nothing would be known of when it was written.
+A request has a number that its reports repeat, which tells when it was sent. Reports that arrive twice, late
+or out of order are accepted like any other, because merging them again changes nothing. A report without a
+pending request is dropped, because the time at which it was written could not be bounded.
 """
 
 from __future__ import annotations
@@ -32,22 +32,24 @@
 from granitewell.state_machine import Heard, Say, Woken
 
 MAX_BODY_BYTES = MAX_DATAGRAM - OVERHEAD
-MAX_FIXED_FIELDS_BYTES = 96  # bytes of a word without slots and slices, at the most
-APPROX_ASK_BYTES = 160  # of a whole question, about
-MAX_MESSAGES_PER_ANSWER = 4  # letters in one answer, where there is much to tell
-MAX_PENDING_REQUESTS = 32  # questions to one node that may still be answered
-MAX_MESSAGES_PER_SENDER_PER_S = 40  # letters a second that are looked at, of each and
-MAX_MESSAGES_PER_S = 4_000  # of all
+MAX_FIXED_FIELDS_BYTES = 96  # of a report without slots and slices
+APPROX_ASK_BYTES = 160  # of a whole request
+MAX_MESSAGES_PER_ANSWER = 4  # a longer answer continues with the next request
+MAX_PENDING_REQUESTS = 32  # requests to one node that may still be answered
+MAX_MESSAGES_PER_SENDER_PER_S = 40  # messages of one node beyond this rate are dropped
+MAX_MESSAGES_PER_S = 4_000  # messages of all nodes beyond this rate are dropped
 MAX_NODES = 10_000
-MIN_POLL_GAP_US = 20_000  # between two looks at whom to ask, at least
-SILENT_POLL_INTERVALS = 3  # times every_us without a word, after which a node is asked of others
+MIN_POLL_GAP_US = 20_000  # minimum time between two polling rounds
+SILENT_POLL_INTERVALS = 3  # poll intervals of silence after which other nodes are asked for a copy
 
 
 class _PeerPolling:
-    """How a node is asked.
+    """Polling state of a node.
 
     Attributes:
-        sent: Our questions that are not answered, by number: when, and of whom.
+        due_us: When it is polled next, in microseconds.
+        bucket: Rate limit of its messages.
+        sent: Pending requests by number: when each was sent, and for which node's usage.
     """
 
     __slots__ = ("bucket", "due_us", "sent")
@@ -58,10 +60,10 @@
 
 
 class ProcessUsage(NamedTuple):
-    """What is told of a process, be it ourselves or a copy: see `Word`.
+    """Usage of a process to report: this process, or the copy held of another; see `Word`.
 
     Attributes:
-        version: Up to which its slots are known.
+        version: Version up to which its slots are known.
     """
 
     incarnation: int
@@ -79,12 +81,21 @@
 
 
 class SharedCounters:
-    """Of one process.
+    """Shared counters of one process.
+
+    Args:
+        name: Name of the node.
+        incarnation: Incarnation of the node.
+        birth: Random id of the process.
+        keys: Keys that seal messages.
+        settings: Settings of the counters.
+        rng: Source of random numbers, used by nothing else; it spreads requests over time.
+        now_us: Current time, in microseconds.
 
     Attributes:
-        name, life, birth: As the membership has them.
-        counts: Letters by kind, and what was dropped, by reason.
-        rng: Its own; spreads questions over time.
+        message_counts: Number of messages by kind, and of dropped messages by reason.
+        local: Usage of this process.
+        nodes: Replicated usage of the other nodes, by name.
     """
 
     def __init__(
@@ -104,28 +115,26 @@
         self._keys, self._rng, self._now_us = keys, rng, now_us
         self._peers: dict[str, Peer] = {}
         self._polling: dict[str, _PeerPolling] = {}
-        self._unnamed = 0
-        self._previous_processes = RemoteNode(
-            settings
-        )  # what processes of our name before this one have used
+        self._unnamed_nodes = 0
+        self._previous_processes = RemoteNode(settings)  # earlier processes of this node
         self._previous_processes.gone_us = now_us
-        self._indirect_due_us = now_us  # when another is next asked of a silent node
+        self._indirect_due_us = now_us  # when another node is next asked about a silent one
         self._last_request = int(rng.random() * (1 << 30)) << 20
         self._total = Bucket(MAX_MESSAGES_PER_S, now_us)
         self._byte_budget, self._budget_updated_us = float(settings.bytes_per_s), now_us
-        self._discarded_us = now_us  # when what has left the window last went
-        self._polled_us = now_us  # when it was last looked at whom to ask: no request puts that off
+        self._discarded_us = now_us  # when expired usage was last discarded
+        self._polled_us = now_us  # time of the last polling round; usage does not delay the next one
         self._out: list[object] = []
 
-    # --- What others see --------------------------------------------------------------------------------
+    # --- Views ------------------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
-        """When Woken is wanted; -1 for never."""
+        """When a Woken event is wanted, in microseconds; -1 for never."""
         due = min((self._polling[n].due_us for n, p in self._peers.items() if p.up), default=-1)
         return max(due, self._polled_us + MIN_POLL_GAP_US) if due >= 0 else -1
 
     def bounds(self, now_us: int, key: str | None = None) -> UsageBounds:
-        """Between what the use of a key by all nodes lies, in the window that ends now; None: of all keys."""
+        """Return the bounds of the usage by all nodes in the window ending now; key None for all keys."""
         now_us = max(now_us, self._now_us)
         self.local.advance(now_us)
         local_usage = self._local_usage(now_us, key)
@@ -134,12 +143,12 @@
             *(node.usage_bounds(name, key, now_us) for name, node in sorted(self.nodes.items())),
         ]
         window_s = self.settings.window_us / 1e6
-        unnamed = int(self._unnamed * self.settings.ceiling_per_s * window_s)
+        unnamed = int(self._unnamed_nodes * self.settings.ceiling_per_s * window_s)
         low, high = sum(p.low for p in parts), sum(p.high for p in parts) + unnamed
         return UsageBounds(key if key is not None else "", low, high, tuple(parts), unnamed)
 
     def keys(self) -> list[str]:
-        """All that have a slot at some node."""
+        """Return all keys that have a slot on some node."""
         slots = [*self.local.slots.values()]
         slots += [
             s for n in self.nodes.values() for process in n.processes.values() for s in process.slots.values()
@@ -147,8 +156,10 @@
         return sorted({s.key for s in slots})
 
     def _local_usage(self, now_us: int, key: str | None) -> NodeUsage:
-        """Our own part: known to the microsecond, but for the edge of the window in a slice, and for keys
-        that had no slot.
+        """Return the bounds of this node's usage.
+
+        They differ only by the slice that is partly within the window, by keys that had no slot, and by
+        earlier processes of this node.
         """
         local, start = self.local, self.local.uptime_us(now_us) - self.settings.window_us
         slots = [s for s in local.slots.values() if s.key == key]
@@ -180,7 +191,7 @@
 
     # --- Events -----------------------------------------------------------------------------------------
     def handle(self, now_us: int, event: object) -> list[object]:
-        """Apply one event; letters to be sent."""
+        """Apply one event; return the messages to send."""
         out = self._out = []
         now_us = self._now_us = max(now_us, self._now_us)
         if isinstance(event, UsageRecorded):
@@ -194,12 +205,12 @@
         elif isinstance(event, Rekey):
             self._keys = event.keys
         else:
-            raise TypeError(f"event: found {type(event).__name__}, allowed are those of counts")
+            raise TypeError(f"event: found {type(event).__name__}, allowed are the events of shared counters")
         return out
 
     def _update_peers(self, event: Peers) -> None:
-        """Others are there, or gone."""
-        self._unnamed = event.unnamed
+        """Replace the other nodes."""
+        self._unnamed_nodes = event.unnamed
         self._peers = {n: p for n, p in event.peers.items() if n != self.name}
         for name, peer in self._peers.items():
             node = self.nodes.get(name)
@@ -215,7 +226,7 @@
                     node.gone_us = self._now_us
         start = self._now_us - self.settings.window_us
         for name, node in list(self.nodes.items()):
-            # one that takes nothing is folded away once nothing of it can be in the window
+            # a node that has left is removed once its usage has left the window
             if name not in self._peers or node.gone_us >= 0:
                 if node.gone_us < 0:
                     node.gone_us = self._now_us
@@ -223,9 +234,9 @@
                     del self.nodes[name]
         self._polling = {n: a for n, a in self._polling.items() if n in self._peers}
 
-    # --- Asking -----------------------------------------------------------------------------------------
+    # --- Polling ----------------------------------------------------------------------------------------
     def _poll(self) -> None:
-        """Ask those whose turn it is, while there are bytes to spare."""
+        """Poll the nodes that are due, while the byte budget lasts."""
         self._polled_us = self._now_us
         self._refill_budget()
         self.local.advance(self._now_us)
@@ -246,13 +257,15 @@
             self._ask_indirectly()
 
     def _ask_indirectly(self) -> None:
-        """Ask somebody of the one that has been silent for longest.
+        """Ask a random node for its copy of the usage of the node that has been silent for longest.
 
-        Of our own former lives while the window holds some of them.
+        While the window may contain earlier processes of this node, half of these requests ask about them.
         """
         up = sorted(n for n, p in self._peers.items() if p.up)
-        late_us = self._now_us - SILENT_POLL_INTERVALS * self.settings.poll_interval_us
-        silent = [(self._known_until_us(n), n) for n in self.nodes if self._known_until_us(n) < late_us]
+        silent_before_us = self._now_us - SILENT_POLL_INTERVALS * self.settings.poll_interval_us
+        silent = [
+            (self._known_until_us(n), n) for n in self.nodes if self._known_until_us(n) < silent_before_us
+        ]
         if self.local.uptime_us(self._now_us) < self.settings.window_us and self._rng.random() < 0.5:
             silent = [(0, self.name)]
         if silent and up:
@@ -262,12 +275,12 @@
                 self._ask(name, self._polling[name], target)
 
     def _known_until_us(self, name: str) -> int:
-        """Up to when we know what it has used."""
+        """Return the time up to which a node's usage is known, in microseconds; 0 if never heard."""
         process = self.nodes[name].latest
         return process.time_bounds(process.known_until_us, self._now_us)[0] if process is not None else 0
 
     def _usage_of(self, name: str) -> RemoteNode | None:
-        """What we hold of a name; of our own, of processes before this one."""
+        """Return the replicated usage of a node; for this node, that of its earlier processes."""
         return self._previous_processes if name == self.name else self.nodes.get(name)
 
     def _ask(self, name: str, polling: _PeerPolling, target: str) -> None:
@@ -277,13 +290,13 @@
         while len(polling.sent) >= MAX_PENDING_REQUESTS:
             del polling.sent[next(iter(polling.sent))]
         polling.sent[self._last_request] = self._now_us, target
-        whom = target if target != name else ""
+        subject = target if target != name else ""
         except_birth = self.birth if target == self.name else 0
         if process is None:
-            ask = Ask(self._last_request, whom, except_birth)
+            ask = Ask(self._last_request, subject, except_birth)
         else:
             ask = Ask(
-                self._last_request, whom, except_birth, process.birth, process.upto, process.slots_version
+                self._last_request, subject, except_birth, process.birth, process.upto, process.slots_version
             )
         self._send(self._peers[name].address, ask)
 
@@ -295,18 +308,18 @@
         self._out.append(Say(address, data))
 
     def _refill_budget(self) -> None:
-        per_s, passed_us = self.settings.bytes_per_s, self._now_us - self._budget_updated_us
-        self._byte_budget = min(self._byte_budget + passed_us * per_s / 1e6, float(per_s))
+        per_s, elapsed_us = self.settings.bytes_per_s, self._now_us - self._budget_updated_us
+        self._byte_budget = min(self._byte_budget + elapsed_us * per_s / 1e6, float(per_s))
         self._budget_updated_us = self._now_us
 
-    # --- Hearing ----------------------------------------------------------------------------------------
+    # --- Messages ---------------------------------------------------------------------------------------
     def _receive(self, heard: Heard) -> None:
-        wrong = self._accept(heard)
-        if wrong:
-            self.message_counts[f"dropped {wrong}"] += 1
+        drop_reason = self._accept(heard)
+        if drop_reason:
+            self.message_counts[f"dropped {drop_reason}"] += 1
 
     def _accept(self, heard: Heard) -> str:
-        """Take a letter up; why not, or nothing."""
+        """Handle a message; return why it is dropped, or ""."""
         if not self._total.take(self._now_us):
             return "in_all"
         frame = open_(heard.data, self._keys)
@@ -329,33 +342,35 @@
         return ""
 
     def _accept_report(self, name: str, polling: _PeerPolling, report: Word) -> str:
-        """An answer has come: not asked for, or of figures that can't be."""
+        """Merge a report; return why it is dropped (no pending request, or impossible values), or ""."""
         asked_us, target = polling.sent.get(report.number, (-1, ""))
         node = self._usage_of(target)
         if asked_us < 0 or node is None or (report.of or name) != target:
             return "unasked"
         whole = report.width_us > 0 and report.first <= report.upto <= report.up_us // report.width_us
-        near = all(report.first <= s.index <= report.upto for s in report.slices)
+        in_range = all(report.first <= s.index <= report.upto for s in report.slices)
         known = node.processes.get(report.birth)
-        if not whole or not near or report.ago_least_us > report.ago_most_us:
+        if not whole or not in_range or report.ago_least_us > report.ago_most_us:
             return "figures"
         if (known is not None and known.width_us != report.width_us) or report.birth == self.birth:
             return "birth"
         node.receive(asked_us, self._now_us, report)
         if not report.open and not report.of and report.upto < report.up_us // report.width_us - 1:
-            polling.due_us = min(polling.due_us, self._now_us + MIN_POLL_GAP_US)  # there is more: ask soon
+            polling.due_us = min(
+                polling.due_us, self._now_us + MIN_POLL_GAP_US
+            )  # more slices are available: poll again soon
         return ""
 
     def _answer(self, address: str, ask: Ask) -> None:
-        """What is new to whoever asks, as much as a few letters hold."""
+        """Send what is new to the requester, in at most `MAX_MESSAGES_PER_ANSWER` messages."""
         self._refill_budget()
         index = self.local.advance(self._now_us)
         usage = self._local_process(index) if ask.of in ("", self.name) else self._copy_of(ask.of, ask.but)
         if usage is None:
-            return  # we know nothing of it either
-        ours = ask.birth == usage.birth
-        at = min(max(ask.slices, usage.first), usage.upto) if ours else usage.first
-        known = min(ask.slots, usage.version) if ours else 0
+            return  # nothing is known about that node
+        same_process = ask.birth == usage.birth
+        at = min(max(ask.slices, usage.first), usage.upto) if same_process else usage.first
+        known = min(ask.slots, usage.version) if same_process else 0
         for _ in range(MAX_MESSAGES_PER_ANSWER):
             if self._byte_budget < 0:
                 self.message_counts["slowed"] += 1
@@ -407,31 +422,40 @@
         )
 
     def _build_report(self, ask: Ask, usage: ProcessUsage, first: int, known: int) -> Word:
-        """One letter: slots first, since slices without them say little; then whole slices."""
-        room, since = MAX_BODY_BYTES - MAX_FIXED_FIELDS_BYTES, known
+        """Return one report: changed slots first, because slices are of little use without them, then slices.
+
+        Slices are included completely or not at all.
+
+        Args:
+            ask: The request.
+            usage: Usage of the process to report.
+            first: First slice to include.
+            known: Version of the slots that the requester knows.
+        """
+        bytes_left, since = MAX_BODY_BYTES - MAX_FIXED_FIELDS_BYTES, known
         new: list[Slot] = []
-        left = [s for s in usage.slots_after(known) if s.version <= usage.version]
-        for slot in left:
-            room -= len(slot.key.encode()) + 24
-            if room < 0:
+        changed_slots = [s for s in usage.slots_after(known) if s.version <= usage.version]
+        for slot in changed_slots:
+            bytes_left -= len(slot.key.encode()) + 24
+            if bytes_left < 0:
                 break
             new.append(slot)
             known = slot.version
         slices: list[Slice] = []
         upto, whole = first, False
-        while len(new) == len(left) and room > 0:
+        while len(new) == len(changed_slots) and bytes_left > 0:
             counts = usage.counts_by_slice.get(upto)
             if counts:
-                one = Slice(upto, [x for pair in sorted(counts.items()) for x in pair])
-                room -= 12 + sum(_encoded_size(x) for x in one.used)
-                if room < 0:
+                reported_slice = Slice(upto, [x for pair in sorted(counts.items()) for x in pair])
+                bytes_left -= 12 + sum(_encoded_size(x) for x in reported_slice.used)
+                if bytes_left < 0:
                     break
-                slices.append(one)
+                slices.append(reported_slice)
             if upto >= usage.upto or len(slices) >= MAX_SLICES:
                 whole = upto >= usage.upto and usage.open
                 break
             upto += 1
-        if len(new) == len(left):
+        if len(new) == len(changed_slots):
             known = max(known, usage.version)
         return Word(
             ask.number, usage.incarnation, usage.birth, usage.up_us, usage.width_us, first, upto, ask.of,
@@ -440,6 +464,6 @@
 
 
 def _encoded_size(number: int) -> int:
-    """Bytes of a number as msgpack writes it."""
+    """Return the size of a number in msgpack, in bytes."""
     bounds = ((128, 1), (256, 2), (65_536, 3), (1 << 32, 5))
     return next((size for most, size in bounds if number < most), 9)
--- a/granitewell/shared_counters/types.py
+++ b/granitewell/shared_counters/types.py
@@ -1,7 +1,4 @@
-"""What counts are set to, and their events and effects.
-
-It owns the figures and their bounds. It must never hold state or decide. Times are whole microseconds.
-"""
+"""Settings, events and results of the shared counters. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -11,20 +8,25 @@
 from granitewell.protocols.peers.counts import MAX_KEY
 from granitewell.protocols.peers.frames import Keys
 
-OVERFLOW_SLOT = 0  # the slot of keys that have none of their own
+OVERFLOW_SLOT = 0  # slot of all keys that have none of their own
 
 
 @dataclass(frozen=True, slots=True)
 class CounterSettings:
-    """window_us: over which use is summed; width_us: of a slice.
+    """Settings of the shared counters.
 
     Attributes:
-        every_us: Between two questions to one node, at least.
-        keys: That a node gives a place of their own; all others are one.
-        ceiling_per_s, growth, floor_per_s: What a node can have taken unheard, see the package.
-        bytes_per_s: Of letters that a node sends; asking gets slower where that is not enough.
-        drift_ppm: Parts in a million by which the clocks of two nodes may differ in speed; crystals stay
-            under 100.
+        window_us: Length of the window over which usage is summed, in microseconds.
+        width_us: Length of a slice, in microseconds.
+        poll_interval_us: Minimum time between two requests to one node, in microseconds.
+        keys: Maximum number of keys that a node counts separately; all others share the overflow slot.
+        ceiling_per_s: Assumed maximum usage of a node over all keys, per second.
+        growth: Assumed maximum ratio of a node's unreported usage of a key to that in its busiest slice.
+        floor_per_s: Unreported usage of a key that is assumed possible in any case, per second.
+        bytes_per_s: Maximum rate of the messages that a node sends; if it does not suffice, nodes are polled
+            less often.
+        drift_ppm: Maximum difference in rate between the clocks of two nodes, in parts per million; crystal
+            oscillators stay below 100.
     """
 
     window_us: int = 60_000_000
@@ -39,17 +41,18 @@
 
     @property
     def slices(self) -> int:
-        """Of a window, and one more that is begun."""
+        """How many slices a window can overlap: those that fill it, and one that is only partly within it."""
         return -(-self.window_us // self.width_us) + 1
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Another node, as the view has it.
+    """Another node, according to the membership.
 
     Attributes:
-        up: It can be asked.
-        gone: It takes nothing any more, by its own word or an operator's.
+        address: Its address.
+        up: Whether it can be polled.
+        gone: Whether it uses nothing any more, because it has left or an operator has removed it.
     """
 
     address: str
@@ -60,7 +63,7 @@
 # --- Events ---------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class UsageRecorded:
-    """We have taken that many of a key."""
+    """This process has used so much of a key."""
 
     key: str
     count: int = 1
@@ -68,7 +71,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """All other nodes that are known, by name; unnamed: nodes that may act and that nobody has named."""
+    """The other nodes have changed.
+
+    Attributes:
+        peers: All known nodes by name.
+        unnamed: How many further nodes may be active whose names are unknown.
+    """
 
     peers: Mapping[str, Peer]
     unnamed: int = 0
@@ -76,19 +84,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Rekey:
-    """Other keys seal and open from now on."""
+    """Messages are sealed and opened with other keys from now on."""
 
     keys: Keys
 
 
-# --- What is told ---------------------------------------------------------------------------------------
+# --- Results --------------------------------------------------------------------------------------------
 @dataclass(frozen=True, slots=True)
 class NodeUsage:
-    """One node's part of a figure.
+    """Bounds of one node's usage, and the reasons for which they differ.
 
     Attributes:
-        age_us: Since when it may have taken what we have no word of; -1: never heard. why: what keeps low and
-            high apart: how much of each.
+        name: Name of the node.
+        low: Lower bound.
+        high: Upper bound.
+        age_us: Time since the end of its known usage, in microseconds; -1 if the node was never heard.
+        unreported: Part of `high` that the node may have used in time that no report covers.
+        window_edge: Part of `high` in slices that may lie outside the window.
+        untracked: Part of `high` that may belong to other keys, which had no known slot of their own.
     """
 
     name: str
@@ -102,10 +115,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageBounds:
-    """The true sum over all nodes in the window that ends now lies in [low, high].
+    """Bounds of the usage of a key by all nodes in the window that ends now: it is in [low, high].
 
     Attributes:
-        unnamed: Of high, what nodes that nobody has named may have taken.
+        key: The key; "" for all keys.
+        low: Lower bound.
+        high: Upper bound.
+        parts: Bounds of each node.
+        unnamed: Part of `high` that nodes of unknown names may have used.
     """
 
     key: str
@@ -116,11 +133,11 @@
 
     @property
     def relative_width(self) -> float:
-        """Of the middle; 0 where nothing was used."""
+        """Difference of the bounds relative to their mean; 0 if nothing was used."""
         middle = (self.low + self.high) / 2
         return (self.high - self.low) / middle if middle else 0.0
 
 
 def key_fits(key: str) -> bool:
-    """Whether this can be counted under its own name."""
+    """Return whether a key can be counted separately: it is not empty and not longer than `MAX_KEY` bytes."""
     return 0 < len(key.encode()) <= MAX_KEY
