--- a/granitewell/lab/cluster/leases.py
+++ b/granitewell/lab/cluster/leases.py
@@ -78,7 +78,7 @@
     holders = [name for name in up if holds(cluster, cluster.nodes[name])]
     if role == "holder":
         return holders
-    who = [up[name].who for name in holders]
+    who = [up[name].identity for name in holders]
     return [name for name in up if up[name].promise.to in who and name not in holders]
 
 
--- a/granitewell/lab/cluster/leases_plants.py
+++ b/granitewell/lab/cluster/leases_plants.py
@@ -55,40 +55,46 @@
     return then
 
 
-def _verdict(asked: Any, record: Any, promise: Any, now: int, me: int, whole: Any = voter.verdict) -> str:
+def _verdict(
+    asked: Any, record: Any, promise: Any, now: int, me: int, whole: Any = voter.refusal_reason
+) -> str:
     why: str = whole(asked, record, promise, now, me)
-    free = why == voter.VOTED and record.voted is not None and not promise.against(asked.who, now)
+    free = why == voter.VOTED and record.voted is not None and not promise.forbids(asked.candidate, now)
     return "" if free else why
 
 
-def _give(self: Any, asked: Any, number: int, whole: Any = grants.Grants._give) -> None:
+def _give(self: Any, asked: Any, number: int, whole: Any = grants.Grants._grant) -> None:
     """With term-ge the vote moves to whoever asks."""
     record = self._participant.record
-    if asked.term == record.term and record.voted != asked.who:
-        self._participant.persistence.record = replace(record, voted=asked.who)
+    if asked.term == record.term and record.voted != asked.candidate:
+        self._participant.persistence.record = replace(record, voted=asked.candidate)
     whole(self, asked, number)
 
 
-def _unpromised(asked: Any, record: Any, promise: Any, now: int, me: int, whole: Any = voter.verdict) -> str:
+def _unpromised(
+    asked: Any, record: Any, promise: Any, now: int, me: int, whole: Any = voter.refusal_reason
+) -> str:
     why: str = whole(asked, record, promise, now, me)
     return "" if why == voter.PROMISED else why
 
 
-def _lifeless(asked: Any, record: Any, promise: Any, now: int, me: int, whole: Any = voter.verdict) -> str:
+def _lifeless(
+    asked: Any, record: Any, promise: Any, now: int, me: int, whole: Any = voter.refusal_reason
+) -> str:
     why: str = whole(replace(asked, incarnations=record.incarnations), record, promise, now, me)
     return why
 
 
-def _until(self: Any, incarnations: Any, whole: Any = rounds.Rounds.until) -> int:
+def _until(self: Any, incarnations: Any, whole: Any = rounds.Rounds.lease_end_us) -> int:
     return int(whole(self, {name: incarnation for name, (incarnation, _) in self._granted.items()} | {
         name: incarnations[name] for name in incarnations if name not in self._granted}))  # fmt: skip
 
 
-def _blank(settings: Any, count: int, bits: float, whole: Any = voter_recovery.blank) -> Any:
+def _blank(settings: Any, count: int, bits: float, whole: Any = voter_recovery.blank_record) -> Any:
     return whole(settings, 1, (settings.names.index(settings.name) + 1) / 10)
 
 
-def _sworn(settings: Any, record: Any, answers: Any, whole: Any = voter_recovery.sworn) -> Any:
+def _sworn(settings: Any, record: Any, answers: Any, whole: Any = voter_recovery.confirmed_record) -> Any:
     class Lax(types.Settings):
         majority = 1
 
@@ -96,7 +102,7 @@
     return whole(lax, record, answers)
 
 
-def _forgets(settings: Any, record: Any, answers: Any, whole: Any = voter_recovery.sworn) -> Any:
+def _forgets(settings: Any, record: Any, answers: Any, whole: Any = voter_recovery.confirmed_record) -> Any:
     result = whole(settings, record, answers)
     return result and replace(result, term=settings.first_term)
 
@@ -109,7 +115,7 @@
     return effects
 
 
-def _granted(self: Any, name: str, body: Any, whole: Any = candidacy.Candidacy.granted) -> None:
+def _granted(self: Any, name: str, body: Any, whole: Any = candidacy.Candidacy.on_grant) -> None:
     for asked in self._rounds._asked:
         self._rounds._asked[asked] = self._participant.now_us
     whole(self, name, body)
@@ -117,19 +123,19 @@
 
 _PATCHES: dict[str, tuple[tuple[Any, str, Any], ...]] = {
     "vote-unwritten": ((participant.Participant, "write_then", _write_then),),
-    "term-ge": ((grants, "verdict", _verdict), (grants.Grants, "_give", _give)),
+    "term-ge": ((grants, "refusal_reason", _verdict), (grants.Grants, "_grant", _give)),
     "lease-unshortened": ((types.Settings, "requester_lease_us", lambda self, lease_us: lease_us),),
-    "lost-disk-votes": ((voter_recovery, "blank", _blank),),
-    "oath-forgets": ((voter_recovery, "sworn", _forgets),),
+    "lost-disk-votes": ((voter_recovery, "blank_record", _blank),),
+    "oath-forgets": ((voter_recovery, "confirmed_record", _forgets),),
     "oath-unwaited": ((state_machine, "MAX_LEASE_US", 0),),
-    "oath-minority": ((voter_recovery, "sworn", _sworn),),
-    "lives-ignored": ((grants, "verdict", _lifeless), (rounds.Rounds, "until", _until)),
+    "oath-minority": ((voter_recovery, "confirmed_record", _sworn),),
+    "lives-ignored": ((grants, "refusal_reason", _lifeless), (rounds.Rounds, "lease_end_us", _until)),
     "promise-forgotten": (
-        (state_machine, "at_start", lambda record, now, settings: voter.Promise(record.voted, now)),
+        (state_machine, "initial_promise", lambda record, now, settings: voter.Promise(record.voted, now)),
     ),
-    "promise-broken": ((grants, "verdict", _unpromised),),
+    "promise-broken": ((grants, "refusal_reason", _unpromised),),
     "clock-unread": ((state_machine.Leases, "handle", _handle),),
-    "counted-late": ((candidacy.Candidacy, "granted", _granted),),
+    "counted-late": ((candidacy.Candidacy, "on_grant", _granted),),
     "disk-trusted": ((persistence.Persistence, "stored", _stored),),
 }
 
--- a/granitewell/lab/cluster/leases_rules.py
+++ b/granitewell/lab/cluster/leases_rules.py
@@ -21,7 +21,7 @@
 from granitewell.lab.cluster.world import Cluster, Node
 from granitewell.leases.record import KEY, read
 from granitewell.leases.state_machine import Leases
-from granitewell.leases.types import Follows, Leads, Lost, Refuses
+from granitewell.leases.types import Follows, Halted, LeadershipLost, Leads
 from granitewell.protocols.peers.frames import HEAD, TAG
 from granitewell.protocols.peers.leases import LETTERS, Ask, Grant, Letter
 from granitewell.state_machine import Say
@@ -70,8 +70,8 @@
         return text
 
     def _count(self, effect: object) -> None:
-        self.lost += isinstance(effect, Lost)
-        self.refused += isinstance(effect, Refuses)
+        self.lost += isinstance(effect, LeadershipLost)
+        self.refused += isinstance(effect, Halted)
         self.followed += isinstance(effect, Follows)
 
     def _fell(self, node: Node, machine: Leases) -> str | None:
@@ -104,7 +104,8 @@
                 continue  # it votes for nobody, and for a while after it is back
             promise = other.participant.promise
             kept = (
-                promise.to in (None, machine.participant.who) and voter.clock.real(promise.until_us) >= until
+                promise.to in (None, machine.participant.identity)
+                and voter.clock.real(promise.until_us) >= until
             )
             short += not kept
         if short >= machine.participant.settings.majority:
--- a/granitewell/lab/cluster/leases_search.py
+++ b/granitewell/lab/cluster/leases_search.py
@@ -253,7 +253,7 @@
 
 
 def _second(planners: Planners, world: World) -> int:
-    disk = voter_recovery.blank(SETTINGS[1], 2, 0.2).write()
+    disk = voter_recovery.blank_record(SETTINGS[1], 2, 0.2).write()
     return planners.tables.fresh(1, world.starts, 0, disk, 2 * LEASE_US)
 
 
--- a/granitewell/lab/cluster/leases_tables.py
+++ b/granitewell/lab/cluster/leases_tables.py
@@ -224,10 +224,10 @@
             return None
         came = self._handle(replace(process, machine=machine), time, Heard("", would))
         heard = self.processes[came.process].machine
-        term = heard.candidacy._heard_term
-        if heard.state is State.PROBING and term > process.machine.candidacy._heard_term:
+        term = heard.candidacy._highest_term_seen
+        if heard.state is State.PROBING and term > process.machine.candidacy._highest_term_seen:
             again = clone(process.machine)  # it has heard of a higher term, and tries again
-            again.candidacy._heard_term = term
+            again.candidacy._highest_term_seen = term
             return self._campaign(replace(process, machine=again), helper, time)
         return came if heard.state is State.CANDIDATE else None
 
@@ -356,11 +356,11 @@
     """All of a machine that what it does later can depend on, but for greetings and lines."""
     participant, own, rounds = machine.participant, machine.candidacy, machine.candidacy._rounds
     return (
-        own.state, machine.duplicate_identity.waits_us, participant.began_us, participant.record,
+        own.state, machine.duplicate_identity.wait_ends_us, participant.started_us, participant.record,
         participant.persistence.durable, participant.promise, participant.votes, own.until_us, own.next_us,
-        own._end_us, own._heard_term, own._raise_us, own._denials, rounds.last,
+        own._deadline_us, own._highest_term_seen, own._next_raise_us, own._denials, rounds.last,
         tuple(rounds._asked.items()), tuple(sorted(rounds._granted.items())),
-        machine.grants._given_up, tuple(sorted(_answers(machine))),
+        machine.grants._released, tuple(sorted(_answers(machine))),
     )  # fmt: skip
 
 
--- a/granitewell/leases/duplicate_identity.py
+++ b/granitewell/leases/duplicate_identity.py
@@ -16,8 +16,8 @@
 from granitewell.protocols.peers.leases import Here
 from granitewell.state_machine import Line
 
-TIE_US = 1_000_000  # two that started this close together are distinguished by their boot ids
-HERES_A_LEASE = 32  # while it waits after its start; one a lease later
+TIE_US = 1_000_000  # of two processes that started closer together, the boot ids decide
+ANNOUNCEMENTS_PER_LEASE = 32  # while waiting after the start; later one per lease
 
 
 class DuplicateIdentityCheck:
@@ -28,57 +28,58 @@
         waits_us: End of the wait after the start, in microseconds.
     """
 
-    __slots__ = ("_answer_us", "_participant", "next_us", "waits_us")
+    __slots__ = ("_answer_us", "_participant", "next_us", "wait_ends_us")
 
     def __init__(self, participant: Participant) -> None:
         self._participant = participant
-        self.waits_us = max(participant.promise.until_us, participant.now_us + participant.settings.lease_us)
+        self.wait_ends_us = max(
+            participant.promise.until_us, participant.now_us + participant.settings.lease_us
+        )
         self.next_us = self._answer_us = participant.now_us
 
     @property
-    def _up_us(self) -> int:
-        return self._participant.now_us - self._participant.began_us
+    def _uptime_us(self) -> int:
+        return self._participant.now_us - self._participant.started_us
 
     @property
-    def _often_us(self) -> int:
-        return max(self._participant.settings.lease_us // HERES_A_LEASE, 1)
+    def _announce_interval_us(self) -> int:
+        return max(self._participant.settings.lease_us // ANNOUNCEMENTS_PER_LEASE, 1)
 
-    def due(self) -> None:
+    def on_timer(self) -> None:
         """Announce this process, if it is time to."""
         now = self._participant.now_us
         if now >= self.next_us:
             self.next_us = now + (
-                self._often_us if now < self.waits_us else self._participant.settings.lease_us
+                self._announce_interval_us if now < self.wait_ends_us else self._participant.settings.lease_us
             )
-            self._participant.say_here(Here(self._up_us))
+            self._participant.announce(Here(self._uptime_us))
 
-    def heard(self, sender: str, boot: int, body: Here) -> str:
+    def on_announcement(self, sender: str, boot: int, body: Here) -> str:
         """Handle an announcement under the same name; return why this process refuses to work, or ""."""
         participant, now = self._participant, self._participant.now_us
-        if (
-            body.heard != participant.boot
-        ):  # an announcement of a dead process, or of one that has not heard from us
-            participant.say_here(Here(self._up_us, boot), sender)
+        # an announcement of a process that has ended, or that has not heard from this one
+        if body.heard != participant.boot:
+            participant.announce(Here(self._uptime_us, boot), sender)
             return ""
-        if younger(body, boot, participant.boot, self._up_us):
+        if is_younger(body, boot, participant.boot, self._uptime_us):
             return f"a process that has been up for longer goes by our name, {participant.settings.name}"
-        participant.out.append(
+        participant.effects.append(
             Line("twin", f"a younger process goes by our name, {participant.settings.name}")
         )
         if now >= self._answer_us:
-            self._answer_us = now + self._often_us
-            participant.say_here(Here(self._up_us, boot), sender)
+            self._answer_us = now + self._announce_interval_us
+            participant.announce(Here(self._uptime_us, boot), sender)
         return ""
 
 
-def younger(here: Here, theirs: int, boot: int, up_us: int) -> bool:
+def is_younger(here: Here, theirs: int, boot: int, up_us: int) -> bool:
     """Return whether this process is the younger one.
 
     Args:
+        here: Announcement of the other process.
         theirs: Boot id of the other process.
         boot: Boot id of this process.
         up_us: How long this process has been running, in microseconds.
-        here: Announcement of the other process.
     """
     ahead = here.up_us - up_us
     return ahead > 0 if abs(ahead) > TIE_US else boot > theirs
--- a/granitewell/leases/grants.py
+++ b/granitewell/leases/grants.py
@@ -11,7 +11,7 @@
 from granitewell.leases.participant import Participant
 from granitewell.leases.persistence import Reply
 from granitewell.leases.types import Follows
-from granitewell.leases.voter import Promise, Question, Who, verdict
+from granitewell.leases.voter import ProcessIdentity, Promise, VoteRequest, refusal_reason
 from granitewell.protocols.peers.leases import Ask, Grant, No, Probe, Release, Would
 
 
@@ -22,11 +22,11 @@
         follows: Name and term of the planner that last claimed to lead.
     """
 
-    __slots__ = ("_given_up", "_participant", "follows")
+    __slots__ = ("_released", "_participant", "follows")
 
     def __init__(self, participant: Participant) -> None:
         self._participant = participant
-        self._given_up: tuple[Who, int] | None = None  # who has released us, and in which term
+        self._released: tuple[ProcessIdentity, int] | None = None  # process and term that were released last
         self.follows: tuple[str, int] = ("", -1)
 
     def probe(self, name: str, boot: int, body: Probe, busy: bool) -> bool:
@@ -40,10 +40,10 @@
                 a random number, goes first.
         """
         participant = self._participant
-        why = self._why(Question((name, boot), body.term, body.lease_us, tuple(body.incarnations)))
+        why = self._reason(VoteRequest((name, boot), body.term, body.lease_us, tuple(body.incarnations)))
         if not why and busy and boot > participant.boot:
             why = voter.BUSY
-        participant.say(
+        participant.send_to(
             name, Would(body.round, boot, participant.record.incarnation, participant.record.term, why)
         )
         return not why
@@ -51,12 +51,12 @@
     def ask(self, name: str, boot: int, body: Ask) -> bool:
         """Grant a request or refuse it with a reason; return whether it is granted."""
         participant, record = self._participant, self._participant.record
-        asked = Question((name, boot), body.term, body.lease_us, tuple(body.incarnations))
+        request = VoteRequest((name, boot), body.term, body.lease_us, tuple(body.incarnations))
         if body.leads:
-            self._follow(name, body.term)
-        why = self._why(asked)
+            self._record_leader(name, body.term)
+        why = self._reason(request)
         if why:
-            participant.say(
+            participant.send_to(
                 name,
                 No(
                     body.round,
@@ -68,46 +68,48 @@
                 ),
             )
         else:
-            self._give(asked, body.round)
+            self._grant(request, body.round)
         return not why
 
     def release(self, name: str, boot: int, body: Release) -> bool:
         """Handle the release of a term; return whether this planner is free to vote."""
-        participant, who = self._participant, (name, boot)
-        if (participant.record.voted, participant.record.term) != (who, body.term):
+        participant, identity = self._participant, (name, boot)
+        if (participant.record.voted, participant.record.term) != (identity, body.term):
             return False
-        self._given_up = (who, body.term)
-        freed = participant.promise.to == who
+        self._released = (identity, body.term)
+        freed = participant.promise.to == identity
         if freed:
             participant.promise = Promise(None, participant.now_us)
         return freed
 
-    def _why(self, asked: Question) -> str:
-        if self._given_up == (asked.who, asked.term):
+    def _reason(self, request: VoteRequest) -> str:
+        if self._released == (request.candidate, request.term):
             return voter.GIVEN_UP
         participant = self._participant
         if not participant.votes:
             return voter.NO_VOTE
-        return verdict(asked, participant.record, participant.promise, participant.now_us, participant.me)
+        return refusal_reason(
+            request, participant.record, participant.promise, participant.now_us, participant.own_index
+        )
 
-    def _give(self, asked: Question, number: int) -> None:
+    def _grant(self, request: VoteRequest, number: int) -> None:
         """Grant a vote or an extension.
 
         The promise begins now; the message is sent once the vote is on disk.
         """
         participant, record = self._participant, self._participant.record
-        if asked.term > record.term:
-            record = replace(record, term=asked.term, voted=asked.who, lease_us=asked.lease_us)
-        record = replace(record, incarnations=asked.incarnations)
+        if request.term > record.term:
+            record = replace(record, term=request.term, voted=request.candidate, lease_us=request.lease_us)
+        record = replace(record, incarnations=request.incarnations)
         participant.promise = Promise(
-            asked.who, participant.now_us + participant.settings.promiser_lease_us(asked.lease_us)
+            request.candidate, participant.now_us + participant.settings.promiser_lease_us(request.lease_us)
         )
-        grant = Grant(number, asked.who[1], record.incarnation, asked.term)
-        now = participant.write_then(record, Reply(asked.who[0], grant))
+        grant = Grant(number, request.candidate[1], record.incarnation, request.term)
+        now = participant.write_then(record, Reply(request.candidate[0], grant))
         if now is not None:
-            participant.say(asked.who[0], grant)
+            participant.send_to(request.candidate[0], grant)
 
-    def _follow(self, name: str, term: int) -> None:
+    def _record_leader(self, name: str, term: int) -> None:
         if term >= self.follows[1] and self.follows != (name, term):
             self.follows = (name, term)
-            self._participant.out.append(Follows(name, term))
+            self._participant.effects.append(Follows(name, term))
--- a/granitewell/leases/participant.py
+++ b/granitewell/leases/participant.py
@@ -7,38 +7,43 @@
 
 from random import Random
 
-from granitewell.leases.persistence import Persistence, Then
+from granitewell.leases.persistence import Continuation, Persistence
 from granitewell.leases.record import Record
 from granitewell.leases.types import Settings
-from granitewell.leases.voter import Promise, Who
+from granitewell.leases.voter import ProcessIdentity, Promise
 from granitewell.protocols.peers.frames import Kind, Refused, Why, open_, refusal, seal
 from granitewell.protocols.peers.leases import LETTERS, Letter, Said
 from granitewell.state_machine import Heard, Line, Road, Say
 
-REFUSALS_US = 1_000_000  # at most one answer to an unknown version in so long
+MIN_REFUSAL_INTERVAL_US = 1_000_000  # minimum time between two answers to messages of an unknown version
 
 
 class Participant:
     """A planner's process.
 
     Attributes:
-        out: Effects of the current event.
+        started_us: Time of the start of the process, in microseconds.
+        boot: Boot id: a random number that identifies this process.
+        own_index: Index of this planner in the list of planners.
+        effects: Effects of the current event.
         now_us: Time of the current event, in microseconds.
         promise: The promise given last.
+        votes: Whether the disk certainly has a vote.
+        rejected_frames: How many frames failed verification.
     """
 
     __slots__ = (
         "_address",
-        "_refusal_us",
-        "began_us",
+        "_next_refusal_us",
+        "started_us",
         "boot",
-        "me",
+        "own_index",
         "now_us",
         "others",
-        "out",
+        "effects",
         "persistence",
         "promise",
-        "refused",
+        "rejected_frames",
         "rng",
         "settings",
         "votes",
@@ -46,14 +51,14 @@
 
     def __init__(self, settings: Settings, rng: Random, now_us: int, persistence: Persistence) -> None:
         self.settings, self.rng, self.persistence = settings, rng, persistence
-        self.now_us = self.began_us = self._refusal_us = now_us
+        self.now_us = self.started_us = self._next_refusal_us = now_us
         self.boot = 1 + int(rng.random() * (1 << 53))
-        self.me = settings.names.index(settings.name)
+        self.own_index = settings.names.index(settings.name)
         self.others = tuple(n for n in settings.names if n != settings.name)
-        self.out: list[object] = []
+        self.effects: list[object] = []
         self.promise = Promise(None, now_us)
-        self.votes = False  # whether its disk has a vote for certain
-        self.refused = 0  # frames that did not verify
+        self.votes = False
+        self.rejected_frames = 0
         self._address = dict(settings.planners)
 
     @property
@@ -62,7 +67,7 @@
         return self.persistence.record
 
     @property
-    def who(self) -> Who:
+    def identity(self) -> ProcessIdentity:
         """Name and boot id of this process."""
         return self.settings.name, self.boot
 
@@ -77,20 +82,20 @@
         recovery alone makes.
         """
         return [
-            *record.incarnations[: self.me],
+            *record.incarnations[: self.own_index],
             record.incarnation if self.votes else 0,
-            *record.incarnations[self.me + 1 :],
+            *record.incarnations[self.own_index + 1 :],
         ]
 
-    def some(self, length_us: int) -> int:
+    def random_part(self, length_us: int) -> int:
         """Return a random part of a duration, in microseconds."""
         return int(self.rng.random() * length_us)
 
-    def write(self, record: Record, then: Then | None) -> None:
+    def write(self, record: Record, then: Continuation | None) -> None:
         """Replace the record; `then` follows once the disk has it."""
-        self.out.append(self.persistence.write(record, then))
+        self.effects.append(self.persistence.write(record, then))
 
-    def write_then(self, record: Record, then: Then) -> Then | None:
+    def write_then(self, record: Record, then: Continuation) -> Continuation | None:
         """Replace the record unless the disk has it already, in which case `then` follows at once.
 
         If this very record is being written, nothing is done: the other planner will ask again.
@@ -101,29 +106,31 @@
             self.write(record, then)
         return None
 
-    def say(self, name: str, said: Said) -> None:
+    def send_to(self, name: str, body: Said) -> None:
         """Send a message to another planner."""
-        self.send(self._address[name], said, Road.DATAGRAM)
+        self.send(self._address[name], body, Road.DATAGRAM)
 
-    def say_all(self, said: Said, road: Road = Road.DATAGRAM) -> None:
+    def broadcast(self, body: Said, road: Road = Road.DATAGRAM) -> None:
         """Send a message to all other planners."""
         for name in self.others:
-            self.send(self._address[name], said, road)
+            self.send(self._address[name], body, road)
 
-    def say_here(self, said: Said, address: str = "") -> None:
+    def announce(self, body: Said, address: str = "") -> None:
         """Announce this process at its own address, or at another one."""
-        self.send(address or self._address[self.settings.name], said, Road.STREAM)
+        self.send(address or self._address[self.settings.name], body, Road.STREAM)
 
-    def send(self, address: str, said: Said, road: Road) -> None:
+    def send(self, address: str, body: Said, road: Road) -> None:
         """Send a message to an address."""
-        message = LETTERS.write(Letter(self.settings.fleet, self.boot, said))
-        self.out.append(Say(address, seal(Kind.LEASE, message, self.settings.keys, self.settings.name), road))
+        message = LETTERS.write(Letter(self.settings.fleet, self.boot, body))
+        self.effects.append(
+            Say(address, seal(Kind.LEASE, message, self.settings.keys, self.settings.name), road)
+        )
 
     def open(self, heard: Heard) -> tuple[str, int, Said] | None:
         """Return the name and boot id of a message's sender, if it is a planner of this fleet."""
         frame = open_(heard.data, self.settings.keys)
         if isinstance(frame, Refused):
-            self._unread(heard, frame)
+            self._reject(heard, frame)
             return None
         if frame.kind != Kind.LEASE or frame.sender not in self._address:
             return None
@@ -131,13 +138,17 @@
         if message is None:
             return None
         if message.fleet != self.settings.fleet:
-            self.out.append(Line("fleet", f"{frame.sender} has another list of planners, or another epoch"))
+            self.effects.append(
+                Line("fleet", f"{frame.sender} has another list of planners, or another epoch")
+            )
             return None
         return frame.sender, message.boot, message.said
 
-    def _unread(self, heard: Heard, refused: Refused) -> None:
-        self.refused += 1
-        if refused.why is Why.VERSION and self.now_us >= self._refusal_us:
-            self._refusal_us = self.now_us + REFUSALS_US
-            self.out.append(Say(heard.sender, refusal(self.settings.keys, self.settings.name), heard.road))
-            self.out.append(Line("version", f"{heard.sender}: {refused.text}"))
+    def _reject(self, heard: Heard, refused: Refused) -> None:
+        self.rejected_frames += 1
+        if refused.why is Why.VERSION and self.now_us >= self._next_refusal_us:
+            self._next_refusal_us = self.now_us + MIN_REFUSAL_INTERVAL_US
+            self.effects.append(
+                Say(heard.sender, refusal(self.settings.keys, self.settings.name), heard.road)
+            )
+            self.effects.append(Line("version", f"{heard.sender}: {refused.text}"))
--- a/granitewell/leases/persistence.py
+++ b/granitewell/leases/persistence.py
@@ -22,13 +22,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Go:
+class Resume:
     """Continue with a step that waits for the disk."""
 
     step: str
 
 
-Then = Reply | Go
+Continuation = Reply | Resume
 
 
 class Persistence:
@@ -39,12 +39,12 @@
         durable: The record that was last on disk for certain, None if unknown.
     """
 
-    __slots__ = ("_asked", "_token", "durable", "record")
+    __slots__ = ("_pending_writes", "_token", "durable", "record")
 
     def __init__(self, record: Record, durable: bool) -> None:
         self.record = record
         self.durable: Record | None = record if durable else None
-        self._asked: dict[int, tuple[Record, Then | None]] = {}
+        self._pending_writes: dict[int, tuple[Record, Continuation | None]] = {}
         self._token = 0
 
     @property
@@ -55,21 +55,21 @@
     @property
     def waiting(self) -> bool:
         """Return whether a write of this very record is in progress."""
-        return any(record == self.record for record, _ in self._asked.values())
+        return any(record == self.record for record, _ in self._pending_writes.values())
 
-    def write(self, record: Record, then: Then | None) -> Store:
+    def write(self, record: Record, then: Continuation | None) -> Store:
         """Replace the record and write it."""
         self.record = record
         self._token += 1
-        self._asked[self._token] = (record, then)
+        self._pending_writes[self._token] = (record, then)
         return Store(KEY, record.write(), self._token)
 
-    def stored(self, event: Stored) -> Then | None:
+    def stored(self, event: Stored) -> Continuation | None:
         """Return what may be done now.
 
         Nothing if the disk has refused the write, or if the record no longer contains the vote in question.
         """
-        record, then = self._asked.pop(event.token, (None, None))
+        record, then = self._pending_writes.pop(event.token, (None, None))
         if record is None:
             return None
         self.durable = record if event.ok else None
--- a/granitewell/leases/record.py
+++ b/granitewell/leases/record.py
@@ -15,8 +15,8 @@
 MAX_RECORD_BYTES = 2_000
 BLANK, FOUNDED, RECOVERED = "blank", "founded", "oath"
 _NUMBERS = ("epoch", "fleet", "life", "term", "lease_us")
-_STORED_NAMES = {"incarnation": "life", "incarnations": "lives"}
-"""Names of fields on the disk where they differ from those here."""
+_STORED_NAMES = {"incarnation": "life", "incarnations": "lives", "vote_status": "sworn"}
+"""Names of fields on the disk that differ from the names of attributes."""
 _FIELD_NAMES = {stored: name for name, stored in _STORED_NAMES.items()}
 
 
@@ -35,7 +35,7 @@
         epoch: Epoch of the settings.
         fleet: Digest of the planners' names and the epoch.
         incarnation: Number of this disk; higher than that of any earlier disk of this name.
-        sworn: How the disk got its vote: not yet ("blank"), as a founder ("founded"), or by recovery
+        vote_status: How the disk got its vote: not yet ("blank"), as a founder ("founded"), or by recovery
             ("oath").
         term: Highest term voted in or adopted.
         voted: Name and boot id of the planner voted for in that term; None if no vote may be given in it.
@@ -46,7 +46,7 @@
     epoch: int
     fleet: int
     incarnation: int
-    sworn: str
+    vote_status: str
     term: int
     voted: tuple[str, int] | None
     lease_us: int
@@ -99,7 +99,7 @@
         raise MalformedRecordError(f"lease record: sworn: found {fields['sworn']!r}")
     pair = None if voted is None else (voted[0], voted[1])
     numbers = {_FIELD_NAMES.get(name, name): fields[name] for name in _NUMBERS}
-    return Record(sworn=fields["sworn"], voted=pair, incarnations=tuple(incarnations), **numbers)
+    return Record(vote_status=fields["sworn"], voted=pair, incarnations=tuple(incarnations), **numbers)
 
 
 def _natural(value: object) -> bool:
--- a/granitewell/leases/rounds.py
+++ b/granitewell/leases/rounds.py
@@ -16,16 +16,15 @@
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self.last = 0
-        self._asked: dict[int, int] = {}  # round: when it was asked; all of this term
-        self._granted: dict[
-            str, tuple[int, int]
-        ] = {}  # by name: incarnation, and when the round that it granted began
+        self._asked: dict[int, int] = {}  # start time by round of this term
+        # by name: incarnation, and start time of the newest round that it granted
+        self._granted: dict[str, tuple[int, int]] = {}
 
     def clear(self) -> None:
         """Begin a new term, in which earlier answers do not count."""
         self._asked, self._granted = {}, {}
 
-    def ask(self, now_us: int) -> int:
+    def begin(self, now_us: int) -> int:
         """Begin a new round now; return its number."""
         self.last += 1
         over = now_us - self._settings.requester_lease_us(self._settings.lease_us)
@@ -41,7 +40,7 @@
             later = asked if known is None or known[0] != incarnation else max(asked, known[1])
             self._granted[name] = (incarnation, later)
 
-    def until(self, incarnations: dict[str, int]) -> int:
+    def lease_end_us(self, incarnations: dict[str, int]) -> int:
         """Return until when a majority lets this planner lead, on its own clock; -1 without a majority.
 
         The planner itself is part of the majority.
@@ -60,7 +59,7 @@
             return -1
         return times[wanted - 1] + self._settings.requester_lease_us(self._settings.lease_us)
 
-    def newest(self) -> str | None:
+    def last_granter(self) -> str | None:
         """Return the planner that granted last; the first by name if there are several."""
         granted = self._granted
         times = sorted((-asked, name) for name, (_, asked) in granted.items())
--- a/granitewell/leases/state_machine.py
+++ b/granitewell/leases/state_machine.py
@@ -27,10 +27,10 @@
 from granitewell.leases.grants import Grants
 from granitewell.leases.incarnation_numbers import merge
 from granitewell.leases.participant import Participant
-from granitewell.leases.persistence import Go, Persistence, Reply, Then
+from granitewell.leases.persistence import Continuation, Persistence, Reply, Resume
 from granitewell.leases.record import BLANK, KEY, RECOVERED, MalformedRecordError, Record, read
-from granitewell.leases.types import MAX_LEASE_US, Cause, Floor, Refuses, Settings, State, Stop
-from granitewell.leases.voter import Promise, at_start
+from granitewell.leases.types import MAX_LEASE_US, Cause, Halted, MinimumTerm, Settings, State, Stop
+from granitewell.leases.voter import Promise, initial_promise
 from granitewell.leases.voter_recovery import VoterRecovery
 from granitewell.protocols.peers.leases import (
     Ask,
@@ -46,8 +46,8 @@
 )
 from granitewell.state_machine import Heard, Line, Stored, Woken
 
-OATHS_A_LEASE = 8
-_DONE = (State.REFUSED, State.STOPPED)
+RECOVERY_REQUESTS_PER_LEASE = 8
+_FINAL_STATES = (State.REFUSED, State.STOPPED)
 
 
 class Leases:
@@ -67,22 +67,26 @@
     __slots__ = ("grants", "participant", "candidacy", "voter_recovery", "duplicate_identity")
 
     def __init__(self, settings: Settings, rng: Random, now_us: int, disk: Mapping[str, bytes]) -> None:
-        record = restored(settings, disk)
+        record = restore(settings, disk)
         persistence = Persistence(
-            record or voter_recovery.blank(settings, 1, rng.random()), record is not None
+            record or voter_recovery.blank_record(settings, 1, rng.random()), record is not None
         )
         participant = self.participant = Participant(settings, rng, now_us, persistence)
-        participant.promise = at_start(persistence.record, now_us, settings)
+        participant.promise = initial_promise(persistence.record, now_us, settings)
         self.grants, self.voter_recovery = Grants(participant), VoterRecovery(participant)
         self.candidacy, self.duplicate_identity = Candidacy(participant), DuplicateIdentityCheck(participant)
-        if persistence.record.sworn != BLANK:
-            self.candidacy.sworn()
+        if persistence.record.vote_status != BLANK:
+            self.candidacy.start_voting()
 
-    # --- What others see --------------------------------------------------------------------------------
+    # --- Views ------------------------------------------------------------------------------------------
     @property
     def wake_us(self) -> int:
         """When a Woken event is wanted, in microseconds; -1 for never."""
-        return -1 if self.state in _DONE else min(self.candidacy.next_us, self.duplicate_identity.next_us)
+        return (
+            -1
+            if self.state in _FINAL_STATES
+            else min(self.candidacy.next_us, self.duplicate_identity.next_us)
+        )
 
     @property
     def state(self) -> State:
@@ -112,97 +116,100 @@
     def handle(self, now_us: int, event: object) -> list[object]:
         """Apply one event; return the effects in order. A time before the last one counts as the last one."""
         self.participant.now_us = max(now_us, self.participant.now_us)
-        self.participant.out = []
-        if self.state not in _DONE:
-            self.candidacy.look()
+        self.participant.effects = []
+        if self.state not in _FINAL_STATES:
+            self.candidacy.check_expiry()
             self._event(event)
-        return self.participant.out
+        return self.participant.effects
 
     def _event(self, event: object) -> None:
         if isinstance(event, Heard):
             message = self.participant.open(event)
             if message is not None:
-                self._heard(event.sender, *message)
+                self._receive(event.sender, *message)
         elif isinstance(event, Woken):
-            self._due()
+            self._on_timer()
         elif isinstance(event, Stored):
             self._stored(event)
-        elif isinstance(event, Floor):
-            self.candidacy.floor(event.term)
+        elif isinstance(event, MinimumTerm):
+            self.candidacy.require_term_above(event.term)
         elif isinstance(event, Stop):
             self.candidacy.end(Cause.STOP)
 
-    def _due(self) -> None:
-        self.duplicate_identity.due()
+    def _on_timer(self) -> None:
+        self.duplicate_identity.on_timer()
         if self.participant.now_us < self.candidacy.next_us:
             return
         if self.state is State.BLANK:
-            self._swear()
+            self._recover_vote()
         else:
-            self.candidacy.due()
+            self.candidacy.on_timer()
 
     def _stored(self, event: Stored) -> None:
         if not event.ok:
-            self.participant.out.append(
+            self.participant.effects.append(
                 Line("disk", "the disk has refused the lease record: no vote without it")
             )
         then = self.participant.persistence.stored(event)
         if then is not None:
-            self._go_on(then)
+            self._resume(then)
 
-    def _go_on(self, then: Then) -> None:
+    def _resume(self, then: Continuation) -> None:
         """Continue with a step that has waited for the disk."""
         if isinstance(then, Reply):
-            self.participant.say(then.to, then.body)
-        elif then == Go("ask") and self.state is State.CANDIDATE:
-            self.candidacy.ask()
-        elif then == Go("swear") and self.state is State.BLANK:
-            self._swear()
-        elif then == Go("sworn") and self.state is State.BLANK:
-            self._may_vote()
+            self.participant.send_to(then.to, then.body)
+        elif then == Resume("ask") and self.state is State.CANDIDATE:
+            self.candidacy.start_round()
+        elif then == Resume("swear") and self.state is State.BLANK:
+            self._recover_vote()
+        elif then == Resume("sworn") and self.state is State.BLANK:
+            self._start_voting()
 
     # --- A new disk -------------------------------------------------------------------------------------
-    def _swear(self) -> None:
+    def _recover_vote(self) -> None:
         """Wait for a duplicate process, then recover this disk's vote, repeatedly."""
         participant, candidacy = self.participant, self.candidacy
-        if participant.now_us < self.duplicate_identity.waits_us:
-            candidacy.next_us = self.duplicate_identity.waits_us
+        if participant.now_us < self.duplicate_identity.wait_ends_us:
+            candidacy.next_us = self.duplicate_identity.wait_ends_us
             return
-        candidacy.next_us = participant.now_us + participant.settings.lease_us // OATHS_A_LEASE
+        candidacy.next_us = participant.now_us + participant.settings.lease_us // RECOVERY_REQUESTS_PER_LEASE
         if self.voter_recovery.ask():
-            self._may_vote()
+            self._start_voting()
 
-    def _may_vote(self) -> None:
+    def _start_voting(self) -> None:
         """Begin to vote; after a recovery, once earlier promises have expired."""
         participant = self.participant
-        if participant.record.sworn == RECOVERED:
+        if participant.record.vote_status == RECOVERED:
             participant.promise = Promise(
                 None, participant.now_us + participant.settings.promiser_lease_us(MAX_LEASE_US)
             )
-        if participant.record.sworn != BLANK:
-            self.candidacy.sworn()
-            text = f"the new disk may vote ({participant.record.sworn}), above term {participant.record.term}"
-            participant.out.append(Line("sworn", text))
+        if participant.record.vote_status != BLANK:
+            self.candidacy.start_voting()
+            text = (
+                f"the new disk may vote ({participant.record.vote_status}), "
+                f"above term {participant.record.term}"
+            )
+            participant.effects.append(Line("sworn", text))
 
     # --- Messages ---------------------------------------------------------------------------------------
-    def _heard(self, sender: str, name: str, boot: int, said: Said) -> None:
+    def _receive(self, sender: str, name: str, boot: int, message: Said) -> None:
         if name != self.participant.settings.name:
-            if self._incarnations_are_possible(said):
-                self._said(name, boot, said)
-        elif isinstance(said, Here) and boot != self.participant.boot:
-            self._refuse(self.duplicate_identity.heard(sender, boot, said))
+            if self._incarnations_are_possible(message):
+                self._dispatch(name, boot, message)
+        elif isinstance(message, Here) and boot != self.participant.boot:
+            self._refuse(self.duplicate_identity.on_announcement(sender, boot, message))
 
-    def _incarnations_are_possible(self, said: Said) -> bool:
+    def _incarnations_are_possible(self, message: Said) -> bool:
         """Return whether the incarnations in a message are possible.
 
         This planner refuses to work if the message shows that its own disk is an old one.
         """
-        if isinstance(said, Would | Grant | Release | Oath | Here):
+        if isinstance(message, Would | Grant | Release | Oath | Here):
             return True
-        if len(said.incarnations) != len(self.participant.settings.names):
+        if len(message.incarnations) != len(self.participant.settings.names):
             return False
         mine = self.participant.record.incarnation
-        if self.participant.votes and merge(said.incarnations[self.participant.me], mine) != mine:
+        if self.participant.votes and merge(message.incarnations[self.participant.own_index], mine) != mine:
             self._refuse("another process has taken our name with a newer disk")
             return False
         return True
@@ -210,43 +217,45 @@
     def _refuse(self, reason: str) -> None:
         """Do nothing more, because another process uses this planner's name."""
         if reason:
-            self.candidacy.end(Cause.TWIN)
-            self.participant.out += [Line("twin", reason), Refuses(reason)]
+            self.candidacy.end(Cause.DUPLICATE_IDENTITY)
+            self.participant.effects += [Line("twin", reason), Halted(reason)]
 
-    def _said(self, name: str, boot: int, said: Said) -> None:
-        match said:
+    def _dispatch(self, name: str, boot: int, message: Said) -> None:
+        match message:
             case Oath():
-                self.voter_recovery.asked(name, said)
+                self.voter_recovery.on_request(name, message)
             case Sworn():
                 if self.state is State.BLANK:
-                    self.voter_recovery.answered(name, said)
+                    self.voter_recovery.on_answer(name, message)
             case Here():
                 pass
             case _:
-                self._said_of_votes(name, boot, said)
+                self._dispatch_vote_message(name, boot, message)
 
-    def _said_of_votes(self, name: str, boot: int, said: Probe | Would | Ask | Grant | No | Release) -> None:
-        match said:
+    def _dispatch_vote_message(
+        self, name: str, boot: int, message: Probe | Would | Ask | Grant | No | Release
+    ) -> None:
+        match message:
             case Ask():
-                if self.grants.ask(name, boot, said):
-                    self.candidacy.gave()
+                if self.grants.ask(name, boot, message):
+                    self.candidacy.vote_given()
             case Grant():
-                self.candidacy.granted(name, said)
+                self.candidacy.on_grant(name, message)
             case No():
-                self.candidacy.denied(name, said)
+                self.candidacy.on_denial(name, message)
             case Probe():
-                if self.grants.probe(name, boot, said, self.state is State.PROBING):
+                if self.grants.probe(name, boot, message, self.state is State.PROBING):
                     self.candidacy.defer()
             case Would():
-                self.candidacy.would(name, said)
+                self.candidacy.on_probe_reply(name, message)
             case Release():
-                if self.grants.release(name, boot, said):
-                    self.candidacy.freed(said.next)
+                if self.grants.release(name, boot, message):
+                    self.candidacy.on_release(message.next)
             case _:
-                assert_never(said)
+                assert_never(message)
 
 
-def restored(settings: Settings, disk: Mapping[str, bytes]) -> Record | None:
+def restore(settings: Settings, disk: Mapping[str, bytes]) -> Record | None:
     """Return the record on the disk, None if there is none of this epoch; raises MalformedRecordError."""
     data = disk.get(KEY)
     if data is None:
--- a/granitewell/leases/types.py
+++ b/granitewell/leases/types.py
@@ -19,10 +19,12 @@
 
 PARTS_PER_MILLION = 1_000_000
 MIN_PLANNERS, MAX_PLANNERS = 3, 7
-MAX_LEASE_US = 10_000_000  # a planner with a new disk waits so long, as it can't know better
+MAX_LEASE_US = (
+    10_000_000  # a planner with a new disk waits this long, since it does not know what it promised
+)
 MIN_LEASE_US = 100_000
 MAX_DRIFT_PPM = 200_000
-TERMS_AN_EPOCH = 1 << 32
+TERMS_PER_EPOCH = 1 << 32
 MAX_EPOCH = 1 << 20
 
 
@@ -33,41 +35,41 @@
 class State(Enum):
     """State of a planner."""
 
-    BLANK = "blank"  # its disk is new: no vote until the others know that
+    BLANK = "blank"  # has a new disk, and no vote until the others have recorded that
     FOLLOWER = "follower"
-    PROBING = "probing"  # asks whether it would be voted for; nothing has changed yet
+    PROBING = "probing"  # sends pre-votes; no state has changed yet
     CANDIDATE = "candidate"  # has voted for itself
     HOLDER = "holder"
-    REFUSED = "refused"  # another process has its name: it does nothing until it is restarted
+    REFUSED = "refused"  # another process has its name; does nothing until it is restarted
     STOPPED = "stopped"
 
 
 class Cause(Enum):
     """Cause of a transition."""
 
-    SWORN = "sworn"  # it may vote
-    DUE = "due"  # nobody leads that it has heard of
-    ENOUGH = "enough"  # a majority
-    OVER = "over"  # no majority in time
-    GAVE = "gave"  # its vote, to another
-    LAPSED = "lapsed"  # the lease
-    OUTBID = "outbid"  # a higher term is about: lead on in one above it
-    TWIN = "twin"
+    VOTE_CONFIRMED = "sworn"  # the new disk may vote
+    ELECTION_TIMEOUT = "due"  # no leader was heard of in time
+    MAJORITY = "enough"  # a majority has agreed
+    CAMPAIGN_OVER = "over"  # no majority in time, or another planner goes first
+    VOTE_GIVEN = "gave"  # voted for another planner
+    LEASE_EXPIRED = "lapsed"  # the own lease has expired
+    HIGHER_TERM = "outbid"  # a higher term is in use: continue to lead in one above it
+    DUPLICATE_IDENTITY = "twin"
     STOP = "stop"
 
 
-TABLE: dict[tuple[State, Cause], State] = {
-    (State.BLANK, Cause.SWORN): State.FOLLOWER,
-    (State.FOLLOWER, Cause.DUE): State.PROBING,
-    (State.FOLLOWER, Cause.GAVE): State.FOLLOWER,
-    (State.PROBING, Cause.ENOUGH): State.CANDIDATE,
-    (State.PROBING, Cause.OVER): State.FOLLOWER,
-    (State.PROBING, Cause.GAVE): State.FOLLOWER,
-    (State.CANDIDATE, Cause.ENOUGH): State.HOLDER,
-    (State.CANDIDATE, Cause.OVER): State.FOLLOWER,
-    (State.HOLDER, Cause.LAPSED): State.FOLLOWER,
-    (State.HOLDER, Cause.OUTBID): State.CANDIDATE,
-    **{(state, Cause.TWIN): State.REFUSED for state in State if state is not State.STOPPED},
+TRANSITIONS: dict[tuple[State, Cause], State] = {
+    (State.BLANK, Cause.VOTE_CONFIRMED): State.FOLLOWER,
+    (State.FOLLOWER, Cause.ELECTION_TIMEOUT): State.PROBING,
+    (State.FOLLOWER, Cause.VOTE_GIVEN): State.FOLLOWER,
+    (State.PROBING, Cause.MAJORITY): State.CANDIDATE,
+    (State.PROBING, Cause.CAMPAIGN_OVER): State.FOLLOWER,
+    (State.PROBING, Cause.VOTE_GIVEN): State.FOLLOWER,
+    (State.CANDIDATE, Cause.MAJORITY): State.HOLDER,
+    (State.CANDIDATE, Cause.CAMPAIGN_OVER): State.FOLLOWER,
+    (State.HOLDER, Cause.LEASE_EXPIRED): State.FOLLOWER,
+    (State.HOLDER, Cause.HIGHER_TERM): State.CANDIDATE,
+    **{(state, Cause.DUPLICATE_IDENTITY): State.REFUSED for state in State if state is not State.STOPPED},
     **{(state, Cause.STOP): State.STOPPED for state in State},
 }
 
@@ -79,8 +81,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Floor:
-    """A plan of this term was accepted: lead in a higher term or not at all."""
+class MinimumTerm:
+    """A plan of this term was accepted, so this planner may lead only in a higher term."""
 
     term: int
 
@@ -105,14 +107,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class LeadershipLost:
     """This planner no longer leads in a term, and never will again."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuses:
+class Halted:
     """This planner does nothing more until the process is restarted; an operator must act."""
 
     reason: str
@@ -144,9 +146,9 @@
     fleet: int = field(init=False)
 
     def __post_init__(self) -> None:
-        put = object.__setattr__
-        put(self, "planners", tuple(sorted(self.planners)))
-        put(self, "names", tuple(name for name, _ in self.planners))
+        set_field = object.__setattr__
+        set_field(self, "planners", tuple(sorted(self.planners)))
+        set_field(self, "names", tuple(name for name, _ in self.planners))
         addresses = {address for _, address in self.planners}
         _check_bounds("planners", len(self.planners), MIN_PLANNERS, MAX_PLANNERS)
         _check_bounds("epoch", self.epoch, 1, MAX_EPOCH)
@@ -160,7 +162,7 @@
             raise LeaseSettingsError(f"name: found {self.name!r}, allowed are {', '.join(self.names)}")
         text = "\n".join((str(self.epoch), *self.names)).encode()
         digest = blake2b(text, digest_size=8, person=b"granitewell flee").digest()
-        put(self, "fleet", int.from_bytes(digest, "big") >> 2)
+        set_field(self, "fleet", int.from_bytes(digest, "big") >> 2)
 
     @property
     def majority(self) -> int:
@@ -173,7 +175,7 @@
 
         Every term of this epoch is higher, and lower than any term of the next.
         """
-        return self.epoch * TERMS_AN_EPOCH
+        return self.epoch * TERMS_PER_EPOCH
 
     def requester_lease_us(self, lease_us: int) -> int:
         """Return how long the requester of a lease may count on it, on its own clock, in microseconds.
--- a/granitewell/leases/voter.py
+++ b/granitewell/leases/voter.py
@@ -11,16 +11,16 @@
 from granitewell.leases.record import Record
 from granitewell.leases.types import MAX_LEASE_US, Settings
 
-Who = tuple[str, int]  # name and boot of a process
+ProcessIdentity = tuple[str, int]  # name and boot id of a process
 
 NO_VOTE = "blank"  # the disk is new
-INCARNATIONS = "lives"  # the two know different disks of some planner
-LENGTH = "length"  # a longer lease than there are, or than was voted for
-TERM = "term"  # lower than the one we are in
-VOTED = "voted"  # for another in this term, or for nobody
-PROMISED = "promised"  # another may still lead
-GIVEN_UP = "given up"  # by whoever asks: a question that came late
-BUSY = "busy"  # we ask for votes ourselves, and go first
+INCARNATIONS = "lives"  # the requester does not know the newest disk of some planner
+LENGTH = "length"  # the lease is longer than the maximum, or than the one voted for
+TERM = "term"  # lower than the current term
+VOTED = "voted"  # the vote of this term went to another process, or may not be given
+PROMISED = "promised"  # another process may still hold a lease
+GIVEN_UP = "given up"  # the requester has released this term; the request is late
+BUSY = "busy"  # this planner probes too, and goes first
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,56 +31,61 @@
         to: The planner that it was given to; None if unknown, so that it holds against everyone.
     """
 
-    to: Who | None
+    to: ProcessIdentity | None
     until_us: int
 
-    def against(self, who: Who, now_us: int) -> bool:
+    def forbids(self, candidate: ProcessIdentity, now_us: int) -> bool:
         """Return whether the promise forbids a vote for a process."""
-        return now_us < self.until_us and self.to != who
+        return now_us < self.until_us and self.to != candidate
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
-    """A request: a vote in a term, or an extension of the lease.
+class VoteRequest:
+    """A request for a vote in a term, or for an extension of the lease.
 
     Attributes:
+        candidate: The process that asks.
+        term: The term.
+        lease_us: Length of the lease, in microseconds.
         incarnations: Incarnations by name, as the requester knows them.
     """
 
-    who: Who
+    candidate: ProcessIdentity
     term: int
     lease_us: int
     incarnations: tuple[int, ...]
 
 
-def verdict(asked: Question, record: Record, promise: Promise, now_us: int, me: int) -> str:
+def refusal_reason(
+    request: VoteRequest, record: Record, promise: Promise, now_us: int, own_index: int
+) -> str:
     """Return why a request is refused; "" if it is granted.
 
     Args:
-        asked: The request.
+        request: The request.
         record: This planner's record.
         promise: The promise given last.
         now_us: Current time, in microseconds.
-        me: Index of this planner. Whether it has a vote at all is not checked here.
+        own_index: Index of this planner. Whether it has a vote at all is not checked here.
     """
     if (
-        asked.incarnations[me] != record.incarnation
-        or merged(asked.incarnations, record.incarnations) != asked.incarnations
+        request.incarnations[own_index] != record.incarnation
+        or merged(request.incarnations, record.incarnations) != request.incarnations
     ):
         return INCARNATIONS
-    if asked.term < record.term:
+    if request.term < record.term:
         return TERM
-    again = asked.term == record.term
-    if again and record.voted != asked.who:
+    again = request.term == record.term
+    if again and record.voted != request.candidate:
         return VOTED
-    if asked.lease_us > (record.lease_us if again else MAX_LEASE_US):
+    if request.lease_us > (record.lease_us if again else MAX_LEASE_US):
         return LENGTH
-    if not again and promise.against(asked.who, now_us):
+    if not again and promise.forbids(request.candidate, now_us):
         return PROMISED
     return ""
 
 
-def at_start(record: Record, now_us: int, settings: Settings) -> Promise:
+def initial_promise(record: Record, now_us: int, settings: Settings) -> Promise:
     """Return the promise that a process starting with a record must keep.
 
     Every promise that may still bind the disk's former process was given to the planner that it voted for
--- a/granitewell/leases/voter_recovery.py
+++ b/granitewell/leases/voter_recovery.py
@@ -23,15 +23,15 @@
 
 from granitewell.leases.incarnation_numbers import accepts, count_of, incarnation, merge, merged
 from granitewell.leases.participant import Participant
-from granitewell.leases.persistence import Go, Reply
+from granitewell.leases.persistence import Reply, Resume
 from granitewell.leases.record import BLANK, FOUNDED, RECOVERED, Record
 from granitewell.leases.types import MAX_LEASE_US, Settings
 from granitewell.protocols.peers.leases import Oath, Sworn
 
-FOUNDING_LEASES = 3  # for how long a first disk prefers to be one of the founders
+FOUNDING_LEASES = 3  # lease lengths for which a first disk waits for all founders
 
 
-def blank(settings: Settings, count: int, bits: float) -> Record:
+def blank_record(settings: Settings, count: int, bits: float) -> Record:
     """Return the record of a name's count-th disk.
 
     Args:
@@ -63,35 +63,35 @@
         Returns whether no more need be asked. What has been decided is on disk first.
         """
         participant = self._participant
-        if participant.record.sworn != BLANK:
-            return participant.write_then(participant.record, Go("sworn")) is not None
-        if participant.write_then(participant.record, Go("swear")) is None or self._decide():
+        if participant.record.vote_status != BLANK:
+            return participant.write_then(participant.record, Resume("sworn")) is not None
+        if participant.write_then(participant.record, Resume("swear")) is None or self._decide():
             return False
         for name in participant.others:
             if name not in self._answers or self._answers[name].sworn == BLANK:
-                participant.say(name, Oath(participant.record.incarnation))
+                participant.send_to(name, Oath(participant.record.incarnation))
         return False
 
-    def asked(self, name: str, body: Oath) -> None:
+    def on_request(self, name: str, body: Oath) -> None:
         """Write down another planner's new disk, and report what this one knows."""
         participant, record = self._participant, self._participant.record
-        place = participant.settings.names.index(name)
-        if accepts(record.incarnations[place], body.incarnation):
-            others = record.incarnations[:place], record.incarnations[place + 1 :]
+        index = participant.settings.names.index(name)
+        if accepts(record.incarnations[index], body.incarnation):
+            others = record.incarnations[:index], record.incarnations[index + 1 :]
             record = replace(record, incarnations=(*others[0], body.incarnation, *others[1]))
         incarnations = participant.incarnations_announced(record)
-        answer = Sworn(body.incarnation, record.incarnation, record.sworn, record.term, incarnations)
+        answer = Sworn(body.incarnation, record.incarnation, record.vote_status, record.term, incarnations)
         if participant.write_then(record, Reply(name, answer)) is not None:
-            participant.say(name, answer)
+            participant.send_to(name, answer)
 
-    def answered(self, name: str, body: Sworn) -> None:
+    def on_answer(self, name: str, body: Sworn) -> None:
         """Record an answer; with enough of them, write down that this planner may vote."""
         participant, record = self._participant, self._participant.record
-        if record.sworn != BLANK:
+        if record.vote_status != BLANK:
             return
-        known = body.incarnations[participant.me]
+        known = body.incarnations[participant.own_index]
         if count_of(known) >= count_of(record.incarnation) and known != record.incarnation:
-            self._anew(count_of(known) + 1)
+            self._take_next_incarnation(count_of(known) + 1)
         elif body.asked == record.incarnation == known:
             self._answers[name] = body
             self._decide()
@@ -102,25 +102,27 @@
         A first disk waits a while for all of them, because a recovery would cost it the longest lease.
         """
         participant = self._participant
-        result = sworn(participant.settings, participant.record, self._answers)
-        early = participant.now_us < participant.began_us + FOUNDING_LEASES * participant.settings.lease_us
-        if result is None or (result.sworn == RECOVERED and count_of(result.incarnation) == 1 and early):
+        result = confirmed_record(participant.settings, participant.record, self._answers)
+        early = participant.now_us < participant.started_us + FOUNDING_LEASES * participant.settings.lease_us
+        if result is None or (
+            result.vote_status == RECOVERED and count_of(result.incarnation) == 1 and early
+        ):
             return False
-        participant.write(result, Go("sworn"))
+        participant.write(result, Resume("sworn"))
         return True
 
-    def _anew(self, count: int) -> None:
+    def _take_next_incarnation(self, count: int) -> None:
         """Take a higher number, because another disk of this name is known."""
         participant = self._participant
         self._answers = {}
-        record = blank(participant.settings, count, participant.rng.random())
+        record = blank_record(participant.settings, count, participant.rng.random())
         participant.write(
             replace(record, incarnations=merged(record.incarnations, participant.record.incarnations)),
-            Go("swear"),
+            Resume("swear"),
         )
 
 
-def sworn(settings: Settings, record: Record, answers: dict[str, Sworn]) -> Record | None:
+def confirmed_record(settings: Settings, record: Record, answers: dict[str, Sworn]) -> Record | None:
     """Return the record with which this planner may vote, once there are enough answers."""
     incarnations = record.incarnations
     for answer in answers.values():
@@ -133,9 +135,9 @@
     ]
     first = count_of(record.incarnation) == 1 and all(a.sworn != RECOVERED for a in counted)
     if first and len(counted) == len(settings.names) - 1:
-        return replace(record, incarnations=incarnations, sworn=FOUNDED)
+        return replace(record, incarnations=incarnations, vote_status=FOUNDED)
     voters = [a for a in counted if a.sworn != BLANK]
     if len(voters) < settings.majority:
         return None
     term = max(a.term for a in voters)
-    return replace(record, incarnations=incarnations, sworn=RECOVERED, term=term, lease_us=MAX_LEASE_US)
+    return replace(record, incarnations=incarnations, vote_status=RECOVERED, term=term, lease_us=MAX_LEASE_US)
--- a/tests/lab/cluster/test_leases.py
+++ b/tests/lab/cluster/test_leases.py
@@ -21,7 +21,7 @@
 from granitewell.leases.state_machine import Leases
 from granitewell.leases.types import (
     MAX_LEASE_US,
-    Refuses,
+    Halted,
     Settings,
     State,
     Stop,
@@ -76,7 +76,7 @@
 def test_new_planners_found_themselves_and_one_leads(count: int) -> None:
     cluster, rules = running(1, count)
     first = holder(cluster)
-    assert {m.participant.record.sworn for m in machines(cluster)} == {FOUNDED}
+    assert {m.participant.record.vote_status for m in machines(cluster)} == {FOUNDED}
     assert len({m.follows for m in machines(cluster)} - {("", -1)}) == 1
     cluster.kill(first)
     until(cluster, lambda: any(holds(cluster, n) for n in cluster.nodes.values()))
@@ -88,7 +88,7 @@
     for name in ("p1", "p2", "p3"):
         cluster.start(cluster.nodes[name])
     cluster.run(60 * SECOND)
-    assert {m.participant.record.sworn for m in machines(cluster)} == {BLANK}
+    assert {m.participant.record.vote_status for m in machines(cluster)} == {BLANK}
     cluster, _ = running(2, 4)
     cut = Cut((("p1", "p2"), ("p3", "p4")))
     cluster.links.cut(cut)
@@ -109,7 +109,7 @@
     assert machine is not None and machine.state is State.BLANK
     until(cluster, lambda: machine.state is not State.BLANK)
     sworn_at = lost.clock.local(cluster.now_us)
-    assert machine.participant.record.sworn == RECOVERED and machine.term >= term
+    assert machine.participant.record.vote_status == RECOVERED and machine.term >= term
     assert machine.participant.promise.to is None
     assert machine.participant.promise.until_us >= sworn_at + MAX_LEASE_US
     until(cluster, lambda: machine.participant.record.voted is not None)
@@ -126,7 +126,8 @@
     assert machine is not None
     until(cluster, lambda: machine.state is not State.BLANK)
     assert (
-        machine.participant.record.sworn == RECOVERED and machine.participant.record.incarnation > incarnation
+        machine.participant.record.vote_status == RECOVERED
+        and machine.participant.record.incarnation > incarnation
     )
 
 
@@ -187,7 +188,7 @@
     planner.wait(SECOND)
     planner.start()
     effects = planner.hear("p2", old, Here(50 * SECOND))
-    assert planner.state() == "follower" and not any(isinstance(e, Refuses) for e in effects)
+    assert planner.state() == "follower" and not any(isinstance(e, Halted) for e in effects)
     planner.hear("p2", old, Here(50 * SECOND, planner.machine.participant.boot))  # it answers us: it is alive
     assert planner.state() == "refused"
 
--- a/tests/leases/planner.py
+++ b/tests/leases/planner.py
@@ -93,7 +93,7 @@
     """Let the planner probe and become a candidate in term 1; return what it asks of its disk."""
     planner.wait(20 * SECOND)
     planner.event(Woken())
-    number = planner.machine.candidacy._probed[0]
+    number = planner.machine.candidacy._probe_round[0]
     return planner.hear("p1", 11, Would(number, planner.machine.participant.boot, INCARNATIONS[0], FIRST))
 
 
--- a/tests/leases/test_state_machine.py
+++ b/tests/leases/test_state_machine.py
@@ -7,10 +7,10 @@
 from granitewell.lab.cluster.leases import KEYS
 from granitewell.leases.incarnation_numbers import NUMBERS_PER_COUNT
 from granitewell.leases.types import (
-    Floor,
+    Halted,
+    LeadershipLost,
     Leads,
-    Lost,
-    Refuses,
+    MinimumTerm,
     State,
     Stop,
 )
@@ -139,7 +139,7 @@
     assert Leads(FIRST + 1, asked + FLEET.requester_lease_us(3 * SECOND)) in planner.hear("p1", 11, grant)
     planner.wait(3 * SECOND)  # stopped meanwhile; what waited comes first, not the timer
     effects = planner.hear("p1", 11, grant)
-    assert Lost(FIRST + 1) in effects and not any(isinstance(x, Ask) for x in sent_bodies(effects))
+    assert LeadershipLost(FIRST + 1) in effects and not any(isinstance(x, Ask) for x in sent_bodies(effects))
     assert not planner.machine.leads(planner.now) and not any(isinstance(e, Leads) for e in effects)
 
 
@@ -176,9 +176,9 @@
 def test_a_holder_that_hears_of_a_higher_term_leads_on_above_it() -> None:
     planner = SteppedPlanner()
     win_election(planner)
-    assert planner.event(Floor(FIRST + 1)) == []
-    effects = planner.event(Floor(FIRST + 40))
-    assert Lost(FIRST + 1) in effects
+    assert planner.event(MinimumTerm(FIRST + 1)) == []
+    effects = planner.event(MinimumTerm(FIRST + 40))
+    assert LeadershipLost(FIRST + 1) in effects
     asks = sent_bodies(planner.stored(effects))
     assert isinstance(asks[0], Ask) and asks[0].term == FIRST + 41
 
@@ -187,7 +187,7 @@
     planner = SteppedPlanner()
     win_election(planner)
     effects = planner.event(Stop())
-    assert effects[0] == Lost(FIRST + 1) and Release(FIRST + 1, "p1") in sent_bodies(effects)
+    assert effects[0] == LeadershipLost(FIRST + 1) and Release(FIRST + 1, "p1") in sent_bodies(effects)
     assert planner.machine.wake_us == -1 and planner.ask("p3", 33, 9) == []
 
 
@@ -206,7 +206,7 @@
         assert planner.event(Heard("x", frame)) == []
     [line] = planner.event(Heard("x", seal(Kind.LEASE, other, KEYS, "p1")))
     assert isinstance(line, Line) and line.topic == "fleet"
-    assert planner.machine.term == FIRST and planner.machine.participant.refused == 3
+    assert planner.machine.term == FIRST and planner.machine.participant.rejected_frames == 3
 
 
 def test_an_unknown_version_is_answered_once_a_second() -> None:
@@ -223,4 +223,4 @@
     [_, refuses] = planner.ask(
         "p1", 11, 1, incarnations=[INCARNATIONS[0], 2 * NUMBERS_PER_COUNT, INCARNATIONS[2]]
     )
-    assert isinstance(refuses, Refuses) and planner.machine.state is State.REFUSED
+    assert isinstance(refuses, Halted) and planner.machine.state is State.REFUSED
--- a/tests/leases/test_types.py
+++ b/tests/leases/test_types.py
@@ -12,7 +12,7 @@
 from granitewell.lab.cluster.leases import planners
 from granitewell.leases.types import (
     MAX_LEASE_US,
-    TABLE,
+    TRANSITIONS,
     Cause,
     LeaseSettingsError,
     State,
@@ -39,11 +39,11 @@
 
 
 def test_every_state_can_be_come_to_and_only_two_cannot_be_left() -> None:
-    assert {to for to in TABLE.values()} | {State.BLANK} == {*State}
-    ways = {state: {to for (s, _), to in TABLE.items() if s is state} - {state} for state in State}
+    assert {to for to in TRANSITIONS.values()} | {State.BLANK} == {*State}
+    ways = {state: {to for (s, _), to in TRANSITIONS.items() if s is state} - {state} for state in State}
     assert ways[State.STOPPED] == set() and ways[State.REFUSED] == {State.STOPPED}
     assert all(ways[state] for state in State if state is not State.STOPPED)
-    assert {cause for _, cause in TABLE} == {*Cause}
+    assert {cause for _, cause in TRANSITIONS} == {*Cause}
 
 
 @settings(max_examples=300, deadline=None)
