--- a/tests/lab/cluster/test_leases.py
+++ b/tests/lab/cluster/test_leases.py
@@ -221,4 +221,4 @@
 
 def test_a_clock_that_is_not_read_is_found_by_the_case_of_a_late_waking() -> None:
     with planted("clock-unread"), pytest.raises(AssertionError):
-        test_state_machine.test_the_lease_counts_from_the_question_and_a_process_that_wakes_late_sees_that_it_is_over()
+        test_state_machine.test_the_lease_counts_from_the_request_and_a_late_process_sees_its_expiry()
--- a/tests/leases/planner.py
+++ b/tests/leases/planner.py
@@ -1,4 +1,4 @@
-"""One planner of three, played by hand: the test plays its disk, its clock and the other two."""
+"""One planner of three, driven step by step: the test acts as its disk, its clock and the other two."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class SteppedPlanner:
-    """p2 of three, founded long ago; p1 and p3 are played by the test. Time is its own clock's."""
+    """Planner p2 of three, whose disk has a vote; the test acts as p1 and p3. Times are on its own clock."""
 
     def __init__(self, disk: Record | None = None, **more: int) -> None:
         self.settings = replace(FLEET, name="p2", **more)  # type: ignore[arg-type]
@@ -50,7 +50,7 @@
         return self.machine.state.value
 
     def wait(self, us: int) -> None:
-        """Time passes, and nothing is done in it."""
+        """Let time pass without any event."""
         self.now += us
 
     def event(self, event: object) -> list[object]:
@@ -61,7 +61,7 @@
         return self.event(Heard(name, frame))
 
     def stored(self, effects: list[object], ok: bool = True) -> list[object]:
-        """Acknowledge what was to be stored, or refuse it."""
+        """Acknowledge the requested writes, or refuse them."""
         out: list[object] = []
         for store in [e for e in effects if isinstance(e, Store)]:
             self.disk = {KEY: store.data} if ok else self.disk
@@ -90,7 +90,7 @@
 
 
 def start_candidacy(planner: SteppedPlanner) -> list[object]:
-    """Let the planner probe and become a candidate in term 1; return what it asks of its disk."""
+    """Let the planner probe and become a candidate in term 1; return the effects, with its writes."""
     planner.wait(20 * SECOND)
     planner.event(Woken())
     number = planner.machine.candidacy._probe_round[0]
--- a/tests/leases/test_record.py
+++ b/tests/leases/test_record.py
@@ -1,4 +1,4 @@
-"""Records of a planner's disk: each malformed one is refused with its cause."""
+"""Records on a planner's disk: malformed ones are refused with their cause."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         ({"epoch": True}, "epoch: found True"), ({"fleet": 1 << 63}, "fleet: found"),
     ],
 )  # fmt: skip
-def test_a_bad_record_names_what_is_wrong(changed: dict[str, object], words: str) -> None:
+def test_a_malformed_record_is_refused_with_its_cause(changed: dict[str, object], words: str) -> None:
     good = Record(1, FLEET.fleet, INCARNATIONS[0], RECOVERED, FIRST + 7, ("p1", 8), 9, INCARNATIONS)
     assert read(good.write(), 3) == good
     with pytest.raises(MalformedRecordError, match=words.replace("[", r"\[")):
@@ -39,7 +39,7 @@
         read(json.dumps(missing).encode(), 3)
 
 
-def test_a_record_cut_at_any_byte_or_of_another_fleet_is_never_taken() -> None:
+def test_a_truncated_or_foreign_record_is_refused() -> None:
     good = Record(1, FLEET.fleet, INCARNATIONS[1], FOUNDED, FIRST + 7, None, 0, INCARNATIONS)
     for length in range(len(good.write())):
         with pytest.raises(MalformedRecordError):
@@ -47,4 +47,4 @@
     for bad in (replace(good, fleet=5), replace(good, epoch=2)):
         with pytest.raises(MalformedRecordError, match="allowed are up to 1|new epoch"):
             SteppedPlanner(bad)
-    assert SteppedPlanner(good, epoch=2).machine.state is State.BLANK  # the operator has begun anew
+    assert SteppedPlanner(good, epoch=2).machine.state is State.BLANK  # a new epoch starts without a record
--- a/tests/leases/test_state_machine.py
+++ b/tests/leases/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Terms, votes and leases: the hard cases one by one, with a planner played by hand."""
+"""Terms, votes and leases: edge cases of a single planner, driven step by step."""
 
 from __future__ import annotations
 
@@ -37,46 +37,46 @@
 )
 
 
-def test_a_vote_is_written_before_it_is_said() -> None:
+def test_a_vote_is_on_disk_before_it_is_sent() -> None:
     planner = SteppedPlanner()
     planner.wait(10 * SECOND)
     effects = planner.ask("p1", 11, 1)
     assert sent_bodies(effects) == [] and any(isinstance(e, Store) for e in effects)
-    assert sent_bodies(planner.ask("p1", 11, 1)) == []  # the same question, while the disk is at work
+    assert sent_bodies(planner.ask("p1", 11, 1)) == []  # the same request, while the write is in progress
     assert sent_bodies(planner.stored(effects)) == [Grant(1, 11, INCARNATIONS[1], FIRST + 1)]
     assert sent_bodies(planner.ask("p1", 11, 1, 5)) == [
         Grant(5, 11, INCARNATIONS[1], FIRST + 1)
     ]  # nothing to write
 
 
-def test_what_the_disk_refuses_is_not_said_and_is_tried_again() -> None:
+def test_a_vote_that_the_disk_refuses_is_not_sent_and_is_written_again() -> None:
     planner = SteppedPlanner()
     planner.wait(10 * SECOND)
     refused = planner.stored(planner.ask("p1", 11, 1), ok=False)
     assert sent_bodies(refused) == [] and any(isinstance(e, Line) and e.topic == "disk" for e in refused)
-    assert refusal_reason(planner.ask("p3", 33, 1)) == "voted"  # it may be on the disk
+    assert refusal_reason(planner.ask("p3", 33, 1)) == "voted"  # the refused vote may be on the disk
     again = planner.ask("p1", 11, 1, 2)
     assert sent_bodies(again) == [] and sent_bodies(planner.stored(again)) == [
         Grant(2, 11, INCARNATIONS[1], FIRST + 1)
     ]
 
 
-def test_a_vote_that_was_overtaken_while_it_was_written_is_not_said() -> None:
+def test_a_vote_superseded_while_being_written_is_not_sent() -> None:
     planner = SteppedPlanner()
     planner.wait(10 * SECOND)
     slow = planner.ask("p1", 11, 1)
-    planner.wait(4 * SECOND)  # the promise is over, and another asks
+    planner.wait(4 * SECOND)  # the promise has expired, and another planner asks
     newer = planner.ask("p3", 33, 2)
     assert sent_bodies(planner.stored(slow)) == []
     assert sent_bodies(planner.stored(newer)) == [Grant(1, 33, INCARNATIONS[1], FIRST + 2)]
 
 
-def test_a_term_goes_to_one_process_and_a_promise_is_kept() -> None:
+def test_one_vote_per_term_and_promises_are_kept() -> None:
     planner = SteppedPlanner()
     planner.wait(10 * SECOND)
     planner.stored(planner.ask("p1", 11, 3))
     assert refusal_reason(planner.ask("p3", 33, 3)) == "voted"
-    assert refusal_reason(planner.ask("p1", 12, 3)) == "voted"  # p1 started again: another process
+    assert refusal_reason(planner.ask("p1", 12, 3)) == "voted"  # p1 was restarted: another process
     assert refusal_reason(planner.ask("p3", 33, 2)) == "term"
     assert refusal_reason(planner.ask("p3", 33, 4)) == "promised"
     assert refusal_reason(planner.ask("p1", 11, 3, lease_us=4 * SECOND)) == "length"
@@ -87,7 +87,7 @@
     assert sent_bodies(planner.stored(planner.ask("p3", 33, 4))) == [Grant(1, 33, INCARNATIONS[1], FIRST + 4)]
 
 
-def test_a_restart_keeps_the_vote_and_waits_as_long_as_it_may_have_promised() -> None:
+def test_a_restart_keeps_the_vote_and_the_longest_possible_promise() -> None:
     planner = SteppedPlanner()
     planner.wait(10 * SECOND)
     planner.stored(planner.ask("p1", 11, 1, lease_us=9 * SECOND))
@@ -107,7 +107,7 @@
     assert planner.stored(planner.ask("p3", 33, 2))
 
 
-def test_whoever_gives_up_frees_its_voters_but_only_of_that_term() -> None:
+def test_a_release_frees_the_voters_of_its_term_only() -> None:
     planner = SteppedPlanner()
     planner.wait(10 * SECOND)
     planner.stored(planner.ask("p1", 11, 2))
@@ -115,11 +115,13 @@
     planner.hear("p1", 10, Release(FIRST + 2))
     assert refusal_reason(planner.ask("p3", 33, 3)) == "promised"
     planner.hear("p1", 11, Release(FIRST + 2))
-    assert refusal_reason(planner.ask("p1", 11, 2, 9)) == "given up"  # a question that was overtaken
+    assert (
+        refusal_reason(planner.ask("p1", 11, 2, 9)) == "given up"
+    )  # a request that arrives after its release
     assert planner.stored(planner.ask("p3", 33, 3))
 
 
-def test_nothing_is_asked_before_our_own_vote_is_written_and_nothing_at_all_if_it_cannot_be() -> None:
+def test_no_votes_are_requested_before_the_own_vote_is_on_disk() -> None:
     planner = SteppedPlanner()
     effects = start_candidacy(planner)
     assert sent_bodies(effects) == [] and planner.state() == "candidate"
@@ -129,7 +131,7 @@
     assert planner.state() == "follower"
 
 
-def test_the_lease_counts_from_the_question_and_a_process_that_wakes_late_sees_that_it_is_over() -> None:
+def test_the_lease_counts_from_the_request_and_a_late_process_sees_its_expiry() -> None:
     planner = SteppedPlanner()
     asks = sent_bodies(planner.stored(start_candidacy(planner)))
     asked = planner.now
@@ -137,13 +139,13 @@
     assert isinstance(asks[0], Ask)
     grant = Grant(asks[0].round, planner.machine.participant.boot, INCARNATIONS[0], FIRST + 1)
     assert Leads(FIRST + 1, asked + FLEET.requester_lease_us(3 * SECOND)) in planner.hear("p1", 11, grant)
-    planner.wait(3 * SECOND)  # stopped meanwhile; what waited comes first, not the timer
+    planner.wait(3 * SECOND)  # frozen meanwhile; a waiting message is handled before the timer
     effects = planner.hear("p1", 11, grant)
     assert LeadershipLost(FIRST + 1) in effects and not any(isinstance(x, Ask) for x in sent_bodies(effects))
     assert not planner.machine.leads(planner.now) and not any(isinstance(e, Leads) for e in effects)
 
 
-def test_an_answer_that_comes_after_the_lease_it_would_give_makes_nobody_lead() -> None:
+def test_a_grant_that_arrives_after_its_lease_would_end_has_no_effect() -> None:
     planner = SteppedPlanner()
     asks = sent_bodies(planner.stored(start_candidacy(planner)))
     planner.wait(FLEET.requester_lease_us(3 * SECOND))
@@ -157,7 +159,7 @@
 @pytest.mark.parametrize(
     "changed", [{"for_boot": 1}, {"round": 99}, {"term": FIRST}, {"incarnation": 5}, {"term": FIRST + 2}]
 )
-def test_grants_that_are_not_for_this_lease_count_for_nothing(changed: dict[str, int]) -> None:
+def test_grants_for_another_process_round_term_or_disk_do_not_count(changed: dict[str, int]) -> None:
     planner = SteppedPlanner()
     asks = sent_bodies(planner.stored(start_candidacy(planner)))
     assert isinstance(asks[0], Ask)
@@ -173,7 +175,7 @@
     assert planner.state() == "holder"
 
 
-def test_a_holder_that_hears_of_a_higher_term_leads_on_above_it() -> None:
+def test_a_holder_that_learns_of_a_higher_term_continues_above_it() -> None:
     planner = SteppedPlanner()
     win_election(planner)
     assert planner.event(MinimumTerm(FIRST + 1)) == []
@@ -183,7 +185,7 @@
     assert isinstance(asks[0], Ask) and asks[0].term == FIRST + 41
 
 
-def test_a_stop_hands_over_and_is_the_last_word() -> None:
+def test_a_stop_transfers_leadership_and_ends_all_activity() -> None:
     planner = SteppedPlanner()
     win_election(planner)
     effects = planner.event(Stop())
@@ -191,7 +193,7 @@
     assert planner.machine.wake_us == -1 and planner.ask("p3", 33, 9) == []
 
 
-def test_what_does_not_verify_changes_nothing() -> None:
+def test_messages_that_fail_verification_change_nothing() -> None:
     planner = SteppedPlanner()
     planner.wait(10 * SECOND)
     body = Ask(1, FIRST + 1, list(INCARNATIONS), 3 * SECOND)
@@ -209,7 +211,7 @@
     assert planner.machine.term == FIRST and planner.machine.participant.rejected_frames == 3
 
 
-def test_an_unknown_version_is_answered_once_a_second() -> None:
+def test_an_unknown_version_is_answered_once_per_second() -> None:
     planner = SteppedPlanner()
     frame = seal(Kind.LEASE, b"", KEYS, "p1", version=9)
     answers = [len([e for e in planner.event(Heard("x", frame)) if isinstance(e, Say)]) for _ in range(5)]
@@ -218,7 +220,7 @@
     assert answers == [1, 0, 0, 0, 0, 1]
 
 
-def test_a_disk_of_which_others_know_a_newer_one_refuses_itself() -> None:
+def test_a_planner_with_an_old_disk_refuses_to_work() -> None:
     planner = SteppedPlanner()
     [_, refuses] = planner.ask(
         "p1", 11, 1, incarnations=[INCARNATIONS[0], 2 * NUMBERS_PER_COUNT, INCARNATIONS[2]]
--- a/tests/leases/test_types.py
+++ b/tests/leases/test_types.py
@@ -1,4 +1,4 @@
-"""Settings, the table of states, and the allowances for clock drift."""
+"""Settings, the transition table, and the allowances for clock drift."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
         ({"drift_ppm": 300_000}, "drift_ppm: found 300000"), ({"epoch": 0}, "epoch: found 0"),
     ],
 )  # fmt: skip
-def test_settings_name_the_field(changed: dict[str, object], words: str) -> None:
+def test_invalid_settings_name_the_field(changed: dict[str, object], words: str) -> None:
     with pytest.raises(LeaseSettingsError, match=words):
         replace(FLEET, **changed)  # type: ignore[arg-type]
 
 
-def test_every_state_can_be_come_to_and_only_two_cannot_be_left() -> None:
+def test_every_state_is_reachable_and_only_two_are_final() -> None:
     assert {to for to in TRANSITIONS.values()} | {State.BLANK} == {*State}
     ways = {state: {to for (s, _), to in TRANSITIONS.items() if s is state} - {state} for state in State}
     assert ways[State.STOPPED] == set() and ways[State.REFUSED] == {State.STOPPED}
@@ -48,10 +48,10 @@
 
 @settings(max_examples=300, deadline=None)
 @given(RATE, RATE, st.integers(0, 10**9), st.integers(0, 10**6), st.integers(100_000, MAX_LEASE_US))
-def test_a_promise_outlives_the_lease_whatever_the_two_clocks_do(
+def test_a_promise_outlasts_the_lease_at_any_clock_drift(
     holder: int, voter: int, asked: int, way: int, lease: int
 ) -> None:
-    """From asking to the last microsecond in which the holder believes it, in real time, and the voter's."""
+    """Compare the last microsecond of the holder's lease with the end of the promise, in real time."""
     ours, theirs = Clock(77, holder), Clock(5, voter)
     until = ours.local(asked) + FLEET.requester_lease_us(lease)
     promised = theirs.local(asked + way) + FLEET.promiser_lease_us(lease)
--- a/tests/shared_counters/test_shared_counters.py
+++ b/tests/shared_counters/test_shared_counters.py
@@ -1,4 +1,4 @@
-"""Counts: merges that keep no order, bounds that hold the truth, memory and letters that are bounded."""
+"""Shared counters: merges independent of order, correct bounds, and bounded memory and messages."""
 
 from __future__ import annotations
 
@@ -34,31 +34,36 @@
 S = 1_000_000
 
 
-def node(
-    name: str, now: int = 0, figures: CounterSettings = FIGURES, others: tuple[str, ...] = ("a", "b", "c")
+def make_node(
+    name: str,
+    now: int = 0,
+    counter_settings: CounterSettings = FIGURES,
+    others: tuple[str, ...] = ("a", "b", "c"),
 ) -> SharedCounters:
-    made = SharedCounters(name, 1, 100 + ord(name[0]) + now, KEYS, figures, Random(name), now)
+    made = SharedCounters(name, 1, 100 + ord(name[0]) + now, KEYS, counter_settings, Random(name), now)
     made.handle(now, Peers({n: Peer(n, True) for n in others}))
     return made
 
 
-def said(effects: list[object], to: str = "") -> list[Say]:
+def sent(effects: list[object], to: str = "") -> list[Say]:
     return [e for e in effects if isinstance(e, Say) and to in ("", e.to)]
 
 
-def exchange(now: int, asks: SharedCounters, answers: SharedCounters, lose: tuple[int, ...] = ()) -> int:
-    """Asks wakes, and its question to answers is answered; how many letters came back."""
+def exchange(
+    now: int, requester: SharedCounters, responder: SharedCounters, lose: tuple[int, ...] = ()
+) -> int:
+    """Let one node poll another; return how many reports came back. Those numbered in `lose` are lost."""
     back = 0
-    for say in said(asks.handle(now, Woken()), answers.name):
-        for k, word in enumerate(said(answers.handle(now, Heard(asks.name, say.data)))):
+    for say in sent(requester.handle(now, Woken()), responder.name):
+        for k, report in enumerate(sent(responder.handle(now, Heard(requester.name, say.data)))):
             back += 1
             if k not in lose:
-                asks.handle(now, Heard(answers.name, word.data))
+                requester.handle(now, Heard(responder.name, report.data))
     return back
 
 
-# --- Days in virtual time -------------------------------------------------------------------------------
-def test_days_of_chaos_keep_every_figure_round_the_truth_and_have_one_digest() -> None:
+# --- Simulated runs -------------------------------------------------------------------------------------
+def test_simulated_faults_keep_all_bounds_correct_and_runs_are_deterministic() -> None:
     days = [play(Case(seed, 0.6)) for seed in range(1, 13)]
     assert not any(day.broken for day in days), [d.broken for d in days if d.broken]
     assert all(day.figures["looks"] for day in days) and any(day.done for day in days)
@@ -70,23 +75,23 @@
     [("merge-adds", 1, 0.5), ("silent-forgotten", 1, 0.5), ("life-kept", 2, 0.5), ("dated-heard", 0, 0.5),
      ("edge-in", 0, 0.5), ("copy-now", 0, 0.5), ("before-empty", 0, 0.5), ("others-dropped", 0, 0.5),],
 )  # fmt: skip
-def test_a_planted_defect_breaks_a_day(plant: str, seed: int, severity: float) -> None:
+def test_simulated_runs_detect_planted_defects(plant: str, seed: int, severity: float) -> None:
     seeds = (seed,) if seed else range(1, 25)
     assert any(play(Case(s, severity, plant=plant)).broken for s in seeds)
 
 
-def test_what_was_lost_between_two_words_is_not_known() -> None:
-    life = RemoteProcess(1, 9, 10, 0)
+def test_slices_lost_between_two_reports_are_not_known() -> None:
+    process = RemoteProcess(1, 9, 10, 0)
     for first, upto in ((0, 1), (4, 6)):
-        life.merge(Word(1, 1, 9, 10 * upto + 5, 10, first, upto, "", 0, 0, 0, 0, True))
-    assert life.upto == 1 and life.known_until_us == 15
+        process.merge(Word(1, 1, 9, 10 * upto + 5, 10, first, upto, "", 0, 0, 0, 0, True))
+    assert process.upto == 1 and process.known_until_us == 15
 
 
 @pytest.mark.parametrize("plant", ["slot-trusted", "gap-skipped"])
-def test_a_defect_that_only_lost_letters_show_is_caught(plant: str) -> None:
+def test_defects_that_only_lost_messages_reveal_are_detected(plant: str) -> None:
     caught = {
-        "slot-trusted": test_a_lost_letter_of_several_is_asked_for_again_and_hides_nothing_meanwhile,
-        "gap-skipped": test_what_was_lost_between_two_words_is_not_known,
+        "slot-trusted": test_a_lost_message_is_requested_again_and_bounds_stay_correct_meanwhile,
+        "gap-skipped": test_slices_lost_between_two_reports_are_not_known,
     }
     assert plant in PLANTS
     with planted(plant), pytest.raises(AssertionError):
@@ -101,15 +106,15 @@
 
 
 @st.composite
-def words(draw: Any) -> list[Word]:
-    """What one process may truly have said of itself: each word a later state, told from anywhere."""
+def reports(draw: Any) -> list[Word]:
+    """Reports that one process can send about itself: each of a later state, from any first slice."""
     cells: dict[int, dict[int, int]] = {}
     made = []
     up = 0
     for grown in draw(st.lists(slices, min_size=1, max_size=4)):
         up += draw(st.integers(0, 2))
         for index, cell in grown:
-            if index >= up:  # a slice that is over never changes
+            if index >= up:  # a completed slice never changes
                 for slot, count in cell.items():
                     cells.setdefault(up, {})[slot] = cells.get(up, {}).get(slot, 0) + count
         first = draw(st.integers(0, up))
@@ -123,67 +128,73 @@
 
 
 def state(order: list[Word]) -> tuple[Any, ...]:
-    life = RemoteProcess(1, 9, 10, 0)
-    for word in order:
-        life.merge(word)
-    return {i: dict(c) for i, c in life.counts_by_slice.items()}, life.slots
+    process = RemoteProcess(1, 9, 10, 0)
+    for report in order:
+        process.merge(report)
+    return {i: dict(c) for i, c in process.counts_by_slice.items()}, process.slots
 
 
 @settings(max_examples=60, deadline=None)
-@given(words())
-def test_merges_are_commutative_associative_and_idempotent(said: list[Word]) -> None:
-    wanted = state(said)
-    for order in permutations(said):
+@given(reports())
+def test_merges_are_commutative_associative_and_idempotent(sent: list[Word]) -> None:
+    wanted = state(sent)
+    for order in permutations(sent):
         assert state(list(order)) == wanted
         assert state([*order, *order]) == wanted
 
 
 @settings(max_examples=60, deadline=None)
-@given(words(), st.randoms(use_true_random=False))
-def test_merges_are_monotone_and_what_is_whole_is_whole(said: list[Word], rng: Any) -> None:
-    life, last = RemoteProcess(1, 9, 10, 0), (0, 0)
-    truth = {s.index: sum(s.used[1::2]) for w in said for s in w.slices}
-    for word in rng.choices(said, k=12):
-        life.merge(word)
-        now = life.upto, sum(sum(c.values()) for c in life.counts_by_slice.values())
+@given(reports(), st.randoms(use_true_random=False))
+def test_merges_are_monotone_and_complete_slices_are_exact(sent: list[Word], rng: Any) -> None:
+    process, last = RemoteProcess(1, 9, 10, 0), (0, 0)
+    truth = {s.index: sum(s.used[1::2]) for w in sent for s in w.slices}
+    for report in rng.choices(sent, k=12):
+        process.merge(report)
+        now = process.upto, sum(sum(c.values()) for c in process.counts_by_slice.values())
         assert now[0] >= last[0] and now[1] >= last[1]
         last = now
-        if life.first >= 0:
-            for index in range(life.first, life.upto):
-                assert sum(life.counts_by_slice.get(index, {}).values()) == truth.get(index, 0)
+        if process.first >= 0:
+            for index in range(process.first, process.upto):
+                assert sum(process.counts_by_slice.get(index, {}).values()) == truth.get(index, 0)
 
 
-# --- Letters --------------------------------------------------------------------------------------------
-def test_who_knows_nothing_learns_a_whole_window_and_then_only_what_is_new() -> None:
-    figures = CounterSettings(window_us=8 * S, width_us=250_000, keys=40)
-    a, b = node("a", figures=figures), node("b", 10 * S, figures)
+# --- Messages -------------------------------------------------------------------------------------------
+def test_a_new_node_receives_the_whole_window_and_then_only_changes() -> None:
+    counter_settings = CounterSettings(window_us=8 * S, width_us=250_000, keys=40)
+    a, b = make_node("a", counter_settings=counter_settings), make_node("b", 10 * S, counter_settings)
     now = 3 * S
     for k in range(4_000):
         now += 2_000
         a.handle(now, UsageRecorded(f"a-rather-long-name-of-a-tenant-{k % 50}"))
-    came = exchange(now, b, a)
-    assert 1 < came <= MAX_MESSAGES_PER_ANSWER and all(
-        len(x.data) <= MAX_DATAGRAM for x in said(a.handle(now, Woken()))
+    received = exchange(now, b, a)
+    assert 1 < received <= MAX_MESSAGES_PER_ANSWER and all(
+        len(x.data) <= MAX_DATAGRAM for x in sent(a.handle(now, Woken()))
     )
     for _ in range(12):
         now += 250_000
         exchange(now, b, a)
-    life = b.nodes["a"].latest
-    assert life is not None and life.upto == a.local.current_slice and life.slots_version == a.local.version
-    theirs = {i: dict(c) for i, c in life.counts_by_slice.items() if i >= a.local.oldest_slice}
+    process = b.nodes["a"].latest
+    assert (
+        process is not None
+        and process.upto == a.local.current_slice
+        and process.slots_version == a.local.version
+    )
+    theirs = {i: dict(c) for i, c in process.counts_by_slice.items() if i >= a.local.oldest_slice}
     assert theirs == {i: c for i, c in a.local.counts_by_slice.items() if i >= a.local.oldest_slice}
     before = a.message_counts["said_bytes"]
     now += 250_000
     assert exchange(now, b, a) == 1 and a.message_counts["said_bytes"] - before < 400
 
 
-def test_a_lost_letter_of_several_is_asked_for_again_and_hides_nothing_meanwhile() -> None:
-    """The first letter tells of slots that the last one's slices are in.
+def test_a_lost_message_is_requested_again_and_bounds_stay_correct_meanwhile() -> None:
+    """The lost first message contains slots that the slices of the later ones refer to.
 
-    Until it is told again their use may be anybody's.
+    Until it is sent again, their usage may belong to any key.
     """
-    figures = CounterSettings(window_us=8 * S, width_us=250_000, keys=40, floor_per_s=1.0, growth=1.0)
-    a, b = node("a", 0, figures, ("b",)), node("b", 0, figures, ("a",))
+    counter_settings = CounterSettings(
+        window_us=8 * S, width_us=250_000, keys=40, floor_per_s=1.0, growth=1.0
+    )
+    a, b = make_node("a", 0, counter_settings, ("b",)), make_node("b", 0, counter_settings, ("a",))
     now = 20 * S
     for k in range(3_000):
         now += 1_000
@@ -191,56 +202,56 @@
     now += 250_000
     assert exchange(now, b, a, lose=(0,)) > 2
     key, true = "a-rather-long-name-of-a-tenant-0", 75
-    life = b.nodes["a"].latest
-    assert life is not None and life.slots_version == 0
-    figure = b.bounds(now, key)
-    assert figure.low <= true <= figure.high
+    process = b.nodes["a"].latest
+    assert process is not None and process.slots_version == 0
+    bounds = b.bounds(now, key)
+    assert bounds.low <= true <= bounds.high
     for _ in range(4):
         now += 250_000
         exchange(now, b, a)
-    figure = b.bounds(now, key)
-    assert life.slots_version == a.local.version and figure.low <= true <= figure.high <= true + 40
+    bounds = b.bounds(now, key)
+    assert process.slots_version == a.local.version and bounds.low <= true <= bounds.high <= true + 40
 
 
-def test_a_node_that_begins_again_learns_from_others_what_its_name_has_used() -> None:
-    a, b = node("a", 0, others=("b",)), node("b", 0, others=("a",))
+def test_a_restarted_node_learns_the_usage_of_its_earlier_process() -> None:
+    a, b = make_node("a", 0, others=("b",)), make_node("b", 0, others=("a",))
     now = S
     for _ in range(100):
         now += 20_000
         a.handle(now, UsageRecorded("k"))
         if not _ % 10:
             exchange(now, b, a)
-    again = SharedCounters("a", 2, 7, KEYS, FIGURES, Random(1), now)
-    again.handle(now, Peers({"b": Peer("b", True)}))
-    wide = again.bounds(now, "k")
+    restarted = SharedCounters("a", 2, 7, KEYS, FIGURES, Random(1), now)
+    restarted.handle(now, Peers({"b": Peer("b", True)}))
+    wide = restarted.bounds(now, "k")
     for _ in range(20):
         now += 250_000
-        exchange(now, again, b)
-        exchange(now, b, again)
-    figure = again.bounds(now, "k")
-    assert wide.low == 0 and wide.high >= 100 and 80 <= figure.low <= 100 <= figure.high < wide.high
+        exchange(now, restarted, b)
+        exchange(now, b, restarted)
+    bounds = restarted.bounds(now, "k")
+    assert wide.low == 0 and wide.high >= 100 and 80 <= bounds.low <= 100 <= bounds.high < wide.high
     assert b.bounds(now, "k").low <= 100 <= b.bounds(now, "k").high
 
 
-def test_one_that_only_another_hears_is_asked_of_that_other() -> None:
-    a, b, c = (node(n) for n in "abc")
+def test_usage_of_an_unreachable_node_is_learned_from_a_node_that_reaches_it() -> None:
+    a, b, c = (make_node(n) for n in "abc")
     now = S
     for k in range(160):
         now += 25_000
         a.handle(now, UsageRecorded("k"))
         if k % 8 == 0:
-            exchange(now, b, a)  # c hears nothing of a
+            exchange(now, b, a)  # c receives nothing from a
             exchange(now, c, b)
     part = next(p for p in c.bounds(now, "k").parts if p.name == "a")
     assert 0 <= part.age_us < 2 * S and part.low >= 100
 
 
-def test_who_is_gone_for_good_is_folded_away_and_no_ghost_of_it_returns() -> None:
-    a, b = node("a", others=("b",)), node("b", others=("a",))
+def test_a_node_that_has_left_is_removed_and_late_reports_do_not_restore_it() -> None:
+    a, b = make_node("a", others=("b",)), make_node("b", others=("a",))
     a.handle(S, UsageRecorded("k", 5))
     exchange(2 * S, b, a)
-    ask = said(b.handle(3 * S, Woken()))[0]
-    late = said(a.handle(3 * S, Heard("b", ask.data)))[0]
+    ask = sent(b.handle(3 * S, Woken()))[0]
+    late = sent(a.handle(3 * S, Heard("b", ask.data)))[0]
     b.handle(4 * S, Peers({"a": Peer("a", False, True)}))
     assert b.bounds(4 * S).low == 5
     b.handle(13 * S, Peers({"a": Peer("a", False, True)}))
@@ -251,26 +262,26 @@
 
 
 # --- Bounds ---------------------------------------------------------------------------------------------
-def test_a_hundred_thousand_keys_that_come_once_cost_no_memory_and_push_nobody_out() -> None:
-    figures = CounterSettings(keys=16)
-    own = LocalCounts(figures, 0)
+def test_many_keys_used_once_need_no_memory_and_evict_no_key() -> None:
+    counter_settings = CounterSettings(keys=16)
+    local = LocalCounts(counter_settings, 0)
     now = 0
     for k in range(100_000):
         now += 500
-        own.add(now, f"once-{k}", 1)
-        own.add(now, "hot", 1)
-    assert [s.key for s in own.slots.values()] == ["hot"] and len(
-        own._seen_once
-    ) <= CANDIDATES_PER_SLOT * figures.keys
+        local.add(now, f"once-{k}", 1)
+        local.add(now, "hot", 1)
+    assert [s.key for s in local.slots.values()] == ["hot"] and len(
+        local._seen_once
+    ) <= CANDIDATES_PER_SLOT * counter_settings.keys
     assert (
-        sum(c.get(OVERFLOW_SLOT, 0) for c in own.counts_by_slice.values()) == 100_001
-    )  # the first of hot among them
-    assert len(own.counts_by_slice) <= figures.slices
+        sum(c.get(OVERFLOW_SLOT, 0) for c in local.counts_by_slice.values()) == 100_001
+    )  # including the first use of hot
+    assert len(local.counts_by_slice) <= counter_settings.slices
 
 
 @pytest.mark.parametrize("key", ["x" * 97, "\u00e9" * 49, "\U0001f695" * 96, ""])
-def test_a_key_that_no_letter_can_name_counts_among_the_others_and_spoils_no_word(key: str) -> None:
-    a, b = node("a", others=("b",)), node("b", others=("a",))
+def test_a_key_of_invalid_length_is_counted_in_the_overflow_slot(key: str) -> None:
+    a, b = make_node("a", others=("b",)), make_node("b", others=("a",))
     for k in range(4):
         a.handle(S + k, UsageRecorded(key))
         a.handle(S + k, UsageRecorded("k"))
@@ -279,28 +290,28 @@
     assert [s.key for s in a.local.slots.values()] == ["k"]
 
 
-def test_counts_beyond_what_a_float_holds_are_exact() -> None:
-    a, b = node("a", others=("b",)), node("b", others=("a",))
+def test_counts_beyond_the_precision_of_a_float_are_exact() -> None:
+    a, b = make_node("a", others=("b",)), make_node("b", others=("a",))
     for count in (1, (1 << 53) + 1):
         a.handle(S, UsageRecorded("k", count))
     exchange(2 * S, b, a)
     assert b.bounds(2 * S).low == (1 << 53) + 2
 
 
-def test_a_node_with_many_requests_asks_as_often_as_one_with_none() -> None:
-    a, now = node("a"), 0
+def test_many_requests_do_not_delay_polling() -> None:
+    a, now = make_node("a"), 0
     while now < 2 * S:
         now += 1_000
         a.handle(now, UsageRecorded("k"))
         if a.wake_us <= now:
             a.handle(now, Woken())
-    assert a.message_counts["ask said"] >= 3 * 7  # of each of three, every 250 ms
+    assert a.message_counts["ask said"] >= 3 * 7  # three nodes, each every 250 ms
 
 
-def test_what_is_said_stays_within_its_bytes() -> None:
-    figures = CounterSettings(window_us=8 * S, width_us=250_000, bytes_per_s=2_000)
+def test_sent_messages_stay_within_the_byte_rate() -> None:
+    counter_settings = CounterSettings(window_us=8 * S, width_us=250_000, bytes_per_s=2_000)
     others = tuple(f"n{k}" for k in range(100))
-    a = node("a", 0, figures, others)
+    a = make_node("a", 0, counter_settings, others)
     for now in range(0, 20 * S, 20_000):
         a.handle(now, Woken())
     assert a.message_counts["said_bytes"] <= 2_000 * 20 + 2_000 and a.message_counts["slowed"] > 0
@@ -316,30 +327,30 @@
         (seal(Kind.COUNT, LETTERS.write(Word(1, 1, 9, 5, 10, 0, 0)), KEYS, "b"), "unasked"),
     ],
 )  # fmt: skip
-def test_what_is_no_letter_for_us_is_counted_and_changes_nothing(data: bytes, why: str) -> None:
-    a = node("a")
+def test_invalid_messages_are_counted_and_change_nothing(data: bytes, why: str) -> None:
+    a = make_node("a")
     assert a.handle(S, Heard("b", data)) == [] and a.message_counts[f"dropped {why}"] == 1
     assert not any(n.processes for n in a.nodes.values())
 
 
 @pytest.mark.parametrize(
-    "word",
+    "report",
     [
         Word(0, 1, 9, 5, 0, 0, 0), Word(0, 1, 9, 50, 10, 4, 3), Word(0, 1, 9, 50, 10, 0, 7),
         Word(0, 1, 9, 50, 10, 0, 3, slices=[Slice(4, [0, 1])]), Word(0, 1, 9, 50, 10, 0, 3, "", 9, 1),
         Word(0, 1, 9, 50, 10, 0, 3, "c"),
     ],
 )  # fmt: skip
-def test_an_answer_that_can_not_be_is_dropped(word: Word) -> None:
+def test_impossible_reports_are_dropped(report: Word) -> None:
     from msgspec.structs import replace
 
-    a = node("a", others=("b",))
-    (ask,) = said(a.handle(S, Woken()), "b")[:1]
+    a = make_node("a", others=("b",))
+    (ask,) = sent(a.handle(S, Woken()), "b")[:1]
     frame = open_(ask.data, KEYS)
     assert isinstance(frame, Frame)
     asked = LETTERS.read(frame.body)
     assert isinstance(asked, Ask)
-    body = LETTERS.write(replace(word, number=asked.number))
+    body = LETTERS.write(replace(report, number=asked.number))
     a.handle(S, Heard("b", seal(Kind.COUNT, body, KEYS, "b")))
     assert (
         not a.nodes["b"].processes
@@ -349,21 +360,21 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.binary(max_size=200))
-def test_bytes_from_a_holder_of_the_key_raise_nothing(body: bytes) -> None:
-    a = node("a")
+def test_arbitrary_sealed_bytes_raise_no_error(body: bytes) -> None:
+    a = make_node("a")
     a.handle(S, Woken())
     a.handle(S, Heard("b", seal(Kind.COUNT, body, KEYS, "b")))
 
 
-def test_other_keys_are_taken_up() -> None:
-    a = node("a")
+def test_new_keys_seal_later_messages() -> None:
+    a = make_node("a")
     other = Keys(Key(b"another key altogether"))
     a.handle(S, Rekey(other))
-    assert isinstance(open_(said(a.handle(2 * S, Woken()))[0].data, other), Frame)
+    assert isinstance(open_(sent(a.handle(2 * S, Woken()))[0].data, other), Frame)
 
 
-# --- The judge and the words -----------------------------------------------------------------------------
-def test_the_judge_accuses_what_can_not_be_true_and_nothing_else() -> None:
+# --- The judge and the status page ------------------------------------------------------------------------
+def test_the_judge_reports_exactly_the_impossible_bounds() -> None:
     judge = CountsJudge(10 * S)
     for k in range(10):
         judge.asked(k * S, f"r{k}", "k")
@@ -376,12 +387,12 @@
     assert "k was 9 to 10, told 11 to 12" in report.texts[0] and "told 0 to 8" in report.texts[1]
     late = CountsJudge(10 * S)
     late.asked(0, "r", "k")
-    late.told(Told(30 * S, "n", "", 1, 1))  # it may have been taken at any time since
+    late.told(Told(30 * S, "n", "", 1, 1))  # the request may have been counted at any time since
     late.told(Told(30 * S, "n", "", 2, 2))
     assert late.report().broken == 1 and NEVER > 30 * S
 
 
-def test_figures_in_words_and_as_metrics() -> None:
+def test_bounds_on_the_status_page_and_as_metrics() -> None:
     view = {
         "version": 1, "name": "n1", "window_s": 10.0, "speaks": False, "cut": True,
         "letters": {"ask said": 2},
@@ -403,10 +414,10 @@
             shared.counted(bad)
 
 
-def test_slots_are_told_in_the_order_of_their_changes() -> None:
-    own = LocalCounts(CounterSettings(window_us=2 * S, width_us=250_000), 0)
+def test_slots_are_listed_in_the_order_of_their_changes() -> None:
+    local = LocalCounts(CounterSettings(window_us=2 * S, width_us=250_000), 0)
     for key in ("a", "a", "b", "b"):
-        own.add(S, key, 1)
-    own.add(4 * S, "b", 1)
-    assert [(s.key, s.ended >= 0) for s in own.slots_after(0)] == [("a", True), ("b", True)]
-    assert own.slots_after(own.version) == [] and own.slots_after(3)[0] == Slot(2, "b", 4, 16, 4)
+        local.add(S, key, 1)
+    local.add(4 * S, "b", 1)
+    assert [(s.key, s.ended >= 0) for s in local.slots_after(0)] == [("a", True), ("b", True)]
+    assert local.slots_after(local.version) == [] and local.slots_after(3)[0] == Slot(2, "b", 4, 16, 4)
