--- a/tests/coordination/test_scenarios.py
+++ b/tests/coordination/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Days by hand: the exact troubles that a guard is there for, played with the guard and without it."""
+"""Single scenarios: the exact faults against which a safeguard protects, with and without it."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from granitewell.coordination.consensus.messages import HeartbeatReply
 from granitewell.coordination.consensus.types import Role
 from tests.coordination.defects import (
-    begin_unguarded,
+    change_begins_without_quorum,
     changes_overlap,
     count_unsynced_own_entry,
     forget_at_restart,
-    hand_over_keeps_lease,
     late_round_renews,
     no_stickiness,
-    removed_is_not_told,
+    removed_is_not_notified,
+    transfer_keeps_lease,
 )
 from tests.coordination.faults import describe
 from tests.coordination.invariants import ViolationError
@@ -24,7 +24,7 @@
 
 
 class Group:
-    """Three machines with a leader, and what is done to them."""
+    """Three machines with a leader, and operations on them."""
 
     def __init__(self, seed: int) -> None:
         self.world = World(seed)
@@ -39,22 +39,22 @@
         self.world.run_until(self.world.now + seconds)
 
     def cut(self, one: Machine, other: Machine) -> None:
-        """No messages between two machines."""
+        """Partition two machines from each other."""
         self.world.links[one.address, other.address] = Link(cut=True)
         self.world.links[other.address, one.address] = Link(cut=True)
 
     def heal(self) -> None:
-        """All links are well."""
+        """Restore all links."""
         self.world.links.clear()
 
     def isolate(self, machine: Machine) -> None:
-        """No messages from and to a machine."""
+        """Partition a machine from all others."""
         for other in self.world.machines:
             if other is not machine:
                 self.cut(machine, other)
 
     def add_spare(self) -> Machine:
-        """A fourth machine with an empty disk."""
+        """Add a fourth machine with an empty disk."""
         world = self.world
         spare = Machine(world, "spare", "10.0.2.1:7", world.seeds, first=False)
         world.machines.append(spare)
@@ -62,12 +62,12 @@
         return spare
 
     def propose(self) -> int:
-        """A client's order; how many are acknowledged so far."""
+        """Propose something; return the last index acknowledged so far."""
         self.world.propose()
         return self.world.invariants.last_acknowledged
 
     def commits(self) -> bool:
-        """Whether an order is acknowledged within some seconds."""
+        """Return whether a proposal is acknowledged within some seconds."""
         before = self.world.invariants.last_acknowledged
         for _ in range(50):
             self.world.propose()
@@ -78,22 +78,22 @@
 
 
 def process_of(machine: Machine) -> Process:
-    """The process on a machine that has one."""
+    """Return the running process of a machine."""
     assert machine.process is not None
     return machine.process
 
 
 def voters(group: Group) -> set[str]:
-    """Addresses of the voters that the lease holder knows."""
+    """Return the addresses of the voters that the lease holder knows."""
     holder = group.world.holder()
     return {member.address for member in holder.replica.members} if holder else set()
 
 
-# Repair
+# Recovery
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_wiped_follower_is_a_voter_again_within_a_second_and_a_half(seed: int) -> None:
+def test_a_wiped_follower_is_a_voter_again_within_1_5_s(seed: int) -> None:
     group = Group(seed)
     wiped = group.others[0]
     old_id = process_of(wiped).replica.replica_id
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_wiped_leader_is_a_voter_again_within_three_and_a_half_seconds(seed: int) -> None:
+def test_a_wiped_leader_is_a_voter_again_within_3_5_s(seed: int) -> None:
     group = Group(seed)
     group.leader.wipe()
     group.leader.start()
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("leads", [True, False])
 @pytest.mark.parametrize("seed", range(5))
-def test_a_machine_at_a_new_address_takes_the_place_of_one_that_left(seed: int, leads: bool) -> None:
+def test_a_machine_at_a_new_address_replaces_one_that_left(seed: int, leads: bool) -> None:
     group = Group(seed)
     left = group.leader if leads else group.others[0]
     left.wipe()
@@ -152,7 +152,7 @@
     assert replica.read_staleness(process_of(spare).now) < 0.5
 
 
-def test_a_voter_that_was_replaced_while_cut_off_joins_under_a_fresh_id() -> None:
+def test_a_voter_replaced_while_partitioned_joins_under_a_new_id() -> None:
     group = Group(2)
     spare = group.add_spare()
     cut_off = group.others[0]
@@ -167,13 +167,13 @@
     assert process.replica.read_staleness(process.now) < 0.5
 
 
-def test_a_replaced_voter_that_nobody_tells_stays_outside(monkeypatch: pytest.MonkeyPatch) -> None:
-    removed_is_not_told(monkeypatch)
+def test_a_replaced_voter_that_is_not_notified_does_not_rejoin(monkeypatch: pytest.MonkeyPatch) -> None:
+    removed_is_not_notified(monkeypatch)
     with pytest.raises(AssertionError):
-        test_a_voter_that_was_replaced_while_cut_off_joins_under_a_fresh_id()
+        test_a_voter_replaced_while_partitioned_joins_under_a_new_id()
 
 
-def test_a_voter_that_comes_back_at_another_address_is_found_there() -> None:
+def test_a_voter_that_returns_at_another_address_is_found() -> None:
     group = Group(3)
     moved = group.others[0]
     replica_id = process_of(moved).replica.replica_id
@@ -185,13 +185,13 @@
     assert moved.address in voters(group) and len(voters(group)) == 3
 
 
-# Removal needs a quorum that answers
+# Removals need a responsive quorum
 
 
 def removal_while_another_is_lost(group: Group) -> bool:
-    """One voter is cut off, another goes for good just before the first may be replaced.
+    """Partition one voter, and lose another for good just before the first may be replaced.
 
-    Whether the group goes on once the first is back.
+    Returns whether the group continues once the first is back.
     """
     cut_off, lost = group.others
     group.add_spare()
@@ -205,15 +205,15 @@
     return group.commits()
 
 
-def test_a_removal_waits_for_a_quorum_that_answers() -> None:
+def test_a_removal_waits_for_a_responsive_quorum() -> None:
     assert removal_while_another_is_lost(Group(4))
 
 
 def replacement_that_fails_while_another_is_lost(group: Group, full_disk: bool = False) -> bool:
-    """One voter is cut off, or its disk is full.
+    """Partition one voter or fill its disk, and let another one leave.
 
-    The other asks to leave, and the spare dies as soon as it may have a vote. Whether the group, which has
-    lost one voter only, goes on.
+    The spare is lost as soon as it may be a voter. Returns whether the group, which has lost only one voter,
+    continues.
     """
     lost, leaving = group.others
     successor = group.add_spare()
@@ -241,8 +241,8 @@
     assert replacement_that_fails_while_another_is_lost(Group(4), full_disk)
 
 
-def test_a_replacement_that_rests_on_the_successor_stops_the_group(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin_unguarded(monkeypatch)
+def test_a_replacement_that_relies_on_the_successor_stops_the_group(monkeypatch: pytest.MonkeyPatch) -> None:
+    change_begins_without_quorum(monkeypatch)
     assert not replacement_that_fails_while_another_is_lost(Group(4))
 
 
@@ -250,9 +250,9 @@
 
 
 def overlapping_changes(group: Group) -> bool:
-    """A leader that has lost sight of one voter loses the other as it replaces the first by a spare.
+    """Let a leader that has lost one voter lose the other while it replaces the first by a spare.
 
-    Whether it got as far as wanting to.
+    Returns whether it got as far as beginning the change.
     """
     first, second = group.others
     group.add_spare()
@@ -275,7 +275,7 @@
     assert overlapping_changes(Group(5))
 
 
-def test_overlapping_changes_lose_what_is_committed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_overlapping_changes_lose_committed_entries(monkeypatch: pytest.MonkeyPatch) -> None:
     changes_overlap(monkeypatch)
     with pytest.raises(ViolationError):
         overlapping_changes(Group(5))
@@ -285,7 +285,7 @@
 
 
 def followers_restart_while_the_leader_is_cut_off(group: Group) -> None:
-    """Both followers forget what they heard, at the moment that the leader is cut off."""
+    """Restart both followers at the moment at which the leader is partitioned."""
     group.isolate(group.leader)
     for machine in group.others:
         machine.stop(power=False)
@@ -294,7 +294,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_followers_that_restart_keep_to_the_lease_they_carried(seed: int) -> None:
+def test_restarted_followers_respect_the_lease_they_acknowledged(seed: int) -> None:
     followers_restart_while_the_leader_is_cut_off(Group(seed))
 
 
@@ -306,13 +306,13 @@
 
 
 def cut_off_from_one_follower(group: Group) -> None:
-    """One follower does not reach the leader; the other reaches both."""
+    """Partition one follower from the leader; the other follower reaches both."""
     group.cut(group.leader, group.others[0])
     group.run(5)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_follower_keeps_to_a_leader_that_another_has_lost(seed: int) -> None:
+def test_a_follower_stays_with_a_leader_that_another_has_lost(seed: int) -> None:
     group = Group(seed)
     cut_off_from_one_follower(group)
     holder = group.world.holder()
@@ -328,7 +328,7 @@
 
 
 def old_replies_come_late(group: Group) -> None:
-    """The leader is cut off; replies to rounds of long ago still come in."""
+    """Partition the leader, and deliver replies to old heartbeat rounds."""
     replica = process_of(group.leader).replica
     group.isolate(group.leader)
     for _ in range(30):
@@ -349,8 +349,8 @@
         old_replies_come_late(Group(2))
 
 
-def hand_over_into_silence(group: Group) -> None:
-    """The leader hands over and hears nothing more."""
+def transfer_without_replies(group: Group) -> None:
+    """Let the leader transfer leadership and receive nothing more."""
     process = process_of(group.leader)
     process.run(lambda: transfer(process))
     for other in group.others:
@@ -359,29 +359,29 @@
 
 
 def leave(process: Process) -> None:
-    """Ask to have a voter's place filled."""
+    """Ask to replace a voter."""
     assert process.replica.leave(process.now)
 
 
 def transfer(process: Process) -> None:
-    """Ask a leader to hand over."""
+    """Ask a leader to transfer leadership."""
     assert process.replica.transfer(process.now)
 
 
-def test_a_leader_that_hands_over_has_given_up_its_lease() -> None:
+def test_a_transferring_leader_has_given_up_its_lease() -> None:
     group = Group(6)
-    hand_over_into_silence(group)
+    transfer_without_replies(group)
     holder = group.world.holder()
     assert holder is not None and holder.machine is not group.leader
 
 
-def test_a_leader_that_hands_over_and_keeps_its_lease_breaks_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    hand_over_keeps_lease(monkeypatch)
+def test_a_transferring_leader_that_keeps_its_lease_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    transfer_keeps_lease(monkeypatch)
     with pytest.raises(ViolationError, match="hold leases"):
-        hand_over_into_silence(Group(6))
+        transfer_without_replies(Group(6))
 
 
-def test_handing_over_takes_milliseconds() -> None:
+def test_a_leadership_transfer_takes_milliseconds() -> None:
     group = Group(7)
     process = process_of(group.leader)
     process.run(lambda: transfer(process))
@@ -413,7 +413,7 @@
     assert process.replica.read_staleness(process.now) > 1
 
 
-def test_a_replica_that_was_cut_off_disturbs_no_leader() -> None:
+def test_a_partitioned_replica_does_not_disrupt_the_leader() -> None:
     group = Group(10)
     term = process_of(group.leader).replica.term
     group.isolate(group.others[0])
@@ -428,9 +428,9 @@
 
 
 def own_entry_unsynced(group: Group) -> None:
-    """The only other holder of an entry loses its disk.
+    """Lose the only other disk that holds an entry.
 
-    The leader's disk hangs and one follower is cut off, so the third member holds the entry alone.
+    The leader's disk stalls and one follower is partitioned, so the third member holds the entry alone.
     """
     cut_off, holds = group.others
     group.isolate(cut_off)
@@ -450,7 +450,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_an_entry_that_is_not_on_the_own_disk_does_not_count(seed: int) -> None:
+def test_an_unsynced_entry_of_the_leader_does_not_count(seed: int) -> None:
     own_entry_unsynced(Group(seed))
 
 
@@ -460,7 +460,7 @@
         own_entry_unsynced(Group(0))
 
 
-def test_a_majority_of_others_commits_while_the_leaders_disk_hangs() -> None:
+def test_a_majority_of_others_commits_while_the_leaders_disk_stalls() -> None:
     group = Group(11)
     group.leader.disk.delay_s = 10
     before = group.world.invariants.last_acknowledged
@@ -470,7 +470,7 @@
 
 
 @pytest.mark.parametrize("refuses", [True, False])
-def test_a_leader_whose_disk_fails_hands_over(refuses: bool) -> None:
+def test_a_leader_with_a_failing_disk_transfers_leadership(refuses: bool) -> None:
     group = Group(12)
     group.leader.disk.delay_s = 0.001 if refuses else 10
     group.leader.disk.refusing = refuses
@@ -481,13 +481,13 @@
     assert group.commits()
 
 
-def test_a_follower_whose_disk_hangs_holds_nobody_up() -> None:
+def test_a_follower_with_a_stalled_disk_delays_no_one() -> None:
     group = Group(13)
     group.others[0].disk.delay_s = 10
     assert group.commits()
 
 
-def test_a_laggard_gets_a_snapshot() -> None:
+def test_a_follower_far_behind_gets_a_snapshot() -> None:
     group = Group(14)
     laggard = group.others[0]
     group.isolate(laggard)
@@ -500,7 +500,7 @@
     assert process_of(laggard).replica.commit_index == process_of(group.leader).replica.commit_index
 
 
-def test_a_learner_that_waits_for_its_snapshot_is_not_in_touch() -> None:
+def test_a_learner_waiting_for_its_snapshot_is_stale() -> None:
     group = Group(15)
     for _ in range(40):
         group.propose()
--- a/tests/coordination/test_simulation.py
+++ b/tests/coordination/test_simulation.py
@@ -1,7 +1,7 @@
-"""Many short days of a simulated group, each from its seed.
+"""Many short simulated scenarios, each drawn from its seed.
 
-`python -m tests.coordination.test_simulation FIRST LAST` plays more of them, and one again, each also with
-replacements only and with five voters.
+`python -m tests.coordination.test_simulation FIRST LAST` runs the seeds of a range, each with all faults,
+with replacements only, and with five voters.
 """
 
 from __future__ import annotations
@@ -10,56 +10,56 @@
 
 import pytest
 
-from tests.coordination.faults import TROUBLES, Day, play
+from tests.coordination.faults import FAULTS, Scenario, play
 from tests.coordination.invariants import ViolationError
 
-DAYS = 500
-DAYS_A_TEST = 50
-DAYS_OF_FIVE = 12
-DAYS_OF_REPLACEMENTS = 25
+SCENARIOS = 500
+SCENARIOS_PER_TEST = 50
+FIVE_VOTER_SCENARIOS = 12
+REPLACEMENT_SCENARIOS = 25
 REPLACEMENTS = (
-    Day.wipe,
-    Day.replace,
-    Day.leave_and_come_back,
-    Day.leave_for_good,
-    Day.slow_disk,
-    Day.cut,
-    Day.kill,
+    Scenario.wipe,
+    Scenario.replace,
+    Scenario.leave_and_come_back,
+    Scenario.leave_for_good,
+    Scenario.slow_disk,
+    Scenario.cut,
+    Scenario.kill,
 )
 
 
-@pytest.mark.parametrize("first", range(0, DAYS, DAYS_A_TEST))
-def test_days(first: int) -> None:
+@pytest.mark.parametrize("first", range(0, SCENARIOS, SCENARIOS_PER_TEST))
+def test_random_scenarios(first: int) -> None:
     acknowledged = 0
-    for seed in range(first, first + DAYS_A_TEST):
+    for seed in range(first, first + SCENARIOS_PER_TEST):
         acknowledged += play(seed).invariants.last_acknowledged
-    assert acknowledged > 5 * DAYS_A_TEST
+    assert acknowledged > 5 * SCENARIOS_PER_TEST
 
 
-def test_days_of_five_voters() -> None:
+def test_scenarios_with_five_voters() -> None:
     acknowledged = 0
-    for seed in range(DAYS_OF_FIVE):
+    for seed in range(FIVE_VOTER_SCENARIOS):
         acknowledged += play(seed, voters=5).invariants.last_acknowledged
-    assert acknowledged > 5 * DAYS_OF_FIVE
+    assert acknowledged > 5 * FIVE_VOTER_SCENARIOS
 
 
-def test_days_of_replacements() -> None:
-    for seed in range(DAYS_OF_REPLACEMENTS):
+def test_scenarios_with_replacements() -> None:
+    for seed in range(REPLACEMENT_SCENARIOS):
         play(seed, REPLACEMENTS, pace_s=0.7)
 
 
-def test_a_day_is_the_same_whenever_it_is_played() -> None:
+def test_a_scenario_is_deterministic() -> None:
     first, second = play(7), play(7)
     assert first.invariants.committed == second.invariants.committed
 
 
 def main(first: int, last: int) -> int:
-    """Play seeds from first to below last, each in three kinds of days; how many broke an invariant."""
+    """Run the seeds of a range, each in three kinds of scenarios; return how many broke an invariant."""
     violations = 0
     for seed in range(first, last):
-        for voters, troubles, pace_s in ((3, TROUBLES, 1.0), (3, REPLACEMENTS, 0.7), (5, TROUBLES, 1.0)):
+        for voters, faults, pace_s in ((3, FAULTS, 1.0), (3, REPLACEMENTS, 0.7), (5, FAULTS, 1.0)):
             try:
-                play(seed, troubles, pace_s=pace_s, voters=voters)
+                play(seed, faults, pace_s=pace_s, voters=voters)
             except ViolationError as violation:
                 violations += 1
                 print(violation, flush=True)
--- a/tests/coordination/virtual_loop.py
+++ b/tests/coordination/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An asyncio event loop whose time jumps to the next timer: nothing sleeps."""
+"""An asyncio event loop on virtual time, which advances to the next timer instead of waiting."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class _JumpingSelector(selectors.BaseSelector):
-    """Waits for nothing: moves the loop's time on instead."""
+    """A selector that advances the loop's time instead of waiting."""
 
     def __init__(self) -> None:
         self._real = selectors.DefaultSelector()
         self.now = 0.0
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """As the real one."""
+        """Register a file, as the real selector does."""
         return self._real.register(fileobj, events, data)
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        """As the real one."""
+        """Unregister a file, as the real selector does."""
         return self._real.unregister(fileobj)
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """What is there now; else the time of the wait is over at once."""
+        """Return what is ready; if nothing is, advance the time by the timeout."""
         found = self._real.select(0)
         if not found:
             if timeout is None:
@@ -33,7 +33,7 @@
         return found
 
     def close(self) -> None:
-        """As the real one."""
+        """Close the real selector."""
         self._real.close()
 
     def get_map(self) -> Mapping[Any, selectors.SelectorKey]:
@@ -49,7 +49,7 @@
         super().__init__(self._jumping)
 
     def time(self) -> float:
-        """Virtual seconds."""
+        """Return the virtual time, in seconds."""
         return self._jumping.now
 
 
@@ -64,10 +64,10 @@
 
 
 async def _end_tasks() -> None:
-    """Cancel what still runs.
+    """Cancel the remaining tasks.
 
-    A task that is dropped is complained of when its memory is collected, which may be in the middle of
-    anything: within `ast.parse` it ends the interpreter's run (CPython gh-106905).
+    Python reports a task that is dropped while pending when its memory is collected. That may happen at any
+    time: within `ast.parse` it crashes the interpreter (CPython gh-106905).
     """
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
@@ -78,7 +78,7 @@
 class LoopExecutor:
     """Stands for the disk thread.
 
-    Runs its work on the loop, one after the other, each after the disk's delay.
+    It runs its work on the loop in order, each piece after the disk's delay.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -88,7 +88,7 @@
         self._free_at = 0.0
 
     def submit(self, work: Callable[[], None]) -> None:
-        """Run something, after all before."""
+        """Run a function, after everything submitted before."""
         self._free_at = max(self._free_at, self._loop.time()) + self.delay_s
         self._loop.call_at(self._free_at, self._run, work)
 
--- a/tests/coordination/world.py
+++ b/tests/coordination/world.py
@@ -1,7 +1,7 @@
-"""A simulated group: virtual time, a network and disks that fail, and what must hold after every event.
+"""A simulated group: virtual time, a network and disks with faults, and invariants checked after each event.
 
-One seed decides all. Replicas are the pure ones; `Process` does what the shell does, at the level of records.
-The invariants are in invariants.py; a broken one raises `Violation`, whose text names the seed.
+All randomness comes from one seed. Replicas are the real ones; `Process` stands for the part that runs them,
+and handles records instead of bytes. A broken invariant raises `ViolationError`, which names the seed.
 """
 
 from __future__ import annotations
@@ -43,17 +43,17 @@
 
 @dataclass
 class Rewrite:
-    """Stands among written records for a file that replaces all before."""
+    """Marks, among written records, a file that replaces all earlier ones."""
 
     records: list[Record]
 
 
 @dataclass
 class Disk:
-    """What a machine's disk holds.
+    """Contents of a machine's disk.
 
     Attributes:
-        unsynced: Written, and lost or kept by a loss of power.
+        unsynced: Records that were written but not synced; a power loss keeps or loses them.
     """
 
     synced: list[Record] = field(default_factory=list)
@@ -63,9 +63,9 @@
     hanging: bool = False
 
     def settle(self, kept: bool) -> list[Record]:
-        """What was not synced reaches the disk, all of it (it is one frame), or is lost.
+        """Sync the unsynced records, all of them because they are one frame, or lose them.
 
-        What is there now that was not before.
+        Returns the records that were synced.
         """
         pending, self.unsynced = self.unsynced, []
         arrived: list[Record] = []
@@ -79,12 +79,12 @@
         return arrived
 
     def state(self) -> StoredState | None:
-        """What a replica that starts from this disk finds."""
+        """Return the state from which a replica starts on this disk."""
         return replay(self.synced) if self.synced else None
 
 
 class Process:
-    """One run of a replica on a machine: the shell, simulated."""
+    """One run of a replica on a machine, in place of `ReplicatedGroup`."""
 
     def __init__(self, world: World, machine: Machine, state: StoredState, fresh: bool) -> None:
         self.world = world
@@ -117,11 +117,11 @@
 
     @property
     def now(self) -> float:
-        """This machine's steady clock."""
+        """Time of this machine's steady clock."""
         return self.machine.clock(self.world.now)
 
     def run(self, work: Callable[[], None]) -> None:
-        """Run something in this process, or once it thaws."""
+        """Run work in this process, after it has thawed if it is frozen."""
         if not self.alive:
             return
         if self.frozen:
@@ -132,7 +132,7 @@
             self.pump()
 
     def thaw(self) -> None:
-        """Go on, with all that came meanwhile."""
+        """Unfreeze, and do all work that has arrived meanwhile."""
         self.frozen = False
         parked, self.parked = self.parked, []
         parked.insert(self.world.rng.randrange(len(parked) + 1), self.tick)
@@ -141,16 +141,16 @@
             self.world.check()
 
     def tick(self) -> None:
-        """Timers."""
+        """Handle expired timers."""
         self._wake_at = float("inf")
         self.replica.tick(self.now)
 
     def receive(self, address: str, message: Message) -> None:
-        """A message has come."""
+        """Receive a message."""
         self.run(lambda: self.replica.receive(address, message, self.now))
 
     def propose(self, data: bytes) -> None:
-        """A client's order."""
+        """Propose a client's data."""
         try:
             position = self.replica.propose(data, self.now)
         except (NotLeaderError, ProposalLostError):
@@ -158,16 +158,16 @@
         self.waiting[position.index] = position.term
 
     def pump(self) -> None:
-        """Do what the replica has ready."""
+        """Process everything that the replica has ready."""
         replica = self.replica
         while (ready := replica.ready(self.now)) is not None:
             self._do(ready)
         if replica.removed:
-            self._start_anew()
+            self._restart_as_new_replica()
             return
         if replica.role is Role.LEADER and self._led_term != replica.term:
             self._led_term = replica.term
-            self.world.invariants.lead(replica)
+            self.world.invariants.check_leader(replica)
         self._compact()
         self._schedule()
 
@@ -191,12 +191,12 @@
             if isinstance(record, Entry) and record.index > log.snapshot.index + 1:
                 previous = log.term_at(record.index - 1)
                 if log.term_at(record.index) == record.term and previous is not None:
-                    self.world.invariants.logged(record, previous)
+                    self.world.invariants.check_log_entry(record, previous)
 
     def _send(self, messages: tuple[Outgoing, ...]) -> None:
         for outgoing in messages:
             if outgoing.message.sender == self.replica.replica_id:
-                self.world.invariants.say(outgoing.message)
+                self.world.invariants.check_message(outgoing.message)
             self.world.send(self.machine.address, outgoing)
 
     def _apply(self, ready: Ready) -> None:
@@ -283,15 +283,15 @@
         self.replica.persisted(batch, self.now)
         self._next_write()
 
-    def _start_anew(self) -> None:
-        """Removed from the group: what is here is forgotten for good."""
+    def _restart_as_new_replica(self) -> None:
+        """Stop, and continue with a new log, because the replica was removed from the group."""
         self.alive = False
         self.machine.stop(power=False)
         self.world.after(self.machine.disk.delay_s, self.machine.forget)
 
 
 class Machine:
-    """A machine: an address, a clock that drifts, a disk, and at most one process."""
+    """A machine: an address, a drifting clock, a disk, and at most one process."""
 
     def __init__(self, world: World, name: str, address: str, seeds: tuple[str, ...], first: bool) -> None:
         self.world = world
@@ -306,21 +306,21 @@
         self.offset = world.rng.uniform(0, 1000)
 
     def clock(self, true_time: float) -> float:
-        """The steady clock here."""
+        """Return the time of this machine's steady clock."""
         return self.offset + true_time * self.rate
 
     def true_time(self, clock: float) -> float:
-        """When the clock here shows a time."""
+        """Return the simulated time at which this machine's clock shows a time."""
         return (clock - self.offset) / self.rate
 
     def forget(self) -> None:
-        """A removed replica's log is replaced by a new one's, unless the process died before that."""
+        """Replace a removed replica's log with a new one, unless the process has died before."""
         if self.process is None:
             self.wipe()
             self.start()
 
     def start(self) -> None:
-        """Start the process, unless it runs."""
+        """Start the process, unless it is running."""
         if self.process is not None or self.gone:
             return
         state = self.disk.state()
@@ -338,7 +338,7 @@
         return joining_state(f"{self.world.rng.getrandbits(64):016x}")
 
     def stop(self, power: bool) -> None:
-        """The process is killed, or the machine loses power."""
+        """Kill the process, or cut the machine's power."""
         if self.process is None:
             return
         replica_id = self.process.replica.replica_id
@@ -348,7 +348,7 @@
         self.world.invariants.on_disk(replica_id, arrived)
 
     def wipe(self) -> None:
-        """The disk is lost, with the process."""
+        """Lose the disk and the process."""
         state = self.disk.state()
         if state is not None:
             self.world.invariants.dead_ids.add(state.replica_id)
@@ -359,7 +359,7 @@
 
 @dataclass
 class Link:
-    """What happens to messages between two machines."""
+    """Faults of messages between two machines."""
 
     loss: float = 0.0
     slow_s: float = 0.0
@@ -368,7 +368,7 @@
 
 
 class World:
-    """Machines, links and time."""
+    """Machines, links and simulated time."""
 
     def __init__(self, seed: int, machines: int = 3, settings: ReplicaSettings = SETTINGS) -> None:
         self.seed = seed
@@ -380,7 +380,7 @@
         self.beyond_tolerance = False
         self.on_acknowledged: Callable[[], None] | None = None
         self.on_step: Callable[[], None] | None = None
-        self.quiet = Link()
+        self.default_link = Link()
         self.links: dict[tuple[str, str], Link] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
@@ -393,16 +393,16 @@
             self.after(self.rng.uniform(0, 0.3), machine.start)
 
     def at(self, time: float, call: Callable[[], None]) -> None:
-        """Call something at a time."""
+        """Schedule a call at a time."""
         self._sequence += 1
         heapq.heappush(self._events, (max(time, self.now), self._sequence, call))
 
     def after(self, delay_s: float, call: Callable[[], None]) -> None:
-        """Call something later."""
+        """Schedule a call after a delay."""
         self.at(self.now + delay_s, call)
 
     def run_until(self, end: float) -> None:
-        """Let events happen, and check the invariants after each."""
+        """Process events until a time, and check the invariants after each."""
         events = self._events
         while events and events[0][0] <= end:
             self.now, _, call = heapq.heappop(events)
@@ -411,20 +411,20 @@
         self.now = end
 
     def check(self) -> None:
-        """What must hold at any time."""
+        """Check the invariants of leases."""
         holders = [process for process in self.processes() if process.replica.holds_lease(process.now)]
         if holders:
-            self.invariants.leases([process.applied_index for process in holders])
+            self.invariants.check_leases([process.applied_index for process in holders])
 
     def processes(self) -> list[Process]:
-        """All that run and are not frozen."""
+        """Return all processes that run and are not frozen."""
         return [
             machine.process for machine in self.machines if machine.process and not machine.process.frozen
         ]
 
     def send(self, sender: str, outgoing: Outgoing) -> None:
-        """Bring a message to who is at its address, or not."""
-        link = self.links.get((sender, outgoing.address), self.quiet)
+        """Send a message, which may be lost, delayed or duplicated."""
+        link = self.links.get((sender, outgoing.address), self.default_link)
         rng = self.rng
         if link.cut or (link.loss and rng.random() < link.loss):
             return
@@ -441,23 +441,23 @@
             self.step()
 
     def step(self) -> None:
-        """A write was synced, or a message that is no heartbeat has come."""
+        """Record a step: a write was synced, or a message other than a heartbeat has arrived."""
         if self.on_step is not None:
             self.on_step()
 
     def acknowledged(self) -> None:
-        """A client has its answer."""
+        """Record that a client's proposal was acknowledged."""
         if self.on_acknowledged is not None:
             self.after(0.0, self.on_acknowledged)
 
     def control_addresses(self, machine: Machine) -> tuple[str, ...]:
-        """What a machine's settings say at its start: the operator's list of that moment, or an old one."""
+        """Return the seeds in a machine's settings at its start: the present machines, or an old list."""
         if self.rng.random() < 0.3:
             return machine.seeds
         return tuple(other.address for other in self.machines if not other.gone)
 
     def propose(self) -> None:
-        """A client proposes something to whoever says it leads."""
+        """Propose data to each replica that considers itself the leader."""
         for process in self.processes():
             if process.replica.role is Role.LEADER:
                 self._proposals += 1
@@ -465,26 +465,26 @@
                 process.run(lambda process=process, data=data: process.propose(data))  # type: ignore[misc]
 
     def holder(self) -> Process | None:
-        """Who holds the lease."""
+        """Return the process that holds the lease."""
         for process in self.processes():
             if process.replica.holds_lease(process.now):
                 return process
         return None
 
     def intact_voters(self) -> list[Machine]:
-        """Machines whose disk holds a voter of the last committed membership."""
+        """Return the machines whose disk holds a voter of the last committed membership."""
         ids = {member.replica_id for member in self.membership().all_voters()}
         return [machine for machine in self.machines if not machine.gone and replica_id(machine.disk) in ids]
 
     def membership(self) -> Membership:
-        """The last committed membership."""
+        """Return the last committed membership."""
         if self.invariants.membership.voters:
             return self.invariants.membership
         return Membership(tuple(Member(first_replica_id(seed), "", seed) for seed in self.seeds))
 
 
 def replica_id(disk: Disk) -> str:
-    """The id on a disk, "" where there is none."""
+    """Return the replica id on a disk, "" if there is none."""
     for record in disk.synced:
         if isinstance(record, Identity):
             return record.replica_id
