--- a/granitewell/leases/candidacy.py
+++ b/granitewell/leases/candidacy.py
@@ -52,8 +52,11 @@
         self.until_us = -1
         self.next_us = self._next_raise_us = participant.now_us
         self._deadline_us = -1  # end of the current campaign
-        self._probe_round: tuple[int, tuple[str, ...]] = (0, ())  # number of the round, and who has agreed
-        self._denials: tuple[str, ...] = ()  # who has voted for another planner in this term
+        self._probe_round: tuple[int, tuple[str, ...]] = (
+            0,
+            (),
+        )  # number of the round, and the planners that agreed
+        self._denials: tuple[str, ...] = ()  # planners that voted for another one in this term
         self._highest_term_seen = 0
 
     @property
--- a/granitewell/leases/rounds.py
+++ b/granitewell/leases/rounds.py
@@ -1,6 +1,7 @@
 """Rounds in which a candidate or holder asks, and how long it may lead by the answers.
 
-This module owns when each round began and who has granted it last. It does not ask, and knows no state.
+This module records when each round began and which planners have granted it last. It sends nothing and does
+not depend on the state of the planner.
 """
 
 from __future__ import annotations
--- a/granitewell/shared_counters/remote_counts.py
+++ b/granitewell/shared_counters/remote_counts.py
@@ -207,7 +207,7 @@
         """Return the bounds of this node's usage; key None for all keys."""
         settings, start = self._settings, now_us - self._settings.window_us
         low = high = window_edge = untracked = unreported_us = 0
-        peak_per_s = 0.0  # per second
+        peak_per_s = 0.0
         from_us = LONG_AGO_US
         for process in sorted(self.processes.values(), key=lambda x: x.earliest_start_us):
             slots, width_us = process.slots_of(key), process.width_us
--- a/tests/coordination/hundreds_of_changes.py
+++ b/tests/coordination/hundreds_of_changes.py
@@ -326,7 +326,7 @@
             break
         if loop.time() > began_at + CONVERGENCE_S:
             raise ViolationError(
-                f"seed {scenario.seed}: not level after {CONVERGENCE_S} s\n{describe(scenario)}"
+                f"seed {scenario.seed}: not converged after {CONVERGENCE_S} s\n{describe(scenario)}"
             )
     scenario.converged_s = max(scenario.converged_s, loop.time() - began_at)
 
--- a/tests/coordination/replacement.py
+++ b/tests/coordination/replacement.py
@@ -156,7 +156,7 @@
         world.run_until(world.now + 0.5)
         holder = world.holder()
         if holder is None:
-            raise ViolationError("no leader on a quiet day")
+            raise ViolationError("no leader without faults")
         followers = [machine for machine in world.machines if machine not in (holder.machine, spare)]
         replaced = holder.machine if self.plan.leads else followers[0]
         world.on_step = self._step
--- a/tests/coordination/test_crash_points.py
+++ b/tests/coordination/test_crash_points.py
@@ -52,8 +52,8 @@
         for whole in (True, False, False, True, False):
             if not whole:
                 self.tried += 1
-            letters = PAYLOADS[: self.tried] if whole else PAYLOADS[self.tried - 1 : self.tried]
-            self._insist(lambda w=whole, p=letters: self.log.rewrite(p) if w else self.log.append(p))  # type: ignore[misc]
+            payloads = PAYLOADS[: self.tried] if whole else PAYLOADS[self.tried - 1 : self.tried]
+            self._insist(lambda w=whole, p=payloads: self.log.rewrite(p) if w else self.log.append(p))  # type: ignore[misc]
             self.synced = self.tried
 
     def go_on(self) -> None:
--- a/tests/coordination/test_hundreds_of_changes.py
+++ b/tests/coordination/test_hundreds_of_changes.py
@@ -153,7 +153,7 @@
         except (ViolationError, AssertionError) as violation:
             print(f"seed {seed}: {violation}")
             return
-    pytest.fail(f"{MAX_SEEDS} days without a violation")
+    pytest.fail(f"{MAX_SEEDS} scenarios without a violation")
 
 
 def main(numbers: Sequence[int]) -> None:
@@ -167,8 +167,8 @@
     converged_s = max(scenario.converged_s for scenario in scenarios)
     took_s = time.monotonic() - began_at
     print(
-        f"{len(scenarios)} days, {confirmed} changes confirmed, "
-        f"level after {converged_s:.2f} s; {took_s:.0f} s"
+        f"{len(scenarios)} scenarios, {confirmed} changes confirmed, "
+        f"converged after {converged_s:.2f} s; {took_s:.0f} s"
     )
 
 
--- a/tests/coordination/test_planted_defects.py
+++ b/tests/coordination/test_planted_defects.py
@@ -69,4 +69,4 @@
             print(violation)
             assert re.search(defect.shows, str(violation))
             return
-    pytest.fail(f"{MAX_SEEDS} days without a violation")
+    pytest.fail(f"{MAX_SEEDS} scenarios without a violation")
--- a/tests/coordination/test_scenarios.py
+++ b/tests/coordination/test_scenarios.py
@@ -489,15 +489,15 @@
 
 def test_a_follower_far_behind_gets_a_snapshot() -> None:
     group = Group(14)
-    laggard = group.others[0]
-    group.isolate(laggard)
+    follower = group.others[0]
+    group.isolate(follower)
     for _ in range(40):
         group.propose()
         group.run(0.05)
-    assert process_of(group.leader).replica.snapshot_index > process_of(laggard).replica.commit_index
+    assert process_of(group.leader).replica.snapshot_index > process_of(follower).replica.commit_index
     group.heal()
     group.run(1)
-    assert process_of(laggard).replica.commit_index == process_of(group.leader).replica.commit_index
+    assert process_of(follower).replica.commit_index == process_of(group.leader).replica.commit_index
 
 
 def test_a_learner_waiting_for_its_snapshot_is_stale() -> None:
--- a/tests/leases/planner.py
+++ b/tests/leases/planner.py
@@ -79,8 +79,8 @@
 
 def sent_bodies(effects: list[object]) -> list[Said]:
     """Return the bodies of the messages to others, without announcements."""
-    letters = [letter_of(e.data) for e in effects if isinstance(e, Say)]
-    return [x.said for x in letters if x is not None and not isinstance(x.said, Here)]
+    messages = [letter_of(e.data) for e in effects if isinstance(e, Say)]
+    return [x.said for x in messages if x is not None and not isinstance(x.said, Here)]
 
 
 def refusal_reason(effects: list[object]) -> str:
--- a/tests/shared_counters/test_shared_counters.py
+++ b/tests/shared_counters/test_shared_counters.py
@@ -64,10 +64,10 @@
 
 # --- Simulated runs -------------------------------------------------------------------------------------
 def test_simulated_faults_keep_all_bounds_correct_and_runs_are_deterministic() -> None:
-    days = [play(Case(seed, 0.6)) for seed in range(1, 13)]
-    assert not any(day.broken for day in days), [d.broken for d in days if d.broken]
-    assert all(day.figures["looks"] for day in days) and any(day.done for day in days)
-    assert play(Case(3, 0.6)).digest == days[2].digest
+    runs = [play(Case(seed, 0.6)) for seed in range(1, 13)]
+    assert not any(run.broken for run in runs), [d.broken for d in runs if d.broken]
+    assert all(run.figures["looks"] for run in runs) and any(run.done for run in runs)
+    assert play(Case(3, 0.6)).digest == runs[2].digest
 
 
 @pytest.mark.parametrize(
