--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -76,7 +76,7 @@
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
     from granitewell.net.shared_counters import SharedCounters
-    from granitewell.shared_counters.types import Figures
+    from granitewell.shared_counters.types import CounterSettings
 
 LOCK_RETRY_S = 0.05  # between two attempts to acquire the lock
 DISK_TIMEOUT_S = 2.0  # that shutdown waits for the last record to be written
@@ -105,7 +105,7 @@
 class Cluster:
     """The cluster membership of one process, over its whole life."""
 
-    def __init__(self, node: Node, settings: ClusterSettings, counts: Figures | None = None) -> None:
+    def __init__(self, node: Node, settings: ClusterSettings, counts: CounterSettings | None = None) -> None:
         """Try to become the member at once; otherwise keep trying in the background.
 
         Args:
@@ -648,7 +648,7 @@
 
 
 def start_or_reconfigure(
-    joined: list[Cluster], node: Node, settings: ClusterSettings, counts: Figures | None = None
+    joined: list[Cluster], node: Node, settings: ClusterSettings, counts: CounterSettings | None = None
 ) -> None:
     """Start the membership, or apply other settings to the one that runs.
 
--- a/granitewell/net/shared_counters.py
+++ b/granitewell/net/shared_counters.py
@@ -15,8 +15,8 @@
 from typing import TYPE_CHECKING, Any
 
 from granitewell.protocols.peers.frames import Keys
-from granitewell.shared_counters.state_machine import Counts
-from granitewell.shared_counters.types import Figures, Part, Peer, Peers, Rekey, Took
+from granitewell.shared_counters.state_machine import SharedCounters
+from granitewell.shared_counters.types import CounterSettings, NodeUsage, Peer, Peers, Rekey, UsageRecorded
 from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
 class SharedCounters:
     """The shared counters of one process."""
 
-    def __init__(self, node: Node, name: str, keys: Keys, figures: Figures) -> None:
+    def __init__(self, node: Node, name: str, keys: Keys, figures: CounterSettings) -> None:
         """Start to count the node's requests.
 
         Args:
@@ -41,7 +41,7 @@
         rng = Random(int.from_bytes(os.urandom(16), "big"))
         self._node, self._clock = node, node.clock
         birth = 1 + int(rng.random() * (1 << 60))
-        self.counts = Counts(name, 0, birth, keys, figures, rng, node.clock.now())
+        self.counts = SharedCounters(name, 0, birth, keys, figures, rng, node.clock.now())
         self._loop = asyncio.get_running_loop()
         self._send: Callable[[SendMessage], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -52,13 +52,13 @@
         """Count a complete request before the core sees it; -1 means no limit applies."""
         names = self._node._config.tenant_names
         key = names[tenant] if 0 <= tenant < len(names) else NO_TENANT_KEY
-        self.counts.handle(self._clock.now(), Took(key))
+        self.counts.handle(self._clock.now(), UsageRecorded(key))
         return -1
 
     # --- The cluster ------------------------------------------------------------------------------------
     def start(self, incarnation: int, send: Callable[[SendMessage], None]) -> None:
         """Exchange messages from now on: this process has become the cluster member."""
-        self.counts.life, self._send = incarnation, send
+        self.counts.incarnation, self._send = incarnation, send
         self._arm_timer()
 
     def stop(self) -> None:
@@ -114,19 +114,19 @@
     def view(self, key: str) -> dict[str, Any]:
         """Return the figures of all keys, or of one key with each node's part, as plain JSON."""
         now, counts = self._clock.read_now(), self.counts
-        figures = counts.figures
+        figures = counts.settings
         keys = [key] if key else counts.keys()
         view: dict[str, Any] = {
             "version": 1, "name": counts.name, "machine_us": time.monotonic_ns() // 1000,
             "window_s": figures.window_us / 1e6,
             "speaks": self._send is not None, "cut": len(keys) > MAX_KEYS_IN_VIEW, "keys": [],
-            "letters": dict(sorted(counts.counts.items())),
+            "letters": dict(sorted(counts.message_counts.items())),
             "assumed": {"ceiling_per_s": figures.ceiling_per_s, "growth": figures.growth,
                         "floor_per_s": figures.floor_per_s, "drift_ppm": figures.drift_ppm},
         }  # fmt: skip
         totals = [None] if not key else []
         for row_key in (*totals, *keys[:MAX_KEYS_IN_VIEW]):
-            figure = counts.figure(now, row_key)
+            figure = counts.bounds(now, row_key)
             row: dict[str, Any] = {
                 "key": row_key,
                 "low": figure.low,
@@ -139,8 +139,8 @@
         return view
 
 
-def _part_row(part: Part) -> dict[str, Any]:
+def _part_row(part: NodeUsage) -> dict[str, Any]:
     """Return one node's part of a figure as plain JSON."""
     age_s = part.age_us / 1e6 if part.age_us >= 0 else None
-    return {"name": part.name, "low": part.low, "high": part.high, "age_s": age_s, "unheard": part.unheard,
-            "edge": part.edge, "others": part.others}  # fmt: skip
+    return {"name": part.name, "low": part.low, "high": part.high, "age_s": age_s, "unheard": part.unreported,
+            "edge": part.window_edge, "others": part.untracked}  # fmt: skip
