--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -75,7 +75,7 @@
 
 if TYPE_CHECKING:
     from granitewell.net.loop import Node
-    from granitewell.net.shared_counters import SharedCounters
+    from granitewell.net.shared_counters import SharedCountersDriver
     from granitewell.shared_counters.types import CounterSettings
 
 LOCK_RETRY_S = 0.05  # between two attempts to acquire the lock
@@ -140,11 +140,11 @@
         self._lost_times_us: deque[int] = deque(maxlen=256)  # of members that were declared dead
         self._left_cluster = asyncio.Event()
         self.duplicate_identities = 0
-        self.shared_counters: SharedCounters | None = None
+        self.shared_counters: SharedCountersDriver | None = None
         if counts is not None:
-            from granitewell.net.shared_counters import SharedCounters
+            from granitewell.net.shared_counters import SharedCountersDriver
 
-            self.shared_counters = SharedCounters(node, settings.name, settings.keys, counts)
+            self.shared_counters = SharedCountersDriver(node, settings.name, settings.keys, counts)
         self._try_to_activate(first=True)
 
     # --- Which process is the member --------------------------------------------------------------------
--- a/granitewell/net/shared_counters.py
+++ b/granitewell/net/shared_counters.py
@@ -26,7 +26,7 @@
 MAX_KEYS_IN_VIEW = 200  # in one answer; further keys are left out
 
 
-class SharedCounters:
+class SharedCountersDriver:
     """The shared counters of one process."""
 
     def __init__(self, node: Node, name: str, keys: Keys, figures: CounterSettings) -> None:
