--- a/granitewell/logs.py
+++ b/granitewell/logs.py
@@ -31,15 +31,15 @@
 
 import logbook
 
-BURST = 5.0  # lines of one template at once
-RATE_PER_S = 0.5  # lines of one template after that, in the long run
-TOTAL_BURST = 40.0  # lines of all templates at once: a template that is no constant is bounded by this
+TEMPLATE_BURST_LINES = 5.0  # lines of one template at once
+TEMPLATE_RATE_PER_S = 0.5  # lines of one template after that, in the long run
+TOTAL_BURST_LINES = 40.0  # lines of all templates at once: a template that is no constant is bounded by this
 TOTAL_RATE_PER_S = 10.0
 MAX_TEMPLATES = 256  # buckets that are kept; the one used longest ago gives way
-TELL_EVERY_S = 10.0  # how often suppressed lines are reported, if there are any
-MAX_LINE = 900  # characters: a line stays below what a pipe writes atomically (PIPE_BUF, 4,096 bytes)
+REPORT_INTERVAL_S = 10.0  # how often suppressed lines are reported, if there are any
+MAX_LINE_CHARS = 900  # characters: a line stays below what a pipe writes atomically (PIPE_BUF, 4,096 bytes)
 MAX_FRAMES = 4  # of a traceback, the innermost
-STANDARD_ERROR = 2
+STDERR_DESCRIPTOR = 2
 
 Clock = Callable[[], float]  # seconds on a steady clock
 Write = Callable[[bytes], bool]  # writes a line; returns False if it could not
@@ -49,30 +49,30 @@
 class TokenBucket:
     """Limits a rate: a burst at once, and a number per second in the long run."""
 
-    __slots__ = ("_at", "_burst", "_rate", "_tokens", "left_out")
+    __slots__ = ("_refilled_at", "_burst", "_rate", "_tokens", "suppressed")
 
     def __init__(self, burst: float, rate: float, now: float) -> None:
         self._burst = burst
         self._rate = rate
         self._tokens = burst
-        self._at = now
-        self.left_out = 0  # lines since the last that was written
+        self._refilled_at = now
+        self.suppressed = 0  # lines since the last that was written
 
     def take(self, now: float) -> bool:
         """Return whether a line may be written now."""
-        self._tokens = min(self._burst, self._tokens + max(0.0, now - self._at) * self._rate)
-        self._at = now
+        self._tokens = min(self._burst, self._tokens + max(0.0, now - self._refilled_at) * self._rate)
+        self._refilled_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
 
-class RateBound:
+class RateLimiter:
     """Decides which lines are written, by logger and template, and over all."""
 
     def __init__(self, now: float) -> None:
-        self._total = TokenBucket(TOTAL_BURST, TOTAL_RATE_PER_S, now)
+        self._total = TokenBucket(TOTAL_BURST_LINES, TOTAL_RATE_PER_S, now)
         self._buckets: OrderedDict[tuple[str, str], TokenBucket] = OrderedDict()
         self._suppressed = 0
         self._reported_at = now
@@ -82,34 +82,34 @@
         bucket = self._bucket((logger, template), now)
         if bucket.take(now) and self._total.take(now):
             return True
-        self.leave_out(logger, template, now)
+        self.count_suppressed(logger, template, now)
         return False
 
-    def leave_out(self, logger: str, template: str, now: float, lines: int = 1) -> None:
+    def count_suppressed(self, logger: str, template: str, now: float, lines: int = 1) -> None:
         """Count lines that were not written."""
-        self._bucket((logger, template), now).left_out += lines
+        self._bucket((logger, template), now).suppressed += lines
         self._suppressed += lines
 
-    def take_left_out(self, logger: str, template: str, now: float) -> int:
+    def take_template_suppressed(self, logger: str, template: str, now: float) -> int:
         """Return how many lines of this template were suppressed since the last one written."""
         bucket = self._bucket((logger, template), now)
-        count, bucket.left_out = bucket.left_out, 0
+        count, bucket.suppressed = bucket.suppressed, 0
         self._suppressed = max(0, self._suppressed - count)
         return count
 
-    def take_suppressed(self, now: float) -> int:
+    def take_unreported(self, now: float) -> int:
         """Return how many suppressed lines no line has reported, from time to time; otherwise 0."""
-        if not self._suppressed or now - self._reported_at < TELL_EVERY_S:
+        if not self._suppressed or now - self._reported_at < REPORT_INTERVAL_S:
             return 0
         count, self._suppressed, self._reported_at = self._suppressed, 0, now
         for bucket in self._buckets.values():
-            bucket.left_out = 0
+            bucket.suppressed = 0
         return count
 
     def _bucket(self, key: tuple[str, str], now: float) -> TokenBucket:
         bucket = self._buckets.get(key)
         if bucket is None:
-            bucket = self._buckets[key] = TokenBucket(BURST, RATE_PER_S, now)
+            bucket = self._buckets[key] = TokenBucket(TEMPLATE_BURST_LINES, TEMPLATE_RATE_PER_S, now)
             if len(self._buckets) > MAX_TEMPLATES:
                 self._buckets.popitem(last=False)
         else:
@@ -129,15 +129,15 @@
     logger: str
     message: str
     values: Mapping[str, object]
-    left_out: int = 0
+    suppressed: int = 0
 
     def encode(self) -> bytes:
         """Return the line with its end, bounded; whatever it contains, it stays one line."""
         parts = [self.level, self.logger, self.message.strip()]
         parts += [f"{key}={_value(value)}" for key, value in self.values.items()]
-        text = _one_line(" ".join(parts))[:MAX_LINE]
-        if self.left_out:
-            text += f" left_out={self.left_out}"
+        text = _one_line(" ".join(parts))[:MAX_LINE_CHARS]
+        if self.suppressed:
+            text += f" left_out={self.suppressed}"
         return text.encode(errors="replace") + b"\n"
 
 
@@ -154,7 +154,7 @@
     text = str(value)
     if text and not re.search(r"[\s\"=]", text):
         return text
-    return '"' + text[:MAX_LINE].replace("\\", "\\\\").replace('"', '\\"') + '"'
+    return '"' + text[:MAX_LINE_CHARS].replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
 def _traceback(error: ExceptionInfo) -> Iterator[tuple[str, str]]:
@@ -177,26 +177,26 @@
     def __init__(self, clock: Clock, write: Write) -> None:
         self._clock = clock
         self._write = write
-        self._bound = RateBound(clock())
+        self._limiter = RateLimiter(clock())
 
     def admits(self, logger: str, template: str) -> bool:
         """Return whether a line may be written.
 
         This is asked before the line is formatted, so that suppressed lines are cheap.
         """
-        return self._bound.admits(logger, template, self._clock())
+        return self._limiter.admits(logger, template, self._clock())
 
     def write(self, line: LogLine, template: str) -> None:
         """Write a line that was admitted."""
         now = self._clock()
-        left_out = self._bound.take_left_out(line.logger, template, now)
-        if self._write(replace(line, left_out=left_out).encode()):
-            self._tell(now)
+        suppressed = self._limiter.take_template_suppressed(line.logger, template, now)
+        if self._write(replace(line, suppressed=suppressed).encode()):
+            self._report_suppressed(now)
         else:
-            self._bound.leave_out(line.logger, template, now, left_out + 1)
+            self._limiter.count_suppressed(line.logger, template, now, suppressed + 1)
 
-    def _tell(self, now: float) -> None:
-        count = self._bound.take_suppressed(now)
+    def _report_suppressed(self, now: float) -> None:
+        count = self._limiter.take_unreported(now)
         if count:
             line = LogLine("warning", "granitewell.logs", "lines were left out", {"left_out": count})
             self._write(line.encode())
@@ -251,7 +251,7 @@
 class DescriptorWriter:
     """Writes lines to a file descriptor without ever waiting for its reader."""
 
-    def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
+    def __init__(self, descriptor: int = STDERR_DESCRIPTOR) -> None:
         self._descriptor = descriptor
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
@@ -287,10 +287,12 @@
 def unraisable_hook(lines: BoundedLog) -> Callable[[sys.UnraisableHookArgs], None]:
     """Log what Python would write to standard error itself, where it would wait for the reader."""
 
-    def say(what: sys.UnraisableHookArgs) -> None:
+    def log_unraisable(unraisable: sys.UnraisableHookArgs) -> None:
         if not lines.admits("python", "unraisable"):
             return
-        values = dict(_traceback((what.exc_type, what.exc_value, what.exc_traceback)))
-        lines.write(LogLine("error", "python", what.err_msg or "exception ignored", values), "unraisable")
+        values = dict(_traceback((unraisable.exc_type, unraisable.exc_value, unraisable.exc_traceback)))
+        lines.write(
+            LogLine("error", "python", unraisable.err_msg or "exception ignored", values), "unraisable"
+        )
 
-    return say
+    return log_unraisable
--- a/tests/test_system_logs.py
+++ b/tests/test_system_logs.py
@@ -83,9 +83,9 @@
 
 @given(st.text(), st.text(), st.integers(0, 10**9))
 def test_whatever_is_in_it_a_line_is_one_line_that_a_pipe_takes_whole(
-    message: str, value: str, left_out: int
+    message: str, value: str, suppressed: int
 ) -> None:
-    line = logs.LogLine("info", "granitewell.test", message, {"value": value}, left_out).encode()
+    line = logs.LogLine("info", "granitewell.test", message, {"value": value}, suppressed).encode()
     assert line.endswith(b"\n") and line.count(b"\n") == 1 and b"\r" not in line
     assert len(line) <= 4096
     assert line.decode().isprintable() or line.decode()[:-1].isprintable()
@@ -103,10 +103,10 @@
 def test_lines_of_one_template_are_bounded_and_what_was_left_out_is_told(sink: Sink) -> None:
     for number in range(1000):
         log.warning("peer {} is unreachable", number)
-    assert len(sink.lines) == logs.BURST
+    assert len(sink.lines) == logs.TEMPLATE_BURST_LINES
     log.info("another template is not held up")
-    assert len(sink.lines) == logs.BURST + 1
-    sink.now += 1 / logs.RATE_PER_S
+    assert len(sink.lines) == logs.TEMPLATE_BURST_LINES + 1
+    sink.now += 1 / logs.TEMPLATE_RATE_PER_S
     log.warning("peer {} is unreachable", 1000)
     assert sink.lines[-1] == "warning granitewell.test peer 1000 is unreachable left_out=995\n"
     sink.now += 60.0
@@ -117,10 +117,10 @@
 def test_what_is_left_out_for_good_is_told_by_the_next_line_of_any_kind(sink: Sink) -> None:
     for _ in range(20):
         log.warning("once only")
-    sink.now += logs.TELL_EVERY_S
+    sink.now += logs.REPORT_INTERVAL_S
     log.info("something else")
     assert sink.lines[-1] == "warning granitewell.logs lines were left out left_out=15\n"
-    sink.now += logs.TELL_EVERY_S
+    sink.now += logs.REPORT_INTERVAL_S
     log.info("something else")
     assert sink.lines[-1] == "info granitewell.test something else\n"
 
@@ -128,11 +128,11 @@
 def test_templates_that_are_no_constants_are_bounded_too(sink: Sink) -> None:
     for number in range(10_000):
         log.info(f"request {number}")
-    assert len(sink.lines) == logs.TOTAL_BURST
-    bound = logs.RateBound(0.0)
+    assert len(sink.lines) == logs.TOTAL_BURST_LINES
+    limiter = logs.RateLimiter(0.0)
     for number in range(10_000):
-        bound.admits("x", str(number), 0.0)
-    assert len(bound._buckets) == logs.MAX_TEMPLATES
+        limiter.admits("x", str(number), 0.0)
+    assert len(limiter._buckets) == logs.MAX_TEMPLATES
 
 
 @given(st.lists(st.floats(0.0, 5.0), max_size=200))
