--- a/granitewell/__main__.py
+++ b/granitewell/__main__.py
@@ -37,40 +37,40 @@
     from granitewell.net.cluster import Cluster
     from granitewell.operator.load import Live
 
-SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-def _take(node: Node, live: Live, joined: list[Cluster]) -> None:
+def _apply_operator_settings(node: Node, operator: Live, clusters: list[Cluster]) -> None:
     """What the operator file says now.
 
     Nothing of status and cluster is imported before it asks for them. OSError: the cluster's address can't be
     had.
     """
-    node.log.apply_settings(live.held.log.settings())
-    cluster = live.held.cluster.settings()
-    if cluster.name or joined:
+    node.log.apply_settings(operator.held.log.settings())
+    cluster = operator.held.cluster.settings()
+    if cluster.name or clusters:
         from granitewell.net.cluster import start_or_reconfigure
 
-        start_or_reconfigure(joined, node, cluster, live.held.counts.figures())
-    status = live.held.status.settings()
+        start_or_reconfigure(clusters, node, cluster, operator.held.counts.figures())
+    status = operator.held.status.settings()
     if status.at or node.status_server is not None:
         from granitewell.net.status import serve_status
 
         serve_status(node, status)
-        for one in joined:
-            one.attach_to_status_server(node)
+        for instance in clusters:
+            instance.attach_to_status_server(node)
 
 
-def _stop(node: Node, joined: list[Cluster]) -> None:
+def _stop(node: Node, clusters: list[Cluster]) -> None:
     """SIGTERM: the other nodes hear of it before the listener goes."""
     try:
-        for cluster in joined:
+        for cluster in clusters:
             cluster.stop()
     finally:
         node.stop()
 
 
-def _reload(node: Node, live: Live | None, joined: list[Cluster]) -> None:
+def _reload(node: Node, operator: Live | None, clusters: list[Cluster]) -> None:
     """SIGHUP: the files have been replaced. A bad one changes nothing; the other is taken all the same."""
     try:
         node.reload(reload(os.environ, node.check))
@@ -78,24 +78,27 @@
         node.log_line("reload", f"the configuration stays as it is: {error}")
     except Exception as error:  # a defect: the operator file is taken up all the same
         node.log_line("fault", f"the reload failed: {type(error).__name__}: {error}")
-    if live is not None:
-        plan = live.again()
-        _take(node, live, joined)
+    if operator is not None:
+        plan = operator.again()
+        _apply_operator_settings(node, operator, clusters)
         node.log.write(node.clock.now(), "reload", plan.line(), always=True)
 
 
-def _heard_of(node: Node) -> None:
+def _log_python_warnings(node: Node) -> None:
     """What Python would write to standard error by itself, and wait for whoever reads that, is a line of the
     log, which waits for nobody.
     """
 
-    def warned(message: Warning | str, category: type[Warning], *_: Any, **__: Any) -> None:
+    def log_warning(message: Warning | str, category: type[Warning], *_: Any, **__: Any) -> None:
         node.log_line("fault", f"{category.__name__}: {message}")
 
-    def raised(what: sys.UnraisableHookArgs) -> None:
-        node.log_line("fault", f"{what.err_msg or 'ignored'}: {what.exc_type.__name__}: {what.exc_value}")
+    def log_unraisable(unraisable: sys.UnraisableHookArgs) -> None:
+        node.log_line(
+            "fault",
+            f"{unraisable.err_msg or 'ignored'}: {unraisable.exc_type.__name__}: {unraisable.exc_value}",
+        )
 
-    sys.unraisablehook, warnings.showwarning = raised, warned
+    sys.unraisablehook, warnings.showwarning = log_unraisable, log_warning
 
 
 def _ignore_signals() -> None:
@@ -105,42 +108,42 @@
     default action, which ends the process. An ignored signal stays ignored. Blocking them in the main thread
     alone does not do: a worker thread takes what the main thread blocks.
     """
-    for sign in SIGNALS:
-        signal.signal(sign, signal.SIG_IGN)
+    for signal_number in HANDLED_SIGNALS:
+        signal.signal(signal_number, signal.SIG_IGN)
 
 
-async def _serve(config: Config, live: Live | None, early: list[int]) -> None:
+async def _serve(config: Config, operator: Live | None, early_reloads: list[int]) -> None:
     loop = asyncio.get_running_loop()
-    core = Core(config.settings, Balancer(config.settings, config.seed), config.most_held)
+    core = Core(config.settings, Balancer(config.settings, config.seed), config.max_open_requests)
     handover = Handover(os.environ.get("TMPDIR", ""), config.name)
     node = Node(config, core, loop, handover)
-    _heard_of(node)
-    if wrong := handover.enter():
-        node.log_line("handover", wrong)
-    joined: list[Cluster] = []  # where an operator file has the nodes know each other
-    if live is not None:
-        _take(node, live, joined)
-    for sign in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sign, _stop, node, joined)
-    loop.add_signal_handler(signal.SIGHUP, _reload, node, live, joined)
-    if early:  # the files were replaced after they had been read
-        loop.call_soon(_reload, node, live, joined)
+    _log_python_warnings(node)
+    if problem := handover.register():
+        node.log_line("handover", problem)
+    clusters: list[Cluster] = []  # where an operator file has the nodes know each other
+    if operator is not None:
+        _apply_operator_settings(node, operator, clusters)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, _stop, node, clusters)
+    loop.add_signal_handler(signal.SIGHUP, _reload, node, operator, clusters)
+    if early_reloads:  # the files were replaced after they had been read
+        loop.call_soon(_reload, node, operator, clusters)
     # What start-up made lives as long as the process: the collector need not walk it again, and rarely runs.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 20)
     try:
         await node.run()
-        for cluster in joined:
+        for cluster in clusters:
             await cluster.shut_down()
     finally:
         _ignore_signals()  # nothing is left to be done for any of them
-        handover.leave()
+        handover.unregister()
         if node.status_server is not None:
             node.status_server.close()
 
 
-def _operator(path: str) -> Live | int | None:
+def _load_operator_file(path: str) -> Live | int | None:
     """The operator file, if one is named, or the exit code where it can't be had."""
     if not path:
         return None
@@ -160,21 +163,21 @@
 def main() -> int:
     """Run one node; the exit code says how it ended."""
     startup_pacing.end()
-    early: list[int] = []  # SIGHUPs before the loop can act on them
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
-    for sign in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(sign, lambda *_: sys.exit(0))  # nothing has been taken yet
+    early_reloads: list[int] = []  # SIGHUPs before the loop can act on them
+    signal.signal(signal.SIGHUP, lambda signal_number, _: early_reloads.append(signal_number))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: sys.exit(0))  # nothing has been taken yet
     try:
         config = load(os.environ)
     except ConfigError as error:
         print(f"granitewell: bad configuration: {error}", file=sys.stderr)
         return 2
-    live = _operator(os.environ.get("LB_OPERATOR", ""))
-    if isinstance(live, int):
-        return live
+    operator = _load_operator_file(os.environ.get("LB_OPERATOR", ""))
+    if isinstance(operator, int):
+        return operator
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(_serve(config, live, early))
+            runner.run(_serve(config, operator, early_reloads))
     except ConfigError as error:
         print(f"granitewell: bad configuration: {error}", file=sys.stderr)
         return 2
--- a/granitewell/config.py
+++ b/granitewell/config.py
@@ -17,12 +17,22 @@
 
 from granitewell.balancing.interface import Effect, Settings
 from granitewell.balancing.simulator_protocol import WireError, parse_settings
-from granitewell.files import whole
-
-FIXED = ("name", "listen", "cores", "sockets", "memory_mb", "console", "inherited", "known", "seed")
+from granitewell.files import read_regular_file
+
+RESTART_ONLY_FIELDS = (
+    "name",
+    "listen",
+    "cores",
+    "sockets",
+    "memory_mb",
+    "console",
+    "inherited",
+    "known",
+    "seed",
+)
 _HOST = re.compile(r"\[?(?=.{1,253}\Z)[A-Za-z0-9_:%-]{1,63}(?:\.[A-Za-z0-9_-]{1,63})*\]?\Z")
 _PORT = re.compile(r"[0-9]{1,5}\Z")
-MAX_FILE = 8 * 1024 * 1024  # bytes: settings, and a list as long as discovery may send one
+MAX_FILE_BYTES = 8 * 1024 * 1024  # bytes: settings, and a list as long as discovery may send one
 MAX_DESCRIPTORS = 1024  # of the platform's scored limits; a larger allowance is not used
 
 
@@ -50,137 +60,145 @@
     report_names: tuple[str, ...]  # the keys of a load report, in the order of stats.fields
     dial_timeout_us: int
     conn_idle_us: int
-    most_held: int
+    max_open_requests: int
     console: tuple[str, int] | None = None  # where operators call
     memory_mb: float = 192.0
     inherited: int = -1  # descriptor of the clients' listening socket, where the platform holds it
-    live: frozenset[str] = frozenset()  # the classes and tenants that the file names; the others had their
-    live_tenants: frozenset[str] = frozenset()  # place in it at some time since the start
+    active_classes: frozenset[str] = (
+        frozenset()
+    )  # the classes and tenants that the file names; the others had their
+    active_tenants: frozenset[str] = frozenset()  # place in it at some time since the start
     raw: Mapping[str, Any] = field(default_factory=dict, compare=False, repr=False)  # the file as it was
 
 
-def address(text: Any, field: str) -> tuple[str, int]:
+def parse_address(text: Any, field: str) -> tuple[str, int]:
     """host:port, as the platform writes addresses."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     # bounded before anything is made of it: a number of 5,000 digits or a name with a part of 64 characters
     # is an error of another kind in whatever it is given to
     if not colon or not _HOST.match(host) or not _PORT.match(port) or int(port) > 65535:
-        raise ConfigError(f"{field}: {_short(text)} is not host:port")
+        raise ConfigError(f"{field}: {_abbreviate(text)} is not host:port")
     return host.strip("[]"), int(port)
 
 
-def _short(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     text = repr(value)
     return text if len(text) <= 80 else f"{text[:77]}..."
 
 
-def _object(value: Any, field: str) -> dict[str, Any]:
+def _require_object(value: Any, field: str) -> dict[str, Any]:
     if not isinstance(value, dict):
         raise ConfigError(f"{field}: missing or not an object")
     return value
 
 
-def _number(obj: Mapping[str, Any], key: str, field: str, default: float, low: float = 1) -> float:
+def _require_number(
+    obj: Mapping[str, Any], key: str, field: str, default: float, minimum: float = 1
+) -> float:
     value = obj.get(key, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value < 1e12:
-        raise ConfigError(f"{field}: {value!r} is not a number from {low:g}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < 1e12:
+        raise ConfigError(f"{field}: {value!r} is not a number from {minimum:g}")
     return float(value)
 
 
-def _names(value: Any, field: str) -> tuple[str, ...]:
+def _require_names(value: Any, field: str) -> tuple[str, ...]:
     if not isinstance(value, list) or not all(isinstance(x, str) for x in value):
         raise ConfigError(f"{field}: not a list of names")
     for x in value:
         if not x.isprintable():  # half of a surrogate pair has no bytes, and no header holds a line break
-            raise ConfigError(f"{field}: {_short(x)} is not a name")
+            raise ConfigError(f"{field}: {_abbreviate(x)} is not a name")
     return tuple(value)
 
 
-def _seed(value: Any) -> int:
+def _parse_seed(value: Any) -> int:
     try:
         return int(value, 16) if isinstance(value, str) else int(value)
     except (TypeError, ValueError, OverflowError):
         raise ConfigError(f"seed: {value!r} is neither hexadecimal nor a number") from None
 
 
-def _positive(raw: Mapping[str, Any]) -> None:
+def _check_request_limits(raw: Mapping[str, Any]) -> None:
     """The figures without which no request has an end: they must be there, and above 0."""
-    allowed = _object(raw.get("allowed"), "settings.allowed")
-    _number(allowed, "maxAttempts", "settings.allowed.maxAttempts", 0.0)
+    allowed = _require_object(raw.get("allowed"), "settings.allowed")
+    _require_number(allowed, "maxAttempts", "settings.allowed.maxAttempts", 0.0)
     classes = raw.get("classes")
     if not isinstance(classes, list) or not classes:
         raise ConfigError("settings.classes: missing, empty or not a list")
     for k, cls in enumerate(classes):
         field = f"settings.classes[{k}]"
-        _number(_object(cls, field), "giveUpMs", f"{field}.giveUpMs", 0.0, 0.001)
+        _require_number(_require_object(cls, field), "giveUpMs", f"{field}.giveUpMs", 0.0, 0.001)
 
 
-def _descriptor(text: str) -> int:
+def _parse_descriptor(text: str) -> int:
     if not text:
         return -1
     if not _PORT.match(text):
-        raise ConfigError(f"LB_INHERITED_FD: {_short(text)} is not a descriptor")
+        raise ConfigError(f"LB_INHERITED_FD: {_abbreviate(text)} is not a descriptor")
     return int(text)
 
 
 def load(env: Mapping[str, str]) -> Config:
     """The configuration of this process; the variables win over the file."""
-    return _made(env, _read(env))
+    return _build_config(env, _read_file(env))
 
 
-def _read(env: Mapping[str, str]) -> dict[str, Any]:
+def _read_file(env: Mapping[str, str]) -> dict[str, Any]:
     path = env.get("LB_CONFIG", "")
     if not path:
         raise ConfigError("LB_CONFIG: not set")
     try:
-        text = json.loads(whole(path, MAX_FILE))
+        text = json.loads(read_regular_file(path, MAX_FILE_BYTES))
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"LB_CONFIG: {' '.join(str(error).split())}") from None
-    return _object(text, "LB_CONFIG")
+    return _require_object(text, "LB_CONFIG")
 
 
-def _made(env: Mapping[str, str], top: dict[str, Any]) -> Config:
-    raw = _object(top.get("settings"), "settings")
-    _positive(raw)
+def _build_config(env: Mapping[str, str], document: dict[str, Any]) -> Config:
+    raw = _require_object(document.get("settings"), "settings")
+    _check_request_limits(raw)
     try:
         settings = parse_settings(json.dumps(raw).encode())
     except (WireError, ValueError, OverflowError, KeyError, TypeError, RecursionError) as error:
         raise ConfigError(" ".join(str(error).split())) from None
-    class_names = _names([c.get("name") for c in raw["classes"]], "settings.classes[].name")
+    class_names = _require_names([c.get("name") for c in raw["classes"]], "settings.classes[].name")
     if len(set(class_names)) < len(class_names):
         raise ConfigError("settings.classes[].name: a name comes twice")
-    limits = _object(top.get("limits", {}), "limits")
-    allowed = _object(raw.get("allowed"), "settings.allowed")
+    limits = _require_object(document.get("limits", {}), "limits")
+    allowed = _require_object(raw.get("allowed"), "settings.allowed")
     # The module counts only tenants that have an allowance: the names must skip the same ones.
     tenants = [t for t in raw.get("tenants", []) if t.get("allowancePerS") is not None]
-    console = env.get("LB_CONSOLE") or top.get("console")
-    stats = _object(raw.get("stats", {}), "settings.stats")
+    console = env.get("LB_CONSOLE") or document.get("console")
+    stats = _require_object(raw.get("stats", {}), "settings.stats")
     return Config(
-        name=env.get("LB_NAME") or str(top.get("name", "node")),
-        listen=address(env.get("LB_LISTEN") or top.get("listen"), "listen"),
-        discovery=address(env.get("LB_DISCOVERY") or top.get("discovery"), "discovery"),
-        seed=_seed(top.get("seed", 0)),
-        cores=_number(limits, "cores", "limits.cores", 1.0, 0.01),
-        sockets=min(int(_number(limits, "sockets", "limits.sockets", 1024, 64)), MAX_DESCRIPTORS),
-        known=_object(top.get("known") or {}, "known"),
+        name=env.get("LB_NAME") or str(document.get("name", "node")),
+        listen=parse_address(env.get("LB_LISTEN") or document.get("listen"), "listen"),
+        discovery=parse_address(env.get("LB_DISCOVERY") or document.get("discovery"), "discovery"),
+        seed=_parse_seed(document.get("seed", 0)),
+        cores=_require_number(limits, "cores", "limits.cores", 1.0, 0.01),
+        sockets=min(int(_require_number(limits, "sockets", "limits.sockets", 1024, 64)), MAX_DESCRIPTORS),
+        known=_require_object(document.get("known") or {}, "known"),
         settings=settings,
         class_names=class_names,
         effects=tuple(c.effect for c in settings.classes),
-        tenant_names=(tenant_names := _names([t.get("name") for t in tenants], "settings.tenants[].name")),
-        live=frozenset(class_names),
-        live_tenants=frozenset(tenant_names),
-        raw=top,
-        zone_names=_names(raw.get("zones", []), "settings.zones"),
-        kind_names=_names(raw.get("models", []), "settings.models"),
-        report_names=_names(
+        tenant_names=(
+            tenant_names := _require_names([t.get("name") for t in tenants], "settings.tenants[].name")
+        ),
+        active_classes=frozenset(class_names),
+        active_tenants=frozenset(tenant_names),
+        raw=document,
+        zone_names=_require_names(raw.get("zones", []), "settings.zones"),
+        kind_names=_require_names(raw.get("models", []), "settings.models"),
+        report_names=_require_names(
             [] if stats.get("how") == "silent" else stats.get("fields", []), "settings.stats.fields"
         ),
-        dial_timeout_us=int(1000 * _number(allowed, "dialTimeoutMs", "settings.allowed.dialTimeoutMs", 250)),
-        conn_idle_us=int(1000 * _number(allowed, "connIdleMs", "settings.allowed.connIdleMs", 10000)),
-        console=address(console, "console") if console else None,
-        memory_mb=_number(limits, "memory_mb", "limits.memory_mb", 192.0, 16),
-        inherited=_descriptor(env.get("LB_INHERITED_FD", "")),
-        most_held=int(_number(allowed, "mostHeld", "settings.allowed.mostHeld", 20000)),
+        dial_timeout_us=int(
+            1000 * _require_number(allowed, "dialTimeoutMs", "settings.allowed.dialTimeoutMs", 250)
+        ),
+        conn_idle_us=int(1000 * _require_number(allowed, "connIdleMs", "settings.allowed.connIdleMs", 10000)),
+        console=parse_address(console, "console") if console else None,
+        memory_mb=_require_number(limits, "memory_mb", "limits.memory_mb", 192.0, 16),
+        inherited=_parse_descriptor(env.get("LB_INHERITED_FD", "")),
+        max_open_requests=int(_require_number(allowed, "mostHeld", "settings.allowed.mostHeld", 20000)),
     )
 
 
@@ -190,20 +208,24 @@
     What the variable said of discovery dates from the start and would win over a file that names another
     address, so it does not count here.
     """
-    top = _read(env)
+    document = _read_file(env)
     if check is not None:
-        check(top)
-    return _made({k: v for k, v in env.items() if k != "LB_DISCOVERY"}, top)
+        check(document)
+    return _build_config({k: v for k, v in env.items() if k != "LB_DISCOVERY"}, document)
 
 
-def taken_up(old: Config, new: Config) -> Config:
+def merge_reloadable_fields(old: Config, new: Config) -> Config:
     """The older configuration with all of the newer one that a running node can take up."""
-    return replace(old, **{f.name: getattr(new, f.name) for f in fields(Config) if f.name not in FIXED})
+    return replace(
+        old, **{f.name: getattr(new, f.name) for f in fields(Config) if f.name not in RESTART_ONLY_FIELDS}
+    )
 
 
-def needs_restart(old: Config, new: Config) -> list[str]:
+def fields_requiring_restart(old: Config, new: Config) -> list[str]:
     """The fields that differ and that a running node can't take up.
 
     The list as last held and the seed are for the start alone.
     """
-    return [n for n in FIXED if n not in ("known", "seed") and getattr(old, n) != getattr(new, n)]
+    return [
+        n for n in RESTART_ONLY_FIELDS if n not in ("known", "seed") and getattr(old, n) != getattr(new, n)
+    ]
--- a/granitewell/durable_folder.py
+++ b/granitewell/durable_folder.py
@@ -17,142 +17,148 @@
 from struct import Struct
 from zlib import crc32
 
-from granitewell.files import whole
+from granitewell.files import read_regular_file
 
-LOCK, FILE = "member.lock", "member"
+LOCK_FILE, LEGACY_FILE = "member.lock", "member"
 SLOTS = ("member.a", "member.b")
 MAGIC = b"GWK1"
-MOST = 16 * 1024 * 1024  # bytes of a slot that this can tell from another
-BLOCK = 4_096  # a slot is a multiple of that, and never gets shorter
-HEAD = Struct(">4sI")  # magic, check sum of all that follows up to the end of the data
-_HEADED = Struct(">QI")  # which write, bytes of data
+MAX_SLOT_BYTES = 16 * 1024 * 1024  # bytes of a slot that this can tell from another
+BLOCK_BYTES = 4_096  # a slot is a multiple of that, and never gets shorter
+CHECKSUM_HEADER = Struct(">4sI")  # magic, check sum of all that follows up to the end of the data
+_RECORD_HEADER = Struct(">QI")  # which write, bytes of data
 
 
-class Kept:
+class DurableFolder:
     """The folder; without one nobody else can have the lock, and nothing is kept."""
 
     def __init__(self, folder: str) -> None:
         self._folder = Path(folder) if folder else None
-        self._lock = -1
-        self._count, self._slot = 0, 0  # of the last write, and where the next one goes
-        self._looked = False  # whether both are known
+        self._lock_descriptor = -1
+        self._sequence, self._next_slot = 0, 0  # of the last write, and where the next one goes
+        self._is_read = False  # whether both are known
 
     @property
-    def lasting(self) -> bool:
+    def is_persistent(self) -> bool:
         """Is there a folder at all?"""
         return self._folder is not None
 
     @property
-    def held(self) -> bool:
+    def holds_lock(self) -> bool:
         """Is the lock this process's?"""
-        return self._lock >= 0 or self._folder is None
+        return self._lock_descriptor >= 0 or self._folder is None
 
-    def take(self) -> tuple[bool, str]:
+    def try_lock(self) -> tuple[bool, str]:
         """Try to have the lock: whether it is had now, and what is wrong, if it is not for another process
         that has it. A folder that can't be used is told of, and the lock counts as had: a node must not stay
         out of its fleet for a disk.
         """
-        if self.held:
+        if self.holds_lock:
             return True, ""
         assert self._folder is not None
-        lock = -1
+        descriptor = -1
         try:
             self._folder.mkdir(mode=0o700, exist_ok=True)
-            lock = os.open(self._folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
-            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            descriptor = os.open(
+                self._folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600
+            )
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            os.close(lock)
+            os.close(descriptor)
             return False, ""
         except OSError as error:
-            if lock >= 0:
-                os.close(lock)
+            if descriptor >= 0:
+                os.close(descriptor)
             folder, self._folder = self._folder, None
             return True, f"{folder} can't be used, nothing is kept: {error.strerror}"
-        self._lock = lock
+        self._lock_descriptor = descriptor
         return True, ""
 
-    def release(self) -> None:
+    def release_lock(self) -> None:
         """Another process may have it."""
-        if self._lock >= 0:
-            os.close(self._lock)
-            self._lock = -1
+        if self._lock_descriptor >= 0:
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = -1
 
-    def read(self, most: int) -> tuple[bytes, str]:
+    def read(self, max_bytes: int) -> tuple[bytes, str]:
         """What was last written whole, nothing where nothing was; and what is wrong."""
         if self._folder is None:
             return b"", ""
-        self._looked = True
+        self._is_read = True
         found: list[tuple[int, bytes, int]] = []
-        wrong = ""
-        for number, name in enumerate(SLOTS):
+        problem = ""
+        for index, name in enumerate(SLOTS):
             try:
-                raw = whole(self._folder / name, MOST + BLOCK, os.O_NOFOLLOW)  # never shorter than it was
-                found.append((*_read(raw, most), number))
+                raw = read_regular_file(
+                    self._folder / name, MAX_SLOT_BYTES + BLOCK_BYTES, os.O_NOFOLLOW
+                )  # never shorter than it was
+                found.append((*_decode_slot(raw, max_bytes), index))
             except FileNotFoundError:
                 continue
             except (OSError, ValueError) as error:
-                wrong = f"{self._folder / name}: {getattr(error, 'strerror', None) or error}"
+                problem = f"{self._folder / name}: {getattr(error, 'strerror', None) or error}"
         if found:
-            self._count, data, last = max(found)
-            self._slot = 1 - last
+            self._sequence, data, last = max(found)
+            self._next_slot = 1 - last
             return data, ""  # of the other one a writer may have been killed
-        if wrong:
-            return b"", wrong
-        return self._before(most)
+        if problem:
+            return b"", problem
+        return self._read_legacy_file(max_bytes)
 
-    def _before(self, most: int) -> tuple[bytes, str]:
+    def _read_legacy_file(self, max_bytes: int) -> tuple[bytes, str]:
         """What a program wrote that had one file, replaced by rename."""
         assert self._folder is not None
         try:
-            return whole(self._folder / FILE, most, os.O_NOFOLLOW), ""
+            return read_regular_file(self._folder / LEGACY_FILE, max_bytes, os.O_NOFOLLOW), ""
         except FileNotFoundError:
             return b"", ""
         except (OSError, ValueError) as error:
-            return b"", f"{self._folder / FILE}: {getattr(error, 'strerror', None) or error}"
+            return b"", f"{self._folder / LEGACY_FILE}: {getattr(error, 'strerror', None) or error}"
 
     def write(self, data: bytes) -> str:
         """Put that in place of what was last read or written; what is wrong, or nothing.
 
         Only by whoever has the lock.
         """
-        if self._folder is None or not self.held:
+        if self._folder is None or not self.holds_lock:
             return ""
-        if not self._looked:
-            self.read(MOST)
-        path, count = self._folder / SLOTS[self._slot], self._count + 1
-        body = _HEADED.pack(count, len(data)) + data
-        raw = HEAD.pack(MAGIC, crc32(body)) + body
+        if not self._is_read:
+            self.read(MAX_SLOT_BYTES)
+        path, sequence = self._folder / SLOTS[self._next_slot], self._sequence + 1
+        body = _RECORD_HEADER.pack(sequence, len(data)) + data
+        raw = CHECKSUM_HEADER.pack(MAGIC, crc32(body)) + body
         try:
-            slot = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
+            descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
             try:
-                rest = memoryview(raw.ljust(-(-len(raw) // BLOCK) * BLOCK, b"\0"))
-                at = 0
-                while rest:
-                    done = os.pwrite(slot, rest, at)
-                    at, rest = at + done, rest[done:]
+                remaining = memoryview(raw.ljust(-(-len(raw) // BLOCK_BYTES) * BLOCK_BYTES, b"\0"))
+                offset = 0
+                while remaining:
+                    written = os.pwrite(descriptor, remaining, offset)
+                    offset, remaining = offset + written, remaining[written:]
             finally:
-                os.close(slot)
-            if self._count == 0:
-                (self._folder / FILE).unlink(missing_ok=True)  # or a program of before takes it for new
+                os.close(descriptor)
+            if self._sequence == 0:
+                (self._folder / LEGACY_FILE).unlink(
+                    missing_ok=True
+                )  # or a program of before takes it for new
         except OSError as error:
             return f"{path}: {error.strerror}"
-        self._count, self._slot = count, 1 - self._slot
+        self._sequence, self._next_slot = sequence, 1 - self._next_slot
         return ""
 
 
-def _read(raw: bytes, most: int) -> tuple[int, bytes]:
+def _decode_slot(raw: bytes, max_bytes: int) -> tuple[int, bytes]:
     """Which write that was, and what it wrote. ValueError: not whole, or too long."""
-    if len(raw) < HEAD.size + _HEADED.size:
+    if len(raw) < CHECKSUM_HEADER.size + _RECORD_HEADER.size:
         raise ValueError("cut off")
-    magic, check = HEAD.unpack_from(raw)
+    magic, checksum = CHECKSUM_HEADER.unpack_from(raw)
     if magic != MAGIC:
         raise ValueError("of another version, or not written by this program")
-    count: int
+    sequence: int
     length: int
-    count, length = _HEADED.unpack_from(raw, HEAD.size)
-    start = HEAD.size + _HEADED.size
-    if length > most:
-        raise ValueError(f"over {most} bytes")
-    if len(raw) < start + length or crc32(raw[HEAD.size : start + length]) != check:
+    sequence, length = _RECORD_HEADER.unpack_from(raw, CHECKSUM_HEADER.size)
+    start = CHECKSUM_HEADER.size + _RECORD_HEADER.size
+    if length > max_bytes:
+        raise ValueError(f"over {max_bytes} bytes")
+    if len(raw) < start + length or crc32(raw[CHECKSUM_HEADER.size : start + length]) != checksum:
         raise ValueError("cut off, or damaged")
-    return count, raw[start : start + length]
+    return sequence, raw[start : start + length]
--- a/granitewell/lab/day_json.py
+++ b/granitewell/lab/day_json.py
@@ -17,7 +17,7 @@
 from types import UnionType
 from typing import Any, Union, get_args, get_origin, get_type_hints
 
-from granitewell.files import BY_HAND, whole
+from granitewell.files import MAX_USER_FILE_BYTES, read_regular_file
 from granitewell.lab.day import Day
 
 VERSION = 1
@@ -53,7 +53,7 @@
 def load_file(path: str | Path) -> Day:
     """The day of a file. DayError where it can't be read or used."""
     try:
-        text = whole(path, BY_HAND).decode()
+        text = read_regular_file(path, MAX_USER_FILE_BYTES).decode()
     except UnicodeDecodeError:
         raise DayError(f"{path}: not UTF-8") from None
     except (OSError, ValueError) as error:
--- a/granitewell/lab/experiments/plan.py
+++ b/granitewell/lab/experiments/plan.py
@@ -29,7 +29,7 @@
 from pathlib import Path
 from typing import Any, NoReturn
 
-from granitewell.files import BY_HAND, whole
+from granitewell.files import MAX_USER_FILE_BYTES, read_regular_file
 from granitewell.lab import scenario as scenarios
 from granitewell.lab.day import Day
 from granitewell.lab.experiments.phases import Trouble, trouble
@@ -201,7 +201,7 @@
 def load(path: Path) -> Plan:
     """The plan of a file. PlanError."""
     try:
-        text = whole(path, BY_HAND).decode()
+        text = read_regular_file(path, MAX_USER_FILE_BYTES).decode()
     except (OSError, ValueError) as error:
         raise PlanError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
     return parse(text, str(path), path.parent)
--- a/granitewell/lab/fleet/planted.py
+++ b/granitewell/lab/fleet/planted.py
@@ -89,13 +89,13 @@
 
 def _slow_disk() -> None:
     kept = importlib.import_module("granitewell.durable_folder")
-    right = kept.Kept.write
+    right = kept.DurableFolder.write
 
     def write(self: Any, data: bytes) -> str:
         time.sleep(DISK_S)
         return str(right(self, data))
 
-    kept.Kept.write = write
+    kept.DurableFolder.write = write
 
 
 def _disk_in_loop() -> None:
--- a/granitewell/lab/fleet/types.py
+++ b/granitewell/lab/fleet/types.py
@@ -18,7 +18,7 @@
 import msgspec
 from msgspec import Meta
 
-from granitewell.files import BY_HAND, whole
+from granitewell.files import MAX_USER_FILE_BYTES, read_regular_file
 from granitewell.lab.cluster.chaos import Rules, Trouble, draw
 from granitewell.lab.engine import stream
 
@@ -202,7 +202,7 @@
             known = ", ".join(builtin())
             raise FleetError(f"{name}: no such file and no built-in scenario; built-in: {known}")
     try:
-        raw = tomllib.loads(whole(path, BY_HAND).decode())
+        raw = tomllib.loads(read_regular_file(path, MAX_USER_FILE_BYTES).decode())
         return path.stem, msgspec.convert(raw, FleetTable)
     except (OSError, ValueError, RecursionError) as error:  # msgspec's is a ValueError that names the field
         raise FleetError(f"{path}: {' '.join(str(error).split())[:300]}") from None
@@ -315,7 +315,7 @@
 def replayed(path: Path) -> Schedule:
     """A schedule that was played before. FleetError in one line."""
     try:
-        words: dict[str, Any] = json.loads(whole(path, BY_HAND))
+        words: dict[str, Any] = json.loads(read_regular_file(path, MAX_USER_FILE_BYTES))
         if words.get("version") != VERSION:
             raise ValueError(f"version: found {words.get('version')!r}, allowed is {VERSION}")
         troubles = tuple(Trouble(**{**t, "nodes": tuple(t["nodes"])}) for t in words.pop("troubles"))
--- a/granitewell/lab/scenarios/read.py
+++ b/granitewell/lab/scenarios/read.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from granitewell.files import BY_HAND, whole
+from granitewell.files import MAX_USER_FILE_BYTES, read_regular_file
 from granitewell.lab.scenarios.check import combinations
 from granitewell.lab.scenarios.trace import Row, TraceFileError, read_trace
 from granitewell.lab.scenarios.types import ScenarioTable, Spec, Table, fields_of, spec_of
@@ -105,7 +105,7 @@
 def _whole(label: str, path: Path, problems: list[str], above: tuple[Path, ...]) -> dict[str, Any]:
     """A file's tables over those of what it extends."""
     try:
-        raw = tomllib.loads(whole(path, BY_HAND).decode())
+        raw = tomllib.loads(read_regular_file(path, MAX_USER_FILE_BYTES).decode())
     except (OSError, ValueError, RecursionError) as error:
         problems.append(f"{label}: {' '.join(str(error).split())}")
         return {}
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -46,7 +46,7 @@
     presence_of,
 )
 from granitewell.cluster.types import ClusterSettings, format_address, parse_address
-from granitewell.durable_folder import Kept
+from granitewell.durable_folder import DurableFolder
 from granitewell.membership import types as membership
 from granitewell.membership.state_machine import Membership
 from granitewell.membership.states import UP, Phase, State
@@ -120,7 +120,7 @@
             raise OSError(f"cluster.keys: {settings.keys_why}")
         self._node, self._settings, self._keys = node, settings, settings.keys
         self._loop, self._clock = asyncio.get_running_loop(), node.clock
-        self._durable_folder = Kept(settings.folder or _default_folder(settings.name))
+        self._durable_folder = DurableFolder(settings.folder or _default_folder(settings.name))
         self._max_streams = max(min(settings.streams, node._max_sockets // SOCKETS_PER_STREAM), 1)
         node._max_sockets = max(node._max_sockets - 2 * self._max_streams - 2, 1)
         node._divide_descriptors(node._max_sockets)
@@ -156,7 +156,7 @@
         """
         if self.state is not ProcessState.WAITING:
             return
-        acquired, problem = self._durable_folder.take()
+        acquired, problem = self._durable_folder.try_lock()
         if problem:
             self.log_line("cluster", problem)
         if acquired:
@@ -165,7 +165,7 @@
                 return
             except OSError as error:
                 if first and not self._node._listener_is_inherited:
-                    self._durable_folder.release()
+                    self._durable_folder.release_lock()
                     raise OSError(f"cluster {self._settings.bind}: {error.strerror or error}") from None
                 if not self._logged_busy:  # the previous process still has the address bound
                     self._logged_busy = True
@@ -244,7 +244,7 @@
         if self.state is ProcessState.WAITING:
             self.state = ProcessState.STOPPED
         elif self.state is ProcessState.ACTIVE:
-            if self._durable_folder.lasting and self._has_other_process():
+            if self._durable_folder.is_persistent and self._has_other_process():
                 self._hand_over()
             else:
                 self._leave()
@@ -252,7 +252,7 @@
     def _has_other_process(self) -> bool:
         """Return whether another process of this node runs."""
         handover = self._node._handover
-        return handover is not None and bool(handover.others())
+        return handover is not None and bool(handover.other_claims())
 
     def _leave(self) -> None:
         """Announce that this node leaves the cluster."""
@@ -270,7 +270,7 @@
     def _release_lock(self) -> None:
         """Let the other process take over; the sequence numbers that it continues from are stored."""
         self._close()
-        self._durable_folder.release()
+        self._durable_folder.release_lock()
         self.log_line("member", "the process beside this one goes on as the member")
         self._loop.call_later(HANDOVER_CHECK_S, self._check_handover)
 
@@ -279,12 +279,12 @@
 
         If it has ended without taking the lock, take the lock back in order to leave the cluster.
         """
-        if self.state is not ProcessState.HANDING_OVER or self._durable_folder.held:
+        if self.state is not ProcessState.HANDING_OVER or self._durable_folder.holds_lock:
             return
         if self._has_other_process():
             self._loop.call_later(HANDOVER_CHECK_S, self._check_handover)
             return
-        acquired, _ = self._durable_folder.take()
+        acquired, _ = self._durable_folder.try_lock()
         if not acquired:
             self.state = ProcessState.STOPPED
             return
@@ -317,7 +317,7 @@
         self._close()
         # otherwise the kernel releases the lock when that write has ended
         if not self._disk_writer.is_writing:
-            self._durable_folder.release()
+            self._durable_folder.release_lock()
 
     async def _wait_for_disk(self) -> None:
         """Wait a limited time for pending writes: a hung disk must not keep the process from ending."""
@@ -534,7 +534,7 @@
     def _save_record(self, always: bool = False) -> None:
         """Store what the node's next process needs; without `always` at a limited rate."""
         now, machine, size_estimate = self._clock.now(), self.machine, self.size_estimate
-        if machine is None or size_estimate is None or not self._durable_folder.lasting:
+        if machine is None or size_estimate is None or not self._durable_folder.is_persistent:
             return
         if not always and now - self._recorded_us < MIN_RECORD_INTERVAL_US and self._recorded_us >= 0:
             return
@@ -543,7 +543,7 @@
 
     def _write_record(self, machine: Membership, size_estimate: SizeEstimator, always: bool = True) -> None:
         """Build the record and write it if it differs from the last one."""
-        if not self._durable_folder.lasting:
+        if not self._durable_folder.is_persistent:
             return
         seat, own = machine.local, machine.identity
         incarnation = persisted_record.ProcessIdentity(
--- a/granitewell/net/disk_writer.py
+++ b/granitewell/net/disk_writer.py
@@ -12,7 +12,7 @@
 import threading
 from collections.abc import Callable
 
-from granitewell.durable_folder import Kept
+from granitewell.durable_folder import DurableFolder
 
 SLOW_WRITE_US = 1_000_000  # a write that takes longer is logged
 
@@ -20,7 +20,9 @@
 class DiskWriter:
     """Writes to one folder. Its methods are called on the loop's thread; the disk is used on another."""
 
-    def __init__(self, durable_folder: Kept, now: Callable[[], int], on_error: Callable[[str], None]) -> None:
+    def __init__(
+        self, durable_folder: DurableFolder, now: Callable[[], int], on_error: Callable[[str], None]
+    ) -> None:
         """Bind the writer to a folder and to the running loop.
 
         Args:
--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -19,7 +19,7 @@
 import httptools
 
 from granitewell.balancing.interface import Effect, Outcome, State, View
-from granitewell.config import Config, ConfigError, address
+from granitewell.config import Config, ConfigError, parse_address
 from granitewell.core import Answer, FleetNews, Member, Verdict
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a larger body is forwarded as it arrives
@@ -240,9 +240,11 @@
         self._classes = {
             n.encode(): (k, b"GET" if e is Effect.SAFE else b"POST")
             for k, (n, e) in enumerate(zip(config.class_names, config.effects, strict=True))
-            if n in config.live
+            if n in config.active_classes
+        }
+        self.tenants = {
+            n.encode(): k for k, n in enumerate(config.tenant_names) if n in config.active_tenants
         }
-        self.tenants = {n.encode(): k for k, n in enumerate(config.tenant_names) if n in config.live_tenants}
         self.reports = config.report_names
 
     def drop_previous(self) -> None:
@@ -755,7 +757,7 @@
     def _member(self, m: Mapping[str, Any], starts: dict[bytes, tuple[float, int]]) -> Member:
         """Convert one entry."""
         up_ms, scale = float(m.get("up_since_ms") or 0), float(m.get("size") or 1.0)
-        endpoint_id, where = str(m["id"]).encode(), address(m["host_port"], "host_port")
+        endpoint_id, where = str(m["id"]).encode(), parse_address(m["host_port"], "host_port")
         if not _IP_ADDRESS.match(where[0]):
             raise ValueError(f"host_port: found the host name {where[0]}, allowed: an IP address")
         return Member(
--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -19,8 +19,8 @@
 
 from granitewell import core as c
 from granitewell.balancing.interface import Outcome, View
-from granitewell.config import Config, needs_restart, taken_up
-from granitewell.handover import Handover, Moment
+from granitewell.config import Config, fields_requiring_restart, merge_reloadable_fields
+from granitewell.handover import ClockReading, Handover
 from granitewell.net import http1
 from granitewell.net.bodies import (
     MAX_RESPONSE_BUFFERING_S,
@@ -39,7 +39,7 @@
 from granitewell.net.logs import Log as Log
 from granitewell.net.pool import EndpointConnection, Pool
 from granitewell.net.sockets import READ_BUFFER_BYTES
-from granitewell.reload import complete, follow
+from granitewell.reload import check_complete, keep_indices
 
 if TYPE_CHECKING:
     from granitewell.net.status import StatusServer
@@ -145,7 +145,7 @@
                 host, port = self._config.console
                 raise OSError(f"console {host}:{port}: {error.strerror or error}") from None
         if self._handover is not None:
-            self._is_older = not self._handover.others()
+            self._is_older = not self._handover.other_claims()
             self._handover.claim(
                 self._max_sockets if self._is_older else self._max_sockets // SUCCESSOR_DIVISOR
             )
@@ -222,15 +222,15 @@
         if self._handover is None:
             return
         if self._other_claims:  # claims change, and a killed process leaves the folder unchanged
-            self._share_descriptors(self._handover.others())
-        if not self._handover.changed():
+            self._share_descriptors(self._handover.other_claims())
+        if not self._handover.has_changed():
             return
-        kept = self._handover.kept(_moment())
-        for broken in kept.broken:
-            self.log_line("handover", f"passed over: {broken}")
-        restored = {k: self.clock.from_monotonic(v) for k, v in kept.back_us.items()}
-        self.dispatch(c.BansHeard(kept.bans, restored))
-        self._share_descriptors(self._handover.others())
+        stored_bans = self._handover.read_bans(_read_clocks())
+        for problem in stored_bans.problems:
+            self.log_line("handover", f"passed over: {problem}")
+        restored = {k: self.clock.from_monotonic(v) for k, v in stored_bans.ended_us.items()}
+        self.dispatch(c.BansHeard(stored_bans.banned_endpoints, restored))
+        self._share_descriptors(self._handover.other_claims())
 
     def _share_descriptors(self, others: list[int]) -> None:
         """Divide the descriptors among the processes of this node.
@@ -277,7 +277,7 @@
             return
         wrong = "the ban could not be written down: see the node's log"  # if it raises
         try:
-            wrong = self._handover.keep(effect.endpoint, effect.banned, _moment())
+            wrong = self._handover.write_ban(effect.endpoint, effect.banned, _read_clocks())
         finally:
             if wrong:
                 self.log_line("handover", wrong)
@@ -290,8 +290,11 @@
         Its settings count from now on, and discovery is asked at once for the full list at the address that
         it names. Connections, requests and the list of endpoints stay.
         """
-        restart_needed = needs_restart(self._config, config)
-        old, self._config = self._config, taken_up(self._config, follow(self._config, config))
+        restart_needed = fields_requiring_restart(self._config, config)
+        old, self._config = (
+            self._config,
+            merge_reloadable_fields(self._config, keep_indices(self._config, config)),
+        )
         if old.raw.get("settings") != self._config.raw.get("settings"):
             self._apply_settings(old)
         more = f"; only a restart takes up {', '.join(restart_needed)}" if restart_needed else ""
@@ -300,7 +303,7 @@
 
     def check(self, top: dict[str, Any]) -> None:
         """Check that a new configuration has every field that the one in force has."""
-        complete(self._config.raw, top, "")
+        check_complete(self._config.raw, top, "")
 
     def _apply_settings(self, old: Config) -> None:
         """Apply other settings to the core, the parsers and the pool."""
@@ -310,8 +313,11 @@
         self._configure_pool()
         self._settings_version += 1
         self._loop.call_later(RELOAD_GRACE_S, self._forget_old_names, self._settings_version)
-        self.dispatch(c.Settled(settings, config.most_held))
-        added, removed = sorted(config.live - old.live), sorted(old.live - config.live)
+        self.dispatch(c.Settled(settings, config.max_open_requests))
+        added, removed = (
+            sorted(config.active_classes - old.active_classes),
+            sorted(old.active_classes - config.active_classes),
+        )
         changes = [f"; {word}: {', '.join(x)}" for word, x in (("added", added), ("dropped", removed)) if x]
         self.log_line("reload", f"the settings are taken up{''.join(changes)}")
 
@@ -640,6 +646,6 @@
         return True
 
 
-def _moment() -> Moment:
+def _read_clocks() -> ClockReading:
     """Return the current time on the wall clock and the monotonic clock."""
-    return Moment(time.time_ns() // 1000, time.monotonic_ns() // 1000)
+    return ClockReading(time.time_ns() // 1000, time.monotonic_ns() // 1000)
--- a/granitewell/operator/cluster.py
+++ b/granitewell/operator/cluster.py
@@ -30,7 +30,7 @@
     parse_address,
     parse_keys,
 )
-from granitewell.files import whole
+from granitewell.files import read_regular_file
 from granitewell.operator.problem import Problem, shown
 from granitewell.operator.table import Table
 from granitewell.protocols.peers.frames import Keys
@@ -159,7 +159,7 @@
                              f"allowed: mode 600 or 400")  # fmt: skip
         if about.st_uid not in (os.geteuid(), 0):
             raise ValueError("found a file of another user, allowed: one of the node's own user")
-        raw = whole(path, MAX_KEYS_FILE)
+        raw = read_regular_file(path, MAX_KEYS_FILE)
     except OSError as error:
         found = f"found nothing that can be read ({error.strerror})"
         raise ValueError(f"{found}, allowed: {ALLOWED_KEYS}") from None
--- a/granitewell/reload.py
+++ b/granitewell/reload.py
@@ -15,7 +15,7 @@
 from granitewell.config import Config, ConfigError
 
 # keys of which the platform says that they may be absent, and what is data rather than a setting
-MAY_GO = frozenset({
+OPTIONAL_KEYS = frozenset({
     "aimStretch", "familyInfo", "passesDeadline", "warmKeys", "known", "seed", "console", "limits",
 })  # fmt: skip
 
@@ -24,48 +24,52 @@
 T = TypeVar("T")
 
 
-def complete(was: Any, now: Any, field: str) -> None:
+def check_complete(old: Any, new: Any, field: str) -> None:
     """Raise ConfigError where a key that is in force is missing, is of another kind, or is no number."""
-    kind = _kind(was)
-    if kind != _kind(now) and was is not None and now is not None:
-        raise ConfigError(f"{field or 'LB_CONFIG'}: {_short(now)} is not {kind}")
-    if isinstance(now, float) and not math.isfinite(now):
-        raise ConfigError(f"{field}: {now!r} is not a number that can be used")
-    dot = f"{field}." if field else ""
-    if isinstance(was, dict) and isinstance(now, dict):
-        for key in was:
-            if key in MAY_GO:
+    kind = _type_name(old)
+    if kind != _type_name(new) and old is not None and new is not None:
+        raise ConfigError(f"{field or 'LB_CONFIG'}: {_abbreviate(new)} is not {kind}")
+    if isinstance(new, float) and not math.isfinite(new):
+        raise ConfigError(f"{field}: {new!r} is not a number that can be used")
+    prefix = f"{field}." if field else ""
+    if isinstance(old, dict) and isinstance(new, dict):
+        for key in old:
+            if key in OPTIONAL_KEYS:
                 continue
-            if key not in now:
-                raise ConfigError(f"{dot}{key}: missing")
-            complete(was[key], now[key], f"{dot}{key}")
-    elif isinstance(was, list) and isinstance(now, list) and was:
-        if not now and field == "settings.classes":
+            if key not in new:
+                raise ConfigError(f"{prefix}{key}: missing")
+            check_complete(old[key], new[key], f"{prefix}{key}")
+    elif isinstance(old, list) and isinstance(new, list) and old:
+        if not new and field == "settings.classes":
             raise ConfigError(f"{field}: empty")
-        shared = _shared(was)
-        named = {x["name"]: x for x in was if isinstance(x, dict) and isinstance(x.get("name"), str)}
-        for k, item in enumerate(now):
+        shared = _common_part(old)
+        named = {x["name"]: x for x in old if isinstance(x, dict) and isinstance(x.get("name"), str)}
+        for k, item in enumerate(new):
             name = item.get("name") if isinstance(item, dict) else None
-            complete(named.get(name, shared) if isinstance(name, str) else shared, item, f"{field}[{k}]")
+            check_complete(
+                named.get(name, shared) if isinstance(name, str) else shared, item, f"{field}[{k}]"
+            )
 
 
-def follow(old: Config, new: Config) -> Config:
+def keep_indices(old: Config, new: Config) -> Config:
     """The newer configuration in the indices of the older one."""
-    classes, class_at = _behind(old.class_names, new.class_names, "settings.classes")
-    tenants, tenant_at = _behind(old.tenant_names, new.tenant_names, "settings.tenants")
+    classes, class_indices = _append_new_names(old.class_names, new.class_names, "settings.classes")
+    tenants, tenant_indices = _append_new_names(old.tenant_names, new.tenant_names, "settings.tenants")
     settings = replace(
         new.settings,
-        classes=_placed(old.settings.classes, new.settings.classes, class_at, len(classes)),
-        tenants=_placed(old.settings.tenants, new.settings.tenants, tenant_at, len(tenants)),
+        classes=_merge_by_index(old.settings.classes, new.settings.classes, class_indices, len(classes)),
+        tenants=_merge_by_index(old.settings.tenants, new.settings.tenants, tenant_indices, len(tenants)),
     )
     return replace(
-        new, settings=settings, class_names=classes, live=frozenset(new.class_names),
+        new, settings=settings, class_names=classes, active_classes=frozenset(new.class_names),
         effects=tuple(c.effect for c in settings.classes), tenant_names=tenants,
-        live_tenants=frozenset(new.tenant_names),
+        active_tenants=frozenset(new.tenant_names),
     )  # fmt: skip
 
 
-def _behind(old: tuple[str, ...], new: tuple[str, ...], field: str) -> tuple[tuple[str, ...], list[int]]:
+def _append_new_names(
+    old: tuple[str, ...], new: tuple[str, ...], field: str
+) -> tuple[tuple[str, ...], list[int]]:
     """The names in their places for good, and the place of each of the newer ones."""
     names = (*old, *(n for n in new if n not in old))
     if len(names) > max(MAX_NAMES, len(old)):
@@ -74,12 +78,12 @@
     return names, [names.index(n) for n in new]
 
 
-def _placed(old: Sequence[T], new: Sequence[T], at: Sequence[int], size: int) -> tuple[T, ...]:
-    rows = dict(enumerate(old)) | dict(zip(at, new, strict=True))
+def _merge_by_index(old: Sequence[T], new: Sequence[T], indices: Sequence[int], size: int) -> tuple[T, ...]:
+    rows = dict(enumerate(old)) | dict(zip(indices, new, strict=True))
     return tuple(rows[k] for k in range(size))
 
 
-def _shared(items: Sequence[Any]) -> Any:
+def _common_part(items: Sequence[Any]) -> Any:
     """What all entries of a list have: a further one must have it too."""
     first = items[0]
     if isinstance(first, dict) and all(isinstance(x, dict) for x in items):
@@ -87,7 +91,7 @@
     return first
 
 
-def _kind(value: Any) -> str:
+def _type_name(value: Any) -> str:
     if isinstance(value, bool):
         return "true or false"
     if isinstance(value, int | float):
@@ -99,6 +103,6 @@
     return "a list" if isinstance(value, list) else "null"
 
 
-def _short(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     text = repr(value)
     return text if len(text) <= 60 else f"{text[:57]}..."
--- a/granitewell/startup_pacing.py
+++ b/granitewell/startup_pacing.py
@@ -9,33 +9,33 @@
 import sys
 import time
 
-WORK_S = 0.008  # of CPU, after which a start rests
-REST = 2.0  # times as long as it has worked: the rest of the limit is the serving process's
-MAX_S = 1.0  # that a start rests in all: where all is slow it must be ready in time, too
+CPU_SLICE_S = 0.008  # of CPU, after which a start rests
+PAUSE_RATIO = 2.0  # times as long as it has worked: the rest of the limit is the serving process's
+MAX_TOTAL_PAUSE_S = 1.0  # that a start rests in all: where all is slow it must be ready in time, too
 
 
-class Pace:
+class PausingFinder:
     """Asked before all other finders, it has none of them asked sooner than it is time."""
 
     def __init__(self) -> None:
-        self._since_s = time.process_time()
-        self._left_s = MAX_S
+        self._slice_start_s = time.process_time()
+        self._remaining_pause_s = MAX_TOTAL_PAUSE_S
 
     def find_spec(self, *_: object) -> None:
         """Nothing is found here."""
-        worked_s = time.process_time() - self._since_s
-        if worked_s >= WORK_S and self._left_s > 0.0:
-            rest_s = min(worked_s * REST, self._left_s)
-            self._left_s -= rest_s
-            time.sleep(rest_s)
-            self._since_s = time.process_time()
+        used_cpu_s = time.process_time() - self._slice_start_s
+        if used_cpu_s >= CPU_SLICE_S and self._remaining_pause_s > 0.0:
+            pause_s = min(used_cpu_s * PAUSE_RATIO, self._remaining_pause_s)
+            self._remaining_pause_s -= pause_s
+            time.sleep(pause_s)
+            self._slice_start_s = time.process_time()
 
 
 def begin() -> None:
     """From here on each import has its time."""
-    sys.meta_path.insert(0, Pace())
+    sys.meta_path.insert(0, PausingFinder())
 
 
 def end() -> None:
     """The start is over."""
-    sys.meta_path[:] = [x for x in sys.meta_path if not isinstance(x, Pace)]
+    sys.meta_path[:] = [x for x in sys.meta_path if not isinstance(x, PausingFinder)]
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -13,7 +13,7 @@
 import pytest
 
 from granitewell.cli.main import run
-from granitewell.durable_folder import FILE, SLOTS
+from granitewell.durable_folder import LEGACY_FILE, SLOTS
 from granitewell.operator.load import InvalidOperatorFileError, Live, load
 from granitewell.operator.registry import Operator
 from granitewell.status import fleet, wire
@@ -125,7 +125,7 @@
     with few(tmp_path, 2) as site:
         for name, raw in (("n0", b"\xff\x00 garbage"), ("n1", b'{"v":2}\n00000000\n')):
             (tmp_path / name / "kept").mkdir()
-            (tmp_path / name / "kept" / FILE).write_bytes(raw)
+            (tmp_path / name / "kept" / LEGACY_FILE).write_bytes(raw)
         site.start()
         until(lambda: all(len(site.states(n)) == 2 for n in site.names))
         for name in site.names:
--- a/tests/fleet/test_disk_writer.py
+++ b/tests/fleet/test_disk_writer.py
@@ -10,13 +10,13 @@
 
 from granitewell.cluster import persisted_record
 from granitewell.cluster.size_estimate import KnownNode
-from granitewell.durable_folder import Kept
+from granitewell.durable_folder import DurableFolder
 from granitewell.net.disk_writer import SLOW_WRITE_US, DiskWriter
 
 LIMIT_S = 20.0
 
 
-class Slow(Kept):
+class Slow(DurableFolder):
     """A disk that takes a write only once it is let go on."""
 
     def __init__(self, answer: str | Exception = "") -> None:
--- a/tests/recorded/samples.py
+++ b/tests/recorded/samples.py
@@ -295,7 +295,7 @@
 LEASE_RECORD = lease_record.Record(
     1, 4242, 4, lease_record.RECOVERED, 1 << 32, ("n2", 22), 3_000_000, (4, 5, 6)
 )
-BAN = (b"endpoint-\xff", True, handover.Moment(1_700_000_000_000_000, 42))
+BAN = (b"endpoint-\xff", True, handover.ClockReading(1_700_000_000_000_000, 42))
 
 
 def opened(data: bytes) -> frames.Frame:
@@ -307,9 +307,9 @@
 
 def slot(data: bytes) -> bytes:
     """A members' file as the node writes it, with its number and check sum."""
-    body = durable_folder._HEADED.pack(9, len(data)) + data
-    raw = durable_folder.HEAD.pack(durable_folder.MAGIC, crc32(body)) + body
-    return raw.ljust(durable_folder.BLOCK, b"\0")
+    body = durable_folder._RECORD_HEADER.pack(9, len(data)) + data
+    raw = durable_folder.CHECKSUM_HEADER.pack(durable_folder.MAGIC, crc32(body)) + body
+    return raw.ljust(durable_folder.BLOCK_BYTES, b"\0")
 
 
 def _letters(
@@ -334,12 +334,14 @@
         "owner-claim": Sample(CLAIM, OwnerClaimed.encode, OwnerClaimed.decode),
         "fleet-note": Sample(NOTE, persisted_record.encode, persisted_record.decode),
         "fleet-slot": Sample(
-            persisted_record.encode(NOTE), slot, lambda raw: durable_folder._read(raw, durable_folder.MOST)[1]
+            persisted_record.encode(NOTE),
+            slot,
+            lambda raw: durable_folder._decode_slot(raw, durable_folder.MAX_SLOT_BYTES)[1],
         ),
         "lease-record": Sample(
             LEASE_RECORD, lease_record.Record.write, lambda data: lease_record.read(data, 3)
         ),
-        "ban-file": Sample(BAN, lambda ban: handover.form(*ban), handover.read),
+        "ban-file": Sample(BAN, lambda ban: handover.encode_ban(*ban), handover.decode_ban),
         "sealed-frame": Sample(
             frames.Frame(frames.Kind.GOSSIP, "n1", b"body", 1, KEYS.current.id),
             lambda frame: frames.seal(frame.kind, frame.body, KEYS, frame.sender),
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 import pytest
 
 from granitewell.balancing.interface import State, View
-from granitewell.config import ConfigError, load, needs_restart, reload
+from granitewell.config import ConfigError, fields_requiring_restart, load, reload
 from granitewell.net.clock import Clock
 from granitewell.net.http1 import EndpointListReader, HeaderNames
 from tests.play import settings
@@ -52,7 +52,7 @@
     write(tmp_path, discovery="127.0.0.1:2", seed="1", limits={"cores": 0.5, "sockets": 4096})
     new = reload(env)
     assert (old.discovery, new.discovery) == (("127.0.0.1", 1), ("127.0.0.1", 2))
-    assert needs_restart(old, new) == ["cores", "memory_mb"]
+    assert fields_requiring_restart(old, new) == ["cores", "memory_mb"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -28,7 +28,7 @@
     Request,
     RequestParser,
 )
-from granitewell.reload import MAX_NAMES, complete, follow
+from granitewell.reload import MAX_NAMES, check_complete, keep_indices
 from tests import wirekit as w
 from tests.play import LIMIT_S, Player, settings
 from tests.test_config import write
@@ -38,7 +38,7 @@
 
 
 def again(env: dict[str, str], old: Config) -> Config:
-    return follow(old, reload(env, lambda top: complete(old.raw, top, "")))
+    return keep_indices(old, reload(env, lambda top: check_complete(old.raw, top, "")))
 
 
 def test_an_index_belongs_to_a_name_for_good(tmp_path: Path) -> None:
@@ -49,11 +49,11 @@
     write(tmp_path, settings=text)
     new = again(env, old)
     assert new.class_names == ("taxi-lookup", "ride-assign", "taxi-lookup_b")
-    assert new.live == {"taxi-lookup_b", "ride-assign"}
+    assert new.active_classes == {"taxi-lookup_b", "ride-assign"}
     assert [x.deadline_ms for x in new.settings.classes] == [2500.0, 2000.0, 900.0]
     write(tmp_path)
     back = again(env, new)
-    assert back.class_names == new.class_names and back.live == {"taxi-lookup", "ride-assign"}
+    assert back.class_names == new.class_names and back.active_classes == {"taxi-lookup", "ride-assign"}
 
 
 def test_names_that_come_and_go_for_months_are_bounded(tmp_path: Path) -> None:
@@ -70,7 +70,10 @@
             break
     assert len(held.class_names) == MAX_NAMES and k == MAX_NAMES - 2
     write(tmp_path)
-    assert again(env, held).live == {"taxi-lookup", "ride-assign"}  # what needs no new place is taken
+    assert again(env, held).active_classes == {
+        "taxi-lookup",
+        "ride-assign",
+    }  # what needs no new place is taken
     reader = EndpointListReader(held, lambda unix_us: unix_us)
     entry = {"id": "s", "host_port": "10.1.0.18:9000", "phase": "ready"}
     many = [entry | {"locality": f"z{k}", "flavor": f"f{k}"} for k in range(3000)]
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -14,7 +14,7 @@
 
 from granitewell import core as c
 from granitewell.balancing.interface import Outcome
-from granitewell.handover import Handover, Moment
+from granitewell.handover import ClockReading, Handover
 from granitewell.net.console import Console
 from granitewell.net.discovery import FAST_ANSWER_PAUSE_S, MAX_FAST_ANSWERS, PUSHED_TIMEOUTS
 from granitewell.net.downstream import DownstreamConnection
@@ -259,7 +259,7 @@
     """
 
     class Broken(Handover):
-        def keep(self, endpoint: bytes, banned: bool, now: Moment) -> str:
+        def write_ban(self, endpoint: bytes, banned: bool, now: ClockReading) -> str:
             raise RuntimeError("no such thing")
 
     async def scenario(node: Node) -> None:
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -146,7 +146,7 @@
 # --- Kills ----------------------------------------------------------------------------------------------
 DURING_START = [
     at("granitewell.__main__:load", "after"),
-    at("granitewell.__main__:Handover.enter"),
+    at("granitewell.__main__:Handover.register"),
     at("os:rename"),  # its file is locked, but not renamed yet
     at("os:rename", "after"),
     at("granitewell.net.loop:open_listener"),
@@ -318,7 +318,7 @@
 STOP_TIMES = [
     (at("granitewell.__main__:load", "before", 1, TERM), b""),
     (at("granitewell.__main__:load", "before", 1, INT), b""),
-    (at("granitewell.__main__:Handover.enter", "after", 1, TERM), b""),
+    (at("granitewell.__main__:Handover.register", "after", 1, TERM), b""),
     (at("uvloop:new_event_loop", "after", 1, TERM), b""),
     (at("granitewell.net.loop:Node._check_handover", "after", 1, TERM, TERM, HUP), b"phase"),
     (at("granitewell.net.loop:Node.stop", "after", 1, TERM, HUP), b"phase"),
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -240,7 +240,7 @@
         super().__init__("", "n0")
         self.beside, self.claimed = others, -1
 
-    def others(self) -> list[int]:
+    def other_claims(self) -> list[int]:
         return self.beside
 
     def claim(self, descriptors: int) -> None:
@@ -294,17 +294,17 @@
     finders = list(sys.meta_path)
     startup_pacing.begin()
     try:
-        for part_s in (startup_pacing.WORK_S / 2, startup_pacing.WORK_S / 2, 0.0, 0.05, 60.0, 60.0):
+        for part_s in (startup_pacing.CPU_SLICE_S / 2, startup_pacing.CPU_SLICE_S / 2, 0.0, 0.05, 60.0, 60.0):
             worked[0] += part_s
             with pytest.raises(ModuleNotFoundError):
                 importlib.import_module("no_such_thing")
     finally:
         startup_pacing.end()
     assert rested[:2] == pytest.approx(
-        [startup_pacing.WORK_S * startup_pacing.REST, 0.05 * startup_pacing.REST]
+        [startup_pacing.CPU_SLICE_S * startup_pacing.PAUSE_RATIO, 0.05 * startup_pacing.PAUSE_RATIO]
     )
     # a slow machine is ready in time
-    assert len(rested) == 3 and sum(rested) == pytest.approx(startup_pacing.MAX_S)
+    assert len(rested) == 3 and sum(rested) == pytest.approx(startup_pacing.MAX_TOTAL_PAUSE_S)
     assert sys.meta_path == finders
 
 
