--- a/granitewell/__main__.py
+++ b/granitewell/__main__.py
@@ -1,9 +1,10 @@
-"""Start, signals and exit code of one real node.
+"""Runs one node as a process: startup, signals and exit code.
 
-It owns the process: it reads the configuration, puts module, core and loop together and turns the end into
-an exit code (0 after a stop that was asked for, 2 for a bad configuration, 1 if the address can't be had, 3
-if what reads the operator file is not installed). It must never handle a request, hold state of its own, or
-import the operator's room where no operator file is named.
+Reads the configuration and assembles balancer, core and event loop. `granitewell.operator` and its packages
+are imported only if an operator file is named.
+
+Exit codes: 0 after a requested stop, 1 if the address can't be bound, 2 for a bad configuration, 3 if the
+packages that read the operator file are not installed.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 
 from granitewell import startup_pacing
 
-if __name__ == "__main__":  # the imports below take a tenth of a second, in which these would end it
+if __name__ == "__main__":  # importing takes 0.1 s; by default, these signals would kill the process
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # nothing has been read yet that could be out of date
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # no configuration has been read yet
     if os.environ.get("LB_INHERITED_FD"):  # another process of this node may be serving
         startup_pacing.begin()
 
@@ -41,10 +42,12 @@
 
 
 def _apply_operator_settings(node: Node, operator: Live, clusters: list[Cluster]) -> None:
-    """What the operator file says now.
+    """Apply the current operator file to the log, the cluster and the status server.
+
+    The modules of cluster and status are imported only once the file asks for them.
 
-    Nothing of status and cluster is imported before it asks for them. OSError: the cluster's address can't be
-    had.
+    Raises:
+        OSError: The cluster's address can't be bound.
     """
     node.log.apply_settings(operator.held.log.settings())
     cluster = operator.held.cluster.settings()
@@ -62,7 +65,7 @@
 
 
 def _stop(node: Node, clusters: list[Cluster]) -> None:
-    """SIGTERM: the other nodes hear of it before the listener goes."""
+    """Handle SIGTERM and SIGINT: leave the cluster before the listener is closed."""
     try:
         for cluster in clusters:
             cluster.stop()
@@ -71,12 +74,15 @@
 
 
 def _reload(node: Node, operator: Live | None, clusters: list[Cluster]) -> None:
-    """SIGHUP: the files have been replaced. A bad one changes nothing; the other is taken all the same."""
+    """Handle SIGHUP: read the configuration and the operator file again.
+
+    An invalid file changes nothing and doesn't keep the other one from being applied.
+    """
     try:
         node.reload(reload(os.environ, node.check))
     except ConfigError as error:
         node.log_line("reload", f"the configuration stays as it is: {error}")
-    except Exception as error:  # a defect: the operator file is taken up all the same
+    except Exception as error:  # a defect; the operator file is applied all the same
         node.log_line("fault", f"the reload failed: {type(error).__name__}: {error}")
     if operator is not None:
         plan = operator.again()
@@ -85,8 +91,9 @@
 
 
 def _log_python_warnings(node: Node) -> None:
-    """What Python would write to standard error by itself, and wait for whoever reads that, is a line of the
-    log, which waits for nobody.
+    """Send Python's warnings and unraisable exceptions to the node's log.
+
+    Python would write them to standard error, which blocks if nobody reads it; the log never blocks.
     """
 
     def log_warning(message: Warning | str, category: type[Warning], *_: Any, **__: Any) -> None:
@@ -105,8 +112,8 @@
     """Ignore all signals from now on, in every thread.
 
     The loop's own handlers fail once it is closed, and the interpreter's end gives each handler back to the
-    default action, which ends the process. An ignored signal stays ignored. Blocking them in the main thread
-    alone does not do: a worker thread takes what the main thread blocks.
+    default action, which ends the process. An ignored signal stays ignored. Blocking the signals in the main
+    thread is not enough, since they would be delivered to a worker thread.
     """
     for signal_number in HANDLED_SIGNALS:
         signal.signal(signal_number, signal.SIG_IGN)
@@ -120,15 +127,16 @@
     _log_python_warnings(node)
     if problem := handover.register():
         node.log_line("handover", problem)
-    clusters: list[Cluster] = []  # where an operator file has the nodes know each other
+    clusters: list[Cluster] = []  # empty, or one if the operator file configures it
     if operator is not None:
         _apply_operator_settings(node, operator, clusters)
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, _stop, node, clusters)
     loop.add_signal_handler(signal.SIGHUP, _reload, node, operator, clusters)
-    if early_reloads:  # the files were replaced after they had been read
+    if early_reloads:  # the files may have been replaced after they were read
         loop.call_soon(_reload, node, operator, clusters)
-    # What start-up made lives as long as the process: the collector need not walk it again, and rarely runs.
+    # objects made at startup live as long as the process: exclude them from garbage collection, which then
+    # runs rarely
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 20)
@@ -137,14 +145,14 @@
         for cluster in clusters:
             await cluster.shut_down()
     finally:
-        _ignore_signals()  # nothing is left to be done for any of them
+        _ignore_signals()  # the process is ending; no signal needs to be handled any more
         handover.unregister()
         if node.status_server is not None:
             node.status_server.close()
 
 
 def _load_operator_file(path: str) -> Live | int | None:
-    """The operator file, if one is named, or the exit code where it can't be had."""
+    """Load the operator file; return None if none is named, or an exit code if it can't be loaded."""
     if not path:
         return None
     try:
@@ -161,12 +169,12 @@
 
 
 def main() -> int:
-    """Run one node; the exit code says how it ended."""
+    """Run one node and return the exit code."""
     startup_pacing.end()
-    early_reloads: list[int] = []  # SIGHUPs before the loop can act on them
+    early_reloads: list[int] = []  # SIGHUPs that arrive before the loop handles them
     signal.signal(signal.SIGHUP, lambda signal_number, _: early_reloads.append(signal_number))
     for signal_number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(signal_number, lambda *_: sys.exit(0))  # nothing has been taken yet
+        signal.signal(signal_number, lambda *_: sys.exit(0))  # no request has been accepted yet
     try:
         config = load(os.environ)
     except ConfigError as error:
--- a/granitewell/config.py
+++ b/granitewell/config.py
@@ -1,10 +1,9 @@
-"""The node's configuration: reads LB_* and the file LB_CONFIG and turns them into one frozen Config, once at
-the start and once more for each reload.
+"""Configuration of a node: the variables LB_* and the file LB_CONFIG as one frozen Config.
 
-It owns the mapping of the deployment's names (classes, tenants, zones, kinds) to the module's indices, next
-to granitewell.balancing.simulator_protocol.parse_settings, which reads the figures. It must never hold
-defaults for what the platform has to say, open a socket, or change a Config that it has given out. Whatever
-is wrong is a ConfigError that names the field.
+It is built at the start and again at each reload. The position of a name (class, tenant, zone, model) in its
+tuple is the index by which the balancer knows it; `granitewell.balancing.simulator_protocol.parse_settings`
+reads the balancer's settings. Values that the platform must provide have no defaults here. Each error is a
+ConfigError that names the field.
 """
 
 from __future__ import annotations
@@ -32,17 +31,27 @@
 )
 _HOST = re.compile(r"\[?(?=.{1,253}\Z)[A-Za-z0-9_:%-]{1,63}(?:\.[A-Za-z0-9_-]{1,63})*\]?\Z")
 _PORT = re.compile(r"[0-9]{1,5}\Z")
-MAX_FILE_BYTES = 8 * 1024 * 1024  # bytes: settings, and a list as long as discovery may send one
-MAX_DESCRIPTORS = 1024  # of the platform's scored limits; a larger allowance is not used
+MAX_FILE_BYTES = 8 * 1024 * 1024  # room for the settings and the longest list that discovery may send
+MAX_DESCRIPTORS = 1024  # the limit that the platform scores; a larger allowance is not used
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text is one line that names the field."""
+    """Raised for an unusable configuration; the message is one line that names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the node is told at its start."""
+    """Configuration of one node.
+
+    Attributes:
+        known: The endpoint list as this node last received it, in the form of discovery; it may be outdated.
+        report_names: Keys of a load report, in the order of `stats.fields`.
+        console: Address of the operators' console, if there is one.
+        inherited: Descriptor of the clients' listening socket that the platform passes on, or -1.
+        active_classes: Classes that the file names now; `class_names` also has those that a reload removed.
+        active_tenants: The same for tenants.
+        raw: The file as it was parsed.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -50,32 +59,34 @@
     seed: int
     cores: float
     sockets: int
-    known: Mapping[str, Any]  # discovery's form, as last held by this node; may be old
+    known: Mapping[str, Any]
     settings: Settings
     class_names: tuple[str, ...]
     effects: tuple[Effect, ...]
     tenant_names: tuple[str, ...]
     zone_names: tuple[str, ...]
     kind_names: tuple[str, ...]
-    report_names: tuple[str, ...]  # the keys of a load report, in the order of stats.fields
+    report_names: tuple[str, ...]
     dial_timeout_us: int
     conn_idle_us: int
     max_open_requests: int
-    console: tuple[str, int] | None = None  # where operators call
+    console: tuple[str, int] | None = None
     memory_mb: float = 192.0
-    inherited: int = -1  # descriptor of the clients' listening socket, where the platform holds it
-    active_classes: frozenset[str] = (
-        frozenset()
-    )  # the classes and tenants that the file names; the others had their
-    active_tenants: frozenset[str] = frozenset()  # place in it at some time since the start
-    raw: Mapping[str, Any] = field(default_factory=dict, compare=False, repr=False)  # the file as it was
+    inherited: int = -1
+    active_classes: frozenset[str] = frozenset()
+    active_tenants: frozenset[str] = frozenset()
+    raw: Mapping[str, Any] = field(default_factory=dict, compare=False, repr=False)
 
 
 def parse_address(text: Any, field: str) -> tuple[str, int]:
-    """host:port, as the platform writes addresses."""
+    """Parse an address of the form host:port.
+
+    Raises:
+        ConfigError: It has another form; the message starts with `field`.
+    """
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    # bounded before anything is made of it: a number of 5,000 digits or a name with a part of 64 characters
-    # is an error of another kind in whatever it is given to
+    # checked before conversion: a number of 5,000 digits or a host label of 64 characters would raise other
+    # errors further on
     if not colon or not _HOST.match(host) or not _PORT.match(port) or int(port) > 65535:
         raise ConfigError(f"{field}: {_abbreviate(text)} is not host:port")
     return host.strip("[]"), int(port)
@@ -105,7 +116,7 @@
     if not isinstance(value, list) or not all(isinstance(x, str) for x in value):
         raise ConfigError(f"{field}: not a list of names")
     for x in value:
-        if not x.isprintable():  # half of a surrogate pair has no bytes, and no header holds a line break
+        if not x.isprintable():  # a lone surrogate can't be encoded, and a header can't contain a line break
             raise ConfigError(f"{field}: {_abbreviate(x)} is not a name")
     return tuple(value)
 
@@ -118,7 +129,7 @@
 
 
 def _check_request_limits(raw: Mapping[str, Any]) -> None:
-    """The figures without which no request has an end: they must be there, and above 0."""
+    """Check the limits that end every request, which must be present and above 0."""
     allowed = _require_object(raw.get("allowed"), "settings.allowed")
     _require_number(allowed, "maxAttempts", "settings.allowed.maxAttempts", 0.0)
     classes = raw.get("classes")
@@ -138,7 +149,11 @@
 
 
 def load(env: Mapping[str, str]) -> Config:
-    """The configuration of this process; the variables win over the file."""
+    """Read the configuration of this process; the variables take precedence over the file.
+
+    Raises:
+        ConfigError: It can't be used.
+    """
     return _build_config(env, _read_file(env))
 
 
@@ -165,7 +180,7 @@
         raise ConfigError("settings.classes[].name: a name comes twice")
     limits = _require_object(document.get("limits", {}), "limits")
     allowed = _require_object(raw.get("allowed"), "settings.allowed")
-    # The module counts only tenants that have an allowance: the names must skip the same ones.
+    # The balancer's list has only the tenants with an allowance; the names must have the same indices.
     tenants = [t for t in raw.get("tenants", []) if t.get("allowancePerS") is not None]
     console = env.get("LB_CONSOLE") or document.get("console")
     stats = _require_object(raw.get("stats", {}), "settings.stats")
@@ -203,10 +218,13 @@
 
 
 def reload(env: Mapping[str, str], check: Callable[[dict[str, Any]], None] | None = None) -> Config:
-    """The configuration as the file has it now, once `check` has passed it.
+    """Read the configuration again, and validate the parsed file with `check` if it is given.
+
+    LB_DISCOVERY is ignored: it dates from the start of the process and would take precedence over a file that
+    names another address.
 
-    What the variable said of discovery dates from the start and would win over a file that names another
-    address, so it does not count here.
+    Raises:
+        ConfigError: It can't be used.
     """
     document = _read_file(env)
     if check is not None:
@@ -215,16 +233,16 @@
 
 
 def merge_reloadable_fields(old: Config, new: Config) -> Config:
-    """The older configuration with all of the newer one that a running node can take up."""
+    """Return the old configuration with every field of the new one that can change without a restart."""
     return replace(
         old, **{f.name: getattr(new, f.name) for f in fields(Config) if f.name not in RESTART_ONLY_FIELDS}
     )
 
 
 def fields_requiring_restart(old: Config, new: Config) -> list[str]:
-    """The fields that differ and that a running node can't take up.
+    """Return the changed fields that only a restart can apply.
 
-    The list as last held and the seed are for the start alone.
+    The endpoint list and the seed are left out, as they matter only at the start.
     """
     return [
         n for n in RESTART_ONLY_FIELDS if n not in ("known", "seed") and getattr(old, n) != getattr(new, n)
--- a/granitewell/durable_folder.py
+++ b/granitewell/durable_folder.py
@@ -1,12 +1,14 @@
-"""A folder of one node with what its next process has to know, and a lock that one process at a time has.
+"""Durable record of one node, in a folder that only one process of the node uses at a time.
 
-It owns how that is replaced (whole: a kill at any byte leaves the old or the new) and whose turn it is. It
-must never know what it says, wait for the lock, or fail its caller: what is wrong comes back as words.
-Whoever has the lock is the node's member; the kernel gives it back when its process ends, however it ends.
+The process that holds the lock file is the one that takes part in the cluster; the kernel releases the lock
+when that process ends, however it ends. No call waits for the lock, and errors are returned as text and not
+raised. The contents of the record are the caller's business.
 
-There are two slots, written in turn and in place, each with a number and a check sum; the whole one with the
-higher number counts. A file that is replaced by rename, as it was before, gives its blocks back each time,
-and where the disk is told of that (`discard`) a rename was seen to stand still for up to 3 s.
+The record has two slots (A and B). Writes alternate between them and overwrite in place. Each slot carries a
+sequence number and a checksum, and the intact slot with the higher number is the current record, so a process
+that is killed in the middle of a write leaves the previous record. Earlier versions replaced one file by
+rename instead. That frees the file's blocks at each write, and on a file system mounted with `discard` such a
+rename was seen to block for up to 3 s.
 """
 
 from __future__ import annotations
@@ -22,35 +24,42 @@
 LOCK_FILE, LEGACY_FILE = "member.lock", "member"
 SLOTS = ("member.a", "member.b")
 MAGIC = b"GWK1"
-MAX_SLOT_BYTES = 16 * 1024 * 1024  # bytes of a slot that this can tell from another
-BLOCK_BYTES = 4_096  # a slot is a multiple of that, and never gets shorter
-CHECKSUM_HEADER = Struct(">4sI")  # magic, check sum of all that follows up to the end of the data
-_RECORD_HEADER = Struct(">QI")  # which write, bytes of data
+MAX_SLOT_BYTES = 16 * 1024 * 1024  # of data; larger slots are not read
+BLOCK_BYTES = 4_096  # slots are padded to a multiple of this, and never shrink
+CHECKSUM_HEADER = Struct(">4sI")  # magic, CRC-32 of what follows up to the end of the data
+_RECORD_HEADER = Struct(">QI")  # sequence number, bytes of data
 
 
 class DurableFolder:
-    """The folder; without one nobody else can have the lock, and nothing is kept."""
+    """The folder with its lock and its record.
+
+    Without a folder (empty path) the lock counts as held, and nothing is stored.
+    """
 
     def __init__(self, folder: str) -> None:
         self._folder = Path(folder) if folder else None
         self._lock_descriptor = -1
-        self._sequence, self._next_slot = 0, 0  # of the last write, and where the next one goes
-        self._is_read = False  # whether both are known
+        self._sequence, self._next_slot = 0, 0  # of the last write; index for the next one
+        self._is_read = False  # whether these two have been read from the slots
 
     @property
     def is_persistent(self) -> bool:
-        """Is there a folder at all?"""
+        """Whether there is a folder to store the record in."""
         return self._folder is not None
 
     @property
     def holds_lock(self) -> bool:
-        """Is the lock this process's?"""
+        """Whether this process holds the lock."""
         return self._lock_descriptor >= 0 or self._folder is None
 
     def try_lock(self) -> tuple[bool, str]:
-        """Try to have the lock: whether it is had now, and what is wrong, if it is not for another process
-        that has it. A folder that can't be used is told of, and the lock counts as had: a node must not stay
-        out of its fleet for a disk.
+        """Try to acquire the lock, without waiting.
+
+        If the folder can't be used, the lock counts as acquired and nothing is stored from then on: a faulty
+        disk must not keep the node out of the cluster.
+
+        Returns:
+            Whether this process holds the lock now, and the error if the folder can't be used.
         """
         if self.holds_lock:
             return True, ""
@@ -74,13 +83,17 @@
         return True, ""
 
     def release_lock(self) -> None:
-        """Another process may have it."""
+        """Release the lock, so that another process can acquire it."""
         if self._lock_descriptor >= 0:
             os.close(self._lock_descriptor)
             self._lock_descriptor = -1
 
     def read(self, max_bytes: int) -> tuple[bytes, str]:
-        """What was last written whole, nothing where nothing was; and what is wrong."""
+        """Return the current record and an error text.
+
+        The record is empty if none was written or none is intact. An error in one slot is not reported if the
+        other slot is intact.
+        """
         if self._folder is None:
             return b"", ""
         self._is_read = True
@@ -88,9 +101,8 @@
         problem = ""
         for index, name in enumerate(SLOTS):
             try:
-                raw = read_regular_file(
-                    self._folder / name, MAX_SLOT_BYTES + BLOCK_BYTES, os.O_NOFOLLOW
-                )  # never shorter than it was
+                # slots never shrink, so the file may be longer than `max_bytes` although its record is not
+                raw = read_regular_file(self._folder / name, MAX_SLOT_BYTES + BLOCK_BYTES, os.O_NOFOLLOW)
                 found.append((*_decode_slot(raw, max_bytes), index))
             except FileNotFoundError:
                 continue
@@ -99,13 +111,13 @@
         if found:
             self._sequence, data, last = max(found)
             self._next_slot = 1 - last
-            return data, ""  # of the other one a writer may have been killed
+            return data, ""  # an error of the other slot is expected: its writer may have been killed
         if problem:
             return b"", problem
         return self._read_legacy_file(max_bytes)
 
     def _read_legacy_file(self, max_bytes: int) -> tuple[bytes, str]:
-        """What a program wrote that had one file, replaced by rename."""
+        """Return the record of an earlier version, which had a single file, and an error text."""
         assert self._folder is not None
         try:
             return read_regular_file(self._folder / LEGACY_FILE, max_bytes, os.O_NOFOLLOW), ""
@@ -115,9 +127,9 @@
             return b"", f"{self._folder / LEGACY_FILE}: {getattr(error, 'strerror', None) or error}"
 
     def write(self, data: bytes) -> str:
-        """Put that in place of what was last read or written; what is wrong, or nothing.
+        """Replace the record; return an error text, or "" on success.
 
-        Only by whoever has the lock.
+        Nothing is written if this process doesn't hold the lock or there is no folder.
         """
         if self._folder is None or not self.holds_lock:
             return ""
@@ -137,9 +149,8 @@
             finally:
                 os.close(descriptor)
             if self._sequence == 0:
-                (self._folder / LEGACY_FILE).unlink(
-                    missing_ok=True
-                )  # or a program of before takes it for new
+                # an earlier version would otherwise take the outdated file for the current record
+                (self._folder / LEGACY_FILE).unlink(missing_ok=True)
         except OSError as error:
             return f"{path}: {error.strerror}"
         self._sequence, self._next_slot = sequence, 1 - self._next_slot
@@ -147,12 +158,16 @@
 
 
 def _decode_slot(raw: bytes, max_bytes: int) -> tuple[int, bytes]:
-    """Which write that was, and what it wrote. ValueError: not whole, or too long."""
+    """Return the sequence number and the data of a slot.
+
+    Raises:
+        ValueError: The slot is truncated, damaged, of another format, or its data exceeds `max_bytes`.
+    """
     if len(raw) < CHECKSUM_HEADER.size + _RECORD_HEADER.size:
         raise ValueError("cut off")
     magic, checksum = CHECKSUM_HEADER.unpack_from(raw)
     if magic != MAGIC:
-        raise ValueError("of another version, or not written by this program")
+        raise ValueError("unsupported format version, or not written by this program")
     sequence: int
     length: int
     sequence, length = _RECORD_HEADER.unpack_from(raw, CHECKSUM_HEADER.size)
--- a/granitewell/files.py
+++ b/granitewell/files.py
@@ -1,6 +1,6 @@
-"""Reading a file that somebody else has put there: whole, bounded, and without waiting for anybody.
+"""Bounded reading of files that come from outside the process.
 
-It owns what counts as a file. It must never follow what it reads, write, or know what a file is for.
+Only regular files are read, up to a size limit and without blocking.
 """
 
 from __future__ import annotations
@@ -8,14 +8,23 @@
 import os
 import stat
 
-MAX_USER_FILE_BYTES = 64 * 1024 * 1024  # bytes of a file that somebody names on the command line, at most
+MAX_USER_FILE_BYTES = 64 * 1024 * 1024  # for a file that is named on the command line
 
 
 def read_regular_file(path: str | os.PathLike[str], max_bytes: int, flags: int = 0) -> bytes:
-    """The bytes of a regular file.
+    """Return the contents of a regular file.
 
-    ValueError: it is none, or longer than that. A pipe would be waited for without end, by a node that serves
-    meanwhile, and a device has no end at all.
+    Other kinds of files are refused: reading a pipe could block a serving node forever, and a device such as
+    /dev/zero has no end.
+
+    Args:
+        path: The file to read.
+        max_bytes: Size limit.
+        flags: Further flags for `os.open`.
+
+    Raises:
+        OSError: The file can't be opened or read.
+        ValueError: It is not a regular file, or it is larger than `max_bytes`.
     """
     descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC | flags)
     try:
--- a/granitewell/handover.py
+++ b/granitewell/handover.py
@@ -1,12 +1,16 @@
-"""What outlives a process of this node while the next one takes over: files in the private temporary folder.
+"""State that the processes of one node share while one takes over from another (handover).
 
-It owns their names, form and checks: one file an endpoint that is banned or has come back from a ban, and one
-a running process, locked for its life. A file is written whole and put in place by rename; one that can't be
-read is told of and passed over, so that nothing found there ever stops a start. It must never decide what a
-ban means or wait for the other process. Without a folder nothing is read or written.
+It is kept in files in the private temporary folder:
 
-Files of one name belong to one endpoint, and the last call wins: two processes may write at once without
-losing each other's bans. The folder carries the node's name, should several nodes ever share one.
+- `ban-*`: one file per endpoint that is banned or whose ban has ended. Its name depends on the endpoint alone
+  and the last write wins, so two processes that write at once don't lose each other's bans.
+- `run-*`: one file per running process, locked for the life of the process. It contains the process's claim:
+  the number of descriptors that it may hold.
+
+Files are written under a temporary name and renamed into place. A file that can't be read is reported and
+skipped, so that nothing in the folder can prevent a start. No call waits for another process. The name of the
+folder contains the node's name, in case several nodes share the temporary folder. Without a temporary folder
+nothing is read or written.
 """
 
 from __future__ import annotations
@@ -26,28 +30,24 @@
 from granitewell.files import read_regular_file
 
 FORMAT_VERSION = 1
-MAX_BAN_FILE_BYTES = 2048  # of a file of ours
-MAX_HEX_ID_BYTES = 96  # bytes of an id that its file's name spells
-MAX_FILES = 10_000  # of a kind that are read,
-MAX_FOLDER_ENTRIES = 50_000  # of all names in the folder that are looked at
-MTIME_SETTLED_NS = 100_000_000  # many ticks of a file system's clock
-STALE_TEMPORARY_FILE_S = (
-    60.0  # after which a file that is being written is one that a killed process has left behind
-)
-BAN_END_RETENTION_S = (
-    120.0  # for which the end of a ban is worth knowing: longer than any endpoint takes to get warm
-)
+MAX_BAN_FILE_BYTES = 2048
+MAX_HEX_ID_BYTES = 96  # a longer endpoint id appears in the file name as a digest
+MAX_FILES = 10_000  # read of one kind
+MAX_FOLDER_ENTRIES = 50_000  # listed of all kinds
+MTIME_SETTLED_NS = 100_000_000  # many ticks of the file system's clock
+STALE_TEMPORARY_FILE_S = 60.0  # an older temporary file was left by a killed process
+BAN_END_RETENTION_S = 120.0  # the end of a ban matters until the endpoint is warm, which takes less
 BAN_PREFIX, RUN_PREFIX, TEMPORARY_SUFFIX = "ban-", "run-", ".new"
-# of the machine or of this process, not of the file: it may be there and whole, and be read a moment later
+# errors of the machine or of this process: the file may be intact and readable a moment later
 TRANSIENT_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.ENOLCK})
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """One moment by two clocks, in microseconds.
+    """One moment on two clocks, in microseconds.
 
-    The wall clock, which may be set at any time, and the monotonic one, which all processes share for as long
-    as the machine runs.
+    The wall clock may be set at any time. The monotonic clock is the same for all processes until the machine
+    restarts.
     """
 
     unix_us: int
@@ -56,8 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredBans:
-    """What the files say: the banned, since when (monotonic, in microseconds) the others are back, and what
-    is wrong with the files that could not be read.
+    """Bans as read from the files.
+
+    Attributes:
+        banned_endpoints: Ids of the banned endpoints.
+        ended_us: When the ban of an endpoint ended, by its id, on the monotonic clock.
+        problems: One text for each file that could not be read.
     """
 
     banned_endpoints: frozenset[bytes]
@@ -66,9 +70,9 @@
 
 
 def encode_ban(endpoint: bytes, banned: bool, at: ClockReading) -> bytes:
-    """A ban's file: one line of JSON, and behind it a check sum by which a cut one is told.
+    """Return the contents of a ban file: one line of JSON, and a line with its CRC-32.
 
-    Processes of before mono_us read and write the same form without it.
+    The checksum detects a truncated file. Earlier versions read and write the same format without `mono_us`.
     """
     fields = {"v": FORMAT_VERSION, "id": endpoint.hex(), "banned": banned}
     line = json.dumps(fields | {"unix_us": at.unix_us, "mono_us": at.monotonic_us}).encode()
@@ -76,9 +80,9 @@
 
 
 def ban_file_name(endpoint: bytes) -> str:
-    """The file of an endpoint's ban.
+    """Return the name of an endpoint's ban file.
 
-    A long id has a digest in place of itself: file names end at 255 bytes.
+    A long id is replaced by its digest, as a file name has at most 255 bytes.
     """
     if len(endpoint) <= MAX_HEX_ID_BYTES:
         return f"{BAN_PREFIX}{endpoint.hex()}"
@@ -86,16 +90,19 @@
 
 
 def decode_ban(raw: bytes) -> tuple[bytes, bool, ClockReading]:
-    """Endpoint, whether banned, and since when; mono_us is -1 where that is not told.
+    """Return the endpoint's id, whether it is banned, and since when.
+
+    The monotonic time is -1 if the file doesn't contain it.
 
-    ValueError: not a whole file of ours.
+    Raises:
+        ValueError: The file is truncated, damaged, or not a ban file.
     """
     line, _, rest = raw.partition(b"\n")
     if rest != b"%08x\n" % crc32(line):
         raise ValueError("cut off, or not written by this program")
     top = json.loads(line)
     if not isinstance(top, dict) or top.get("v") != FORMAT_VERSION:
-        raise ValueError("of another version")
+        raise ValueError("unsupported format version")
     endpoint, banned, unix_us, monotonic_us = (top.get(x) for x in ("id", "banned", "unix_us", "mono_us"))
     if (
         not isinstance(endpoint, str)
@@ -112,9 +119,9 @@
 
 
 def to_monotonic_us(at: ClockReading, now: ClockReading) -> int:
-    """When that was, by the monotonic clock; -1 for too long ago to matter.
+    """Return a past moment on the monotonic clock, or -1 if it is too long ago to matter.
 
-    The wall clock is asked only where nothing else is told: between two processes it may have been set.
+    The wall clock is used only if there is no usable monotonic time, since it may have been set in between.
     """
     known = 0 <= at.monotonic_us <= now.monotonic_us
     elapsed_us = now.monotonic_us - at.monotonic_us if known else now.unix_us - at.unix_us
@@ -122,27 +129,30 @@
 
 
 class Handover:
-    """The files of one node, as this process sees them."""
+    """The handover files of one node, for one of its processes.
+
+    Methods that return `str` return an error text, or "" on success and without a folder.
+    """
 
     def __init__(self, folder: str, name: str) -> None:
         safe_name = "".join(x if x.isalnum() or x in "-_" else "_" for x in name)[:64]
         self._folder = Path(folder, f"granitewell-{safe_name}") if folder else None
-        self._lock_descriptor = -1  # the descriptor that holds our file locked
-        self._last_mtime_ns = -1  # when the folder last changed, as of the last look
-        # a process number alone comes again, and is another's in another process space over the same folder
+        self._lock_descriptor = -1  # holds the lock on this process's run file
+        self._last_mtime_ns = -1  # of the folder, at the last check
+        # pids are reused, and processes in different pid namespaces that share the folder can have the same
         self._process_id = f"{os.getpid()}-{os.urandom(4).hex()}"
         self._run_file = f"{RUN_PREFIX}{self._process_id}"
-        self._written_claim = -1  # the descriptors that this process has said it may hold
-        self._last_claims: list[int] = []  # what the others had said, as of the last whole look
+        self._written_claim = -1  # the claim as it is in the run file
+        self._last_claims: list[int] = []  # of the other processes, as last read
 
     def register(self) -> str:
-        """Let it be known that this process runs; what is wrong, or nothing."""
+        """Create and lock the run file of this process, and remove stale temporary files."""
         if self._folder is None:
             return ""
         try:
             self._folder.mkdir(mode=0o700, exist_ok=True)
             self._remove_stale_files(self._folder)
-            # locked before it has its name: no other process may find it free
+            # locked before it is renamed, so that no other process finds it unlocked
             temporary = self._folder / f"{self._run_file}{TEMPORARY_SUFFIX}"
             self._lock_descriptor = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -153,7 +163,10 @@
         return ""
 
     def unregister(self) -> None:
-        """This process runs no more; the end of it says so too, however it comes."""
+        """Remove the run file.
+
+        If the process ends without this call, its lock is released and others remove the file.
+        """
         if self._lock_descriptor >= 0:
             for name in (self._run_file, f"{self._run_file}{TEMPORARY_SUFFIX}"):
                 with contextlib.suppress(OSError):
@@ -162,18 +175,18 @@
             self._lock_descriptor = -1
 
     def claim(self, descriptors: int) -> None:
-        """Say how many descriptors this process may hold from now on."""
+        """Publish how many descriptors this process may hold from now on."""
         if self._lock_descriptor >= 0 and descriptors != self._written_claim:
-            with contextlib.suppress(OSError):  # a folder without room: said again at the next look
+            with contextlib.suppress(OSError):  # disk full: written again at the next call
                 os.pwrite(self._lock_descriptor, b"%010d" % descriptors, 0)
                 self._written_claim = descriptors
 
     def other_claims(self) -> list[int]:
-        """The further processes of this node that run.
+        """Return the claim of each other running process of this node, -1 for one without a claim yet.
 
-        The descriptors that each says it may hold, -1 where it has not said. Files of those that have ended
-        go. Where the look itself is not possible nobody has ended: whoever was there still holds descriptors,
-        and this process must not take them.
+        Removes the run files of processes that have ended. If a transient error prevents the check, the last
+        known claims are returned: those processes may still hold their descriptors, and this process must not
+        use them.
         """
         claims = []
         try:
@@ -186,21 +199,24 @@
         return claims
 
     def has_changed(self) -> bool:
-        """Has a file come or gone since the last look? Cheap enough for every sweep."""
+        """Return whether files may have been added or removed since the last call.
+
+        This is a single `stat` of the folder, cheap enough for every periodic sweep.
+        """
         if self._folder is None:
             return False
         try:
             mtime_ns = os.stat(self._folder).st_mtime_ns
         except OSError:
             return False
-        was = self._last_mtime_ns
-        # two changes within a tick of the file system have one time: it proves nothing before it is some
-        # ticks old
+        previous_mtime_ns = self._last_mtime_ns
+        # two changes within one tick of the file system's clock have the same time, so a recent time does not
+        # prove that nothing has changed since
         self._last_mtime_ns = mtime_ns if abs(time.time_ns() - mtime_ns) > MTIME_SETTLED_NS else -1
-        return mtime_ns != was
+        return mtime_ns != previous_mtime_ns
 
     def write_ban(self, endpoint: bytes, banned: bool, now: ClockReading) -> str:
-        """Write down a ban or its end; what is wrong, or nothing, as where there is no folder."""
+        """Store that an endpoint is banned, or that its ban has ended."""
         if self._folder is None:
             return ""
         path = self._folder / ban_file_name(endpoint)
@@ -216,9 +232,10 @@
         return ""
 
     def read_bans(self, now: ClockReading) -> StoredBans:
-        """What is written down of bans; ends of bans that are too old to matter go.
+        """Return the stored bans, and remove ends of bans that are too old to matter.
 
-        What could not be read for want of something else is looked at again.
+        After a transient error, such as a lack of descriptors, `has_changed` returns true at its next call,
+        so that the files are read again.
         """
         banned_endpoints, ended, problems = set(), {}, []
         try:
@@ -230,13 +247,13 @@
             try:
                 endpoint, banned, at = decode_ban(read_regular_file(path, MAX_BAN_FILE_BYTES, os.O_NOFOLLOW))
                 if path.name != ban_file_name(endpoint):
-                    raise ValueError("its name is another endpoint's")
+                    raise ValueError("the file name belongs to another endpoint")
             except FileNotFoundError:
                 continue
             except (OSError, ValueError, RecursionError) as error:
                 if getattr(error, "errno", None) in TRANSIENT_ERRORS:
                     self._last_mtime_ns = -1
-                # told of, not removed: what it is may matter to whoever put it there
+                # reported and not removed: it may matter to whoever put it there
                 problems.append(f"{path.name[:80]}: {getattr(error, 'strerror', None) or error}")
                 continue
             if banned:
@@ -249,7 +266,11 @@
         return StoredBans(frozenset(banned_endpoints), ended, tuple(problems))
 
     def _list_files(self, prefix: str) -> list[Path]:
-        """The files of a kind; none where there is no folder. OSError: it can't be looked at now."""
+        """Return the files of one kind, sorted; none if there is no folder.
+
+        Raises:
+            OSError: A transient error prevents listing the folder.
+        """
         if self._folder is None:
             return []
         try:
@@ -265,7 +286,7 @@
         return [self._folder / name for name in ours[:MAX_FILES]]
 
     def _remove_stale_files(self, folder: Path) -> None:
-        """What processes that were killed in the middle of a write have left."""
+        """Remove temporary files of processes that were killed during a write."""
         with contextlib.suppress(OSError), os.scandir(folder) as found:
             for _, entry in zip(range(MAX_FOLDER_ENTRIES), found, strict=False):
                 if entry.name.endswith(TEMPORARY_SUFFIX) and entry.name.startswith((BAN_PREFIX, RUN_PREFIX)):
@@ -278,9 +299,12 @@
 
 
 def _read_claim(path: Path) -> list[int]:
-    """What the process whose file this is has said, -1 for nothing yet.
+    """Return the claim in a run file as a list of one, -1 if the process has not made any.
+
+    If the process has ended, removes its file and returns an empty list.
 
-    Empty where it has ended, and then its file goes. OSError: that can't be told now.
+    Raises:
+        OSError: A transient error prevents checking the file.
     """
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_NONBLOCK | os.O_NOFOLLOW | os.O_CLOEXEC)
--- a/granitewell/logs.py
+++ b/granitewell/logs.py
@@ -9,8 +9,7 @@
 
 The lines of one logger and template are limited by a token bucket, and so are all lines together. Suppressed
 lines are counted, and the count is logged. Logging never blocks: while no one reads standard error, lines are
-suppressed too. No line contains the time: the collector of the lines adds it, and a machine's time of day may
-be wrong.
+suppressed too. Lines have no timestamp: the log collector adds it, and a machine's wall clock may be wrong.
 """
 
 from __future__ import annotations
@@ -31,17 +30,17 @@
 
 import logbook
 
-TEMPLATE_BURST_LINES = 5.0  # lines of one template at once
-TEMPLATE_RATE_PER_S = 0.5  # lines of one template after that, in the long run
-TOTAL_BURST_LINES = 40.0  # lines of all templates at once: a template that is no constant is bounded by this
+TEMPLATE_BURST_LINES = 5.0
+TEMPLATE_RATE_PER_S = 0.5
+TOTAL_BURST_LINES = 40.0  # of all templates together; also bounds messages that are not constant templates
 TOTAL_RATE_PER_S = 10.0
-MAX_TEMPLATES = 256  # buckets that are kept; the one used longest ago gives way
-REPORT_INTERVAL_S = 10.0  # how often suppressed lines are reported, if there are any
-MAX_LINE_CHARS = 900  # characters: a line stays below what a pipe writes atomically (PIPE_BUF, 4,096 bytes)
+MAX_TEMPLATES = 256  # buckets that are kept; the least recently used one is evicted
+REPORT_INTERVAL_S = 10.0  # between two reports of suppressed lines
+MAX_LINE_CHARS = 900  # keeps a line below what a pipe writes atomically (PIPE_BUF, 4,096 bytes)
 MAX_FRAMES = 4  # of a traceback, the innermost
 STDERR_DESCRIPTOR = 2
 
-Clock = Callable[[], float]  # seconds on a steady clock
+Clock = Callable[[], float]  # seconds on a monotonic clock
 Write = Callable[[bytes], bool]  # writes a line; returns False if it could not
 ExceptionInfo = tuple[type[BaseException] | None, BaseException | None, TracebackType | None]
 
@@ -98,7 +97,7 @@
         return count
 
     def take_unreported(self, now: float) -> int:
-        """Return how many suppressed lines no line has reported, from time to time; otherwise 0."""
+        """Return how many suppressed lines are unreported, once per report interval; otherwise 0."""
         if not self._suppressed or now - self._reported_at < REPORT_INTERVAL_S:
             return 0
         count, self._suppressed, self._reported_at = self._suppressed, 0, now
@@ -210,7 +209,7 @@
         self._lines = lines
 
     def emit(self, record: Any) -> None:
-        """Handle a record of the level or above; called by logbook."""
+        """Write a record as a line; called by logbook."""
         logger, template = record.channel or "-", str(record.msg)
         if not self._lines.admits(logger, template):
             return
@@ -236,7 +235,7 @@
         self._lines = lines
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Handle a record; called by Python's logging."""
+        """Write a record as a line; called by Python's logging."""
         template = str(record.msg)
         if not self._lines.admits(record.name, template):
             return
@@ -271,7 +270,7 @@
 ) -> LogLineHandler:
     """Send all records of this process, and Python's own logs and warnings, to bounded lines.
 
-    `clock` is steady. Returns the handler, which a test removes with `pop_application`.
+    `clock` is monotonic. Returns the handler, which a test removes with `pop_application`.
     """
     lines = BoundedLog(clock, write or DescriptorWriter())
     handler = LogLineHandler(lines, level)
--- a/granitewell/reload.py
+++ b/granitewell/reload.py
@@ -1,8 +1,8 @@
-"""Two configurations of one node: is the newer one whole, and which index has each name in it?
+"""Validation of a reloaded configuration against the one in force, and its indices.
 
-It owns the rule that an index belongs to a name for the life of the process: what is new comes behind what
-was known, and what has been dropped keeps its place without being named. It must never read a file, change a
-Config, or take a part of one that is refused: ConfigError names the first field that is wrong.
+An index belongs to the same name for the life of the process: new names are appended, and removed names keep
+their index without being active. A configuration is accepted or refused as a whole; ConfigError names the
+first field that is wrong.
 """
 
 from __future__ import annotations
@@ -14,18 +14,30 @@
 
 from granitewell.config import Config, ConfigError
 
-# keys of which the platform says that they may be absent, and what is data rather than a setting
+# keys that the platform documents as optional, and keys that are not settings
 OPTIONAL_KEYS = frozenset({
     "aimStretch", "familyInfo", "passesDeadline", "warmKeys", "known", "seed", "console", "limits",
 })  # fmt: skip
 
-MAX_NAMES = 250  # classes, or tenants, that a process can have known: each costs its work for good
+MAX_NAMES = 250  # of classes, or of tenants, since the start; removed ones still cost memory and CPU
 
 T = TypeVar("T")
 
 
 def check_complete(old: Any, new: Any, field: str) -> None:
-    """Raise ConfigError where a key that is in force is missing, is of another kind, or is no number."""
+    """Check that a new value has every key of the old one, with values of the same type.
+
+    A list entry is compared with the old entry of the same name, or else with the keys that all old entries
+    have.
+
+    Args:
+        old: The value in force.
+        new: The value that replaces it.
+        field: Path of the value in the file, for the message; empty for the whole file.
+
+    Raises:
+        ConfigError: A key is missing or has another type, or a number is not finite.
+    """
     kind = _type_name(old)
     if kind != _type_name(new) and old is not None and new is not None:
         raise ConfigError(f"{field or 'LB_CONFIG'}: {_abbreviate(new)} is not {kind}")
@@ -52,7 +64,11 @@
 
 
 def keep_indices(old: Config, new: Config) -> Config:
-    """The newer configuration in the indices of the older one."""
+    """Return the new configuration with its classes and tenants at the indices of the old one.
+
+    Raises:
+        ConfigError: There are too many names since the start.
+    """
     classes, class_indices = _append_new_names(old.class_names, new.class_names, "settings.classes")
     tenants, tenant_indices = _append_new_names(old.tenant_names, new.tenant_names, "settings.tenants")
     settings = replace(
@@ -70,7 +86,7 @@
 def _append_new_names(
     old: tuple[str, ...], new: tuple[str, ...], field: str
 ) -> tuple[tuple[str, ...], list[int]]:
-    """The names in their places for good, and the place of each of the newer ones."""
+    """Return the old names followed by the new ones, and the index of each name in `new`."""
     names = (*old, *(n for n in new if n not in old))
     if len(names) > max(MAX_NAMES, len(old)):
         many = f"{len(names)} names since the start, {MAX_NAMES} are allowed"
@@ -84,7 +100,7 @@
 
 
 def _common_part(items: Sequence[Any]) -> Any:
-    """What all entries of a list have: a further one must have it too."""
+    """Return the keys that all entries of a list have, which a new entry must have too."""
     first = items[0]
     if isinstance(first, dict) and all(isinstance(x, dict) for x in items):
         return {k: v for k, v in first.items() if all(k in x for x in items)}
