--- a/tests/fleet/test_durable_folder.py
+++ b/tests/fleet/test_durable_folder.py
@@ -1,4 +1,4 @@
-"""The folder of a node: one process at a time has it, and its file is whole whenever its writer is killed."""
+"""Tests of the durable folder: one process holds its lock, and a killed writer leaves an intact record."""
 
 from __future__ import annotations
 
@@ -26,31 +26,33 @@
 """
 
 
-def started(folder: Path, *more: str) -> subprocess.Popen[bytes]:
+def start_writer(folder: Path, *more: str) -> subprocess.Popen[bytes]:
     return subprocess.Popen(
         [sys.executable, "-c", WRITER, str(folder), *more], env=os.environ | {"PYTHONPATH": str(ROOT)},
         stdout=subprocess.PIPE, stdin=subprocess.PIPE,
     )  # fmt: skip
 
 
-def test_one_process_has_the_lock_until_it_ends_however_it_ends(tmp_path: Path) -> None:
-    other = started(tmp_path / "kept")
-    assert other.stdout is not None and other.stdout.readline() == b"(True, '')\n"
+def test_lock_is_held_by_one_process_until_it_ends_or_is_killed(tmp_path: Path) -> None:
+    holder = start_writer(tmp_path / "kept")
+    assert holder.stdout is not None and holder.stdout.readline() == b"(True, '')\n"
     kept = DurableFolder(str(tmp_path / "kept"))
     assert kept.try_lock() == (False, "") and not kept.holds_lock and kept.write(b"x") == ""
-    assert not any((tmp_path / "kept" / slot).exists() for slot in SLOTS)  # only by whoever has the lock
-    other.send_signal(signal.SIGKILL)
-    other.wait()
+    assert not any(
+        (tmp_path / "kept" / slot).exists() for slot in SLOTS
+    )  # only the holder of the lock writes
+    holder.send_signal(signal.SIGKILL)
+    holder.wait()
     assert kept.try_lock() == (True, "") and kept.try_lock() == (True, "")
     kept.release_lock()
-    again = DurableFolder(str(tmp_path / "kept"))
-    assert again.try_lock() == (True, "")
-    again.release_lock()
+    third = DurableFolder(str(tmp_path / "kept"))
+    assert third.try_lock() == (True, "")
+    third.release_lock()
 
 
-def test_a_kill_at_any_byte_leaves_the_old_file_or_the_new(tmp_path: Path) -> None:
+def test_killed_writer_leaves_the_old_record_or_the_new(tmp_path: Path) -> None:
     for k in range(12):
-        writer = started(tmp_path, "on")
+        writer = start_writer(tmp_path, "on")
         assert writer.stdout is not None and writer.stdout.readline()
         end = time.monotonic() + LIMIT_S
         while not (tmp_path / SLOTS[0]).exists() and time.monotonic() < end:
@@ -58,13 +60,13 @@
         time.sleep(0.002 * k)
         writer.send_signal(signal.SIGKILL)
         writer.wait()
-        raw, problem = DurableFolder(str(tmp_path)).read(1 << 20)
-        # of the very first write all may be missing, after it never
-        assert raw == raw[:8] * 5_000 and ((problem == "" and len(raw) == 40_000) or k == 0), (k, problem)
-    assert raw and not raw.startswith(b"00000000")
+        data, problem = DurableFolder(str(tmp_path)).read(1 << 20)
+        # the record may be missing only during the very first write
+        assert data == data[:8] * 5_000 and ((problem == "" and len(data) == 40_000) or k == 0), (k, problem)
+    assert data and not data.startswith(b"00000000")
 
 
-def test_what_is_wrong_with_a_folder_is_told_and_stops_nobody(tmp_path: Path) -> None:
+def test_unusable_folder_is_reported_and_stops_nobody(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     broken = DurableFolder(str(tmp_path / "file" / "folder"))
     acquired, problem = broken.try_lock()
@@ -77,7 +79,7 @@
     (tmp_path / SLOTS[0]).unlink()
     os.mkfifo(tmp_path / SLOTS[0])
     assert "no regular file" in kept.read(99)[1]
-    assert kept.write(b"67890") == "" and kept.read(99) == (b"67890", "")  # the other one is good
+    assert kept.write(b"67890") == "" and kept.read(99) == (b"67890", "")  # the other slot is usable
     assert "Illegal seek" in kept.write(b"more") and kept.read(99) == (b"67890", "")
     kept.release_lock()
     (tmp_path / LOCK_FILE).unlink()
@@ -85,7 +87,7 @@
     assert "can't be used" in DurableFolder(str(tmp_path)).try_lock()[1]
 
 
-def test_cut_at_every_length_and_with_every_byte_turned_the_write_before_counts(tmp_path: Path) -> None:
+def test_truncated_or_damaged_slot_gives_the_previous_record(tmp_path: Path) -> None:
     kept = DurableFolder(str(tmp_path))
     assert kept.try_lock() == (True, "")
     for data in (b"the old one", b"and the new"):
@@ -94,10 +96,10 @@
     good = new.read_bytes()
     assert len(good) == BLOCK_BYTES
     end = good.index(b"and the new") + len(b"and the new")
-    for raw in (*(good[:n] for n in range(end)), *(_turned(good, n) for n in range(end))):
-        new.write_bytes(raw)
-        assert DurableFolder(str(tmp_path)).read(99) == (b"the old one", ""), raw[:end]
-    new.write_bytes(_turned(good, BLOCK_BYTES - 1))  # behind the end, which nothing reads
+    for data in (*(good[:n] for n in range(end)), *(_turned(good, n) for n in range(end))):
+        new.write_bytes(data)
+        assert DurableFolder(str(tmp_path)).read(99) == (b"the old one", ""), data[:end]
+    new.write_bytes(_turned(good, BLOCK_BYTES - 1))  # padding, which is not part of the record
     assert DurableFolder(str(tmp_path)).read(99) == (b"and the new", "")
     (tmp_path / SLOTS[0]).write_bytes(b"")
     new.write_bytes(good[: end - 1])
@@ -105,12 +107,12 @@
     assert data == b"" and "cut off" in problem
 
 
-def _turned(raw: bytes, at: int) -> bytes:
-    return raw[:at] + bytes((raw[at] ^ 0x10,)) + raw[at + 1 :]
+def _turned(data: bytes, at: int) -> bytes:
+    return data[:at] + bytes((data[at] ^ 0x10,)) + data[at + 1 :]
 
 
-def test_slots_never_shrink_and_the_one_file_of_before_is_read_once(tmp_path: Path) -> None:
-    """What gives blocks back waits for the disk where that is told of it."""
+def test_slots_never_shrink_and_the_legacy_file_is_read_once(tmp_path: Path) -> None:
+    """Freeing blocks of a file blocks the writer on a file system mounted with `discard`."""
     (tmp_path / LEGACY_FILE).write_bytes(b"as it was")
     kept = DurableFolder(str(tmp_path))
     assert kept.try_lock() == (True, "") and kept.read(99) == (b"as it was", "")
@@ -119,7 +121,7 @@
     for k in range(5):
         assert kept.write(b"%d" % k) == ""
         assert DurableFolder(str(tmp_path)).read(99) == (b"%d" % k, "")
-    kept = DurableFolder(str(tmp_path))  # who writes without having read goes on all the same
+    kept = DurableFolder(str(tmp_path))  # a write without a previous read continues the sequence
     kept.try_lock()
     now = (tmp_path / SLOTS[0]).stat()
     assert now.st_ino == place and now.st_size == 2 * BLOCK_BYTES
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: what a good one gives, and that a bad one names its field in one line."""
+"""Tests of the configuration: values of a valid file, and one-line errors that name the field."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return {"LB_CONFIG": str(path)}
 
 
-def test_a_good_one(tmp_path: Path) -> None:
+def test_valid_configuration_is_read(tmp_path: Path) -> None:
     config = load(write(tmp_path) | {"LB_NAME": "n7", "LB_LISTEN": "127.0.0.2:1"})
     assert (config.name, config.listen, config.discovery) == ("n7", ("127.0.0.2", 1), ("127.0.0.1", 8500))
     assert (config.seed, config.sockets, config.cores) == (0x8C1F, 1024, 1.0)
@@ -37,16 +37,16 @@
     assert config.report_names == ("failed_ps", "pending")
 
 
-def test_tenants_without_an_allowance_do_not_shift_the_others(tmp_path: Path) -> None:
-    """The module leaves such a tenant out of its list, so the index of those behind it would be wrong."""
+def test_tenant_without_an_allowance_shifts_no_index(tmp_path: Path) -> None:
+    """The balancer's list has only tenants with an allowance; the indices of the names have to match it."""
     text = settings()
     text["tenants"].insert(0, {"name": "guest", "share": 0.0, "allowancePerS": None})
     config = load(write(tmp_path, settings=text))
     assert HeaderNames(config).tenants == {b"merkez-koop": 0} and len(config.settings.tenants) == 1
 
 
-def test_a_reload_reads_discovery_from_the_file_alone(tmp_path: Path) -> None:
-    """LB_DISCOVERY is as old as the process: had it won, the node would go on asking a closed address."""
+def test_reload_ignores_the_discovery_variable(tmp_path: Path) -> None:
+    """LB_DISCOVERY dates from the start of the process, and the node would go on polling a closed address."""
     env = write(tmp_path) | {"LB_DISCOVERY": "127.0.0.1:1"}
     old = load(env)
     write(tmp_path, discovery="127.0.0.1:2", seed="1", limits={"cores": 0.5, "sockets": 4096})
@@ -83,15 +83,15 @@
          "settings.classes"),
     ],
 )  # fmt: skip
-def test_a_bad_one_names_its_field(tmp_path: Path, changes: dict[str, Any], names: str) -> None:
+def test_invalid_value_names_its_field(tmp_path: Path, changes: dict[str, Any], names: str) -> None:
     with pytest.raises(ConfigError, match=names) as caught:
         load(write(tmp_path, **changes))
     assert "\n" not in str(caught.value) and len(str(caught.value)) < 200
 
 
 @pytest.mark.parametrize("depth", [100, 500, 900, 990, 1500, 100_000])
-def test_a_file_nested_however_deep_is_no_traceback(tmp_path: Path, depth: int) -> None:
-    """Some depths are read by the parser and too deep for what copies the settings."""
+def test_deeply_nested_file_raises_no_other_error(tmp_path: Path, depth: int) -> None:
+    """Some depths pass the JSON parser and then exceed the recursion limit when the settings are copied."""
     env = write(tmp_path)
     path = tmp_path / "config.json"
     nested = "[" * depth + "]" * depth
@@ -104,8 +104,10 @@
 
 
 @pytest.mark.parametrize("what", ["a pipe", "a folder", "without end", "oversized"])
-def test_a_configuration_that_is_no_file_is_refused_and_not_waited_for(tmp_path: Path, what: str) -> None:
-    """A pipe in its place stopped a running node for good at the next SIGHUP; a device took all memory."""
+def test_configuration_that_is_not_a_regular_file_is_refused_without_blocking(
+    tmp_path: Path, what: str
+) -> None:
+    """A pipe blocked a running node forever at the next SIGHUP, and a device filled the memory."""
     path = tmp_path / "other"
     if what == "a pipe":
         os.mkfifo(path)
@@ -115,34 +117,38 @@
         path.symlink_to("/dev/zero")
     else:
         with path.open("wb") as file:
-            file.truncate(1 << 40)  # of holes
+            file.truncate(1 << 40)  # sparse
     source = "import os, resource; resource.setrlimit(resource.RLIMIT_AS, (1 << 30, 1 << 30)); "
     source += "from granitewell.config import load; load(os.environ)"
     env = os.environ | {"LB_CONFIG": str(path)}
-    done = subprocess.run([sys.executable, "-c", source], env=env, capture_output=True, text=True, timeout=20)
-    assert "ConfigError: LB_CONFIG: " in done.stderr, done.stderr
+    finished = subprocess.run(
+        [sys.executable, "-c", source], env=env, capture_output=True, text=True, timeout=20
+    )
+    assert "ConfigError: LB_CONFIG: " in finished.stderr, finished.stderr
 
 
 @pytest.mark.parametrize("text", ["-1", "1.5", "x", "9" * 5000, "99999999"])
-def test_a_descriptor_that_is_none_names_its_variable(tmp_path: Path, text: str) -> None:
+def test_invalid_descriptor_names_its_variable(tmp_path: Path, text: str) -> None:
     with pytest.raises(ConfigError, match="LB_INHERITED_FD"):
         load(write(tmp_path) | {"LB_INHERITED_FD": text})
 
 
-def test_the_program_says_so_and_exits(tmp_path: Path) -> None:
+def test_program_prints_the_error_and_exits(tmp_path: Path) -> None:
     wrong = write(tmp_path, listen="x")
-    for told, says in (({}, "LB_CONFIG: not set"), (wrong, "listen: 'x' is not host:port")):
-        env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | told
-        done = subprocess.run([sys.executable, "-m", "granitewell"], env=env, capture_output=True, text=True)
-        assert done.returncode == 2
-        assert says in done.stderr and done.stderr.count("\n") == 1
+    for variables, message in (({}, "LB_CONFIG: not set"), (wrong, "listen: 'x' is not host:port")):
+        env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | variables
+        finished = subprocess.run(
+            [sys.executable, "-m", "granitewell"], env=env, capture_output=True, text=True
+        )
+        assert finished.returncode == 2
+        assert message in finished.stderr and finished.stderr.count("\n") == 1
 
 
-def test_members_of_discovery(tmp_path: Path) -> None:
-    """Start times on one clock, each reckoned once, so that a repeated value never reads as a restart.
+def test_endpoint_list_is_parsed(tmp_path: Path) -> None:
+    """A repeated list gives the same start times, so that it never looks like a restart of an endpoint.
 
-    Names that the settings do not have get indices behind theirs; what is not discovery's form is a
-    ValueError.
+    Zones and models that the settings don't have get the indices after theirs. Anything that is not a list of
+    discovery's form raises ValueError.
     """
     reader = EndpointListReader(load(write(tmp_path)), lambda unix_us: unix_us - 1_000_000)
     entry = {"id": "s-1", "host_port": "10.1.0.18:9000", "locality": "elsewhere", "flavor": "older",
@@ -156,10 +162,10 @@
     assert (a.state, a.scale, a.started_us) == (State.READY, 1.5, 1_500_000)
     assert (b.zone, b.state, b.started_us) == (1, State.DRAINING, 0)
     assert reader.read(body)[1] == news
-    with pytest.raises(ValueError):  # as "known", it must not keep the node from starting
+    with pytest.raises(ValueError):  # in the field "known", this must not prevent the start of the node
         reader.parse({"revision": 1, "members": [entry | {"up_since_ms": 10**400}]}, View.CACHED)
     with pytest.raises(ValueError, match="host_port: backend.local is a name"):
-        # it was looked up, in a thread of its own, at each call
+        # a host name was resolved in a separate thread at each call
         named = entry | {"host_port": "backend.local:1"}
         reader.parse({"revision": 1, "complete": True, "members": [named]})
     for garbage in (b"", b"[]", b"{}", b'{"revision":1,"complete":true,"members":[{}]}',
@@ -168,11 +174,11 @@
             reader.read(garbage)
 
 
-def test_a_start_is_reckoned_once_by_the_clocks_as_they_stand_then(tmp_path: Path) -> None:
-    """The offset of the two clocks was that of the node's own start.
+def test_start_time_is_converted_once_with_the_clock_offset_of_that_moment(tmp_path: Path) -> None:
+    """Guards against converting start times with the clock offset measured when the node started.
 
-    A wall clock that was set right later made each newly started endpoint look warm (and it could be pushed
-    over), or cold for as long as the step was.
+    If the wall clock was corrected later, each newly started endpoint looked warm and could be overloaded, or
+    it looked cold for as long as the correction was.
     """
     offset = [1_000_000]
     reader = EndpointListReader(load(write(tmp_path)), lambda unix_us: unix_us - offset[0])
@@ -183,15 +189,15 @@
         return [m.started_us for m in reader.parse(body)[1].members]
 
     assert started(True, entry) == [1_500_000]
-    offset[0] = 61_000_000  # the wall clock has gone a minute ahead, and so do starts from now on
+    offset[0] = 61_000_000  # the wall clock is set ahead by a minute, and start times from now on with it
     assert started(False, entry, entry | {"id": "s-2", "up_since_ms": 62_000}) == [1_500_000, 1_000_000]
     assert started(True, entry) == [1_500_000]
-    assert list(reader._known_starts) == [b"s-1"]  # the others are not listed any more
+    assert list(reader._known_starts) == [b"s-1"]  # the other one is not listed any more
     started(False, entry | {"phase": "gone"}, entry | {"phase": "gone"})
     assert not reader._known_starts
 
 
-def test_a_start_that_lies_ahead_is_now() -> None:
+def test_start_time_in_the_future_counts_as_now() -> None:
     with asyncio.Runner() as runner:
         clock = Clock(runner.get_loop())
         assert clock.from_unix(time.time_ns() // 1000 + 3_600_000_000) <= clock.read_now()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""What outlives a process: the files of bans and of who runs, whole, cut, foreign and unwritable."""
+"""Tests of the handover folder: ban files and run files, also truncated, foreign or unwritable."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def after(us: int, step_us: int = 0) -> ClockReading:
-    """So long after NOW, in which the wall clock was set by a step."""
+    """Return the time `us` after NOW, with the wall clock set by `step_us` in between."""
     return ClockReading(NOW.unix_us + us + step_us, NOW.monotonic_us + us)
 
 
@@ -41,10 +41,10 @@
     assert Handover(str(tmp_path), "n2").read_bans(NOW).banned_endpoints == frozenset()  # another node's
 
 
-def test_an_id_of_any_length_that_the_console_takes_can_be_banned(tmp_path: Path) -> None:
-    """From 118 bytes on the file's name was too long, and the call got a 500.
+def test_endpoint_id_of_any_length_can_be_banned(tmp_path: Path) -> None:
+    """Guards against file names that are too long.
 
-    The name spelt the id in hexadecimal.
+    The file name contained the id in hexadecimal. From 118 bytes on it was too long and the call got a 500.
     """
     files = Handover(str(tmp_path), "n1")
     ids = {bytes([65 + n % 50]) * n for n in (1, 95, 96, 97, 117, 118, 200, 256)}
@@ -53,8 +53,8 @@
     ).banned_endpoints == ids
 
 
-def test_a_file_cut_at_any_length_or_with_a_flipped_byte_is_told_of_and_passed_over(tmp_path: Path) -> None:
-    """A write that was cut short by a kill or a full folder must neither stop a start nor count as a ban."""
+def test_truncated_or_damaged_file_is_reported_and_skipped(tmp_path: Path) -> None:
+    """A write cut short by a kill or a full disk must neither prevent a start nor count as a ban."""
     files = Handover(str(tmp_path), "n1")
     files.write_ban(b"s-a", True, NOW)
     path, whole = tmp_path / "granitewell-n1" / f"ban-{b's-a'.hex()}", encode_ban(b"s-a", True, NOW)
@@ -72,8 +72,8 @@
     assert not files.read_bans(NOW).banned_endpoints
 
 
-def test_who_else_runs_is_known_by_lock_also_after_a_kill(tmp_path: Path) -> None:
-    """A pid in a file would count a killed process for ever, and half of the descriptors with it."""
+def test_other_processes_are_detected_by_their_lock_also_after_a_kill(tmp_path: Path) -> None:
+    """A pid in a file would count a killed process forever, and half of the descriptors with it."""
     mine = Handover(str(tmp_path), "n1")
     assert mine.register() == "" and mine.other_claims() == []
     source = "import sys; from granitewell.handover import Handover; h = Handover(sys.argv[1], 'n1'); "
@@ -91,8 +91,8 @@
     assert mine.other_claims() == [] and len(os.listdir(tmp_path / "granitewell-n1")) == 1
 
 
-def test_whatever_lies_in_the_folder_the_next_process_starts(tmp_path: Path) -> None:
-    """A pipe under a ban's name was opened like a file, and waited for: the next process never came up."""
+def test_foreign_files_in_the_folder_do_not_prevent_a_start(tmp_path: Path) -> None:
+    """A pipe with the name of a ban file was opened and blocked the next process forever at its start."""
     mine, name = Handover(str(tmp_path), "n1"), f"ban-{b's-a'.hex()}"
     assert mine.register() == "" and mine.write_ban(b"s-b", True, NOW) == ""
     folder = tmp_path / "granitewell-n1"
@@ -104,19 +104,19 @@
     (folder / f"{name}7c").symlink_to(folder / "nowhere")
     (folder / f"{name}7d").write_bytes(b"x" * 100_000)
     stored = []
-    looking = threading.Thread(
+    reader = threading.Thread(
         target=lambda: stored.append((mine.other_claims(), mine.read_bans(NOW))), daemon=True
     )
-    looking.start()
-    looking.join(20.0)
+    reader.start()
+    reader.join(20.0)
     ((others, found),) = stored
     assert others == [] and found.banned_endpoints == {b"s-b"} and len(found.problems) == 5
 
 
-def test_what_killed_processes_leave_goes_and_hides_no_ban(tmp_path: Path) -> None:
-    """Files that were being written stayed for ever, and of all that lies there 10,000 were looked at.
+def test_leftovers_of_killed_processes_are_removed_and_hide_no_ban(tmp_path: Path) -> None:
+    """Guards against temporary files that stay forever and count towards the limit of files that are read.
 
-    With as many leftovers no ban was seen any more.
+    With 10,000 leftovers no ban was read any more.
     """
     files, folder = Handover(str(tmp_path), "n1"), tmp_path / "granitewell-n1"
     assert files.register() == ""
@@ -132,12 +132,12 @@
     assert sum(x.endswith(".new") for x in os.listdir(folder)) == 1
 
 
-def test_two_processes_of_one_number_know_of_each_other(tmp_path: Path) -> None:
-    """Two process spaces over one folder, or a number that came again.
+def test_two_processes_with_the_same_pid_detect_each_other(tmp_path: Path) -> None:
+    """Pids are equal if two pid namespaces share the folder, or if one is reused.
 
-    Each took the other's file for its own, and held the whole limit of descriptors.
+    Each process took the other's file for its own, and used the whole limit of descriptors.
     """
-    one, two = Handover(str(tmp_path), "n1"), Handover(str(tmp_path), "n1")  # of this one process
+    one, two = Handover(str(tmp_path), "n1"), Handover(str(tmp_path), "n1")  # both in this process
     assert one.register() == two.register() == ""
     one.claim(200)
     two.claim(56)
@@ -148,25 +148,25 @@
 
 
 @pytest.mark.parametrize("max_file_bytes", [0, 10])
-def test_a_folder_without_room_leaves_no_half_file(tmp_path: Path, max_file_bytes: int) -> None:
-    """The shortage is a limit on what one child may write to a file."""
+def test_full_disk_leaves_no_partial_file(tmp_path: Path, max_file_bytes: int) -> None:
+    """The full disk is simulated by a limit on the size of the files that a child process writes."""
     source = (
         "import resource, sys; from granitewell.handover import *; h = Handover(sys.argv[1], 'n1'); "
         f"h.register(); resource.setrlimit(resource.RLIMIT_FSIZE, ({max_file_bytes}, {max_file_bytes})); "
         "print(h.write_ban(b's-a', True, ClockReading(1, 1))); h.unregister()"
     )
-    done = subprocess.run([sys.executable, "-c", source, str(tmp_path)], capture_output=True, text=True)
-    assert "could not be written down" in done.stdout and done.returncode == 0
+    finished = subprocess.run([sys.executable, "-c", source, str(tmp_path)], capture_output=True, text=True)
+    assert "could not be written down" in finished.stdout and finished.returncode == 0
     assert os.listdir(tmp_path / "granitewell-n1") == []
 
 
 @pytest.mark.parametrize("step_s", [-86_400, -30, 30, 86_400])
-def test_a_wall_clock_that_is_set_moves_no_ban(tmp_path: Path, step_s: int) -> None:
-    """Times were Unix times, and each process had its own view of them.
+def test_setting_the_wall_clock_changes_no_ban(tmp_path: Path, step_s: int) -> None:
+    """Guards against ordering bans by Unix time, as earlier versions did.
 
-    After a step back between two starts a call back at one process lay before the ban at the other, which
-    went on banning; after a step ahead the end of a ban was forgotten at once, or lay ahead, and the endpoint
-    was held for cold for as long.
+    If the wall clock was set back between two starts, the end of a ban at one process seemed to precede the
+    ban, and the other process kept the endpoint banned. If it was set ahead, the end of a ban was forgotten
+    at once, or lay in the future and the endpoint was treated as cold until then.
     """
     files = Handover(str(tmp_path), "n1")
     assert files.write_ban(b"s-a", False, NOW) == "" and files.write_ban(b"s-b", True, NOW) == ""
@@ -174,8 +174,8 @@
     assert stored.banned_endpoints == {b"s-b"} and stored.ended_us == {b"s-a": NOW.monotonic_us}
 
 
-def test_a_file_of_before_is_read_by_the_wall_clock(tmp_path: Path) -> None:
-    """Bans hold over an upgrade from a version that wrote no monotonic time."""
+def test_file_of_an_earlier_version_is_read_by_the_wall_clock(tmp_path: Path) -> None:
+    """Bans survive an upgrade from a version that wrote no monotonic time."""
     files = Handover(str(tmp_path), "n1")
     for endpoint, banned, ago_us in ((b"s-a", True, 9), (b"s-b", False, 5), (b"s-c", False, -5)):
         files.write_ban(endpoint, banned, ClockReading(NOW.unix_us - ago_us, -1))
@@ -183,11 +183,11 @@
     assert stored.banned_endpoints == {b"s-a"} and stored.ended_us == {b"s-b": NOW.monotonic_us - 5}
 
 
-def test_a_change_within_one_tick_of_the_file_system_is_not_missed(tmp_path: Path) -> None:
-    """A ban called at the process beside this one, right behind another change, did not show.
+def test_two_changes_within_one_file_system_tick_are_both_noticed(tmp_path: Path) -> None:
+    """Guards against missing a ban that another process stores right after another change.
 
-    Requests went on to an endpoint that an operator had been told was out, until something else changed
-    there.
+    Requests went on to an endpoint that the operator had been told was banned, until something else changed
+    in the folder.
     """
     files, folder = Handover(str(tmp_path), "n1"), tmp_path / "granitewell-n1"
     assert files.register() == "" and files.has_changed()
@@ -198,12 +198,12 @@
     os.utime(folder, ns=(10**18, 10**18))
     assert (
         files.has_changed() and not files.has_changed()
-    )  # an old one is believed, and costs no further look
+    )  # an old modification time is reliable, and is not checked again
     files.unregister()
 
 
-def test_what_could_not_be_said_of_descriptors_is_said_again(tmp_path: Path, monkeypatch: Patch) -> None:
-    """It counted as said: the next process went by an older figure for as long as both ran."""
+def test_claim_that_could_not_be_written_is_written_again(tmp_path: Path, monkeypatch: Patch) -> None:
+    """A failed write counted as written, and the next process used an outdated claim as long as both ran."""
     one, two = Handover(str(tmp_path), "n1"), Handover(str(tmp_path), "n1")
     assert one.register() == two.register() == ""
 
@@ -218,7 +218,7 @@
     assert two.other_claims() == [300]
 
 
-SHORT = """
+WITHOUT_FREE_DESCRIPTORS = """
 import resource, sys
 from granitewell.handover import Handover, ClockReading
 now, mine, other = ClockReading(9, 9), Handover(sys.argv[1], "n1"), Handover(sys.argv[1], "n1")
@@ -233,13 +233,18 @@
 """
 
 
-def test_without_a_descriptor_to_look_by_nothing_is_taken_for_gone(tmp_path: Path) -> None:
-    """Where none was left the other process counted as ended, and this one took its descriptors too.
+def test_lack_of_descriptors_makes_no_process_count_as_ended(tmp_path: Path) -> None:
+    """Guards against treating a failed check of the folder as an empty folder.
 
-    And a ban called there was never heard of, as its folder had been looked at.
+    Without a free descriptor the other process counted as ended, and this one used its descriptors too. A ban
+    stored there was never noticed, as the folder counted as checked.
     """
-    told = subprocess.run([sys.executable, "-c", SHORT, str(tmp_path)], capture_output=True, text=True)
-    assert told.stdout == "[200] (True, [200], frozenset(), [200]) True frozenset({b's-a'}) [200]\n", told
+    finished = subprocess.run(
+        [sys.executable, "-c", WITHOUT_FREE_DESCRIPTORS, str(tmp_path)], capture_output=True, text=True
+    )
+    assert (
+        finished.stdout == "[200] (True, [200], frozenset(), [200]) True frozenset({b's-a'}) [200]\n"
+    ), finished
 
 
 def test_without_a_folder_nothing_is_written() -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while the node serves: which files are refused, and what stays of what was known."""
+"""Tests of a reload while the node serves: which files are refused, and which state is kept."""
 
 from __future__ import annotations
 
@@ -37,44 +37,44 @@
 NEW = {"name": "taxi-lookup_b", "effect": "side_effect", "aimMs": 500.0, "giveUpMs": 900.0, "value": 2.0}
 
 
-def again(env: dict[str, str], old: Config) -> Config:
+def reload_config(env: dict[str, str], old: Config) -> Config:
     return keep_indices(old, reload(env, lambda top: check_complete(old.raw, top, "")))
 
 
-def test_an_index_belongs_to_a_name_for_good(tmp_path: Path) -> None:
-    """A class added in front moved the others: the module's rows of one class went on for another."""
+def test_name_keeps_its_index_over_reloads(tmp_path: Path) -> None:
+    """A class inserted in front shifted the others, and the balancer mixed up the state of classes."""
     old = load(env := write(tmp_path))
     text = settings()
     text["classes"] = [NEW, text["classes"][1]]
     write(tmp_path, settings=text)
-    new = again(env, old)
+    new = reload_config(env, old)
     assert new.class_names == ("taxi-lookup", "ride-assign", "taxi-lookup_b")
     assert new.active_classes == {"taxi-lookup_b", "ride-assign"}
     assert [x.deadline_ms for x in new.settings.classes] == [2500.0, 2000.0, 900.0]
     write(tmp_path)
-    back = again(env, new)
+    back = reload_config(env, new)
     assert back.class_names == new.class_names and back.active_classes == {"taxi-lookup", "ride-assign"}
 
 
-def test_names_that_come_and_go_for_months_are_bounded(tmp_path: Path) -> None:
-    """Each kept its place for good, in the module's rows and the work of each period, without any bound."""
-    held = load(env := write(tmp_path))
+def test_number_of_names_since_the_start_is_bounded(tmp_path: Path) -> None:
+    """Each name keeps its index forever; without a bound, memory and the work of each period grew."""
+    config = load(env := write(tmp_path))
     for k in range(MAX_NAMES):
         text = settings()
         text["classes"].append(NEW | {"name": f"class-{k}"})
         write(tmp_path, settings=text)
         try:
-            held = again(env, held)
+            config = reload_config(env, config)
         except ConfigError as error:
             assert str(error).startswith("settings.classes: 251 names since the start")
             break
-    assert len(held.class_names) == MAX_NAMES and k == MAX_NAMES - 2
+    assert len(config.class_names) == MAX_NAMES and k == MAX_NAMES - 2
     write(tmp_path)
-    assert again(env, held).active_classes == {
+    assert reload_config(env, config).active_classes == {
         "taxi-lookup",
         "ride-assign",
-    }  # what needs no new place is taken
-    reader = EndpointListReader(held, lambda unix_us: unix_us)
+    }  # a file without new names is accepted
+    reader = EndpointListReader(config, lambda unix_us: unix_us)
     entry = {"id": "s", "host_port": "10.1.0.18:9000", "phase": "ready"}
     many = [entry | {"locality": f"z{k}", "flavor": f"f{k}"} for k in range(3000)]
     members = reader.parse({"revision": 1, "complete": False, "members": many})[1].members
@@ -88,41 +88,39 @@
         yield from _paths(item, (*path, key))
 
 
-def test_a_file_cut_anywhere_or_with_a_key_missing_is_refused(tmp_path: Path) -> None:
-    """The platform may be writing it, or have written nonsense: nothing may be taken of it."""
+def test_truncated_file_or_missing_key_is_refused(tmp_path: Path) -> None:
+    """The platform may still be writing the file, or it may be wrong; no part of it may be applied."""
     old = load(env := write(tmp_path))
     path = Path(env["LB_CONFIG"])
     whole = path.read_text()
     for cut in range(len(whole)):
         path.write_text(whole[:cut])
         with pytest.raises(ConfigError):
-            again(env, old)
+            reload_config(env, old)
     top = json.loads(whole)
     for where in _paths(top["settings"]):
         if isinstance(where[-1], int):
             continue
         changed = json.loads(whole)
-        spot = changed["settings"]
+        parent = changed["settings"]
         for key in where[:-1]:
-            spot = spot[key]
-        del spot[where[-1]]
+            parent = parent[key]
+        del parent[where[-1]]
         path.write_text(json.dumps(changed))
         with pytest.raises(ConfigError) as error:
-            again(env, old)
+            reload_config(env, old)
         assert where[-1] in str(error.value) and "\n" not in str(error.value), where
 
 
 @pytest.mark.parametrize("odd", [0, -1, -0.5, True, "5", None, [], float("nan"), float("inf"), 1e400])
 @pytest.mark.parametrize("name", ["giveUpMs", "maxAttempts"])
-def test_a_deadline_or_attempts_that_are_no_positive_number_are_refused(
-    tmp_path: Path, name: str, odd: Any
-) -> None:
+def test_deadline_or_attempts_that_are_not_positive_are_refused(tmp_path: Path, name: str, odd: Any) -> None:
     old = load(env := write(tmp_path))
     text = settings()
     (text["allowed"] if name == "maxAttempts" else text["classes"][0])[name] = odd
     write(tmp_path, settings=text)
     with pytest.raises(ConfigError, match=name):
-        again(env, old)
+        reload_config(env, old)
 
 
 def request(names: HeaderNames, method: bytes, name: bytes) -> Any:
@@ -131,46 +129,46 @@
     return item
 
 
-def test_the_names_of_before_count_until_clients_have_changed_over(tmp_path: Path) -> None:
-    """Clients name the new class 1.2 s after the signal; a 404 until then failed all of a class."""
+def test_previous_names_are_accepted_until_clients_have_changed_over(tmp_path: Path) -> None:
+    """Clients use the new class 1.2 s after the signal; a 404 until then failed every request of a class."""
     old = load(env := write(tmp_path))
     names = HeaderNames(old)
     text = settings()
     text["classes"] = [text["classes"][1] | {"effect": "pure"}, NEW]
     write(tmp_path, settings=text)
-    names.reconfigure(again(env, old))
-    asks = [request(names, *x) for x in ((b"GET", b"taxi-lookup"), (b"POST", b"ride-assign"),
+    names.reconfigure(reload_config(env, old))
+    requests = [request(names, *x) for x in ((b"GET", b"taxi-lookup"), (b"POST", b"ride-assign"),
                                          (b"GET", b"ride-assign"), (b"POST", b"taxi-lookup_b"))]  # fmt: skip
-    assert all(isinstance(x, Request) for x in asks)
-    assert [(x.class_index, x.must_not_repeat) for x in asks] == [
+    assert all(isinstance(x, Request) for x in requests)
+    assert [(x.class_index, x.must_not_repeat) for x in requests] == [
         (0, False),
         (1, True),
         (1, False),
         (2, True),
     ]
     names.drop_previous()
-    bad = [request(names, b"GET", b"taxi-lookup"), request(names, b"POST", b"ride-assign")]
-    assert [x.status for x in bad if isinstance(x, RejectedRequest)] == [404, 405]
+    rejected = [request(names, b"GET", b"taxi-lookup"), request(names, b"POST", b"ride-assign")]
+    assert [x.status for x in rejected if isinstance(x, RejectedRequest)] == [404, 405]
 
 
-def test_an_open_request_keeps_its_class_and_its_attempts() -> None:
-    """Its client was promised the rules that it came under.
+def test_open_request_keeps_its_class_and_its_attempts() -> None:
+    """The settings at its arrival apply to a request until its end.
 
-    One that was safe is repeated, one more attempt than before is not made.
+    A request that was safe then is repeated, and gets no more attempts than the limit was then.
     """
     node = core(Script(Request=send, Ended=lambda e: [] if e.final else send(e)), max_attempts=2)
     (first,) = calls(node.handle(1, c.Arrived(1, SAFE, 0, 0, 900_000, "m")))
-    was = w.settings(parallel_tries=True, may_cancel=True, max_attempts=5)
-    unsafe = (replace(was.classes[0], effect=Effect.UNSAFE), *was.classes[1:])
-    node.handle(2, c.Settled(replace(was, classes=unsafe), 100))
+    original = w.settings(parallel_tries=True, may_cancel=True, max_attempts=5)
+    unsafe = (replace(original.classes[0], effect=Effect.UNSAFE), *original.classes[1:])
+    node.handle(2, c.Settled(replace(original, classes=unsafe), 100))
     (second,) = calls(node.handle(3, c.CallEnded(first.call, Outcome.ERROR)))
     effects = node.handle(4, c.CallEnded(second.call, Outcome.ERROR))
     assert [e.verdict for e in effects if isinstance(e, c.Answer)] == [c.Verdict.FAILED]
     (third,) = calls(node.handle(5, c.Arrived(2, SAFE, 0, 0, 900_000, "m")))
-    assert not calls(node.handle(6, c.CallEnded(third.call, Outcome.ERROR)))  # it came under the new rules
+    assert not calls(node.handle(6, c.CallEnded(third.call, Outcome.ERROR)))  # the new settings apply to it
 
 
-def test_a_client_that_holds_it_for_unsafe_is_believed() -> None:
+def test_request_that_the_client_marks_unsafe_is_not_repeated() -> None:
     script = Script(Request=send, Ended=send)
     node = core(script)
     (first,) = calls(node.handle(1, c.Arrived(1, SAFE, 0, 0, 900_000, "m", once=True)))
@@ -178,31 +176,33 @@
     assert [e.once for e in script.seen if isinstance(e, t.Request)] == [True]
 
 
-def test_the_module_serves_a_class_that_came_later_and_keeps_what_it_knew() -> None:
-    """Played at random over reloads: each request is sent or answered, and no row is missing."""
+def test_balancer_serves_classes_added_later_and_keeps_its_state() -> None:
+    """Random requests over several reloads: each is sent once, and no class is missing in the state."""
     rng, base = Random(7), w.settings(parallel_tries=True, may_cancel=True)
-    one = Balancer(base, 1)
+    balancer = Balancer(base, 1)
     hosts = tuple(t.Host(b"s-%d" % k, 0, 0, 0, State.READY, 1.0, 0.0) for k in range(4))
-    one.handle(0.0, t.Hosts(View.FULL, hosts))
-    now, kinds = 0.0, list(base.classes)
+    balancer.handle(0.0, t.Hosts(View.FULL, hosts))
+    now, classes = 0.0, list(base.classes)
     for rid in range(1, 2001):
         now += 2.0
         if rid % 200 == 0:
-            kinds.append(t.RequestClass(150.0, 800.0, rng.choice([Effect.SAFE, Effect.UNSAFE])))
-            kinds[0] = replace(kinds[0], effect=rng.choice([Effect.SAFE, Effect.UNSAFE]))
-            one.handle(now, t.Resettled(replace(base, classes=tuple(kinds), max_attempts=rng.randint(1, 5))))
-        actions = one.handle(now, t.Request(rid, rng.randrange(len(kinds)), 0, 0, now + 800.0, 0.0))
+            classes.append(t.RequestClass(150.0, 800.0, rng.choice([Effect.SAFE, Effect.UNSAFE])))
+            classes[0] = replace(classes[0], effect=rng.choice([Effect.SAFE, Effect.UNSAFE]))
+            balancer.handle(
+                now, t.Resettled(replace(base, classes=tuple(classes), max_attempts=rng.randint(1, 5)))
+            )
+        actions = balancer.handle(now, t.Request(rid, rng.randrange(len(classes)), 0, 0, now + 800.0, 0.0))
         sent = [a for a in actions if isinstance(a, t.Send)]
         assert len(sent) == 1
         outcome = Outcome.OK if rng.random() < 0.9 else Outcome.ERROR
-        one.handle(now + 1.0, t.Ended(rid, 0, sent[0].host, outcome, 1.0, True))
-        one.handle(now + 1.5, t.Timer(0))
-    figures, full, _, rows = one.judged()
-    assert len(full) == len(kinds) == 13 and all(len(row[4]) == 13 for row in rows)
+        balancer.handle(now + 1.0, t.Ended(rid, 0, sent[0].host, outcome, 1.0, True))
+        balancer.handle(now + 1.5, t.Timer(0))
+    figures, full, _, rows = balancer.judged()
+    assert len(full) == len(classes) == 13 and all(len(row[4]) == 13 for row in rows)
     assert 0.0 < figures["mean_ms"] < 2.0
 
 
-def test_a_signal_brings_a_new_class_and_a_broken_file_nothing() -> None:
+def test_signal_applies_a_new_class_and_ignores_an_invalid_file() -> None:
     player = Player()
     try:
         player.step_start("a=ready", b"")
@@ -226,46 +226,50 @@
         os.kill(player.program.pid, signal.SIGHUP)
         end = time.monotonic() + LIMIT_S
         while asked() == b"404":
-            assert time.monotonic() < end, "the new class was never taken"
+            assert time.monotonic() < end, "the new class was never applied"
     finally:
         player.close()
 
 
-def test_a_process_that_has_served_nothing_uses_the_cold_by_the_allowances() -> None:
-    """A new version under load knew no rate yet: it sent the cold next to nothing and swamped what was warm.
+def test_new_process_estimates_the_load_of_cold_endpoints_from_the_allowances() -> None:
+    """Guards against a new process that has measured no rate yet sending next to nothing to cold endpoints.
 
-    Where all were cold, nothing was ever sent. What it may send stays under the multiple of their share.
+    It overloaded the warm ones instead, and if all were cold, nothing was ever sent. What is sent to the cold
+    ones must stay under the allowed multiple of their share.
     """
     base = w.settings(tenants=(t.Tenant(1.0, 400.0),), cold_from=0.1, ramp_ms=20_000.0, fall_ms=1000.0)
     hosts = tuple(t.Host(b"s-%d" % k, 0, 0, 0, State.READY, 1.0, 1_000_000.0) for k in range(4))
-    one = Balancer(base, 1)
-    one.handle(1_000_000.0, t.Hosts(View.FULL, hosts))
+    balancer = Balancer(base, 1)
+    balancer.handle(1_000_000.0, t.Hosts(View.FULL, hosts))
     sent = 0
-    for k in range(2000):  # two seconds, a request each millisecond: far more than they bear
+    for k in range(2000):  # two seconds, a request each millisecond: far more than they can serve
         now = 1_000_000.0 + k
-        sent += sum(isinstance(a, t.Send) for a in one.handle(now, t.Request(k, 0, 0, 0, now + 900.0, 0.0)))
-        sent += sum(isinstance(a, t.Send) for a in one.handle(now, t.Timer(0)))
-    bears = 400.0 / 2 / 2  # a second: this gateway's part of half of the allowances, of all four
-    assert 8 <= sent <= 3 * 0.19 * bears * 2 + 4
+        sent += sum(
+            isinstance(a, t.Send) for a in balancer.handle(now, t.Request(k, 0, 0, 0, now + 900.0, 0.0))
+        )
+        sent += sum(isinstance(a, t.Send) for a in balancer.handle(now, t.Timer(0)))
+    capacity_per_s = 400.0 / 2 / 2  # of all four: this gateway's part of half of the allowances
+    assert 8 <= sent <= 3 * 0.19 * capacity_per_s * 2 + 4
 
 
-def test_a_client_that_leaves_gets_no_second_copy_in_that_moment() -> None:
-    """The copy came before the news was taken.
+def test_abandoned_request_gets_no_second_copy() -> None:
+    """Guards against sending a parallel copy of a request at the moment when its client leaves.
 
-    The core knew of no such request, and the module held that host for busy with it for ever.
+    The copy was sent before the abandonment was handled. The core had no such request any more, and the
+    balancer counted the copy as in flight at that host forever.
     """
-    one = Balancer(w.settings(parallel_tries=True, may_cancel=True), 1)
+    balancer = Balancer(w.settings(parallel_tries=True, may_cancel=True), 1)
     hosts = tuple(t.Host(b"s-%d" % k, 0, 0, 0, State.READY, 1.0, 0.0) for k in range(3))
-    one.handle(0.0, t.Hosts(View.FULL, hosts))
+    balancer.handle(0.0, t.Hosts(View.FULL, hosts))
     at: dict[int, bytes] = {}
     for rid in range(200):
-        actions = one.handle(rid, t.Request(rid, 0, 0, 0, 9000.0, 0.0))
+        actions = balancer.handle(rid, t.Request(rid, 0, 0, 0, 9000.0, 0.0))
         at[rid] = next(a.host for a in actions if isinstance(a, t.Send))
         if rid < 150:
-            one.handle(rid + 0.5, t.Ended(rid, 0, at[rid], Outcome.OK, 5.0, True))
-    ill, late = at[199], 199
+            balancer.handle(rid + 0.5, t.Ended(rid, 0, at[rid], Outcome.OK, 5.0, True))
+    failing, abandoned = at[199], 199
     for rid in range(150, 199):
-        outcome = Outcome.ERROR if at[rid] == ill else Outcome.OK
-        one.handle(201.0, t.Ended(rid, 0, at[rid], outcome, 5.0, True))
-    actions = one.handle(1000.0, t.Abandoned(late))
-    assert [a for a in actions if isinstance(a, t.Send)] == [] and t.Cancel(late, 0) in actions
+        outcome = Outcome.ERROR if at[rid] == failing else Outcome.OK
+        balancer.handle(201.0, t.Ended(rid, 0, at[rid], outcome, 5.0, True))
+    actions = balancer.handle(1000.0, t.Abandoned(abandoned))
+    assert [a for a in actions if isinstance(a, t.Send)] == [] and t.Cancel(abandoned, 0) in actions
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -1,7 +1,8 @@
-"""Who may import whom, by the source of every module: the rooms, their packages, and what pure parts may use.
+"""Tests of the import rules: layers, their third-party packages, and what pure layers may use.
 
-The tables are the rule; docs/design/frame.md says why, and docs/design/system.md for the whole system. A room
-that is not named may not be imported. Imports inside functions and under TYPE_CHECKING count too.
+The tables below are the rules. docs/design/frame.md and, for the whole system, docs/design/system.md give the
+reasons. A layer may import only the layers that its entry names. Imports inside functions and under
+TYPE_CHECKING count too.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 
-# module or package: its room; the longest one that fits counts
-ROOMS = {
-    "granitewell": "root",  # the package itself; what is in it and not named below is a subject
+# layer of each module or package; the longest matching name counts
+LAYERS = {
+    "granitewell": "root",  # the package itself; anything in it not named below is a "subject", which is pure
     "granitewell.__main__": "start",
     "granitewell.cli": "cli",
     "granitewell.lab": "lab",
@@ -27,17 +28,17 @@
     "granitewell.lab.emulator": "lab model",
     "granitewell.lab.judge": "lab judge",
     "granitewell.lab.simulation": "lab sim",
-    "granitewell.lab.simulation.play": "lab",  # runs a day and says how long it took,
-    "granitewell.lab.simulation.profile": "lab",  # where the time went,
-    "granitewell.lab.simulation.hunt": "lab",  # and many days in many processes
+    "granitewell.lab.simulation.play": "lab",  # runs a day and measures the time
+    "granitewell.lab.simulation.profile": "lab",  # profiles a run
+    "granitewell.lab.simulation.hunt": "lab",  # runs many days in many processes
     "granitewell.lab.platform": "lab platform",
     "granitewell.lab.cluster": "lab cluster",
     "granitewell.lab.cluster.hunt": "lab",
     "granitewell.lab.system": "lab system",
-    "granitewell.state_machine": "state machine",  # the terms between pure machines and their shells
-    "granitewell.files": "files",  # that others put there,
-    "granitewell.handover": "files",  # and those of the private temporary folder
-    "granitewell.durable_folder": "files",  # or of a lasting one
+    "granitewell.state_machine": "state machine",  # types for pure state machines and what runs them
+    "granitewell.files": "files",  # written by others
+    "granitewell.handover": "files",  # in the private temporary folder
+    "granitewell.durable_folder": "files",  # in a durable folder
     "granitewell.startup_pacing": "start",
     "granitewell.net": "net",
     "granitewell.net.logs": "logs",
@@ -51,21 +52,21 @@
     # the whole system
     "granitewell.domain": "domain",
     "granitewell.rpc": "rpc",
-    "granitewell.discovery": "discovery",  # the platform's list, as both planes read it
+    "granitewell.discovery": "discovery",  # the platform's endpoint list, read by both planes
     "granitewell.coordination": "coordination",
     "granitewell.controlplane": "controlplane",
     "granitewell.dataplane": "dataplane",
     "granitewell.logs": "system logs",
-    "granitewell.nodes": "nodes",  # the processes: what assembles planes
+    "granitewell.nodes": "nodes",  # assembles the planes into processes
     "granitewell.cli.system": "cli.system",
 }
 
-# room: the rooms that it may import, besides its own
-LAB = {"lab base", "lab model", "lab judge", "lab sim", "lab platform", "lab cluster"}
-SYSTEM = {"domain", "rpc", "discovery", "coordination", "controlplane", "dataplane", "system logs"}
-MAY = {
+# layers that a layer may import besides its own
+LAB_LAYERS = {"lab base", "lab model", "lab judge", "lab sim", "lab platform", "lab cluster"}
+SYSTEM_LAYERS = {"domain", "rpc", "discovery", "coordination", "controlplane", "dataplane", "system logs"}
+ALLOWED_LAYERS = {
     "root": set(),
-    "cli": {"lab", "operator", "subject", "config", *LAB},
+    "cli": {"lab", "operator", "subject", "config", *LAB_LAYERS},
     "lab": {
         "files",
         "operator",
@@ -75,10 +76,10 @@
         "protocols",
         "core",
         "balancing",
-        *LAB,
+        *LAB_LAYERS,
     },
     "lab cluster": {"lab base", "subject", "state machine", "protocols"},
-    "lab system": {"domain"},  # starts the programs as processes, and imports none of their planes
+    "lab system": {"domain"},  # starts the programs as processes and imports no plane
     "lab sim": {"lab platform", "lab base", "lab model", "protocols", "core", "balancing"},
     "lab platform": {"lab base", "protocols", "config", "core", "balancing"},
     "lab model": {"lab base"},
@@ -95,8 +96,8 @@
     "logs": set(),
     "files": set(),
     "balancing": set(),
-    "cli.system": {"nodes", "core", "balancing", *SYSTEM},
-    "nodes": {"core", "balancing", *SYSTEM},
+    "cli.system": {"nodes", "core", "balancing", *SYSTEM_LAYERS},
+    "nodes": {"core", "balancing", *SYSTEM_LAYERS},
     "controlplane": {"coordination", "discovery", "rpc", "domain"},  # the planes never import each other
     "dataplane": {"discovery", "domain", "core", "balancing"},
     "coordination": {"rpc", "domain"},
@@ -106,11 +107,11 @@
     "system logs": set(),
 }
 
-# room: packages that are not Python's own
-NODE = {"uvloop", "httptools"}
-PACKAGES = {
+# third-party packages that a layer may import
+NODE_PACKAGES = {"uvloop", "httptools"}
+ALLOWED_PACKAGES = {
     "cli": {"click", "rich", "msgspec"},
-    "lab": {"msgspec", "numpy", "hdrh", "matplotlib", *NODE},
+    "lab": {"msgspec", "numpy", "hdrh", "matplotlib", *NODE_PACKAGES},
     "lab system": {"aiohttp"},
     "start": {"uvloop"},
     "net": {"uvloop", "httptools"},
@@ -127,11 +128,11 @@
     "system logs": {"logbook"},
 }
 
-# rooms that are pure: no clock, no descriptor, no random number of their own
-PURE = {"core", "subject", "state machine", "protocols", "lab base", "lab model", "lab judge", "lab platform",
-        "lab sim", "lab cluster", "balancing",
-        "domain", "rpc", "discovery", "coordination", "controlplane", "dataplane"}  # fmt: skip
-SHELLS = {  # the modules of pure rooms that are none: they run the pure ones on clocks, sockets and files
+# pure layers: no access to clocks, descriptors or unseeded random numbers
+PURE_LAYERS = {"core", "subject", "state machine", "protocols", "lab base", "lab model", "lab judge",
+               "lab platform", "lab sim", "lab cluster", "balancing",
+               "domain", "rpc", "discovery", "coordination", "controlplane", "dataplane"}  # fmt: skip
+IMPURE_MODULES = {  # exceptions in pure layers: modules that run the pure ones on clocks, sockets and files
     "granitewell.balancing.simulator_adapter",  # the simulator's adapter: reads and writes the pipe
     "granitewell.rpc.transport",
     "granitewell.discovery.reader",
@@ -139,7 +140,7 @@
     "granitewell.coordination.consensus.wake_timer",
     "granitewell.coordination.consensus.proposals",
     "granitewell.coordination.consensus.recovery",
-    "granitewell.coordination.consensus.identity",  # random ids, kept on the disk
+    "granitewell.coordination.consensus.identity",  # random ids, stored on disk
     "granitewell.coordination.disk_thread",
     "granitewell.controlplane.configuration.answers",
     "granitewell.controlplane.configuration.api",
@@ -156,24 +157,31 @@
     "granitewell.dataplane.upstream",
     "granitewell.dataplane.upstream_pool",
 }
-IMPURE = {"asyncio", "socket", "select", "selectors", "time", "threading", "subprocess", "multiprocessing",
-          "concurrent", "signal", "ssl", "secrets", "uuid", "tempfile", "sqlite3", "uvloop",
-          "aiohttp", "logbook"}  # fmt: skip
-CLOCKS = {"os.urandom", "os.getrandom", "datetime.now", "datetime.utcnow", "datetime.today", "date.today"}
-LOADERS = {"importlib", "runpy"}  # by which an import could hide from this test; not for what serves
+IMPURE_PACKAGES = {"asyncio", "socket", "select", "selectors", "time", "threading", "subprocess",
+                   "multiprocessing", "concurrent", "signal", "ssl", "secrets", "uuid", "tempfile", "sqlite3",
+                   "uvloop", "aiohttp", "logbook"}  # fmt: skip
+IMPURE_CALLS = {
+    "os.urandom",
+    "os.getrandom",
+    "datetime.now",
+    "datetime.utcnow",
+    "datetime.today",
+    "date.today",
+}
+DYNAMIC_IMPORTERS = {"importlib", "runpy"}  # can hide an import from this test; allowed only in tools
 
 
-def room_of(module: str) -> str:
-    """The room of a module, by the longest name in the table that it is in."""
-    while module not in ROOMS:
+def layer_of(module: str) -> str:
+    """Return the layer of a module: that of the longest matching name in the table."""
+    while module not in LAYERS:
         module = module.rpartition(".")[0]
         if module == "granitewell":
             return "subject"
-    return ROOMS[module]
+    return LAYERS[module]
 
 
 def imports(module: str, tree: ast.AST, package: bool, known: Mapping[str, object]) -> Iterator[str]:
-    """The modules that a source imports, whatever the form."""
+    """Yield the modules that a source imports, by any form of import statement."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -186,46 +194,46 @@
                 yield name if name in known or base in ("os", "random") else base
 
 
-def _ours(name: str) -> bool:
+def _is_own(name: str) -> bool:
     return name.partition(".")[0] == "granitewell"
 
 
-def _sibling(a: str, b: str) -> bool:
-    """Two subjects: each a module or package directly under granitewell."""
+def _in_different_subjects(a: str, b: str) -> bool:
+    """Return whether two modules belong to different modules or packages directly under granitewell."""
     return a.split(".")[:2] != b.split(".")[:2]
 
 
-def faults(module: str, source: str, known: Mapping[str, object], package: bool = False) -> list[str]:
-    """What a module does that its room may not."""
-    tree, room, found = ast.parse(source), room_of(module), []
+def violations(module: str, source: str, known: Mapping[str, object], package: bool = False) -> list[str]:
+    """Return what a module does against the rules of its layer."""
+    tree, layer, found = ast.parse(source), layer_of(module), []
     for name in imports(module, tree, package, known):
         root = name.partition(".")[0]
-        if _ours(name):
-            other = room_of(name)
-            if other not in (room, "root") and other not in MAY[room]:
-                found.append(f"{room} imports {other}: {name}")
-            if room == other == "subject" and _sibling(module, name):
+        if _is_own(name):
+            other = layer_of(name)
+            if other not in (layer, "root") and other not in ALLOWED_LAYERS[layer]:
+                found.append(f"{layer} imports {other}: {name}")
+            if layer == other == "subject" and _in_different_subjects(module, name):
                 found.append(f"a subject imports another: {name}")
-        elif root not in sys.stdlib_module_names and root not in PACKAGES.get(room, ()):
-            found.append(f"{room} imports the package {root}")
-        elif root in LOADERS and room not in ("cli", "lab"):
-            found.append(f"{room} loads by {root}")
-    if room in PURE and module not in SHELLS:
-        found += _impure(tree, list(imports(module, tree, package, known)))
+        elif root not in sys.stdlib_module_names and root not in ALLOWED_PACKAGES.get(layer, ()):
+            found.append(f"{layer} imports the package {root}")
+        elif root in DYNAMIC_IMPORTERS and layer not in ("cli", "lab"):
+            found.append(f"{layer} loads by {root}")
+    if layer in PURE_LAYERS and module not in IMPURE_MODULES:
+        found += _impure_uses(tree, list(imports(module, tree, package, known)))
     return found
 
 
-def _impure(tree: ast.AST, names: list[str]) -> list[str]:
-    found = [f"pure, and imports {n}" for n in names if n.partition(".")[0] in IMPURE]
+def _impure_uses(tree: ast.AST, names: list[str]) -> list[str]:
+    found = [f"pure, and imports {n}" for n in names if n.partition(".")[0] in IMPURE_PACKAGES]
     found += [f"pure, and imports {n}" for n in names if n.startswith("random.") and n != "random.Random"]
-    found += [f"pure, and imports {n}" for n in names if n in CLOCKS]
+    found += [f"pure, and imports {n}" for n in names if n in IMPURE_CALLS]
     for node in ast.walk(tree):
         if isinstance(node, ast.Call):
             name = ast.unparse(node.func)
             last = ".".join(name.split(".")[-2:])
             if last in ("Random", "random.Random") and not node.args:
                 found.append(f"pure, and calls {name}() without a seed")
-            elif last in CLOCKS or (name.startswith("random.") and name != "random.Random"):
+            elif last in IMPURE_CALLS or (name.startswith("random.") and name != "random.Random"):
                 found.append(f"pure, and calls {name}")
     return found
 
@@ -238,9 +246,9 @@
 
 
 @pytest.mark.parametrize("module", SOURCES)
-def test_every_module_keeps_to_its_room(module: str) -> None:
+def test_every_module_follows_the_rules_of_its_layer(module: str) -> None:
     path = SOURCES[module]
-    assert faults(module, path.read_text(), SOURCES, path.name == "__init__.py") == []
+    assert violations(module, path.read_text(), SOURCES, path.name == "__init__.py") == []
 
 
 @pytest.mark.parametrize(
@@ -303,32 +311,38 @@
         ("granitewell.__main__", "from granitewell import logs", "start imports system logs"),
     ],
 )  # fmt: skip
-def test_each_rule_finds_what_breaks_it(module: str, source: str, says: str) -> None:
+def test_each_rule_detects_a_violation(module: str, source: str, says: str) -> None:
     planes = ("coordination", "controlplane", "dataplane")
     known = {*SOURCES, "granitewell.routes", "granitewell.limits.pure", *(f"granitewell.{x}" for x in planes)}
-    assert says in " ".join(faults(module, source, dict.fromkeys(known))), faults(module, source, SOURCES)
-
-
-def test_what_is_allowed_is_no_fault() -> None:
-    good = "import json\nfrom random import Random\nfrom granitewell.lab.day import Day\nRandom(3).random()"
-    assert faults("granitewell.lab.emulator.work", good, SOURCES) == []
-    assert faults("granitewell.limits.pure", "from granitewell.limits import table", SOURCES) == []
-    assert faults("granitewell.net.loop", "from granitewell.net import http1, logs", SOURCES) == []
+    assert says in " ".join(violations(module, source, dict.fromkeys(known))), violations(
+        module, source, SOURCES
+    )
+
+
+def test_allowed_imports_are_no_violations() -> None:
+    allowed_source = (
+        "import json\nfrom random import Random\nfrom granitewell.lab.day import Day\nRandom(3).random()"
+    )
+    assert violations("granitewell.lab.emulator.work", allowed_source, SOURCES) == []
+    assert violations("granitewell.limits.pure", "from granitewell.limits import table", SOURCES) == []
+    assert violations("granitewell.net.loop", "from granitewell.net import http1, logs", SOURCES) == []
     shell = "import asyncio\nimport aiohttp\nfrom granitewell.coordination.consensus import group"
-    assert faults("granitewell.controlplane.placement.controller", shell, SOURCES) == []
+    assert violations("granitewell.controlplane.placement.controller", shell, SOURCES) == []
     planes = "from granitewell.dataplane import x\nfrom granitewell.controlplane.configuration import view"
-    assert faults("granitewell.nodes.edge", planes, SOURCES) == []
+    assert violations("granitewell.nodes.edge", planes, SOURCES) == []
 
 
-def test_only_modules_of_pure_rooms_are_named_as_shells() -> None:
-    assert {room_of(module) for module in SHELLS} <= PURE
-    assert {module for module in SHELLS if module not in SOURCES} == set()
+def test_exceptions_name_only_existing_modules_of_pure_layers() -> None:
+    assert {layer_of(module) for module in IMPURE_MODULES} <= PURE_LAYERS
+    assert {module for module in IMPURE_MODULES if module not in SOURCES} == set()
 
 
-def test_every_room_is_somebodys_and_the_rules_have_no_circle() -> None:
-    assert {*ROOMS.values(), "subject"} == set(MAY)
+def test_every_layer_has_a_rule_and_imports_have_no_cycle() -> None:
+    assert {*LAYERS.values(), "subject"} == set(ALLOWED_LAYERS)
     order: list[str] = []
-    while len(order) < len(MAY):
-        free = [room for room, may in MAY.items() if room not in order and may <= {*order}]
-        assert free, f"a circle among {set(MAY) - {*order}}"
+    while len(order) < len(ALLOWED_LAYERS):
+        free = [
+            layer for layer, allowed in ALLOWED_LAYERS.items() if layer not in order and allowed <= {*order}
+        ]
+        assert free, f"a cycle among {set(ALLOWED_LAYERS) - {*order}}"
         order += free
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -52,7 +52,7 @@
 from granitewell.controlplane.configuration.api import OperatorApi
 from granitewell.controlplane.configuration.store import ConfigurationStore
 from granitewell.domain.errors import InvalidSettingsError
-from tests.test_system_settings import LEAST
+from tests.test_system_settings import MINIMAL
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "operate" / "system.md").read_text()
@@ -539,11 +539,11 @@
 def test_the_seeds_of_the_settings_file_are_asked_where_no_address_is_given(
     nodes: ControlNodes, folder: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (folder / "node.json").write_text(json.dumps(LEAST | {"seeds": [nodes.leader]}))
+    (folder / "node.json").write_text(json.dumps(MINIMAL | {"seeds": [nodes.leader]}))
     monkeypatch.setenv("GRANITEWELL_NODE_FILE", "node.json")
     assert said(capsys, "config", "get") == (1, "granitewell: no configuration has been taken yet\n")
     assert said(capsys, "config", "put", "whole.json") == (0, "taken: version 7, on top of 0\n")
-    (folder / "node.json").write_text(json.dumps(LEAST | {"seeds": []}))
+    (folder / "node.json").write_text(json.dumps(MINIMAL | {"seeds": []}))
     code, text = said(capsys, "config", "get")
     assert code == 2 and "no seeds in node.json" in text
 
--- a/tests/test_system_logs.py
+++ b/tests/test_system_logs.py
@@ -1,4 +1,4 @@
-"""Log lines of the system's processes: their form, their bound, and what is never waited for."""
+"""Tests of the system's log lines: their format, their rate limits, and that logging never blocks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class Sink:
-    """Lines that were written, and a clock that stands still until it is moved."""
+    """Collects the written lines, with a clock that only the test advances."""
 
     now: float = 100.0
     lines: list[str] = field(default_factory=list)
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def sink() -> Iterator[Sink]:
-    """All logging of this process goes to it for the time of a test."""
+    """Receive all logging of this process during a test."""
     sink, root = Sink(), logging.getLogger()
     before = root.handlers[:], root.level, sys.unraisablehook
     handler = logs.set_up(clock=sink.clock, write=sink.write)
@@ -50,7 +50,7 @@
 log = logbook.Logger("granitewell.test")
 
 
-def test_a_record_is_one_line_of_level_logger_message_and_values(sink: Sink) -> None:
+def test_record_is_one_line_of_level_logger_message_and_values(sink: Sink) -> None:
     log.info("leader elected", group="shard-0", term=3)
     log.warning("disk of {}", "core-1", why="a b", share=1 / 3)
     log.error("node {name} is gone", name="x", after=2)
@@ -66,7 +66,7 @@
     assert sink.lines == []
 
 
-def test_an_exception_says_what_and_where_in_the_same_line(sink: Sink) -> None:
+def test_exception_and_its_origin_are_on_the_same_line(sink: Sink) -> None:
     try:
         os.stat("/none\nsuch")
     except OSError:
@@ -76,13 +76,13 @@
     assert "at=test_system_logs.py:" in line and line.count("\n") == 1
 
 
-def test_arguments_that_do_not_fit_lose_no_line(sink: Sink) -> None:
+def test_arguments_that_do_not_fit_the_template_lose_no_line(sink: Sink) -> None:
     log.info("share of {}: {}", 1)
     assert sink.lines == ["info granitewell.test share of {}: {}\n"]
 
 
 @given(st.text(), st.text(), st.integers(0, 10**9))
-def test_whatever_is_in_it_a_line_is_one_line_that_a_pipe_takes_whole(
+def test_any_content_gives_one_line_that_a_pipe_accepts_atomically(
     message: str, value: str, suppressed: int
 ) -> None:
     line = logs.LogLine("info", "granitewell.test", message, {"value": value}, suppressed).encode()
@@ -100,7 +100,7 @@
         assert len(line.encode()) <= 4096 and line.encode().endswith(b" left_out=7\n")
 
 
-def test_lines_of_one_template_are_bounded_and_what_was_left_out_is_told(sink: Sink) -> None:
+def test_lines_of_one_template_are_limited_and_suppressed_ones_are_counted(sink: Sink) -> None:
     for number in range(1000):
         log.warning("peer {} is unreachable", number)
     assert len(sink.lines) == logs.TEMPLATE_BURST_LINES
@@ -114,7 +114,7 @@
     assert sink.lines[-1] == "warning granitewell.test peer 1001 is unreachable\n"
 
 
-def test_what_is_left_out_for_good_is_told_by_the_next_line_of_any_kind(sink: Sink) -> None:
+def test_suppressed_lines_are_reported_with_the_next_line_of_any_template(sink: Sink) -> None:
     for _ in range(20):
         log.warning("once only")
     sink.now += logs.REPORT_INTERVAL_S
@@ -125,7 +125,7 @@
     assert sink.lines[-1] == "info granitewell.test something else\n"
 
 
-def test_templates_that_are_no_constants_are_bounded_too(sink: Sink) -> None:
+def test_templates_that_are_not_constant_are_limited_too(sink: Sink) -> None:
     for number in range(10_000):
         log.info(f"request {number}")
     assert len(sink.lines) == logs.TOTAL_BURST_LINES
@@ -136,7 +136,7 @@
 
 
 @given(st.lists(st.floats(0.0, 5.0), max_size=200))
-def test_a_bucket_never_gives_more_than_burst_and_rate(pauses: list[float]) -> None:
+def test_token_bucket_never_exceeds_burst_and_rate(pauses: list[float]) -> None:
     bucket, now, taken = logs.TokenBucket(5.0, 0.5, 0.0), 0.0, 0
     for pause in pauses:
         now += pause
@@ -144,12 +144,12 @@
         assert taken <= 5.0 + 0.5 * now + 1e-6
 
 
-def test_a_long_silence_saves_up_no_more_than_a_burst() -> None:
+def test_token_bucket_accumulates_no_more_than_a_burst() -> None:
     bucket = logs.TokenBucket(5.0, 0.5, 0.0)
     assert sum(bucket.take(1_000_000.0) for _ in range(100)) == 5
 
 
-def test_while_nobody_reads_lines_are_left_out_and_counted(sink: Sink) -> None:
+def test_lines_that_could_not_be_written_are_counted(sink: Sink) -> None:
     sink.reads = False
     log.info("first")
     sink.reads = True
@@ -157,7 +157,7 @@
     assert sink.lines == ["info granitewell.test first left_out=1\n"]
 
 
-def test_a_full_pipe_holds_nobody_up_and_a_closed_one_is_no_error() -> None:
+def test_full_pipe_does_not_block_and_closed_pipe_is_no_error() -> None:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     with pytest.raises(BlockingIOError):
@@ -173,7 +173,7 @@
     os.close(writer)
 
 
-def test_what_libraries_and_python_itself_say_comes_as_the_same_lines(sink: Sink) -> None:
+def test_standard_logging_and_warnings_become_the_same_lines(sink: Sink) -> None:
     logging.getLogger("asyncio").error("task %s was never awaited", 7)
     logging.getLogger("aiohttp.server").info("not worth a line")
     handlers = logging.getLogger().handlers
@@ -187,13 +187,13 @@
     assert len(sink.lines) == 3
 
 
-def test_an_error_that_nobody_can_catch_is_a_line_too(sink: Sink, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unraisable_exception_becomes_a_line(sink: Sink, monkeypatch: pytest.MonkeyPatch) -> None:
     class Broken:
         def __del__(self) -> None:
             raise ValueError("in a destructor")
 
     hook = logs.unraisable_hook(logs.BoundedLog(sink.clock, sink.write))
-    monkeypatch.setattr(sys, "unraisablehook", hook)  # pytest has put its own in place of the one of set_up
+    monkeypatch.setattr(sys, "unraisablehook", hook)  # pytest has replaced the hook of set_up by its own
     Broken()
     (line,) = sink.lines
     assert line.startswith("error python exception ignored") and 'error="ValueError: in a destructor"' in line
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: what is taken, and how what is wrong is named."""
+"""Tests of the settings file of the system's processes: accepted values, and fields that errors name."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     settings_path,
 )
 
-LEAST: dict[str, Any] = {
+MINIMAL: dict[str, Any] = {
     "node-name": "edge-1",
     "ip": "127.0.0.1",
     "zone": "z1",
@@ -30,7 +30,7 @@
     "seeds": ["127.0.0.1:8146"],
     "cloud": {"address": "127.0.0.1:8142"},
 }
-WHOLE: dict[str, Any] = LEAST | {
+FULL: dict[str, Any] = MINIMAL | {
     "role": "edge",
     "machine-class": "edge",
     "zones": {"z1": "r1"},
@@ -51,31 +51,31 @@
     return parse_settings(json.dumps(document).encode())
 
 
-def test_the_least_file_is_enough_and_the_rest_has_defaults() -> None:
-    settings = parse(LEAST)
+def test_minimal_file_is_accepted_and_the_rest_has_defaults() -> None:
+    settings = parse(MINIMAL)
     assert settings.listen.front == "127.0.0.1:8144" and settings.listen.control is None
     assert settings.seeds == ("127.0.0.1:8146",) and settings.internal_ports == (7660, 7675)
     assert not settings.bootstrap and settings.counts_for_quorum is None and settings.data_dir is None
 
 
-def test_a_whole_file_is_read_and_fields_that_are_not_known_are_passed_over() -> None:
-    settings = parse(WHOLE)
+def test_full_file_is_read_and_unknown_fields_are_ignored() -> None:
+    settings = parse(FULL)
     assert settings.bootstrap and settings.counts_for_quorum and settings.data_dir == "/data"
     assert settings.limits.cpu_share == 0.537 and settings.limits.max_fds == 4100
     assert settings.bounds.lease_ms == 3000 and settings.bounds.seed_lag_s == 3
     assert settings.cloud.rate_per_s == 44.0 and settings.contracts == ("base", "drain")
 
 
-def test_control_nodes_talk_on_the_first_internal_port() -> None:
-    settings = parse(LEAST)
+def test_control_rpc_uses_the_first_internal_port() -> None:
+    settings = parse(MINIMAL)
     first, last = settings.internal_ports
     assert settings.control_rpc_port == first <= last
 
 
-@pytest.mark.parametrize("name", LEAST)
-def test_a_field_that_is_needed_and_missing_is_named(name: str) -> None:
+@pytest.mark.parametrize("name", MINIMAL)
+def test_missing_required_field_is_named(name: str) -> None:
     with pytest.raises(InvalidSettingsError) as raised:
-        parse({key: value for key, value in LEAST.items() if key != name})
+        parse({key: value for key, value in MINIMAL.items() if key != name})
     assert raised.value.field == name and raised.value.reason == "missing"
 
 
@@ -98,9 +98,9 @@
         ("heartbeat-ms", "often", "heartbeat-ms"),
     ],
 )
-def test_a_field_of_another_type_is_named_by_its_path(name: str, value: Any, field: str) -> None:
+def test_field_of_a_wrong_type_is_named_by_its_path(name: str, value: Any, field: str) -> None:
     with pytest.raises(InvalidSettingsError) as raised:
-        parse(LEAST | {name: value})
+        parse(MINIMAL | {name: value})
     assert raised.value.field == field
 
 
@@ -109,7 +109,7 @@
     [b"", b"{", b"[]", b"null", b"\xff\xfe", b"7", b'{"a": NaN', b"[" * 100_000],
     ids=lambda text: repr(text[:9]),
 )
-def test_what_is_no_object_is_refused_and_no_defect(text: bytes) -> None:
+def test_file_that_is_not_an_object_is_refused(text: bytes) -> None:
     with pytest.raises(InvalidSettingsError):
         parse_settings(text)
 
@@ -121,21 +121,21 @@
 )
 
 
-@given(st.sampled_from(sorted(WHOLE)), JSON)
-def test_whatever_a_field_holds_it_is_taken_or_named(name: str, value: Any) -> None:
+@given(st.sampled_from(sorted(FULL)), JSON)
+def test_any_value_is_accepted_or_its_field_is_named(name: str, value: Any) -> None:
     try:
-        parse(WHOLE | {name: value})
+        parse(FULL | {name: value})
     except InvalidSettingsError as error:
         assert error.field.split(".")[0].split("[")[0] in (name, "file")
 
 
-@given(st.integers(0, len(json.dumps(WHOLE)) - 1))
-def test_a_file_that_was_cut_is_refused(length: int) -> None:
+@given(st.integers(0, len(json.dumps(FULL)) - 1))
+def test_truncated_file_is_refused(length: int) -> None:
     with pytest.raises(InvalidSettingsError):
-        parse_settings(json.dumps(WHOLE).encode()[:length])
+        parse_settings(json.dumps(FULL).encode()[:length])
 
 
-def test_where_the_file_is(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_path_of_the_file(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     monkeypatch.delenv(PATH_VARIABLE, raising=False)
     assert settings_path() == Path(DEFAULT_PATH)
     path = tmp_path / "node.json"
@@ -143,5 +143,5 @@
     with pytest.raises(InvalidSettingsError) as raised:
         read_settings(settings_path())
     assert raised.value.field == str(path)
-    path.write_text(json.dumps(LEAST))
-    assert read_settings(settings_path()) == parse(LEAST)
+    path.write_text(json.dumps(MINIMAL))
+    assert read_settings(settings_path()) == parse(MINIMAL)
