--- a/granitewell/config.py
+++ b/granitewell/config.py
@@ -68,7 +68,7 @@
     kind_names: tuple[str, ...]
     report_names: tuple[str, ...]
     dial_timeout_us: int
-    conn_idle_us: int
+    idle_connection_timeout_us: int
     max_open_requests: int
     console: tuple[str, int] | None = None
     memory_mb: float = 192.0
@@ -108,7 +108,7 @@
 ) -> float:
     value = obj.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < 1e12:
-        raise ConfigError(f"{field}: {value!r} is not a number from {minimum:g}")
+        raise ConfigError(f"{field}: {value!r} is not a number of at least {minimum:g}")
     return float(value)
 
 
@@ -117,7 +117,7 @@
         raise ConfigError(f"{field}: not a list of names")
     for x in value:
         if not x.isprintable():  # a lone surrogate can't be encoded, and a header can't contain a line break
-            raise ConfigError(f"{field}: {_abbreviate(x)} is not a name")
+            raise ConfigError(f"{field}: {_abbreviate(x)} contains a character that is not printable")
     return tuple(value)
 
 
@@ -144,7 +144,7 @@
     if not text:
         return -1
     if not _PORT.match(text):
-        raise ConfigError(f"LB_INHERITED_FD: {_abbreviate(text)} is not a descriptor")
+        raise ConfigError(f"LB_INHERITED_FD: {_abbreviate(text)} is not a descriptor number")
     return int(text)
 
 
@@ -177,7 +177,7 @@
         raise ConfigError(" ".join(str(error).split())) from None
     class_names = _require_names([c.get("name") for c in raw["classes"]], "settings.classes[].name")
     if len(set(class_names)) < len(class_names):
-        raise ConfigError("settings.classes[].name: a name comes twice")
+        raise ConfigError("settings.classes[].name: duplicate name")
     limits = _require_object(document.get("limits", {}), "limits")
     allowed = _require_object(raw.get("allowed"), "settings.allowed")
     # The balancer's list has only the tenants with an allowance; the names must have the same indices.
@@ -209,7 +209,9 @@
         dial_timeout_us=int(
             1000 * _require_number(allowed, "dialTimeoutMs", "settings.allowed.dialTimeoutMs", 250)
         ),
-        conn_idle_us=int(1000 * _require_number(allowed, "connIdleMs", "settings.allowed.connIdleMs", 10000)),
+        idle_connection_timeout_us=int(
+            1000 * _require_number(allowed, "connIdleMs", "settings.allowed.connIdleMs", 10000)
+        ),
         console=parse_address(console, "console") if console else None,
         memory_mb=_require_number(limits, "memory_mb", "limits.memory_mb", 192.0, 16),
         inherited=_parse_descriptor(env.get("LB_INHERITED_FD", "")),
--- a/granitewell/handover.py
+++ b/granitewell/handover.py
@@ -97,13 +97,15 @@
     Raises:
         ValueError: The file is truncated, damaged, or not a ban file.
     """
-    line, _, rest = raw.partition(b"\n")
-    if rest != b"%08x\n" % crc32(line):
+    line, _, checksum_line = raw.partition(b"\n")
+    if checksum_line != b"%08x\n" % crc32(line):
         raise ValueError("cut off, or not written by this program")
-    top = json.loads(line)
-    if not isinstance(top, dict) or top.get("v") != FORMAT_VERSION:
+    document = json.loads(line)
+    if not isinstance(document, dict) or document.get("v") != FORMAT_VERSION:
         raise ValueError("unsupported format version")
-    endpoint, banned, unix_us, monotonic_us = (top.get(x) for x in ("id", "banned", "unix_us", "mono_us"))
+    endpoint, banned, unix_us, monotonic_us = (
+        document.get(x) for x in ("id", "banned", "unix_us", "mono_us")
+    )
     if (
         not isinstance(endpoint, str)
         or not isinstance(banned, bool)
--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -323,7 +323,7 @@
 
     def _configure_pool(self) -> None:
         """Apply the settings of connections to endpoints."""
-        self.pool.idle_timeout_us = int(self._config.conn_idle_us * IDLE_RATIO)
+        self.pool.idle_timeout_us = int(self._config.idle_connection_timeout_us * IDLE_RATIO)
         self.pool.dial_timeout_us = self._config.dial_timeout_us
 
     def _forget_old_names(self, change: int) -> None:
--- a/granitewell/reload.py
+++ b/granitewell/reload.py
@@ -42,7 +42,7 @@
     if kind != _type_name(new) and old is not None and new is not None:
         raise ConfigError(f"{field or 'LB_CONFIG'}: {_abbreviate(new)} is not {kind}")
     if isinstance(new, float) and not math.isfinite(new):
-        raise ConfigError(f"{field}: {new!r} is not a number that can be used")
+        raise ConfigError(f"{field}: {new!r} is not a finite number")
     prefix = f"{field}." if field else ""
     if isinstance(old, dict) and isinstance(new, dict):
         for key in old:
@@ -113,7 +113,7 @@
     if isinstance(value, int | float):
         return "a number"
     if isinstance(value, str):
-        return "a text"
+        return "a string"
     if isinstance(value, Mapping):
         return "an object"
     return "a list" if isinstance(value, list) else "null"
--- a/tests/fleet/test_durable_folder.py
+++ b/tests/fleet/test_durable_folder.py
@@ -36,15 +36,14 @@
 def test_lock_is_held_by_one_process_until_it_ends_or_is_killed(tmp_path: Path) -> None:
     holder = start_writer(tmp_path / "kept")
     assert holder.stdout is not None and holder.stdout.readline() == b"(True, '')\n"
-    kept = DurableFolder(str(tmp_path / "kept"))
-    assert kept.try_lock() == (False, "") and not kept.holds_lock and kept.write(b"x") == ""
-    assert not any(
-        (tmp_path / "kept" / slot).exists() for slot in SLOTS
-    )  # only the holder of the lock writes
+    folder = DurableFolder(str(tmp_path / "kept"))
+    assert folder.try_lock() == (False, "") and not folder.holds_lock and folder.write(b"x") == ""
+    # only the holder of the lock writes
+    assert not any((tmp_path / "kept" / slot).exists() for slot in SLOTS)
     holder.send_signal(signal.SIGKILL)
     holder.wait()
-    assert kept.try_lock() == (True, "") and kept.try_lock() == (True, "")
-    kept.release_lock()
+    assert folder.try_lock() == (True, "") and folder.try_lock() == (True, "")
+    folder.release_lock()
     third = DurableFolder(str(tmp_path / "kept"))
     assert third.try_lock() == (True, "")
     third.release_lock()
@@ -68,30 +67,30 @@
 
 def test_unusable_folder_is_reported_and_stops_nobody(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    broken = DurableFolder(str(tmp_path / "file" / "folder"))
-    acquired, problem = broken.try_lock()
-    assert acquired and "can't be used" in problem and broken.holds_lock and broken.write(b"x") == ""
+    unusable = DurableFolder(str(tmp_path / "file" / "folder"))
+    acquired, problem = unusable.try_lock()
+    assert acquired and "can't be used" in problem and unusable.holds_lock and unusable.write(b"x") == ""
     assert DurableFolder("").try_lock() == (True, "") and DurableFolder("").read(9) == (b"", "")
-    kept = DurableFolder(str(tmp_path))
-    assert kept.try_lock() == (True, "") and kept.read(99) == (b"", "")
-    assert kept.write(b"12345") == "" and kept.read(99) == (b"12345", "")
-    assert "over 4 bytes" in kept.read(4)[1]
+    folder = DurableFolder(str(tmp_path))
+    assert folder.try_lock() == (True, "") and folder.read(99) == (b"", "")
+    assert folder.write(b"12345") == "" and folder.read(99) == (b"12345", "")
+    assert "over 4 bytes" in folder.read(4)[1]
     (tmp_path / SLOTS[0]).unlink()
     os.mkfifo(tmp_path / SLOTS[0])
-    assert "no regular file" in kept.read(99)[1]
-    assert kept.write(b"67890") == "" and kept.read(99) == (b"67890", "")  # the other slot is usable
-    assert "Illegal seek" in kept.write(b"more") and kept.read(99) == (b"67890", "")
-    kept.release_lock()
+    assert "no regular file" in folder.read(99)[1]
+    assert folder.write(b"67890") == "" and folder.read(99) == (b"67890", "")  # the other slot is usable
+    assert "Illegal seek" in folder.write(b"more") and folder.read(99) == (b"67890", "")
+    folder.release_lock()
     (tmp_path / LOCK_FILE).unlink()
     os.symlink(tmp_path / "elsewhere", tmp_path / LOCK_FILE)
     assert "can't be used" in DurableFolder(str(tmp_path)).try_lock()[1]
 
 
 def test_truncated_or_damaged_slot_gives_the_previous_record(tmp_path: Path) -> None:
-    kept = DurableFolder(str(tmp_path))
-    assert kept.try_lock() == (True, "")
+    folder = DurableFolder(str(tmp_path))
+    assert folder.try_lock() == (True, "")
     for data in (b"the old one", b"and the new"):
-        assert kept.write(data) == ""
+        assert folder.write(data) == ""
     new = tmp_path / SLOTS[1]
     good = new.read_bytes()
     assert len(good) == BLOCK_BYTES
@@ -114,14 +113,14 @@
 def test_slots_never_shrink_and_the_legacy_file_is_read_once(tmp_path: Path) -> None:
     """Freeing blocks of a file blocks the writer on a file system mounted with `discard`."""
     (tmp_path / LEGACY_FILE).write_bytes(b"as it was")
-    kept = DurableFolder(str(tmp_path))
-    assert kept.try_lock() == (True, "") and kept.read(99) == (b"as it was", "")
-    assert kept.write(b"x" * (BLOCK_BYTES + 1)) == "" and not (tmp_path / LEGACY_FILE).exists()
-    place = (tmp_path / SLOTS[0]).stat().st_ino
+    folder = DurableFolder(str(tmp_path))
+    assert folder.try_lock() == (True, "") and folder.read(99) == (b"as it was", "")
+    assert folder.write(b"x" * (BLOCK_BYTES + 1)) == "" and not (tmp_path / LEGACY_FILE).exists()
+    inode = (tmp_path / SLOTS[0]).stat().st_ino
     for k in range(5):
-        assert kept.write(b"%d" % k) == ""
+        assert folder.write(b"%d" % k) == ""
         assert DurableFolder(str(tmp_path)).read(99) == (b"%d" % k, "")
-    kept = DurableFolder(str(tmp_path))  # a write without a previous read continues the sequence
-    kept.try_lock()
+    folder = DurableFolder(str(tmp_path))  # a write without a previous read continues the sequence
+    folder.try_lock()
     now = (tmp_path / SLOTS[0]).stat()
-    assert now.st_ino == place and now.st_size == 2 * BLOCK_BYTES
+    assert now.st_ino == inode and now.st_size == 2 * BLOCK_BYTES
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -33,7 +33,7 @@
     config = load(write(tmp_path) | {"LB_NAME": "n7", "LB_LISTEN": "127.0.0.2:1"})
     assert (config.name, config.listen, config.discovery) == ("n7", ("127.0.0.2", 1), ("127.0.0.1", 8500))
     assert (config.seed, config.sockets, config.cores) == (0x8C1F, 1024, 1.0)
-    assert (config.dial_timeout_us, config.conn_idle_us) == (250_000, 10_000_000)
+    assert (config.dial_timeout_us, config.idle_connection_timeout_us) == (250_000, 10_000_000)
     assert config.report_names == ("failed_ps", "pending")
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -57,18 +57,18 @@
     """A write cut short by a kill or a full disk must neither prevent a start nor count as a ban."""
     files = Handover(str(tmp_path), "n1")
     files.write_ban(b"s-a", True, NOW)
-    path, whole = tmp_path / "granitewell-n1" / f"ban-{b's-a'.hex()}", encode_ban(b"s-a", True, NOW)
-    assert path.read_bytes() == whole
-    for cut in range(len(whole)):
-        path.write_bytes(whole[:cut])
+    path, intact = tmp_path / "granitewell-n1" / f"ban-{b's-a'.hex()}", encode_ban(b"s-a", True, NOW)
+    assert path.read_bytes() == intact
+    for cut in range(len(intact)):
+        path.write_bytes(intact[:cut])
         stored = files.read_bans(NOW)
         assert not stored.banned_endpoints and len(stored.problems) == 1 and path.name in stored.problems[0]
-        flipped = bytearray(whole)
+        flipped = bytearray(intact)
         flipped[cut] ^= 0x10
         path.write_bytes(flipped)
         assert not files.read_bans(NOW).banned_endpoints
     path.rename(path.with_name("ban-00"))
-    path.with_name("ban-00").write_bytes(whole)
+    path.with_name("ban-00").write_bytes(intact)
     assert not files.read_bans(NOW).banned_endpoints
 
 
@@ -227,9 +227,9 @@
 other.write_ban(b"s-a", True, now)
 spare = open("/dev/null")
 resource.setrlimit(resource.RLIMIT_NOFILE, (spare.fileno(), 4096))
-told = mine.has_changed(), mine.other_claims(), mine.read_bans(now).banned_endpoints, mine.other_claims()
+result = mine.has_changed(), mine.other_claims(), mine.read_bans(now).banned_endpoints, mine.other_claims()
 resource.setrlimit(resource.RLIMIT_NOFILE, (4096, 4096))
-print(before, told, mine.has_changed(), mine.read_bans(now).banned_endpoints, mine.other_claims())
+print(before, result, mine.has_changed(), mine.read_bans(now).banned_endpoints, mine.other_claims())
 """
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -91,9 +91,8 @@
         and len(parsed["node"]) == 64
         and len(parsed["f0"]) == 50
     )
-    assert "f0" not in parse_json_line(
-        "x", fields={f"f{k}": "\x03" * 200 for k in range(3)}
-    )  # the text takes precedence over the fields
+    # the text takes precedence over the fields
+    assert "f0" not in parse_json_line("x", fields={f"f{k}": "\x03" * 200 for k in range(3)})
     many = parse_json_line(" ".join(f"{'abcdefghij' * 3}{k}={k}" for k in range(100)))
     assert many["cut"] and many["text"].startswith("abcdefghij")
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -70,10 +70,8 @@
             break
     assert len(config.class_names) == MAX_NAMES and k == MAX_NAMES - 2
     write(tmp_path)
-    assert reload_config(env, config).active_classes == {
-        "taxi-lookup",
-        "ride-assign",
-    }  # a file without new names is accepted
+    # a file without new names is accepted
+    assert reload_config(env, config).active_classes == {"taxi-lookup", "ride-assign"}
     reader = EndpointListReader(config, lambda unix_us: unix_us)
     entry = {"id": "s", "host_port": "10.1.0.18:9000", "phase": "ready"}
     many = [entry | {"locality": f"z{k}", "flavor": f"f{k}"} for k in range(3000)]
@@ -92,16 +90,16 @@
     """The platform may still be writing the file, or it may be wrong; no part of it may be applied."""
     old = load(env := write(tmp_path))
     path = Path(env["LB_CONFIG"])
-    whole = path.read_text()
-    for cut in range(len(whole)):
-        path.write_text(whole[:cut])
+    full_text = path.read_text()
+    for cut in range(len(full_text)):
+        path.write_text(full_text[:cut])
         with pytest.raises(ConfigError):
             reload_config(env, old)
-    top = json.loads(whole)
+    top = json.loads(full_text)
     for where in _paths(top["settings"]):
         if isinstance(where[-1], int):
             continue
-        changed = json.loads(whole)
+        changed = json.loads(full_text)
         parent = changed["settings"]
         for key in where[:-1]:
             parent = parent[key]
@@ -112,12 +110,16 @@
         assert where[-1] in str(error.value) and "\n" not in str(error.value), where
 
 
-@pytest.mark.parametrize("odd", [0, -1, -0.5, True, "5", None, [], float("nan"), float("inf"), 1e400])
+@pytest.mark.parametrize(
+    "invalid_value", [0, -1, -0.5, True, "5", None, [], float("nan"), float("inf"), 1e400]
+)
 @pytest.mark.parametrize("name", ["giveUpMs", "maxAttempts"])
-def test_deadline_or_attempts_that_are_not_positive_are_refused(tmp_path: Path, name: str, odd: Any) -> None:
+def test_deadline_or_attempts_that_are_not_positive_are_refused(
+    tmp_path: Path, name: str, invalid_value: Any
+) -> None:
     old = load(env := write(tmp_path))
     text = settings()
-    (text["allowed"] if name == "maxAttempts" else text["classes"][0])[name] = odd
+    (text["allowed"] if name == "maxAttempts" else text["classes"][0])[name] = invalid_value
     write(tmp_path, settings=text)
     with pytest.raises(ConfigError, match=name):
         reload_config(env, old)
