--- a/granitewell/balancing/balancer.py
+++ b/granitewell/balancing/balancer.py
@@ -435,7 +435,7 @@
                 health.unhealthy_since_ms > 0.0 for s in self._ready_hosts for health in s.class_health
             )
             self._actions.append(Log(
-                f"prefix {self._prefix_size} of {len(self._ready_hosts)} hosts, {unhealthy} unhealthy pairs, "
+                f"prefix {self._prefix_size} of {len(self._ready_hosts)} hosts, {unhealthy} sick pairs, "
                 f"c {self._prefix.slots:.2f}; late {self._late_ratio:.0%}, shedding {self._shed_level:.0%}, "
                 f"mean {self._mean_latency_ms:.0f} ms"
             ))  # fmt: skip
--- a/granitewell/balancing/interface.py
+++ b/granitewell/balancing/interface.py
@@ -96,7 +96,7 @@
     """
 
     def __init__(self, actions: list[Action]) -> None:
-        super().__init__("the balancer failed")
+        super().__init__("the decisions failed")
         self.actions = actions
 
 
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -257,7 +257,7 @@
             elif what == "leave" and self.phase is Phase.DRAINING:
                 self._log(
                     "phase",
-                    f"exit deadline reached: leaving, {len(self._requests)} requests answered unserved",
+                    f"no time is left: leaving, {len(self._requests)} are answered unserved",
                 )
                 for request in list(self._requests.values()):
                     self._finish_request(
@@ -277,7 +277,7 @@
         """
         request = self._requests.get(request_id)
         if request is not None and not request.response_started:
-            self._log("overdue", f"request {request_id} had no response by its deadline: answered as failed")
+            self._log("overdue", f"request {request_id} had no answer at its due time: answered as failed")
             self._finish_request(request, ResponseStatus.FAILED)
             self._balancer_events.append(t.Abandoned(request_id))
 
@@ -330,7 +330,7 @@
             return
         if len(self._requests) >= self._max_pending_requests:
             self.stats["table_full"] += 1
-            self._log("full", f"the request table is full with {len(self._requests)} requests: rejected")
+            self._log("full", f"the table holds {len(self._requests)} requests: turned away")
             wait = int(self._settings.max_retry_after_ms * 1000) if self._settings.retry_after else 0
             self._effects.append(
                 SendResponse(event.downstream_id, ResponseStatus.REJECTED, None, wait, closing)
@@ -349,8 +349,8 @@
             self.stats[ResponseStatus.DUPLICATE_ID.value] += 1
             self._log(
                 "same-id",
-                "a request has the id of the open request "
-                f"{event.client_request_id.decode(errors='replace')}: rejected",
+                "a request with the id of request "
+                f"{event.client_request_id.decode(errors='replace')}, which is open: not taken",
             )
             self._effects.append(
                 SendResponse(event.downstream_id, ResponseStatus.DUPLICATE_ID, None, 0, closing)
@@ -466,13 +466,13 @@
         """Start a call, or report it to the balancer as moot if a rule forbids it."""
         request, endpoint = self._requests.get(action.id), self._endpoints.get(action.host)
         if request is None or endpoint is None or request.response_started:
-            self._log("guard", f"blocked a send: request {action.id} or its endpoint is not known")
+            self._log("guard", f"held back a send: request {action.id} or its endpoint is not known")
             self.stats["guarded"] += 1
             return
         number = len(request.calls)
         if number >= request.attempts:
             # a moot call would let a balancer that retries after every call do so forever
-            self._log("guard", f"request {request.id} has used its {number} attempts: answered as failed")
+            self._log("guard", f"request {request.id} has had its {number} attempts: answered as failed")
             self.stats["guarded"] += 1
             self._finish_request(request, ResponseStatus.FAILED)
             self._balancer_events.append(t.Abandoned(request.id))
@@ -486,7 +486,7 @@
         request.calls.append(call)
         self._calls[call.id] = call
         if not allowed:
-            self._log("guard", f"blocked a send of request {action.id}: a rule forbids it")
+            self._log("guard", f"held back a send of request {action.id}: a rule forbids it")
             self.stats["guarded"] += 1
             self._end_call(call, Outcome.MOOT)
             return
@@ -688,7 +688,7 @@
             return
         self._bans[endpoint_id] = self._now
         self.stats["bans"] += 1
-        self._log("ban", f"{_printable_id(endpoint_id)} is banned: it gets no new calls")
+        self._log("ban", f"{_printable_id(endpoint_id)} is banned: nothing new goes there")
         self._effects.append(CloseIdle(endpoint_id))
         for call in [c for c in self._calls.values() if c.endpoint.member.id == endpoint_id and c.dialing]:
             self._effects.append(AbandonCall(call.id))
@@ -698,7 +698,7 @@
     def _unban(self, endpoint_id: bytes, since_us: int) -> None:
         del self._bans[endpoint_id]
         self._unbanned_at_us[endpoint_id] = min(since_us, self._now)
-        self._log("ban", f"{_printable_id(endpoint_id)} is no longer banned, treated as newly started")
+        self._log("ban", f"{_printable_id(endpoint_id)} is back, held for just started")
         self._update_balancer_host(endpoint_id)
 
     def _update_balancer_host(self, endpoint_id: bytes) -> None:
@@ -719,7 +719,7 @@
             succeeded = False
             # the balancer relies on the actions that it decided on before it failed
             actions = error.actions if isinstance(error, t.DecisionError) else ()
-            self._log_exception(f"the balancer failed on {type(event).__name__}")
+            self._log_exception(f"the decisions failed on {type(event).__name__}")
         for action in actions:
             try:
                 self._apply_action(action)
@@ -747,7 +747,7 @@
                 return
             harmless = self._is_safe_to_reject(request)
             if isinstance(action, t.Refuse) and not harmless:
-                self._log("guard", f"request {request.id} may have run: failed instead of rejected")
+                self._log("guard", f"request {request.id} may have run: failed in place of a refusal")
             if isinstance(action, t.Fail) or not harmless:
                 self._finish_request(request, ResponseStatus.FAILED)
             else:
@@ -764,7 +764,7 @@
         elif isinstance(action, t.Log):
             self._log("module", action.line)
         elif not isinstance(action, t.Watch | t.Fetch):  # discovery is always watched
-            self._log("guard", f"{type(action).__name__} is not supported by this node")
+            self._log("guard", f"{type(action).__name__} is not something that this node does")
 
     def _is_safe_to_reject(self, request: PendingRequest) -> bool:
         """Rule 2: a rejection invites a retry, so no request that must not run twice may have run."""
--- a/granitewell/membership/refutation.py
+++ b/granitewell/membership/refutation.py
@@ -180,7 +180,7 @@
         self._due_us = self._last_answer_us = local.now_us
         holder = self.holder
         at = holder.about.address if holder is not None else "an unknown address"
-        local.log("name", f"{local.config.name} is held by another process, at {at}: probing it")
+        local.log("name", f"{local.config.name} is held by another process, at {at}: asking it")
 
     def run(self) -> None:
         """Run the step that is due: probe the holder, take the name, finish joining or leaving."""
@@ -249,8 +249,8 @@
 
     def _report_duplicate(self, birth: int, address: str, owns_name: bool) -> None:
         local = self._local
-        what = "holds our name: waiting until it is gone" if not owns_name else "uses our name and waits"
-        local.log("twin", f"another running process, at {address}, {what} ({local.config.name})")
+        what = "holds our name: we wait until it is gone" if not owns_name else "goes by our name, and waits"
+        local.log("twin", f"another living process, at {address}, {what} ({local.config.name})")
         if birth not in self._reported_duplicates:
             self._reported_duplicates = [*self._reported_duplicates[-MAX_DUPLICATES:], birth]
             local.effects.append(DuplicateIdentity(birth, address, owns_name))
