--- a/benchmarks/status_cost.py
+++ b/benchmarks/status_cost.py
@@ -31,10 +31,10 @@
 from granitewell.net.logs import CLOCK_ORIGIN_US, Log
 from granitewell.net.loop import Node
 from granitewell.status import snapshot, wire
-from granitewell.status.types import MAX_WORST, StatusSettings
+from granitewell.status.types import MAX_TABLE_ROWS, StatusSettings
 
 FLEETS = 12, 300, 3000, 12_000
-WORST = 50, MAX_WORST
+WORST = 50, MAX_TABLE_ROWS
 HELD = 20_000
 ASKING_S = 3.0
 
@@ -79,9 +79,11 @@
     took: list[tuple[float, float]] = []
     for n in range(times):
         now = node.clock.read_now()
-        seen = snapshot.look(node._core, status.socket_counts(node), status.node_info(node), now, MAX_WORST)
-        asked = wire.Asked((wire.STATUS, wire.METRICS)[n % 2], worst)
-        driven(wire.body(asked, driven(seen, took)), took)
+        seen = snapshot.take_snapshot(
+            node._core, status.socket_counts(node), status.node_info(node), now, MAX_TABLE_ROWS
+        )
+        asked = wire.StatusRequest((wire.STATUS_PATH, wire.METRICS_PATH)[n % 2], worst)
+        driven(wire.response_body(asked, driven(seen, took)), took)
     return took
 
 
--- a/granitewell/__main__.py
+++ b/granitewell/__main__.py
@@ -35,24 +35,24 @@
 
 if TYPE_CHECKING:
     from granitewell.net.cluster import Cluster
-    from granitewell.operator.load import Live
+    from granitewell.operator.load import LiveOperatorFile
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-def _take(node: Node, live: Live, joined: list[Cluster]) -> None:
+def _take(node: Node, live: LiveOperatorFile, joined: list[Cluster]) -> None:
     """What the operator file says now.
 
     Nothing of status and cluster is imported before it asks for them. OSError: the cluster's address can't be
     had.
     """
-    node.log.apply_settings(live.held.log.settings())
-    cluster = live.held.cluster.settings()
+    node.log.apply_settings(live.current.log.settings())
+    cluster = live.current.cluster.settings()
     if cluster.name or joined:
         from granitewell.net.cluster import start_or_reconfigure
 
-        start_or_reconfigure(joined, node, cluster, live.held.counts.figures())
-    status = live.held.status.settings()
+        start_or_reconfigure(joined, node, cluster, live.current.counts.figures())
+    status = live.current.status.settings()
     if status.at or node.status_server is not None:
         from granitewell.net.status import serve_status
 
@@ -70,7 +70,7 @@
         node.stop()
 
 
-def _reload(node: Node, live: Live | None, joined: list[Cluster]) -> None:
+def _reload(node: Node, live: LiveOperatorFile | None, joined: list[Cluster]) -> None:
     """SIGHUP: the files have been replaced. A bad one changes nothing; the other is taken all the same."""
     try:
         node.reload(reload(os.environ, node.check))
@@ -79,9 +79,9 @@
     except Exception as error:  # a defect: the operator file is taken up all the same
         node.log_line("fault", f"the reload failed: {type(error).__name__}: {error}")
     if live is not None:
-        plan = live.again()
+        plan = live.reload()
         _take(node, live, joined)
-        node.log.write(node.clock.now(), "reload", plan.line(), always=True)
+        node.log.write(node.clock.now(), "reload", plan.log_line(), always=True)
 
 
 def _heard_of(node: Node) -> None:
@@ -109,7 +109,7 @@
         signal.signal(sign, signal.SIG_IGN)
 
 
-async def _serve(config: Config, live: Live | None, early: list[int]) -> None:
+async def _serve(config: Config, live: LiveOperatorFile | None, early: list[int]) -> None:
     loop = asyncio.get_running_loop()
     core = Core(config.settings, Balancer(config.settings, config.seed), config.most_held)
     handover = Handover(os.environ.get("TMPDIR", ""), config.name)
@@ -140,17 +140,17 @@
             node.status_server.close()
 
 
-def _operator(path: str) -> Live | int | None:
+def _operator(path: str) -> LiveOperatorFile | int | None:
     """The operator file, if one is named, or the exit code where it can't be had."""
     if not path:
         return None
     try:
-        from granitewell.operator.load import InvalidOperatorFileError, Live
+        from granitewell.operator.load import InvalidOperatorFileError, LiveOperatorFile
     except ModuleNotFoundError as error:
         print(f"granitewell: LB_OPERATOR needs {error.name}: pip install 'granitewell[cli]'", file=sys.stderr)
         return 3
     try:
-        return Live(path)
+        return LiveOperatorFile(path)
     except InvalidOperatorFileError as error:
         for problem in error.problems:
             print(f"granitewell: bad operator file: {path}: {problem.text()}", file=sys.stderr)
--- a/granitewell/cli/check.py
+++ b/granitewell/cli/check.py
@@ -16,12 +16,12 @@
 from granitewell.cli.show import BAD_INPUT, as_json, emit
 from granitewell.config import ConfigError
 from granitewell.config import load as node_takes
-from granitewell.operator.load import MAX_FILE, InvalidOperatorFileError, data_of, read
+from granitewell.operator.load import MAX_FILE_BYTES, InvalidOperatorFileError, parse_toml, read_file
 from granitewell.operator.platform import Platform
 from granitewell.operator.problem import Problem
-from granitewell.operator.reference import page
-from granitewell.operator.registry import Operator
-from granitewell.operator.table import examine
+from granitewell.operator.reference import reference_page
+from granitewell.operator.registry import OperatorFile
+from granitewell.operator.table import validate
 
 MAX_PLATFORM = 16 * 1024 * 1024  # bytes; the list of the last known endpoints is in it
 
@@ -55,13 +55,13 @@
     """Look at one file, told apart by what is in it: JSON begins with a brace, which no TOML does."""
     kind = "a file"
     try:
-        raw = read(path, MAX_PLATFORM)
+        raw = read_file(path, MAX_PLATFORM)
         if raw.removeprefix(b"\xef\xbb\xbf").lstrip()[:1] == b"{":
             kind = "a platform configuration"
             return Verdict(path, kind, tuple(_platform(path, raw)))
         kind = "an operator file"
-        read(path, MAX_FILE)
-        return Verdict(path, kind, tuple(examine(data_of(path, raw), Operator)[1]))
+        read_file(path, MAX_FILE_BYTES)
+        return Verdict(path, kind, tuple(validate(parse_toml(path, raw), OperatorFile)[1]))
     except InvalidOperatorFileError as error:
         return Verdict(path, kind, tuple(error.problems))
 
@@ -73,7 +73,7 @@
         return [Problem((), "lists within lists without end", "JSON")]
     except ValueError as error:
         return [Problem((), " ".join(str(error).split()), "JSON")]
-    _, problems = examine(data, Platform)
+    _, problems = validate(data, Platform)
     if all(p.note for p in problems):
         problems += _last_word(path)
     return problems
@@ -105,7 +105,7 @@
     a file can't be used; notes do no harm.
     """
     if reference:
-        click.echo(page(), nl=False)
+        click.echo(reference_page(), nl=False)
         return
     if not files:
         raise click.UsageError("which FILE?")
--- a/granitewell/cli/cluster.py
+++ b/granitewell/cli/cluster.py
@@ -26,9 +26,9 @@
 from granitewell.cli.main import FOUND, OK
 from granitewell.cli.node import get, where
 from granitewell.cli.show import NoMeans, Told, as_json, emit
-from granitewell.status import fleet, shared
-from granitewell.status.descriptions import Sheet, plain
-from granitewell.status.types import Place
+from granitewell.status import fleet, shared_counts
+from granitewell.status.descriptions import TextTable, printable
+from granitewell.status.types import StatusAddress
 
 NAMES, KEYS = "[!-%'-~]{1,63}", "[!-%'-~]{1,96}"
 
@@ -66,14 +66,14 @@
     """
 
 
-def call(at: Place, target: str, method: str = "GET") -> Any:
+def call(at: StatusAddress, target: str, method: str = "GET") -> Any:
     """What a node answers, from JSON or as a line; NoMeans where nobody does, Told where it refuses."""
     try:
         code, raw = get(at, target, method)
     except (OSError, http.client.HTTPException) as error:
         why = getattr(error, "strerror", None) or str(error) or type(error).__name__
-        raise NoMeans(f"{at}: nobody there: {plain(why)}") from None
-    line = plain(raw[:300].decode(errors="replace").strip())
+        raise NoMeans(f"{at}: nobody there: {printable(why)}") from None
+    line = printable(raw[:300].decode(errors="replace").strip())
     if code == 404:
         raise NoMeans(f"{at}: {line}")
     if code != 200:
@@ -81,23 +81,23 @@
     try:
         return json.loads(raw) if raw[:1] == b"{" else line
     except (ValueError, RecursionError) as error:
-        raise NoMeans(f"{at}: no answer of a node: {plain(error)}") from None
+        raise NoMeans(f"{at}: no answer of a node: {printable(error)}") from None
 
 
-def view_of(at: Place) -> dict[str, Any]:
+def view_of(at: StatusAddress) -> dict[str, Any]:
     """One node's view."""
     try:
-        return fleet.taken(call(at, "/cluster"))
+        return fleet.parse_view(call(at, "/cluster"))
     except ValueError as error:
         raise NoMeans(f"{at}: {error}") from None
 
 
-def _sheet(sheet: Sheet) -> Table:
+def _sheet(sheet: TextTable) -> Table:
     made = Table(title=Text(sheet.title), title_justify="left")
     for k, name in enumerate(sheet.columns):
         made.add_column(Text(name), justify="left" if k < 2 else "right")
     for k, row in enumerate(sheet.rows):
-        made.add_row(*map(Text, row), style="red" if k in sheet.lit else "")
+        made.add_row(*map(Text, row), style="red" if k in sheet.highlighted else "")
     return made
 
 
@@ -105,31 +105,31 @@
 @cluster.command(epilog="Example:\n\n  granitewell cluster members --at /run/balancer/status.sock --json")
 @asks
 @as_json
-def members(places: list[Place], as_json: bool) -> None:
+def members(places: list[StatusAddress], as_json: bool) -> None:
     """Show all members as a node has them, who is not well first."""
     view = view_of(places[0])
     emit(view, as_json, partial(_members, view))
-    raise click.exceptions.Exit(OK if fleet.good(view) else FOUND)
+    raise click.exceptions.Exit(OK if fleet.is_healthy(view) else FOUND)
 
 
 def _members(view: dict[str, Any], console: Console) -> None:
-    first, *rest = fleet.head(view)
-    console.print(Text(first, style="bold green" if fleet.good(view) else "bold red"))
+    first, *rest = fleet.summary_lines(view)
+    console.print(Text(first, style="bold green" if fleet.is_healthy(view) else "bold red"))
     for line in rest:
         console.print(Text(line))
     if view["members"]:
-        console.print(_sheet(fleet.members(view)))
+        console.print(_sheet(fleet.members_table(view)))
 
 
 @cluster.command(epilog="Example:\n\n  granitewell cluster status --at n1/status.sock --at n2/status.sock")
 @asks
 @as_json
-def status(places: list[Place], as_json: bool) -> None:
+def status(places: list[StatusAddress], as_json: bool) -> None:
     """Show the views of several nodes beside each other, and whether they agree on who is up."""
     views = [view_of(at) for at in places]
     data = {"agree": agree(views), "views": views}
     emit(data, as_json, partial(_status, data))
-    good = data["agree"] and all(map(fleet.good, views))
+    good = data["agree"] and all(map(fleet.is_healthy, views))
     raise click.exceptions.Exit(OK if good else FOUND)
 
 
@@ -144,8 +144,8 @@
 
 def _status(data: dict[str, Any], console: Console) -> None:
     for view in data["views"]:
-        for line in fleet.head(view):
-            console.print(Text(line, style="" if fleet.good(view) else "red"))
+        for line in fleet.summary_lines(view):
+            console.print(Text(line, style="" if fleet.is_healthy(view) else "red"))
     if len(data["views"]) > 1:
         word = "agree" if data["agree"] else "do not agree"
         style = "bold green" if data["agree"] else "bold red"
@@ -157,7 +157,7 @@
 @click.option("--every", type=click.FloatRange(0.1, 3600), default=1.0, show_default=True, help="Seconds.")
 @click.option("--times", type=click.IntRange(1), help="Looks, after which it ends; without it Ctrl-C does.")
 @as_json
-def watch(places: list[Place], every: float, times: int | None, as_json: bool) -> None:
+def watch(places: list[StatusAddress], every: float, times: int | None, as_json: bool) -> None:
     """Print a line for each change of a member, as a node comes to see it."""
     before: dict[str, tuple[str, str]] = {}
     looks = 0
@@ -180,7 +180,7 @@
 def _change(change: dict[str, Any], console: Console) -> None:
     life = ", another process" if change["other_life"] else ""
     words = f"{change['was'] or 'unknown'} -> {change['now'] or 'forgotten'}{life}"
-    console.print(Text(f"{time.strftime('%H:%M:%S')} {plain(change['name'])}: {words}"))
+    console.print(Text(f"{time.strftime('%H:%M:%S')} {printable(change['name'])}: {words}"))
 
 
 # --- counts ---------------------------------------------------------------------------------------------
@@ -188,14 +188,14 @@
 @click.option("--explain", "key", metavar="TENANT", help="Each node's part of it, and why it is that wide.")
 @asks
 @as_json
-def counts(key: str | None, places: list[Place], as_json: bool) -> None:
+def counts(key: str | None, places: list[StatusAddress], as_json: bool) -> None:
     """Show what all nodes together have taken in the window that ends now, by tenant: at least, at most."""
     if key is not None and not re.fullmatch(KEYS, key):
-        raise Told(f"--explain: found {plain(key[:80])!r}, allowed: 1 to 96 of printable ASCII")
+        raise Told(f"--explain: found {printable(key[:80])!r}, allowed: 1 to 96 of printable ASCII")
     target = f"/cluster/counts?key={quote(key, safe='.-_~')}" if key else "/cluster/counts"
     data = call(places[0], target)
     try:
-        lines, sheets = shared.counted(data)
+        lines, sheets = shared_counts.describe_counts(data)
     except ValueError as error:
         raise NoMeans(f"{places[0]}: {error}") from None
 
@@ -211,7 +211,7 @@
 # --- explain, forget ------------------------------------------------------------------------------------
 def _target(path: str, name: str) -> str:
     if not re.fullmatch(NAMES, name):
-        raise Told(f"NAME: found {plain(name[:80])!r}, allowed: 1 to 63 characters of printable ASCII")
+        raise Told(f"NAME: found {printable(name[:80])!r}, allowed: 1 to 63 characters of printable ASCII")
     return f"{path}?name={quote(name, safe='.-_~')}"
 
 
@@ -219,13 +219,13 @@
 @click.argument("name")
 @asks
 @as_json
-def explain(name: str, places: list[Place], as_json: bool) -> None:
+def explain(name: str, places: list[StatusAddress], as_json: bool) -> None:
     """Show what a node believes of the member NAME: who said what of it, when, by which road, of which
     life.
     """
     data = call(places[0], _target("/cluster/explain", name))
     try:
-        lines, sheet = fleet.explained(data)
+        lines, sheet = fleet.describe_explanation(data)
     except ValueError as error:
         raise NoMeans(f"{places[0]}: {error}") from None
 
@@ -241,7 +241,7 @@
 @cluster.command(epilog="Example:\n\n  granitewell cluster forget n3 --at /run/balancer/status.sock")
 @click.argument("name")
 @asks
-def forget(name: str, places: list[Place]) -> None:
+def forget(name: str, places: list[StatusAddress]) -> None:
     """Tell the fleet that the node NAME is gone for good, and counts in no budget any more.
 
     Only of a node that is silent, and only over a unix socket. The node asked tells the others; should NAME
--- a/granitewell/cli/node.py
+++ b/granitewell/cli/node.py
@@ -24,8 +24,14 @@
 import granitewell
 from granitewell.cli.show import FOUND, NoMeans, Told, as_json, emit
 from granitewell.status import descriptions
-from granitewell.status.types import ALLOWED_AT, MAX_ANSWER, MAX_WORST, Place, Snapshot
-from granitewell.status.types import place as placed
+from granitewell.status.types import (
+    ALLOWED_STATUS_ADDRESS,
+    MAX_RESPONSE_BYTES,
+    MAX_TABLE_ROWS,
+    Snapshot,
+    StatusAddress,
+    parse_status_address,
+)
 
 WAIT_S = 3.0  # for a node that answers within one
 
@@ -80,7 +86,7 @@
     "--operator", metavar="FILE", type=click.Path(),
     help="Operator file of the node, whose [status] says where; wins over LB_OPERATOR.",
 )  # fmt: skip
-@click.option("--worst", type=click.IntRange(0, MAX_WORST), help="Rows of each table, the worst ones.")
+@click.option("--worst", type=click.IntRange(0, MAX_TABLE_ROWS), help="Rows of each table, the worst ones.")
 @click.option("--watch", metavar="S", type=click.FloatRange(0.2, 3600), help="Ask again every S seconds.")
 @as_json
 @click.pass_obj
@@ -103,52 +109,56 @@
             break
         sys.stdout.flush()
         time.sleep(watch)
-    if not descriptions.good(data):
+    if not descriptions.is_healthy(data):
         raise click.exceptions.Exit(FOUND)
 
 
-def where(at: str | None, operator: str | None) -> Place:
+def where(at: str | None, operator: str | None) -> StatusAddress:
     """Where a node's status is: as named, or by its operator file. Told says why that is none."""
     if at is None and not operator:
         raise Told("where is the node's status? name --at or --operator")
     if at is None:
         at = _of_file(str(operator))
     try:
-        return placed(at, os.environ.get("TMPDIR") or "/tmp")
+        return parse_status_address(at, os.environ.get("TMPDIR") or "/tmp")
     except ValueError as error:
-        raise Told(f"--at: found {descriptions.plain(at[:200])}, {error}, allowed: {ALLOWED_AT}") from None
+        raise Told(
+            f"--at: found {descriptions.printable(at[:200])}, {error}, allowed: {ALLOWED_STATUS_ADDRESS}"
+        ) from None
 
 
 def _of_file(path: str) -> str:
     from granitewell.operator.load import InvalidOperatorFileError, load
-    from granitewell.operator.registry import Operator
+    from granitewell.operator.registry import OperatorFile
 
     try:
-        at = load(path, Operator)[0].status.at
+        at = load(path, OperatorFile)[0].status.at
     except InvalidOperatorFileError as error:
         raise Told(str(error)) from None
     if not at:
-        raise Told(f"{path}: status.at: found nothing, allowed: {ALLOWED_AT}; this node serves no status")
+        raise Told(
+            f"{path}: status.at: found nothing, allowed: {ALLOWED_STATUS_ADDRESS}; this node serves no status"
+        )
     return at
 
 
-def ask(where: Place, worst: int | None) -> Snapshot:
+def ask(where: StatusAddress, worst: int | None) -> Snapshot:
     """One snapshot; NoMeans where nobody answers, or somebody else does."""
     query = "" if worst is None else f"?worst={worst}"
     try:
         code, raw = get(where, f"/status{query}")
         if code != 200:
             why = raw[:200].decode(errors="replace").strip()
-            raise ValueError(f"answered {code}: {descriptions.plain(why)}")
-        return descriptions.taken(json.loads(raw))
+            raise ValueError(f"answered {code}: {descriptions.printable(why)}")
+        return descriptions.parse_snapshot(json.loads(raw))
     except (OSError, http.client.HTTPException) as error:
         why = getattr(error, "strerror", None) or str(error) or type(error).__name__
-        raise NoMeans(f"{where}: nobody there: {descriptions.plain(why)}") from None
+        raise NoMeans(f"{where}: nobody there: {descriptions.printable(why)}") from None
     except (ValueError, RecursionError) as error:
         raise NoMeans(f"{where}: no status of a node: {error}") from None
 
 
-def get(where: Place, target: str, method: str = "GET") -> tuple[int, bytes]:
+def get(where: StatusAddress, target: str, method: str = "GET") -> tuple[int, bytes]:
     """Status code and body of a node's answer. OSError, HTTPException: nobody answers as a node does."""
     link = http.client.HTTPConnection("127.0.0.1", where.port or None, timeout=WAIT_S)
     if where.path:
@@ -156,7 +166,7 @@
     try:
         link.request(method, target)
         answer = link.getresponse()
-        return answer.status, answer.read(2 * MAX_ANSWER)
+        return answer.status, answer.read(2 * MAX_RESPONSE_BYTES)
     finally:
         link.close()
 
@@ -181,15 +191,15 @@
 
 
 def _print(data: Snapshot, console: Console) -> None:
-    first, *rest = descriptions.head(data)
-    console.print(Text(first, style="bold green" if descriptions.good(data) else "bold red"))
+    first, *rest = descriptions.summary_lines(data)
+    console.print(Text(first, style="bold green" if descriptions.is_healthy(data) else "bold red"))
     for line in rest:
         console.print(Text(line))
-    for sheet in descriptions.sheets(data):
+    for sheet in descriptions.tables(data):
         made = Table(title=Text(sheet.title), title_justify="left")
         for k, name in enumerate(sheet.columns):
             made.add_column(Text(name), justify="right" if k else "left")
         for k, row in enumerate(sheet.rows):
             # Text, not str: a name in brackets is no markup
-            made.add_row(*map(Text, row), style="red" if k in sheet.lit else "")
+            made.add_row(*map(Text, row), style="red" if k in sheet.highlighted else "")
         console.print(made)
--- a/granitewell/net/status.py
+++ b/granitewell/net/status.py
@@ -18,9 +18,17 @@
 
 from granitewell.net.logs import CLOCK_ORIGIN_US
 from granitewell.net.loop import RESERVED_DESCRIPTORS, Node
-from granitewell.status import fleet, shared, wire
-from granitewell.status.snapshot import look
-from granitewell.status.types import MAX_WORST, About, Place, Snapshot, Sockets, StatusSettings, place
+from granitewell.status import fleet, shared_counts, wire
+from granitewell.status.snapshot import take_snapshot
+from granitewell.status.types import (
+    MAX_TABLE_ROWS,
+    NodeInfo,
+    Snapshot,
+    SocketUsage,
+    StatusAddress,
+    StatusSettings,
+    parse_status_address,
+)
 
 REST_RATIO = 19  # rest after a snapshot, as a multiple of its duration: at most a twentieth of the processor
 MAX_REST_US = 500_000  # a longer snapshot is followed by no more rest than this
@@ -49,9 +57,9 @@
         self._slot_freed = asyncio.Event()
         self._snapshot_lock = asyncio.Lock()  # one snapshot at a time
         self._snapshot: Snapshot | None = None  # the last one; in use while the server rests
-        self._responses: dict[wire.Asked, bytes] = {}  # built from the last snapshot
+        self._responses: dict[wire.StatusRequest, bytes] = {}  # built from the last snapshot
         self._cost_us = self._snapshot_done_us = self._rest_until_us = 0  # of the last snapshot
-        self.cluster: wire.Fleet | None = None  # answers for the cluster; None for no cluster
+        self.cluster: wire.ClusterView | None = None  # answers for the cluster; None for no cluster
 
     # --- Opening and closing ----------------------------------------------------------------------------
     def apply_settings(self, settings: StatusSettings) -> None:
@@ -64,7 +72,7 @@
         self.close()
         if settings.at:
             try:
-                where = place(settings.at, temporary_folder())
+                where = parse_status_address(settings.at, temporary_folder())
                 self._open(where)
                 line = f"the status is at {where}"
             except (OSError, ValueError) as error:
@@ -80,13 +88,13 @@
         if self._listener is not None or not self._settings.at:
             return
         try:
-            where = place(self._settings.at, temporary_folder())
+            where = parse_status_address(self._settings.at, temporary_folder())
             self._open(where)
             self._node.log.write(self._clock.now(), "reload", f"the status is at {where}", always=True)
         except (OSError, ValueError):
             self._retry_timer = self._loop.call_later(BIND_RETRY_S, self._retry)
 
-    def _open(self, where: Place) -> None:
+    def _open(self, where: StatusAddress) -> None:
         """Bind the address and start to accept."""
         sock = socket.socket(socket.AF_UNIX if where.path else socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -147,17 +155,17 @@
         try:
             async with asyncio.timeout(settings.seconds):
                 try:
-                    query = wire.asked(
+                    query = wire.parse_request(
                         await self._read_head(sock), settings.worst, sock.family == socket.AF_INET
                     )
                     raw = await self._answer(query)
                 except wire.RejectedQueryError as error:
-                    raw = error.raw
+                    raw = error.response
                 except OSError:
                     raise
                 except Exception as error:  # a defect must not look like a dead node
                     self._node.log_line("fault", f"the status failed: {type(error).__name__}: {error}")
-                    raw = wire.plainly("the snapshot failed: see the node's log", 500)
+                    raw = wire.text_response("the snapshot failed: see the node's log", 500)
                 await self._loop.sock_sendall(sock, raw)
                 sock.shutdown(socket.SHUT_WR)
                 await self._drain(sock)
@@ -177,7 +185,7 @@
     async def _read_head(self, sock: socket.socket) -> bytes:
         """Read the head of a request."""
         head = b""
-        while b"\r\n\r\n" not in head and len(head) <= wire.MAX_HEAD:
+        while b"\r\n\r\n" not in head and len(head) <= wire.MAX_HEAD_BYTES:
             more = await self._loop.sock_recv(sock, READ_BYTES)
             if not more:
                 raise ConnectionError("closed before the request was complete")
@@ -191,10 +199,10 @@
             left -= len(more)
 
     # --- Answers ----------------------------------------------------------------------------------------
-    async def _answer(self, query: wire.Asked) -> bytes:
+    async def _answer(self, query: wire.StatusRequest) -> bytes:
         """Return a complete answer: a cached one, or one from the last or a new snapshot."""
-        if query.path in wire.CLUSTER:
-            return wire.of_cluster(query, self.cluster, self._bound is not None)
+        if query.path in wire.CLUSTER_PATHS:
+            return wire.cluster_response(query, self.cluster, self._bound is not None)
         async with self._snapshot_lock:
             resting = self._snapshot is not None and self._clock.read_now() < self._rest_until_us
             if resting and query in self._responses:
@@ -203,14 +211,14 @@
                 await self._take_snapshot()
             assert self._snapshot is not None
             try:
-                body = await self._run_in_steps(wire.body(query, self._snapshot))
-                if query.path == wire.METRICS and self.cluster is not None:
-                    body += fleet.text(self.cluster.view()).encode()
+                body = await self._run_in_steps(wire.response_body(query, self._snapshot))
+                if query.path == wire.METRICS_PATH and self.cluster is not None:
+                    body += fleet.metrics_text(self.cluster.view()).encode()
                     if (counted := self.cluster.counted("")) is not None:
-                        body += shared.text(counted).encode()
+                        body += shared_counts.metrics_text(counted).encode()
             finally:
                 self._schedule_rest()
-            self._responses[query] = wire.answer(body, wire.KINDS[query.path])
+            self._responses[query] = wire.response(body, wire.CONTENT_TYPES[query.path])
             return self._responses[query]
 
     async def _take_snapshot(self) -> None:
@@ -221,7 +229,7 @@
         node, began_us = self._node, self._clock.now()
         try:
             snapshot = await self._run_in_steps(
-                look(node._core, socket_counts(node), node_info(node), began_us, MAX_WORST)
+                take_snapshot(node._core, socket_counts(node), node_info(node), began_us, MAX_TABLE_ROWS)
             )
         finally:  # a cancelled snapshot counts, too
             self._snapshot_done_us = self._clock.read_now()
@@ -263,17 +271,17 @@
     return os.environ.get("TMPDIR") or "/tmp"
 
 
-def node_info(node: Node) -> About:
+def node_info(node: Node) -> NodeInfo:
     """Return what does not change while the node runs."""
     config = node._config
-    return About(config.name, config.class_names, config.zone_names, config.kind_names, CLOCK_ORIGIN_US,
+    return NodeInfo(config.name, config.class_names, config.zone_names, config.kind_names, CLOCK_ORIGIN_US,
                  node.clock.unix_offset_us)  # fmt: skip
 
 
-def socket_counts(node: Node) -> Sockets:
+def socket_counts(node: Node) -> SocketUsage:
     """Return the numbers of connections and descriptors, and the state of discovery."""
     failed_us, failure = node.discovery.failure
-    return Sockets(
+    return SocketUsage(
         node.pool.idle, len(node.clients.connections), node.pool.open_count, node.limits.max_inbound,
         node.limits.max_outbound, node.limits.max_total, RESERVED_DESCRIPTORS, node._config.discovery,
         node.discovery.answered_us, node.discovery.updated_us, failed_us, failure,
--- a/granitewell/operator/cluster.py
+++ b/granitewell/operator/cluster.py
@@ -31,13 +31,13 @@
     parse_keys,
 )
 from granitewell.files import whole
-from granitewell.operator.problem import Problem, shown
+from granitewell.operator.problem import Problem, format_value
 from granitewell.operator.table import Table
 from granitewell.protocols.peers.frames import Keys
 from granitewell.protocols.peers.gossip import MAX_ROLE_BYTES, MAX_ZONE_BYTES
 
-PLAIN = ClusterSettings()
-OTHERS = stat.S_IRWXG | stat.S_IRWXO  # of a mode: what anybody but the owner may do
+DEFAULTS = ClusterSettings()
+GROUP_AND_OTHERS_MODE = stat.S_IRWXG | stat.S_IRWXO  # of a mode: what anybody but the owner may do
 
 Seed = Annotated[str, Meta(max_length=64, extra={"allowed": ALLOWED_ADDRESS})]
 
@@ -51,20 +51,20 @@
     name: Annotated[str, Meta(
         max_length=63, description="The member's name, the same after a restart, unlike any other's.",
         extra={"restart": True, "allowed": f"{ALLOWED_NAME}, or empty"},
-    )] = PLAIN.name  # fmt: skip
+    )] = DEFAULTS.name  # fmt: skip
     bind: Annotated[str, Meta(
         max_length=64, description="Where other nodes' datagrams and streams come in.",
         extra={"restart": True, "allowed": f"{ALLOWED_ADDRESS}, or empty"},
-    )] = PLAIN.bind  # fmt: skip
+    )] = DEFAULTS.bind  # fmt: skip
     advertise: Annotated[str, Meta(
         max_length=64, description="Where others reach `bind`, if that is not the same (address "
         "translation); empty: `bind`.",
         extra={"restart": True, "allowed": f"{ALLOWED_ADDRESS}, or empty"},
-    )] = PLAIN.advertise  # fmt: skip
+    )] = DEFAULTS.advertise  # fmt: skip
     seeds: Annotated[tuple[Seed, ...], Meta(
         max_length=MAX_SEEDS, description="Addresses that are asked who is there, the node's own may be "
         "among them. Two or three that are rarely down at a time are enough.",
-    )] = PLAIN.seeds  # fmt: skip
+    )] = DEFAULTS.seeds  # fmt: skip
     keys: Annotated[str, Meta(
         max_length=4096, description="The file with the fleet's keys, which nobody but its owner may read: a "
         "key a line, 16 to 64 bytes in hex; the first seals, a second opens too. Read again at SIGHUP.",
@@ -73,40 +73,49 @@
     role: Annotated[str, Meta(
         max_length=MAX_ROLE_BYTES, description="Nodes of one role share budgets.",
         extra={"restart": True, "allowed": f"1 to {MAX_ROLE_BYTES} bytes of printable ASCII without blanks"},
-    )] = PLAIN.role  # fmt: skip
+    )] = DEFAULTS.role  # fmt: skip
     zone: Annotated[str, Meta(
         max_length=MAX_ZONE_BYTES, description="Shown to operators.",
         extra={"restart": True,
                "allowed": f"at most {MAX_ZONE_BYTES} bytes of printable ASCII without blanks"},
-    )] = PLAIN.zone  # fmt: skip
+    )] = DEFAULTS.zone  # fmt: skip
     folder: Annotated[str, Meta(
         max_length=4096, description="A folder on a disk that lasts, of this node alone, for its life's "
         "number and the members last known. Empty: one in `TMPDIR`, which outlives an upgrade.",
         extra={"restart": True, "allowed": "the path of a folder, or empty"},
-    )] = PLAIN.folder  # fmt: skip
+    )] = DEFAULTS.folder  # fmt: skip
     streams: Annotated[int, Meta(
         ge=MIN_STREAMS, le=MAX_STREAMS, description="Connections to other nodes at a time, and as many "
         "from them. Clients and endpoints have that many descriptors fewer.", extra={"restart": True},
-    )] = PLAIN.streams  # fmt: skip
+    )] = DEFAULTS.streams  # fmt: skip
     unheard_s: Annotated[float, Meta(
         ge=MIN_UNHEARD_S, le=MAX_UNHEARD_S, description="A node that is silent and has not left counts in "
         "all budgets for so long: it may only be cut off, and go on serving.",
-    )] = PLAIN.unheard_s  # fmt: skip
+    )] = DEFAULTS.unheard_s  # fmt: skip
 
     def settings(self) -> ClusterSettings:
         """The same for the node, which knows nothing of this file, with the keys as they are on the disk
         now.
         """
-        keys, why = None, ""
+        keys, keys_error = None, ""
         if self.name:
             try:
                 keys = read_keys(self.keys)
             except ValueError as error:
-                why = str(error)
+                keys_error = str(error)
         return ClusterSettings(
-            self.name, self.bind, self.advertise, self.seeds, keys, why, self.role, self.zone, self.folder,
-            self.streams, self.unheard_s,
-        )  # fmt: skip
+            self.name,
+            self.bind,
+            self.advertise,
+            self.seeds,
+            keys,
+            keys_error,
+            self.role,
+            self.zone,
+            self.folder,
+            self.streams,
+            self.unheard_s,
+        )
 
     def check(self) -> Iterator[Problem]:
         """Names, addresses, role and zone are words of their kind.
@@ -118,17 +127,21 @@
                 yield Problem(("name",), "nothing", "this node is in no fleet", note=True)
             return
         if not is_valid_name(self.name):
-            yield Problem(("name",), shown(self.name), ALLOWED_NAME)
+            yield Problem(("name",), format_value(self.name), ALLOWED_NAME)
         for field, text in (("bind", self.bind), ("advertise", self.advertise or self.bind)):
-            if (why := _address(text)) and not (field == "advertise" and not self.advertise):
-                yield Problem((field,), why, ALLOWED_ADDRESS)
+            if (keys_error := _invalid_address(text)) and not (field == "advertise" and not self.advertise):
+                yield Problem((field,), keys_error, ALLOWED_ADDRESS)
         for k, seed in enumerate(self.seeds):
-            if why := _address(seed):
-                yield Problem(("seeds", k), why, ALLOWED_ADDRESS)
+            if keys_error := _invalid_address(seed):
+                yield Problem(("seeds", k), keys_error, ALLOWED_ADDRESS)
         if not is_valid_role(self.role):
-            yield Problem(("role",), shown(self.role), f"1 to {MAX_ROLE_BYTES} bytes of printable ASCII")
+            yield Problem(
+                ("role",), format_value(self.role), f"1 to {MAX_ROLE_BYTES} bytes of printable ASCII"
+            )
         if not is_valid_zone(self.zone):
-            yield Problem(("zone",), shown(self.zone), f"at most {MAX_ZONE_BYTES} bytes of printable ASCII")
+            yield Problem(
+                ("zone",), format_value(self.zone), f"at most {MAX_ZONE_BYTES} bytes of printable ASCII"
+            )
         try:
             read_keys(self.keys)
         except ValueError as error:
@@ -136,11 +149,11 @@
             yield Problem(("keys",), found.removeprefix("found "), allowed or ALLOWED_KEYS)
 
 
-def _address(text: str) -> str:
+def _invalid_address(text: str) -> str:
     try:
         parse_address(text)
     except ValueError:
-        return shown(text) if text else "nothing"
+        return format_value(text) if text else "nothing"
     return ""
 
 
@@ -153,11 +166,11 @@
     if not path:
         raise ValueError(f"found nothing, allowed: {ALLOWED_KEYS}")
     try:
-        about = os.stat(path)
-        if stat.S_ISREG(about.st_mode) and about.st_mode & OTHERS:
-            raise ValueError(f"found a file that others may use (mode {about.st_mode & 0o777:03o}), "
+        info = os.stat(path)
+        if stat.S_ISREG(info.st_mode) and info.st_mode & GROUP_AND_OTHERS_MODE:
+            raise ValueError(f"found a file that others may use (mode {info.st_mode & 0o777:03o}), "
                              f"allowed: mode 600 or 400")  # fmt: skip
-        if about.st_uid not in (os.geteuid(), 0):
+        if info.st_uid not in (os.geteuid(), 0):
             raise ValueError("found a file of another user, allowed: one of the node's own user")
         raw = whole(path, MAX_KEYS_FILE)
     except OSError as error:
--- a/granitewell/operator/counts.py
+++ b/granitewell/operator/counts.py
@@ -15,8 +15,8 @@
 from granitewell.operator.table import Table
 from granitewell.shared_counters.types import Figures
 
-PLAIN = Figures()
-MAX_SLICES = 480  # in a window: an answer to whoever knows nothing stays a few letters
+DEFAULTS = Figures()
+MAX_SLICES_PER_WINDOW = 480  # in a window: an answer to whoever knows nothing stays a few letters
 
 
 class CountsTable(Table, frozen=True, kw_only=True):
@@ -31,33 +31,33 @@
     slice_s: Annotated[float, Meta(
         ge=0.05, le=60.0, description="Use is counted in slices of this length; the shorter, the sharper the "
         "window's far edge, and the more is said.", extra={"restart": True},
-    )] = PLAIN.width_us / 1e6  # fmt: skip
+    )] = DEFAULTS.width_us / 1e6  # fmt: skip
     every_s: Annotated[float, Meta(
         ge=0.05, le=60.0, description="Between two questions to one node, at least.", extra={"restart": True},
-    )] = PLAIN.every_us / 1e6  # fmt: skip
+    )] = DEFAULTS.every_us / 1e6  # fmt: skip
     keys: Annotated[int, Meta(
         ge=1, le=120, description="Tenants that a node counts by themselves; what others use is one figure, "
         "and widens theirs.", extra={"restart": True},
-    )] = PLAIN.keys  # fmt: skip
+    )] = DEFAULTS.keys  # fmt: skip
     ceiling_per_s: Annotated[float, Meta(
         gt=0.0, le=1e6, description="Assumed: no node takes more than so many requests a second. Of a node "
         "that is not heard it is held that it may have.", extra={"restart": True},
-    )] = PLAIN.ceiling_per_s  # fmt: skip
+    )] = DEFAULTS.ceiling_per_s  # fmt: skip
     growth: Annotated[float, Meta(
         ge=1.0, le=100.0, description="Assumed: while it is not heard, a node takes no more of a tenant than "
         "so many times what it took in its busiest slice of the window ..", extra={"restart": True},
-    )] = PLAIN.growth  # fmt: skip
+    )] = DEFAULTS.growth  # fmt: skip
     floor_per_s: Annotated[float, Meta(
         gt=0.0, le=1e6, description=".. or so many a second, where that is more.", extra={"restart": True},
-    )] = PLAIN.floor_per_s  # fmt: skip
+    )] = DEFAULTS.floor_per_s  # fmt: skip
     bytes_per_s: Annotated[int, Meta(
         ge=1024, le=100_000_000, description="That a node says for it, at most; where that is not enough, "
         "nodes are asked more rarely, and figures widen.", extra={"restart": True},
-    )] = PLAIN.bytes_per_s  # fmt: skip
+    )] = DEFAULTS.bytes_per_s  # fmt: skip
     drift_ppm: Annotated[int, Meta(
         ge=0, le=500_000, description="Assumed: the clocks of two nodes differ in speed by no more than so "
         "many parts in a million.", extra={"restart": True},
-    )] = PLAIN.drift_ppm  # fmt: skip
+    )] = DEFAULTS.drift_ppm  # fmt: skip
 
     def figures(self) -> Figures | None:
         """The same for the node; None: nothing is counted."""
@@ -74,9 +74,11 @@
             if self != type(self)():
                 yield Problem(("window_s",), "nothing", "nothing is counted", note=True)
             return
-        least, most = self.window_s / MAX_SLICES, self.window_s / 4
-        if not least <= self.slice_s <= most:
-            yield Problem(("slice_s",), f"{self.slice_s:g}", f"{least:g} to {most:g} (of this window)")
+        min_slice_s, max_slice_s = self.window_s / MAX_SLICES_PER_WINDOW, self.window_s / 4
+        if not min_slice_s <= self.slice_s <= max_slice_s:
+            yield Problem(
+                ("slice_s",), f"{self.slice_s:g}", f"{min_slice_s:g} to {max_slice_s:g} (of this window)"
+            )
         if self.floor_per_s > self.ceiling_per_s:
             allowed = f"at most ceiling_per_s, {self.ceiling_per_s:g}"
             yield Problem(("floor_per_s",), f"{self.floor_per_s:g}", allowed)
--- a/granitewell/operator/load.py
+++ b/granitewell/operator/load.py
@@ -15,11 +15,11 @@
 from msgspec import structs
 
 from granitewell.operator.problem import Problem
-from granitewell.operator.registry import Operator
-from granitewell.operator.table import Table, checked, examine
-from granitewell.operator.tree_reader import extra, type_of
+from granitewell.operator.registry import OperatorFile
+from granitewell.operator.table import Table, run_checks, validate
+from granitewell.operator.tree_reader import extra_metadata, struct_type
 
-MAX_FILE = 32 * 1024  # bytes of an operator file: a running node reads it between two requests
+MAX_FILE_BYTES = 32 * 1024  # bytes of an operator file: a running node reads it between two requests
 
 T = TypeVar("T", bound=Table)
 
@@ -32,14 +32,16 @@
         self.path, self.problems = path, problems
 
 
-def read(path: str, most: int = MAX_FILE) -> bytes:
+def read_file(path: str, max_bytes: int = MAX_FILE_BYTES) -> bytes:
     """The file's bytes; Refused where there is no such file, it is no file, or it is larger than that."""
     try:
-        about = Path(path).stat()
-        if not stat.S_ISREG(about.st_mode):  # a pipe could make a running node wait for ever
+        info = Path(path).stat()
+        if not stat.S_ISREG(info.st_mode):  # a pipe could make a running node wait for ever
             raise InvalidOperatorFileError(path, [Problem((), "no regular file", "a regular file")])
-        if about.st_size > most:
-            raise InvalidOperatorFileError(path, [Problem((), f"{about.st_size} bytes", f"at most {most}")])
+        if info.st_size > max_bytes:
+            raise InvalidOperatorFileError(
+                path, [Problem((), f"{info.st_size} bytes", f"at most {max_bytes}")]
+            )
         return Path(path).read_bytes()
     except (OSError, ValueError) as error:  # ValueError: a path with a null byte
         why = getattr(error, "strerror", None) or str(error)
@@ -48,7 +50,7 @@
         ) from None
 
 
-def data_of(path: str, raw: bytes) -> dict[str, Any]:
+def parse_toml(path: str, raw: bytes) -> dict[str, Any]:
     """What TOML in UTF-8 holds; Refused where it is none, with the line."""
     try:
         return tomllib.loads(raw.decode())
@@ -63,77 +65,79 @@
 
 def load(path: str, kind: type[T]) -> tuple[T, list[Problem]]:
     """The object that the file gives, and notes on it; Refused with all that is wrong."""
-    made, problems = examine(data_of(path, read(path)), kind)
+    made, problems = validate(parse_toml(path, read_file(path)), kind)
     if made is None:
         raise InvalidOperatorFileError(path, [p for p in problems if not p.note])
     return made, problems
 
 
 @dataclass(frozen=True, slots=True)
-class Plan(Generic[T]):
+class ReloadResult(Generic[T]):
     """What a reload comes to: what is held from now on, which fields of it are new (`now`), which differ in
     the file and wait for a restart (`waits`), and the problems for which all stays as it was.
     """
 
-    held: T
-    now: tuple[str, ...] = ()
-    waits: tuple[str, ...] = ()
+    current: T
+    applied: tuple[str, ...] = ()
+    pending_restart: tuple[str, ...] = ()
     problems: tuple[Problem, ...] = ()
 
-    def line(self) -> str:
+    def log_line(self) -> str:
         """All of it in one line of the log."""
         if self.problems:
             more = len(self.problems) - 1
             rest = f" (and {more} more: granitewell check lists them)" if more else ""
             return f"the operator file changes nothing: {self.problems[0].text()}{rest}"
-        waits = f"; only a restart takes up {', '.join(self.waits)}" if self.waits else ""
-        if not self.now:
-            return f"the operator file has nothing new that can be taken now{waits}"
-        return f"taken from the operator file: {', '.join(self.now)}{waits}"
+        pending_restart = (
+            f"; only a restart takes up {', '.join(self.pending_restart)}" if self.pending_restart else ""
+        )
+        if not self.applied:
+            return f"the operator file has nothing new that can be taken now{pending_restart}"
+        return f"taken from the operator file: {', '.join(self.applied)}{pending_restart}"
 
 
-def reload(old: T, path: str) -> Plan[T]:
+def reload(old: T, path: str) -> ReloadResult[T]:
     """What the file as it is now changes for a node that holds `old`. Never raises."""
     try:
         new, _ = load(path, type(old))
     except InvalidOperatorFileError as error:
-        return Plan(old, problems=tuple(error.problems))
-    now: list[str] = []
-    waits: list[str] = []
+        return ReloadResult(old, problems=tuple(error.problems))
+    applied: list[str] = []
+    pending_restart: list[str] = []
     tables: dict[str, Table] = {}
-    for field in type_of(type(old)).fields:
+    for field in struct_type(type(old)).fields:
         name = field.name
-        tables[name], taken, waiting = _mixed(getattr(old, name), getattr(new, name))
-        now += [f"{field.encode_name}.{x}" for x in taken]
-        waits += [f"{field.encode_name}.{x}" for x in waiting]
-    return Plan(structs.replace(old, **tables), tuple(now), tuple(waits))
+        tables[name], taken, waiting = _merge_table(getattr(old, name), getattr(new, name))
+        applied += [f"{field.encode_name}.{x}" for x in taken]
+        pending_restart += [f"{field.encode_name}.{x}" for x in waiting]
+    return ReloadResult(structs.replace(old, **tables), tuple(applied), tuple(pending_restart))
 
 
-def _mixed(held: Table, new: Table) -> tuple[Table, list[str], list[str]]:
+def _merge_table(current: Table, new: Table) -> tuple[Table, list[str], list[str]]:
     """One table with what can be taken now, and the names of what was and of what waits.
 
     Where the mixture of new fields and held ones would be wrong though each file is right, the whole table
     waits.
     """
-    differ = [f for f in type_of(type(new)).fields if getattr(held, f.name) != getattr(new, f.name)]
-    waits = [f.encode_name for f in differ if extra(f.type).get("restart")]
-    fresh = {f.name: getattr(new, f.name) for f in differ if f.encode_name not in waits}
-    mixed = structs.replace(held, **fresh)
-    if any(not p.note for p in checked(mixed, ())):
-        return held, [], [f.encode_name for f in differ]
-    return mixed, [f.encode_name for f in differ if f.name in fresh], waits
+    changed = [f for f in struct_type(type(new)).fields if getattr(current, f.name) != getattr(new, f.name)]
+    pending_restart = [f.encode_name for f in changed if extra_metadata(f.type).get("restart")]
+    applicable = {f.name: getattr(new, f.name) for f in changed if f.encode_name not in pending_restart}
+    merged = structs.replace(current, **applicable)
+    if any(not p.note for p in run_checks(merged, ())):
+        return current, [], [f.encode_name for f in changed]
+    return merged, [f.encode_name for f in changed if f.name in applicable], pending_restart
 
 
-class Live:
+class LiveOperatorFile:
     """The operator file of a running node: what is held now, and the reload of it."""
 
     def __init__(self, path: str) -> None:
         """Reads it for the first time; Refused with all that is wrong."""
         self._path = path
-        self.held, self.notes = load(path, Operator)
+        self.current, self.notes = load(path, OperatorFile)
 
-    def again(self) -> Plan[Operator]:
+    def reload(self) -> ReloadResult[OperatorFile]:
         """Read it again; what is held afterwards is whole, whatever the file says."""
-        plan = reload(self.held, self._path)
-        self.held = plan.held
-        return plan
+        result = reload(self.current, self._path)
+        self.current = result.current
+        return result
--- a/granitewell/operator/log.py
+++ b/granitewell/operator/log.py
@@ -23,7 +23,7 @@
     LogTarget,
     fields_bytes,
 )  # fmt: skip
-from granitewell.operator.problem import Path, Problem, shown, unknown
+from granitewell.operator.problem import Path, Problem, format_value, unknown_key
 from granitewell.operator.table import Table
 
 Rate = Annotated[float, Meta(ge=0.01, le=1000)]
@@ -95,4 +95,4 @@
 
 def _topic(path: Path, topic: str) -> Iterator[Problem]:
     if topic not in TOPICS:
-        yield unknown(path, topic, tuple(TOPICS), f"the unknown topic {shown(topic)}")
+        yield unknown_key(path, topic, tuple(TOPICS), f"the unknown topic {format_value(topic)}")
--- a/granitewell/operator/platform.py
+++ b/granitewell/operator/platform.py
@@ -17,16 +17,16 @@
 
 Address = Annotated[str, Meta(pattern=r"^.+:[0-9]{1,5}\Z", extra={"allowed": "host:port"})]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
-Time = Annotated[float, Meta(ge=0, le=1e12)]  # milliseconds
-Part = Annotated[float, Meta(ge=0)]
-Count = Annotated[float, Meta(ge=1, le=1e12)]
+Milliseconds = Annotated[float, Meta(ge=0, le=1e12)]  # milliseconds
+NonNegative = Annotated[float, Meta(ge=0)]
+AtLeastOne = Annotated[float, Meta(ge=1, le=1e12)]
 
 
-class Lenient(Table, frozen=True, kw_only=True, rename="camel", forbid_unknown_fields=False):
+class PlatformTable(Table, frozen=True, kw_only=True, rename="camel", forbid_unknown_fields=False):
     """A table to which the platform may add keys."""
 
 
-class Limits(Lenient, frozen=True, kw_only=True):
+class Limits(PlatformTable, frozen=True, kw_only=True):
     """What one node may use."""
 
     cores: Annotated[float, Meta(ge=0.01, le=1e12)] = 1.0
@@ -34,7 +34,7 @@
     sockets: Annotated[float, Meta(ge=64, le=1e12)] = 1024.0
 
 
-class Member(Lenient, frozen=True, kw_only=True):
+class KnownEndpoint(PlatformTable, frozen=True, kw_only=True):
     """One entry of discovery's list."""
 
     id: Name
@@ -43,59 +43,59 @@
     flavor: str
     cell: int
     phase: Literal["ready", "draining", "gone"]
-    size: Part
-    up_since_ms: Part = field(name="up_since_ms")
+    size: NonNegative
+    up_since_ms: NonNegative = field(name="up_since_ms")
 
 
-class Known(Lenient, frozen=True, kw_only=True):
+class KnownEndpoints(PlatformTable, frozen=True, kw_only=True):
     """Discovery's list as the node last held it; it may be empty."""
 
     revision: int = 0
     complete: bool = False
-    members: tuple[Member, ...] = ()
+    members: tuple[KnownEndpoint, ...] = ()
 
 
-class Allowed(Lenient, frozen=True, kw_only=True):
+class Allowed(PlatformTable, frozen=True, kw_only=True):
     """What the site permits."""
 
-    max_attempts: Count
+    max_attempts: AtLeastOne
     cancel: bool = False
     parallel_tries: bool = False
     probes: bool = False
     retry_after: bool = False
-    max_retry_after_ms: Time = 0.0
+    max_retry_after_ms: Milliseconds = 0.0
     conn_idle_ms: Annotated[float, Meta(ge=1, le=1e12)] = 10000.0
     dial_timeout_ms: Annotated[float, Meta(ge=1, le=1e12)] = 250.0
-    most_held: Count = 20000.0
+    most_held: AtLeastOne = 20000.0
     may_tell: bool = False
-    cpu_us_per_request: Part = 0.0
-    cpu_us_per_s: Part = 0.0
-    streams_per_conn: Count = 1.0
+    cpu_us_per_request: NonNegative = 0.0
+    cpu_us_per_s: NonNegative = 0.0
+    streams_per_conn: AtLeastOne = 1.0
 
 
-class Contract(Lenient, frozen=True, kw_only=True):
+class Contract(PlatformTable, frozen=True, kw_only=True):
     """Figures of the rules."""
 
-    drain_grace_ms: Time
+    drain_grace_ms: Milliseconds
     cold_from: Annotated[float, Meta(ge=0.001, le=1)]
-    ramp_time_ms: Time
+    ramp_time_ms: Milliseconds
     fall_multiple: Annotated[float, Meta(ge=0.001)]
-    fall_ms: Time
-    must_ask_in_ms: Time = 10000.0
-    answer_slack_ms: Time = 0.0
+    fall_ms: Milliseconds
+    must_ask_in_ms: Milliseconds = 10000.0
+    answer_slack_ms: Milliseconds = 0.0
 
 
-class RequestClass(Lenient, frozen=True, kw_only=True):
+class RequestClass(PlatformTable, frozen=True, kw_only=True):
     """One class of requests."""
 
     name: Name
     effect: Literal["pure", "token", "side_effect"]
-    aim_ms: Time
+    aim_ms: Milliseconds
     give_up_ms: Annotated[float, Meta(ge=0.001, le=1e12)]
-    value: Part = 1.0
-    late_share: Part = 0.0
+    value: NonNegative = 1.0
+    late_share: NonNegative = 0.0
     key_scope: Literal["all", "zone", "cell"] = "all"
-    window_ms: Time = 0.0
+    window_ms: Milliseconds = 0.0
     stream: bool = False
 
     def check(self) -> Iterator[Problem]:
@@ -104,26 +104,26 @@
             yield Problem(("aimMs",), f"{self.aim_ms:g}", f"at most giveUpMs, {self.give_up_ms:g}", note=True)
 
 
-class Tenant(Lenient, frozen=True, kw_only=True):
+class Tenant(PlatformTable, frozen=True, kw_only=True):
     """One customer; without an allowance it is not counted."""
 
     name: Name
-    share: Part
+    share: NonNegative
     allowance_per_s: Annotated[float, Meta(ge=0)] | None
 
 
-class Stats(Lenient, frozen=True, kw_only=True):
+class Stats(PlatformTable, frozen=True, kw_only=True):
     """Load reports."""
 
     fields: tuple[str, ...] = ()
     how: Literal["piggyback", "pull", "silent"] = "silent"
 
 
-class Settings(Lenient, frozen=True, kw_only=True):
+class Settings(PlatformTable, frozen=True, kw_only=True):
     """The settings of the decisions, as the simulator's first message has them."""
 
     allowed: Allowed
-    balancers: Count
+    balancers: AtLeastOne
     classes: Annotated[tuple[RequestClass, ...], Meta(min_length=1)]
     contract: Contract
     blend: dict[str, float] = field(default_factory=dict)
@@ -132,13 +132,13 @@
     domain_type: str = ""
     family_info: dict[str, Any] = field(default_factory=dict)
     models: tuple[str, ...] = ()
-    over_share_worth: Part = 1.0
+    over_share_worth: NonNegative = 1.0
     penalties: dict[str, float] = field(default_factory=dict)
     self_index: Annotated[int, Meta(ge=0)] = 0
     stage: int = 0
     stats: Stats = Stats()
     tenants: tuple[Tenant, ...] = ()
-    tick_ms: Part = 0.0
+    tick_ms: NonNegative = 0.0
     tiers: tuple[str, ...] = ()
     weight_kind: str = ""
     worth_by: str = "request"
@@ -150,14 +150,14 @@
         names = {"classes": [x.name for x in self.classes], "tenants": [x.name for x in self.tenants],
                  "zones": self.zones, "models": self.models}  # fmt: skip
         for key, given in names.items():
-            yield from _once(key, given)
+            yield from _duplicates(key, given)
         if self.zones and self.zone >= len(self.zones):
             yield Problem(("zone",), str(self.zone), f"an index in zones, under {len(self.zones)}")
         if self.self_index >= self.balancers:
             yield Problem(("selfIndex",), str(self.self_index), f"under balancers, {self.balancers:g}")
 
 
-class Platform(Lenient, frozen=True, kw_only=True):
+class Platform(PlatformTable, frozen=True, kw_only=True):
     """The whole file."""
 
     listen: Address
@@ -166,11 +166,11 @@
     name: Name = "node"
     seed: str | int = 0
     limits: Limits = Limits()
-    known: Known | None = None
+    known: KnownEndpoints | None = None
     console: Address | None = None
 
 
-def _once(key: str, names: Sequence[str]) -> Iterator[Problem]:
+def _duplicates(key: str, names: Sequence[str]) -> Iterator[Problem]:
     for k, name in enumerate(names):
         if name in names[:k]:
             yield Problem((key, k), f"{name!r} for the second time", "each name once")
--- a/granitewell/operator/problem.py
+++ b/granitewell/operator/problem.py
@@ -12,8 +12,8 @@
 from difflib import get_close_matches
 from typing import Any
 
-MAX_SHOWN = 60  # characters of a key or value that came from a file
-_PLAIN_KEY = re.compile(r"[A-Za-z0-9_-]{1,60}")
+MAX_SHOWN_CHARS = 60  # characters of a key or value that came from a file
+_BARE_KEY = re.compile(r"[A-Za-z0-9_-]{1,60}")
 
 Path = tuple[str | int, ...]
 
@@ -31,7 +31,7 @@
     @property
     def field(self) -> str:
         """The path as a person writes it: `log.rates.dial`, `settings.classes[0].name`."""
-        return dotted(self.path)
+        return dotted_path(self.path)
 
     def text(self) -> str:
         """All of it in one line, without the file's name."""
@@ -42,19 +42,19 @@
         return f"{where}found {self.found}, allowed: {self.allowed}{near}"
 
 
-def dotted(path: Path) -> str:
+def dotted_path(path: Path) -> str:
     """A path in one word; keys that TOML would quote are quoted."""
     text = ""
     for part in path:
         if isinstance(part, int):
             text += f"[{part}]"
         else:
-            key = part if _PLAIN_KEY.fullmatch(part) else json.dumps(part[:MAX_SHOWN])
+            key = part if _BARE_KEY.fullmatch(part) else json.dumps(part[:MAX_SHOWN_CHARS])
             text += f".{key}" if text else key
     return text
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
     """A value from a file, short enough for a line."""
     if isinstance(value, dict):
         return "a table"
@@ -64,11 +64,13 @@
         return f"a whole number of {value.bit_length()} bits"
     if value is None or isinstance(value, bool | int | float):
         return json.dumps(value)
-    text = json.dumps(value[: MAX_SHOWN + 1] if isinstance(value, str) else str(value), ensure_ascii=True)
-    return text if len(text) <= MAX_SHOWN + 2 else text[:MAX_SHOWN] + '.."'
+    text = json.dumps(
+        value[: MAX_SHOWN_CHARS + 1] if isinstance(value, str) else str(value), ensure_ascii=True
+    )
+    return text if len(text) <= MAX_SHOWN_CHARS + 2 else text[:MAX_SHOWN_CHARS] + '.."'
 
 
-def unknown(path: Path, word: str, known: tuple[str, ...], found: str = "", near: str = "") -> Problem:
+def unknown_key(path: Path, word: str, known: tuple[str, ...], found: str = "", near: str = "") -> Problem:
     """A word at this path that is none of the known ones, with the one that is most like it."""
-    near = near or next(iter(get_close_matches(word[:MAX_SHOWN], known, 1, 0.0)), "")
+    near = near or next(iter(get_close_matches(word[:MAX_SHOWN_CHARS], known, 1, 0.0)), "")
     return Problem(path, found or "an unknown key", ", ".join(known) or "none", near)
--- a/granitewell/operator/reference.py
+++ b/granitewell/operator/reference.py
@@ -11,11 +11,17 @@
 
 from msgspec import NODEFAULT, inspect
 
-from granitewell.operator.registry import Operator
+from granitewell.operator.registry import OperatorFile
 from granitewell.operator.table import Table
-from granitewell.operator.tree_reader import allowed, bare, description, extra, type_of
-
-HEAD = """\
+from granitewell.operator.tree_reader import (
+    allowed_text,
+    description,
+    extra_metadata,
+    struct_type,
+    without_metadata,
+)
+
+PAGE_HEADER = """\
 # The operator file
 
 <!-- Made by `granitewell check --reference`; a test compares it. Change the types, not this page. -->
@@ -33,31 +39,31 @@
 """
 
 
-def page() -> str:
+def reference_page() -> str:
     """The whole page, Markdown."""
-    parts = [HEAD]
-    for field in type_of(Operator).fields:
-        kind = bare(field.type)
+    parts = [PAGE_HEADER]
+    for field in struct_type(OperatorFile).fields:
+        kind = without_metadata(field.type)
         assert isinstance(kind, inspect.StructType)
-        parts.append("\n".join(_table(field.encode_name, kind)))
+        parts.append("\n".join(_table_lines(field.encode_name, kind)))
     return "\n".join(parts)
 
 
-def _table(name: str, node: inspect.StructType) -> Iterator[str]:
+def _table_lines(name: str, node: inspect.StructType) -> Iterator[str]:
     yield f"## `[{name}]`\n"
     yield f"{' '.join((node.cls.__doc__ or '').split())}\n"
     yield "| field | allowed | default | SIGHUP | meaning |"
     yield "| --- | --- | --- | --- | --- |"
     for field in node.fields:
-        taken = "restart" if extra(field.type).get("restart") else "yes"
-        former = "".join(f" Former name: `{old}`." for old in extra(field.type).get("was", ()))
-        cells = _allowed(field.type), _default(field), taken, description(field.type) + former
-        yield f"| `{field.encode_name}` | {' | '.join(_cell(x) for x in cells)} |"
-    yield from _notes(node)
+        sighup_cell = "restart" if extra_metadata(field.type).get("restart") else "yes"
+        former = "".join(f" Former name: `{old}`." for old in extra_metadata(field.type).get("was", ()))
+        cells = _allowed(field.type), _default(field), sighup_cell, description(field.type) + former
+        yield f"| `{field.encode_name}` | {' | '.join(_escape_cell(x) for x in cells)} |"
+    yield from _check_notes(node)
     yield ""
 
 
-def _notes(node: inspect.StructType) -> Iterator[str]:
+def _check_notes(node: inspect.StructType) -> Iterator[str]:
     """What the table's own checks hold, in the words of their docstring."""
     check = getattr(node.cls, "check", None)
     doc = getattr(check, "__doc__", None)
@@ -66,11 +72,11 @@
 
 
 def _allowed(node: inspect.Type) -> str:
-    words, kind = allowed(node), bare(node)
-    if isinstance(kind, inspect.DictType) and not extra(node).get("allowed"):
-        key = allowed(kind.key_type)
-        return words if key == "text" else f"{words}; keys: {key}"
-    return words
+    allowed_values, kind = allowed_text(node), without_metadata(node)
+    if isinstance(kind, inspect.DictType) and not extra_metadata(node).get("allowed"):
+        key = allowed_text(kind.key_type)
+        return allowed_values if key == "text" else f"{allowed_values}; keys: {key}"
+    return allowed_values
 
 
 def _default(field: inspect.Field) -> str:
@@ -87,5 +93,5 @@
     return json.dumps(list(value) if isinstance(value, tuple) else value, ensure_ascii=False)
 
 
-def _cell(text: str) -> str:
+def _escape_cell(text: str) -> str:
     return text.replace("|", "\\|").replace("\n", " ")
--- a/granitewell/operator/registry.py
+++ b/granitewell/operator/registry.py
@@ -17,7 +17,7 @@
 from granitewell.operator.table import Table
 
 
-class Operator(Table, frozen=True, kw_only=True):
+class OperatorFile(Table, frozen=True, kw_only=True):
     """The operator file as one object; a file that says nothing gives the node's own defaults."""
 
     log: Annotated[LogTable, Meta(description="The log.")] = LogTable()
--- a/granitewell/operator/status.py
+++ b/granitewell/operator/status.py
@@ -11,11 +11,16 @@
 
 from msgspec import Meta
 
-from granitewell.operator.problem import Problem, shown
+from granitewell.operator.problem import Problem, format_value
 from granitewell.operator.table import Table
-from granitewell.status.types import ALLOWED_AT, MAX_WORST, StatusSettings, place
+from granitewell.status.types import (
+    ALLOWED_STATUS_ADDRESS,
+    MAX_TABLE_ROWS,
+    StatusSettings,
+    parse_status_address,
+)
 
-PLAIN = StatusSettings()
+DEFAULTS = StatusSettings()
 
 
 class StatusTable(Table, frozen=True, kw_only=True):
@@ -25,18 +30,23 @@
         description="A path, at which the node makes a unix socket that only its own user may use; one "
         "without a slash in front is in the private temporary directory (`TMPDIR`). Or `127.0.0.1:PORT`, "
         "which anybody on the machine may use.",
-        extra={"allowed": f"{ALLOWED_AT}, or empty"},
-    )] = PLAIN.at  # fmt: skip
+        extra={"allowed": f"{ALLOWED_STATUS_ADDRESS}, or empty"},
+    )] = DEFAULTS.at  # fmt: skip
     connections: Annotated[int, Meta(
         ge=1, le=16, description="Held at a time; further ones wait. They come out of the node's reserve of "
         "descriptors.",
-    )] = PLAIN.connections  # fmt: skip
+    )] = DEFAULTS.connections  # fmt: skip
     seconds: Annotated[float, Meta(
         ge=0.1, le=10, description="For one connection, after which it is closed, read or not."
-    )] = PLAIN.seconds  # fmt: skip
-    worst: Annotated[int, Meta(
-        ge=0, le=MAX_WORST, description="Rows of each table, the worst ones, where a request does not say."
-    )] = PLAIN.worst  # fmt: skip
+    )] = DEFAULTS.seconds  # fmt: skip
+    worst: Annotated[
+        int,
+        Meta(
+            ge=0,
+            le=MAX_TABLE_ROWS,
+            description="Rows of each table, the worst ones, where a request does not say.",
+        ),
+    ] = DEFAULTS.worst
 
     def settings(self) -> StatusSettings:
         """The same for the node, which knows nothing of this file."""
@@ -46,6 +56,6 @@
         """`at` is a path that a unix socket may have, or an address of this machine alone."""
         if self.at:
             try:
-                place(self.at, "/tmp")
+                parse_status_address(self.at, "/tmp")
             except ValueError as error:
-                yield Problem(("at",), f"{shown(self.at)}, {error}", ALLOWED_AT)
+                yield Problem(("at",), f"{format_value(self.at)}, {error}", ALLOWED_STATUS_ADDRESS)
--- a/granitewell/operator/table.py
+++ b/granitewell/operator/table.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from granitewell.operator.problem import Path, Problem, shown
-from granitewell.operator.tree_reader import Walk, type_of
+from granitewell.operator.problem import Path, Problem, format_value
+from granitewell.operator.tree_reader import TreeReader, struct_type
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -28,28 +28,28 @@
 T = TypeVar("T", bound=Table)
 
 
-def examine(data: Mapping[str, Any], kind: type[T]) -> tuple[T | None, list[Problem]]:
+def validate(data: Mapping[str, Any], kind: type[T]) -> tuple[T | None, list[Problem]]:
     """An object of the kind, or None, and all that is wrong or worth a note.
 
     The checks between fields run on each top table whose fields are right, whatever the other tables hold.
     """
-    walk = Walk()
-    clean = walk.value(dict(data), type_of(kind), ())
-    problems = walk.problems
-    made: dict[str, Any] = {}
-    for field in type_of(kind).fields:
+    reader = TreeReader()
+    cleaned = reader.read(dict(data), struct_type(kind), ())
+    problems = reader.problems
+    converted: dict[str, Any] = {}
+    for field in struct_type(kind).fields:
         name = field.encode_name
-        if name not in clean or walk.spoilt(name):
+        if name not in cleaned or reader.has_problem(name):
             continue
         try:
-            made[field.name] = msgspec.convert(clean[name], _hints(kind)[field.name])
+            converted[field.name] = msgspec.convert(cleaned[name], _hints(kind)[field.name])
         except msgspec.ValidationError as error:  # a type that the walk does not know well enough
-            problems.append(Problem((name,), shown(clean[name]), str(error)))
+            problems.append(Problem((name,), format_value(cleaned[name]), str(error)))
             continue
-        problems += checked(made[field.name], (name,))
+        problems += run_checks(converted[field.name], (name,))
     if any(not p.note for p in problems):
         return None, problems
-    whole = kind(**made)
+    whole = kind(**converted)
     return whole, [*problems, *whole.check()]
 
 
@@ -58,16 +58,16 @@
     return get_type_hints(kind, include_extras=True)
 
 
-def checked(made: object, path: Path) -> Iterator[Problem]:
+def run_checks(converted: object, path: Path) -> Iterator[Problem]:
     """What the checks of a table and of all tables in it say."""
-    if isinstance(made, Table):
-        for problem in made.check():
+    if isinstance(converted, Table):
+        for problem in converted.check():
             yield replace(problem, path=(*path, *problem.path))
-        for field in type_of(type(made)).fields:
-            yield from checked(getattr(made, field.name), (*path, field.encode_name))
-    elif isinstance(made, tuple | list):
-        for k, item in enumerate(made):
-            yield from checked(item, (*path, k))
-    elif isinstance(made, dict):
-        for key, item in made.items():
-            yield from checked(item, (*path, key))
+        for field in struct_type(type(converted)).fields:
+            yield from run_checks(getattr(converted, field.name), (*path, field.encode_name))
+    elif isinstance(converted, tuple | list):
+        for k, item in enumerate(converted):
+            yield from run_checks(item, (*path, k))
+    elif isinstance(converted, dict):
+        for key, item in converted.items():
+            yield from run_checks(item, (*path, key))
--- a/granitewell/operator/tree_reader.py
+++ b/granitewell/operator/tree_reader.py
@@ -22,28 +22,37 @@
 import msgspec
 from msgspec import inspect as t
 
-from granitewell.operator.problem import MAX_SHOWN, Path, Problem, dotted, shown, unknown
+from granitewell.operator.problem import (
+    MAX_SHOWN_CHARS,
+    Path,
+    Problem,
+    dotted_path,
+    format_value,
+    unknown_key,
+)
 
-Sized = t.StrType | t.ListType | t.VarTupleType | t.DictType
+SizedType = t.StrType | t.ListType | t.VarTupleType | t.DictType
 
 MAX_PROBLEMS = 200  # listed of one file; the time that a spoilt file can cost is bounded with them
-SLIP = 0.8  # likeness from which an unknown key of a lenient type counts as a known one misspelt
+MIN_TYPO_SIMILARITY = (
+    0.8  # likeness from which an unknown key of a lenient type counts as a known one misspelt
+)
 
 
 @cache
-def type_of(kind: type[msgspec.Struct]) -> t.StructType:
+def struct_type(kind: type[msgspec.Struct]) -> t.StructType:
     """The description of a Struct, made once."""
     made = t.type_info(kind)
     assert isinstance(made, t.StructType)
     return made
 
 
-def bare(node: t.Type) -> t.Type:
+def without_metadata(node: t.Type) -> t.Type:
     """The type without what is said about it."""
     return node.type if isinstance(node, t.Metadata) else node
 
 
-def extra(node: t.Type) -> Mapping[str, Any]:
+def extra_metadata(node: t.Type) -> Mapping[str, Any]:
     """What `Meta(extra=...)` says."""
     return (node.extra or {}) if isinstance(node, t.Metadata) else {}
 
@@ -53,31 +62,36 @@
     return str((node.extra_json_schema or {}).get("description", "")) if isinstance(node, t.Metadata) else ""
 
 
-def allowed(node: t.Type) -> str:
+def allowed_text(node: t.Type) -> str:
     """What a type takes, in words."""
-    if words := extra(node).get("allowed"):
-        return str(words)
-    node = bare(node)
+    if allowed_values := extra_metadata(node).get("allowed"):
+        return str(allowed_values)
+    node = without_metadata(node)
     if isinstance(node, t.LiteralType):
         return " or ".join(json.dumps(x) for x in node.values)
     if isinstance(node, t.IntType | t.FloatType):
-        return ("a whole number" if isinstance(node, t.IntType) else "a number") + _bounds(node)
+        return ("a whole number" if isinstance(node, t.IntType) else "a number") + _bounds_text(node)
     if isinstance(node, t.StrType):
         pattern = f" that matches {node.pattern}" if node.pattern else ""
-        return f"text{pattern}{_size(node, 'characters')}"
+        return f"text{pattern}{_length_bounds_text(node, 'characters')}"
     if isinstance(node, t.ListType | t.VarTupleType):
-        return f"a list of {allowed(node.item_type)}{_size(node, 'entries')}"
+        return f"a list of {allowed_text(node.item_type)}{_length_bounds_text(node, 'entries')}"
     if isinstance(node, t.DictType):
-        return f"a table of {allowed(node.value_type)}{_size(node, 'entries')}"
+        return f"a table of {allowed_text(node.value_type)}{_length_bounds_text(node, 'entries')}"
     if isinstance(node, t.UnionType):
-        return " or ".join(allowed(x) for x in node.types)
-    return _WORDS.get(type(node), type(node).__name__)
+        return " or ".join(allowed_text(x) for x in node.types)
+    return _TYPE_NAMES.get(type(node), type(node).__name__)
 
 
-_WORDS = {t.BoolType: "true or false", t.NoneType: "null", t.AnyType: "anything", t.StructType: "a table"}
+_TYPE_NAMES = {
+    t.BoolType: "true or false",
+    t.NoneType: "null",
+    t.AnyType: "anything",
+    t.StructType: "a table",
+}
 
 
-def _bounds(node: t.IntType | t.FloatType) -> str:
+def _bounds_text(node: t.IntType | t.FloatType) -> str:
     least, most = node.ge, node.le
     if node.gt is not None:
         return f" above {node.gt:g}" + (f" up to {most:g}" if most is not None else "")
@@ -86,33 +100,33 @@
     return f" from {least:g}" if least is not None else f" up to {most:g}" if most is not None else ""
 
 
-def _size(node: Sized, unit: str) -> str:
+def _length_bounds_text(node: SizedType, unit: str) -> str:
     least, most = node.min_length, node.max_length
     return (f", at least {least} {unit}" if least else "") + (f", at most {most} {unit}" if most else "")
 
 
-class Walk:
+class TreeReader:
     """One pass over one file's data. `problems` holds what it found, in the file's order."""
 
     def __init__(self) -> None:
         self.problems: list[Problem] = []
 
-    def value(self, value: Any, node: t.Type, path: Path) -> Any:
+    def read(self, value: Any, node: t.Type, path: Path) -> Any:
         """The value with former names replaced; what is wrong with it is in `problems`."""
-        kind, words = bare(node), allowed(node)
+        kind, allowed_values = without_metadata(node), allowed_text(node)
         if isinstance(kind, t.StructType):
-            return self._struct(value, kind, path)
+            return self._read_struct(value, kind, path)
         if isinstance(kind, t.DictType):
-            return self._dict(value, kind, path, words)
+            return self._read_dict(value, kind, path, allowed_values)
         if isinstance(kind, t.ListType | t.VarTupleType):
-            return self._list(value, kind, path, words)
+            return self._read_list(value, kind, path, allowed_values)
         if isinstance(kind, t.UnionType):
-            return self._union(value, kind, path, words)
-        if not _fits(value, kind):
-            self._add(Problem(path, shown(value), words))
+            return self._read_union(value, kind, path, allowed_values)
+        if not _is_valid(value, kind):
+            self._add(Problem(path, format_value(value), allowed_values))
         return value
 
-    def spoilt(self, top: str) -> bool:
+    def has_problem(self, top: str) -> bool:
         """Is anything wrong in this table?"""
         return any(not p.note and p.path[:1] == (top,) for p in self.problems)
 
@@ -122,90 +136,94 @@
         elif len(self.problems) == MAX_PROBLEMS:
             self.problems.append(Problem((), f"over {MAX_PROBLEMS} problems", "the rest is not listed"))
 
-    def _struct(self, value: Any, node: t.StructType, path: Path) -> Any:
+    def _read_struct(self, value: Any, node: t.StructType, path: Path) -> Any:
         if not isinstance(value, dict):
-            self._add(Problem(path, shown(value), "a table"))
+            self._add(Problem(path, format_value(value), "a table"))
             return value
         fields = {f.encode_name: f for f in node.fields}
-        former = {old: f.encode_name for f in node.fields for old in extra(f.type).get("was", ())}
-        clean: dict[str, Any] = {}
+        former = {old: f.encode_name for f in node.fields for old in extra_metadata(f.type).get("was", ())}
+        cleaned: dict[str, Any] = {}
         for key, item in value.items():
             name = former.get(key, key)
             if name not in fields:
-                self._unknown(key, node, value, path)
-            elif key not in former or self._former(key, name, value, path):
-                clean[name] = self.value(item, fields[name].type, (*path, key))
+                self._add_unknown_key(key, node, value, path)
+            elif key not in former or self._accept_former_name(key, name, value, path):
+                cleaned[name] = self.read(item, fields[name].type, (*path, key))
         for name, field in fields.items():
-            if field.required and name not in clean:
-                self._add(Problem((*path, name), "nothing", allowed(field.type)))
-        return clean
+            if field.required and name not in cleaned:
+                self._add(Problem((*path, name), "nothing", allowed_text(field.type)))
+        return cleaned
 
-    def _former(self, key: str, name: str, value: Mapping[str, Any], path: Path) -> bool:
+    def _accept_former_name(self, key: str, name: str, value: Mapping[str, Any], path: Path) -> bool:
         """May a field under its former name be taken?"""
         twice = name in value
         found = f"a former name of {name}" + (", which is given too" if twice else "")
         self._add(Problem((*path, key), found, f"{name} alone" if twice else f"write {name}", note=not twice))
         return not twice
 
-    def _unknown(self, key: str, node: t.StructType, value: Mapping[str, Any], path: Path) -> None:
+    def _add_unknown_key(self, key: str, node: t.StructType, value: Mapping[str, Any], path: Path) -> None:
         if len(self.problems) > MAX_PROBLEMS:
             return
         known = tuple(f.encode_name for f in node.fields)
         if node.forbid_unknown_fields:
-            self._add(unknown((*path, key), key, known, near=_deeper(key, node)))
+            self._add(unknown_key((*path, key), key, known, near=_path_in_nested_table(key, node)))
             return
         absent = tuple(k for k in known if k not in value)
-        likeness = {k: SequenceMatcher(None, key[:MAX_SHOWN].lower(), k.lower()).ratio() for k in absent}
+        likeness = {
+            k: SequenceMatcher(None, key[:MAX_SHOWN_CHARS].lower(), k.lower()).ratio() for k in absent
+        }
         near = max(likeness, key=lambda k: likeness[k], default="")
-        if near and likeness[near] >= SLIP:
-            self._add(unknown((*path, key), key, absent, near=near))
+        if near and likeness[near] >= MIN_TYPO_SIMILARITY:
+            self._add(unknown_key((*path, key), key, absent, near=near))
         else:
             self._add(Problem((*path, key), "an unknown key", "it is disregarded", note=True))
 
-    def _dict(self, value: Any, node: t.DictType, path: Path, words: str) -> Any:
-        if not isinstance(value, dict) or not _sized(value, node):
-            self._add(Problem(path, _counted(value), words))
+    def _read_dict(self, value: Any, node: t.DictType, path: Path, allowed_values: str) -> Any:
+        if not isinstance(value, dict) or not _length_in_bounds(value, node):
+            self._add(Problem(path, _describe_found(value), allowed_values))
             return value
         for key in value:
-            if not _fits(key, bare(node.key_type)):
-                self._add(Problem((*path, key), "such a key", f"keys: {allowed(node.key_type)}"))
-        return {key: self.value(item, node.value_type, (*path, key)) for key, item in value.items()}
-
-    def _list(self, value: Any, node: t.ListType | t.VarTupleType, path: Path, words: str) -> Any:
-        if not isinstance(value, list) or not _sized(value, node):
-            self._add(Problem(path, _counted(value), words))
+            if not _is_valid(key, without_metadata(node.key_type)):
+                self._add(Problem((*path, key), "such a key", f"keys: {allowed_text(node.key_type)}"))
+        return {key: self.read(item, node.value_type, (*path, key)) for key, item in value.items()}
+
+    def _read_list(
+        self, value: Any, node: t.ListType | t.VarTupleType, path: Path, allowed_values: str
+    ) -> Any:
+        if not isinstance(value, list) or not _length_in_bounds(value, node):
+            self._add(Problem(path, _describe_found(value), allowed_values))
             return value
-        return [self.value(item, node.item_type, (*path, k)) for k, item in enumerate(value)]
+        return [self.read(item, node.item_type, (*path, k)) for k, item in enumerate(value)]
 
-    def _union(self, value: Any, node: t.UnionType, path: Path, words: str) -> Any:
+    def _read_union(self, value: Any, node: t.UnionType, path: Path, allowed_values: str) -> Any:
         for kind in node.types:
-            tried = Walk()
-            clean = tried.value(value, kind, path)
-            if not any(not p.note for p in tried.problems):
-                return clean
-        self._add(Problem(path, shown(value), words))
+            attempt = TreeReader()
+            cleaned = attempt.read(value, kind, path)
+            if not any(not p.note for p in attempt.problems):
+                return cleaned
+        self._add(Problem(path, format_value(value), allowed_values))
         return value
 
 
-def _counted(value: Any) -> str:
-    return f"a table of {len(value)}" if isinstance(value, dict) else shown(value)
+def _describe_found(value: Any) -> str:
+    return f"a table of {len(value)}" if isinstance(value, dict) else format_value(value)
 
 
-def _deeper(key: str, node: t.StructType) -> str:
+def _path_in_nested_table(key: str, node: t.StructType) -> str:
     """Where a key belongs that stands one table too high."""
     for field in node.fields:
-        inner = bare(field.type)
+        inner = without_metadata(field.type)
         if isinstance(inner, t.StructType) and any(f.encode_name == key for f in inner.fields):
-            return dotted((field.encode_name, key))
+            return dotted_path((field.encode_name, key))
     return ""
 
 
-def _sized(value: Any, node: Sized) -> bool:
+def _length_in_bounds(value: Any, node: SizedType) -> bool:
     least, most = node.min_length, node.max_length
     return (least is None or len(value) >= least) and (most is None or len(value) <= most)
 
 
-def _within(value: float, node: t.IntType | t.FloatType) -> bool:
+def _in_bounds(value: float, node: t.IntType | t.FloatType) -> bool:
     return (
         (node.ge is None or value >= node.ge)
         and (node.le is None or value <= node.le)
@@ -214,40 +232,40 @@
     )
 
 
-def _whole(value: Any, node: t.IntType) -> bool:
-    return isinstance(value, int) and not isinstance(value, bool) and _within(value, node)
+def _is_int(value: Any, node: t.IntType) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and _in_bounds(value, node)
 
 
-def _number(value: Any, node: t.FloatType) -> bool:
+def _is_float(value: Any, node: t.FloatType) -> bool:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
     try:
-        return math.isfinite(float(value)) and _within(float(value), node)
+        return math.isfinite(float(value)) and _in_bounds(float(value), node)
     except OverflowError:  # a whole number that no float can hold
         return False
 
 
-def _text(value: Any, node: t.StrType) -> bool:
-    if not isinstance(value, str) or not _sized(value, node):
+def _is_str(value: Any, node: t.StrType) -> bool:
+    if not isinstance(value, str) or not _length_in_bounds(value, node):
         return False
     return node.pattern is None or re.search(node.pattern, value) is not None
 
 
-def _literal(value: Any, node: t.LiteralType) -> bool:
+def _is_literal(value: Any, node: t.LiteralType) -> bool:
     return any(type(value) is type(x) and value == x for x in node.values)
 
 
-_FITS: dict[type[t.Type], Callable[[Any, Any], bool]] = {
-    t.IntType: _whole,
-    t.FloatType: _number,
-    t.StrType: _text,
-    t.LiteralType: _literal,
+_VALIDATORS: dict[type[t.Type], Callable[[Any, Any], bool]] = {
+    t.IntType: _is_int,
+    t.FloatType: _is_float,
+    t.StrType: _is_str,
+    t.LiteralType: _is_literal,
     t.BoolType: lambda value, node: isinstance(value, bool),
     t.NoneType: lambda value, node: value is None,
 }
 
 
-def _fits(value: Any, node: t.Type) -> bool:
+def _is_valid(value: Any, node: t.Type) -> bool:
     """Is a value that holds no others of this type? Any type that is not listed takes all."""
-    fits = _FITS.get(type(node))
-    return fits is None or fits(value, node)
+    validator = _VALIDATORS.get(type(node))
+    return validator is None or validator(value, node)
--- a/granitewell/status/fleet.py
+++ b/granitewell/status/fleet.py
@@ -10,13 +10,30 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from granitewell.status.descriptions import Sheet, plain, span
-from granitewell.status.metrics import PREFIX, Labels, labelled, number
+from granitewell.status.descriptions import TextTable, format_duration, printable
+from granitewell.status.metrics import METRIC_PREFIX, Labels, format_labels, format_number
 
 VERSION = 1
-STATES = ("alive", "suspect", "dead", "left")
-_KEYS = frozenset({"name", "phase", "turn", "members", "most", "up", "configured", "unseen", "silent",
-                   "changed_s", "health", "letters", "dropped", "roads", "streams"})  # fmt: skip
+MEMBER_STATES = ("alive", "suspect", "dead", "left")
+_REQUIRED_KEYS = frozenset(
+    {
+        "name",
+        "phase",
+        "turn",
+        "members",
+        "most",
+        "up",
+        "configured",
+        "unseen",
+        "silent",
+        "changed_s",
+        "health",
+        "letters",
+        "dropped",
+        "roads",
+        "streams",
+    }
+)
 _HELP = {
     "cluster_members": ("gauge", "Members by state, this node included once it is one."),
     "cluster_acting_most": ("gauge", "Nodes that may act: shared budgets are divided by it."),
@@ -32,111 +49,143 @@
 }
 
 
-def text(view: Mapping[str, Any]) -> str:
+def metrics_text(view: Mapping[str, Any]) -> str:
     """Lines in Prometheus' format (see metrics)."""
     parts = []
     for name, samples in _samples(view):
-        kind, said = _HELP[name]
+        kind, help_text = _HELP[name]
         found = [(labels, value) for labels, value in samples if value is not None]
         if found:
-            parts.append(f"# HELP {PREFIX}{name} {said}\n# TYPE {PREFIX}{name} {kind}\n")
-            parts += (f"{PREFIX}{name}{labelled(labels)} {number(value)}\n" for labels, value in found)
+            parts.append(f"# HELP {METRIC_PREFIX}{name} {help_text}\n# TYPE {METRIC_PREFIX}{name} {kind}\n")
+            parts += (
+                f"{METRIC_PREFIX}{name}{format_labels(labels)} {format_number(value)}\n"
+                for labels, value in found
+            )
     return "".join(parts)
 
 
 def _samples(view: Mapping[str, Any]) -> Iterator[tuple[str, list[tuple[Labels, float | None]]]]:
     states = [m["state"] for m in view["members"]]
-    yield "cluster_members", [({"state": s}, states.count(s)) for s in STATES]
+    yield "cluster_members", [({"state": s}, states.count(s)) for s in MEMBER_STATES]
     singles = {"acting_most": "most", "acting_up": "up", "unseen": "unseen", "changed_seconds": "changed_s",
                "health": "health", "twins": "twins"}  # fmt: skip
     for name, key in singles.items():
         yield f"cluster_{name}", [({}, view[key])]
-    yield "cluster_letters_total", [(_two(k), n) for k, n in view["letters"].items()]
+    yield "cluster_letters_total", [(_kind_and_way(k), n) for k, n in view["letters"].items()]
     for name, key, label in (("dropped_total", "dropped", "reason"), ("roads_total", "roads", "what"),
                              ("streams", "streams", "whose")):  # fmt: skip
         yield f"cluster_{name}", [({label: k}, n) for k, n in (view[key] or {}).items()]
 
 
-def _two(key: str) -> Labels:
+def _kind_and_way(key: str) -> Labels:
     kind, _, way = key.partition(" ")
     return {"kind": kind, "way": way}
 
 
 # --- Words ----------------------------------------------------------------------------------------------
-def taken(data: Any) -> dict[str, Any]:
+def parse_view(data: Any) -> dict[str, Any]:
     """The view that JSON holds; ValueError where it is none, or one of another version."""
-    if not isinstance(data, dict) or not data.keys() >= _KEYS:
+    if not isinstance(data, dict) or not data.keys() >= _REQUIRED_KEYS:
         raise ValueError("not the view of a node")
     if data.get("version") != VERSION:
-        raise ValueError(f"a view of version {plain(data.get('version'))}, and this command knows {VERSION}")
+        raise ValueError(
+            f"a view of version {printable(data.get('version'))}, and this command knows {VERSION}"
+        )
     try:
-        head(data), members(data), good(data)
+        summary_lines(data), members_table(data), is_healthy(data)
     except (LookupError, TypeError, AttributeError, ValueError):
         raise ValueError("not the view of a node: a field is missing or of another kind") from None
     return data
 
 
-def good(view: Mapping[str, Any]) -> bool:
+def is_healthy(view: Mapping[str, Any]) -> bool:
     """Is this node a member, and nobody that it counts missing?"""
-    waits = view["turn"] in ("waiting", "aside")
-    return bool(waits or (view["phase"] == "in" and not view["silent"] and not view["unseen"]))
+    is_waiting = view["turn"] in ("waiting", "aside")
+    return bool(is_waiting or (view["phase"] == "in" and not view["silent"] and not view["unseen"]))
 
 
-def head(view: Mapping[str, Any]) -> list[str]:
+def summary_lines(view: Mapping[str, Any]) -> list[str]:
     """The lines on top."""
     if view["phase"] is None:
-        return [f"{plain(view['name'])} is no member in this process: {plain(view['turn'])}"]
+        return [f"{printable(view['name'])} is no member in this process: {printable(view['turn'])}"]
     states = [m["state"] for m in view["members"]]
-    count = ", ".join(f"{states.count(s)} {s}" for s in STATES if s in states)
-    silent = [plain(x) for x in view["silent"][:5]]
+    count = ", ".join(f"{states.count(s)} {s}" for s in MEMBER_STATES if s in states)
+    silent = [printable(x) for x in view["silent"][:5]]
     more = f" and {len(view['silent']) - 5} more" if len(view["silent"]) > 5 else ""
     missing = f"; silent and counted: {', '.join(silent)}{more}" if silent else ""
     never = f"; {view['unseen']} of the {view['configured']} in the settings never named"
     unseen = never if view["unseen"] else ""
-    changed = f"changed {span(view['changed_s'])} ago" if view["changed_s"] is not None else "never changed"
+    changed = (
+        f"changed {format_duration(view['changed_s'])} ago"
+        if view["changed_s"] is not None
+        else "never changed"
+    )
     return [
-        f"{plain(view['name'])} is {plain(view['phase'])} at {plain(view['address'])}, life {view['life']}; "
+        f"{printable(view['name'])} is {printable(view['phase'])} at {printable(view['address'])}, "
+        f"life {view['life']}; "
         f"{count or 'no members'}; {changed}; own health {view['health']} of 8",
         f"budgets divided by {view['most']}, forecast counts {view['up']:.1f}, the settings say "
         f"{view['configured']}{missing}{unseen}",
-    ]  # fmt: skip
+    ]
 
 
-def members(view: Mapping[str, Any]) -> Sheet:
+def members_table(view: Mapping[str, Any]) -> TextTable:
     """A row a member: who is not well first."""
     order = {"dead": 0, "suspect": 1, "alive": 2, "left": 3}
     rows = sorted(view["members"], key=lambda m: (order[m["state"]], m["name"]))
     columns = "member", "state", "since", "role", "zone", "address", "life", "incarnation", "said by"
-    return Sheet("Members", columns, [
-        (plain(m["name"]), plain(m["state"]), "-" if m["gone_s"] is None else span(m["gone_s"]),
-         plain(m["role"] or "-"), plain(m["zone"] or "-"), plain(m["address"] or "-"), str(m["life"]),
-         str(m["incarnation"]), plain(m["by"] or "-"))
-        for m in rows
-    ], frozenset(k for k, m in enumerate(rows) if m["state"] in ("dead", "suspect")))  # fmt: skip
-
-
-def explained(data: Any) -> tuple[list[str], Sheet]:
+    return TextTable(
+        "Members",
+        columns,
+        [
+            (
+                printable(m["name"]),
+                printable(m["state"]),
+                "-" if m["gone_s"] is None else format_duration(m["gone_s"]),
+                printable(m["role"] or "-"),
+                printable(m["zone"] or "-"),
+                printable(m["address"] or "-"),
+                str(m["life"]),
+                str(m["incarnation"]),
+                printable(m["by"] or "-"),
+            )
+            for m in rows
+        ],
+        frozenset(k for k, m in enumerate(rows) if m["state"] in ("dead", "suspect")),
+    )
+
+
+def describe_explanation(data: Any) -> tuple[list[str], TextTable]:
     """Lines and a table of what was said of one member; ValueError where it is none of that."""
     try:
         m = data["member"]
-        name, counted = plain(data["name"]), data["counted"]
-        first = f"{plain(data['asked'])} knows nobody called {name}"
+        name, counted = printable(data["name"]), data["counted"]
+        heading = f"{printable(data['asked'])} knows nobody called {name}"
         if m is not None:
-            by = f", said first by {plain(m['by'])}" if m["by"] else ""
-            first = f"{plain(data['asked'])} has {name} as {plain(m['state'])} in life {m['life']}{by}"
+            by = f", said first by {printable(m['by'])}" if m["by"] else ""
+            heading = (
+                f"{printable(data['asked'])} has {name} as {printable(m['state'])} in life {m['life']}{by}"
+            )
         count = {
             "up": "counts as up",
             "silent": "is silent, and counts in budgets",
             "out": "counts no more",
             "away": "has left, may come back, and counts in budgets for some minutes",
         }
-        lines = [first, f"{name} {count.get(counted, 'does not count here: another role, or never named')}"]
+        lines = [heading, f"{name} {count.get(counted, 'does not count here: another role, or never named')}"]
         rows = [
-            (span(r["ago_s"]), plain(r["state"]), str(r["life"]), str(r["incarnation"]), plain(r["told_by"]),
-             plain(r["road"]), plain(r["by"] or "-"))
+            (
+                format_duration(r["ago_s"]),
+                printable(r["state"]),
+                str(r["life"]),
+                str(r["incarnation"]),
+                printable(r["told_by"]),
+                printable(r["road"]),
+                printable(r["by"] or "-"),
+            )
             for r in reversed(data["history"])
-        ]  # fmt: skip
+        ]
     except (LookupError, TypeError, AttributeError, ValueError):
         raise ValueError("no explanation of a node") from None
     columns = "ago", "state", "life", "incarnation", "told by", "road", "first said by"
-    return lines, Sheet("What was said, the newest first", columns, rows)
+    return lines, TextTable("What was said, the newest first", columns, rows)
--- a/granitewell/status/metrics.py
+++ b/granitewell/status/metrics.py
@@ -13,13 +13,13 @@
 
 from granitewell.balancing.interface import Outcome
 from granitewell.core import Phase, ResponseStatus
-from granitewell.status.types import OLDER, Snapshot, Use
+from granitewell.status.types import AGE_OVERFLOW_KEY, Snapshot, Usage
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-PREFIX = "granitewell_"
-ENDS = (*(v.value for v in ResponseStatus), "abandoned", "table_full")
-CALL = "call_"
-BATCH = 100  # lines made at a time
+METRIC_PREFIX = "granitewell_"
+REQUEST_ENDS = (*(v.value for v in ResponseStatus), "abandoned", "table_full")
+CALL_COUNTER_PREFIX = "call_"
+LINES_PER_PART = 100  # lines made at a time
 
 Labels = Mapping[str, str]
 Sample = tuple[Labels, float | None]
@@ -36,29 +36,31 @@
 
     def text(self, snapshot: Snapshot) -> Iterator[str]:
         """Its lines, some at a time; nothing where it has no sample."""
-        name = PREFIX + self.name
+        name = METRIC_PREFIX + self.name
         samples = [(labels, value) for labels, value in self.samples(snapshot) if value is not None]
         if samples:
-            said = self.help.replace("\\", "\\\\").replace("\n", "\\n")
-            yield f"# HELP {name} {said}\n# TYPE {name} {self.kind}\n"
-        for at in range(0, len(samples), BATCH):
-            some = samples[at : at + BATCH]
-            yield "".join(f"{name}{labelled(labels)} {number(value)}\n" for labels, value in some)
+            help_text = self.help.replace("\\", "\\\\").replace("\n", "\\n")
+            yield f"# HELP {name} {help_text}\n# TYPE {name} {self.kind}\n"
+        for start in range(0, len(samples), LINES_PER_PART):
+            batch = samples[start : start + LINES_PER_PART]
+            yield "".join(
+                f"{name}{format_labels(labels)} {format_number(value)}\n" for labels, value in batch
+            )
 
 
-def labelled(labels: Labels) -> str:
+def format_labels(labels: Labels) -> str:
     """`{endpoint="a",class="b"}`, or nothing for no labels."""
-    inner = ",".join(f'{name}="{escaped(value)}"' for name, value in labels.items())
+    inner = ",".join(f'{name}="{escape_label_value(value)}"' for name, value in labels.items())
     return f"{{{inner}}}" if inner else ""
 
 
-def escaped(value: str) -> str:
+def escape_label_value(value: str) -> str:
     """A label's value: any text but half of a surrogate pair, for which UTF-8 has no form."""
-    whole = value.encode(errors="replace").decode()
-    return whole.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
+    encodable = value.encode(errors="replace").decode()
+    return encodable.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """As Go's ParseFloat reads it."""
     if value != value:
         return "NaN"
@@ -67,46 +69,46 @@
     return repr(value)
 
 
-def text(snapshot: Snapshot) -> Iterator[str]:
+def exposition(snapshot: Snapshot) -> Iterator[str]:
     """The families one by one, in parts that are each quickly made; joined they are the whole exposition."""
     for family in FAMILIES:
         yield from family.text(snapshot)
 
 
 # --- The families ---------------------------------------------------------------------------------------
-def _one(value: Callable[[Snapshot], float | None]) -> Callable[[Snapshot], list[Sample]]:
+def _single(value: Callable[[Snapshot], float | None]) -> Callable[[Snapshot], list[Sample]]:
     return lambda s: [({}, value(s))]
 
 
-def _counted(key: str) -> Callable[[Snapshot], list[Sample]]:
-    return _one(lambda s: s["counters"].get(key, 0))
+def _counter(key: str) -> Callable[[Snapshot], list[Sample]]:
+    return _single(lambda s: s["counters"].get(key, 0))
 
 
-def _ends(s: Snapshot) -> list[Sample]:
-    return [({"end": end}, s["counters"].get(end, 0)) for end in ENDS]
+def _request_ends(s: Snapshot) -> list[Sample]:
+    return [({"end": end}, s["counters"].get(end, 0)) for end in REQUEST_ENDS]
 
 
-def _outcomes(s: Snapshot) -> list[Sample]:
-    return [({"outcome": o.value}, s["counters"].get(CALL + o.value, 0)) for o in Outcome]
+def _call_outcomes(s: Snapshot) -> list[Sample]:
+    return [({"outcome": o.value}, s["counters"].get(CALL_COUNTER_PREFIX + o.value, 0)) for o in Outcome]
 
 
-def _held(s: Snapshot) -> list[Sample]:
+def _held_by_age(s: Snapshot) -> list[Sample]:
     return [
-        ({"class": c["class"], "under_ms": "+Inf" if age == OLDER else age}, n)
+        ({"class": c["class"], "under_ms": "+Inf" if age == AGE_OVERFLOW_KEY else age}, n)
         for c in s["held"]["classes"] for age, n in c["ages"].items()
     ]  # fmt: skip
 
 
-def _uses(of: Callable[[Use], int]) -> Callable[[Snapshot], list[Sample]]:
+def _descriptor_usage(value_of: Callable[[Usage], int]) -> Callable[[Snapshot], list[Sample]]:
     def samples(s: Snapshot) -> list[Sample]:
         d = s["descriptors"]
         uses = {"clients": d["clients"], "endpoints": d["endpoints"], "together": d["together"]}
-        return [({"side": side}, of(use)) for side, use in uses.items()]
+        return [({"side": side}, value_of(use)) for side, use in uses.items()]
 
     return samples
 
 
-def _pairs(key: str, cause: bool = False) -> Callable[[Snapshot], list[Sample]]:
+def _pair_samples(key: str, cause: bool = False) -> Callable[[Snapshot], list[Sample]]:
     def samples(s: Snapshot) -> list[Sample]:
         return [
             ({"endpoint": p["endpoint"], "class": p["class"]} | ({"cause": p["cause"]} if cause else {}),
@@ -117,7 +119,7 @@
     return samples
 
 
-def _endpoints(key: str) -> Callable[[Snapshot], list[Sample]]:
+def _endpoint_samples(key: str) -> Callable[[Snapshot], list[Sample]]:
     def samples(s: Snapshot) -> list[Sample]:
         return [({"endpoint": e["endpoint"]}, e[key]) for e in s["endpoints"]]  # type: ignore[literal-required]
 
@@ -126,61 +128,147 @@
 
 FAMILIES = (
     Family("info", "gauge", "Always 1; the node's name.", lambda s: [({"name": s["name"]}, 1)]),
-    Family("phase", "gauge", "1 for the phase that the node is in, 0 for the others.",
-           lambda s: [({"phase": p.value}, int(s["phase"] == p.value)) for p in Phase]),
-    Family("uptime_seconds", "gauge", "Since the node's start.", _one(lambda s: s["uptime_s"])),
-    Family("taken_total", "counter", "Requests taken.", _counted("taken")),
-    Family("requests_total", "counter", "Requests by how they ended.", _ends),
-    Family("sent_total", "counter", "Outbound calls started.", _counted("sent")),
-    Family("dialed_total", "counter", "Outbound calls that needed a new connection.", _counted("dialed")),
-    Family("calls_total", "counter", "Outbound calls by how they ended.", _outcomes),
-    Family("reports_total", "counter", "Answers with a usable load report.", _counted("reports")),
-    Family("guarded_total", "counter", "Sends that a rule forbade.", _counted("guarded")),
-    Family("faults_total", "counter", "Exceptions caught.", _counted("faults")),
-    Family("held_requests", "gauge", "Requests owed an answer, by age: under so many ms, and not under the "
-           "next lower bound.", _held),
-    Family("calls", "gauge", "Outbound calls under way.", _one(lambda s: s["calls"]["total"])),
-    Family("calls_dialing", "gauge", "Of these, waiting for a connection.",
-           _one(lambda s: s["calls"]["dialing"])),
-    Family("connections_idle", "gauge", "Idle connections to endpoints.", _one(lambda s: s["calls"]["idle"])),
-    Family("descriptors", "gauge", "Descriptors held by clients, endpoints and both.",
-           _uses(lambda u: u["used"])),
-    Family("descriptors_allowed", "gauge", "The most of them.", _uses(lambda u: u["allowed"])),
-    Family("discovery_heard_age_seconds", "gauge", "Since discovery's last good answer.",
-           _one(lambda s: s["discovery"]["heard_s"])),
-    Family("discovery_news_age_seconds", "gauge", "Since discovery last told anything new.",
-           _one(lambda s: s["discovery"]["news_s"])),
-    Family("discovery_failure_age_seconds", "gauge", "Since a call to discovery last failed.",
-           _one(lambda s: s["discovery"]["failed_s"])),
-    Family("endpoints", "gauge", "Endpoints as discovery tells them.",
-           lambda s: [({"state": state}, float(n)) for state, n in s["fleet"].items() if isinstance(n, int)]),
-    Family("prefix_endpoints", "gauge", "Endpoints that take ordinary traffic.",
-           _one(lambda s: s["module"]["prefix"])),
-    Family("slots", "gauge", "c: calls that an endpoint is held to bear at once.",
-           _one(lambda s: s["module"]["c"])),
-    Family("shedding_ratio", "gauge", "Part of the work that is refused.",
-           _one(lambda s: s["module"]["shedding"])),
-    Family("late_ratio", "gauge", "Part of the answers that come past their aim.",
-           _one(lambda s: s["module"]["late"])),
-    Family("latency_mean_seconds", "gauge", "Mean time of an answer.",
-           _one(lambda s: s["module"]["mean_ms"] / 1000)),
-    Family("repeats_saved", "gauge", "Repeats that may go out now.", _one(lambda s: s["module"]["repeats"])),
-    Family("pairs", "gauge", "Pairs of endpoint and class that are judged.",
-           _one(lambda s: s["judged"]["pairs"])),
-    Family("pairs_ill", "gauge", "Pairs held to be ill, by class.",
-           lambda s: [({"class": c["class"]}, c["ill"]) for c in s["classes"]]),
-    Family("class_full", "gauge", "1 where so many endpoints look ill that the fleet is held to be full.",
-           lambda s: [({"class": c["class"]}, int(c["full"])) for c in s["classes"]]),
-    Family("pair_ill", "gauge", "1 where a class at an endpoint is ill; the worst pairs only.",
-           _pairs("ill", True)),
-    Family("pair_failures_ratio", "gauge", "Its share of failures, the newest counting most.",
-           _pairs("failures")),
-    Family("pair_in_flight", "gauge", "Its calls under way.", _pairs("in_flight")),
-    Family("endpoint_calls", "gauge", "Outbound calls at an endpoint; the worst endpoints only.",
-           _endpoints("calls")),
-    Family("endpoint_dialing", "gauge", "Of these, waiting for a connection.", _endpoints("dialing")),
-    Family("endpoint_idle", "gauge", "Idle connections to it.", _endpoints("idle")),
-    Family("endpoint_warm_ratio", "gauge", "Part of its capacity that it has now.", _endpoints("warm")),
-    Family("endpoint_speed_ratio", "gauge", "Its time for the same work against the others'.",
-           _endpoints("speed")),
-)  # fmt: skip
+    Family(
+        "phase",
+        "gauge",
+        "1 for the phase that the node is in, 0 for the others.",
+        lambda s: [({"phase": p.value}, int(s["phase"] == p.value)) for p in Phase],
+    ),
+    Family("uptime_seconds", "gauge", "Since the node's start.", _single(lambda s: s["uptime_s"])),
+    Family("taken_total", "counter", "Requests taken.", _counter("taken")),
+    Family("requests_total", "counter", "Requests by how they ended.", _request_ends),
+    Family("sent_total", "counter", "Outbound calls started.", _counter("sent")),
+    Family("dialed_total", "counter", "Outbound calls that needed a new connection.", _counter("dialed")),
+    Family("calls_total", "counter", "Outbound calls by how they ended.", _call_outcomes),
+    Family("reports_total", "counter", "Answers with a usable load report.", _counter("reports")),
+    Family("guarded_total", "counter", "Sends that a rule forbade.", _counter("guarded")),
+    Family("faults_total", "counter", "Exceptions caught.", _counter("faults")),
+    Family(
+        "held_requests",
+        "gauge",
+        "Requests owed an answer, by age: under so many ms, and not under the " "next lower bound.",
+        _held_by_age,
+    ),
+    Family("calls", "gauge", "Outbound calls under way.", _single(lambda s: s["calls"]["total"])),
+    Family(
+        "calls_dialing",
+        "gauge",
+        "Of these, waiting for a connection.",
+        _single(lambda s: s["calls"]["dialing"]),
+    ),
+    Family(
+        "connections_idle", "gauge", "Idle connections to endpoints.", _single(lambda s: s["calls"]["idle"])
+    ),
+    Family(
+        "descriptors",
+        "gauge",
+        "Descriptors held by clients, endpoints and both.",
+        _descriptor_usage(lambda u: u["used"]),
+    ),
+    Family("descriptors_allowed", "gauge", "The most of them.", _descriptor_usage(lambda u: u["allowed"])),
+    Family(
+        "discovery_heard_age_seconds",
+        "gauge",
+        "Since discovery's last good answer.",
+        _single(lambda s: s["discovery"]["heard_s"]),
+    ),
+    Family(
+        "discovery_news_age_seconds",
+        "gauge",
+        "Since discovery last told anything new.",
+        _single(lambda s: s["discovery"]["news_s"]),
+    ),
+    Family(
+        "discovery_failure_age_seconds",
+        "gauge",
+        "Since a call to discovery last failed.",
+        _single(lambda s: s["discovery"]["failed_s"]),
+    ),
+    Family(
+        "endpoints",
+        "gauge",
+        "Endpoints as discovery tells them.",
+        lambda s: [({"state": state}, float(n)) for state, n in s["fleet"].items() if isinstance(n, int)],
+    ),
+    Family(
+        "prefix_endpoints",
+        "gauge",
+        "Endpoints that take ordinary traffic.",
+        _single(lambda s: s["module"]["prefix"]),
+    ),
+    Family(
+        "slots",
+        "gauge",
+        "c: calls that an endpoint is held to bear at once.",
+        _single(lambda s: s["module"]["c"]),
+    ),
+    Family(
+        "shedding_ratio",
+        "gauge",
+        "Part of the work that is refused.",
+        _single(lambda s: s["module"]["shedding"]),
+    ),
+    Family(
+        "late_ratio",
+        "gauge",
+        "Part of the answers that come past their aim.",
+        _single(lambda s: s["module"]["late"]),
+    ),
+    Family(
+        "latency_mean_seconds",
+        "gauge",
+        "Mean time of an answer.",
+        _single(lambda s: s["module"]["mean_ms"] / 1000),
+    ),
+    Family(
+        "repeats_saved", "gauge", "Repeats that may go out now.", _single(lambda s: s["module"]["repeats"])
+    ),
+    Family(
+        "pairs",
+        "gauge",
+        "Pairs of endpoint and class that are judged.",
+        _single(lambda s: s["judged"]["pairs"]),
+    ),
+    Family(
+        "pairs_ill",
+        "gauge",
+        "Pairs held to be ill, by class.",
+        lambda s: [({"class": c["class"]}, c["ill"]) for c in s["classes"]],
+    ),
+    Family(
+        "class_full",
+        "gauge",
+        "1 where so many endpoints look ill that the fleet is held to be full.",
+        lambda s: [({"class": c["class"]}, int(c["full"])) for c in s["classes"]],
+    ),
+    Family(
+        "pair_ill",
+        "gauge",
+        "1 where a class at an endpoint is ill; the worst pairs only.",
+        _pair_samples("ill", True),
+    ),
+    Family(
+        "pair_failures_ratio",
+        "gauge",
+        "Its share of failures, the newest counting most.",
+        _pair_samples("failures"),
+    ),
+    Family("pair_in_flight", "gauge", "Its calls under way.", _pair_samples("in_flight")),
+    Family(
+        "endpoint_calls",
+        "gauge",
+        "Outbound calls at an endpoint; the worst endpoints only.",
+        _endpoint_samples("calls"),
+    ),
+    Family("endpoint_dialing", "gauge", "Of these, waiting for a connection.", _endpoint_samples("dialing")),
+    Family("endpoint_idle", "gauge", "Idle connections to it.", _endpoint_samples("idle")),
+    Family(
+        "endpoint_warm_ratio", "gauge", "Part of its capacity that it has now.", _endpoint_samples("warm")
+    ),
+    Family(
+        "endpoint_speed_ratio",
+        "gauge",
+        "Its time for the same work against the others'.",
+        _endpoint_samples("speed"),
+    ),
+)
--- a/granitewell/status/types.py
+++ b/granitewell/status/types.py
@@ -11,14 +11,14 @@
 from typing import Literal, TypedDict
 
 VERSION = 1  # of the snapshot's shape; keys may be added without a new one
-MAX_WORST = 500  # rows of either table, whatever is asked for
-MAX_TEXT = 100  # characters of a name in it
-MAX_ANSWER = 1024 * 1024  # bytes of a body
-MAX_PATH = 107  # bytes of a unix socket's path on Linux: sun_path less its end
-AGES_MS = (10, 100, 1000, 10_000)  # upper ends of the ages by which held requests are counted
-OLDER = "more"  # and the name of what lies beyond
+MAX_TABLE_ROWS = 500  # rows of either table, whatever is asked for
+MAX_NAME_CHARS = 100  # characters of a name in it
+MAX_RESPONSE_BYTES = 1024 * 1024  # bytes of a body
+MAX_SOCKET_PATH_BYTES = 107  # bytes of a unix socket's path on Linux: sun_path less its end
+AGE_BUCKETS_MS = (10, 100, 1000, 10_000)  # upper ends of the ages by which held requests are counted
+AGE_OVERFLOW_KEY = "more"  # and the name of what lies beyond
 
-ALLOWED_AT = "the path of a unix socket, or 127.0.0.1:PORT"
+ALLOWED_STATUS_ADDRESS = "the path of a unix socket, or 127.0.0.1:PORT"
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class StatusAddress:
     """Where a status is served: a path, or a port of 127.0.0.1."""
 
     path: str = ""
@@ -42,7 +42,7 @@
         return self.path or f"127.0.0.1:{self.port}"
 
 
-def place(at: str, folder: str) -> Place:
+def parse_status_address(at: str, folder: str) -> StatusAddress:
     """What `at` names; a path that begins with no slash is in `folder`, the private temporary directory.
 
     ValueError says what was found.
@@ -51,45 +51,47 @@
     if colon and "/" not in at and port.isascii() and port.isdigit():
         if host != "127.0.0.1" or len(port) > 5 or not 1 <= int(port) <= 65535:
             raise ValueError("an address that is not 127.0.0.1 with a port from 1 to 65535")
-        return Place(port=int(port))
+        return StatusAddress(port=int(port))
     if not at.isprintable() or at.endswith(("/", "/.", "/..")) or at in ("", ".", ".."):
         raise ValueError("what is no path of a socket")
     path = at if at.startswith("/") else f"{folder.rstrip('/')}/{at}"
-    if (size := len(path.encode(errors="replace"))) > MAX_PATH:
-        raise ValueError(f"a path of {size} bytes, over the {MAX_PATH} that a unix socket may have")
-    return Place(path=path)
+    if (size := len(path.encode(errors="replace"))) > MAX_SOCKET_PATH_BYTES:
+        raise ValueError(
+            f"a path of {size} bytes, over the {MAX_SOCKET_PATH_BYTES} that a unix socket may have"
+        )
+    return StatusAddress(path=path)
 
 
 @dataclass(frozen=True, slots=True)
-class About:
+class NodeInfo:
     """What stays as it is for a node's whole life. Times in microseconds on its clock."""
 
     name: str
     classes: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    began_us: int
+    started_us: int
     unix_offset_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Sockets:
+class SocketUsage:
     """What the socket side holds.
 
     `idle`: idle connections by endpoint. Times in microseconds on the node's clock, -1 for never.
     """
 
     idle: Mapping[bytes, Sized]
-    inbounds: int
-    outbounds: int
-    most_inbounds: int
-    most_outbounds: int
-    most: int
+    inbound_count: int
+    outbound_count: int
+    max_inbound: int
+    max_outbound: int
+    max_total: int
     reserve: int
     discovery: tuple[str, int]
-    heard_us: int
-    news_us: int
-    failed_us: int
+    discovery_answered_us: int
+    discovery_changed_us: int
+    discovery_failed_us: int
     failure: str
 
 
@@ -126,14 +128,14 @@
     oldest_ms: float | None
 
 
-class Held(TypedDict):
+class HeldRequests(TypedDict):
     """Requests that are owed an answer."""
 
     total: int
     classes: list[HeldClass]
 
 
-class Calls(TypedDict):
+class OutboundCalls(TypedDict):
     """Outbound calls, and what lies idle."""
 
     total: int
@@ -141,7 +143,7 @@
     idle: int
 
 
-class Use(TypedDict):
+class Usage(TypedDict):
     """Of something bounded."""
 
     used: int
@@ -151,13 +153,13 @@
 class Descriptors(TypedDict):
     """The budget that both sides share."""
 
-    clients: Use
-    endpoints: Use
-    together: Use
+    clients: Usage
+    endpoints: Usage
+    together: Usage
     reserve: int
 
 
-class Discovery(TypedDict):
+class DiscoveryState(TypedDict):
     """The agent that tells of endpoints."""
 
     address: str
@@ -167,7 +169,7 @@
     failure: str
 
 
-class Module(TypedDict):
+class BalancerFigures(TypedDict):
     """The figures behind the decisions."""
 
     endpoints: int
@@ -179,14 +181,14 @@
     repeats: float
 
 
-class Judged(TypedDict):
+class PairCounts(TypedDict):
     """How many (endpoint, class) pairs are judged, and how many of them are held to be ill."""
 
     pairs: int
     ill: int
 
 
-class Fleet(TypedDict):
+class EndpointCounts(TypedDict):
     """Endpoints by what discovery tells of them."""
 
     ready: int
@@ -208,14 +210,14 @@
     uptime_s: float
     took_ms: float
     counters: dict[str, int]
-    held: Held
-    calls: Calls
+    held: HeldRequests
+    calls: OutboundCalls
     descriptors: Descriptors
-    discovery: Discovery
-    module: Module
+    discovery: DiscoveryState
+    module: BalancerFigures
     classes: list[ClassState]
-    judged: Judged
-    fleet: Fleet
+    judged: PairCounts
+    fleet: EndpointCounts
     worst: int
     cut: bool
     pairs: list[PairRow]
--- a/tests/fleet/few.py
+++ b/tests/fleet/few.py
@@ -15,7 +15,7 @@
 
 from granitewell.cli.cluster import call
 from granitewell.lab.loopback.plan import Range
-from granitewell.status.types import Place
+from granitewell.status.types import StatusAddress
 from tests.play import settings
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -71,7 +71,7 @@
                 self.processes[name] = subprocess.Popen(command, env=env, stderr=log)
 
     def view(self, name: str) -> dict[str, Any]:
-        made: dict[str, Any] = call(Place(path=self.at(name)), "/cluster")
+        made: dict[str, Any] = call(StatusAddress(path=self.at(name)), "/cluster")
         return made
 
     def states(self, name: str) -> dict[str, str]:
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -14,8 +14,8 @@
 
 from granitewell.cli.main import run
 from granitewell.durable_folder import FILE, SLOTS
-from granitewell.operator.load import InvalidOperatorFileError, Live, load
-from granitewell.operator.registry import Operator
+from granitewell.operator.load import InvalidOperatorFileError, LiveOperatorFile, load
+from granitewell.operator.registry import OperatorFile
 from granitewell.status import fleet, wire
 from tests.fleet.few import few, until
 
@@ -75,9 +75,9 @@
 
 def _metrics(at: str) -> str:
     from granitewell.cli.node import get
-    from granitewell.status.types import Place
+    from granitewell.status.types import StatusAddress
 
-    code, raw = get(Place(path=at), "/metrics")
+    code, raw = get(StatusAddress(path=at), "/metrics")
     assert code == 200
     return raw.decode()
 
@@ -182,15 +182,15 @@
 def test_a_bad_table_is_refused_with_its_field_and_changes_nothing_in_a_running_node(
     table: str, keys: str | None, mode: int, says: str, tmp_path: Path
 ) -> None:
-    live = Live(str(written(tmp_path, "")))
-    held = live.held
+    live = LiveOperatorFile(str(written(tmp_path, "")))
+    held = live.current
     (tmp_path / "keys").unlink()
     path = written(tmp_path, table, keys, mode)
     with pytest.raises(InvalidOperatorFileError) as caught:
-        load(str(path), Operator)
+        load(str(path), OperatorFile)
     assert says in str(caught.value) and "\n" not in str(caught.value)
     assert KEY not in str(caught.value) and "abcd" not in str(caught.value)
-    assert live.again().held is held is live.held
+    assert live.reload().current is held is live.current
 
 
 @pytest.mark.parametrize("name", ["", "N1", "-a", "a" * 64, "a b", "../x", "ä"])
@@ -199,9 +199,9 @@
     path.write_text(path.read_text().replace('"n1"', json.dumps(name)))
     if name:
         with pytest.raises(InvalidOperatorFileError, match=r"cluster\.name"):
-            load(str(path), Operator)
+            load(str(path), OperatorFile)
     else:  # in no fleet; a note says so
-        made, notes = load(str(path), Operator)
+        made, notes = load(str(path), OperatorFile)
         assert made.cluster.settings().name == "" and [n.field for n in notes] == ["cluster.name"]
 
 
@@ -259,17 +259,19 @@
 )  # fmt: skip
 def test_the_door_answers_what_it_is_asked_and_nothing_else(head: str, own: bool, code: int) -> None:
     try:
-        raw = wire.of_cluster(wire.asked(f"{head} HTTP/1.1\r\n\r\n".encode(), 5, False), View(), own)
+        raw = wire.cluster_response(
+            wire.parse_request(f"{head} HTTP/1.1\r\n\r\n".encode(), 5, False), View(), own
+        )
     except wire.RejectedQueryError as error:
-        raw = error.raw
+        raw = error.response
     assert raw.startswith(b"HTTP/1.1 %d " % code)
-    asked = wire.Asked("/cluster", 5)
-    assert wire.of_cluster(asked, None, True).startswith(b"HTTP/1.1 404 ")
+    asked = wire.StatusRequest("/cluster", 5)
+    assert wire.cluster_response(asked, None, True).startswith(b"HTTP/1.1 404 ")
 
 
 @pytest.mark.parametrize("data", [None, [], {}, {"version": 1}, {"version": 2}, "x", {"members": 3}])
 def test_an_answer_that_is_no_view_is_refused_and_steers_no_terminal(data: Any) -> None:
     with pytest.raises(ValueError):
-        fleet.taken(data)
+        fleet.parse_view(data)
     with pytest.raises(ValueError):
-        fleet.explained(data)
+        fleet.describe_explanation(data)
--- a/tests/recorded/test_recorded_inputs.py
+++ b/tests/recorded/test_recorded_inputs.py
@@ -19,7 +19,7 @@
 from granitewell.domain.errors import InvalidSettingsError
 from granitewell.domain.settings import parse_settings
 from granitewell.operator.load import load
-from granitewell.operator.registry import Operator
+from granitewell.operator.registry import OperatorFile
 from tests.controlplane.test_configuration_examples import patch, put_change, route, whole
 from tests.controlplane.test_operator_api import ApiHarness, run_scenario
 from tests.recorded.samples import DATA
@@ -51,7 +51,7 @@
 
 def operator_values() -> Any:
     """The operator file as the program reads it."""
-    made, _ = load(str(OPERATOR_FILE), Operator)
+    made, _ = load(str(OPERATOR_FILE), OperatorFile)
     return values(made)
 
 
@@ -152,7 +152,7 @@
 
 
 def test_the_recorded_operator_file_has_every_table() -> None:
-    made, _ = load(str(OPERATOR_FILE), Operator)
+    made, _ = load(str(OPERATOR_FILE), OperatorFile)
     text = OPERATOR_FILE.read_text()
     assert all(f"\n[{name}]" in text for name in made.__struct_fields__)
 
--- a/tests/shared_counters/test_shared_counters.py
+++ b/tests/shared_counters/test_shared_counters.py
@@ -22,7 +22,7 @@
 from granitewell.shared_counters.state_machine import WORDS, Counts
 from granitewell.shared_counters.types import OTHERS, Figures, Peer, Peers, Rekey, Took
 from granitewell.state_machine import MessageReceived, SendMessage, TimerFired
-from granitewell.status import shared
+from granitewell.status import shared_counts
 
 S = 1_000_000
 
@@ -375,18 +375,20 @@
             {"name": "n2\x1b", "low": 1, "high": 9, "age_s": None, "unheard": 8, "edge": 0, "others": 0}]},
             {"key": "gold", "low": 0, "high": 0, "unnamed": 0}],
     }  # fmt: skip
-    lines, sheets = shared.counted(json.loads(json.dumps(view)))
+    lines, sheets = shared_counts.describe_counts(json.loads(json.dumps(view)))
     assert "n1: in the last 10 s" in lines and len(lines) == 3
     assert sheets[0].rows == [("all", "5", "15", "100.0%"), ("gold", "0", "0", "-")]
     assert (
-        sheets[1].rows[0][3] == "never" and sheets[1].rows[1][0] == "nobody has named" and 0 in sheets[1].lit
+        sheets[1].rows[0][3] == "never"
+        and sheets[1].rows[1][0] == "nobody has named"
+        and 0 in sheets[1].highlighted
     )
     assert "\x1b" not in str(sheets)
-    assert 'granitewell_shared_count_high{tenant="all"} 15' in shared.text(view)
+    assert 'granitewell_shared_count_high{tenant="all"} 15' in shared_counts.metrics_text(view)
     wrong: list[Any] = [None, [], {}, {"version": 2}, {"version": 1, "name": 3, "window_s": "x"}]
     for bad in wrong:
         with pytest.raises(ValueError, match="."):
-            shared.counted(bad)
+            shared_counts.describe_counts(bad)
 
 
 def test_slots_are_told_in_the_order_of_their_changes() -> None:
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -43,7 +43,7 @@
 from granitewell.net.loop import Node
 from granitewell.operator.load import InvalidOperatorFileError
 from granitewell.operator.load import load as of
-from granitewell.operator.registry import Operator
+from granitewell.operator.registry import OperatorFile
 from granitewell.status import wire
 from tests.shell import client_of, played, turns, until
 from tests.test_config import write
@@ -353,7 +353,7 @@
     "configuration": ("", lambda path: load({"LB_CONFIG": str(path)}), ConfigError),
     "operator file": (
         "deploy/operator-example.toml",
-        lambda path: of(str(path), Operator),
+        lambda path: of(str(path), OperatorFile),
         InvalidOperatorFileError,
     ),
     "scenario": ("granitewell/lab/scenarios/chaos.toml", lambda path: scenario_file(path), ScenarioError),
@@ -425,6 +425,6 @@
     rng, good = Random(5), b"GET /status?worst=3 HTTP/1.1\r\nHost: localhost\r\nAccept: */*\r\n\r\n"
     for data in [good[:k] for k in range(len(good))] + [mutated(rng, good) for _ in range(4000)]:
         try:
-            assert isinstance(wire.asked(data, 10, rng.random() < 0.5), wire.Asked)
+            assert isinstance(wire.parse_request(data, 10, rng.random() < 0.5), wire.StatusRequest)
         except wire.RejectedQueryError as error:
-            assert error.raw.startswith(b"HTTP/1.1 4")
+            assert error.response.startswith(b"HTTP/1.1 4")
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -20,13 +20,13 @@
 from granitewell.cli.check import judge
 from granitewell.config import load as node_takes
 from granitewell.net.logs import DEFAULT_LOG_SETTINGS, TOPICS
-from granitewell.operator.load import MAX_FILE, InvalidOperatorFileError, Live, load, reload
+from granitewell.operator.load import MAX_FILE_BYTES, InvalidOperatorFileError, LiveOperatorFile, load, reload
 from granitewell.operator.platform import Platform
 from granitewell.operator.problem import Problem
-from granitewell.operator.reference import page
-from granitewell.operator.registry import Operator
-from granitewell.operator.table import Table, examine
-from granitewell.operator.tree_reader import MAX_PROBLEMS, type_of
+from granitewell.operator.reference import reference_page
+from granitewell.operator.registry import OperatorFile
+from granitewell.operator.table import Table, validate
+from granitewell.operator.tree_reader import MAX_PROBLEMS, struct_type
 from tests.play import LIMIT_S, Player
 from tests.test_config import write
 
@@ -34,12 +34,14 @@
 EXAMPLE = ROOT / "deploy" / "operator-example.toml"
 
 
-def said(data: dict[str, Any], kind: type[Table] = Operator) -> list[str]:
-    return [p.text() for p in examine(data, kind)[1]]
+def said(data: dict[str, Any], kind: type[Table] = OperatorFile) -> list[str]:
+    return [p.text() for p in validate(data, kind)[1]]
 
 
 # --- the walk -------------------------------------------------------------------------------------------
-WORDS = st.sampled_from([f.encode_name for f in type_of(type(Operator().log)).fields] + ["log", *TOPICS])
+WORDS = st.sampled_from(
+    [f.encode_name for f in struct_type(type(OperatorFile().log)).fields] + ["log", *TOPICS]
+)
 LEAVES = (
     st.none() | st.booleans() | st.integers() | st.just(1 << 14_000) | st.floats()
     | st.sampled_from(["lines", "json", "info", "stderr"]) | WORDS | st.text()
@@ -67,13 +69,13 @@
 @settings(max_examples=100, derandomize=True, deadline=None, database=None)
 @given(FILES)
 def test_any_data_loads_or_names_what_is_wrong_where_it_stands(data: dict[str, Any]) -> None:
-    made, problems = examine(data, Operator)
+    made, problems = validate(data, OperatorFile)
     assert (made is None) == any(not p.note for p in problems)
     for problem in problems:
         assert problem.path and stands(data, problem.path)
         assert "\n" not in problem.text() and len(problem.text()) < 600
     try:
-        convertible = msgspec.convert(data, Operator)
+        convertible = msgspec.convert(data, OperatorFile)
     except msgspec.ValidationError:
         convertible = None
     # msgspec is the judge of types; the checks between fields and numbers without end come on top of it
@@ -140,7 +142,7 @@
 
 
 def test_a_former_name_is_taken_with_a_note_but_not_beside_the_new_one() -> None:
-    made, problems = examine({"inner": {"max": 7}}, Outer)
+    made, problems = validate({"inner": {"max": 7}}, Outer)
     assert made == Outer(inner=Inner(most=7))
     assert problems[0].text() == "inner.max: a former name of most: write most"
     twice = said({"inner": {"max": 7, "most": 7}}, Outer)
@@ -158,18 +160,23 @@
 @pytest.mark.parametrize(
     ("raw", "says"),
     [
-        (b"a = ]", "line 1"), (b"\xff", "byte 0"), (b"a = " + b"[" * 20_000, "without end"),
-        (b"#" * (MAX_FILE + 1), "at most"), (b"a = 1" + b"0" * 5000, "TOML"), (b"[log]\n[log]", "line 2"),
-        (b"[log]\nrate = nan", "log.rate: found NaN"), (b"[log]\nform = 2026-12-01", "2026-12-01"),
+        (b"a = ]", "line 1"),
+        (b"\xff", "byte 0"),
+        (b"a = " + b"[" * 20_000, "without end"),
+        (b"#" * (MAX_FILE_BYTES + 1), "at most"),
+        (b"a = 1" + b"0" * 5000, "TOML"),
+        (b"[log]\n[log]", "line 2"),
+        (b"[log]\nrate = nan", "log.rate: found NaN"),
+        (b"[log]\nform = 2026-12-01", "2026-12-01"),
         (b"[log]\nrate = 0x" + b"f" * 5000, "a whole number of 20000 bits"),
     ],
     ids=["value", "utf8", "nested", "large", "digits", "twice", "nan", "date", "hex"],
-)  # fmt: skip
+)
 def test_what_is_no_operator_file_is_refused_in_one_line(tmp_path: Path, raw: bytes, says: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_bytes(raw)
     with pytest.raises(InvalidOperatorFileError) as caught:
-        load(str(path), Operator)
+        load(str(path), OperatorFile)
     assert says in str(caught.value) and "\n" not in str(caught.value) and len(str(caught.value)) < 500
 
 
@@ -177,33 +184,33 @@
     os.mkfifo(tmp_path / "fifo")
     for name in ("fifo", "none", ".", "null\0byte"):
         with pytest.raises(InvalidOperatorFileError):
-            load(f"{tmp_path}/{name}", Operator)
+            load(f"{tmp_path}/{name}", OperatorFile)
 
 
 def test_an_empty_file_is_the_node_without_one_and_the_example_names_every_field(tmp_path: Path) -> None:
     (tmp_path / "empty.toml").write_text("")
-    assert load(str(tmp_path / "empty.toml"), Operator)[0].log.settings() == DEFAULT_LOG_SETTINGS
-    assert [(p.field, p.note) for p in load(str(EXAMPLE), Operator)[1]] == [("cluster.name", True)]
+    assert load(str(tmp_path / "empty.toml"), OperatorFile)[0].log.settings() == DEFAULT_LOG_SETTINGS
+    assert [(p.field, p.note) for p in load(str(EXAMPLE), OperatorFile)[1]] == [("cluster.name", True)]
     data = tomllib.loads(EXAMPLE.read_text())
-    for table in type_of(Operator).fields:
-        made: Any = type(getattr(Operator(), table.name))
-        kind = type_of(made)
+    for table in struct_type(OperatorFile).fields:
+        made: Any = type(getattr(OperatorFile(), table.name))
+        kind = struct_type(made)
         assert set(data[table.encode_name]) == {f.encode_name for f in kind.fields}
 
 
 def test_the_reference_page_is_what_the_types_say() -> None:
-    assert (ROOT / "docs" / "operate" / "operator-file.md").read_text() == page()
+    assert (ROOT / "docs" / "operate" / "operator-file.md").read_text() == reference_page()
 
 
 def test_a_reload_takes_what_can_be_taken_and_names_what_waits(tmp_path: Path) -> None:
     path = tmp_path / "o.toml"
     path.write_text("[inner]\nleast = 2\nsize = 20\n[other]\nmost = 5")
     plan = reload(Outer(), str(path))
-    assert plan.held == Outer(inner=Inner(least=2), other=Inner(most=5))
-    assert (plan.now, plan.waits) == (("inner.least", "other.most"), ("inner.size",))
+    assert plan.current == Outer(inner=Inner(least=2), other=Inner(most=5))
+    assert (plan.applied, plan.pending_restart) == (("inner.least", "other.most"), ("inner.size",))
     taken = "taken from the operator file: inner.least, other.most"
-    assert plan.line() == f"{taken}; only a restart takes up inner.size"
-    assert reload(plan.held, str(path)).waits == ("inner.size",)  # said until it is done
+    assert plan.log_line() == f"{taken}; only a restart takes up inner.size"
+    assert reload(plan.current, str(path)).pending_restart == ("inner.size",)  # said until it is done
 
 
 def test_a_table_whose_mixture_would_be_wrong_waits_whole(tmp_path: Path) -> None:
@@ -211,20 +218,22 @@
     path = tmp_path / "o.toml"
     path.write_text("[inner]\nleast = 15\nsize = 20\n[other]\nmost = 5")
     plan = reload(Outer(), str(path))
-    assert plan.held == Outer(other=Inner(most=5))
-    assert (plan.now, plan.waits) == (("other.most",), ("inner.least", "inner.size"))
+    assert plan.current == Outer(other=Inner(most=5))
+    assert (plan.applied, plan.pending_restart) == (("other.most",), ("inner.least", "inner.size"))
 
 
 def test_a_file_with_anything_wrong_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "o.toml"
     path.write_text("[log]\nrate = 5")
-    live = Live(str(path))
+    live = LiveOperatorFile(str(path))
     for text in ("[log]\nrate = 7\nform = 'xml'\nto = 1", "[log", None):
         path.unlink() if text is None else path.write_text(text)
-        plan = live.again()
-        assert plan.held.log.rate == 5 and live.held is plan.held and plan.problems and not plan.now
+        plan = live.reload()
+        assert (
+            plan.current.log.rate == 5 and live.current is plan.current and plan.problems and not plan.applied
+        )
     path.write_text("[log]\nrate = 7\nform = 'xml'\nto = 1")
-    line = live.again().line()
+    line = live.reload().log_line()
     assert line.startswith('the operator file changes nothing: log.form: found "xml", allowed: ')
     assert "(and 1 more" in line
 
@@ -301,7 +310,7 @@
                 node_takes({"LB_CONFIG": str(path)})
             except Exception:
                 laxer += [(where, odd)] if judge(str(path)).good else []
-                late |= {where} if examine(changed, Platform)[0] is not None else set()
+                late |= {where} if validate(changed, Platform)[0] is not None else set()
     assert laxer == [] and late == {("seed",)}
 
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -27,10 +27,10 @@
 from granitewell.config import load
 from granitewell.net import status as status_door
 from granitewell.net.loop import Node
-from granitewell.operator.registry import Operator
-from granitewell.operator.table import examine
+from granitewell.operator.registry import OperatorFile
+from granitewell.operator.table import validate
 from granitewell.status import descriptions, metrics, types, wire
-from granitewell.status.snapshot import STEP, Steps, T, look
+from granitewell.status.snapshot import ITEMS_PER_STEP, Steps, T, take_snapshot
 from tests.play import LIMIT_S
 from tests.test_config import write
 from tests.test_operator import Watched
@@ -242,7 +242,7 @@
 
     def counted(*args: Any) -> Steps[types.Snapshot]:
         looks.append(1)
-        return look(*args)
+        return take_snapshot(*args)
 
     async def scenario() -> list[int]:
         loop = asyncio.get_running_loop()
@@ -251,22 +251,22 @@
         )
         seen = []
         for n in (5, 5, *range(20)):
-            assert f'"worst":{n},'.encode() in await door._answer(wire.Asked(wire.STATUS, n))
+            assert f'"worst":{n},'.encode() in await door._answer(wire.StatusRequest(wire.STATUS_PATH, n))
             seen.append(len(looks))
         assert door._rest_until_us - door._snapshot_done_us == status_door.MAX_REST_US
         door._settings = types.StatusSettings(seconds=0.2)  # who waits must have time left
-        await door._answer(wire.Asked(wire.STATUS, 20))
+        await door._answer(wire.StatusRequest(wire.STATUS_PATH, 20))
         assert door._rest_until_us - door._snapshot_done_us == 100_000
         return seen
 
-    monkeypatch.setattr(status_door, "look", counted)
+    monkeypatch.setattr(status_door, "take_snapshot", counted)
     monkeypatch.setattr(status_door, "REST_RATIO", 10**9)
     assert asyncio.run(scenario()) == [1] * 10 + [2] * 8 + [3] * 4
 
 
 # --- The pure part --------------------------------------------------------------------------------------
-ABOUT = types.About("n0", NAMES, ("z0", "z1"), ("k0",), HOUR, 0)
-NONE = types.Sockets({}, 0, 0, 0, 0, 0, 32, ("127.0.0.1", 1), -1, -1, -1, "")
+ABOUT = types.NodeInfo("n0", NAMES, ("z0", "z1"), ("k0",), HOUR, 0)
+NONE = types.SocketUsage({}, 0, 0, 0, 0, 0, 32, ("127.0.0.1", 1), -1, -1, -1, "")
 
 
 def core_of(ids: list[str], requests: int = 0) -> c.Core:
@@ -319,8 +319,8 @@
     for n in range(700):
         spoil(core, 7 * n, n % 2, 0.4 + n / 2000)
     before = inside(core)
-    snap, steps = taken(look(core, NONE, ABOUT, HOUR + 250_000, 50))
-    assert steps >= (12_000 + 12_000 + 5000 + 5000) / STEP
+    snap, steps = taken(take_snapshot(core, NONE, ABOUT, HOUR + 250_000, 50))
+    assert steps >= (12_000 + 12_000 + 5000 + 5000) / ITEMS_PER_STEP
     assert inside(core) == before
     assert snap["judged"] == {"pairs": 24_000, "ill": 700} and snap["fleet"]["ready"] == 12_000
     assert [(p["endpoint"], p["state"]) for p in snap["pairs"]] == [
@@ -333,7 +333,7 @@
 
 def test_a_look_goes_on_while_the_fleet_and_the_calls_change_under_it() -> None:
     core = core_of([f"e{k}" for k in range(1000)], 1000)
-    steps, n, state = look(core, NONE, ABOUT, HOUR, 500), 0, State.READY
+    steps, n, state = take_snapshot(core, NONE, ABOUT, HOUR, 500), 0, State.READY
     with pytest.raises(StopIteration) as done:
         for n in range(10_000):
             next(steps)
@@ -354,12 +354,12 @@
     health = core._balancer._health  # type: ignore[attr-defined]
     health.fleet_overloaded[1] = True
     health._zone_failure_ratios[0] = 0.95, HOUR / 1000
-    snap, _ = taken(look(core, NONE, ABOUT, HOUR, 6))
+    snap, _ = taken(take_snapshot(core, NONE, ABOUT, HOUR, 6))
     states = {(p["endpoint"], p["class"]): (p["state"], p["cause"]) for p in snap["pairs"]}
     assert states["a", "taxi-lookup"] == ("ill", "zone") and states["b", "ride-assign"] == ("full", "well")
     assert [p["state"] for p in snap["pairs"]] == ["ill", "full", *["well"] * 4]
-    assert not descriptions.good(snap) and "the fleet is full for ride-assign" in "".join(
-        descriptions.head(snap)
+    assert not descriptions.is_healthy(snap) and "the fleet is full for ride-assign" in "".join(
+        descriptions.summary_lines(snap)
     )
 
 
@@ -398,34 +398,34 @@
 @given(st.lists(ANY, min_size=1, max_size=4, unique=True), ANY)
 def test_metrics_hold_any_name_and_json_too(names: list[str], name: str) -> None:
     ids = sorted({x.encode(errors="replace").decode() for x in names})
-    about = types.About(name, (name[:90], "b"), (name,), (name,), HOUR, 0)
-    snap, _ = taken(look(core_of(ids, 3), NONE, about, HOUR, 9))
-    got = parsed(taken(wire.body(wire.Asked(wire.METRICS, 9), snap))[0].decode())
+    about = types.NodeInfo(name, (name[:90], "b"), (name,), (name,), HOUR, 0)
+    snap, _ = taken(take_snapshot(core_of(ids, 3), NONE, about, HOUR, 9))
+    got = parsed(taken(wire.response_body(wire.StatusRequest(wire.METRICS_PATH, 9), snap))[0].decode())
     rows = {dict(key[1])["endpoint"]: v for key, v in got.items() if key[0] == "granitewell_endpoint_calls"}
-    assert len(rows) == len(ids) and {x for x in ids if len(x) <= types.MAX_TEXT} <= {*rows}
+    assert len(rows) == len(ids) and {x for x in ids if len(x) <= types.MAX_NAME_CHARS} <= {*rows}
     assert sum(rows.values()) == sum(e["calls"] for e in snap["endpoints"])
-    raw, _ = taken(wire.body(wire.Asked(wire.STATUS, 9), snap))
-    assert descriptions.taken(json.loads(raw))["pairs"] == snap["pairs"]
-    for sheet in descriptions.sheets(snap):
+    raw, _ = taken(wire.response_body(wire.StatusRequest(wire.STATUS_PATH, 9), snap))
+    assert descriptions.parse_snapshot(json.loads(raw))["pairs"] == snap["pairs"]
+    for sheet in descriptions.tables(snap):
         assert all(cell.isprintable() for row in sheet.rows for cell in row)
-    assert all(line.isprintable() for line in descriptions.head(snap))
+    assert all(line.isprintable() for line in descriptions.summary_lines(snap))
 
 
 def test_long_names_that_begin_alike_are_two() -> None:
-    ids = ["x" * types.MAX_TEXT + end for end in "ab"]
-    snap, _ = taken(look(core_of(ids), NONE, ABOUT, HOUR, 9))
+    ids = ["x" * types.MAX_NAME_CHARS + end for end in "ab"]
+    snap, _ = taken(take_snapshot(core_of(ids), NONE, ABOUT, HOUR, 9))
     assert len({e["endpoint"] for e in snap["endpoints"]}) == 2
-    assert all(len(e["endpoint"]) == types.MAX_TEXT for e in snap["endpoints"])
+    assert all(len(e["endpoint"]) == types.MAX_NAME_CHARS for e in snap["endpoints"])
 
 
 def test_an_answer_is_bounded_whatever_the_names() -> None:
     core = core_of([f"{k}".rjust(80, "\x01") for k in range(600)])
-    for path in wire.KINDS:
-        snap, _ = taken(look(core, NONE, ABOUT, HOUR, types.MAX_WORST))
-        raw, _ = taken(wire.body(wire.Asked(path, types.MAX_WORST), snap))
+    for path in wire.CONTENT_TYPES:
+        snap, _ = taken(take_snapshot(core, NONE, ABOUT, HOUR, types.MAX_TABLE_ROWS))
+        raw, _ = taken(wire.response_body(wire.StatusRequest(path, types.MAX_TABLE_ROWS), snap))
         rows = raw.count(b'"own_failures"') + raw.count(b"granitewell_pair_ill{")
-        assert len(raw) <= types.MAX_ANSWER and 100 < rows < len(snap["pairs"]) == 500
-        assert path != wire.STATUS or json.loads(raw)["cut"]
+        assert len(raw) <= types.MAX_RESPONSE_BYTES and 100 < rows < len(snap["pairs"]) == 500
+        assert path != wire.STATUS_PATH or json.loads(raw)["cut"]
 
 
 @sets(derandomize=True, deadline=None, database=None)
@@ -433,10 +433,10 @@
 def test_any_bytes_are_a_request_or_are_refused(raw: bytes, local: bool) -> None:
     for head in (raw, b"GET /status?" + raw + b" HTTP/1.1\r\nHost: localhost\r\n\r\n"):
         try:
-            got = wire.asked(head, 50, local)
-            assert got.path in wire.KINDS and 0 <= got.worst <= types.MAX_WORST
+            got = wire.parse_request(head, 50, local)
+            assert got.path in wire.CONTENT_TYPES and 0 <= got.worst <= types.MAX_TABLE_ROWS
         except wire.RejectedQueryError as error:
-            assert re.match(rb"HTTP/1\.1 4\d\d ", error.raw)
+            assert re.match(rb"HTTP/1\.1 4\d\d ", error.response)
 
 
 @pytest.mark.parametrize(
@@ -446,13 +446,13 @@
         ("GET /status?best=1 HTTP/1.1", 400), ("GET /status HTTP/2", 400), ("POST /status HTTP/1.1", 405),
         ("GET /statu HTTP/1.1", 404), ("GET /metrics HTTP/1.1\r\nHost: evil.example:80", 421),
         ("GET /metrics HTTP/1.1\r\nHost: localhost\r\nHost: localhost", 421),
-        ("GET /metrics HTTP/1.1\r\nX: " + "y" * wire.MAX_HEAD, 431),
+        ("GET /metrics HTTP/1.1\r\nX: " + "y" * wire.MAX_HEAD_BYTES, 431),
     ],
 )  # fmt: skip
 def test_what_is_refused(line: str, code: int) -> None:
     with pytest.raises(wire.RejectedQueryError) as caught:
-        wire.asked(f"{line}\r\n\r\n".encode(), 50, "Host" in line)
-    assert caught.value.raw.startswith(f"HTTP/1.1 {code} ".encode())
+        wire.parse_request(f"{line}\r\n\r\n".encode(), 50, "Host" in line)
+    assert caught.value.response.startswith(f"HTTP/1.1 {code} ".encode())
 
 
 @pytest.mark.parametrize(
@@ -465,12 +465,12 @@
     ],
 )  # fmt: skip
 def test_where_a_status_may_be(at: str, where: str | None) -> None:
-    made, problems = examine({"status": {"at": at}}, Operator)
+    made, problems = validate({"status": {"at": at}}, OperatorFile)
     assert bool(problems) == (where == "") and (made is None) == bool(problems)
     if where == "":
         assert problems[0].field == "status.at" and "127.0.0.1:PORT" in problems[0].text()
     else:
-        assert str(types.place(at, "/tmp/")) == (where or at)
+        assert str(types.parse_status_address(at, "/tmp/")) == (where or at)
 
 
 def test_ends_of_the_command(
@@ -523,8 +523,8 @@
 # --- The page -------------------------------------------------------------------------------------------
 def test_the_page_has_every_field_and_every_metric() -> None:
     for family in metrics.FAMILIES:
-        assert f"| `{metrics.PREFIX}{family.name}` |" in PAGE, family.name
-    snap, _ = taken(look(core_of(["a"], 1), NONE, ABOUT, HOUR, 9))
+        assert f"| `{metrics.METRIC_PREFIX}{family.name}` |" in PAGE, family.name
+    snap, _ = taken(take_snapshot(core_of(["a"], 1), NONE, ABOUT, HOUR, 9))
     for field in _fields(snap, ""):
         assert f"| `{field}` |" in PAGE, field
 
