--- a/granitewell/operator/cluster.py
+++ b/granitewell/operator/cluster.py
@@ -1,7 +1,6 @@
-"""The `[cluster]` table.
+"""The `[cluster]` table of the operator file, and the reading of the key file that it names.
 
-It owns what an operator may say of a node in a fleet, and the reading of the keys that it names. It must
-never hold a default (those are `ClusterSettings`'), and never show a key.
+Defaults come from `ClusterSettings`. Messages never contain key material.
 """
 
 from __future__ import annotations
@@ -37,7 +36,7 @@
 from granitewell.protocols.peers.gossip import MAX_ROLE_BYTES, MAX_ZONE_BYTES
 
 DEFAULTS = ClusterSettings()
-GROUP_AND_OTHERS_MODE = stat.S_IRWXG | stat.S_IRWXO  # of a mode: what anybody but the owner may do
+GROUP_AND_OTHERS_MODE = stat.S_IRWXG | stat.S_IRWXO  # the mode bits of everybody but the owner
 
 Seed = Annotated[str, Meta(max_length=64, extra={"allowed": ALLOWED_ADDRESS})]
 
@@ -94,9 +93,7 @@
     )] = DEFAULTS.unheard_s  # fmt: skip
 
     def settings(self) -> ClusterSettings:
-        """The same for the node, which knows nothing of this file, with the keys as they are on the disk
-        now.
-        """
+        """Return these settings in the node's own type, with the keys that the key file holds now."""
         keys, keys_error = None, ""
         if self.name:
             try:
@@ -158,10 +155,11 @@
 
 
 def read_keys(path: str) -> Keys:
-    """The keys in that file.
+    """Read the keys from a file.
 
-    ValueError in words that show none of them: it is missing, others may read it, it belongs to another user,
-    or what it holds is not one or two keys.
+    Raises:
+        ValueError: The file is missing or can't be read, others may use it, it belongs to another user, or it
+            does not hold one or two keys. The message shows no key.
     """
     if not path:
         raise ValueError(f"found nothing, allowed: {ALLOWED_KEYS}")
--- a/granitewell/operator/counts.py
+++ b/granitewell/operator/counts.py
@@ -1,7 +1,6 @@
-"""The `[counts]` table.
+"""The `[counts]` table of the operator file: the counts that nodes share.
 
-It owns what an operator may say of the counts that nodes share. It must never hold a default: those are
-`counts.terms.Figures`'.
+Defaults come from `shared_counters.types.Figures`.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 from granitewell.shared_counters.types import Figures
 
 DEFAULTS = Figures()
-MAX_SLICES_PER_WINDOW = 480  # in a window: an answer to whoever knows nothing stays a few letters
+MAX_SLICES_PER_WINDOW = 480  # keeps a full answer to a new node within a few messages
 
 
 class CountsTable(Table, frozen=True, kw_only=True):
@@ -60,7 +59,7 @@
     )] = DEFAULTS.drift_ppm  # fmt: skip
 
     def figures(self) -> Figures | None:
-        """The same for the node; None: nothing is counted."""
+        """Return these settings in the node's own type; None if nothing is counted."""
         if not self.window_s:
             return None
         return Figures(
--- a/granitewell/operator/load.py
+++ b/granitewell/operator/load.py
@@ -1,7 +1,7 @@
-"""From a path to a typed object, at the start and again for each reload.
+"""Loads the operator file as a typed object, at the start and for each reload.
 
-It owns reading the file and what a reload may take up. A file with anything wrong must never change anything:
-the operator that was held stays whole. Nothing here applies a setting.
+This module decides which changes a reload may use. An invalid file changes nothing: the current settings stay
+complete. Applying settings is up to the caller.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from granitewell.operator.table import Table, run_checks, validate
 from granitewell.operator.tree_reader import extra_metadata, struct_type
 
-MAX_FILE_BYTES = 32 * 1024  # bytes of an operator file: a running node reads it between two requests
+MAX_FILE_BYTES = 32 * 1024  # of an operator file: a running node reads it between two requests
 
 T = TypeVar("T", bound=Table)
 
 
 class InvalidOperatorFileError(Exception):
-    """The file can't be used; `problems` holds all that is wrong with it, each of them one line."""
+    """The file can't be used; `problems` lists everything that is wrong with it."""
 
     def __init__(self, path: str, problems: list[Problem]) -> None:
         super().__init__(f"{path}: {problems[0].text()}")
@@ -33,10 +33,14 @@
 
 
 def read_file(path: str, max_bytes: int = MAX_FILE_BYTES) -> bytes:
-    """The file's bytes; Refused where there is no such file, it is no file, or it is larger than that."""
+    """Read a file.
+
+    Raises:
+        InvalidOperatorFileError: It can't be read, is no regular file, or is larger than `max_bytes`.
+    """
     try:
         info = Path(path).stat()
-        if not stat.S_ISREG(info.st_mode):  # a pipe could make a running node wait for ever
+        if not stat.S_ISREG(info.st_mode):  # reading a pipe could block the node forever
             raise InvalidOperatorFileError(path, [Problem((), "no regular file", "a regular file")])
         if info.st_size > max_bytes:
             raise InvalidOperatorFileError(
@@ -51,7 +55,11 @@
 
 
 def parse_toml(path: str, raw: bytes) -> dict[str, Any]:
-    """What TOML in UTF-8 holds; Refused where it is none, with the line."""
+    """Parse TOML in UTF-8.
+
+    Raises:
+        InvalidOperatorFileError: It is no valid TOML; the message says where.
+    """
     try:
         return tomllib.loads(raw.decode())
     except RecursionError:
@@ -64,7 +72,11 @@
 
 
 def load(path: str, kind: type[T]) -> tuple[T, list[Problem]]:
-    """The object that the file gives, and notes on it; Refused with all that is wrong."""
+    """Load a file as an object of the type; return it with the notes on it.
+
+    Raises:
+        InvalidOperatorFileError: The file is invalid; the error lists all problems.
+    """
     made, problems = validate(parse_toml(path, read_file(path)), kind)
     if made is None:
         raise InvalidOperatorFileError(path, [p for p in problems if not p.note])
@@ -73,8 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReloadResult(Generic[T]):
-    """What a reload comes to: what is held from now on, which fields of it are new (`now`), which differ in
-    the file and wait for a restart (`waits`), and the problems for which all stays as it was.
+    """The outcome of a reload.
+
+    `current` holds the settings from now on, `applied` the fields that changed in them, `pending_restart` the
+    fields that differ in the file but need a restart. If there are `problems`, nothing has changed.
     """
 
     current: T
@@ -83,7 +97,7 @@
     problems: tuple[Problem, ...] = ()
 
     def log_line(self) -> str:
-        """All of it in one line of the log."""
+        """Return the outcome as one line for the log."""
         if self.problems:
             more = len(self.problems) - 1
             rest = f" (and {more} more: granitewell check lists them)" if more else ""
@@ -97,7 +111,7 @@
 
 
 def reload(old: T, path: str) -> ReloadResult[T]:
-    """What the file as it is now changes for a node that holds `old`. Never raises."""
+    """Return what the file changes for a node with the settings `old`; an invalid file does not raise."""
     try:
         new, _ = load(path, type(old))
     except InvalidOperatorFileError as error:
@@ -114,10 +128,10 @@
 
 
 def _merge_table(current: Table, new: Table) -> tuple[Table, list[str], list[str]]:
-    """One table with what can be taken now, and the names of what was and of what waits.
+    """Merge the fields that need no restart; return the table and the names applied and pending.
 
-    Where the mixture of new fields and held ones would be wrong though each file is right, the whole table
-    waits.
+    If the merged table would be invalid, although the old and the new one are valid, the whole table needs a
+    restart.
     """
     changed = [f for f in struct_type(type(new)).fields if getattr(current, f.name) != getattr(new, f.name)]
     pending_restart = [f.encode_name for f in changed if extra_metadata(f.type).get("restart")]
@@ -129,15 +143,19 @@
 
 
 class LiveOperatorFile:
-    """The operator file of a running node: what is held now, and the reload of it."""
+    """The operator file of a running node: its current settings, and their reload."""
 
     def __init__(self, path: str) -> None:
-        """Reads it for the first time; Refused with all that is wrong."""
+        """Read the file for the first time.
+
+        Raises:
+            InvalidOperatorFileError: The file is invalid; the error lists all problems.
+        """
         self._path = path
         self.current, self.notes = load(path, OperatorFile)
 
     def reload(self) -> ReloadResult[OperatorFile]:
-        """Read it again; what is held afterwards is whole, whatever the file says."""
+        """Read the file again; an invalid file leaves the current settings as they are."""
         result = reload(self.current, self._path)
         self.current = result.current
         return result
--- a/granitewell/operator/log.py
+++ b/granitewell/operator/log.py
@@ -1,7 +1,4 @@
-"""The `[log]` table.
-
-It owns what an operator may say of the log, and must never hold a default: those are `LogSettings`'.
-"""
+"""The `[log]` table of the operator file. Defaults come from `LogSettings`."""
 
 from __future__ import annotations
 
@@ -62,7 +59,7 @@
     )] = field(default_factory=lambda: dict(DEFAULT_LOG_SETTINGS.fields))  # fmt: skip
 
     def settings(self) -> LogSettings:
-        """The same for the node, which knows nothing of this file."""
+        """Return these settings in the node's own type."""
         return LogSettings(
             form=self.form, level=self.level, mute=self.mute, rate=self.rate, rates=self.rates, to=self.to,
             fields=self.fields,
--- a/granitewell/operator/platform.py
+++ b/granitewell/operator/platform.py
@@ -1,8 +1,8 @@
-"""The platform's configuration (`LB_CONFIG`) as types, for the check of a file alone.
+"""The types of the platform's configuration (`LB_CONFIG`), used by `granitewell check` alone.
 
-It owns the words for what is wrong with such a file. `granitewell.config.load` stays the judge of what a node
-takes, and the check asks it last; nothing that runs is built from these types. The platform may add keys, so
-unknown ones are notes, unless they look like a missing one with a slip in it.
+They give readable messages for all problems of a file. `granitewell.config.load` decides what a node accepts,
+and the check calls it last; the node itself does not use these types. The platform may add keys, so unknown
+keys are notes, unless they look like a misspelt name of a missing one.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class PlatformTable(Table, frozen=True, kw_only=True, rename="camel", forbid_unknown_fields=False):
-    """A table to which the platform may add keys."""
+    """A table that allows unknown keys, as the platform may add some."""
 
 
 class Limits(PlatformTable, frozen=True, kw_only=True):
@@ -48,7 +48,7 @@
 
 
 class KnownEndpoints(PlatformTable, frozen=True, kw_only=True):
-    """Discovery's list as the node last held it; it may be empty."""
+    """The endpoint list that the node last received from discovery; it may be empty."""
 
     revision: int = 0
     complete: bool = False
@@ -56,7 +56,7 @@
 
 
 class Allowed(PlatformTable, frozen=True, kw_only=True):
-    """What the site permits."""
+    """What the site permits the balancer to do, and its limits."""
 
     max_attempts: AtLeastOne
     cancel: bool = False
@@ -74,7 +74,7 @@
 
 
 class Contract(PlatformTable, frozen=True, kw_only=True):
-    """Figures of the rules."""
+    """The figures on which the site's rules depend."""
 
     drain_grace_ms: Milliseconds
     cold_from: Annotated[float, Meta(ge=0.001, le=1)]
@@ -99,13 +99,13 @@
     stream: bool = False
 
     def check(self) -> Iterator[Problem]:
-        """An aim within the time that clients wait."""
+        """Note a latency target above the time that clients wait."""
         if self.aim_ms > self.give_up_ms:
             yield Problem(("aimMs",), f"{self.aim_ms:g}", f"at most giveUpMs, {self.give_up_ms:g}", note=True)
 
 
 class Tenant(PlatformTable, frozen=True, kw_only=True):
-    """One customer; without an allowance it is not counted."""
+    """A tenant; one without an allowance is not counted."""
 
     name: Name
     share: NonNegative
@@ -120,7 +120,7 @@
 
 
 class Settings(PlatformTable, frozen=True, kw_only=True):
-    """The settings of the decisions, as the simulator's first message has them."""
+    """The balancer's settings, in the same form as in the simulator's first message."""
 
     allowed: Allowed
     balancers: AtLeastOne
@@ -146,7 +146,7 @@
     zones: tuple[str, ...] = ()
 
     def check(self) -> Iterator[Problem]:
-        """Names that stand once, and indices that point at something."""
+        """Check that names are unique and indices in range."""
         names = {"classes": [x.name for x in self.classes], "tenants": [x.name for x in self.tenants],
                  "zones": self.zones, "models": self.models}  # fmt: skip
         for key, given in names.items():
--- a/granitewell/operator/problem.py
+++ b/granitewell/operator/problem.py
@@ -1,7 +1,7 @@
-"""One thing that is wrong with a file, in the words that a person gets to read.
+"""A problem found in a file, and how it is shown to a person.
 
-It owns how a path, a value that was found and what is allowed are written: one line, bounded in length,
-whatever the file holds. It must never know a file's form.
+Paths, found values and allowed values are formatted on one line of bounded length, whatever the file holds.
+Nothing here depends on a file's schema.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from difflib import get_close_matches
 from typing import Any
 
-MAX_SHOWN_CHARS = 60  # characters of a key or value that came from a file
+MAX_SHOWN_CHARS = 60  # of a key or value from a file
 _BARE_KEY = re.compile(r"[A-Za-z0-9_-]{1,60}")
 
 Path = tuple[str | int, ...]
@@ -20,21 +20,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """What was found at a path, and what may stand there. A note can be lived with; a problem can't."""
+    """What was found at a path and what is allowed there; a note does not make the file invalid."""
 
     path: Path
     found: str
     allowed: str
-    near: str = ""  # the nearest known key, where the one that was found is unknown
+    near: str = ""  # the most similar known key, if the one found is unknown
     note: bool = False
 
     @property
     def field(self) -> str:
-        """The path as a person writes it: `log.rates.dial`, `settings.classes[0].name`."""
+        """The path as text: `log.rates.dial`, `settings.classes[0].name`."""
         return dotted_path(self.path)
 
     def text(self) -> str:
-        """All of it in one line, without the file's name."""
+        """Return the problem as one line, without the file's name."""
         where = f"{self.field}: " if self.path else ""
         near = f"; the nearest known one is {self.near}" if self.near else ""
         if self.note:
@@ -43,7 +43,7 @@
 
 
 def dotted_path(path: Path) -> str:
-    """A path in one word; keys that TOML would quote are quoted."""
+    """Format a path with dots; keys that TOML would quote are quoted."""
     text = ""
     for part in path:
         if isinstance(part, int):
@@ -55,12 +55,12 @@
 
 
 def format_value(value: Any) -> str:
-    """A value from a file, short enough for a line."""
+    """Format a value from a file, shortened to fit on a line."""
     if isinstance(value, dict):
         return "a table"
     if isinstance(value, list | tuple):
         return f"a list of {len(value)}"
-    if isinstance(value, int) and value.bit_length() > 100:  # Python refuses to write thousands of digits
+    if isinstance(value, int) and value.bit_length() > 100:  # Python refuses to format thousands of digits
         return f"a whole number of {value.bit_length()} bits"
     if value is None or isinstance(value, bool | int | float):
         return json.dumps(value)
@@ -71,6 +71,6 @@
 
 
 def unknown_key(path: Path, word: str, known: tuple[str, ...], found: str = "", near: str = "") -> Problem:
-    """A word at this path that is none of the known ones, with the one that is most like it."""
+    """Return the problem of an unknown key or word, with the most similar known one."""
     near = near or next(iter(get_close_matches(word[:MAX_SHOWN_CHARS], known, 1, 0.0)), "")
     return Problem(path, found or "an unknown key", ", ".join(known) or "none", near)
--- a/granitewell/operator/reference.py
+++ b/granitewell/operator/reference.py
@@ -1,6 +1,6 @@
-"""The reference page of the operator file, made from the types.
+"""Generates the reference page of the operator file, in Markdown, from the types of its tables.
 
-It owns the page's form. It must never say anything of a field that its type does not.
+Descriptions of fields come from their `Meta`, those of tables and their checks from their docstrings.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def reference_page() -> str:
-    """The whole page, Markdown."""
+    """Return the complete page in Markdown."""
     parts = [PAGE_HEADER]
     for field in struct_type(OperatorFile).fields:
         kind = without_metadata(field.type)
@@ -64,7 +64,7 @@
 
 
 def _check_notes(node: inspect.StructType) -> Iterator[str]:
-    """What the table's own checks hold, in the words of their docstring."""
+    """Yield the docstring of the table's own checks, if it has any."""
     check = getattr(node.cls, "check", None)
     doc = getattr(check, "__doc__", None)
     if doc and check is not Table.check:
--- a/granitewell/operator/registry.py
+++ b/granitewell/operator/registry.py
@@ -1,7 +1,7 @@
-"""All tables of the operator file.
+"""The list of all tables of the operator file.
 
-It owns the list alone: a further subsystem writes its table in a module of its own (a `Table` with a `Meta` a
-field) and adds one line here; check, reload, the reference page and its test take it from there.
+To add a table, define a `Table` with a `Meta` for each field in a module of its own and add a line here.
+Validation, reload, the reference page and its test use this list.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class OperatorFile(Table, frozen=True, kw_only=True):
-    """The operator file as one object; a file that says nothing gives the node's own defaults."""
+    """The operator file as one object; an empty file gives the node's own defaults."""
 
     log: Annotated[LogTable, Meta(description="The log.")] = LogTable()
     status: Annotated[StatusTable, Meta(description="The status socket.")] = StatusTable()
--- a/granitewell/operator/status.py
+++ b/granitewell/operator/status.py
@@ -1,8 +1,4 @@
-"""The `[status]` table.
-
-It owns what an operator may say of the status socket, and must never hold a default: those are
-`StatusSettings`'.
-"""
+"""The `[status]` table of the operator file. Defaults come from `StatusSettings`."""
 
 from __future__ import annotations
 
@@ -49,7 +45,7 @@
     ] = DEFAULTS.worst
 
     def settings(self) -> StatusSettings:
-        """The same for the node, which knows nothing of this file."""
+        """Return these settings in the node's own type."""
         return StatusSettings(self.at, self.connections, self.seconds, self.worst)
 
     def check(self) -> Iterator[Problem]:
--- a/granitewell/operator/table.py
+++ b/granitewell/operator/table.py
@@ -1,7 +1,7 @@
-"""What every table of a checked file has in common, and the step from data to a typed object.
+"""The base class of all tables of a validated file, and the conversion of data to a typed object.
 
-It owns `Table`, the base of all tables, and `examine`, which makes an object of data or says all that is
-wrong. It must never know which tables there are: `registry` does.
+`validate` converts data, or lists all problems. Nothing here depends on which tables exist: `registry` lists
+them.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One table of a file; each field has a `Meta` that says what it means."""
+    """A table of a file; the `Meta` of each field describes it."""
 
     def check(self) -> Iterable[Problem]:
-        """What is wrong between fields that are each right by themselves; paths begin in this table."""
+        """Return problems between fields that are each valid; paths are relative to this table."""
         return ()
 
 
@@ -29,9 +29,9 @@
 
 
 def validate(data: Mapping[str, Any], kind: type[T]) -> tuple[T | None, list[Problem]]:
-    """An object of the kind, or None, and all that is wrong or worth a note.
+    """Convert data to an object of the type, or to None, and list all problems and notes.
 
-    The checks between fields run on each top table whose fields are right, whatever the other tables hold.
+    The checks between fields run on each top-level table whose fields are valid, also if others are not.
     """
     reader = TreeReader()
     cleaned = reader.read(dict(data), struct_type(kind), ())
@@ -43,7 +43,7 @@
             continue
         try:
             converted[field.name] = msgspec.convert(cleaned[name], _hints(kind)[field.name])
-        except msgspec.ValidationError as error:  # a type that the walk does not know well enough
+        except msgspec.ValidationError as error:  # a constraint that the tree reader does not check
             problems.append(Problem((name,), format_value(cleaned[name]), str(error)))
             continue
         problems += run_checks(converted[field.name], (name,))
@@ -59,7 +59,7 @@
 
 
 def run_checks(converted: object, path: Path) -> Iterator[Problem]:
-    """What the checks of a table and of all tables in it say."""
+    """Yield the problems that the checks of a table and of all nested tables find."""
     if isinstance(converted, Table):
         for problem in converted.check():
             yield replace(problem, path=(*path, *problem.path))
--- a/granitewell/operator/tree_reader.py
+++ b/granitewell/operator/tree_reader.py
@@ -1,12 +1,11 @@
-"""Holds data from a file against types and collects all that is wrong, where msgspec stops at the first.
+"""Validates data from a file against types and collects all problems, where msgspec stops at the first.
 
-It owns the check of one value against one type (as `msgspec.inspect` describes it) and the words for what is
-allowed. It must never read a file, know a subsystem, or end at a problem: whatever it is given, it goes on.
+Types are described by `msgspec.inspect`. Reading continues after each problem, whatever the data holds.
 
-A field's `Meta` carries bounds and its description, and under `extra`:
-`allowed` (words in place of a pattern), `was` (former names, still taken, with a note), `restart` (a running
-node can't take a change up). A type that does not forbid unknown fields gets notes about them, and a problem
-only for one that looks like a missing field's name with a slip in it.
+A field's `Meta` has bounds, a description, and under `extra`: `allowed` (a description of allowed values in
+place of a pattern), `was` (former names, still accepted, with a note), `restart` (a change takes effect only
+after a restart). For a type that does not forbid unknown fields, an unknown key is a note; it is a problem
+only if it looks like a misspelt name of a missing field.
 """
 
 from __future__ import annotations
@@ -33,37 +32,36 @@
 
 SizedType = t.StrType | t.ListType | t.VarTupleType | t.DictType
 
-MAX_PROBLEMS = 200  # listed of one file; the time that a spoilt file can cost is bounded with them
-MIN_TYPO_SIMILARITY = (
-    0.8  # likeness from which an unknown key of a lenient type counts as a known one misspelt
-)
+MAX_PROBLEMS = 200  # listed for one file, which also bounds the time that an invalid file takes
+# similarity from which an unknown key of a type that allows them counts as a misspelt known one
+MIN_TYPO_SIMILARITY = 0.8
 
 
 @cache
 def struct_type(kind: type[msgspec.Struct]) -> t.StructType:
-    """The description of a Struct, made once."""
+    """Return msgspec's description of a Struct; cached."""
     made = t.type_info(kind)
     assert isinstance(made, t.StructType)
     return made
 
 
 def without_metadata(node: t.Type) -> t.Type:
-    """The type without what is said about it."""
+    """Return the type without its `Meta`."""
     return node.type if isinstance(node, t.Metadata) else node
 
 
 def extra_metadata(node: t.Type) -> Mapping[str, Any]:
-    """What `Meta(extra=...)` says."""
+    """Return `extra` of the type's `Meta`, or an empty mapping."""
     return (node.extra or {}) if isinstance(node, t.Metadata) else {}
 
 
 def description(node: t.Type) -> str:
-    """What `Meta(description=...)` says."""
+    """Return the description in the type's `Meta`, or an empty string."""
     return str((node.extra_json_schema or {}).get("description", "")) if isinstance(node, t.Metadata) else ""
 
 
 def allowed_text(node: t.Type) -> str:
-    """What a type takes, in words."""
+    """Describe the values that a type allows."""
     if allowed_values := extra_metadata(node).get("allowed"):
         return str(allowed_values)
     node = without_metadata(node)
@@ -106,13 +104,13 @@
 
 
 class TreeReader:
-    """One pass over one file's data. `problems` holds what it found, in the file's order."""
+    """Reads the data of one file; `problems` lists what is wrong, in the file's order."""
 
     def __init__(self) -> None:
         self.problems: list[Problem] = []
 
     def read(self, value: Any, node: t.Type, path: Path) -> Any:
-        """The value with former names replaced; what is wrong with it is in `problems`."""
+        """Return the value with former names replaced; problems with it are added to `problems`."""
         kind, allowed_values = without_metadata(node), allowed_text(node)
         if isinstance(kind, t.StructType):
             return self._read_struct(value, kind, path)
@@ -127,7 +125,7 @@
         return value
 
     def has_problem(self, top: str) -> bool:
-        """Is anything wrong in this table?"""
+        """Return whether a problem was found in this top-level table."""
         return any(not p.note and p.path[:1] == (top,) for p in self.problems)
 
     def _add(self, problem: Problem) -> None:
@@ -155,7 +153,7 @@
         return cleaned
 
     def _accept_former_name(self, key: str, name: str, value: Mapping[str, Any], path: Path) -> bool:
-        """May a field under its former name be taken?"""
+        """Return whether a field under its former name is accepted; adds a note, or a problem if not."""
         twice = name in value
         found = f"a former name of {name}" + (", which is given too" if twice else "")
         self._add(Problem((*path, key), found, f"{name} alone" if twice else f"write {name}", note=not twice))
@@ -210,7 +208,7 @@
 
 
 def _path_in_nested_table(key: str, node: t.StructType) -> str:
-    """Where a key belongs that stands one table too high."""
+    """Return the path of a key that belongs in a nested table; empty if it belongs in none."""
     for field in node.fields:
         inner = without_metadata(field.type)
         if isinstance(inner, t.StructType) and any(f.encode_name == key for f in inner.fields):
@@ -241,7 +239,7 @@
         return False
     try:
         return math.isfinite(float(value)) and _in_bounds(float(value), node)
-    except OverflowError:  # a whole number that no float can hold
+    except OverflowError:  # an integer too large for a float
         return False
 
 
@@ -266,6 +264,6 @@
 
 
 def _is_valid(value: Any, node: t.Type) -> bool:
-    """Is a value that holds no others of this type? Any type that is not listed takes all."""
+    """Return whether a scalar is valid for a type; types without a validator accept any value."""
     validator = _VALIDATORS.get(type(node))
     return validator is None or validator(value, node)
--- a/granitewell/status/__init__.py
+++ b/granitewell/status/__init__.py
@@ -1,5 +1,6 @@
-"""What a running node judges and holds, for people on call: the terms, the look at it, and its two forms.
+"""The status of a running node, for people on call: a snapshot of its state as JSON, metrics or text.
 
-It owns the snapshot's shape, how one is taken in short steps, its bytes (JSON, Prometheus' text) and its
-words. It must never change what it looks at, touch a socket or read a clock: `granitewell.net.status` does.
+This package defines the snapshot's types, builds one in short steps, encodes it as JSON and in Prometheus'
+text format, and describes it for the console. It never changes the node's state, opens a socket or reads a
+clock: `granitewell.net.status` does that.
 """
--- a/granitewell/status/descriptions.py
+++ b/granitewell/status/descriptions.py
@@ -1,7 +1,8 @@
-"""A snapshot in words and tables, for a person on call.
+"""Describes a snapshot in lines and tables for a person on call.
 
-It owns the verdict (is anything wrong?), the head line and the columns. It must never print, and passes on no
-character that could steer a terminal: names come from discovery. A snapshot here is JSON that somebody sent.
+This module decides whether the node counts as healthy, and defines the summary lines and the columns; the
+caller prints them. Snapshots are JSON received over a socket and names in them come from discovery, so all
+text is stripped of characters that could control a terminal.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class TextTable(NamedTuple):
-    """One table: all cells are text; `lit` holds the rows that should stand out."""
+    """A table of text cells; `highlighted` holds the indices of the rows to emphasize."""
 
     title: str
     columns: Sequence[str]
@@ -30,7 +31,11 @@
 
 
 def parse_snapshot(data: Any) -> Snapshot:
-    """The snapshot that JSON holds; ValueError where it is none, or one of another version."""
+    """Validate decoded JSON as a snapshot.
+
+    Raises:
+        ValueError: It is no snapshot, or one of another version.
+    """
     if not isinstance(data, dict) or not data.keys() >= _REQUIRED_KEYS:
         raise ValueError("not the status of a node")
     if data["version"] != VERSION:
@@ -46,17 +51,17 @@
 
 
 def is_healthy(s: Snapshot) -> bool:
-    """Is the node ready, and no class at any endpoint ill?"""
+    """Return whether the node is ready and no (endpoint, class) pair is unhealthy."""
     return s["phase"] == "ready" and s["judged"]["ill"] == 0
 
 
 def printable(value: object) -> str:
-    """Text that can't steer a terminal."""
+    """Return the value as text with every unprintable character replaced, so it can't control a terminal."""
     return "".join(c if c.isprintable() else "?" for c in str(value))
 
 
 def format_duration(seconds: float | None) -> str:
-    """A time in two or three figures: `0.3 s`, `12 s`, `5 min`, `3.1 h`."""
+    """Format a duration in two or three digits: `0.3 s`, `12 s`, `5 min`, `3.1 h`."""
     if seconds is None:
         return "never"
     for limit_s, unit_s, template in _DURATION_UNITS:
@@ -66,7 +71,7 @@
 
 
 def summary_lines(s: Snapshot) -> list[str]:
-    """The lines on top: the node, its fleet, its decisions, what it holds, its discovery."""
+    """Return the lines above the tables: node, endpoints, balancer, requests and calls, discovery."""
     m, fleet, total = s["module"], s["fleet"], s["descriptors"]["together"]
     ill, pairs = s["judged"]["ill"], s["judged"]["pairs"]
     oldest = max((c["oldest_ms"] for c in s["held"]["classes"]), default=0.0)
@@ -98,7 +103,7 @@
 
 
 def tables(s: Snapshot) -> list[TextTable]:
-    """The tables, ill pairs first; none that has no rows."""
+    """Return the tables that have rows, the one of unhealthy pairs first."""
     ill = [p for p in s["pairs"] if p["state"] != "well"]
     candidates = [_ill_table(s, ill), _held_table(s), _endpoints_table(s)]
     return [table for table in candidates if table.rows]
--- a/granitewell/status/fleet.py
+++ b/granitewell/status/fleet.py
@@ -1,8 +1,8 @@
-"""What a node believes of the other nodes, as metrics and as words.
+"""A node's view of the cluster's membership, as metrics and as text for the console.
 
-It owns the names and help of these metrics, the verdict and the columns. It must never print, and passes on
-no character that could steer a terminal: what is shown was said by other nodes. A view here is JSON that
-somebody sent.
+This module defines the names and help texts of these metrics, decides whether the view counts as healthy, and
+defines the columns; the caller prints them. A view is JSON received over a socket and its contents come from
+other nodes, so all text is stripped of characters that could control a terminal.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 def metrics_text(view: Mapping[str, Any]) -> str:
-    """Lines in Prometheus' format (see metrics)."""
+    """Return the view as metrics in Prometheus' text format (see the metrics module)."""
     parts = []
     for name, samples in _samples(view):
         kind, help_text = _HELP[name]
@@ -82,9 +82,13 @@
     return {"kind": kind, "way": way}
 
 
-# --- Words ----------------------------------------------------------------------------------------------
+# --- Text for the console -------------------------------------------------------------------------------
 def parse_view(data: Any) -> dict[str, Any]:
-    """The view that JSON holds; ValueError where it is none, or one of another version."""
+    """Validate decoded JSON as a view.
+
+    Raises:
+        ValueError: It is no view, or one of another version.
+    """
     if not isinstance(data, dict) or not data.keys() >= _REQUIRED_KEYS:
         raise ValueError("not the view of a node")
     if data.get("version") != VERSION:
@@ -99,13 +103,16 @@
 
 
 def is_healthy(view: Mapping[str, Any]) -> bool:
-    """Is this node a member, and nobody that it counts missing?"""
+    """Return whether this node is a member and no node that it counts is missing.
+
+    A process whose turn is `waiting` or `aside` is healthy without being a member.
+    """
     is_waiting = view["turn"] in ("waiting", "aside")
     return bool(is_waiting or (view["phase"] == "in" and not view["silent"] and not view["unseen"]))
 
 
 def summary_lines(view: Mapping[str, Any]) -> list[str]:
-    """The lines on top."""
+    """Return the lines above the table of members."""
     if view["phase"] is None:
         return [f"{printable(view['name'])} is no member in this process: {printable(view['turn'])}"]
     states = [m["state"] for m in view["members"]]
@@ -130,7 +137,7 @@
 
 
 def members_table(view: Mapping[str, Any]) -> TextTable:
-    """A row a member: who is not well first."""
+    """Return the table of members, those that are dead or suspected first."""
     order = {"dead": 0, "suspect": 1, "alive": 2, "left": 3}
     rows = sorted(view["members"], key=lambda m: (order[m["state"]], m["name"]))
     columns = "member", "state", "since", "role", "zone", "address", "life", "incarnation", "said by"
@@ -156,7 +163,11 @@
 
 
 def describe_explanation(data: Any) -> tuple[list[str], TextTable]:
-    """Lines and a table of what was said of one member; ValueError where it is none of that."""
+    """Describe how one member's state came about: lines, and a table of the updates received about it.
+
+    Raises:
+        ValueError: The data is no such explanation.
+    """
     try:
         m = data["member"]
         name, counted = printable(data["name"]), data["counted"]
--- a/granitewell/status/metrics.py
+++ b/granitewell/status/metrics.py
@@ -1,9 +1,9 @@
-"""A snapshot as Prometheus' text exposition format 0.0.4.
+"""A snapshot in Prometheus' text exposition format 0.0.4.
 
-It owns the names, types and help of every metric, and the escaping. It must never emit a sample that the
-snapshot does not hold: its rows are bounded, and so are the series. The format: a family's HELP and TYPE
-lines with its samples behind them, lines ended by a line feed; in a label's value backslash, double quote and
-line feed are escaped, in a HELP text backslash and line feed.
+This module defines the name, type and help text of every metric of a snapshot. Samples come from the
+snapshot's rows alone; these are bounded, and so is the number of series. In the format, a family's HELP and
+TYPE lines precede its samples and every line ends with a line feed. Label values escape backslash, double
+quote and line feed; HELP texts escape backslash and line feed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 METRIC_PREFIX = "granitewell_"
 REQUEST_ENDS = (*(v.value for v in ResponseStatus), "abandoned", "table_full")
 CALL_COUNTER_PREFIX = "call_"
-LINES_PER_PART = 100  # lines made at a time
+LINES_PER_PART = 100
 
 Labels = Mapping[str, str]
 Sample = tuple[Labels, float | None]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Family:
-    """One metric: its name behind the prefix, its type, what it says, and its samples in a snapshot."""
+    """A metric family: name without the prefix, type, help text, and a function that extracts its samples."""
 
     name: str
     kind: str
@@ -35,7 +35,7 @@
     samples: Callable[[Snapshot], Iterable[Sample]]
 
     def text(self, snapshot: Snapshot) -> Iterator[str]:
-        """Its lines, some at a time; nothing where it has no sample."""
+        """Yield the family's lines in parts of bounded size; nothing if it has no samples."""
         name = METRIC_PREFIX + self.name
         samples = [(labels, value) for labels, value in self.samples(snapshot) if value is not None]
         if samples:
@@ -49,19 +49,19 @@
 
 
 def format_labels(labels: Labels) -> str:
-    """`{endpoint="a",class="b"}`, or nothing for no labels."""
+    """Format labels as `{endpoint="a",class="b"}`; empty for no labels."""
     inner = ",".join(f'{name}="{escape_label_value(value)}"' for name, value in labels.items())
     return f"{{{inner}}}" if inner else ""
 
 
 def escape_label_value(value: str) -> str:
-    """A label's value: any text but half of a surrogate pair, for which UTF-8 has no form."""
+    """Escape a label's value; lone surrogates, which UTF-8 can't encode, become question marks."""
     encodable = value.encode(errors="replace").decode()
     return encodable.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
 def format_number(value: float) -> str:
-    """As Go's ParseFloat reads it."""
+    """Format a number such that Go's ParseFloat, which Prometheus uses, can read it."""
     if value != value:
         return "NaN"
     if value in (float("inf"), float("-inf")):
@@ -70,7 +70,7 @@
 
 
 def exposition(snapshot: Snapshot) -> Iterator[str]:
-    """The families one by one, in parts that are each quickly made; joined they are the whole exposition."""
+    """Yield the whole exposition in parts, each of which is quick to build."""
     for family in FAMILIES:
         yield from family.text(snapshot)
 
--- a/granitewell/status/shared_counts.py
+++ b/granitewell/status/shared_counts.py
@@ -1,7 +1,8 @@
-"""What nodes share, as words and as metrics.
+"""The counts that nodes share, as text for the console and as metrics.
 
-It owns the columns, the names and help of these metrics, and the check of an answer's form. It must never
-print, and passes on no character that could steer a terminal. An answer here is JSON that somebody sent.
+This module defines the columns, the names and help texts of these metrics, and validates a node's response;
+the caller prints. A response is JSON received over a socket, so all text is stripped of characters that could
+control a terminal.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def metrics_text(view: Mapping[str, Any]) -> str:
-    """Lines in Prometheus' format (see metrics)."""
+    """Return the counts as metrics in Prometheus' text format (see the metrics module)."""
     parts = []
     for name, samples in _samples(view):
         kind, help_text = _HELP[name]
@@ -41,7 +42,11 @@
 
 
 def describe_counts(data: Any) -> tuple[list[str], list[TextTable]]:
-    """The answer of a node in words: lines, then tables. ValueError: it is no such answer."""
+    """Describe a node's response: lines, then tables.
+
+    Raises:
+        ValueError: The data is no such response.
+    """
     try:
         if data["version"] != VERSION:
             raise ValueError(f"speaks version {printable(data['version'])}, this one {VERSION}")
--- a/granitewell/status/snapshot.py
+++ b/granitewell/status/snapshot.py
@@ -1,9 +1,8 @@
-"""Takes a snapshot of a running node in short steps, so that the loop never stands still for it.
+"""Builds a snapshot of a running node in short steps, so that it does not block the event loop.
 
-It owns which figures are read from where, and which rows are the worst. It is the one module outside the
-core that reads the core's own tables, and must never change anything there, go on over a table that may have
-changed between two steps, or read a clock. Each step is a bounded piece of work; between two the node goes
-on, so the parts of one snapshot may be some milliseconds apart.
+This is the only module outside the core that reads the core's own tables, and it changes nothing there. The
+node serves requests between two steps: a table that may change in place is copied before it is iterated over,
+and the parts of one snapshot may be some milliseconds apart. Each step is a bounded piece of work.
 """
 
 from __future__ import annotations
@@ -38,27 +37,27 @@
     SocketUsage,
 )  # fmt: skip
 
-ITEMS_PER_STEP = 100  # endpoints, calls or requests looked at in one step
-ROWS_PER_STEP = 25  # rows made in one step
+ITEMS_PER_STEP = 100  # endpoints, calls or requests
+ROWS_PER_STEP = 25
 
 T = TypeVar("T")
 R = TypeVar("R")
 Steps = Generator[None, None, T]
 
-# cause, since when ill (0: it is not), share of failures, its own part, in flight, last tried; ms
+# cause, unhealthy since (ms, 0: healthy), failure ratio, own failure ratio, in flight, last tried (ms)
 PairDiagnostics = tuple[Cause, float, float, float, int, float]
-# endpoint, in the prefix, warm share, speed ratio, rows by class
+# endpoint, in the prefix, warm ratio, speed ratio, diagnostics by class
 HostDiagnostics = tuple[bytes, bool, float, float, list[PairDiagnostics]]
-# a pair's rank; endpoint, class, in the prefix, warm share, speed ratio, row
+# endpoint, class, in the prefix, warm ratio, speed ratio, diagnostics
 RankedPair = tuple[bytes, int, bool, float, float, PairDiagnostics]
 
 
 @runtime_checkable
 class DiagnosticsSource(Protocol):
-    """What the look needs of granitewell.balancing.balancer.Balancer.
+    """What a snapshot needs of granitewell.balancing.balancer.Balancer.
 
-    Figures, by class whether its fleet is full, by held request its class and when it came (ms), and by ready
-    endpoint what is known of it.
+    In order: the balancer's figures, for each class whether the fleet is overloaded, for each held request
+    its class and arrival (ms), and the diagnostics of each ready endpoint.
     """
 
     def diagnostics(
@@ -67,18 +66,18 @@
 
 
 class TopRanked(Generic[T]):
-    """The items of the highest ranks, the first of equals kept."""
+    """A bounded heap of the highest-ranked items; of equal ranks the first are kept."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity, self._seq = capacity, 0
         self._heap: list[tuple[Any, int, T]] = []
 
     def accepts(self, rank: Any) -> bool:
-        """Is there room for this rank? Asked first, so that most items need never be made."""
+        """Return whether an item of this rank would be kept; asked first, so most items need not be built."""
         return len(self._heap) < self._capacity or (self._capacity > 0 and rank > self._heap[0][0])
 
     def add(self, rank: Any, item: T) -> None:
-        """Keep an item that it takes, in place of the lowest."""
+        """Add an item whose rank is accepted; if the heap is full, it replaces the lowest one."""
         self._seq -= 1  # of equal ranks the later one is the smaller
         if len(self._heap) < self._capacity:
             heappush(self._heap, (rank, self._seq, item))
@@ -86,12 +85,12 @@
             heapreplace(self._heap, (rank, self._seq, item))
 
     def descending(self) -> list[T]:
-        """The highest first."""
+        """Return the items, the highest rank first."""
         return [item for _, _, item in sorted(self._heap, key=lambda x: x[:2], reverse=True)]
 
 
 def shorten_name(text: str) -> str:
-    """A name, bounded, and still its own where it is cut: two of them never look alike."""
+    """Shorten a long name; a hash keeps names apart that begin alike."""
     if len(text) <= MAX_NAME_CHARS:
         return text
     return (
@@ -102,12 +101,12 @@
 def take_snapshot(
     core: Core, sockets: SocketUsage, node_info: NodeInfo, now_us: int, worst: int
 ) -> Steps[Snapshot]:
-    """A snapshot with so many rows in each table; to be driven to its end, one step at a time."""
+    """Build a snapshot with up to `worst` rows in each table; the caller runs the generator to its end."""
     return _SnapshotBuilder(core, sockets, node_info, now_us, worst).steps()
 
 
 class _SnapshotBuilder:
-    """One look. Each `_see` method is a run of steps over one table."""
+    """Builds one snapshot. Each `_count` and `_rank` method goes over one table in steps."""
 
     def __init__(
         self, core: Core, sockets: SocketUsage, node_info: NodeInfo, now_us: int, worst: int
@@ -116,8 +115,8 @@
         self._worst = worst
         self._ages = [[0] * (len(AGE_BUCKETS_MS) + 1) for _ in node_info.classes]
         self._oldest = [0.0] * len(node_info.classes)
-        # Of each endpoint with calls, and of each ready one, at its number. No object for each: thousands of
-        # new ones would call the collector, whose walk is longer than any step.
+        # Arrays, indexed by the numbers in `_call_index` and `_host_index`, hold one value for each endpoint.
+        # An object for each would start the garbage collector, whose pass takes longer than any step.
         self._call_index: dict[bytes, int] = {}
         self._call_counts, self._dialing_counts, self._first_started_us = (
             array("q"),
@@ -134,7 +133,7 @@
         self._endpoints: TopRanked[Endpoint] = TopRanked(worst)
 
     def steps(self) -> Steps[Snapshot]:
-        """All of it, in order: what is asked of endpoints first, then the endpoints."""
+        """Build the snapshot: requests and calls first, as the ranking of endpoints depends on calls."""
         figures: dict[str, float] = {}
         full = [False] * len(self._node_info.classes)
         held: Iterable[tuple[int, float]] = ()
@@ -186,7 +185,7 @@
                 if ill:
                     self._ill_by_endpoint[endpoint_id] += 1
                     self._ill_by_class[k] += 1
-                # what counts as ill comes before what only looks so in a full fleet
+                # unhealthy pairs rank above those that fail only because the fleet is overloaded
                 rank = ill + (ill and not full[k]), row[2], row[4]
                 if accepts(rank):
                     add(rank, (endpoint_id, k, in_prefix, warm, speed, row))
@@ -207,9 +206,9 @@
             if not n % ITEMS_PER_STEP:
                 yield
 
-    # --- The rows that are kept -------------------------------------------------------------------------
+    # --- Rows of the tables -----------------------------------------------------------------------------
     def _ago_s(self, at_us: float) -> float | None:
-        """Seconds since then; None for what has not been (at or below 0)."""
+        """Return the seconds since a time; None if it has not happened (zero or below)."""
         return round(max(self._now_us - at_us, 0) / 1e6, 3) if at_us > 0 else None
 
     def _pair_row(self, ranked: RankedPair, full: list[bool]) -> PairRow:
@@ -261,7 +260,7 @@
             else round(max(self._now_us - self._first_started_us[n], 0) / 1000, 3),
         }
 
-    # --- The parts of the snapshot ----------------------------------------------------------------------
+    # --- Parts of the snapshot --------------------------------------------------------------------------
     def _snapshot(
         self, figures: dict[str, float], full: list[bool], pairs: list[PairRow], endpoints: list[EndpointRow]
     ) -> Snapshot:
@@ -327,13 +326,15 @@
         }
 
     def _module(self, figures: dict[str, float]) -> BalancerFigures:
-        made = {k: round(float(v), 6) for k, v in figures.items() if math.isfinite(v)}  # JSON has no others
+        made = {
+            k: round(float(v), 6) for k, v in figures.items() if math.isfinite(v)
+        }  # JSON has no NaN or infinity
         made |= {"endpoints": len(self._host_index), "prefix": int(figures.get("prefix", 0))}
         return cast(BalancerFigures, {key: made.get(key, 0.0) for key in BalancerFigures.__annotations__})
 
 
 def _build_rows(ranked: list[T], make: Callable[[T], R]) -> Steps[list[R]]:
-    """The rows of a table, some at a time."""
+    """Build the rows of a table in steps."""
     rows: list[R] = []
     for n, item in enumerate(ranked, 1):
         rows.append(make(item))
@@ -347,19 +348,19 @@
 
 
 def _name_or_number(names: tuple[str, ...], k: int) -> str:
-    """A name that the settings hold, or its number: discovery may tell of others."""
+    """Return the configured name, or the number if discovery reports one without a name."""
     return shorten_name(names[k]) if 0 <= k < len(names) else f"#{k}"
 
 
 def _discovery_state(endpoint: Endpoint) -> Literal["ready", "draining", "gone"]:
-    """What discovery last said: ready, draining, or that it is gone, be it by leaving it out of its list."""
+    """Return the state that discovery last reported; an endpoint missing from its list counts as gone."""
     if endpoint.unavailable_since_us < 0:
         return "ready"
     return "draining" if endpoint.member.state is State.DRAINING else "gone"
 
 
 def _cause_label(cause: Cause, ill_since_ms: float, failures: float, own_failures: float) -> str:
-    """What speaks most against the pair. Ill without failures enough of its own, it is ill with its zone."""
+    """Return the main cause; a pair that is unhealthy without enough failures of its own has its zone's."""
     return (
         "zone" if ill_since_ms > 0.0 and cause is Cause.HEALTHY and own_failures < failures else cause.value
     )
--- a/granitewell/status/types.py
+++ b/granitewell/status/types.py
@@ -1,7 +1,7 @@
-"""The types of a node's status: what may be set of it, what the sockets tell it, and the snapshot itself.
+"""The types of a node's status: its settings, what a snapshot is built from, and the snapshot itself.
 
-It owns every name and bound of the snapshot; what each field means to a person is on docs/operate/status.md.
-Nothing here computes anything but where the status is served.
+Every field name and bound of the snapshot is defined here; docs/operate/status.md explains each field to
+operators.
 """
 
 from __future__ import annotations
@@ -10,30 +10,30 @@
 from dataclasses import dataclass
 from typing import Literal, TypedDict
 
-VERSION = 1  # of the snapshot's shape; keys may be added without a new one
-MAX_TABLE_ROWS = 500  # rows of either table, whatever is asked for
-MAX_NAME_CHARS = 100  # characters of a name in it
-MAX_RESPONSE_BYTES = 1024 * 1024  # bytes of a body
-MAX_SOCKET_PATH_BYTES = 107  # bytes of a unix socket's path on Linux: sun_path less its end
-AGE_BUCKETS_MS = (10, 100, 1000, 10_000)  # upper ends of the ages by which held requests are counted
-AGE_OVERFLOW_KEY = "more"  # and the name of what lies beyond
+VERSION = 1  # of the snapshot's format; added keys don't change it
+MAX_TABLE_ROWS = 500  # of either table, also if a request asks for more
+MAX_NAME_CHARS = 100  # longer names are shortened in a snapshot
+MAX_RESPONSE_BYTES = 1024 * 1024  # of a response's body
+MAX_SOCKET_PATH_BYTES = 107  # of a unix socket on Linux: sun_path without its terminating zero
+AGE_BUCKETS_MS = (10, 100, 1000, 10_000)  # upper bounds of the histogram of held requests by age
+AGE_OVERFLOW_KEY = "more"  # the bucket above the last bound
 
 ALLOWED_STATUS_ADDRESS = "the path of a unix socket, or 127.0.0.1:PORT"
 
 
 @dataclass(frozen=True, slots=True)
 class StatusSettings:
-    """Where the status is served and what it may cost; the defaults are those of the `[status]` table."""
+    """Where the status is served and its limits; the `[status]` table takes its defaults from here."""
 
-    at: str = ""  # "" for nowhere
+    at: str = ""  # empty: not served
     connections: int = 4
-    seconds: float = 1.0  # for one connection, from its first to its last byte
-    worst: int = 50  # rows of each table where a request does not say
+    seconds: float = 1.0  # limit for one connection, from its first to its last byte
+    worst: int = 50  # rows of each table if a request does not name a number
 
 
 @dataclass(frozen=True, slots=True)
 class StatusAddress:
-    """Where a status is served: a path, or a port of 127.0.0.1."""
+    """Where a status is served: the path of a unix socket, or a port of 127.0.0.1."""
 
     path: str = ""
     port: int = 0
@@ -43,9 +43,10 @@
 
 
 def parse_status_address(at: str, folder: str) -> StatusAddress:
-    """What `at` names; a path that begins with no slash is in `folder`, the private temporary directory.
+    """Parse an address; a relative path is taken within `folder`, the private temporary directory.
 
-    ValueError says what was found.
+    Raises:
+        ValueError: It is neither a usable path nor a port of 127.0.0.1; the message says what was found.
     """
     host, colon, port = at.rpartition(":")
     if colon and "/" not in at and port.isascii() and port.isdigit():
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeInfo:
-    """What stays as it is for a node's whole life. Times in microseconds on its clock."""
+    """What does not change while a node runs. Times in microseconds on the node's clock."""
 
     name: str
     classes: tuple[str, ...]
@@ -76,9 +77,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketUsage:
-    """What the socket side holds.
+    """Connections, descriptor limits and the state of the discovery client.
 
-    `idle`: idle connections by endpoint. Times in microseconds on the node's clock, -1 for never.
+    `idle` holds the idle connections by endpoint. Times are microseconds on the node's clock, -1 for never.
     """
 
     idle: Mapping[bytes, Sized]
@@ -95,7 +96,7 @@
     failure: str
 
 
-# --- The snapshot: plain JSON. Names end with their unit; a null is what is not known or has not been ---
+# --- The snapshot as JSON. Names end with their unit; null: unknown, or has not happened ----------------
 HeldClass = TypedDict(
     "HeldClass", {"class": str, "total": int, "oldest_ms": float, "ages": dict[str, int]}
 )  # fmt: skip
@@ -108,7 +109,7 @@
 
 
 class EndpointRow(TypedDict):
-    """One endpoint as discovery tells it, and what this node has there."""
+    """An endpoint as discovery reports it, with this node's calls and connections to it."""
 
     endpoint: str
     address: str
@@ -129,14 +130,14 @@
 
 
 class HeldRequests(TypedDict):
-    """Requests that are owed an answer."""
+    """Requests that have not been answered yet."""
 
     total: int
     classes: list[HeldClass]
 
 
 class OutboundCalls(TypedDict):
-    """Outbound calls, and what lies idle."""
+    """Outbound calls in progress, and idle connections."""
 
     total: int
     dialing: int
@@ -144,14 +145,14 @@
 
 
 class Usage(TypedDict):
-    """Of something bounded."""
+    """The used and allowed amount of a limited resource."""
 
     used: int
     allowed: int
 
 
 class Descriptors(TypedDict):
-    """The budget that both sides share."""
+    """Use of the descriptor budget that clients and endpoints share."""
 
     clients: Usage
     endpoints: Usage
@@ -160,7 +161,7 @@
 
 
 class DiscoveryState(TypedDict):
-    """The agent that tells of endpoints."""
+    """The state of the connection to the discovery agent."""
 
     address: str
     heard_s: float | None
@@ -170,7 +171,7 @@
 
 
 class BalancerFigures(TypedDict):
-    """The figures behind the decisions."""
+    """The balancer's figures on which its decisions depend."""
 
     endpoints: int
     prefix: int
@@ -182,14 +183,14 @@
 
 
 class PairCounts(TypedDict):
-    """How many (endpoint, class) pairs are judged, and how many of them are held to be ill."""
+    """How many (endpoint, class) pairs are tracked, and how many of them count as unhealthy."""
 
     pairs: int
     ill: int
 
 
 class EndpointCounts(TypedDict):
-    """Endpoints by what discovery tells of them."""
+    """The number of endpoints by the state that discovery reports."""
 
     ready: int
     draining: int
@@ -197,10 +198,10 @@
 
 
 class Snapshot(TypedDict):
-    """All of it.
+    """The complete status of a node.
 
-    `pairs` and `endpoints` hold the `worst` rows, the worst first; `cut`: fewer, as the answer would have
-    been too large.
+    `pairs` and `endpoints` hold up to `worst` rows, the worst first. `cut` says that rows were left out
+    because the response would have been too large.
     """
 
     version: int
--- a/granitewell/status/wire.py
+++ b/granitewell/status/wire.py
@@ -1,7 +1,7 @@
-"""The bytes of the status socket: HTTP/1.1 (RFC 9112) in, JSON or metrics out. One request a connection.
+"""The HTTP/1.1 (RFC 9112) requests and responses of the status socket, without any input or output.
 
-It owns paths, query, status codes and the bound on an answer's size. It must never touch a socket. Only GET
-is known, bodies are not read, and each answer closes its connection.
+This module parses requests, and builds responses of bounded size as JSON or metrics. A connection carries one
+request. Bodies of requests are not read.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from granitewell.status import metrics
 from granitewell.status.types import MAX_RESPONSE_BYTES, MAX_TABLE_ROWS, EndpointRow, PairRow, Snapshot
 
-MAX_HEAD_BYTES = 4096  # bytes of a request's head
-ROWS_PER_STEP = 25  # rows made into bytes in one step
-RESERVED_BYTES = 64 * 1024  # bytes of an answer for all that is no row
+MAX_HEAD_BYTES = 4096  # of a request
+ROWS_PER_STEP = 25  # rows encoded in one step
+RESERVED_BYTES = 64 * 1024  # of a response's body for everything but the rows
 STATUS_PATH, METRICS_PATH = "/status", "/metrics"
 CONTENT_TYPES = {STATUS_PATH: "application/json", METRICS_PATH: metrics.CONTENT_TYPE}
 MEMBERS_PATH, EXPLAIN_PATH, FORGET_PATH = "/cluster", "/cluster/explain", "/cluster/forget"
@@ -27,8 +27,8 @@
     EXPLAIN_PATH,
     FORGET_PATH,
     COUNTS_PATH,
-)  # of the other nodes; without any they are not found
-LOCAL_HOSTS = ("127.0.0.1", "localhost")  # names in Host by which a port of this machine is asked
+)  # 404 if the node is not in a cluster
+LOCAL_HOSTS = ("127.0.0.1", "localhost")  # accepted in the Host header of a request to a port
 REASONS = {200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
            405: "Method Not Allowed", 409: "Conflict", 421: "Misdirected Request",
            431: "Request Header Fields Too Large", 500: "Internal Server Error"}  # fmt: skip
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusRequest:
-    """A request that can be answered: which path, and how many rows of each table."""
+    """A valid request: its path, and the number of rows of each table."""
 
     path: str
     worst: int
-    name: str = ""  # of a member
+    name: str = ""  # of a member, or the key of a count
 
 
 class RejectedQueryError(Exception):
-    """A request that can't be; `raw` is what it gets."""
+    """A request that is rejected; `response` is the complete HTTP response to it."""
 
     def __init__(self, status: int, why: str, extra_headers: str = "") -> None:
         super().__init__(why)
@@ -53,12 +53,12 @@
 
 
 def text_response(why: str, status: int, extra_headers: str = "") -> bytes:
-    """An answer that is one line for a person."""
+    """Build a response with one line of text."""
     return response(why.encode() + b"\n", "text/plain; charset=utf-8", status, extra_headers)
 
 
 def response(body: bytes, kind: str, status: int = 200, extra_headers: str = "") -> bytes:
-    """A whole answer, after which the connection ends."""
+    """Build a complete response, after which the connection is closed."""
     head = (
         f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: {kind}\r\nContent-Length: {len(body)}\r\n"
         f"{extra_headers}Cache-Control: no-store\r\nConnection: close\r\n\r\n"
@@ -67,10 +67,16 @@
 
 
 def parse_request(head: bytes, worst: int, local: bool) -> StatusRequest:
-    """What a request's head, whole or not, asks for; Refused says why it gets nothing.
+    """Parse the head of a request, which may be incomplete.
 
-    `worst`: rows where it does not say. `local`: it came to a port, so a page in a browser can have sent it
-    under a name of its own (DNS rebinding), and Host must name this machine.
+    Args:
+        head: The bytes received.
+        worst: Rows of each table if the request does not name a number.
+        local: The request came to a port. A page in a browser may have sent it under a host name of its own
+            (DNS rebinding), so the Host header must name this machine.
+
+    Raises:
+        RejectedQueryError: The request is invalid; the error holds the response.
     """
     whole, end, _ = head.partition(b"\r\n\r\n")
     if not end or len(whole) > MAX_HEAD_BYTES:
@@ -92,7 +98,7 @@
 
 
 def _parse_cluster_request(path: str, method: bytes, query: str, worst: int) -> StatusRequest:
-    """What is asked of the fleet: all members, one of them by name, or that one is gone for good."""
+    """Parse a request about the cluster: members, counts, or explaining or forgetting one member."""
     wanted = b"POST" if path == FORGET_PATH else b"GET"
     if method != wanted:
         raise RejectedQueryError(405, f"{wanted.decode()} only", f"Allow: {wanted.decode()}\r\n")
@@ -114,7 +120,7 @@
 
 
 class ClusterView(Protocol):
-    """Whoever answers for the fleet."""
+    """Answers requests about the cluster."""
 
     def view(self) -> dict[str, Any]: ...
 
@@ -126,10 +132,12 @@
 
 
 def cluster_response(request: StatusRequest, fleet: ClusterView | None, own_user: bool) -> bytes:
-    """The whole answer of a node in a fleet.
+    """Build the complete response to a request about the cluster.
 
     Args:
-        own_user: Nobody but the node's own user can have asked.
+        request: The parsed request.
+        fleet: Answers for the cluster; None if the node is not in one.
+        own_user: Only the node's own user can have sent the request.
     """
     if fleet is None:
         return text_response("this node is in no fleet: its operator file has no [cluster]", 404)
@@ -168,12 +176,12 @@
     return worst
 
 
-# --- Answers, a step at a time --------------------------------------------------------------------------
+# --- Bodies of responses, built in steps ----------------------------------------------------------------
 def response_body(request: StatusRequest, snapshot: Snapshot) -> Generator[None, None, bytes]:
-    """The body of an answer, of MAX_ANSWER bytes at most.
+    """Build the body of a response, of at most MAX_RESPONSE_BYTES.
 
-    Where it would be more, rows are left out from the best ones on, and `cut` says so. The snapshot stays as
-    it is, for other forms of it.
+    If it would be larger, the rows that rank lowest are left out and `cut` is set. The snapshot itself is not
+    changed, as further responses are built from it.
     """
     snapshot = snapshot.copy()
     snapshot["worst"] = request.worst
@@ -185,9 +193,9 @@
 
 
 def _cut_to_size(snapshot: Snapshot) -> Generator[None, None, None]:
-    """Leave out the rows for which there is no room in either form.
+    """Remove the rows that would make either JSON or metrics too large.
 
-    Names can be long, and each stands in several lines of the metrics.
+    Names can be long, and each appears in several lines of the metrics.
     """
     left = MAX_RESPONSE_BYTES - RESERVED_BYTES
     pairs, endpoints = snapshot["pairs"], snapshot["endpoints"]
@@ -203,10 +211,10 @@
 
 
 def _max_row_bytes(row: PairRow | EndpointRow) -> int:
-    """At most so many bytes in either form.
+    """Return an upper bound on the bytes of a row in either format.
 
-    In JSON a name is the longest, up to six bytes a character, and stands once; in the metrics it stands in
-    up to five lines.
+    JSON has the longest form of a name, up to six bytes a character, but only once; the metrics have it in up
+    to five lines.
     """
     names = sum(len(json.dumps(value)) for value in row.values() if isinstance(value, str))
     return 5 * names + 400
