--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The operators' address: its parser by bytes, and the calls against the real program on real sockets."""
+"""The operators' HTTP console: its request parser, and requests to the real program on real sockets."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from tests.play import LIMIT_S, Player, reserved
 
 
-def call(parser: ConsoleRequestParser, raw: bytes, step: int) -> bool:
-    """The call in pieces of so many bytes; whether it was whole at the end."""
+def feed(parser: ConsoleRequestParser, raw: bytes, step: int) -> bool:
+    """Feed a request in pieces of so many bytes; return whether it was complete at the end."""
     done = False
     for at in range(0, len(raw), step):
         done = parser.feed(raw[at : at + step])
@@ -34,10 +34,10 @@
      b"Transfer-Encoding: chunked\r\n\r\n2;x=1\r\ns-\r\n2\r\na7\r\n0\r\n\r\n",
      b"expect: 100-Continue\r\nCONTENT-LENGTH: 4\r\n\r\ns-a7"],
 )  # fmt: skip
-def test_the_id_however_it_is_framed(body: bytes, step: int) -> None:
-    """Staff call with whatever tool is at hand: the id may come in pieces, chunked, with blanks round it."""
+def test_the_endpoint_id_is_read_in_any_framing(body: bytes, step: int) -> None:
+    """Operators use various HTTP tools: the id may come in pieces, chunked, or surrounded by blanks."""
     parser = ConsoleRequestParser()
-    assert call(parser, b"POST /dispatch-servers/disable HTTP/1.1\r\nHost: n\r\n" + body, step)
+    assert feed(parser, b"POST /dispatch-servers/disable HTTP/1.1\r\nHost: n\r\n" + body, step)
     assert parser.endpoint() == b"s-a7" and parser.path == b"/dispatch-servers/disable"
 
 
@@ -52,34 +52,34 @@
         (b"GET /ready HTTP/1.1\r\nX: " + b"x" * MAX_HEADER_BYTES, 431),
     ],
 )
-def test_what_is_no_call_gets_its_error(raw: bytes, status: int) -> None:
+def test_invalid_requests_get_their_status_code(raw: bytes, status: int) -> None:
     with pytest.raises(RejectedCommandError) as error:
-        call(ConsoleRequestParser(), raw, 512)
+        feed(ConsoleRequestParser(), raw, 512)
     assert error.value.status == status and "\n" not in error.value.text
 
 
 @pytest.mark.parametrize("body", [b"", b" \r\n", b"two ids", b"\xff", b"x" * 300])
-def test_a_body_that_is_no_id_is_refused(body: bytes) -> None:
+def test_a_body_that_is_no_endpoint_id_is_rejected(body: bytes) -> None:
     parser = ConsoleRequestParser()
     head = b"POST /dispatch-servers/disable HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body)
-    assert call(parser, head + body, 4096)
+    assert feed(parser, head + body, 4096)
     with pytest.raises(RejectedCommandError) as error:
         parser.endpoint()
     assert error.value.status == 400
 
 
-class Staff(Player):
-    """The player with a console, and a private folder for what outlives the process."""
+class OperatorPlayer(Player):
+    """A player with a console, and a private folder for state that outlives the process."""
 
     def __init__(self) -> None:
-        self.desk = reserved()
-        self.console = self.desk.getsockname()
+        self.console_socket = reserved()
+        self.console = self.console_socket.getsockname()
         super().__init__()
         self.env = {"LB_CONSOLE": "%s:%d" % self.console, "TMPDIR": self.folder.name}
 
     def close(self) -> None:
         super().close()
-        self.desk.close()
+        self.console_socket.close()
 
     def ask(self, method: str, path: str, body: str = "") -> tuple[int, str]:
         with socket.create_connection(self.console, LIMIT_S) as sock:
@@ -92,8 +92,8 @@
 
 
 @pytest.fixture
-def staff() -> Iterator[Staff]:
-    player = Staff()
+def player() -> Iterator[OperatorPlayer]:
+    player = OperatorPlayer()
     try:
         with contextlib.ExitStack() as undo:
             for key, value in player.env.items():
@@ -105,39 +105,39 @@
         player.close()
 
 
-def test_calls_of_the_staff(staff: Staff) -> None:
-    assert staff.ask("GET", "/ready") == (200, "ready")
-    assert staff.ask("POST", "/dispatch-servers/disable", "s-nobody") == (404, "s-nobody was never listed")
-    assert staff.ask("POST", "/dispatch-servers/enable", "s-b") == (200, "s-b is enabled")
+def test_operator_commands(player: OperatorPlayer) -> None:
+    assert player.ask("GET", "/ready") == (200, "ready")
+    assert player.ask("POST", "/dispatch-servers/disable", "s-nobody") == (404, "s-nobody was never listed")
+    assert player.ask("POST", "/dispatch-servers/enable", "s-b") == (200, "s-b is enabled")
     for _ in range(2):
-        assert staff.ask("POST", "/dispatch-servers/disable", " s-a\n") == (200, "s-a is disabled")
-    assert staff.ask("POST", "/dispatch-servers/disable", "s-b")[0] == 200
-    with socket.create_connection(staff.address, LIMIT_S) as client:  # all are banned: refused at once
+        assert player.ask("POST", "/dispatch-servers/disable", " s-a\n") == (200, "s-a is disabled")
+    assert player.ask("POST", "/dispatch-servers/disable", "s-b")[0] == 200
+    with socket.create_connection(player.address, LIMIT_S) as client:  # all are banned: rejected at once
         client.sendall(b"GET /taxi-lookup/1 HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout-Ms: 2500\r\n\r\n")
         assert client.recv(4096).startswith(b"HTTP/1.1 503")
-    assert staff.ask("POST", "/dispatch-servers/enable", "s-a") == (200, "s-a is enabled")
+    assert player.ask("POST", "/dispatch-servers/enable", "s-a") == (200, "s-a is enabled")
 
 
-def test_callers_that_say_nothing_keep_nobody_out(staff: Staff) -> None:
-    """Three times the seats are taken by callers with half a call: the oldest make room for the next."""
-    crowd = []
+def test_idle_connections_do_not_block_new_ones(player: OperatorPlayer) -> None:
+    """Three times the allowed connections send half a request: the oldest are closed for new ones."""
+    idle_connections = []
     try:
         for _ in range(3 * MAX_CONNECTIONS):
-            crowd.append(socket.create_connection(staff.console, LIMIT_S))
-            crowd[-1].sendall(b"GET /rea")
-        assert staff.ask("GET", "/ready") == (200, "ready")
+            idle_connections.append(socket.create_connection(player.console, LIMIT_S))
+            idle_connections[-1].sendall(b"GET /rea")
+        assert player.ask("GET", "/ready") == (200, "ready")
     finally:
-        for sock in crowd:
+        for sock in idle_connections:
             sock.close()
 
 
-def test_a_ban_that_cannot_be_written_down_is_no_yes(staff: Staff) -> None:
-    """The caller would take the endpoint's machine down, and the next version would send to it."""
-    (folder,) = (x.path for x in os.scandir(staff.folder.name) if x.name.startswith("granitewell-"))
+def test_a_ban_that_cannot_be_stored_is_reported_as_an_error(player: OperatorPlayer) -> None:
+    """After a success the caller would shut the endpoint down, and a process after an upgrade send to it."""
+    (folder,) = (x.path for x in os.scandir(player.folder.name) if x.name.startswith("granitewell-"))
     for entry in os.scandir(folder):
         os.unlink(entry.path)
     os.rmdir(folder)
     with open(folder, "w"):
-        pass  # a file stands where the folder should be
-    status, text = staff.ask("POST", "/dispatch-servers/disable", "s-a")
+        pass  # a file takes the place of the folder
+    status, text = player.ask("POST", "/dispatch-servers/disable", "s-a")
     assert status == 500 and "could not be written down" in text
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator file: all problems at once, the example and the page kept true, reload on a started node."""
+"""The operator file: listing of all problems, the example and reference page, reload on a running node."""
 
 from __future__ import annotations
 
@@ -34,30 +34,30 @@
 EXAMPLE = ROOT / "deploy" / "operator-example.toml"
 
 
-def said(data: dict[str, Any], kind: type[Table] = OperatorFile) -> list[str]:
+def problem_texts(data: dict[str, Any], kind: type[Table] = OperatorFile) -> list[str]:
     return [p.text() for p in validate(data, kind)[1]]
 
 
-# --- the walk -------------------------------------------------------------------------------------------
-WORDS = st.sampled_from(
+# --- The tree reader ------------------------------------------------------------------------------------
+KEYS = st.sampled_from(
     [f.encode_name for f in struct_type(type(OperatorFile().log)).fields] + ["log", *TOPICS]
 )
-LEAVES = (
+SCALARS = (
     st.none() | st.booleans() | st.integers() | st.just(1 << 14_000) | st.floats()
-    | st.sampled_from(["lines", "json", "info", "stderr"]) | WORDS | st.text()
+    | st.sampled_from(["lines", "json", "info", "stderr"]) | KEYS | st.text()
 )  # fmt: skip
 VALUES = st.recursive(
-    LEAVES,
-    lambda x: st.lists(x, max_size=4) | st.dictionaries(WORDS | st.text(), x, max_size=5),
+    SCALARS,
+    lambda x: st.lists(x, max_size=4) | st.dictionaries(KEYS | st.text(), x, max_size=5),
     max_leaves=12,
 )
-FILES = st.dictionaries(WORDS | st.text(), VALUES, max_size=4) | st.fixed_dictionaries(
-    {"log": st.dictionaries(WORDS, VALUES, max_size=5)}
+FILES = st.dictionaries(KEYS | st.text(), VALUES, max_size=4) | st.fixed_dictionaries(
+    {"log": st.dictionaries(KEYS, VALUES, max_size=5)}
 )
 
 
-def stands(data: Any, path: tuple[str | int, ...]) -> bool:
-    """Does this path lead to something in the data?"""
+def path_exists(data: Any, path: tuple[str | int, ...]) -> bool:
+    """Return whether this path leads to something in the data."""
     for part in path:
         known = data if isinstance(data, dict) else range(len(data)) if isinstance(data, list) else ()
         if part not in known:
@@ -68,23 +68,23 @@
 
 @settings(max_examples=100, derandomize=True, deadline=None, database=None)
 @given(FILES)
-def test_any_data_loads_or_names_what_is_wrong_where_it_stands(data: dict[str, Any]) -> None:
+def test_any_data_loads_or_each_problem_names_an_existing_path(data: dict[str, Any]) -> None:
     made, problems = validate(data, OperatorFile)
     assert (made is None) == any(not p.note for p in problems)
     for problem in problems:
-        assert problem.path and stands(data, problem.path)
+        assert problem.path and path_exists(data, problem.path)
         assert "\n" not in problem.text() and len(problem.text()) < 600
     try:
         convertible = msgspec.convert(data, OperatorFile)
     except msgspec.ValidationError:
         convertible = None
-    # msgspec is the judge of types; the checks between fields and numbers without end come on top of it
+    # msgspec decides about types; checks between fields and of infinite numbers come on top of it
     assert made is None if convertible is None else made in (None, convertible)
 
 
 def test_all_problems_are_listed_with_the_nearest_key() -> None:
     log = {"levl": 1, "rate": 0, "rates": {"dial": 10**400, "dail": 1}, "mute": ["phase", 7], "to": True}
-    found = said({"form": "json", "log": log | {"fields": {"A b": "x"}}})
+    found = problem_texts({"form": "json", "log": log | {"fields": {"A b": "x"}}})
     for text in (
         "form: found an unknown key, allowed: log, status, cluster, counts; the nearest known one is "
         "log.form",
@@ -100,17 +100,19 @@
 
 
 def test_checks_between_fields_name_the_topic_and_the_field() -> None:
-    found = said({"log": {"mute": ["dail", "phase"], "rates": {"beats": 1}, "fields": {"topic": "x"}}})
+    found = problem_texts(
+        {"log": {"mute": ["dail", "phase"], "rates": {"beats": 1}, "fields": {"topic": "x"}}}
+    )
     assert [text.split(": ")[0] for text in found] == [
         "log.mute[0]", "log.mute[1]", "log.rates.beats", "log.fields.topic", "log.fields"
     ]  # fmt: skip
     assert found[0].endswith("is dial") and found[2].endswith("is beat")
-    (wide,) = said({"log": {"form": "json", "fields": {f"f{k}": "\x01" * 200 for k in range(2)}}})
+    (wide,) = problem_texts({"log": {"form": "json", "fields": {f"f{k}": "\x01" * 200 for k in range(2)}}})
     assert wide.startswith("log.fields: found 2418 bytes")
 
 
-def test_a_storm_of_problems_is_bounded() -> None:
-    found = said({f"key{k}": k for k in range(20_000)})
+def test_the_number_of_listed_problems_is_bounded() -> None:
+    found = problem_texts({f"key{k}": k for k in range(20_000)})
     assert len(found) == MAX_PROBLEMS + 1 and "the rest is not listed" in found[-1]
 
 
@@ -136,27 +138,27 @@
     [{"least": True}, {"least": 1.0}, {"part": float("inf")}, {"part": float("nan")}, {"part": False},
      {"kind": True}, {"kind": 2.0}],
 )  # fmt: skip
-def test_what_python_takes_for_a_number_is_none_here(wrong: dict[str, Any]) -> None:
-    (found,) = said({"inner": wrong}, Outer)
+def test_values_that_python_converts_to_numbers_are_rejected(wrong: dict[str, Any]) -> None:
+    (found,) = problem_texts({"inner": wrong}, Outer)
     assert found.startswith(f"inner.{next(iter(wrong))}: found ")
 
 
-def test_a_former_name_is_taken_with_a_note_but_not_beside_the_new_one() -> None:
+def test_a_former_name_is_accepted_with_a_note_unless_the_new_one_is_given_too() -> None:
     made, problems = validate({"inner": {"max": 7}}, Outer)
     assert made == Outer(inner=Inner(most=7))
     assert problems[0].text() == "inner.max: a former name of most: write most"
-    twice = said({"inner": {"max": 7, "most": 7}}, Outer)
+    twice = problem_texts({"inner": {"max": 7, "most": 7}}, Outer)
     assert twice == ["inner.max: found a former name of most, which is given too, allowed: most alone"]
-    wrong = said({"inner": {"limit": 700}}, Outer)
+    wrong = problem_texts({"inner": {"limit": 700}}, Outer)
     assert wrong[1] == "inner.limit: found 700, allowed: a whole number up to 100"
 
 
-def test_the_checks_of_one_table_run_whatever_is_wrong_in_another() -> None:
-    found = said({"inner": {"least": "x"}, "other": {"least": 50}}, Outer)
+def test_checks_of_one_table_run_even_if_another_is_invalid() -> None:
+    found = problem_texts({"inner": {"least": "x"}, "other": {"least": 50}}, Outer)
     assert [x.split(":")[0] for x in found] == ["inner.least", "other.least"]
 
 
-# --- files and reload -----------------------------------------------------------------------------------
+# --- Files and reload -----------------------------------------------------------------------------------
 @pytest.mark.parametrize(
     ("raw", "says"),
     [
@@ -172,7 +174,7 @@
     ],
     ids=["value", "utf8", "nested", "large", "digits", "twice", "nan", "date", "hex"],
 )
-def test_what_is_no_operator_file_is_refused_in_one_line(tmp_path: Path, raw: bytes, says: str) -> None:
+def test_an_invalid_operator_file_is_rejected_with_one_line(tmp_path: Path, raw: bytes, says: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_bytes(raw)
     with pytest.raises(InvalidOperatorFileError) as caught:
@@ -180,14 +182,14 @@
     assert says in str(caught.value) and "\n" not in str(caught.value) and len(str(caught.value)) < 500
 
 
-def test_a_path_that_is_no_file_is_refused_and_waits_for_nobody(tmp_path: Path) -> None:
+def test_a_path_that_is_no_regular_file_is_rejected_without_blocking(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "fifo")
     for name in ("fifo", "none", ".", "null\0byte"):
         with pytest.raises(InvalidOperatorFileError):
             load(f"{tmp_path}/{name}", OperatorFile)
 
 
-def test_an_empty_file_is_the_node_without_one_and_the_example_names_every_field(tmp_path: Path) -> None:
+def test_an_empty_file_means_defaults_and_the_example_names_every_field(tmp_path: Path) -> None:
     (tmp_path / "empty.toml").write_text("")
     assert load(str(tmp_path / "empty.toml"), OperatorFile)[0].log.settings() == DEFAULT_LOG_SETTINGS
     assert [(p.field, p.note) for p in load(str(EXAMPLE), OperatorFile)[1]] == [("cluster.name", True)]
@@ -198,11 +200,11 @@
         assert set(data[table.encode_name]) == {f.encode_name for f in kind.fields}
 
 
-def test_the_reference_page_is_what_the_types_say() -> None:
+def test_the_reference_page_matches_the_types() -> None:
     assert (ROOT / "docs" / "operate" / "operator-file.md").read_text() == reference_page()
 
 
-def test_a_reload_takes_what_can_be_taken_and_names_what_waits(tmp_path: Path) -> None:
+def test_a_reload_applies_what_it_can_and_names_what_needs_a_restart(tmp_path: Path) -> None:
     path = tmp_path / "o.toml"
     path.write_text("[inner]\nleast = 2\nsize = 20\n[other]\nmost = 5")
     plan = reload(Outer(), str(path))
@@ -210,11 +212,11 @@
     assert (plan.applied, plan.pending_restart) == (("inner.least", "other.most"), ("inner.size",))
     taken = "taken from the operator file: inner.least, other.most"
     assert plan.log_line() == f"{taken}; only a restart takes up inner.size"
-    assert reload(plan.current, str(path)).pending_restart == ("inner.size",)  # said until it is done
+    assert reload(plan.current, str(path)).pending_restart == ("inner.size",)  # reported until the restart
 
 
-def test_a_table_whose_mixture_would_be_wrong_waits_whole(tmp_path: Path) -> None:
-    """Least = 15 is right with the size of the file, which waits, and wrong with the one that is held."""
+def test_a_table_whose_merge_would_be_invalid_needs_a_restart(tmp_path: Path) -> None:
+    """`least = 15` is valid with the file's `size`, which needs a restart, but not with the current one."""
     path = tmp_path / "o.toml"
     path.write_text("[inner]\nleast = 15\nsize = 20\n[other]\nmost = 5")
     plan = reload(Outer(), str(path))
@@ -222,7 +224,7 @@
     assert (plan.applied, plan.pending_restart) == (("other.most",), ("inner.least", "inner.size"))
 
 
-def test_a_file_with_anything_wrong_changes_nothing(tmp_path: Path) -> None:
+def test_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "o.toml"
     path.write_text("[log]\nrate = 5")
     live = LiveOperatorFile(str(path))
@@ -238,8 +240,8 @@
     assert "(and 1 more" in line
 
 
-class Watched:
-    """A started node with an operator file, and its log."""
+class NodeWithOperatorFile:
+    """A running node with an operator file, and its log."""
 
     def __init__(
         self, folder: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
@@ -249,8 +251,8 @@
         monkeypatch.setenv("LB_OPERATOR", str(self.path))
         self.player = Player()
 
-    def until(self, part: str) -> str:
-        """The log since the last call, once this is in it."""
+    def wait_for_log(self, part: str) -> str:
+        """Return the log since the last call, once it contains this text."""
         end = time.monotonic() + LIMIT_S
         while part not in self.text:
             assert time.monotonic() < end, f"never wrote {part!r}, only {self.text!r}"
@@ -259,7 +261,7 @@
         text, self.text = self.text, ""
         return text
 
-    def hup(self, text: str) -> None:
+    def reload_with(self, text: str) -> None:
         self.path.write_text(text)
         assert self.player.program is not None
         self.player.program.send_signal(signal.SIGHUP)
@@ -268,50 +270,50 @@
 def test_sighup_on_a_started_node(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    node = Watched(tmp_path, monkeypatch, capfd)
+    node = NodeWithOperatorFile(tmp_path, monkeypatch, capfd)
     try:
         node.player.step_start("a=ready", b"")
-        line = json.loads(node.until("ready with 1 endpoints"))
+        line = json.loads(node.wait_for_log("ready with 1 endpoints"))
         assert (line["topic"], "site" in line) == ("phase", False)
-        node.hup("[log]\nform = 'json'\nfields = {site = 'x'}")
-        got = node.until("the operator file: log.level, log.fields")
-        assert "discovery is now" in got  # both files have a line of their own
+        node.reload_with("[log]\nform = 'json'\nfields = {site = 'x'}")
+        got = node.wait_for_log("the operator file: log.level, log.fields")
+        assert "discovery is now" in got  # each of the two files has its own line
         line = json.loads(got.splitlines()[-1])
         assert (line["node"], line["topic"], line["site"]) == ("n0", "reload", "x")
-        node.hup("[log]\nform = 'lines'\nrate = 0")
-        line = json.loads(node.until("changes nothing").splitlines()[-1])
+        node.reload_with("[log]\nform = 'lines'\nrate = 0")
+        line = json.loads(node.wait_for_log("changes nothing").splitlines()[-1])
         assert line["text"].endswith("nothing: log.rate: found 0, allowed: a number from 0.01 to 1000")
-        node.hup("")
-        assert "reload: taken from the operator file: log.form" in node.until("log.fields")
+        node.reload_with("")
+        assert "reload: taken from the operator file: log.form" in node.wait_for_log("log.fields")
         node.player.nothing_more()
         assert node.player.program is not None
         node.player.program.terminate()
         assert node.player.program.wait(LIMIT_S) == 0
-        assert "phase: all is answered: leaving" in node.until("leaving")
+        assert "phase: all is answered: leaving" in node.wait_for_log("leaving")
     finally:
         node.player.close()
 
 
-# --- the platform's file --------------------------------------------------------------------------------
-def test_check_refuses_what_the_node_refuses(tmp_path: Path) -> None:
-    """Each field left out, and replaced by odd values.
+# --- The platform's file --------------------------------------------------------------------------------
+def test_check_rejects_what_the_node_rejects(tmp_path: Path) -> None:
+    """Each field is left out, and replaced by invalid values.
 
-    The check is never laxer than the node, and its types alone find all but what is wrong within a seed.
+    The check accepts nothing that the node rejects, and its types alone find everything but an invalid seed.
     """
     text = json.loads(Path(write(tmp_path)["LB_CONFIG"]).read_text())
-    path, laxer, late = tmp_path / "config.json", [], set()
+    path, accepted_wrongly, found_by_node_only = tmp_path / "config.json", [], set()
     assert judge(str(path)).good
-    for where in list(_paths(text, ())):
-        for odd in (None, "", -1, 0, True, [], {}, "x:y", [1], {"a": 1}, 1e300, float("nan")):
+    for field_path in list(_paths(text, ())):
+        for bad_value in (None, "", -1, 0, True, [], {}, "x:y", [1], {"a": 1}, 1e300, float("nan")):
             changed = json.loads(json.dumps(text))
-            _put(changed, where, odd)
+            _put(changed, field_path, bad_value)
             path.write_text(json.dumps(changed))
             try:
                 node_takes({"LB_CONFIG": str(path)})
             except Exception:
-                laxer += [(where, odd)] if judge(str(path)).good else []
-                late |= {where} if validate(changed, Platform)[0] is not None else set()
-    assert laxer == [] and late == {("seed",)}
+                accepted_wrongly += [(field_path, bad_value)] if judge(str(path)).good else []
+                found_by_node_only |= {field_path} if validate(changed, Platform)[0] is not None else set()
+    assert accepted_wrongly == [] and found_by_node_only == {("seed",)}
 
 
 def _paths(value: Any, path: tuple[Any, ...]) -> Iterator[tuple[Any, ...]]:
@@ -321,23 +323,23 @@
         yield from _paths(item, (*path, key))
 
 
-def _put(value: Any, path: tuple[Any, ...], odd: Any) -> None:
+def _put(value: Any, path: tuple[Any, ...], bad_value: Any) -> None:
     for part in path[:-1]:
         value = value[part]
-    if odd is None and isinstance(value, dict):
+    if bad_value is None and isinstance(value, dict):
         del value[path[-1]]
     else:
-        value[path[-1]] = odd
+        value[path[-1]] = bad_value
 
 
-def test_the_platform_may_add_keys_but_a_slip_in_a_known_one_is_found(tmp_path: Path) -> None:
+def test_unknown_platform_keys_are_notes_but_a_misspelt_one_is_a_problem(tmp_path: Path) -> None:
     text = json.loads(Path(write(tmp_path)["LB_CONFIG"]).read_text())
     allowed = text["settings"]["allowed"]
     allowed["newThing"] = 1
     path = tmp_path / "config.json"
     path.write_text(json.dumps(text))
     assert judge(str(path)).good and len(judge(str(path)).problems) == 2
-    allowed["conIdleMs"] = allowed.pop("connIdleMs")  # the node would go on with its own figure, unsaid
+    allowed["conIdleMs"] = allowed.pop("connIdleMs")  # the node would silently use its default
     text["settings"]["zone"] = 9
     path.write_text(json.dumps(text))
     assert not judge(str(path)).good
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -1,4 +1,4 @@
-"""The status of a running node: what it says is ill, what it costs at most, and who may ask."""
+"""The status of a running node: its contents, the bounds on its cost, and which requests are accepted."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from granitewell.balancing.interface import Effect, RequestClass, Settings, State, View
 from granitewell.cli.main import run
 from granitewell.config import load
-from granitewell.net import status as status_door
+from granitewell.net import status as status_server
 from granitewell.net.loop import Node
 from granitewell.operator.registry import OperatorFile
 from granitewell.operator.table import validate
@@ -33,22 +33,22 @@
 from granitewell.status.snapshot import ITEMS_PER_STEP, Steps, T, take_snapshot
 from tests.play import LIMIT_S
 from tests.test_config import write
-from tests.test_operator import Watched
+from tests.test_operator import NodeWithOperatorFile
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "operate" / "status.md").read_text()
-HOUR = 3_600_000_000
-NAMES = "taxi-lookup", "ride-assign"
+HOUR_US = 3_600_000_000
+CLASS_NAMES = "taxi-lookup", "ride-assign"
 
 
-# --- A node that runs -----------------------------------------------------------------------------------
+# --- A running node -------------------------------------------------------------------------------------
 @contextmanager
 def started(
     folder: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], table: str, fleet: str
-) -> Iterator[tuple[Watched, str]]:
-    """A node with this operator file, and the path that `at = "s"` means."""
+) -> Iterator[tuple[NodeWithOperatorFile, str]]:
+    """Run a node with this operator file; yield it with the path that `at = "s"` means."""
     monkeypatch.setenv("TMPDIR", str(folder))
-    node = Watched(folder, monkeypatch, capfd)
+    node = NodeWithOperatorFile(folder, monkeypatch, capfd)
     node.path.write_text(table)
     try:
         node.player.step_start(fleet, b"")
@@ -57,8 +57,8 @@
         node.player.close()
 
 
-def asks(path: str, target: str = "/status", raw: bytes | None = None) -> socket.socket:
-    """A connection that has asked, or said these bytes."""
+def send_request(path: str, target: str = "/status", raw: bytes | None = None) -> socket.socket:
+    """Open a connection and send a request, or these bytes."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     sock.settimeout(LIMIT_S)
     sock.connect(path)
@@ -66,8 +66,8 @@
     return sock
 
 
-def rest(sock: socket.socket) -> tuple[int, bytes]:
-    """All that comes on it: how long a body was promised, and what came of it."""
+def read_response(sock: socket.socket) -> tuple[int, bytes]:
+    """Read to the end; return the announced length of the body, and the body received."""
     raw = b""
     with closing(sock):
         while more := sock.recv(65536):
@@ -77,13 +77,15 @@
 
 
 def status(path: str, **query: int) -> Any:
-    promised, body = rest(asks(path, "/status?" + "&".join(f"{k}={v}" for k, v in query.items())))
+    promised, body = read_response(
+        send_request(path, "/status?" + "&".join(f"{k}={v}" for k, v in query.items()))
+    )
     assert len(body) == promised
     return json.loads(body)
 
 
-class StandIns:
-    """Endpoints that answer after 40 ms, and never what `hang` names."""
+class FakeEndpoints:
+    """Endpoints that answer after 40 ms, but never the requests that `hang` names."""
 
     def __init__(self, servers: dict[str, socket.socket], hang: tuple[str, bytes]) -> None:
         self.over, self.hang = threading.Event(), hang
@@ -108,7 +110,7 @@
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
     def ask(self, address: tuple[str, int], line: bytes, name: str) -> None:
-        """One client, request after request."""
+        """Send one client's requests, one after the other."""
         with socket.create_connection(address, LIMIT_S) as sock, suppress(ConnectionError):
             k = 0
             while not self.over.is_set():
@@ -119,18 +121,18 @@
                     return
 
 
-def test_a_class_that_hangs_at_one_endpoint_is_the_one_ill_pair(
+def test_a_class_that_hangs_at_one_endpoint_is_the_one_unhealthy_pair(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     with started(tmp_path, monkeypatch, capfd, "[status]\nat='s'", "a=ready b=ready c=ready") as (node, path):
         at = ["node", "status", "--at", path]
         assert run([*at, "--json"]) == 0
         assert json.loads(capfd.readouterr().out)["judged"] == {"pairs": 6, "ill": 0}
-        stands = StandIns(node.player.servers, ("b", b"/taxi-lookup"))
+        fake_endpoints = FakeEndpoints(node.player.servers, ("b", b"/taxi-lookup"))
         try:
             for k, line in enumerate([b"GET /taxi-lookup"] * 12 + [b"POST /ride-assign"] * 4):
                 args = node.player.address, line, f"c{k}"
-                threading.Thread(target=stands.ask, args=args, daemon=True).start()
+                threading.Thread(target=fake_endpoints.ask, args=args, daemon=True).start()
             end = time.monotonic() + LIMIT_S
             while (seen := status(path))["judged"]["ill"] == 0:
                 assert time.monotonic() < end
@@ -144,86 +146,93 @@
             out = capfd.readouterr().out
             assert "1 of 6 pairs ill" in out and re.search(r"s-b +│ taxi-lookup │ +silent", out)
         finally:
-            stands.over.set()
+            fake_endpoints.over.set()
 
 
-def test_sighup_opens_moves_and_closes_the_door(
+def test_sighup_opens_moves_and_closes_the_status_socket(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     path, other = tmp_path / "s", tmp_path / "t"
     with started(tmp_path, monkeypatch, capfd, "", "a=ready") as (node, _):
         assert not path.exists()
-        node.hup("[status]\nat = 's'\nconnections = 2")
-        assert f"the status is at {path}" in node.until("taken from the operator file: status.at, status.con")
+        node.reload_with("[status]\nat = 's'\nconnections = 2")
+        assert f"the status is at {path}" in node.wait_for_log(
+            "taken from the operator file: status.at, status.con"
+        )
         assert path.stat().st_mode & 0o777 == 0o600
         assert status(str(path))["phase"] == "ready"
         other.write_text("mine")
-        node.hup(f"[status]\nat = '{other}'")
-        assert "something that is no socket stands there" in node.until("taken from")
+        node.reload_with(f"[status]\nat = '{other}'")
+        assert "something that is no socket stands there" in node.wait_for_log("taken from")
         assert other.read_text() == "mine" and not path.exists()
-        other.unlink()  # the file says the same, and now it can be had
-        node.hup(f"[status]\nat = '{other}'\nconnections = 1")
-        assert "the status is at" in node.until("taken from")
+        other.unlink()  # the path in the file is free now
+        node.reload_with(f"[status]\nat = '{other}'\nconnections = 1")
+        assert "the status is at" in node.wait_for_log("taken from")
         assert status(str(other), worst=0)["pairs"] == []
-        node.hup("")
-        assert "the status is served no longer" in node.until("taken from")
+        node.reload_with("")
+        assert "the status is served no longer" in node.wait_for_log("taken from")
         assert not other.exists()
-        node.hup("[status]\nat = 's'")
-        node.until("taken from")
+        node.reload_with("[status]\nat = 's'")
+        node.wait_for_log("taken from")
         assert node.player.program is not None
         node.player.program.terminate()
         assert node.player.program.wait(LIMIT_S) == 0 and not path.exists()
 
 
-def test_news_of_discovery_and_a_path_that_has_become_somebody_elses(
+def test_discovery_times_and_a_socket_path_replaced_by_a_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     with started(tmp_path, monkeypatch, capfd, "[status]\nat = 's'", "a=ready") as (node, path):
         node.player.step_discovery("says", b"garbage")
         discovery = status(path)["discovery"]
-        # the agent answers the call that follows, with the same list: heard again, and no news
+        # the agent answers the next call with the same list: an answer, but no change
         assert discovery["news_s"] >= discovery["failed_s"] >= 0
         assert discovery["news_s"] >= discovery["heard_s"] >= 0
         assert "Expecting value" in discovery["failure"]
         os.unlink(path)
         Path(path).write_text("mine")
-        node.hup("")
-        node.until("taken from")
+        node.reload_with("")
+        node.wait_for_log("taken from")
         assert Path(path).read_text() == "mine"
 
 
-def test_who_does_not_ask_or_read_holds_nothing_for_long(
+def test_clients_that_do_not_send_or_read_are_disconnected_in_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     table = "[status]\nat='s'\nseconds=0.5\nconnections=4"
     with started(tmp_path, monkeypatch, capfd, table, "a=ready") as (node, path):
         one = node.player.members("a=ready")[0]
         node.player.agent.tell(True, [one, *({**one, "id": f"{k}".rjust(90, "x")} for k in range(1000))])
-        lazy = [asks(path, "/status?worst=500"), *(asks(path, raw=b"x" * n) for n in (0, 10, 10_000))]
+        slow_clients = [
+            send_request(path, "/status?worst=500"),
+            *(send_request(path, raw=b"x" * n) for n in (0, 10, 10_000)),
+        ]
         fds = f"/proc/{node.player.program.pid}/fd"  # type: ignore[union-attr]
-        assert len(status(path, worst=3)["endpoints"]) == 3  # there is a seat once one has lost its own
+        assert len(status(path, worst=3)["endpoints"]) == 3  # accepted once another connection has timed out
         node.player.until_ready()
-        promised, body = rest(lazy[0])
-        assert 200_000 < len(body) < promised  # more than a socket's buffer: the node did not wait
-        assert [rest(sock)[1][:8] for sock in lazy[1:]] == [b"", b"", b"the head"]
+        promised, body = read_response(slow_clients[0])
+        assert (
+            200_000 < len(body) < promised
+        )  # more than a socket's buffer, but incomplete: the node did not wait
+        assert [read_response(sock)[1][:8] for sock in slow_clients[1:]] == [b"", b"", b"the head"]
         before = len(os.listdir(fds))
-        for sock in [asks(path) for _ in range(12)]:
-            assert rest(sock)[1].endswith(b"}\n")
+        for sock in [send_request(path) for _ in range(12)]:
+            assert read_response(sock)[1].endswith(b"}\n")
         assert len(os.listdir(fds)) <= before + 4
 
 
-def test_a_path_is_taken_only_from_a_dead_socket_of_our_own(tmp_path: Path) -> None:
+def test_only_a_stale_socket_of_the_same_user_is_replaced(tmp_path: Path) -> None:
     path = str(tmp_path / "s")
 
     def bound(at: str = path) -> socket.socket:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        status_door.bind_path(sock, at)
+        status_server.bind_path(sock, at)
         return sock
 
     bound().close()
     with bound() as first, socket.socket(socket.AF_UNIX) as asker:
         first.listen(0)
-        asker.connect(path)  # its backlog is full now, and still somebody listens there
+        asker.connect(path)  # its backlog is full now, but it is still listening
         with pytest.raises(OSError, match="somebody listens"):
             bound()
     Path(f"{path}0").mkdir()
@@ -235,66 +244,66 @@
         assert os.path.lexists(at)
 
 
-def test_answers_come_from_one_look_while_the_node_rests_of_it(
+def test_responses_come_from_one_snapshot_during_the_rest(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    config, looks = load(write(tmp_path)), []
+    config, snapshots = load(write(tmp_path)), []
 
     def counted(*args: Any) -> Steps[types.Snapshot]:
-        looks.append(1)
+        snapshots.append(1)
         return take_snapshot(*args)
 
     async def scenario() -> list[int]:
         loop = asyncio.get_running_loop()
-        door = status_door.StatusServer(
+        server = status_server.StatusServer(
             Node(config, c.Core(config.settings, Balancer(config.settings, 1), 9), loop)
         )
         seen = []
         for n in (5, 5, *range(20)):
-            assert f'"worst":{n},'.encode() in await door._answer(wire.StatusRequest(wire.STATUS_PATH, n))
-            seen.append(len(looks))
-        assert door._rest_until_us - door._snapshot_done_us == status_door.MAX_REST_US
-        door._settings = types.StatusSettings(seconds=0.2)  # who waits must have time left
-        await door._answer(wire.StatusRequest(wire.STATUS_PATH, 20))
-        assert door._rest_until_us - door._snapshot_done_us == 100_000
+            assert f'"worst":{n},'.encode() in await server._answer(wire.StatusRequest(wire.STATUS_PATH, n))
+            seen.append(len(snapshots))
+        assert server._rest_until_us - server._snapshot_done_us == status_server.MAX_REST_US
+        server._settings = types.StatusSettings(seconds=0.2)  # waiting requests must have time left
+        await server._answer(wire.StatusRequest(wire.STATUS_PATH, 20))
+        assert server._rest_until_us - server._snapshot_done_us == 100_000
         return seen
 
-    monkeypatch.setattr(status_door, "take_snapshot", counted)
-    monkeypatch.setattr(status_door, "REST_RATIO", 10**9)
+    monkeypatch.setattr(status_server, "take_snapshot", counted)
+    monkeypatch.setattr(status_server, "REST_RATIO", 10**9)
     assert asyncio.run(scenario()) == [1] * 10 + [2] * 8 + [3] * 4
 
 
-# --- The pure part --------------------------------------------------------------------------------------
-ABOUT = types.NodeInfo("n0", NAMES, ("z0", "z1"), ("k0",), HOUR, 0)
-NONE = types.SocketUsage({}, 0, 0, 0, 0, 0, 32, ("127.0.0.1", 1), -1, -1, -1, "")
+# --- Without sockets ------------------------------------------------------------------------------------
+NODE_INFO = types.NodeInfo("n0", CLASS_NAMES, ("z0", "z1"), ("k0",), HOUR_US, 0)
+NO_SOCKETS = types.SocketUsage({}, 0, 0, 0, 0, 0, 32, ("127.0.0.1", 1), -1, -1, -1, "")
 
 
 def core_of(ids: list[str], requests: int = 0) -> c.Core:
     classes = tuple(RequestClass(500.0, 60_000.0, effect) for effect in (Effect.SAFE, Effect.UNSAFE))
     made = Settings(classes, 3, 5, 1000.0, 0.12, 23_000.0, 3.0, 1000.0, parallel_tries=True)
     core = c.Core(made, Balancer(made, 7), 20_000)
-    core.handle(HOUR, c.Listening())
-    core.handle(HOUR, c.EndpointListUpdate(View.FULL, tuple(
+    core.handle(HOUR_US, c.Listening())
+    core.handle(HOUR_US, c.EndpointListUpdate(View.FULL, tuple(
         c.DiscoveredEndpoint(x.encode(), ("10.0.0.1", 9), k % 2, 0, 0, State.READY, 1.0, 0)
         for k, x in enumerate(ids)
     )))  # fmt: skip
     for k in range(requests):
-        core.handle(HOUR + k, c.RequestReceived(k, k % 2, 0, 0, 60_000_000, None))
+        core.handle(HOUR_US + k, c.RequestReceived(k, k % 2, 0, 0, 60_000_000, None))
     return core
 
 
-def spoil(core: c.Core, n: int, k: int, share: float) -> None:
-    """The module's review has found this pair ill 2 s ago."""
+def mark_unhealthy(core: c.Core, n: int, k: int, share: float) -> None:
+    """Mark a pair as unhealthy since 2 s ago."""
     pair = core._balancer._ready_hosts[n].class_health[k]  # type: ignore[attr-defined]
     pair.failure_ratio, pair.failure_ratio_at_ms, pair.unhealthy_since_ms = (
         share,
-        HOUR / 1000,
-        HOUR / 1000 - 2000,
+        HOUR_US / 1000,
+        HOUR_US / 1000 - 2000,
     )
 
 
-def inside(core: c.Core) -> str:
-    """What a look must leave as it was."""
+def state_digest(core: c.Core) -> str:
+    """Return a digest of the state that a snapshot must not change."""
     balancer: Any = core._balancer
     pairs = [
         [getattr(pair, x) for x in pair.__slots__] for s in balancer._ready_hosts for pair in s.class_health
@@ -303,8 +312,8 @@
     return sha256(found.encode()).hexdigest()  # a difference in megabytes would take minutes to show
 
 
-def taken(steps: Steps[T]) -> tuple[T, int]:
-    """The result, and how many steps it took."""
+def run_steps(steps: Steps[T]) -> tuple[T, int]:
+    """Run a generator to its end; return the result and the number of steps."""
     n = 1
     while True:
         try:
@@ -317,11 +326,11 @@
 def test_the_worst_of_twelve_thousand_endpoints_in_short_steps() -> None:
     core = core_of([f"e{k:05}" for k in range(12_000)], 5000)
     for n in range(700):
-        spoil(core, 7 * n, n % 2, 0.4 + n / 2000)
-    before = inside(core)
-    snap, steps = taken(take_snapshot(core, NONE, ABOUT, HOUR + 250_000, 50))
+        mark_unhealthy(core, 7 * n, n % 2, 0.4 + n / 2000)
+    before = state_digest(core)
+    snap, steps = run_steps(take_snapshot(core, NO_SOCKETS, NODE_INFO, HOUR_US + 250_000, 50))
     assert steps >= (12_000 + 12_000 + 5000 + 5000) / ITEMS_PER_STEP
-    assert inside(core) == before
+    assert state_digest(core) == before
     assert snap["judged"] == {"pairs": 24_000, "ill": 700} and snap["fleet"]["ready"] == 12_000
     assert [(p["endpoint"], p["state"]) for p in snap["pairs"]] == [
         (f"e{7 * n:05}", "ill") for n in range(699, 649, -1)
@@ -331,9 +340,9 @@
     assert snap["calls"]["total"] == 5000 and sum(x["calls"] for x in snap["endpoints"]) <= 5000
 
 
-def test_a_look_goes_on_while_the_fleet_and_the_calls_change_under_it() -> None:
+def test_a_snapshot_completes_while_the_fleet_and_the_calls_change() -> None:
     core = core_of([f"e{k}" for k in range(1000)], 1000)
-    steps, n, state = take_snapshot(core, NONE, ABOUT, HOUR, 500), 0, State.READY
+    steps, n, state = take_snapshot(core, NO_SOCKETS, NODE_INFO, HOUR_US, 500), 0, State.READY
     with pytest.raises(StopIteration) as done:
         for n in range(10_000):
             next(steps)
@@ -341,20 +350,20 @@
             news = tuple(
                 c.DiscoveredEndpoint(b"n%d" % (n + k), ("h", k), 0, 0, 0, state, 1.0, 0) for k in range(50)
             )
-            core.handle(HOUR + n, c.EndpointListUpdate(View.FULL if n % 2 else View.DELTA, news))
-            core.handle(HOUR + n, c.DownstreamClosed(n))
-            core.handle(HOUR + n, c.RequestReceived(10_000 + n, 0, 0, 0, 1000, None))
+            core.handle(HOUR_US + n, c.EndpointListUpdate(View.FULL if n % 2 else View.DELTA, news))
+            core.handle(HOUR_US + n, c.DownstreamClosed(n))
+            core.handle(HOUR_US + n, c.RequestReceived(10_000 + n, 0, 0, 0, 1000, None))
     assert n > 20 and done.value.value["fleet"]["gone"] > 500
 
 
-def test_a_full_fleet_is_not_ill_endpoints_and_a_zone_is_named() -> None:
+def test_an_overloaded_fleet_is_not_unhealthy_and_a_zone_is_named_as_cause() -> None:
     core = core_of(["a", "b", "c"])
-    spoil(core, 0, 0, 0.9)
-    spoil(core, 1, 1, 0.99)
+    mark_unhealthy(core, 0, 0, 0.9)
+    mark_unhealthy(core, 1, 1, 0.99)
     health = core._balancer._health  # type: ignore[attr-defined]
     health.fleet_overloaded[1] = True
-    health._zone_failure_ratios[0] = 0.95, HOUR / 1000
-    snap, _ = taken(take_snapshot(core, NONE, ABOUT, HOUR, 6))
+    health._zone_failure_ratios[0] = 0.95, HOUR_US / 1000
+    snap, _ = run_steps(take_snapshot(core, NO_SOCKETS, NODE_INFO, HOUR_US, 6))
     states = {(p["endpoint"], p["class"]): (p["state"], p["cause"]) for p in snap["pairs"]}
     assert states["a", "taxi-lookup"] == ("ill", "zone") and states["b", "ride-assign"] == ("full", "well")
     assert [p["state"] for p in snap["pairs"]] == ["ill", "full", *["well"] * 4]
@@ -363,14 +372,14 @@
     )
 
 
-ANY = st.text(st.characters(exclude_categories=()), max_size=120)  # lone surrogates too
+ANY_TEXT = st.text(st.characters(exclude_categories=()), max_size=120)  # lone surrogates too
 
 
-PLAIN = {"\\\\": "\\", '\\"': '"', "\\n": "\n"}
+UNESCAPED = {"\\\\": "\\", '\\"': '"', "\\n": "\n"}
 
 
 def parsed(text: str) -> dict[tuple[str, frozenset[tuple[str, str]]], float]:
-    """Samples of the text exposition format 0.0.4; an AssertionError says what is none."""
+    """Parse samples of the text exposition format 0.0.4; an AssertionError shows an invalid line."""
     found: dict[tuple[str, frozenset[tuple[str, str]]], float] = {}
     family, seen = "", set()
     assert text.endswith("\n")
@@ -387,7 +396,7 @@
             labels = re.findall(r'([a-z_]+)="((?:[^"\\]|\\.)*)"', match[2] or "")
             key = (
                 match[1],
-                frozenset((k, re.sub(r"\\.", lambda m: PLAIN[str(m[0])], v)) for k, v in labels),
+                frozenset((k, re.sub(r"\\.", lambda m: UNESCAPED[str(m[0])], v)) for k, v in labels),
             )
             assert key not in found, line
             found[key] = float(match[3])
@@ -395,34 +404,34 @@
 
 
 @sets(derandomize=True, deadline=None, database=None, max_examples=60)
-@given(st.lists(ANY, min_size=1, max_size=4, unique=True), ANY)
-def test_metrics_hold_any_name_and_json_too(names: list[str], name: str) -> None:
+@given(st.lists(ANY_TEXT, min_size=1, max_size=4, unique=True), ANY_TEXT)
+def test_metrics_and_json_encode_any_name(names: list[str], name: str) -> None:
     ids = sorted({x.encode(errors="replace").decode() for x in names})
-    about = types.NodeInfo(name, (name[:90], "b"), (name,), (name,), HOUR, 0)
-    snap, _ = taken(take_snapshot(core_of(ids, 3), NONE, about, HOUR, 9))
-    got = parsed(taken(wire.response_body(wire.StatusRequest(wire.METRICS_PATH, 9), snap))[0].decode())
+    about = types.NodeInfo(name, (name[:90], "b"), (name,), (name,), HOUR_US, 0)
+    snap, _ = run_steps(take_snapshot(core_of(ids, 3), NO_SOCKETS, about, HOUR_US, 9))
+    got = parsed(run_steps(wire.response_body(wire.StatusRequest(wire.METRICS_PATH, 9), snap))[0].decode())
     rows = {dict(key[1])["endpoint"]: v for key, v in got.items() if key[0] == "granitewell_endpoint_calls"}
     assert len(rows) == len(ids) and {x for x in ids if len(x) <= types.MAX_NAME_CHARS} <= {*rows}
     assert sum(rows.values()) == sum(e["calls"] for e in snap["endpoints"])
-    raw, _ = taken(wire.response_body(wire.StatusRequest(wire.STATUS_PATH, 9), snap))
+    raw, _ = run_steps(wire.response_body(wire.StatusRequest(wire.STATUS_PATH, 9), snap))
     assert descriptions.parse_snapshot(json.loads(raw))["pairs"] == snap["pairs"]
     for sheet in descriptions.tables(snap):
         assert all(cell.isprintable() for row in sheet.rows for cell in row)
     assert all(line.isprintable() for line in descriptions.summary_lines(snap))
 
 
-def test_long_names_that_begin_alike_are_two() -> None:
+def test_long_names_with_the_same_start_stay_distinct() -> None:
     ids = ["x" * types.MAX_NAME_CHARS + end for end in "ab"]
-    snap, _ = taken(take_snapshot(core_of(ids), NONE, ABOUT, HOUR, 9))
+    snap, _ = run_steps(take_snapshot(core_of(ids), NO_SOCKETS, NODE_INFO, HOUR_US, 9))
     assert len({e["endpoint"] for e in snap["endpoints"]}) == 2
     assert all(len(e["endpoint"]) == types.MAX_NAME_CHARS for e in snap["endpoints"])
 
 
-def test_an_answer_is_bounded_whatever_the_names() -> None:
+def test_responses_are_bounded_whatever_the_names() -> None:
     core = core_of([f"{k}".rjust(80, "\x01") for k in range(600)])
     for path in wire.CONTENT_TYPES:
-        snap, _ = taken(take_snapshot(core, NONE, ABOUT, HOUR, types.MAX_TABLE_ROWS))
-        raw, _ = taken(wire.response_body(wire.StatusRequest(path, types.MAX_TABLE_ROWS), snap))
+        snap, _ = run_steps(take_snapshot(core, NO_SOCKETS, NODE_INFO, HOUR_US, types.MAX_TABLE_ROWS))
+        raw, _ = run_steps(wire.response_body(wire.StatusRequest(path, types.MAX_TABLE_ROWS), snap))
         rows = raw.count(b'"own_failures"') + raw.count(b"granitewell_pair_ill{")
         assert len(raw) <= types.MAX_RESPONSE_BYTES and 100 < rows < len(snap["pairs"]) == 500
         assert path != wire.STATUS_PATH or json.loads(raw)["cut"]
@@ -430,7 +439,7 @@
 
 @sets(derandomize=True, deadline=None, database=None)
 @given(st.binary(max_size=300), st.booleans())
-def test_any_bytes_are_a_request_or_are_refused(raw: bytes, local: bool) -> None:
+def test_any_bytes_are_a_request_or_are_rejected(raw: bytes, local: bool) -> None:
     for head in (raw, b"GET /status?" + raw + b" HTTP/1.1\r\nHost: localhost\r\n\r\n"):
         try:
             got = wire.parse_request(head, 50, local)
@@ -449,7 +458,7 @@
         ("GET /metrics HTTP/1.1\r\nX: " + "y" * wire.MAX_HEAD_BYTES, 431),
     ],
 )  # fmt: skip
-def test_what_is_refused(line: str, code: int) -> None:
+def test_invalid_requests_get_their_status_code(line: str, code: int) -> None:
     with pytest.raises(wire.RejectedQueryError) as caught:
         wire.parse_request(f"{line}\r\n\r\n".encode(), 50, "Host" in line)
     assert caught.value.response.startswith(f"HTTP/1.1 {code} ".encode())
@@ -464,7 +473,7 @@
         ("/run/", ""), ("..", ""), ("a\nb", ""), ("a\0b", ""), ("/" + "x" * 107, ""), ("/" + "x" * 106, None),
     ],
 )  # fmt: skip
-def test_where_a_status_may_be(at: str, where: str | None) -> None:
+def test_which_status_addresses_are_valid(at: str, where: str | None) -> None:
     made, problems = validate({"status": {"at": at}}, OperatorFile)
     assert bool(problems) == (where == "") and (made is None) == bool(problems)
     if where == "":
@@ -473,7 +482,7 @@
         assert str(types.parse_status_address(at, "/tmp/")) == (where or at)
 
 
-def test_ends_of_the_command(
+def test_exit_codes_of_the_status_command(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("LB_OPERATOR", raising=False)
@@ -502,7 +511,9 @@
     ],
     ids=["nothing", "other", "zeros", "error", "kinds", "nested"],
 )
-def test_somebody_who_is_no_node(said: bytes, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_invalid_response_ends_the_command_with_one_line(
+    said: bytes, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = str(tmp_path / "s")
     with socket.socket(socket.AF_UNIX) as server:
         server.bind(path)
@@ -524,7 +535,7 @@
 def test_the_page_has_every_field_and_every_metric() -> None:
     for family in metrics.FAMILIES:
         assert f"| `{metrics.METRIC_PREFIX}{family.name}` |" in PAGE, family.name
-    snap, _ = taken(take_snapshot(core_of(["a"], 1), NONE, ABOUT, HOUR, 9))
+    snap, _ = run_steps(take_snapshot(core_of(["a"], 1), NO_SOCKETS, NODE_INFO, HOUR_US, 9))
     for field in _fields(snap, ""):
         assert f"| `{field}` |" in PAGE, field
 
