--- a/granitewell/__main__.py
+++ b/granitewell/__main__.py
@@ -36,12 +36,12 @@
 
 if TYPE_CHECKING:
     from granitewell.net.cluster import Cluster
-    from granitewell.operator.load import Live
+    from granitewell.operator.load import LiveOperatorFile
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-def _apply_operator_settings(node: Node, operator: Live, clusters: list[Cluster]) -> None:
+def _apply_operator_settings(node: Node, operator: LiveOperatorFile, clusters: list[Cluster]) -> None:
     """Apply the current operator file to the log, the cluster and the status server.
 
     The modules of cluster and status are imported only once the file asks for them.
@@ -49,13 +49,13 @@
     Raises:
         OSError: The cluster's address can't be bound.
     """
-    node.log.apply_settings(operator.held.log.settings())
-    cluster = operator.held.cluster.settings()
+    node.log.apply_settings(operator.current.log.settings())
+    cluster = operator.current.cluster.settings()
     if cluster.name or clusters:
         from granitewell.net.cluster import start_or_reconfigure
 
-        start_or_reconfigure(clusters, node, cluster, operator.held.counts.figures())
-    status = operator.held.status.settings()
+        start_or_reconfigure(clusters, node, cluster, operator.current.counts.figures())
+    status = operator.current.status.settings()
     if status.at or node.status_server is not None:
         from granitewell.net.status import serve_status
 
@@ -73,7 +73,7 @@
         node.stop()
 
 
-def _reload(node: Node, operator: Live | None, clusters: list[Cluster]) -> None:
+def _reload(node: Node, operator: LiveOperatorFile | None, clusters: list[Cluster]) -> None:
     """Handle SIGHUP: read the configuration and the operator file again.
 
     An invalid file changes nothing and doesn't keep the other one from being applied.
@@ -85,9 +85,9 @@
     except Exception as error:  # a defect; the operator file is applied all the same
         node.log_line("fault", f"the reload failed: {type(error).__name__}: {error}")
     if operator is not None:
-        plan = operator.again()
+        plan = operator.reload()
         _apply_operator_settings(node, operator, clusters)
-        node.log.write(node.clock.now(), "reload", plan.line(), always=True)
+        node.log.write(node.clock.now(), "reload", plan.log_line(), always=True)
 
 
 def _log_python_warnings(node: Node) -> None:
@@ -119,7 +119,7 @@
         signal.signal(signal_number, signal.SIG_IGN)
 
 
-async def _serve(config: Config, operator: Live | None, early_reloads: list[int]) -> None:
+async def _serve(config: Config, operator: LiveOperatorFile | None, early_reloads: list[int]) -> None:
     loop = asyncio.get_running_loop()
     core = Core(config.settings, Balancer(config.settings, config.seed), config.max_open_requests)
     handover = Handover(os.environ.get("TMPDIR", ""), config.name)
@@ -151,17 +151,17 @@
             node.status_server.close()
 
 
-def _load_operator_file(path: str) -> Live | int | None:
+def _load_operator_file(path: str) -> LiveOperatorFile | int | None:
     """Load the operator file; return None if none is named, or an exit code if it can't be loaded."""
     if not path:
         return None
     try:
-        from granitewell.operator.load import InvalidOperatorFileError, Live
+        from granitewell.operator.load import InvalidOperatorFileError, LiveOperatorFile
     except ModuleNotFoundError as error:
         print(f"granitewell: LB_OPERATOR needs {error.name}: pip install 'granitewell[cli]'", file=sys.stderr)
         return 3
     try:
-        return Live(path)
+        return LiveOperatorFile(path)
     except InvalidOperatorFileError as error:
         for problem in error.problems:
             print(f"granitewell: bad operator file: {path}: {problem.text()}", file=sys.stderr)
--- a/granitewell/operator/load.py
+++ b/granitewell/operator/load.py
@@ -1,7 +1,7 @@
-"""From a path to a typed object, at the start and again for each reload.
+"""Loads the operator file as a typed object, at the start and for each reload.
 
-It owns reading the file and what a reload may take up. A file with anything wrong must never change anything:
-the operator that was held stays whole. Nothing here applies a setting.
+This module decides which changes a reload may use. An invalid file changes nothing: the current settings stay
+complete. Applying settings is up to the caller.
 """
 
 from __future__ import annotations
@@ -15,31 +15,37 @@
 from msgspec import structs
 
 from granitewell.operator.problem import Problem
-from granitewell.operator.registry import Operator
-from granitewell.operator.table import Table, checked, examine
-from granitewell.operator.tree_reader import extra, type_of
+from granitewell.operator.registry import OperatorFile
+from granitewell.operator.table import Table, run_checks, validate
+from granitewell.operator.tree_reader import extra_metadata, struct_type
 
-MAX_FILE = 32 * 1024  # bytes of an operator file: a running node reads it between two requests
+MAX_FILE_BYTES = 32 * 1024  # of an operator file: a running node reads it between two requests
 
 T = TypeVar("T", bound=Table)
 
 
 class InvalidOperatorFileError(Exception):
-    """The file can't be used; `problems` holds all that is wrong with it, each of them one line."""
+    """The file can't be used; `problems` lists everything that is wrong with it."""
 
     def __init__(self, path: str, problems: list[Problem]) -> None:
         super().__init__(f"{path}: {problems[0].text()}")
         self.path, self.problems = path, problems
 
 
-def read(path: str, most: int = MAX_FILE) -> bytes:
-    """The file's bytes; Refused where there is no such file, it is no file, or it is larger than that."""
+def read_file(path: str, max_bytes: int = MAX_FILE_BYTES) -> bytes:
+    """Read a file.
+
+    Raises:
+        InvalidOperatorFileError: It can't be read, is no regular file, or is larger than `max_bytes`.
+    """
     try:
-        about = Path(path).stat()
-        if not stat.S_ISREG(about.st_mode):  # a pipe could make a running node wait for ever
+        info = Path(path).stat()
+        if not stat.S_ISREG(info.st_mode):  # reading a pipe could block the node forever
             raise InvalidOperatorFileError(path, [Problem((), "no regular file", "a regular file")])
-        if about.st_size > most:
-            raise InvalidOperatorFileError(path, [Problem((), f"{about.st_size} bytes", f"at most {most}")])
+        if info.st_size > max_bytes:
+            raise InvalidOperatorFileError(
+                path, [Problem((), f"{info.st_size} bytes", f"at most {max_bytes}")]
+            )
         return Path(path).read_bytes()
     except (OSError, ValueError) as error:  # ValueError: a path with a null byte
         why = getattr(error, "strerror", None) or str(error)
@@ -48,8 +54,12 @@
         ) from None
 
 
-def data_of(path: str, raw: bytes) -> dict[str, Any]:
-    """What TOML in UTF-8 holds; Refused where it is none, with the line."""
+def parse_toml(path: str, raw: bytes) -> dict[str, Any]:
+    """Parse TOML in UTF-8.
+
+    Raises:
+        InvalidOperatorFileError: It is no valid TOML; the message says where.
+    """
     try:
         return tomllib.loads(raw.decode())
     except RecursionError:
@@ -62,78 +72,90 @@
 
 
 def load(path: str, kind: type[T]) -> tuple[T, list[Problem]]:
-    """The object that the file gives, and notes on it; Refused with all that is wrong."""
-    made, problems = examine(data_of(path, read(path)), kind)
+    """Load a file as an object of the type; return it with the notes on it.
+
+    Raises:
+        InvalidOperatorFileError: The file is invalid; the error lists all problems.
+    """
+    made, problems = validate(parse_toml(path, read_file(path)), kind)
     if made is None:
         raise InvalidOperatorFileError(path, [p for p in problems if not p.note])
     return made, problems
 
 
 @dataclass(frozen=True, slots=True)
-class Plan(Generic[T]):
-    """What a reload comes to: what is held from now on, which fields of it are new (`now`), which differ in
-    the file and wait for a restart (`waits`), and the problems for which all stays as it was.
+class ReloadResult(Generic[T]):
+    """The outcome of a reload.
+
+    `current` holds the settings from now on, `applied` the fields that changed in them, `pending_restart` the
+    fields that differ in the file but need a restart. If there are `problems`, nothing has changed.
     """
 
-    held: T
-    now: tuple[str, ...] = ()
-    waits: tuple[str, ...] = ()
+    current: T
+    applied: tuple[str, ...] = ()
+    pending_restart: tuple[str, ...] = ()
     problems: tuple[Problem, ...] = ()
 
-    def line(self) -> str:
-        """All of it in one line of the log."""
+    def log_line(self) -> str:
+        """Return the outcome as one line for the log."""
         if self.problems:
             more = len(self.problems) - 1
             rest = f" (and {more} more: granitewell check lists them)" if more else ""
             return f"the operator file changes nothing: {self.problems[0].text()}{rest}"
-        waits = f"; only a restart takes up {', '.join(self.waits)}" if self.waits else ""
-        if not self.now:
-            return f"the operator file has nothing new that can be taken now{waits}"
-        return f"taken from the operator file: {', '.join(self.now)}{waits}"
+        pending_restart = (
+            f"; only a restart takes up {', '.join(self.pending_restart)}" if self.pending_restart else ""
+        )
+        if not self.applied:
+            return f"the operator file has nothing new that can be taken now{pending_restart}"
+        return f"taken from the operator file: {', '.join(self.applied)}{pending_restart}"
 
 
-def reload(old: T, path: str) -> Plan[T]:
-    """What the file as it is now changes for a node that holds `old`. Never raises."""
+def reload(old: T, path: str) -> ReloadResult[T]:
+    """Return what the file changes for a node with the settings `old`; an invalid file does not raise."""
     try:
         new, _ = load(path, type(old))
     except InvalidOperatorFileError as error:
-        return Plan(old, problems=tuple(error.problems))
-    now: list[str] = []
-    waits: list[str] = []
+        return ReloadResult(old, problems=tuple(error.problems))
+    applied: list[str] = []
+    pending_restart: list[str] = []
     tables: dict[str, Table] = {}
-    for field in type_of(type(old)).fields:
+    for field in struct_type(type(old)).fields:
         name = field.name
-        tables[name], taken, waiting = _mixed(getattr(old, name), getattr(new, name))
-        now += [f"{field.encode_name}.{x}" for x in taken]
-        waits += [f"{field.encode_name}.{x}" for x in waiting]
-    return Plan(structs.replace(old, **tables), tuple(now), tuple(waits))
+        tables[name], taken, waiting = _merge_table(getattr(old, name), getattr(new, name))
+        applied += [f"{field.encode_name}.{x}" for x in taken]
+        pending_restart += [f"{field.encode_name}.{x}" for x in waiting]
+    return ReloadResult(structs.replace(old, **tables), tuple(applied), tuple(pending_restart))
 
 
-def _mixed(held: Table, new: Table) -> tuple[Table, list[str], list[str]]:
-    """One table with what can be taken now, and the names of what was and of what waits.
+def _merge_table(current: Table, new: Table) -> tuple[Table, list[str], list[str]]:
+    """Merge the fields that need no restart; return the table and the names applied and pending.
 
-    Where the mixture of new fields and held ones would be wrong though each file is right, the whole table
-    waits.
+    If the merged table would be invalid, although the old and the new one are valid, the whole table needs a
+    restart.
     """
-    differ = [f for f in type_of(type(new)).fields if getattr(held, f.name) != getattr(new, f.name)]
-    waits = [f.encode_name for f in differ if extra(f.type).get("restart")]
-    fresh = {f.name: getattr(new, f.name) for f in differ if f.encode_name not in waits}
-    mixed = structs.replace(held, **fresh)
-    if any(not p.note for p in checked(mixed, ())):
-        return held, [], [f.encode_name for f in differ]
-    return mixed, [f.encode_name for f in differ if f.name in fresh], waits
+    changed = [f for f in struct_type(type(new)).fields if getattr(current, f.name) != getattr(new, f.name)]
+    pending_restart = [f.encode_name for f in changed if extra_metadata(f.type).get("restart")]
+    applicable = {f.name: getattr(new, f.name) for f in changed if f.encode_name not in pending_restart}
+    merged = structs.replace(current, **applicable)
+    if any(not p.note for p in run_checks(merged, ())):
+        return current, [], [f.encode_name for f in changed]
+    return merged, [f.encode_name for f in changed if f.name in applicable], pending_restart
 
 
-class Live:
-    """The operator file of a running node: what is held now, and the reload of it."""
+class LiveOperatorFile:
+    """The operator file of a running node: its current settings, and their reload."""
 
     def __init__(self, path: str) -> None:
-        """Reads it for the first time; Refused with all that is wrong."""
+        """Read the file for the first time.
+
+        Raises:
+            InvalidOperatorFileError: The file is invalid; the error lists all problems.
+        """
         self._path = path
-        self.held, self.notes = load(path, Operator)
+        self.current, self.notes = load(path, OperatorFile)
 
-    def again(self) -> Plan[Operator]:
-        """Read it again; what is held afterwards is whole, whatever the file says."""
-        plan = reload(self.held, self._path)
-        self.held = plan.held
-        return plan
+    def reload(self) -> ReloadResult[OperatorFile]:
+        """Read the file again; an invalid file leaves the current settings as they are."""
+        result = reload(self.current, self._path)
+        self.current = result.current
+        return result
--- a/granitewell/operator/log.py
+++ b/granitewell/operator/log.py
@@ -1,7 +1,4 @@
-"""The `[log]` table.
-
-It owns what an operator may say of the log, and must never hold a default: those are `LogSettings`'.
-"""
+"""The `[log]` table of the operator file. Defaults come from `LogSettings`."""
 
 from __future__ import annotations
 
@@ -23,7 +20,7 @@
     LogTarget,
     fields_bytes,
 )  # fmt: skip
-from granitewell.operator.problem import Path, Problem, shown, unknown
+from granitewell.operator.problem import Path, Problem, format_value, unknown_key
 from granitewell.operator.table import Table
 
 Rate = Annotated[float, Meta(ge=0.01, le=1000)]
@@ -62,7 +59,7 @@
     )] = field(default_factory=lambda: dict(DEFAULT_LOG_SETTINGS.fields))  # fmt: skip
 
     def settings(self) -> LogSettings:
-        """The same for the node, which knows nothing of this file."""
+        """Return these settings in the node's own type."""
         return LogSettings(
             form=self.form, level=self.level, mute=self.mute, rate=self.rate, rates=self.rates, to=self.to,
             fields=self.fields,
@@ -95,4 +92,4 @@
 
 def _topic(path: Path, topic: str) -> Iterator[Problem]:
     if topic not in TOPICS:
-        yield unknown(path, topic, tuple(TOPICS), f"the unknown topic {shown(topic)}")
+        yield unknown_key(path, topic, tuple(TOPICS), f"the unknown topic {format_value(topic)}")
--- a/granitewell/status/types.py
+++ b/granitewell/status/types.py
@@ -1,7 +1,7 @@
-"""The types of a node's status: what may be set of it, what the sockets tell it, and the snapshot itself.
+"""The types of a node's status: its settings, what a snapshot is built from, and the snapshot itself.
 
-It owns every name and bound of the snapshot; what each field means to a person is on docs/operate/status.md.
-Nothing here computes anything but where the status is served.
+Every field name and bound of the snapshot is defined here; docs/operate/status.md explains each field to
+operators.
 """
 
 from __future__ import annotations
@@ -10,30 +10,30 @@
 from dataclasses import dataclass
 from typing import Literal, TypedDict
 
-VERSION = 1  # of the snapshot's shape; keys may be added without a new one
-MAX_WORST = 500  # rows of either table, whatever is asked for
-MAX_TEXT = 100  # characters of a name in it
-MAX_ANSWER = 1024 * 1024  # bytes of a body
-MAX_PATH = 107  # bytes of a unix socket's path on Linux: sun_path less its end
-AGES_MS = (10, 100, 1000, 10_000)  # upper ends of the ages by which held requests are counted
-OLDER = "more"  # and the name of what lies beyond
+VERSION = 1  # of the snapshot's format; added keys don't change it
+MAX_TABLE_ROWS = 500  # of either table, also if a request asks for more
+MAX_NAME_CHARS = 100  # longer names are shortened in a snapshot
+MAX_RESPONSE_BYTES = 1024 * 1024  # of a response's body
+MAX_SOCKET_PATH_BYTES = 107  # of a unix socket on Linux: sun_path without its terminating zero
+AGE_BUCKETS_MS = (10, 100, 1000, 10_000)  # upper bounds of the histogram of held requests by age
+AGE_OVERFLOW_KEY = "more"  # the bucket above the last bound
 
-ALLOWED_AT = "the path of a unix socket, or 127.0.0.1:PORT"
+ALLOWED_STATUS_ADDRESS = "the path of a unix socket, or 127.0.0.1:PORT"
 
 
 @dataclass(frozen=True, slots=True)
 class StatusSettings:
-    """Where the status is served and what it may cost; the defaults are those of the `[status]` table."""
+    """Where the status is served and its limits; the `[status]` table takes its defaults from here."""
 
-    at: str = ""  # "" for nowhere
+    at: str = ""  # empty: not served
     connections: int = 4
-    seconds: float = 1.0  # for one connection, from its first to its last byte
-    worst: int = 50  # rows of each table where a request does not say
+    seconds: float = 1.0  # limit for one connection, from its first to its last byte
+    worst: int = 50  # rows of each table if a request does not name a number
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where a status is served: a path, or a port of 127.0.0.1."""
+class StatusAddress:
+    """Where a status is served: the path of a unix socket, or a port of 127.0.0.1."""
 
     path: str = ""
     port: int = 0
@@ -42,58 +42,61 @@
         return self.path or f"127.0.0.1:{self.port}"
 
 
-def place(at: str, folder: str) -> Place:
-    """What `at` names; a path that begins with no slash is in `folder`, the private temporary directory.
+def parse_status_address(at: str, folder: str) -> StatusAddress:
+    """Parse an address; a relative path is taken within `folder`, the private temporary directory.
 
-    ValueError says what was found.
+    Raises:
+        ValueError: It is neither a usable path nor a port of 127.0.0.1; the message says what was found.
     """
     host, colon, port = at.rpartition(":")
     if colon and "/" not in at and port.isascii() and port.isdigit():
         if host != "127.0.0.1" or len(port) > 5 or not 1 <= int(port) <= 65535:
             raise ValueError("an address that is not 127.0.0.1 with a port from 1 to 65535")
-        return Place(port=int(port))
+        return StatusAddress(port=int(port))
     if not at.isprintable() or at.endswith(("/", "/.", "/..")) or at in ("", ".", ".."):
         raise ValueError("what is no path of a socket")
     path = at if at.startswith("/") else f"{folder.rstrip('/')}/{at}"
-    if (size := len(path.encode(errors="replace"))) > MAX_PATH:
-        raise ValueError(f"a path of {size} bytes, over the {MAX_PATH} that a unix socket may have")
-    return Place(path=path)
+    if (size := len(path.encode(errors="replace"))) > MAX_SOCKET_PATH_BYTES:
+        raise ValueError(
+            f"a path of {size} bytes, over the {MAX_SOCKET_PATH_BYTES} that a unix socket may have"
+        )
+    return StatusAddress(path=path)
 
 
 @dataclass(frozen=True, slots=True)
-class About:
-    """What stays as it is for a node's whole life. Times in microseconds on its clock."""
+class NodeInfo:
+    """What does not change while a node runs. Times in microseconds on the node's clock."""
 
     name: str
     classes: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    began_us: int
+    started_us: int
     unix_offset_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Sockets:
-    """What the socket side holds.
+class SocketUsage:
+    """Connections, descriptor limits and the state of the discovery client.
 
-    `idle`: idle connections by endpoint. Times in microseconds on the node's clock, -1 for never.
+    `idle` holds the idle connections by endpoint. Times are microseconds on the node's clock, -1 for never.
     """
 
     idle: Mapping[bytes, Sized]
-    inbounds: int
-    outbounds: int
-    most_inbounds: int
-    most_outbounds: int
-    most: int
+    inbound_count: int
+    outbound_count: int
+    max_inbound: int
+    max_outbound: int
+    max_total: int
     reserve: int
     discovery: tuple[str, int]
-    heard_us: int
-    news_us: int
-    failed_us: int
+    discovery_answered_us: int
+    discovery_changed_us: int
+    discovery_failed_us: int
     failure: str
 
 
-# --- The snapshot: plain JSON. Names end with their unit; a null is what is not known or has not been ---
+# --- The snapshot as JSON. Names end with their unit; null: unknown, or has not happened ----------------
 HeldClass = TypedDict(
     "HeldClass", {"class": str, "total": int, "oldest_ms": float, "ages": dict[str, int]}
 )  # fmt: skip
@@ -106,7 +109,7 @@
 
 
 class EndpointRow(TypedDict):
-    """One endpoint as discovery tells it, and what this node has there."""
+    """An endpoint as discovery reports it, with this node's calls and connections to it."""
 
     endpoint: str
     address: str
@@ -126,39 +129,39 @@
     oldest_ms: float | None
 
 
-class Held(TypedDict):
-    """Requests that are owed an answer."""
+class HeldRequests(TypedDict):
+    """Requests that have not been answered yet."""
 
     total: int
     classes: list[HeldClass]
 
 
-class Calls(TypedDict):
-    """Outbound calls, and what lies idle."""
+class OutboundCalls(TypedDict):
+    """Outbound calls in progress, and idle connections."""
 
     total: int
     dialing: int
     idle: int
 
 
-class Use(TypedDict):
-    """Of something bounded."""
+class Usage(TypedDict):
+    """The used and allowed amount of a limited resource."""
 
     used: int
     allowed: int
 
 
 class Descriptors(TypedDict):
-    """The budget that both sides share."""
+    """Use of the descriptor budget that clients and endpoints share."""
 
-    clients: Use
-    endpoints: Use
-    together: Use
+    clients: Usage
+    endpoints: Usage
+    together: Usage
     reserve: int
 
 
-class Discovery(TypedDict):
-    """The agent that tells of endpoints."""
+class DiscoveryState(TypedDict):
+    """The state of the connection to the discovery agent."""
 
     address: str
     heard_s: float | None
@@ -167,8 +170,8 @@
     failure: str
 
 
-class Module(TypedDict):
-    """The figures behind the decisions."""
+class BalancerFigures(TypedDict):
+    """The balancer's figures on which its decisions depend."""
 
     endpoints: int
     prefix: int
@@ -179,15 +182,15 @@
     repeats: float
 
 
-class Judged(TypedDict):
-    """How many (endpoint, class) pairs are judged, and how many of them are held to be ill."""
+class PairCounts(TypedDict):
+    """How many (endpoint, class) pairs are tracked, and how many of them count as unhealthy."""
 
     pairs: int
     ill: int
 
 
-class Fleet(TypedDict):
-    """Endpoints by what discovery tells of them."""
+class EndpointCounts(TypedDict):
+    """The number of endpoints by the state that discovery reports."""
 
     ready: int
     draining: int
@@ -195,10 +198,10 @@
 
 
 class Snapshot(TypedDict):
-    """All of it.
+    """The complete status of a node.
 
-    `pairs` and `endpoints` hold the `worst` rows, the worst first; `cut`: fewer, as the answer would have
-    been too large.
+    `pairs` and `endpoints` hold up to `worst` rows, the worst first. `cut` says that rows were left out
+    because the response would have been too large.
     """
 
     version: int
@@ -208,14 +211,14 @@
     uptime_s: float
     took_ms: float
     counters: dict[str, int]
-    held: Held
-    calls: Calls
+    held: HeldRequests
+    calls: OutboundCalls
     descriptors: Descriptors
-    discovery: Discovery
-    module: Module
+    discovery: DiscoveryState
+    module: BalancerFigures
     classes: list[ClassState]
-    judged: Judged
-    fleet: Fleet
+    judged: PairCounts
+    fleet: EndpointCounts
     worst: int
     cut: bool
     pairs: list[PairRow]
