--- a/granitewell/operator/counts.py
+++ b/granitewell/operator/counts.py
@@ -1,6 +1,6 @@
 """The `[counts]` table of the operator file: the counts that nodes share.
 
-Defaults come from `shared_counters.types.Figures`.
+Defaults come from `shared_counters.types.CounterSettings`.
 """
 
 from __future__ import annotations
