--- a/granitewell/status/descriptions.py
+++ b/granitewell/status/descriptions.py
@@ -46,7 +46,7 @@
     try:
         summary_lines(snapshot), tables(snapshot), is_healthy(snapshot)
     except (LookupError, TypeError, AttributeError, ValueError):
-        raise ValueError("not the status of a node: a field is missing or of another kind") from None
+        raise ValueError("not the status of a node: a field is missing or has the wrong type") from None
     return snapshot
 
 
@@ -73,16 +73,16 @@
 def summary_lines(s: Snapshot) -> list[str]:
     """Return the lines above the tables: node, endpoints, balancer, requests and calls, discovery."""
     m, fleet, total = s["module"], s["fleet"], s["descriptors"]["together"]
-    ill, pairs = s["judged"]["ill"], s["judged"]["pairs"]
+    unhealthy, pairs = s["judged"]["ill"], s["judged"]["pairs"]
     oldest = max((c["oldest_ms"] for c in s["held"]["classes"]), default=0.0)
-    full = [printable(c["class"]) for c in s["classes"] if c["full"]]
+    overloaded_classes = [printable(c["class"]) for c in s["classes"] if c["full"]]
     return [
         f"{printable(s['name'])} is {printable(s['phase'])}, up {format_duration(s['uptime_s'])}; "
-        f"{ill} of {pairs} pairs ill; "
+        f"{unhealthy} of {pairs} pairs ill; "
         f"endpoints {fleet['ready']} ready, {fleet['draining']} draining, {fleet['gone']} gone",
         f"prefix {m['prefix']} of {m['endpoints']}, c {m['c']:.2f}; late {m['late']:.0%}, "
         f"shedding {m['shedding']:.0%}, mean {m['mean_ms']:.0f} ms"
-        + (f"; the fleet is full for {', '.join(full)}" if full else ""),
+        + (f"; the fleet is full for {', '.join(overloaded_classes)}" if overloaded_classes else ""),
         f"held {s['held']['total']}, the oldest {oldest:.0f} ms; calls {s['calls']['total']}, "
         f"{s['calls']['dialing']} dialing, {s['calls']['idle']} idle connections; "
         f"descriptors {total['used']} of {total['allowed']}",
@@ -104,14 +104,18 @@
 
 def tables(s: Snapshot) -> list[TextTable]:
     """Return the tables that have rows, the one of unhealthy pairs first."""
-    ill = [p for p in s["pairs"] if p["state"] != "well"]
-    candidates = [_ill_table(s, ill), _held_table(s), _endpoints_table(s)]
+    unhealthy = [p for p in s["pairs"] if p["state"] != "well"]
+    candidates = [_unhealthy_table(s, unhealthy), _held_table(s), _endpoints_table(s)]
     return [table for table in candidates if table.rows]
 
 
-def _ill_table(s: Snapshot, ill: list[PairRow]) -> TextTable:
-    all_ill = s["judged"]["ill"]
-    title = "Ill" if all_ill <= len(ill) else f"Ill: the worst {len(ill)} of {all_ill}"
+def _unhealthy_table(s: Snapshot, unhealthy: list[PairRow]) -> TextTable:
+    unhealthy_count = s["judged"]["ill"]
+    title = (
+        "Ill"
+        if unhealthy_count <= len(unhealthy)
+        else f"Ill: the worst {len(unhealthy)} of {unhealthy_count}"
+    )
     columns = "endpoint", "class", "cause", "since", "failures", "own part", "in flight", "last tried"
     return TextTable(
         title,
@@ -127,9 +131,9 @@
                 str(p["in_flight"]),
                 _ago(p["tried_s"]),
             )
-            for p in ill
+            for p in unhealthy
         ],
-        frozenset(range(len(ill))),
+        frozenset(range(len(unhealthy))),
     )
 
 
--- a/granitewell/status/fleet.py
+++ b/granitewell/status/fleet.py
@@ -90,7 +90,7 @@
         ValueError: It is no view, or one of another version.
     """
     if not isinstance(data, dict) or not data.keys() >= _REQUIRED_KEYS:
-        raise ValueError("not the view of a node")
+        raise ValueError("not a node's view of the cluster")
     if data.get("version") != VERSION:
         raise ValueError(
             f"a view of version {printable(data.get('version'))}, and this command knows {VERSION}"
@@ -98,7 +98,9 @@
     try:
         summary_lines(data), members_table(data), is_healthy(data)
     except (LookupError, TypeError, AttributeError, ValueError):
-        raise ValueError("not the view of a node: a field is missing or of another kind") from None
+        raise ValueError(
+            "not a node's view of the cluster: a field is missing or has the wrong type"
+        ) from None
     return data
 
 
@@ -197,6 +199,6 @@
             for r in reversed(data["history"])
         ]
     except (LookupError, TypeError, AttributeError, ValueError):
-        raise ValueError("no explanation of a node") from None
+        raise ValueError("not a node's explanation of a member") from None
     columns = "ago", "state", "life", "incarnation", "told by", "road", "first said by"
     return lines, TextTable("What was said, the newest first", columns, rows)
--- a/granitewell/status/shared_counts.py
+++ b/granitewell/status/shared_counts.py
@@ -49,7 +49,7 @@
     """
     try:
         if data["version"] != VERSION:
-            raise ValueError(f"speaks version {printable(data['version'])}, this one {VERSION}")
+            raise ValueError(f"version {printable(data['version'])}, and this command knows {VERSION}")
         lines = [f"{printable(data['name'])}: in the last {data['window_s']:g} s"]
         if not data["speaks"]:
             lines.append("this process is no member now: what others use is not asked for")
--- a/granitewell/status/snapshot.py
+++ b/granitewell/status/snapshot.py
@@ -125,8 +125,8 @@
         )  # calls; when one began
         self._host_index: dict[bytes, int] = {}
         self._in_prefix, self._warm, self._speed = bytearray(), array("d"), array("d")
-        self._ill_by_endpoint: Counter[bytes] = Counter()
-        self._ill_by_class = [0] * len(node_info.classes)
+        self._unhealthy_by_endpoint: Counter[bytes] = Counter()
+        self._unhealthy_by_class = [0] * len(node_info.classes)
         self._pairs: TopRanked[RankedPair] = TopRanked(worst)
         self._judged_pairs = self._idle = 0
         self._states: Counter[str] = Counter()
@@ -135,22 +135,24 @@
     def steps(self) -> Steps[Snapshot]:
         """Build the snapshot: requests and calls first, as the ranking of endpoints depends on calls."""
         figures: dict[str, float] = {}
-        full = [False] * len(self._node_info.classes)
-        held: Iterable[tuple[int, float]] = ()
-        hosts: Iterable[HostDiagnostics] = ()
+        overloaded = [False] * len(self._node_info.classes)
+        pending_requests: Iterable[tuple[int, float]] = ()
+        host_diagnostics: Iterable[HostDiagnostics] = ()
         if isinstance(self._core._balancer, DiagnosticsSource):
-            figures, full, held, hosts = self._core._balancer.diagnostics()
-        yield from self._count_held(held)
+            figures, overloaded, pending_requests, host_diagnostics = self._core._balancer.diagnostics()
+        yield from self._count_pending(pending_requests)
         yield from self._count_calls()
-        yield from self._rank_pairs(hosts, full)
+        yield from self._rank_pairs(host_diagnostics, overloaded)
         yield from self._rank_endpoints()
-        pairs = yield from _build_rows(self._pairs.descending(), lambda ranked: self._pair_row(ranked, full))
+        pairs = yield from _build_rows(
+            self._pairs.descending(), lambda ranked: self._pair_row(ranked, overloaded)
+        )
         endpoints = yield from _build_rows(self._endpoints.descending(), self._endpoint_row)
-        return self._snapshot(figures, full, pairs, endpoints)
+        return self._snapshot(figures, overloaded, pairs, endpoints)
 
-    def _count_held(self, held: Iterable[tuple[int, float]]) -> Steps[None]:
+    def _count_pending(self, pending_requests: Iterable[tuple[int, float]]) -> Steps[None]:
         now, ages, first = self._now_us / 1000, self._ages, [math.inf] * len(self._ages)
-        for n, (class_index, received_ms) in enumerate(held, 1):
+        for n, (class_index, received_ms) in enumerate(pending_requests, 1):
             ages[class_index][bisect_right(AGE_BUCKETS_MS, now - received_ms)] += 1
             if received_ms < first[class_index]:
                 first[class_index] = received_ms
@@ -173,20 +175,20 @@
             if not n % ITEMS_PER_STEP:
                 yield
 
-    def _rank_pairs(self, hosts: Iterable[HostDiagnostics], full: list[bool]) -> Steps[None]:
+    def _rank_pairs(self, host_diagnostics: Iterable[HostDiagnostics], overloaded: list[bool]) -> Steps[None]:
         accepts, add = self._pairs.accepts, self._pairs.add
-        for n, (endpoint_id, in_prefix, warm, speed, rows) in enumerate(hosts, 1):
+        for n, (endpoint_id, in_prefix, warm, speed, rows) in enumerate(host_diagnostics, 1):
             self._host_index[endpoint_id] = len(self._in_prefix)
             self._in_prefix.append(in_prefix)
             self._warm.append(warm)
             self._speed.append(speed)
             for k, row in enumerate(rows):
-                ill = row[1] > 0.0
-                if ill:
-                    self._ill_by_endpoint[endpoint_id] += 1
-                    self._ill_by_class[k] += 1
+                is_unhealthy = row[1] > 0.0
+                if is_unhealthy:
+                    self._unhealthy_by_endpoint[endpoint_id] += 1
+                    self._unhealthy_by_class[k] += 1
                 # unhealthy pairs rank above those that fail only because the fleet is overloaded
-                rank = ill + (ill and not full[k]), row[2], row[4]
+                rank = is_unhealthy + (is_unhealthy and not overloaded[k]), row[2], row[4]
                 if accepts(rank):
                     add(rank, (endpoint_id, k, in_prefix, warm, speed, row))
             self._judged_pairs += len(rows)
@@ -200,7 +202,7 @@
             idle = len(self._sockets.idle.get(endpoint_id, ()))
             self._idle += idle
             calls = self._call_counts[self._call_index[endpoint_id]] if endpoint_id in self._call_index else 0
-            rank = self._ill_by_endpoint.get(endpoint_id, 0), state != "ready", calls, idle
+            rank = self._unhealthy_by_endpoint.get(endpoint_id, 0), state != "ready", calls, idle
             if self._endpoints.accepts(rank):
                 self._endpoints.add(rank, endpoint)
             if not n % ITEMS_PER_STEP:
@@ -211,22 +213,22 @@
         """Return the seconds since a time; None if it has not happened (zero or below)."""
         return round(max(self._now_us - at_us, 0) / 1e6, 3) if at_us > 0 else None
 
-    def _pair_row(self, ranked: RankedPair, full: list[bool]) -> PairRow:
+    def _pair_row(self, ranked: RankedPair, overloaded: list[bool]) -> PairRow:
         (
             endpoint_id,
             k,
             in_prefix,
             warm,
             speed,
-            (cause, ill_since_ms, failures, own_failures, in_flight, last_tried_ms),
+            (cause, unhealthy_since_ms, failures, own_failures, in_flight, last_tried_ms),
         ) = ranked
-        ill: Literal["ill", "full"] = "full" if full[k] else "ill"
+        unhealthy_state: Literal["ill", "full"] = "full" if overloaded[k] else "ill"
         return {
             "endpoint": shorten_name(_decode_id(endpoint_id)),
             "class": shorten_name(self._node_info.classes[k]),
-            "state": ill if ill_since_ms > 0.0 else "well",
-            "cause": _cause_label(cause, ill_since_ms, failures, own_failures),
-            "since_s": self._ago_s(ill_since_ms * 1000),
+            "state": unhealthy_state if unhealthy_since_ms > 0.0 else "well",
+            "cause": _cause_label(cause, unhealthy_since_ms, failures, own_failures),
+            "since_s": self._ago_s(unhealthy_since_ms * 1000),
             "failures": round(failures, 4),
             "own_failures": round(own_failures, 4),
             "in_flight": in_flight,
@@ -251,7 +253,7 @@
             "in_prefix": None if k is None else bool(self._in_prefix[k]),
             "warm": None if k is None else round(self._warm[k], 4),
             "speed": None if k is None else round(self._speed[k], 4),
-            "ill": self._ill_by_endpoint.get(endpoint_id, 0),
+            "ill": self._unhealthy_by_endpoint.get(endpoint_id, 0),
             "calls": 0 if n is None else self._call_counts[n],
             "dialing": 0 if n is None else self._dialing_counts[n],
             "idle": len(self._sockets.idle.get(endpoint_id, ())),
@@ -262,11 +264,15 @@
 
     # --- Parts of the snapshot --------------------------------------------------------------------------
     def _snapshot(
-        self, figures: dict[str, float], full: list[bool], pairs: list[PairRow], endpoints: list[EndpointRow]
+        self,
+        figures: dict[str, float],
+        overloaded: list[bool],
+        pairs: list[PairRow],
+        endpoints: list[EndpointRow],
     ) -> Snapshot:
         s, node_info, names = self._sockets, self._node_info, self._node_info.classes
         states: list[ClassState] = [
-            {"class": shorten_name(name), "ill": self._ill_by_class[k], "full": full[k]}
+            {"class": shorten_name(name), "ill": self._unhealthy_by_class[k], "full": overloaded[k]}
             for k, name in enumerate(names)
         ]
         return {
@@ -295,7 +301,7 @@
             "discovery": self._discovery(),
             "module": self._module(figures),
             "classes": states,
-            "judged": {"pairs": self._judged_pairs, "ill": sum(self._ill_by_class)},
+            "judged": {"pairs": self._judged_pairs, "ill": sum(self._unhealthy_by_class)},
             "fleet": cast(
                 EndpointCounts, {state: self._states[state] for state in ("ready", "draining", "gone")}
             ),
@@ -359,8 +365,10 @@
     return "draining" if endpoint.member.state is State.DRAINING else "gone"
 
 
-def _cause_label(cause: Cause, ill_since_ms: float, failures: float, own_failures: float) -> str:
+def _cause_label(cause: Cause, unhealthy_since_ms: float, failures: float, own_failures: float) -> str:
     """Return the main cause; a pair that is unhealthy without enough failures of its own has its zone's."""
     return (
-        "zone" if ill_since_ms > 0.0 and cause is Cause.HEALTHY and own_failures < failures else cause.value
+        "zone"
+        if unhealthy_since_ms > 0.0 and cause is Cause.HEALTHY and own_failures < failures
+        else cause.value
     )
