--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -208,7 +208,7 @@
             assert isinstance(balancer, Balancer) and not balancer._pending
             await until(lambda: not balancer._in_flight)
             await until(lambda: node.pool.open_count == sum(map(len, node.pool.idle.values())))
-            assert len(node._tasks) == 0
+            await until(lambda: not node._tasks)
 
     assert not [line for line in played(tmp_path, scenario) if line.startswith("fault")]
 
