--- a/granitewell/controlplane/configuration/api.py
+++ b/granitewell/controlplane/configuration/api.py
@@ -65,7 +65,7 @@
     """Which node leads the group.
 
     Attributes:
-        standing: Role of this node.
+        role: Role of this node.
         address: Control address of another node that leads, if known.
     """
 
--- a/granitewell/coordination/consensus/reconfiguration.py
+++ b/granitewell/coordination/consensus/reconfiguration.py
@@ -35,7 +35,7 @@
 class Reconfiguration:
     """The part of a leader that changes members, for one term.
 
-    Attributes:
+    Args:
         append: Appends an entry to the leader's log.
         transfer_leadership: Transfers leadership to a voter that stays; returns whether that has begun.
     """
--- a/granitewell/dataplane/server_selection.py
+++ b/granitewell/dataplane/server_selection.py
@@ -59,9 +59,8 @@
         self.samples: deque[tuple[float, float]] = deque(maxlen=MAX_SAMPLES)
         self.hold_ms = 0.0  # mean time that a request occupies its slot
         self.first_byte_ms = 0.0  # mean time to the first byte
-        self.rejection_ms = (
-            INITIAL_REJECTION_MS  # mean time until a server rejects a request or a connection fails
-        )
+        # mean time until a server rejects a request or a connection fails
+        self.rejection_ms = INITIAL_REJECTION_MS
         self.response_count = 0
         self._best_ms = math.inf
         self._late_responses = 0.0
--- a/granitewell/leases/duplicate_identity.py
+++ b/granitewell/leases/duplicate_identity.py
@@ -25,7 +25,7 @@
 
     Attributes:
         next_us: When `due` is to be called, in microseconds.
-        waits_us: End of the wait after the start, in microseconds.
+        wait_ends_us: End of the wait after the start, in microseconds.
     """
 
     __slots__ = ("_answer_us", "_participant", "next_us", "wait_ends_us")
--- a/granitewell/leases/types.py
+++ b/granitewell/leases/types.py
@@ -19,9 +19,8 @@
 
 PARTS_PER_MILLION = 1_000_000
 MIN_PLANNERS, MAX_PLANNERS = 3, 7
-MAX_LEASE_US = (
-    10_000_000  # a planner with a new disk waits this long, since it does not know what it promised
-)
+# A planner with a new disk waits this long, since it does not know what it promised.
+MAX_LEASE_US = 10_000_000
 MIN_LEASE_US = 100_000
 MAX_DRIFT_PPM = 200_000
 TERMS_PER_EPOCH = 1 << 32
--- a/granitewell/leases/voter_recovery.py
+++ b/granitewell/leases/voter_recovery.py
@@ -45,17 +45,13 @@
 
 
 class VoterRecovery:
-    """Recovery of a new disk's vote.
-
-    Attributes:
-        answers: Answers of the other planners to the current incarnation.
-    """
+    """Recovery of a new disk's vote."""
 
     __slots__ = ("_answers", "_participant")
 
     def __init__(self, participant: Participant) -> None:
         self._participant = participant
-        self._answers: dict[str, Sworn] = {}
+        self._answers: dict[str, Sworn] = {}  # of the other planners, to the current incarnation
 
     def ask(self) -> bool:
         """Ask the planners that have not answered or had no vote themselves.
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -545,9 +545,9 @@
         """Build the record and write it if it differs from the last one."""
         if not self._durable_folder.lasting:
             return
-        seat, own = machine.local, machine.identity
+        local, own = machine.local, machine.identity
         incarnation = persisted_record.ProcessIdentity(
-            own.gen, seat.birth, own.inc, seat.seq + RESERVED_SEQUENCE_NUMBERS
+            own.gen, local.birth, own.inc, local.seq + RESERVED_SEQUENCE_NUMBERS
         )
         peer_addresses = [m.about.address for m in machine.members() if m.name != self._settings.name]
         known, wanted = tuple(size_estimate.known()), {a for a in peer_addresses if _is_valid_address(a)}
@@ -582,13 +582,13 @@
         }  # fmt: skip
         if machine is None or size_estimate is None or self.transport is None:
             return view
-        own, seat, count = machine.identity, machine.local, size_estimate.estimate
+        own, local, count = machine.identity, machine.local, size_estimate.estimate
         view |= {
             "phase": machine.phase.value, "life": own.gen, "incarnation": own.inc, "health": machine.health,
             "stood_s": machine.stalled_us / 1e6, "most": count.upper_bound, "up": count.expected,
             "unseen": size_estimate.unseen,
             "silent": size_estimate.names(Presence.UNRESPONSIVE), "away": size_estimate.names(Presence.LEFT),
-            "letters": {f"{kind} {way}": n for (way, kind), n in sorted(seat.message_counts.items())},
+            "letters": {f"{kind} {way}": n for (way, kind), n in sorted(local.message_counts.items())},
             "dropped": dict(sorted(machine.drop_counts.items())),
             "roads": dict(sorted(self.transport.counts.items())),
             "streams": dict(zip(("ours", "theirs"), self.transport.streams, strict=True)),
@@ -603,7 +603,7 @@
                 "incarnation": inc, "by": entry.by,
                 "role": about.role if about else None, "zone": about.zone if about else None,
                 "address": about.address if about else None,
-                "gone_s": max(seat.now_us - entry.down_since_us, 0) / 1e6
+                "gone_s": max(local.now_us - entry.down_since_us, 0) / 1e6
                 if entry.down_since_us >= 0 else None,
             })  # fmt: skip
         return view
--- a/granitewell/nodes/shard_supervisor.py
+++ b/granitewell/nodes/shard_supervisor.py
@@ -21,8 +21,8 @@
 class ShardSupervisor:
     """Owns or follows each shard.
 
-    Attributes:
-        owned: Shards that this node owns now.
+    Args:
+        owned: Shards that this node owns now, kept up to date by the supervisor.
     """
 
     def __init__(
