--- a/granitewell/cluster/types.py
+++ b/granitewell/cluster/types.py
@@ -35,7 +35,7 @@
         advertise: Address at which others reach it; bind if empty.
         seeds: Addresses of nodes to join by.
         keys: Shared keys; None if the file cannot be read now.
-        keys_why: Why the keys cannot be read.
+        keys_error: Why the keys cannot be read.
         role: Role announced to other members.
         zone: Zone announced to other members.
         folder: Folder that outlives the process; "" for none.
@@ -48,7 +48,7 @@
     advertise: str = ""
     seeds: tuple[str, ...] = ()
     keys: Keys | None = field(default=None, repr=False)
-    keys_why: str = ""
+    keys_error: str = ""
     role: str = DEFAULT_ROLE
     zone: str = ""
     folder: str = ""
--- a/granitewell/core/reducer.py
+++ b/granitewell/core/reducer.py
@@ -627,11 +627,11 @@
         for endpoint_id in named:
             self._known_endpoint_ids.pop(endpoint_id, None)
             self._known_endpoint_ids[endpoint_id] = None
-        spare = len(self._known_endpoint_ids) - MAX_KNOWN_ENDPOINTS
-        if spare > 0:
+        excess = len(self._known_endpoint_ids) - MAX_KNOWN_ENDPOINTS
+        if excess > 0:
             for endpoint_id in [
                 k for k in self._known_endpoint_ids if k not in self._endpoints and k not in self._bans
-            ][:spare]:
+            ][:excess]:
                 del self._known_endpoint_ids[endpoint_id]
                 self._unbanned_at_us.pop(endpoint_id, None)
 
--- a/granitewell/membership/probes.py
+++ b/granitewell/membership/probes.py
@@ -162,13 +162,13 @@
     @property
     def due_us(self) -> int:
         """Time of the next step; -1 for never."""
-        dues = [t for t in (self._next_us, self._next_revive_us) if t >= 0]
+        due_times = [t for t in (self._next_us, self._next_revive_us) if t >= 0]
         if self._probe is not None and self._probe.steps:
-            dues.append(self._probe.steps[0][0])
-        dues += [
+            due_times.append(self._probe.steps[0][0])
+        due_times += [
             min(t for t in (e.retry_us, e.nack_us, e.end_us) if t >= 0) for e in self._relayed_probes.values()
         ]
-        return min(dues, default=-1)
+        return min(due_times, default=-1)
 
     def run(self) -> Member | None:
         """Run the steps that are due; return the member that a probe has just failed to reach."""
--- a/granitewell/membership/refutation.py
+++ b/granitewell/membership/refutation.py
@@ -124,10 +124,10 @@
         self._transition(Cause.NAME_FREE)
         record, self._due_us = self.record, -1
         known = record.standing.gen if record is not None else 0
-        mine = record is not None and record.standing.birth == self._local.birth
-        self.gen = max(self.gen, known if mine else min(known + 1, MAX_GEN))
+        is_own_process = record is not None and record.standing.birth == self._local.birth
+        self.gen = max(self.gen, known if is_own_process else min(known + 1, MAX_GEN))
         self._raise_incarnation(
-            self.gen, max(self.inc, record.standing.inc if record is not None and mine else 0)
+            self.gen, max(self.inc, record.standing.inc if record is not None and is_own_process else 0)
         )
 
     def leave(self) -> None:
@@ -144,17 +144,19 @@
         record = self.record
         if record is None or record.standing == self.standing and record.about in (None, self._about):
             return
-        standing, mine = record.standing, record.standing.birth == self._local.birth
-        if self.phase is Phase.LEAVING and mine:
+        standing, is_own_process = record.standing, record.standing.birth == self._local.birth
+        if self.phase is Phase.LEAVING and is_own_process:
             self._raise_incarnation(standing.gen, standing.inc)
-        elif self.phase is Phase.ACTIVE and mine:
+        elif self.phase is Phase.ACTIVE and is_own_process:
             self._local.health.adjust(health.SUSPICION_REFUTED)
             self._raise_incarnation(standing.gen, standing.inc)
         elif self.phase is Phase.ACTIVE and standing.state in DOWN:
             self._raise_incarnation(min(standing.gen + 1, MAX_GEN), self.inc)
         elif self.phase is Phase.ACTIVE:
             self.dispute_name()
-        elif self.phase in (Phase.NAME_DISPUTED, Phase.NAME_TAKEN) and (mine or standing.state in DOWN):
+        elif self.phase in (Phase.NAME_DISPUTED, Phase.NAME_TAKEN) and (
+            is_own_process or standing.state in DOWN
+        ):
             self.join()
 
     def table_compared(self) -> None:
@@ -165,8 +167,8 @@
         if self.phase is not Phase.JOINING:
             return
         record = self.record
-        mine = record is not None and record.standing.birth == self._local.birth
-        if record is None or mine or record.standing.state in DOWN:
+        is_own_process = record is not None and record.standing.birth == self._local.birth
+        if record is None or is_own_process or record.standing.state in DOWN:
             self.join()
         else:
             self.dispute_name()
--- a/granitewell/net/cluster.py
+++ b/granitewell/net/cluster.py
@@ -117,7 +117,7 @@
             OSError: The address can't be bound, or the keys can't be read.
         """
         if settings.keys is None:
-            raise OSError(f"cluster.keys: {settings.keys_why}")
+            raise OSError(f"cluster.keys: {settings.keys_error}")
         self._node, self._settings, self._keys = node, settings, settings.keys
         self._loop, self._clock = asyncio.get_running_loop(), node.clock
         self._durable_folder = Kept(settings.folder or _default_folder(settings.name))
@@ -345,7 +345,7 @@
         """Apply reloaded settings."""
         if settings.name:
             if settings.keys is None:
-                self.log_line("cluster", f"the keys stay as they are: {settings.keys_why}")
+                self.log_line("cluster", f"the keys stay as they are: {settings.keys_error}")
             elif settings.keys != self._keys:
                 self._rekey(settings.keys)
             if self.machine is not None and settings.seeds != self._settings.seeds:
--- a/granitewell/net/console.py
+++ b/granitewell/net/console.py
@@ -181,7 +181,7 @@
         self._unfinished: dict[int, socket.socket] = {}  # requests that are not complete, oldest first
         self._tasks: set[asyncio.Task[None]] = set()
         self._last_number = 0
-        self._rulings: dict[int, c.BanResult] = {}
+        self._ban_results: dict[int, c.BanResult] = {}
         self.ban_error = ""  # why the last ban could not be stored
         self._listener = listen_on(address, BACKLOG)
         self._accepting = loop.create_task(self._accept())
@@ -191,9 +191,9 @@
         self._accepting.cancel()
         self._listener.close()
 
-    def on_ruling(self, effect: c.BanReply) -> None:
+    def on_ban_result(self, effect: c.BanReply) -> None:
         """Note the core's answer to a request."""
-        self._rulings[effect.caller] = effect.result
+        self._ban_results[effect.caller] = effect.result
 
     # --- Connections ------------------------------------------------------------------------------------
     async def _accept(self) -> None:
@@ -277,10 +277,10 @@
         self._node.dispatch(
             c.BanRequested(number, endpoint_id) if banned else c.UnbanRequested(number, endpoint_id)
         )
-        ruling = self._rulings.pop(number, None)
+        result = self._ban_results.pop(number, None)
         name = endpoint_id.decode()
-        if ruling is c.BanResult.UNKNOWN:
+        if result is c.BanResult.UNKNOWN:
             return response_bytes(404, f"{name} was never listed")
-        if ruling is None or self.ban_error:
+        if result is None or self.ban_error:
             return response_bytes(500, self.ban_error or "the call failed: see the node's log")
         return response_bytes(200, f"{name} is {'disabled' if banned else 'enabled'}")
--- a/granitewell/net/discovery.py
+++ b/granitewell/net/discovery.py
@@ -147,12 +147,12 @@
         if after is None and body == self._full_list and self._revision >= 0:
             self.answered_us = self._clock.now()
             return self._revision
-        revision, news = self._reader.read(body)
+        revision, update = self._reader.read(body)
         self.answered_us = self._clock.now()
-        if news.members or news.view is View.FULL:
+        if update.members or update.view is View.FULL:
             self._full_list, self._revision = body if after is None else b"", revision
             self.updated_us = self.answered_us
-            self._on_update(news)
+            self._on_update(update)
         # a restarted agent counts from the start: revisions after the known one would not be its own
         return None if after is not None and revision < after else revision
 
--- a/granitewell/net/downstream.py
+++ b/granitewell/net/downstream.py
@@ -39,8 +39,8 @@
 # Clients hold a third of the descriptors at most. Some send one request and keep the connection forever; with
 # many of them, requests on new connections would not be accepted.
 KEEPALIVE_TIMEOUT_US = 2_000_000  # until the next request
-SHORT_KEEPALIVE_TIMEOUT_US = 100_000  # the same after only one answer, where connections are many:
-CROWDED_DIVISOR = 8  # more than one in 8 descriptors
+SHORT_KEEPALIVE_TIMEOUT_US = 100_000  # the same after only one answer, while there are many connections
+CROWDED_DIVISOR = 8  # there are many if they hold more than one in 8 descriptors
 DISCARD_BUFFER = bytearray(64 * 1024)  # receives what follows an error; never read
 MAX_DISCARDED_BYTES = 1024 * 1024  # until the connection is closed: some clients send 60 MB
 WRITE_TIMEOUT_S = 5.0  # for a client to receive its answer
@@ -612,10 +612,10 @@
 
     Time that the body has waited for its endpoint is not counted.
     """
-    had_us = now_us - connection.head_received_us - connection.blocked_us - STREAM_STALL_TIMEOUT_US
+    counted_us = now_us - connection.head_received_us - connection.blocked_us - STREAM_STALL_TIMEOUT_US
     return (
         now_us - connection.last_read_us >= STREAM_STALL_TIMEOUT_US
-        or body.received_bytes < had_us * MIN_STREAM_BYTES_PER_S / 1e6
+        or body.received_bytes < counted_us * MIN_STREAM_BYTES_PER_S / 1e6
     )
 
 
--- a/granitewell/net/http1.py
+++ b/granitewell/net/http1.py
@@ -709,7 +709,7 @@
         return self._zones[config.zone_names[own]] if 0 <= own < len(config.zone_names) else own
 
     def read(self, body: bytes) -> tuple[int, EndpointListUpdate]:
-        """Parse a list; return its revision and the news.
+        """Parse a list; return its revision and the update.
 
         Raises:
             ValueError: The list is malformed; the previous one stays in force.
@@ -721,7 +721,7 @@
         return self.parse(document)
 
     def parse(self, document: Mapping[str, Any], view: View | None = None) -> tuple[int, EndpointListUpdate]:
-        """Convert a list from parsed JSON; return its revision and the news.
+        """Convert a list from parsed JSON; return its revision and the update.
 
         Raises:
             ValueError: The list is malformed in any way.
--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -225,7 +225,7 @@
             self._share_descriptors(self._handover.others())
         if not self._handover.changed():
             return
-        kept = self._handover.kept(_moment())
+        kept = self._handover.kept(_read_clocks())
         for broken in kept.broken:
             self.log_line("handover", f"passed over: {broken}")
         restored = {k: self.clock.from_monotonic(v) for k, v in kept.back_us.items()}
@@ -275,14 +275,14 @@
         """Store a ban for the node's next process, and report a failure to the operator's call."""
         if self._handover is None:
             return
-        wrong = "the ban could not be written down: see the node's log"  # if it raises
+        error = "the ban could not be written down: see the node's log"  # if it raises
         try:
-            wrong = self._handover.keep(effect.endpoint, effect.banned, _moment())
+            error = self._handover.keep(effect.endpoint, effect.banned, _read_clocks())
         finally:
-            if wrong:
-                self.log_line("handover", wrong)
+            if error:
+                self.log_line("handover", error)
                 if self.console is not None:
-                    self.console.ban_error = wrong
+                    self.console.ban_error = error
 
     def reload(self, config: Config) -> None:
         """Apply a configuration that has replaced the previous one.
@@ -416,7 +416,7 @@
             self._keep_ban(effect)
         elif isinstance(effect, c.BanReply):
             if self.console is not None:
-                self.console.on_ruling(effect)
+                self.console.on_ban_result(effect)
         elif isinstance(effect, c.ReadyToServe):
             self.clients.open()
         else:
@@ -645,6 +645,6 @@
         return True
 
 
-def _moment() -> Moment:
+def _read_clocks() -> Moment:
     """Return the current time on the wall clock and the monotonic clock."""
     return Moment(time.time_ns() // 1000, time.monotonic_ns() // 1000)
