--- a/granitewell/net/loop.py
+++ b/granitewell/net/loop.py
@@ -275,14 +275,14 @@
         """Store a ban for the node's next process, and report a failure to the operator's call."""
         if self._handover is None:
             return
-        wrong = "the ban could not be written down: see the node's log"  # if it raises
+        error = "the ban could not be written down: see the node's log"  # if it raises
         try:
-            wrong = self._handover.write_ban(effect.endpoint, effect.banned, _read_clocks())
+            error = self._handover.write_ban(effect.endpoint, effect.banned, _read_clocks())
         finally:
-            if wrong:
-                self.log_line("handover", wrong)
+            if error:
+                self.log_line("handover", error)
                 if self.console is not None:
-                    self.console.ban_error = wrong
+                    self.console.ban_error = error
 
     def reload(self, config: Config) -> None:
         """Apply a configuration that has replaced the previous one.
@@ -422,7 +422,7 @@
             self._keep_ban(effect)
         elif isinstance(effect, c.BanReply):
             if self.console is not None:
-                self.console.on_ruling(effect)
+                self.console.on_ban_result(effect)
         elif isinstance(effect, c.ReadyToServe):
             self.clients.open()
         else:
