--- a/granitewell/cli/check.py
+++ b/granitewell/cli/check.py
@@ -15,7 +15,7 @@
 
 from granitewell.cli.show import BAD_INPUT, as_json, emit
 from granitewell.config import ConfigError
-from granitewell.config import load as node_takes
+from granitewell.config import load as load_node_config
 from granitewell.operator.load import MAX_FILE, InvalidOperatorFileError, data_of, read
 from granitewell.operator.platform import Platform
 from granitewell.operator.problem import Problem
@@ -23,11 +23,11 @@
 from granitewell.operator.registry import Operator
 from granitewell.operator.table import examine
 
-MAX_PLATFORM = 16 * 1024 * 1024  # bytes; the list of the last known endpoints is in it
+MAX_PLATFORM_FILE_BYTES = 16 * 1024 * 1024  # bytes; the list of the last known endpoints is in it
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class FileReport:
     """What there is to say of one file."""
 
     path: str
@@ -35,54 +35,54 @@
     problems: tuple[Problem, ...]
 
     @property
-    def good(self) -> bool:
+    def is_valid(self) -> bool:
         """Can it be used? Notes alone do no harm."""
         return all(p.note for p in self.problems)
 
     def lines(self) -> list[str]:
         """For a person: one line a problem."""
         found = [f"{self.path}: {'note: ' if p.note else ''}{p.text()}" for p in self.problems]
-        return found + ([f"{self.path}: good, {self.kind}"] if self.good else [])
+        return found + ([f"{self.path}: good, {self.kind}"] if self.is_valid else [])
 
-    def data(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """For a program."""
         keys = ("field", "found", "allowed", "near", "note")
         problems = [{k: getattr(p, k) for k in keys} for p in self.problems]
-        return {"file": self.path, "kind": self.kind, "good": self.good, "problems": problems}
+        return {"file": self.path, "kind": self.kind, "good": self.is_valid, "problems": problems}
 
 
-def judge(path: str) -> Verdict:
+def check_file(path: str) -> FileReport:
     """Look at one file, told apart by what is in it: JSON begins with a brace, which no TOML does."""
     kind = "a file"
     try:
-        raw = read(path, MAX_PLATFORM)
+        raw = read(path, MAX_PLATFORM_FILE_BYTES)
         if raw.removeprefix(b"\xef\xbb\xbf").lstrip()[:1] == b"{":
             kind = "a platform configuration"
-            return Verdict(path, kind, tuple(_platform(path, raw)))
+            return FileReport(path, kind, tuple(_check_platform(path, raw)))
         kind = "an operator file"
         read(path, MAX_FILE)
-        return Verdict(path, kind, tuple(examine(data_of(path, raw), Operator)[1]))
+        return FileReport(path, kind, tuple(examine(data_of(path, raw), Operator)[1]))
     except InvalidOperatorFileError as error:
-        return Verdict(path, kind, tuple(error.problems))
+        return FileReport(path, kind, tuple(error.problems))
 
 
-def _platform(path: str, raw: bytes) -> list[Problem]:
+def _check_platform(path: str, raw: bytes) -> list[Problem]:
     try:
-        data = json.loads(raw)
+        document = json.loads(raw)
     except RecursionError:
         return [Problem((), "lists within lists without end", "JSON")]
     except ValueError as error:
         return [Problem((), " ".join(str(error).split()), "JSON")]
-    _, problems = examine(data, Platform)
+    _, problems = examine(document, Platform)
     if all(p.note for p in problems):
-        problems += _last_word(path)
+        problems += _check_with_node(path)
     return problems
 
 
-def _last_word(path: str) -> list[Problem]:
+def _check_with_node(path: str) -> list[Problem]:
     """What the node itself says of a file that looks right."""
     try:
-        node_takes({"LB_CONFIG": path})
+        load_node_config({"LB_CONFIG": path})
     except ConfigError as error:
         where, _, why = str(error).partition(": ")
         return [Problem((where,), why, "what the node takes")]
@@ -109,14 +109,14 @@
         return
     if not files:
         raise click.UsageError("which FILE?")
-    verdicts = [judge(path) for path in files]
-    emit({"good": all(v.good for v in verdicts), "files": [v.data() for v in verdicts]}, as_json,
-         lambda console: _print(console, verdicts))  # fmt: skip
-    if not all(v.good for v in verdicts):
+    reports = [check_file(path) for path in files]
+    emit({"good": all(v.is_valid for v in reports), "files": [v.as_dict() for v in reports]}, as_json,
+         lambda console: _print_reports(console, reports))  # fmt: skip
+    if not all(v.is_valid for v in reports):
         raise click.exceptions.Exit(BAD_INPUT)
 
 
-def _print(console: Console, verdicts: list[Verdict]) -> None:
-    for verdict in verdicts:
-        for line in verdict.lines():
+def _print_reports(console: Console, reports: list[FileReport]) -> None:
+    for report in reports:
+        for line in report.lines():
             click.echo(line)  # not the console's: a line is one line, and brackets stay
--- a/granitewell/cli/cluster.py
+++ b/granitewell/cli/cluster.py
@@ -23,17 +23,17 @@
 from rich.table import Table
 from rich.text import Text
 
-from granitewell.cli.main import FOUND, OK
-from granitewell.cli.node import get, where
-from granitewell.cli.show import NoMeans, Told, as_json, emit
+from granitewell.cli.main import BAD_OUTCOME, OK
+from granitewell.cli.node import fetch, status_place
+from granitewell.cli.show import CommandError, UnavailableError, as_json, emit
 from granitewell.status import fleet, shared
 from granitewell.status.descriptions import Sheet, plain
 from granitewell.status.types import Place
 
-NAMES, KEYS = "[!-%'-~]{1,63}", "[!-%'-~]{1,96}"
+MEMBER_NAME_PATTERN, TENANT_KEY_PATTERN = "[!-%'-~]{1,63}", "[!-%'-~]{1,96}"
 
 
-def asks(command: Callable[..., Any]) -> Callable[..., Any]:
+def node_options(command: Callable[..., Any]) -> Callable[..., Any]:
     """The options that say whom to ask."""
 
     @click.option(
@@ -50,12 +50,12 @@
         help="Operator file of the node, whose [status] says where; wins over LB_OPERATOR.",
     )
     @wraps(command)
-    def asked(ats: tuple[str, ...], operator: str | None, **more: Any) -> Any:
-        named = operator or os.environ.get("LB_OPERATOR")
-        places = [where(at, named) for at in ats] or [where(None, named)]
+    def with_places(ats: tuple[str, ...], operator: str | None, **more: Any) -> Any:
+        operator_file = operator or os.environ.get("LB_OPERATOR")
+        places = [status_place(at, operator_file) for at in ats] or [status_place(None, operator_file)]
         return command(places=places, **more)
 
-    return asked
+    return with_places
 
 
 @click.group(epilog="Example:\n\n  granitewell cluster members --operator deploy/operator-example.toml")
@@ -66,74 +66,74 @@
     """
 
 
-def call(at: Place, target: str, method: str = "GET") -> Any:
+def query_node(at: Place, target: str, method: str = "GET") -> Any:
     """What a node answers, from JSON or as a line; NoMeans where nobody does, Told where it refuses."""
     try:
-        code, raw = get(at, target, method)
+        code, raw = fetch(at, target, method)
     except (OSError, http.client.HTTPException) as error:
-        why = getattr(error, "strerror", None) or str(error) or type(error).__name__
-        raise NoMeans(f"{at}: nobody there: {plain(why)}") from None
+        reason = getattr(error, "strerror", None) or str(error) or type(error).__name__
+        raise UnavailableError(f"{at}: nobody there: {plain(reason)}") from None
     line = plain(raw[:300].decode(errors="replace").strip())
     if code == 404:
-        raise NoMeans(f"{at}: {line}")
+        raise UnavailableError(f"{at}: {line}")
     if code != 200:
-        raise Told(f"{at}: {line}")
+        raise CommandError(f"{at}: {line}")
     try:
         return json.loads(raw) if raw[:1] == b"{" else line
     except (ValueError, RecursionError) as error:
-        raise NoMeans(f"{at}: no answer of a node: {plain(error)}") from None
+        raise UnavailableError(f"{at}: no answer of a node: {plain(error)}") from None
 
 
-def view_of(at: Place) -> dict[str, Any]:
+def fetch_view(at: Place) -> dict[str, Any]:
     """One node's view."""
     try:
-        return fleet.taken(call(at, "/cluster"))
+        return fleet.taken(query_node(at, "/cluster"))
     except ValueError as error:
-        raise NoMeans(f"{at}: {error}") from None
+        raise UnavailableError(f"{at}: {error}") from None
 
 
-def _sheet(sheet: Sheet) -> Table:
-    made = Table(title=Text(sheet.title), title_justify="left")
+def _build_table(sheet: Sheet) -> Table:
+    table = Table(title=Text(sheet.title), title_justify="left")
     for k, name in enumerate(sheet.columns):
-        made.add_column(Text(name), justify="left" if k < 2 else "right")
+        table.add_column(Text(name), justify="left" if k < 2 else "right")
     for k, row in enumerate(sheet.rows):
-        made.add_row(*map(Text, row), style="red" if k in sheet.lit else "")
-    return made
+        table.add_row(*map(Text, row), style="red" if k in sheet.lit else "")
+    return table
 
 
 # --- members, status, watch -----------------------------------------------------------------------------
 @cluster.command(epilog="Example:\n\n  granitewell cluster members --at /run/balancer/status.sock --json")
-@asks
+@node_options
 @as_json
 def members(places: list[Place], as_json: bool) -> None:
     """Show all members as a node has them, who is not well first."""
-    view = view_of(places[0])
-    emit(view, as_json, partial(_members, view))
-    raise click.exceptions.Exit(OK if fleet.good(view) else FOUND)
+    view = fetch_view(places[0])
+    emit(view, as_json, partial(_render_members, view))
+    raise click.exceptions.Exit(OK if fleet.good(view) else BAD_OUTCOME)
 
 
-def _members(view: dict[str, Any], console: Console) -> None:
+def _render_members(view: dict[str, Any], console: Console) -> None:
     first, *rest = fleet.head(view)
     console.print(Text(first, style="bold green" if fleet.good(view) else "bold red"))
     for line in rest:
         console.print(Text(line))
     if view["members"]:
-        console.print(_sheet(fleet.members(view)))
+        console.print(_build_table(fleet.members(view)))
 
 
 @cluster.command(epilog="Example:\n\n  granitewell cluster status --at n1/status.sock --at n2/status.sock")
-@asks
+@node_options
 @as_json
 def status(places: list[Place], as_json: bool) -> None:
     """Show the views of several nodes beside each other, and whether they agree on who is up."""
-    views = [view_of(at) for at in places]
-    data = {"agree": agree(views), "views": views}
-    emit(data, as_json, partial(_status, data))
+    views = [fetch_view(at) for at in places]
+    data = {"agree": views_agree(views), "views": views}
+    emit(data, as_json, partial(_render_status, data))
     good = data["agree"] and all(map(fleet.good, views))
-    raise click.exceptions.Exit(OK if good else FOUND)
+    raise click.exceptions.Exit(OK if good else BAD_OUTCOME)
 
 
-def agree(views: list[dict[str, Any]]) -> bool:
+def views_agree(views: list[dict[str, Any]]) -> bool:
     """Do all that are members name the same lives as up?"""
     ups = [
         {(m["name"], m["birth"]) for m in v["members"] if m["state"] in ("alive", "suspect")}
@@ -142,42 +142,42 @@
     return all(up == ups[0] for up in ups)
 
 
-def _status(data: dict[str, Any], console: Console) -> None:
+def _render_status(data: dict[str, Any], console: Console) -> None:
     for view in data["views"]:
         for line in fleet.head(view):
             console.print(Text(line, style="" if fleet.good(view) else "red"))
     if len(data["views"]) > 1:
-        word = "agree" if data["agree"] else "do not agree"
+        verdict = "agree" if data["agree"] else "do not agree"
         style = "bold green" if data["agree"] else "bold red"
-        console.print(Text(f"these nodes {word} on who is up", style=style))
+        console.print(Text(f"these nodes {verdict} on who is up", style=style))
 
 
 @cluster.command(epilog="Example:\n\n  granitewell cluster watch --at /run/balancer/status.sock --every 1")
-@asks
+@node_options
 @click.option("--every", type=click.FloatRange(0.1, 3600), default=1.0, show_default=True, help="Seconds.")
 @click.option("--times", type=click.IntRange(1), help="Looks, after which it ends; without it Ctrl-C does.")
 @as_json
 def watch(places: list[Place], every: float, times: int | None, as_json: bool) -> None:
     """Print a line for each change of a member, as a node comes to see it."""
     before: dict[str, tuple[str, str]] = {}
-    looks = 0
-    while times is None or looks < times:
-        if looks:
+    polls = 0
+    while times is None or polls < times:
+        if polls:
             time.sleep(every)
-        looks += 1
-        view = view_of(places[0])
+        polls += 1
+        view = fetch_view(places[0])
         now = {m["name"]: (m["state"], m["birth"]) for m in view["members"]}
         for name in sorted(now.keys() | before.keys()):
-            was, new = before.get(name), now.get(name)
-            if was != new:
-                change = {"name": name, "was": was and was[0], "now": new and new[0]}
-                change["other_life"] = bool(was and new and was[1] != new[1])
-                emit(change, as_json, partial(_change, change))
+            previous, current = before.get(name), now.get(name)
+            if previous != current:
+                change = {"name": name, "was": previous and previous[0], "now": current and current[0]}
+                change["other_life"] = bool(previous and current and previous[1] != current[1])
+                emit(change, as_json, partial(_render_change, change))
         before = now
         sys.stdout.flush()
 
 
-def _change(change: dict[str, Any], console: Console) -> None:
+def _render_change(change: dict[str, Any], console: Console) -> None:
     life = ", another process" if change["other_life"] else ""
     words = f"{change['was'] or 'unknown'} -> {change['now'] or 'forgotten'}{life}"
     console.print(Text(f"{time.strftime('%H:%M:%S')} {plain(change['name'])}: {words}"))
@@ -186,65 +186,67 @@
 # --- counts ---------------------------------------------------------------------------------------------
 @cluster.command(epilog="Example:\n\n  granitewell cluster counts --explain gold --at n1/status.sock")
 @click.option("--explain", "key", metavar="TENANT", help="Each node's part of it, and why it is that wide.")
-@asks
+@node_options
 @as_json
 def counts(key: str | None, places: list[Place], as_json: bool) -> None:
     """Show what all nodes together have taken in the window that ends now, by tenant: at least, at most."""
-    if key is not None and not re.fullmatch(KEYS, key):
-        raise Told(f"--explain: found {plain(key[:80])!r}, allowed: 1 to 96 of printable ASCII")
+    if key is not None and not re.fullmatch(TENANT_KEY_PATTERN, key):
+        raise CommandError(f"--explain: found {plain(key[:80])!r}, allowed: 1 to 96 of printable ASCII")
     target = f"/cluster/counts?key={quote(key, safe='.-_~')}" if key else "/cluster/counts"
-    data = call(places[0], target)
+    data = query_node(places[0], target)
     try:
         lines, sheets = shared.counted(data)
     except ValueError as error:
-        raise NoMeans(f"{places[0]}: {error}") from None
+        raise UnavailableError(f"{places[0]}: {error}") from None
 
     def render(console: Console) -> None:
         for line in lines:
             console.print(Text(line))
         for sheet in sheets:
-            console.print(_sheet(sheet))
+            console.print(_build_table(sheet))
 
     emit(data, as_json, render)
 
 
 # --- explain, forget ------------------------------------------------------------------------------------
 def _target(path: str, name: str) -> str:
-    if not re.fullmatch(NAMES, name):
-        raise Told(f"NAME: found {plain(name[:80])!r}, allowed: 1 to 63 characters of printable ASCII")
+    if not re.fullmatch(MEMBER_NAME_PATTERN, name):
+        raise CommandError(
+            f"NAME: found {plain(name[:80])!r}, allowed: 1 to 63 characters of printable ASCII"
+        )
     return f"{path}?name={quote(name, safe='.-_~')}"
 
 
 @cluster.command(epilog="Example:\n\n  granitewell cluster explain n3 --at /run/balancer/status.sock")
 @click.argument("name")
-@asks
+@node_options
 @as_json
 def explain(name: str, places: list[Place], as_json: bool) -> None:
     """Show what a node believes of the member NAME: who said what of it, when, by which road, of which
     life.
     """
-    data = call(places[0], _target("/cluster/explain", name))
+    data = query_node(places[0], _target("/cluster/explain", name))
     try:
         lines, sheet = fleet.explained(data)
     except ValueError as error:
-        raise NoMeans(f"{places[0]}: {error}") from None
+        raise UnavailableError(f"{places[0]}: {error}") from None
 
     def render(console: Console) -> None:
         for line in lines:
             console.print(Text(line))
         if sheet.rows:
-            console.print(_sheet(sheet))
+            console.print(_build_table(sheet))
 
     emit(data, as_json, render)
 
 
 @cluster.command(epilog="Example:\n\n  granitewell cluster forget n3 --at /run/balancer/status.sock")
 @click.argument("name")
-@asks
+@node_options
 def forget(name: str, places: list[Place]) -> None:
     """Tell the fleet that the node NAME is gone for good, and counts in no budget any more.
 
     Only of a node that is silent, and only over a unix socket. The node asked tells the others; should NAME
     live all the same, it says so and counts again.
     """
-    click.echo(call(places[0], _target("/cluster/forget", name), "POST"))
+    click.echo(query_node(places[0], _target("/cluster/forget", name), "POST"))
--- a/granitewell/cli/lab_cluster.py
+++ b/granitewell/cli/lab_cluster.py
@@ -50,12 +50,12 @@
             show.table(name, ("plant", "about"), list(plants.items()))))  # fmt: skip
         return
     if plant and plant not in plants:
-        raise show.Told(f"--plant: found {plant!r}, allowed: {', '.join(plants) or 'none'}")
+        raise show.CommandError(f"--plant: found {plant!r}, allowed: {', '.join(plants) or 'none'}")
     if wanted is not None:
         _search(wanted, plant or "", as_json)
         return
-    chosen = _only(only)
-    cases = [Case(seed, severity, size or 0, plant or "", chosen) for seed in _span(span)]
+    chosen = _parse_trouble_indices(only)
+    cases = [Case(seed, severity, size or 0, plant or "", chosen) for seed in _parse_seed_range(span)]
     found: list[Found] = []
     with show.progress(f"{name}, seeds {span}", len(cases)) as steps:
         for one in seeds(name, cases, jobs or os.cpu_count() or 1):
@@ -63,28 +63,28 @@
             steps.step()
     found.sort(key=lambda f: f.case.seed)
     bad = [f for f in found if f.outcome.broken is not None]
-    broken = [_broken(name, f) for f in bad]
+    broken = [_broken_day(name, f) for f in bad]
     data = {"subject": name, "seeds": len(found), "severity": severity, "plant": plant or "",
             **_figures(found), "broken": broken}  # fmt: skip
     show.emit(data, as_json, lambda console: _render(console, name, data, bad))
     if bad:
-        raise show.Found(f"{len(bad)} of {len(found)} days did not hold")
+        raise show.BadOutcomeError(f"{len(bad)} of {len(found)} days did not hold")
 
 
-def _only(text: str | None) -> tuple[int, ...] | None:
+def _parse_trouble_indices(text: str | None) -> tuple[int, ...] | None:
     if text is None or text == "none":
         return None if text is None else ()
     try:
         return tuple(int(x) for x in text.split(","))
     except ValueError:
-        raise show.Told(f"--only: found {text!r}, allowed are numbers as in 1,4, or none") from None
+        raise show.CommandError(f"--only: found {text!r}, allowed are numbers as in 1,4, or none") from None
 
 
-def _span(text: str) -> range:
+def _parse_seed_range(text: str) -> range:
     first, _, last = text.partition("..")
     last = last or first
     if not first.isdecimal() or not last.isdecimal() or not 0 <= int(last) - int(first) < MAX_SEEDS:
-        raise show.Told(f"--seeds: found {text!r}, allowed is FIRST..LAST, as in 1..200")
+        raise show.CommandError(f"--seeds: found {text!r}, allowed is FIRST..LAST, as in 1..200")
     return range(int(first), int(last) + 1)
 
 
@@ -97,15 +97,15 @@
         values = [o.figures[name] for o in days if name in o.figures]
         lists = [v for v in values if isinstance(v, list)]
         numbers = [v for v in values if not isinstance(v, list)]
-        data[name] = _spread(x for v in lists for x in v) if lists else _one(name, numbers)
+        data[name] = _percentiles(x for v in lists for x in v) if lists else _aggregate(name, numbers)
     return data
 
 
-def _one(name: str, numbers: list[float]) -> float:
+def _aggregate(name: str, numbers: list[float]) -> float:
     return max(numbers) if name.endswith("_max") else sum(numbers)
 
 
-def _spread(values: Iterable[float]) -> dict[str, float]:
+def _percentiles(values: Iterable[float]) -> dict[str, float]:
     ordered = sorted(values)
     if not ordered:
         return {"count": 0}
@@ -114,7 +114,7 @@
     return {"count": len(ordered), "sum": sum(ordered), **points}
 
 
-def _broken(name: str, f: Found) -> dict[str, Any]:
+def _broken_day(name: str, f: Found) -> dict[str, Any]:
     broken = f.outcome.broken
     assert broken is not None
     return {"seed": f.case.seed, "at_s": broken.at_us / 1e6, "node": broken.node, "text": broken.text,
@@ -123,19 +123,19 @@
 
 def _render(console: Console, name: str, data: dict[str, Any], bad: list[Found]) -> None:
     for one in data["broken"]:
-        _print(console, f"seed {one['seed']}, {one['at_s']:.3f} s, {one['node']}: {one['text']}")
+        _print_line(console, f"seed {one['seed']}, {one['at_s']:.3f} s, {one['node']}: {one['text']}")
         for line in one["troubles"]:
-            _print(console, f"    {line}")
-        _print(console, f"    {one['command']}")
+            _print_line(console, f"    {line}")
+        _print_line(console, f"    {one['command']}")
     if len(data["broken"]) == 1 and data["seeds"] == 1:
-        _print(console, f"digest {bad[0].outcome.digest}")
+        _print_line(console, f"digest {bad[0].outcome.digest}")
     rows = [(k, v) for k, v in data.items() if isinstance(v, int | float) and k not in ("seeds", "severity")]
     rows += [(f"{k} {part}", x) for k, v in data.items() if isinstance(v, dict) for part, x in v.items()]
     title = f"{name}: {data['seeds']} days, {len(bad)} did not hold"
     console.print(show.table(title, ("figure", "all days"), rows))
 
 
-def _print(console: Console, line: str) -> None:
+def _print_line(console: Console, line: str) -> None:
     console.print(line, markup=False, highlight=False, soft_wrap=True)
 
 
@@ -144,7 +144,7 @@
     from granitewell.lab.cluster.leases_search import CATCHES, SEARCHES, look
 
     if plant and plant not in CATCHES:
-        raise show.Told(f"--plant: found {plant}, allowed with --search are {', '.join(CATCHES)}")
+        raise show.CommandError(f"--plant: found {plant}, allowed with --search are {', '.join(CATCHES)}")
     rows, broken = [], ""
     for start, bounds in (CATCHES[plant],) if plant else SEARCHES[wanted]:
         seen = look(start, bounds, plant)
@@ -155,7 +155,7 @@
         broken = broken or seen.broken
     show.emit(rows, as_json, lambda console: _render_search(console, rows))
     if broken:
-        raise show.Found(broken)
+        raise show.BadOutcomeError(broken)
 
 
 def _render_search(console: Console, rows: list[dict[str, Any]]) -> None:
@@ -164,6 +164,6 @@
     console.print(table)
     for row in rows:
         for k, line in enumerate(row["trace"]):
-            _print(console, f"{k + 1:4} {line}")
+            _print_line(console, f"{k + 1:4} {line}")
         if row["broken"]:
-            _print(console, f"     {row['broken']}")
+            _print_line(console, f"     {row['broken']}")
--- a/granitewell/cli/lab_fleet.py
+++ b/granitewell/cli/lab_fleet.py
@@ -55,25 +55,27 @@
     A run writes the schedule that it played, and a page with a strip a node.
     """
     if plant == "list" or (scenario is None and replay is None):
-        _list(plant, as_json)
+        _list_choices(plant, as_json)
         return
     if hunt is not None:
-        _hunt(scenario or "", hunt, seed, nodes, seconds, severity, as_json)
+        _run_hunt(scenario or "", hunt, seed, nodes, seconds, severity, as_json)
         return
     if night is not None:
-        made = [_schedule(scenario, replay, seed + k, nodes, seconds, severity, rate) for k in range(night)]
-        _night(made, plant, without, jobs, out, as_json)
+        schedules = [
+            _load_schedule(scenario, replay, seed + k, nodes, seconds, severity, rate) for k in range(night)
+        ]
+        _run_batch(schedules, plant, without, jobs, out, as_json)
         return
-    played = _schedule(scenario, replay, seed, nodes, seconds, severity, rate)
+    run_schedule = _load_schedule(scenario, replay, seed, nodes, seconds, severity, rate)
     if without:
-        played = replace(played, cluster=False)
+        run_schedule = replace(run_schedule, cluster=False)
     if virtual:
-        _virtual(played, as_json)
+        _run_virtual(run_schedule, as_json)
         return
-    _processes(played, plant, turns, out, keep, as_json)
+    _run_processes(run_schedule, plant, turns, out, keep, as_json)
 
 
-def _list(plant: str, as_json: bool) -> None:
+def _list_choices(plant: str, as_json: bool) -> None:
     if plant:
         from granitewell.lab.fleet.plants import PLANTS
 
@@ -84,7 +86,7 @@
     show.emit(dict(rows), as_json, lambda console: console.print(show.table("", columns, rows)))
 
 
-def _schedule(
+def _load_schedule(
     scenario: str | None, replay: Path | None, seed: int, nodes: int | None, seconds: float | None,
     severity: float | None, rate: float | None,
 ) -> Schedule:  # fmt: skip
@@ -94,10 +96,10 @@
         name, table = load(scenario or "")
         return schedule(name, table, seed, nodes=nodes, seconds=seconds, severity=severity, rate=rate)
     except FleetError as error:
-        raise show.Told(str(error)) from None
+        raise show.CommandError(str(error)) from None
 
 
-def _hunt(
+def _run_hunt(
     scenario: str, count: int, seed: int, nodes: int | None, seconds: float | None, severity: float | None,
     as_json: bool,
 ) -> None:  # fmt: skip
@@ -107,7 +109,7 @@
         name, table = load(scenario)
         schedule(name, table, seed, nodes=nodes, seconds=seconds, severity=severity)
     except FleetError as error:
-        raise show.Told(str(error)) from None
+        raise show.CommandError(str(error)) from None
     cases = [Case(name, table, seed + k, nodes, seconds, severity) for k in range(count)]
     found = Hunt()
     with show.progress("playing", count) as bar:
@@ -118,41 +120,44 @@
     show.emit(data, as_json, lambda console: _render_hunt(console, scenario, data))
     if found.broken:
         which = ", ".join(map(str, list(found.broken)[:50]))
-        raise show.Found(f"{len(found.broken)} of {count} seeds broke a rule: {which}")
+        raise show.BadOutcomeError(f"{len(found.broken)} of {count} seeds broke a rule: {which}")
 
 
-def _night(
-    made: list[Schedule], plant: str, without: bool, jobs: int, out: Path | None, as_json: bool
+def _run_batch(
+    schedules: list[Schedule], plant: str, without: bool, jobs: int, out: Path | None, as_json: bool
 ) -> None:
     from granitewell.lab.fleet.batch_run import BatchResult, Shift, night
 
-    _known(plant)
+    _check_plant(plant)
     signal.signal(signal.SIGTERM, signal.default_int_handler)  # as SIGINT: no run goes on without its night
-    place = out if out is not None else Path(tempfile.mkdtemp(prefix="granitewell-night-"))
-    knows = not without
-    shifts = [Shift(replace(s, cluster=knows), place / f"seed-{s.seed}", plant, knows) for s in made]
+    folder = out if out is not None else Path(tempfile.mkdtemp(prefix="granitewell-night-"))
+    with_cluster = not without
+    runs = [
+        Shift(replace(s, cluster=with_cluster), folder / f"seed-{s.seed}", plant, with_cluster)
+        for s in schedules
+    ]
     found = BatchResult()
     try:
-        with show.progress("playing", len(shifts)) as bar:
-            for so_far in night(shifts, place, jobs):
+        with show.progress("playing", len(runs)) as bar:
+            for so_far in night(runs, folder, jobs):
                 found = so_far
                 bar.step()
     except OSError as error:
-        raise show.NoMeans(f"{place}: {error.strerror or error}") from None
-    data = found.as_dict() | {"out": str(place)}
-    show.emit(data, as_json, lambda console: _render_night(console, made[0], data))
+        raise show.UnavailableError(f"{folder}: {error.strerror or error}") from None
+    data = found.as_dict() | {"out": str(folder)}
+    show.emit(data, as_json, lambda console: _render_batch(console, schedules[0], data))
     if found.broken:
-        raise show.Found(f"{len(found.broken)} of {len(made)} runs broke a rule: seeds "
-                         f"{', '.join(map(str, found.broken[:50]))}; see {place}")  # fmt: skip
+        raise show.BadOutcomeError(f"{len(found.broken)} of {len(schedules)} runs broke a rule: seeds "
+                         f"{', '.join(map(str, found.broken[:50]))}; see {folder}")  # fmt: skip
     if found.failed:
-        raise show.NoMeans(f"{len(found.failed)} runs failed: {next(iter(found.failed.values()))}")
+        raise show.UnavailableError(f"{len(found.failed)} runs failed: {next(iter(found.failed.values()))}")
 
 
-def _render_night(console: Console, played: Schedule, data: dict[str, Any]) -> None:
+def _render_batch(console: Console, run_schedule: Schedule, data: dict[str, Any]) -> None:
     titles = {"processes": "on processes", "busy": "on processes, machine too busy", "virtual": "virtual"}
     for what, title in titles.items():
         if data[what]["seeds"]:
-            _render_hunt(console, f"{played.name}, {len(played.names)} nodes", data[what], title)
+            _render_hunt(console, f"{run_schedule.name}, {len(run_schedule.names)} nodes", data[what], title)
     if data["in_time"]:
         parts = data["in_time"]
         console.print(f"tries in time: median {parts['median']:.2%}, worst {parts['worst']:.2%}")
@@ -166,94 +171,96 @@
     rows = [(c, t["count"], f"{t['median']:.2f}", f"{t['worst']:.2f}") for c, t in data["took_s"].items()]
     title = f"{scenario}, {data['seeds']} seeds {where}: until all agreed"
     console.print(show.table(title, ("what had changed", "times", "median s", "worst s"), rows))
-    most = f"budgets at most {data['budget_most']:.2f} of the whole"
-    console.print(f"false deaths {data['false_deaths']}; {most}; {data['unsettled']} changes came before all "
-                  "had agreed on the one before")  # fmt: skip
+    budgets = f"budgets at most {data['budget_most']:.2f} of the whole"
+    console.print(f"false deaths {data['false_deaths']}; {budgets}; {data['unsettled']} changes came before "
+                  "all had agreed on the one before")  # fmt: skip
     for seed, what in list(data["broken"].items())[:20]:
         console.print(f"seed {seed}: {what['first']}", markup=False, highlight=False)
 
 
-def _virtual(played: Schedule, as_json: bool) -> None:
+def _run_virtual(run_schedule: Schedule, as_json: bool) -> None:
     from granitewell.lab.fleet.virtual import play
 
     try:
-        found = play(played)
+        found = play(run_schedule)
     except FleetError as error:
-        raise show.Told(str(error)) from None
-    show.emit(found, as_json, lambda console: _render_view(console, played, found))
+        raise show.CommandError(str(error)) from None
+    show.emit(found, as_json, lambda console: _render_view(console, run_schedule, found))
     if not found["kept"]:
-        raise show.Found(f"rules were broken: {found['view']['broken']}")
+        raise show.BadOutcomeError(f"rules were broken: {found['view']['broken']}")
 
 
-def _known(plant: str) -> None:
+def _check_plant(plant: str) -> None:
     from granitewell.lab.fleet.plants import PLANTS
 
     if plant and plant not in PLANTS:
-        raise show.Told(f"--plant: found {plant!r}, allowed: {', '.join(PLANTS)}")
+        raise show.CommandError(f"--plant: found {plant!r}, allowed: {', '.join(PLANTS)}")
 
 
-def _processes(
-    played: Schedule, plant: str, turns: bool, out: Path | None, keep: bool, as_json: bool
+def _run_processes(
+    run_schedule: Schedule, plant: str, turns: bool, out: Path | None, keep: bool, as_json: bool
 ) -> None:
-    from granitewell.cli.lab_up import ticker
+    from granitewell.cli.lab_up import progress_watcher
     from granitewell.lab.fleet import page
     from granitewell.lab.fleet.play import play
 
-    _known(plant)
+    _check_plant(plant)
     if plant and turns:
-        raise show.Told("--turns: not together with --plant")
-    place = out if out is not None else Path(tempfile.mkdtemp(prefix="granitewell-fleet-"))
-    command = f"granitewell lab fleet --replay {place}/schedule.json"
+        raise show.CommandError("--turns: not together with --plant")
+    folder = out if out is not None else Path(tempfile.mkdtemp(prefix="granitewell-fleet-"))
+    command = f"granitewell lab fleet --replay {folder}/schedule.json"
     try:
-        with show.progress("playing", int(played.seconds)) as bar:
-            found = play(played, place, plant, ticker(bar), turns)
-        html = page.write(played, found, command, place)
+        with show.progress("playing", int(run_schedule.seconds)) as bar:
+            found = play(run_schedule, folder, plant, progress_watcher(bar), turns)
+        html = page.write(run_schedule, found, command, folder)
     except SocksError as error:
-        raise show.NoMeans(str(error)) from None
+        raise show.UnavailableError(str(error)) from None
     except OSError as error:
-        raise show.NoMeans(f"{place}: {error.strerror or error}") from None
+        raise show.UnavailableError(f"{folder}: {error.strerror or error}") from None
     data = {k: v for k, v in found.items() if k not in ("looks", "done", "day", "played")}
     data["html"] = str(html)
-    show.emit(data, as_json, lambda console: _render(console, played, data))
+    show.emit(data, as_json, lambda console: _render(console, run_schedule, data))
     if out is None and not keep and found["kept"]:
-        _clean(place)
+        _delete_all_but_report(folder)
     if not found["kept"]:
         broken = f"rules were broken: {found['view']['broken']} {found['rules']}; see {html}"
         if found["busy"]:
-            raise show.NoMeans(f"this machine was too busy to say whose fault it is: {broken}")
-        raise show.Found(broken)
+            raise show.UnavailableError(f"this machine was too busy to say whose fault it is: {broken}")
+        raise show.BadOutcomeError(broken)
 
 
-def _clean(place: Path) -> None:
+def _delete_all_but_report(folder: Path) -> None:
     """All but the page and the schedule."""
-    for path in place.iterdir():
+    for path in folder.iterdir():
         if path.is_file() and path.name not in ("fleet.html", "fleet.png", "schedule.json"):
             path.unlink()
 
 
-def _render_view(console: Console, played: Schedule, found: dict[str, Any]) -> None:
+def _render_view(console: Console, run_schedule: Schedule, found: dict[str, Any]) -> None:
     view = found["view"]
     rows = [
         (s["cause"], f"{s['at_s']:.2f}", "-" if s["took_s"] is None else f"{s['took_s']:.2f}")
         for s in view["settled"][:60]
     ]
-    title = f"{played.name}, {len(played.names)} nodes, seed {played.seed}: until all agreed"
+    title = (
+        f"{run_schedule.name}, {len(run_schedule.names)} nodes, seed {run_schedule.seed}: until all agreed"
+    )
     console.print(show.table(title, ("what had changed", "at s", "took s"), rows))
     if view["settled_s"]:
         s = view["settled_s"]
         console.print(f"settled {s['count']} times: median {s['median']:.2f} s, worst {s['worst']:.2f} s")
-    most = f"budgets at most {view['budget_most']:.2f} of the whole"
-    console.print(f"false deaths {view['false_deaths']}; {most}")
+    budgets = f"budgets at most {view['budget_most']:.2f} of the whole"
+    console.print(f"false deaths {view['false_deaths']}; {budgets}")
     for o in view["offences"][:10]:
         console.print(f"{o['at_us'] / 1e6:.2f} s {o['rule']}: {o['text']}", markup=False, highlight=False)
 
 
-def _render(console: Console, played: Schedule, found: dict[str, Any]) -> None:
-    _render_view(console, played, found)
+def _render(console: Console, run_schedule: Schedule, found: dict[str, Any]) -> None:
+    _render_view(console, run_schedule, found)
     console.print(f"{found['requests']} requests, {found['in_time']:.2%} of the tries in time, rules broken: "
                   f"{found['rules'] or 'none'}; busy: {found['busy']}", highlight=False)  # fmt: skip
-    for name, told in found["turns"].items():
-        most = max((x["work_ms"] for x in told["longest"]), default=0.0)
-        turns = f"{told['looks']} looks, {told['long']} turns of over 5 ms"
-        console.print(f"{name}: {turns}, most own work {most:.1f} ms", highlight=False)
+    for name, node_turns in found["turns"].items():
+        highest = max((x["work_ms"] for x in node_turns["longest"]), default=0.0)
+        turns = f"{node_turns['looks']} looks, {node_turns['long']} turns of over 5 ms"
+        console.print(f"{name}: {turns}, most own work {highest:.1f} ms", highlight=False)
     console.print(f"Page: {found['html']}", highlight=False, soft_wrap=True)
--- a/granitewell/cli/lab_judge.py
+++ b/granitewell/cli/lab_judge.py
@@ -18,7 +18,7 @@
 from granitewell.lab.recording import Line, RecordingError, merge, replay
 from granitewell.lab.scenario import ScenarioError, draw, load
 
-MARK = 2000  # lines between two steps of the progress bar
+LINES_PER_STEP = 2000  # lines between two steps of the progress bar
 
 
 @click.command(epilog="Example:\n\n  granitewell lab judge out/*.jsonl --day out/day.json")
@@ -34,43 +34,43 @@
 
     Exit code 1: a rule is broken. 2: a file that is no recording, or a day that can't be used.
     """
-    day = _day(day_file, scenario, seed)
-    judged = Judge(day)
+    day = _load_day(day_file, scenario, seed)
+    day_judge = Judge(day)
     try:
-        lines = sum(_count(path) for path in files)
-        with show.progress("judging", lines // MARK + 1) as steps:
-            replay(_marked(merge(files), steps), judged)
+        lines = sum(_count_lines(path) for path in files)
+        with show.progress("judging", lines // LINES_PER_STEP + 1) as steps:
+            replay(_with_progress(merge(files), steps), day_judge)
     except OSError as error:
-        raise show.Told(f"{error.filename}: {error.strerror}") from None
+        raise show.CommandError(f"{error.filename}: {error.strerror}") from None
     except ValueError as error:  # RecordingError, and what the judge does not know
         where = "" if isinstance(error, RecordingError) else f"{files[0]}{' ...' if files[1:] else ''}: "
-        raise show.Told(f"{where}{error}") from None
-    report = judged.report()
+        raise show.CommandError(f"{where}{error}") from None
+    report = day_judge.report()
     show.emit(report.as_dict(), as_json, lambda console: render(report, console))
     if not report.kept:
-        raise click.exceptions.Exit(show.FOUND)
+        raise click.exceptions.Exit(show.BAD_OUTCOME)
 
 
-def _day(day_file: Path | None, scenario: str | None, seed: int | None) -> Day:
+def _load_day(day_file: Path | None, scenario: str | None, seed: int | None) -> Day:
     if (day_file is None) == (scenario is None) or (scenario is None) != (seed is None):
-        raise show.Told("give either --day FILE, or --scenario NAME with --seed N")
+        raise show.CommandError("give either --day FILE, or --scenario NAME with --seed N")
     try:
         if day_file is not None:
             return day_json.load_file(day_file)
         assert scenario is not None and seed is not None
         return draw(load(scenario), seed)
     except (day_json.DayError, ScenarioError) as error:
-        raise show.Told(str(error)) from None
+        raise show.CommandError(str(error)) from None
 
 
-def _count(path: Path) -> int:
+def _count_lines(path: Path) -> int:
     with path.open("rb") as data:
         return sum(chunk.count(b"\n") for chunk in iter(lambda: data.read(1 << 20), b""))
 
 
-def _marked(lines: Iterable[Line], steps: show.Steps) -> Iterator[Line]:
+def _with_progress(lines: Iterable[Line], steps: show.Steps) -> Iterator[Line]:
     for k, line in enumerate(lines):
-        if k % MARK == 0:
+        if k % LINES_PER_STEP == 0:
             steps.step()
         yield line
 
--- a/granitewell/cli/lab_load.py
+++ b/granitewell/cli/lab_load.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class LoadOptions:
     """The options, read and checked, before anything is looked up or started."""
 
     plan: Plan  # its targets as named, its connections still over all processes
@@ -64,40 +64,54 @@
     hdr: str | None
 
 
-def _read(o: dict[str, Any]) -> Asked:
-    rates = read_rates(o["rate"], o["steps"], o["sweep"])
-    within("--duration", o["duration"], 0.1, 86_400)
-    within("--processes", o["processes"], 1, 64)
-    within("--timeout-ms", o["timeout_ms"], 1, 600_000)
-    within("--nice", o["nice"], -20, 19)
-    within("--keys", o["keys"], 0, 1e9)
-    if bool(o["target"]) == (o["against_bare"] is not None):
+def _parse_options(options: dict[str, Any]) -> LoadOptions:
+    rates = read_rates(options["rate"], options["steps"], options["sweep"])
+    within("--duration", options["duration"], 0.1, 86_400)
+    within("--processes", options["processes"], 1, 64)
+    within("--timeout-ms", options["timeout_ms"], 1, 600_000)
+    within("--nice", options["nice"], -20, 19)
+    within("--keys", options["keys"], 0, 1e9)
+    if bool(options["target"]) == (options["against_bare"] is not None):
         allowed = "HOST:PORT[,HOST:PORT...], or --against-bare in its place"
-        raise OptionError("--target", o["target"] or "nothing", allowed)
-    if o["against_bare"] is not None:
-        within("--against-bare", o["against_bare"], 1, 16)
-    plan = _plan(o)
-    if o["connections"] is not None:
-        targets = len(plan.targets) or o["against_bare"]
-        within("--connections", o["connections"], plan.workers * targets, 1_000_000)
-    if not o["path"].startswith("/") or not o["path"].isascii() or any(c <= " " for c in o["path"]):
-        raise OptionError("--path", o["path"], "a path that starts with / and holds no space")
-    length_us, bare = int(o["duration"] * 1e6), o["against_bare"] or 0
-    return Asked(plan, rates, o["sweep"], length_us, o["connections"], bare, o["pin"], o["nice"], o["hdr"])
-
-
-def _plan(o: dict[str, Any]) -> Plan:
+        raise OptionError("--target", options["target"] or "nothing", allowed)
+    if options["against_bare"] is not None:
+        within("--against-bare", options["against_bare"], 1, 16)
+    plan = _build_plan(options)
+    if options["connections"] is not None:
+        targets = len(plan.targets) or options["against_bare"]
+        within("--connections", options["connections"], plan.workers * targets, 1_000_000)
+    if (
+        not options["path"].startswith("/")
+        or not options["path"].isascii()
+        or any(c <= " " for c in options["path"])
+    ):
+        raise OptionError("--path", options["path"], "a path that starts with / and holds no space")
+    length_us, bare = int(options["duration"] * 1e6), options["against_bare"] or 0
+    return LoadOptions(
+        plan,
+        rates,
+        options["sweep"],
+        length_us,
+        options["connections"],
+        bare,
+        options["pin"],
+        options["nice"],
+        options["hdr"],
+    )
+
+
+def _build_plan(options: dict[str, Any]) -> Plan:
     return Plan(
-        targets=read_targets(o["target"]) if o["target"] else (),
-        classes=tuple(map(read_class, o["classes"])),
-        tenants=tuple(map(read_tenant, o["tenants"])) or (LoadTenant("load", 1.0),),
-        path=o["path"],
-        keys=o["keys"],
-        timeout_us=o["timeout_ms"] * 1000,
+        targets=read_targets(options["target"]) if options["target"] else (),
+        classes=tuple(map(read_class, options["classes"])),
+        tenants=tuple(map(read_tenant, options["tenants"])) or (LoadTenant("load", 1.0),),
+        path=options["path"],
+        keys=options["keys"],
+        timeout_us=options["timeout_ms"] * 1000,
         connections=0,
-        workers=o["processes"],
-        arrivals=o["arrivals"],
-        seed=o["seed"],
+        workers=options["processes"],
+        arrivals=options["arrivals"],
+        seed=options["seed"],
         run=os.urandom(4).hex(),
     )
 
@@ -109,107 +123,119 @@
     def stop(_signal: int, _frame: FrameType | None) -> None:
         crew.stop()
 
-    kept = {number: signal.signal(number, stop) for number in (signal.SIGINT, signal.SIGTERM)}
+    previous_handlers = {number: signal.signal(number, stop) for number in (signal.SIGINT, signal.SIGTERM)}
     try:
         yield
     finally:
-        for number, handler in kept.items():
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
 
 
-def _play(asked: Asked) -> Outcome:
-    plan = asked.plan
-    share = preflight.connections(asked.connections, plan.workers)
-    folder = preflight.folder(asked.hdr)
+def _run_load(options: LoadOptions) -> Outcome:
+    plan = options.plan
+    share = preflight.connections(options.connections, plan.workers)
+    folder = preflight.folder(options.hdr)
     # the quietest CPUs for the workers, then the stand-ins; where there are too few, nobody is pinned
-    cpus: Sequence[int | None] = preflight.quiet_cpus() if asked.pin else []
-    if len(cpus) < plan.workers + asked.bare:
-        cpus = [None] * (plan.workers + asked.bare)
-    stands = Stands(asked.bare, cpus[plan.workers :]) if asked.bare else None
+    cpus: Sequence[int | None] = preflight.quiet_cpus() if options.pin else []
+    if len(cpus) < plan.workers + options.bare:
+        cpus = [None] * (plan.workers + options.bare)
+    stand_ins = Stands(options.bare, cpus[plan.workers :]) if options.bare else None
     try:
-        targets = stands.targets if stands else preflight.resolved(plan.targets)
-        outcome = _crewed(asked, replace(plan, targets=targets, connections=share), cpus)
+        targets = stand_ins.targets if stand_ins else preflight.resolved(plan.targets)
+        outcome = _run_workers(options, replace(plan, targets=targets, connections=share), cpus)
     finally:
-        if stands:
-            stands.close()
+        if stand_ins:
+            stand_ins.close()
     run.judge(outcome)
     if folder is not None:
         try:
             run.write(outcome, folder)
         except OSError as error:
-            raise show.NoMeans(f"--hdr: can't write in {asked.hdr}: {error.strerror}") from None
+            raise show.UnavailableError(f"--hdr: can't write in {options.hdr}: {error.strerror}") from None
     return outcome
 
 
-def _crewed(asked: Asked, plan: Plan, cpus: Sequence[int | None]) -> Outcome:
-    crew = Crew(plan, cpus, asked.nice)
+def _run_workers(options: LoadOptions, plan: Plan, cpus: Sequence[int | None]) -> Outcome:
+    crew = Crew(plan, cpus, options.nice)
     try:
         with _interruptible(crew):
-            if not asked.sweep:
-                todo = run.steps(asked.rates, asked.length_us)
-                return _stepped(asked, crew, todo, len(asked.rates), lambda _: None)
-            sweep = Sweep(*asked.rates)
-            todo = run.sweep(sweep, asked.length_us)
-            return _stepped(asked, crew, todo, sweep.most_plays, lambda result: sweep.add(result.point))
+            if not options.sweep:
+                steps = run.steps(options.rates, options.length_us)
+                return _run_with_progress(options, crew, steps, len(options.rates), lambda _: None)
+            sweep = Sweep(*options.rates)
+            steps = run.sweep(sweep, options.length_us)
+            return _run_with_progress(
+                options, crew, steps, sweep.most_plays, lambda result: sweep.add(result.point)
+            )
     finally:
         crew.close()
 
 
-def _stepped(
-    asked: Asked, crew: Crew, todo: Iterator[Step], most: int, seen: Callable[[Result], None]
+def _run_with_progress(
+    options: LoadOptions,
+    crew: Crew,
+    steps: Iterator[Step],
+    max_steps: int,
+    on_result: Callable[[Result], None],
 ) -> Outcome:
     """Play with a bar that counts seconds of load; a sweep may need fewer than are announced."""
-    each_s = max(asked.length_us // 1_000_000, 1)
-    with show.progress("load, seconds", most * each_s) as bar:
-        begun, shown = time.monotonic(), 0
+    each_s = max(options.length_us // 1_000_000, 1)
+    with show.progress("load, seconds", max_steps * each_s) as bar:
+        started, shown_s = time.monotonic(), 0
 
-        def upto(seconds: int) -> None:
-            nonlocal shown
-            bar.step(max(min(seconds, each_s) - shown, 0))
-            shown = max(min(seconds, each_s), shown)
+        def advance_to(seconds: int) -> None:
+            nonlocal shown_s
+            bar.step(max(min(seconds, each_s) - shown_s, 0))
+            shown_s = max(min(seconds, each_s), shown_s)
 
         def done(result: Result) -> None:
-            nonlocal begun, shown
-            upto(each_s)
-            begun, shown = time.monotonic(), 0
-            seen(result)
+            nonlocal started, shown_s
+            advance_to(each_s)
+            started, shown_s = time.monotonic(), 0
+            on_result(result)
 
-        return run.play(crew, todo, asked.plan.timeout_us, lambda: upto(int(time.monotonic() - begun)), done)
+        return run.play(
+            crew, steps, options.plan.timeout_us, lambda: advance_to(int(time.monotonic() - started)), done
+        )
 
 
 # --- What is shown ---
-_ENDS = ("rate/s", "due", "served", "refused", "failed", "timed out", "reset", "not connected", "cut",
-         "served/s", "left late", "busiest worker", "")  # fmt: skip
-_TIMES = ("rate/s", "p50", "p90", "p99", "p99.9", "max", "service p50", "p99", "p99.9", "max", "")
+_OUTCOME_COLUMNS = (
+    "rate/s", "due", "served", "refused", "failed", "timed out", "reset", "not connected", "cut",
+    "served/s", "left late", "busiest worker", "",
+)  # fmt: skip
+_LATENCY_COLUMNS = ("rate/s", "p50", "p90", "p99", "p99.9", "max", "service p50", "p99", "p99.9", "max", "")
 
 
-def _ends(result: Result) -> list[object]:
+def _outcome_row(result: Result) -> list[object]:
     f = run.tally_figures(result.tally, result.took_s)
     counts = [f[end.value] for end in End]
-    own = [f"{f['late_part']:.2%}", f"{max(result.busy, default=0.0):.0%}", _mark(result)]
+    own = [f"{f['late_part']:.2%}", f"{max(result.busy, default=0.0):.0%}", _status(result)]
     return [f"{result.step.rate:g}", f["due"], *counts, f"{f['goodput_per_s']:g}", *own]
 
 
-def _times(result: Result) -> list[object]:
+def _latency_row(result: Result) -> list[object]:
     f = run.tally_figures(result.tally, result.took_s)
-    latency = _ms(f["latency_ms"], "p50", "p90", "p99", "p99.9", "max")
-    service = _ms(f["service_ms"], "p50", "p99", "p99.9", "max")
-    return [f"{result.step.rate:g}", *latency, *service, _mark(result)]
+    latency = _latencies(f["latency_ms"], "p50", "p90", "p99", "p99.9", "max")
+    service = _latencies(f["service_ms"], "p50", "p99", "p99.9", "max")
+    return [f"{result.step.rate:g}", *latency, *service, _status(result)]
 
 
-def _mark(result: Result) -> str:
+def _status(result: Result) -> str:
     return "VOID" if result.void else "cut short" if result.stopped else ""
 
 
-def _ms(times: dict[str, float | None], *names: str) -> list[object]:
+def _latencies(times: dict[str, float | None], *names: str) -> list[object]:
     return [times[name] if times[name] is not None else "-" for name in names]
 
 
 def _render(outcome: Outcome) -> Callable[[Console], None]:
     def render(console: Console) -> None:
-        console.print(show.table("What became of the requests", _ENDS, map(_ends, outcome.results)))
+        console.print(
+            show.table("What became of the requests", _OUTCOME_COLUMNS, map(_outcome_row, outcome.results))
+        )
         title = "Milliseconds from when a request was due, and (service) from when it left"
-        console.print(show.table(title, _TIMES, map(_times, outcome.results)))
+        console.print(show.table(title, _LATENCY_COLUMNS, map(_latency_row, outcome.results)))
         if outcome.knee is not None:
             found = outcome.knee
             console.print(f"knee: {_knee_text(found)} ({found.why})\nrule: {knee.RULE}", soft_wrap=True)
@@ -274,13 +300,13 @@
     spoilt are marked VOID, and the exit code is then 1.
     """
     try:
-        outcome = _play(_read(options))
+        outcome = _run_load(_parse_options(options))
     except OptionError as error:
-        raise show.Told(str(error)) from None
+        raise show.CommandError(str(error)) from None
     except preflight.PreflightError as error:
-        raise show.NoMeans(str(error)) from None
+        raise show.UnavailableError(str(error)) from None
     show.emit(run.figures(outcome), as_json, _render(outcome))
     if outcome.void:
-        raise show.Found(f"the tool was the bottleneck, or broke: {'; '.join(outcome.void)}")
+        raise show.BadOutcomeError(f"the tool was the bottleneck, or broke: {'; '.join(outcome.void)}")
     if outcome.interrupted:
         raise SystemExit(INTERRUPTED)
--- a/granitewell/cli/lab_membership.py
+++ b/granitewell/cli/lab_membership.py
@@ -18,7 +18,7 @@
 from granitewell.lab.cluster import membership_measure as subject
 from granitewell.lab.cluster.membership_measure import SCENARIOS, VARIANTS, Plan
 
-_FIGURES: dict[str, Any] = {field.name: field.default for field in fields(type(Plan("idle").figures))}
+_DEFAULT_FIGURES: dict[str, Any] = {field.name: field.default for field in fields(type(Plan("idle").figures))}
 
 
 @click.command(
@@ -49,35 +49,37 @@
 
     But for cold they join without loss. 500 members take about two minutes of CPU for a minute under loss.
     """
-    figures = VARIANTS[variant](replace(Plan(scenario).figures, **_set(sets)))
+    figures = VARIANTS[variant](replace(Plan(scenario).figures, **_parse_overrides(sets)))
     plan = Plan(scenario, members, loss, seconds, seed, deaths, figures)
-    begun = process_time()
+    started_s = process_time()
     try:
         found = subject.measure(plan)
     except RuntimeError as error:
-        raise show.Found(str(error)) from None
-    found["cpu_s"] = process_time() - begun
+        raise show.BadOutcomeError(str(error)) from None
+    found["cpu_s"] = process_time() - started_s
     data = {"plan": {**asdict(plan), "variant": variant}, "found": found}
     show.emit(data, as_json, lambda console: _render(console, plan, variant, found))
     if found.get("agreed_s", 0) is None:
-        raise show.Found(f"the members did not come to see the same: {found['not_agreed']}")
+        raise show.BadOutcomeError(f"the members did not come to see the same: {found['not_agreed']}")
 
 
-def _set(sets: tuple[str, ...]) -> dict[str, Any]:
-    chosen: dict[str, Any] = {}
+def _parse_overrides(sets: tuple[str, ...]) -> dict[str, Any]:
+    overrides: dict[str, Any] = {}
     for text in sets:
         name, equals, value = text.partition("=")
-        if name not in _FIGURES or not equals or not value.isdecimal():
-            raise show.Told(f"--set: found {text!r}, allowed is NAME=N with NAME of {', '.join(_FIGURES)}")
-        chosen[name] = type(_FIGURES[name])(int(value))
+        if name not in _DEFAULT_FIGURES or not equals or not value.isdecimal():
+            raise show.CommandError(
+                f"--set: found {text!r}, allowed is NAME=N with NAME of {', '.join(_DEFAULT_FIGURES)}"
+            )
+        overrides[name] = type(_DEFAULT_FIGURES[name])(int(value))
     try:
-        replace(Plan("idle").figures, **chosen)
+        replace(Plan("idle").figures, **overrides)
     except ValueError as error:
-        raise show.Told(f"--set: {error}") from None
-    return chosen
+        raise show.CommandError(f"--set: {error}") from None
+    return overrides
 
 
-_WORDS = {
+_FIGURE_LABELS = {
     "first_s": "death noticed by the first, s", "all_s": "death noticed by all, s",
     "never": "deaths never noticed", "agreed_s": "until all see the same, s",
     "not_agreed": "what they do not agree on", "seen_while_cut": "members seen while cut off",
@@ -91,7 +93,7 @@
     "stood_s": "standing still that was noticed, s", "measured_s": "virtual time measured, s",
     "cpu_s": "CPU of all, joining included, s",
 }  # fmt: skip
-_PARTS = ("median", "p95", "worst")
+_STATISTICS = ("median", "p95", "worst")
 
 
 def _render(console: Console, plan: Plan, variant: str, found: dict[str, Any]) -> None:
@@ -99,11 +101,11 @@
     rows = []
     for name, value in found.items():
         if isinstance(value, dict):
-            rows.append((_WORDS[name], *(f"{value[part]:.2f}" for part in _PARTS)))
+            rows.append((_FIGURE_LABELS[name], *(f"{value[part]:.2f}" for part in _STATISTICS)))
         else:
-            rows.append((_WORDS[name], _short(value), "", ""))
-    console.print(show.table(title, ("figure", *_PARTS), rows))
+            rows.append((_FIGURE_LABELS[name], _format_value(value), "", ""))
+    console.print(show.table(title, ("figure", *_STATISTICS), rows))
 
 
-def _short(value: object) -> str:
+def _format_value(value: object) -> str:
     return f"{value:.2f}" if isinstance(value, float) else "none" if value is None else str(value)
--- a/granitewell/cli/lab_mutants.py
+++ b/granitewell/cli/lab_mutants.py
@@ -27,13 +27,13 @@
     The unharmed program plays the same days, and a harmless change those of the figures. Exit code 1: a
     defect was not caught, or what is unharmed was.
     """
-    chosen = _chosen(only)
-    placebo = bench.harmless() if any("figure" in d.by for d in chosen) else None
+    defects = _select_defects(only)
+    harmless_change = bench.harmless() if any("figure" in d.by for d in defects) else None
     try:
-        with show.progress("planting", len(chosen) + 1 + (placebo is not None)) as steps:
-            result = bench.run(chosen, placebo, seeds, jobs, lambda _: steps.step())
+        with show.progress("planting", len(defects) + 1 + (harmless_change is not None)) as steps:
+            result = bench.run(defects, harmless_change, seeds, jobs, lambda _: steps.step())
     except (PatchError, RuntimeError) as error:
-        raise show.Told(str(error)) from None
+        raise show.CommandError(str(error)) from None
     data = {
         "outcomes": [o.as_dict() for o in result.outcomes], "control": result.control,
         "control_days": result.control_days, "control_records": result.control_records,
@@ -41,14 +41,14 @@
     }  # fmt: skip
     show.emit(data, as_json, lambda console: render(result, console))
     if not result.good:
-        raise click.exceptions.Exit(show.FOUND)
+        raise click.exceptions.Exit(show.BAD_OUTCOME)
 
 
-def _chosen(only: Sequence[str]) -> list[Defect]:
+def _select_defects(only: Sequence[str]) -> list[Defect]:
     known = {d.name: d for d in DEFECTS}
     for name in only:
         if name not in known:
-            raise show.Told(f"--only: found {name!r}, allowed: {', '.join(known)}")
+            raise show.CommandError(f"--only: found {name!r}, allowed: {', '.join(known)}")
     return [d for d in DEFECTS if not only or d.name in only]
 
 
@@ -56,9 +56,9 @@
     """The table, then what is known of the unharmed program."""
     rows = []
     for o in result.outcomes:
-        by = o.by if o.understood or not o.by else f"{o.by} (expected {', '.join(o.expected)})"
-        where = f"{o.scenario} {o.seed}" if o.scenario else ""
-        rows.append([o.name, by or "NOT CAUGHT", where, o.days, o.text])
+        caught_by = o.by if o.understood or not o.by else f"{o.by} (expected {', '.join(o.expected)})"
+        first_day = f"{o.scenario} {o.seed}" if o.scenario else ""
+        rows.append([o.name, caught_by or "NOT CAUGHT", first_day, o.days, o.text])
     console.print(show.table("Planted defects", ["defect", "caught by", "first on", "days", "how"], rows))
     caught = sum(bool(o.by) for o in result.outcomes)
     console.print(f"{caught} of {len(result.outcomes)} caught.", highlight=False)
--- a/granitewell/cli/lab_run.py
+++ b/granitewell/cli/lab_run.py
@@ -21,7 +21,7 @@
 from granitewell.lab.experiments import runner, store
 from granitewell.lab.experiments.figures import FIGURES, Compared, compare
 
-_ROOT = Path(granitewell.__file__).parent.parent
+_SOURCE_ROOT = Path(granitewell.__file__).parent.parent
 
 
 @click.command("run", epilog="Example:\n\n  granitewell lab run patience.toml --out results --jobs 4")
@@ -36,31 +36,31 @@
     Exit code 1: a run failed. Results of another experiment or another code are never mixed in.
     """
     plan = _plan(experiment)
-    most = jobs or (1 if plan.shell == "sockets" else len(os.sched_getaffinity(0)))
+    jobs_at_once = jobs or (1 if plan.shell == "sockets" else len(os.sched_getaffinity(0)))
     try:
-        with closing(store.Store(out, create=True)) as held:
-            failed = _play(plan, held, most)
-            kept = list(held.all())
+        with closing(store.Store(out, create=True)) as results_store:
+            failed = _run_missing(plan, results_store, jobs_at_once)
+            results = list(results_store.all())
     except store.StoreError as error:
-        raise show.NoMeans(str(error)) from None
-    _show(plan, kept, as_json, f"granitewell lab report {out}")
+        raise show.UnavailableError(str(error)) from None
+    _emit_comparison(plan, results, as_json, f"granitewell lab report {out}")
     if failed:
-        why = _last_failure(kept)
-        raise show.Found(f"{failed} runs failed, the last: {why}; they are tried again next time")
+        why = _last_failure(results)
+        raise show.BadOutcomeError(f"{failed} runs failed, the last: {why}; they are tried again next time")
 
 
-def _play(plan: plans.Plan, held: store.Store, jobs: int) -> int:
-    held.claim(plan, store.fingerprint(_ROOT))
-    done = held.done()
-    left = [r for r in plan.runs() if r.key not in done]
+def _run_missing(plan: plans.Plan, results_store: store.Store, jobs: int) -> int:
+    results_store.claim(plan, store.fingerprint(_SOURCE_ROOT))
+    done = results_store.done()
+    remaining = [r for r in plan.runs() if r.key not in done]
     failed = 0
     with show.progress(plan.name, len(plan.runs())) as bar:
-        bar.step(len(plan.runs()) - len(left))
-        ended = runner.play(left, plan, jobs)
+        bar.step(len(plan.runs()) - len(remaining))
+        ended = runner.play(remaining, plan, jobs)
         with closing(ended):  # type: ignore[type-var]
-            for kept in ended:
-                held.put(kept)
-                failed += bool(kept.failed)
+            for result in ended:
+                results_store.put(result)
+                failed += bool(result.failed)
                 bar.step()
     return failed
 
@@ -73,18 +73,18 @@
     from granitewell.lab.experiments import report as reports
 
     try:
-        with closing(store.Store(out)) as held:
-            plan = plans.parse(held.about("plan"), str(held.path))
-            kept = list(held.all())
-            about = {"code": held.about("code"), "python": platform.python_version(),
+        with closing(store.Store(out)) as results_store:
+            plan = plans.parse(results_store.about("plan"), str(results_store.path))
+            results = list(results_store.all())
+            about = {"code": results_store.about("code"), "python": platform.python_version(),
                      "machine": f"{os.cpu_count()} cores, {platform.machine()}"}  # fmt: skip
-        page = reports.write(out, plan, kept, about)
+        page = reports.write(out, plan, results, about)
     except (store.StoreError, plans.PlanError) as error:
-        raise show.Told(str(error)) from None
+        raise show.CommandError(str(error)) from None
     except OSError as error:
-        raise show.NoMeans(f"{error.filename or out}: {error.strerror}") from None
+        raise show.UnavailableError(f"{error.filename or out}: {error.strerror}") from None
     if as_json:
-        _show(plan, kept, True, "")
+        _emit_comparison(plan, results, True, "")
     else:
         click.echo(str(page))
 
@@ -93,37 +93,38 @@
     try:
         return plans.load(path)
     except plans.PlanError as error:
-        raise show.Told(str(error)) from None
+        raise show.CommandError(str(error)) from None
 
 
-def _last_failure(kept: list[store.Kept]) -> str:
-    found = [k for k in kept if k.failed]
+def _last_failure(results: list[store.Kept]) -> str:
+    found = [k for k in results if k.failed]
     return f"{found[-1].variant} on {found[-1].setting}, seed {found[-1].seed}: {found[-1].failed}"
 
 
-def _show(plan: plans.Plan, kept: list[store.Kept], as_json: bool, more: str) -> None:
-    rows = compare(kept, plan.base, plan.troubles(), plan.oracle)
+def _emit_comparison(plan: plans.Plan, results: list[store.Kept], as_json: bool, report_hint: str) -> None:
+    rows = compare(results, plan.base, plan.troubles(), plan.oracle)
     data: dict[str, Any] = {
         "name": plan.name, "base": plan.base, "runs": len(plan.runs()), "figures": [asdict(r) for r in rows],
         "failed": [{"variant": k.variant, "setting": k.setting, "seed": k.seed, "why": k.failed}
-                   for k in kept if k.failed],
+                   for k in results if k.failed],
     }  # fmt: skip
-    show.emit(data, as_json, lambda console: _tables(console, plan, rows, more))
+    show.emit(data, as_json, lambda console: _render(console, plan, rows, report_hint))
 
 
-def _tables(console: Console, plan: plans.Plan, rows: list[Compared], more: str) -> None:
+def _render(console: Console, plan: plans.Plan, rows: list[Compared], report_hint: str) -> None:
     for figure in ("g", "worst_window", "during", "of_oracle", "after_2s", "back_s", "waste", "broken"):
         lines = [
-            (f"{r.setting}  {r.variant}", r.mean, r.worst, "" if r.variant == plan.base else _apart(r))
+            (f"{r.setting}  {r.variant}", r.mean, r.worst,
+             "" if r.variant == plan.base else _difference_text(r))
             for r in rows if r.figure == figure
         ]  # fmt: skip
         if not lines:
             continue  # no oracle among the variants, or no trouble on any day
         columns = ("scenario, variant", "mean", "worst seed", f"against {plan.base}, paired, 95%")
         console.print(show.table(f"{figure}: {FIGURES[figure]}", columns, lines))
-    console.print(f"the page with all figures and plots: {more}")
+    console.print(f"the page with all figures and plots: {report_hint}")
 
 
-def _apart(row: Compared) -> str:
+def _difference_text(row: Compared) -> str:
     mark = " *" if row.told_apart else ""
     return f"{row.difference:+.4f} [{row.low:+.4f}, {row.high:+.4f}]{mark}"
--- a/granitewell/cli/lab_scenario.py
+++ b/granitewell/cli/lab_scenario.py
@@ -9,13 +9,13 @@
 import msgspec
 from rich.console import Console
 
-from granitewell.cli.show import Told, as_json, emit, table
+from granitewell.cli.show import CommandError, as_json, emit, table
 from granitewell.lab.day import Day, Fault
 from granitewell.lab.scenario import Scenario, ScenarioError, builtin, draw, load, schedule
 from granitewell.lab.scenarios.text import toml
 
 
-class BadScenario(Told):
+class InvalidScenarioError(CommandError):
     """One line on standard error for each thing that is wrong with a scenario."""
 
     def __init__(self, error: ScenarioError) -> None:
@@ -24,15 +24,15 @@
     def show(self, file: object = None) -> None:
         """All lines, each with the program's name."""
         for line in self.message.splitlines():
-            Told(line).show()
+            CommandError(line).show()
 
 
-def loaded(name: str) -> Scenario:
+def load_scenario(name: str) -> Scenario:
     """The scenario of an argument; whatever is wrong ends the command with exit code 2."""
     try:
         return load(name)
     except ScenarioError as error:
-        raise BadScenario(error) from None
+        raise InvalidScenarioError(error) from None
 
 
 @click.command("scenarios")
@@ -46,7 +46,7 @@
              granitewell lab scenarios wide > mine.toml
     """
     if name is not None:
-        one = loaded(name)
+        one = load_scenario(name)
         emit(msgspec.to_builtins(one.table), as_json, lambda _: click.echo(toml(one), nl=False))
         return
     rows = [(n, load(n).table.about) for n in builtin()]
@@ -79,7 +79,7 @@
     Example: granitewell lab draw chaos --seed 7
              granitewell lab draw busy --endpoints 30 --nodes 6 --json
     """
-    found = loaded(scenario)
+    found = load_scenario(scenario)
     try:
         day = draw(
             found, seed, nodes=nodes, endpoints=endpoints, rate=rate, length_s=length_s,
@@ -87,22 +87,24 @@
         )  # fmt: skip
         planned = schedule(found, seed, nodes=nodes, endpoints=endpoints, rate=rate, length_s=length_s)
     except ScenarioError as error:
-        raise BadScenario(error) from None
+        raise InvalidScenarioError(error) from None
     data = {"day": msgspec.to_builtins(day), "schedule": msgspec.to_builtins(planned)}
-    emit(data, as_json, lambda console: _show(console, day, planned))
+    emit(data, as_json, lambda console: _render_day(console, day, planned))
 
 
-def _show(console: Console, day: Day, planned: tuple[Fault, ...]) -> None:
-    console.print(_head(day), highlight=False)
+def _render_day(console: Console, day: Day, planned: tuple[Fault, ...]) -> None:
+    console.print(_summary(day), highlight=False)
     console.print(table("Endpoints", ("id", "kind", "zone", "cell", "speed", "starts s"), [
         (e.id, day.kinds[e.kind].name, day.zones[e.zone], e.cell, e.speed, f"{e.started_us / 1e6:.3f}")
         for e in day.endpoints
     ]))  # fmt: skip
     if planned:
         columns = ("source", *COLUMNS[1:])
-        console.print(table("Schedule", columns, [_row(k, f) for k, f in enumerate(planned)]))
+        console.print(table("Schedule", columns, [_fault_row(k, f) for k, f in enumerate(planned)]))
     if day.faults:
-        console.print(table("Elementary faults", COLUMNS, [_row(k, f) for k, f in enumerate(day.faults)]))
+        console.print(
+            table("Elementary faults", COLUMNS, [_fault_row(k, f) for k, f in enumerate(day.faults)])
+        )
     drawn = sorted(day.notes.items())
     console.print(table("Drawn", ("field", "figure"), drawn))
 
@@ -110,14 +112,14 @@
 COLUMNS = ("fault", "at s", "until s", "kind", "target", "params")
 
 
-def _row(index: int, fault: Fault) -> tuple[object, ...]:
+def _fault_row(index: int, fault: Fault) -> tuple[object, ...]:
     until = f"{fault.until_us / 1e6:.3f}" if fault.until_us >= 0 else "-"
-    told = [(k, v) for k, v in fault.params if v or k == "source"]
-    params = " ".join(f"{k}={v:.6g}" if isinstance(v, float) else f"{k}={v}" for k, v in told)
+    shown = [(k, v) for k, v in fault.params if v or k == "source"]
+    params = " ".join(f"{k}={v:.6g}" if isinstance(v, float) else f"{k}={v}" for k, v in shown)
     return index, f"{fault.at_us / 1e6:.3f}", until, fault.kind, fault.target or "-", params
 
 
-def _head(day: Day) -> str:
+def _summary(day: Day) -> str:
     rates = [rate for _, rate in day.load.rate]
     load = f"{min(rates):.0f} to {max(rates):.0f} first tries a second" if rates else ""
     if day.load.trace:
--- a/granitewell/cli/lab_sim.py
+++ b/granitewell/cli/lab_sim.py
@@ -26,7 +26,7 @@
 
 MAX_SEEDS = 100_000
 
-_SIZES = (
+_SIZE_OPTIONS = (
     click.option("--nodes", type=click.IntRange(1, 10_000), help="So many nodes."),
     click.option("--endpoints", type=click.IntRange(1, 100_000), help="So many endpoints."),
     click.option("--rate", type=click.FloatRange(0.01, 1e6), help="First tries a second."),
@@ -36,8 +36,8 @@
 )  # fmt: skip
 
 
-def _sized(command: Any) -> Any:
-    for option in reversed(_SIZES):
+def _with_size_options(command: Any) -> Any:
+    for option in reversed(_SIZE_OPTIONS):
         command = option(command)
     return command
 
@@ -45,7 +45,7 @@
 @click.command("sim", epilog="Example:\n\n  granitewell lab sim deploy --seed 7")
 @click.argument("scenario")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Which day is drawn.")
-@_sized
+@_with_size_options
 @click.option("--only-faults", metavar="K,K", help="Only these of the day's faults, by number; or `none`.")
 @click.option("--trace", type=click.Path(dir_okay=False, path_type=Path),
               help="Write all that is observed to a file, a JSON line each.")  # fmt: skip
@@ -59,8 +59,8 @@
     The same seed gives the same digest on any machine. Exit code 1: a rule was broken.
     """
     case = Case(scenario, nodes, endpoints, rate, length_s, policy)
-    day = _drawn(case, seed)
-    only = _only(only_faults, day)
+    day = _draw_day(case, seed)
+    only = _parse_fault_indices(only_faults, day)
     judge = Judge(day)
     played, sampler = _run(day, policy, judge, only, trace, profile)
     report = judge.report()
@@ -69,7 +69,7 @@
         data["profile"] = {"parts": sampler.parts(), "functions": sampler.functions()}
     show.emit(data, as_json, lambda console: _render(console, report, played, sampler))
     if not report.kept:
-        raise show.Found(f"seed {seed}: {report.broken[0].rule}: {report.broken[0].text}")
+        raise show.BadOutcomeError(f"seed {seed}: {report.broken[0].rule}: {report.broken[0].text}")
 
 
 @click.command("hunt", epilog="Example:\n\n  granitewell lab hunt chaos --seeds 1..200 --jobs 4")
@@ -77,7 +77,7 @@
 @click.option("--seeds", "span", required=True, metavar="A..B", help="First and last seed.")
 @click.option("--jobs", type=click.IntRange(1, 1024), help="Processes; default: the cores of this machine.")
 @click.option("--below", type=float, help="A seed whose G is below this fails too.")
-@_sized
+@_with_size_options
 @show.as_json
 def hunt(scenario: str, span: str, jobs: int | None, below: float | None, nodes: int | None,
          endpoints: int | None, rate: float | None, length_s: float | None, policy: str,
@@ -88,32 +88,32 @@
     Exit code 1: some failed.
     """
     case = Case(scenario, nodes, endpoints, rate, length_s, policy, below)
-    wanted = _span(span)
-    _drawn(case, wanted[0])  # what is wrong with the scenario is said before anything starts
+    seeds = _parse_seed_range(span)
+    _draw_day(case, seeds[0])  # what is wrong with the scenario is said before anything starts
     found: list[Found] = []
-    with show.progress(f"{scenario}, seeds {span}", len(wanted)) as steps:
-        for one in hunting.seeds(case, wanted, jobs or os.cpu_count() or 1):
+    with show.progress(f"{scenario}, seeds {span}", len(seeds)) as steps:
+        for one in hunting.seeds(case, seeds, jobs or os.cpu_count() or 1):
             found.append(one)
             steps.step()
     found.sort(key=lambda f: f.seed)
-    bad = [f for f in found if f.failed]
-    gs = [f.g for f in found]
-    data = {"seeds": len(found), "failed": [asdict(f) for f in bad], "g_mean": sum(gs) / len(gs),
-            "g_least": min(gs)}  # fmt: skip
-    show.emit(data, as_json, lambda console: _render_hunt(console, data, bad))
-    if bad:
-        raise show.Found(f"{len(bad)} of {len(found)} seeds failed")
+    failures = [f for f in found if f.failed]
+    scores = [f.g for f in found]
+    data = {"seeds": len(found), "failed": [asdict(f) for f in failures], "g_mean": sum(scores) / len(scores),
+            "g_least": min(scores)}  # fmt: skip
+    show.emit(data, as_json, lambda console: _render_hunt(console, data, failures))
+    if failures:
+        raise show.BadOutcomeError(f"{len(failures)} of {len(found)} seeds failed")
 
 
 # --- Arguments ------------------------------------------------------------------------------------------
-def _drawn(case: Case, seed: int) -> Day:
+def _draw_day(case: Case, seed: int) -> Day:
     try:
         return case.day(seed)
     except ScenarioError as error:
-        raise show.Told("; ".join(error.problems)) from None
+        raise show.CommandError("; ".join(error.problems)) from None
 
 
-def _only(text: str | None, day: Day) -> tuple[int, ...] | None:
+def _parse_fault_indices(text: str | None, day: Day) -> tuple[int, ...] | None:
     if text is None:
         return None
     if text == "none":
@@ -121,20 +121,22 @@
     try:
         only = tuple(int(x) for x in text.split(","))
     except ValueError:
-        raise show.Told(f"--only-faults: found {text!r}, allowed are numbers as in 1,4, or none") from None
+        raise show.CommandError(
+            f"--only-faults: found {text!r}, allowed are numbers as in 1,4, or none"
+        ) from None
     for index in only:
         if not 0 <= index < len(day.faults):
             allowed = f"0 to {len(day.faults) - 1}" if day.faults else "none: the day has no faults"
-            raise show.Told(f"--only-faults: found {index}, allowed is {allowed}")
+            raise show.CommandError(f"--only-faults: found {index}, allowed is {allowed}")
     return only
 
 
-def _span(text: str) -> range:
+def _parse_seed_range(text: str) -> range:
     first, dots, last = text.partition("..")
     if not dots or not first.isdecimal() or not last.isdecimal() or int(first) > int(last):
-        raise show.Told(f"--seeds: found {text!r}, allowed is FIRST..LAST, as in 1..200")
+        raise show.CommandError(f"--seeds: found {text!r}, allowed is FIRST..LAST, as in 1..200")
     if int(last) - int(first) >= MAX_SEEDS:
-        raise show.Told(f"--seeds: found {int(last) - int(first) + 1} seeds, allowed are {MAX_SEEDS}")
+        raise show.CommandError(f"--seeds: found {int(last) - int(first) + 1} seeds, allowed are {MAX_SEEDS}")
     return range(int(first), int(last) + 1)
 
 
@@ -144,14 +146,14 @@
     try:
         file: IO[str] | None = trace.open("w") if trace is not None else None
     except OSError as error:
-        raise show.NoMeans(f"--trace {trace}: {error.strerror}") from None
+        raise show.UnavailableError(f"--trace {trace}: {error.strerror}") from None
     try:
         if not profile:
             return play(day, policy, judge, file, only=only), None
         with Sampler() as sampler:
             return play(day, policy, judge, file, only=only), sampler
     except OSError as error:  # the trace alone does I/O
-        raise show.NoMeans(f"--trace {trace}: {error.strerror}") from None
+        raise show.UnavailableError(f"--trace {trace}: {error.strerror}") from None
     finally:
         if file is not None:
             file.close()
@@ -180,11 +182,12 @@
         console.print(show.table("functions", ("function", "part", "share"), functions))
 
 
-def _render_hunt(console: Console, data: dict[str, Any], bad: list[Found]) -> None:
-    for f in bad:
+def _render_hunt(console: Console, data: dict[str, Any], failed: list[Found]) -> None:
+    for f in failed:
         console.print(f"seed {f.seed}  {f.failed}: {f.text}", markup=False, highlight=False, soft_wrap=True)
         console.print(f"  {f.command}", markup=False, highlight=False, soft_wrap=True)
     console.print(
-        f"{data['seeds']} seeds, {len(bad)} failed; G mean {data['g_mean']:.4f}, least {data['g_least']:.4f}",
+        f"{data['seeds']} seeds, {len(failed)} failed; "
+        f"G mean {data['g_mean']:.4f}, least {data['g_least']:.4f}",
         markup=False, highlight=False,
     )  # fmt: skip
--- a/granitewell/cli/lab_theory.py
+++ b/granitewell/cli/lab_theory.py
@@ -53,7 +53,7 @@
     show.emit(data, as_json, lambda console: _render(console, title, found))
     off = [f"{one.queue.name} at {one.queue.load:g}" for one in found if abs(one.error) > within]
     if off:
-        raise show.Found(f"over the allowed error: {', '.join(off)}")
+        raise show.BadOutcomeError(f"over the allowed error: {', '.join(off)}")
 
 
 def _render(console: Console, title: str, found: list[Measured]) -> None:
--- a/granitewell/cli/lab_trace.py
+++ b/granitewell/cli/lab_trace.py
@@ -13,7 +13,7 @@
 from granitewell.cli import show
 from granitewell.lab.capture import Summary, TraceError, read, summarise
 
-_ROWS = 20  # of the table of rates
+_MAX_RATE_ROWS = 20  # of the table of rates
 
 
 @click.command("trace", epilog="Example: granitewell lab trace rainy-evening.csv --json")
@@ -28,9 +28,9 @@
         with show.progress("reading", os.path.getsize(file)) as steps:
             found = summarise(read(file, steps.step))
     except TraceError as e:
-        raise show.Told(str(e)) from None
+        raise show.CommandError(str(e)) from None
     except OSError as e:
-        raise show.Told(f"{file}: {e.strerror or e}") from None
+        raise show.CommandError(f"{file}: {e.strerror or e}") from None
     show.emit(found.plain(), as_json, lambda console: _render(console, file, found))
 
 
@@ -54,7 +54,7 @@
 def _over_time(found: Summary) -> list[tuple[object, ...]]:
     """The seconds in at most so many rows: (from-to, mean, peak); without those in which nothing came."""
     last = found.seconds[-1][0]
-    width = last // _ROWS + 1
+    width = last // _MAX_RATE_ROWS + 1
     parts: dict[int, list[int]] = {}
     for second, tries in found.seconds:
         parts.setdefault(second // width * width, []).append(tries)
--- a/granitewell/cli/lab_up.py
+++ b/granitewell/cli/lab_up.py
@@ -31,29 +31,29 @@
 from granitewell.lab.loopback.play import play_on_sockets, run
 from granitewell.lab.scenario import ScenarioError, draw, load
 
-DEMO = "rainy-evening"
+DEMO_SCENARIO = "rainy-evening"
 OUTCOMES = ("served", "late", "refused", "failed")
 
 
-def _day(scenario: str, seed: int, **overrides: Any) -> Day:
+def _draw_day(scenario: str, seed: int, **overrides: Any) -> Day:
     """Draw it; a bad file or figure is one line and exit 2."""
     try:
         return draw(load(scenario), seed, **overrides)
     except ScenarioError as error:
-        raise show.Told(str(error)) from None
+        raise show.CommandError(str(error)) from None
 
 
-def _place(out: Path | None) -> Path:
+def _output_folder(out: Path | None) -> Path:
     return out if out is not None else Path(tempfile.mkdtemp(prefix="granitewell-"))
 
 
 @contextmanager
-def _means() -> Iterator[None]:
+def _resource_errors() -> Iterator[None]:
     """What the machine does not give is one line and exit 3."""
     try:
         yield
     except SocksError as error:
-        raise show.NoMeans(str(error)) from None
+        raise show.UnavailableError(str(error)) from None
 
 
 # --- up ---------------------------------------------------------------------------------------------------
@@ -96,23 +96,23 @@
 
     SCENARIO is the name of one that comes with granitewell, or a file.
     """
-    day = _day(scenario, seed, nodes=nodes, endpoints=endpoints)
+    day = _draw_day(scenario, seed, nodes=nodes, endpoints=endpoints)
     if not faults:
-        there = tuple(e for e in day.endpoints if e.started_us <= 0)
-        day = replace(day, faults=(), endpoints=there)
+        initial_endpoints = tuple(e for e in day.endpoints if e.started_us <= 0)
+        day = replace(day, faults=(), endpoints=initial_endpoints)
     options = Options(clients=clients or rude > 0, port=port, base=base, rough=rough, rude=rude)
     if not clients:
         day = replace(day, load=replace(day.load, rate=((0, 0.0),), trace=()))
 
-    async def stand(director: Director) -> None:
+    async def serve_until_stopped(director: Director) -> None:
         _emit_up(director.addresses(), as_json)
         stop = asyncio.Event()
-        for sign in (signal.SIGINT, signal.SIGTERM):
-            asyncio.get_running_loop().add_signal_handler(sign, stop.set)
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
         await stop.wait()
 
-    with _means():
-        run(day, _place(out), options, stand)
+    with _resource_errors():
+        run(day, _output_folder(out), options, serve_until_stopped)
 
 
 def _emit_up(addresses: dict[str, Any], as_json: bool) -> None:
@@ -145,26 +145,26 @@
     """
     from granitewell.lab.loopback import demo_report
 
-    place = _place(out)
-    day = _day(DEMO, seed, nodes=3, endpoints=12, length_s=seconds)
-    with _means(), show.progress("playing", int(seconds)) as bar:
-        played = play_on_sockets(day, place, Options(rough=0.02, watch=ticker(bar)))
-    path = place / "report.html"
+    folder = _output_folder(out)
+    day = _draw_day(DEMO_SCENARIO, seed, nodes=3, endpoints=12, length_s=seconds)
+    with _resource_errors(), show.progress("playing", int(seconds)) as bar:
+        played = play_on_sockets(day, folder, Options(rough=0.02, watch=progress_watcher(bar)))
+    path = folder / "report.html"
     command = f"granitewell lab demo --seed {seed} --seconds {seconds:g}"
     try:
         demo_report.write(day, played, command, path)
     except OSError as error:
-        raise show.NoMeans(f"{path}: {error.strerror}") from None
+        raise show.UnavailableError(f"{path}: {error.strerror}") from None
     played["html"] = str(path)
     show.emit(played, as_json, lambda console: _render_demo(console, day, played))
     if not played["report"]["kept"]:
         broken = f"rules were broken: {json.dumps(played['report']['offences'])}"
         if played["busy"]:
-            raise show.NoMeans(f"this machine was too busy to say whose fault it is: {broken}")
-        raise show.Found(broken)
+            raise show.UnavailableError(f"this machine was too busy to say whose fault it is: {broken}")
+        raise show.BadOutcomeError(broken)
 
 
-def ticker(bar: show.Steps) -> Any:
+def progress_watcher(bar: show.Steps) -> Any:
     """Moves the bar on with the seconds of the day."""
     done = 0
 
--- a/granitewell/cli/main.py
+++ b/granitewell/cli/main.py
@@ -16,21 +16,23 @@
 from dataclasses import dataclass
 from typing import Any, NoReturn
 
-OK, FOUND, BAD_INPUT, NO_MEANS = 0, 1, 2, 3
+OK, BAD_OUTCOME, BAD_INPUT, UNAVAILABLE = 0, 1, 2, 3
 DEFECT = 70  # EX_SOFTWARE of sysexits.h: a traceback must not look like an outcome
 INTERRUPTED = 130  # 128 and SIGINT, as shells have it; also for a reader that has gone
-INSTALL = {  # packages, by the extra that brings them
+EXTRA_BY_PACKAGE = {  # packages, by the extra that brings them
     "click": "cli", "rich": "cli", "msgspec": "cli",
     "numpy": "lab", "hdrh": "lab", "matplotlib": "lab",
 }  # fmt: skip
-COMPLETE = "_GRANITEWELL_COMPLETE"  # by which a shell's script asks for completions
+COMPLETION_VARIABLE = "_GRANITEWELL_COMPLETE"  # by which a shell's script asks for completions
 
 
-def _missing(name: str) -> str:
+def _install_hint(name: str) -> str:
     """What to do about a module that can't be imported; empty where it is nobody's extra."""
     root = name.partition(".")[0]
-    if root in INSTALL:
-        return f"this needs {root}, which is not installed: pip install 'granitewell[{INSTALL[root]}]'"
+    if root in EXTRA_BY_PACKAGE:
+        return (
+            f"this needs {root}, which is not installed: pip install 'granitewell[{EXTRA_BY_PACKAGE[root]}]'"
+        )
     if root == "granitewell":
         return f"this installation has no {name}: install granitewell whole"
     return ""
@@ -40,22 +42,22 @@
     import click
     from click.shell_completion import CompletionItem, get_completion_class, shell_complete
 except ModuleNotFoundError as _error:  # installed without extras, the program still has its name on the path
-    print(f"granitewell: {_missing(_error.name or '')}", file=sys.stderr)
-    raise SystemExit(NO_MEANS) from None
+    print(f"granitewell: {_install_hint(_error.name or '')}", file=sys.stderr)
+    raise SystemExit(UNAVAILABLE) from None
 
 
-class Missing(click.ClickException):
+class NotInstalledError(click.ClickException):
     """A command whose module or package is not installed."""
 
-    exit_code = NO_MEANS
+    exit_code = UNAVAILABLE
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
     """Where a command is (`module:object`), and the line that a list of commands shows of it."""
 
-    where: str
-    short: str
+    target: str
+    summary: str
 
 
 class LazyGroup(click.Group):
@@ -74,14 +76,14 @@
         entry = self.entries.get(name)
         if entry is None:
             return None
-        module, _, attribute = entry.where.partition(":")
+        module, _, attribute = entry.target.partition(":")
         try:
             found = getattr(importlib.import_module(module), attribute)
         except ModuleNotFoundError as error:
             if ctx.resilient_parsing:  # completing a line: a shell is no place for an error
-                return click.Command(name, help=entry.short)
-            if text := _missing(error.name or ""):
-                raise Missing(f"{ctx.command_path} {name}: {text}") from None
+                return click.Command(name, help=entry.summary)
+            if text := _install_hint(error.name or ""):
+                raise NotInstalledError(f"{ctx.command_path} {name}: {text}") from None
             raise
         assert isinstance(found, click.Command)
         return found
@@ -100,22 +102,24 @@
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         """The list of commands, from the table alone."""
         with formatter.section("Commands"):
-            formatter.write_dl([(name, entry.short) for name, entry in self.entries.items()])
+            formatter.write_dl([(name, entry.summary) for name, entry in self.entries.items()])
 
     def shell_complete(self, ctx: click.Context, incomplete: str) -> list[CompletionItem]:
         """Names from the table, then the options."""
-        names = [CompletionItem(n, help=e.short) for n, e in self.entries.items() if n.startswith(incomplete)]
+        names = [
+            CompletionItem(n, help=e.summary) for n, e in self.entries.items() if n.startswith(incomplete)
+        ]
         return names + click.Command.shell_complete(self, ctx, incomplete)
 
 
-_HERE = "granitewell.cli"
+_PACKAGE = "granitewell.cli"
 COMMANDS = {
-    "node": Entry(f"{_HERE}.node:node", "Run one node, as the platform does."),
-    "cluster": Entry(f"{_HERE}.cluster:cluster", "Ask running nodes what they believe of their fleet."),
-    "check": Entry(f"{_HERE}.check:check", "Say all that is wrong with a configuration."),
-    "lab": Entry(f"{_HERE}.lab:lab", "The platform as a model: simulate, load, judge, compare."),
-    "completion": Entry(f"{_HERE}.main:completion", "Print the completion script of a shell."),
-    "version": Entry(f"{_HERE}.main:version", "Print the versions of granitewell and what it runs on."),
+    "node": Entry(f"{_PACKAGE}.node:node", "Run one node, as the platform does."),
+    "cluster": Entry(f"{_PACKAGE}.cluster:cluster", "Ask running nodes what they believe of their fleet."),
+    "check": Entry(f"{_PACKAGE}.check:check", "Say all that is wrong with a configuration."),
+    "lab": Entry(f"{_PACKAGE}.lab:lab", "The platform as a model: simulate, load, judge, compare."),
+    "completion": Entry(f"{_PACKAGE}.main:completion", "Print the completion script of a shell."),
+    "version": Entry(f"{_PACKAGE}.main:version", "Print the versions of granitewell and what it runs on."),
 }
 
 
@@ -135,8 +139,8 @@
     """Print the script that completes granitewell's commands and options in a shell."""
     found = get_completion_class(shell)
     assert found is not None
-    made = found(granitewell, {}, "granitewell", COMPLETE)
-    click.echo(made.source_template % made.source_vars())
+    shell_script = found(granitewell, {}, "granitewell", COMPLETION_VARIABLE)
+    click.echo(shell_script.source_template % shell_script.source_vars())
 
 
 @click.command(epilog="Example:\n\n  granitewell version --json")
@@ -157,32 +161,34 @@
 def run(args: Sequence[str]) -> int:
     """Run the command line; the exit code. Every end but a defect is one line on standard error, or none."""
     try:
-        return _ended(args)
+        return _invoke(args)
     except click.exceptions.NoArgsIsHelpError as error:
         error.show()
         return error.exit_code
     except click.UsageError as error:
         path = error.ctx.command_path if error.ctx else "granitewell"
-        return _say(f"{path}: {error.format_message()} See {path} --help", error.exit_code)
+        return _print_error(f"{path}: {error.format_message()} See {path} --help", error.exit_code)
     except click.ClickException as error:
-        return _say(f"granitewell: {error.format_message()}", error.exit_code)
+        return _print_error(f"granitewell: {error.format_message()}", error.exit_code)
     except (click.Abort, KeyboardInterrupt):
         return INTERRUPTED
     except ModuleNotFoundError as error:
-        if not (text := _missing(error.name or "")):
+        if not (text := _install_hint(error.name or "")):
             raise
-        return _say(f"granitewell: {text}", NO_MEANS)
+        return _print_error(f"granitewell: {text}", UNAVAILABLE)
     except BrokenPipeError:
         _drop_output()
         return INTERRUPTED
     except OSError as error:
         _drop_output()
-        return _say(f"granitewell: {error.filename or 'output'}: {error.strerror or error}", NO_MEANS)
+        return _print_error(
+            f"granitewell: {error.filename or 'output'}: {error.strerror or error}", UNAVAILABLE
+        )
 
 
-def _ended(args: Sequence[str]) -> int:
-    if instruction := os.environ.get(COMPLETE):
-        return shell_complete(granitewell, {}, "granitewell", COMPLETE, instruction)
+def _invoke(args: Sequence[str]) -> int:
+    if instruction := os.environ.get(COMPLETION_VARIABLE):
+        return shell_complete(granitewell, {}, "granitewell", COMPLETION_VARIABLE, instruction)
     try:
         with granitewell.make_context("granitewell", list(args)) as ctx:
             granitewell.invoke(ctx)  # what a command returns is nobody's exit code
@@ -200,7 +206,7 @@
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
 
 
-def _say(text: str, code: int) -> int:
+def _print_error(text: str, code: int) -> int:
     print(" ".join(text.split()), file=sys.stderr)
     return code
 
--- a/granitewell/cli/node.py
+++ b/granitewell/cli/node.py
@@ -22,25 +22,25 @@
 from rich.text import Text
 
 import granitewell
-from granitewell.cli.show import FOUND, NoMeans, Told, as_json, emit
+from granitewell.cli.show import BAD_OUTCOME, CommandError, UnavailableError, as_json, emit
 from granitewell.status import descriptions
 from granitewell.status.types import ALLOWED_AT, MAX_ANSWER, MAX_WORST, Place, Snapshot
-from granitewell.status.types import place as placed
+from granitewell.status.types import place as parse_place
 
-WAIT_S = 3.0  # for a node that answers within one
+TIMEOUT_S = 3.0  # for a node that answers within one
 
 
-def becomes(env: Mapping[str, str], operator: str | None) -> tuple[list[str], dict[str, str]]:
+def node_command(env: Mapping[str, str], operator: str | None) -> tuple[list[str], dict[str, str]]:
     """The command and the environment of the node.
 
     It runs the granitewell that this command belongs to, whatever stands in the current folder (-P).
     """
     root = str(Path(granitewell.__file__).resolve().parent.parent)
     paths = [root, *filter(None, [env.get("PYTHONPATH")])]
-    made = {**env, "PYTHONPATH": os.pathsep.join(paths)}
+    node_env = {**env, "PYTHONPATH": os.pathsep.join(paths)}
     if operator is not None:
-        made["LB_OPERATOR"] = operator
-    return [sys.executable, "-P", "-m", "granitewell"], made
+        node_env["LB_OPERATOR"] = operator
+    return [sys.executable, "-P", "-m", "granitewell"], node_env
 
 
 @click.group(
@@ -62,12 +62,12 @@
     if ctx.invoked_subcommand is not None:
         ctx.obj = operator
         return
-    command, env = becomes(os.environ, operator)
+    command, env = node_command(os.environ, operator)
     sys.stdout.flush()
     try:
         os.execve(command[0], command, env)
     except OSError as error:
-        raise NoMeans(f"{command[0]}: {error.strerror}") from None
+        raise UnavailableError(f"{command[0]}: {error.strerror}") from None
 
 
 # --- Asking a running node ------------------------------------------------------------------------------
@@ -85,7 +85,7 @@
 @as_json
 @click.pass_obj
 def status(
-    above: str | None, at: str | None, operator: str | None, worst: int | None, watch: float | None,
+    group_operator: str | None, at: str | None, operator: str | None, worst: int | None, watch: float | None,
     as_json: bool,
 ) -> None:  # fmt: skip
     """Show what a running node judges and holds: ill pairs of endpoint and class first, then the fleet.
@@ -93,86 +93,90 @@
     Exit code 0 where it is ready and nobody is ill, 1 where it is not ready or something is ill, 2 for bad
     arguments, 3 where nobody answers. What each figure means is on docs/operate/status.md.
     """
-    place = where(at, operator or above or os.environ.get("LB_OPERATOR"))
+    place = status_place(at, operator or group_operator or os.environ.get("LB_OPERATOR"))
     while True:
-        data = ask(place, worst)
+        data = fetch_snapshot(place, worst)
         if watch is not None and not as_json:
             click.clear()  # nothing where standard output is no terminal
-        emit(data, as_json, partial(_print, data))
+        emit(data, as_json, partial(_render, data))
         if watch is None:
             break
         sys.stdout.flush()
         time.sleep(watch)
     if not descriptions.good(data):
-        raise click.exceptions.Exit(FOUND)
+        raise click.exceptions.Exit(BAD_OUTCOME)
 
 
-def where(at: str | None, operator: str | None) -> Place:
+def status_place(at: str | None, operator: str | None) -> Place:
     """Where a node's status is: as named, or by its operator file. Told says why that is none."""
     if at is None and not operator:
-        raise Told("where is the node's status? name --at or --operator")
+        raise CommandError("where is the node's status? name --at or --operator")
     if at is None:
-        at = _of_file(str(operator))
+        at = _address_from_file(str(operator))
     try:
-        return placed(at, os.environ.get("TMPDIR") or "/tmp")
+        return parse_place(at, os.environ.get("TMPDIR") or "/tmp")
     except ValueError as error:
-        raise Told(f"--at: found {descriptions.plain(at[:200])}, {error}, allowed: {ALLOWED_AT}") from None
+        raise CommandError(
+            f"--at: found {descriptions.plain(at[:200])}, {error}, allowed: {ALLOWED_AT}"
+        ) from None
 
 
-def _of_file(path: str) -> str:
+def _address_from_file(path: str) -> str:
     from granitewell.operator.load import InvalidOperatorFileError, load
     from granitewell.operator.registry import Operator
 
     try:
         at = load(path, Operator)[0].status.at
     except InvalidOperatorFileError as error:
-        raise Told(str(error)) from None
+        raise CommandError(str(error)) from None
     if not at:
-        raise Told(f"{path}: status.at: found nothing, allowed: {ALLOWED_AT}; this node serves no status")
+        raise CommandError(
+            f"{path}: status.at: found nothing, allowed: {ALLOWED_AT}; this node serves no status"
+        )
     return at
 
 
-def ask(where: Place, worst: int | None) -> Snapshot:
+def fetch_snapshot(place: Place, worst: int | None) -> Snapshot:
     """One snapshot; NoMeans where nobody answers, or somebody else does."""
     query = "" if worst is None else f"?worst={worst}"
     try:
-        code, raw = get(where, f"/status{query}")
+        code, raw = fetch(place, f"/status{query}")
         if code != 200:
-            why = raw[:200].decode(errors="replace").strip()
-            raise ValueError(f"answered {code}: {descriptions.plain(why)}")
+            reason = raw[:200].decode(errors="replace").strip()
+            raise ValueError(f"answered {code}: {descriptions.plain(reason)}")
         return descriptions.taken(json.loads(raw))
     except (OSError, http.client.HTTPException) as error:
-        why = getattr(error, "strerror", None) or str(error) or type(error).__name__
-        raise NoMeans(f"{where}: nobody there: {descriptions.plain(why)}") from None
+        reason = getattr(error, "strerror", None) or str(error) or type(error).__name__
+        raise UnavailableError(f"{place}: nobody there: {descriptions.plain(reason)}") from None
     except (ValueError, RecursionError) as error:
-        raise NoMeans(f"{where}: no status of a node: {error}") from None
+        raise UnavailableError(f"{place}: no status of a node: {error}") from None
 
 
-def get(where: Place, target: str, method: str = "GET") -> tuple[int, bytes]:
+def fetch(place: Place, target: str, method: str = "GET") -> tuple[int, bytes]:
     """Status code and body of a node's answer. OSError, HTTPException: nobody answers as a node does."""
-    link = http.client.HTTPConnection("127.0.0.1", where.port or None, timeout=WAIT_S)
-    if where.path:
-        link.sock = _connected(where.path)
+    connection = http.client.HTTPConnection("127.0.0.1", place.port or None, timeout=TIMEOUT_S)
+    if place.path:
+        connection.sock = _connect(place.path)
     try:
-        link.request(method, target)
-        answer = link.getresponse()
-        return answer.status, answer.read(2 * MAX_ANSWER)
+        connection.request(method, target)
+        response = connection.getresponse()
+        return response.status, response.read(2 * MAX_ANSWER)
     finally:
-        link.close()
+        connection.close()
 
 
-def _connected(path: str) -> socket.socket:
+def _connect(path: str) -> socket.socket:
     """A connection to a unix socket, which turns one away at once while too many wait there."""
-    end = time.monotonic() + WAIT_S
+    deadline = time.monotonic() + TIMEOUT_S
     while True:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            sock.settimeout(WAIT_S)
+            sock.settimeout(TIMEOUT_S)
             sock.connect(path)
             return sock
         except BlockingIOError:
             sock.close()
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 raise TimeoutError("too many others ask") from None
             time.sleep(0.05)
         except BaseException:
@@ -180,16 +184,16 @@
             raise
 
 
-def _print(data: Snapshot, console: Console) -> None:
+def _render(data: Snapshot, console: Console) -> None:
     first, *rest = descriptions.head(data)
     console.print(Text(first, style="bold green" if descriptions.good(data) else "bold red"))
     for line in rest:
         console.print(Text(line))
     for sheet in descriptions.sheets(data):
-        made = Table(title=Text(sheet.title), title_justify="left")
+        table = Table(title=Text(sheet.title), title_justify="left")
         for k, name in enumerate(sheet.columns):
-            made.add_column(Text(name), justify="right" if k else "left")
+            table.add_column(Text(name), justify="right" if k else "left")
         for k, row in enumerate(sheet.rows):
             # Text, not str: a name in brackets is no markup
-            made.add_row(*map(Text, row), style="red" if k in sheet.lit else "")
-        console.print(made)
+            table.add_row(*map(Text, row), style="red" if k in sheet.lit else "")
+        console.print(table)
--- a/granitewell/cli/show.py
+++ b/granitewell/cli/show.py
@@ -18,12 +18,12 @@
 from rich.table import Table
 
 from granitewell.cli.main import BAD_INPUT as BAD_INPUT  # exit codes: see docs/operate/exit-codes.md
-from granitewell.cli.main import FOUND as FOUND
-from granitewell.cli.main import NO_MEANS as NO_MEANS
+from granitewell.cli.main import BAD_OUTCOME as BAD_OUTCOME
 from granitewell.cli.main import OK as OK
+from granitewell.cli.main import UNAVAILABLE as UNAVAILABLE
 
 
-class Told(click.ClickException):
+class CommandError(click.ClickException):
     """An end with one line that names what is wrong: an argument or a file that the caller can mend."""
 
     exit_code = BAD_INPUT
@@ -33,16 +33,16 @@
         click.echo(f"granitewell: {' '.join(self.message.split())}", file=file or sys.stderr)
 
 
-class Found(Told):
+class BadOutcomeError(CommandError):
     """What was asked for was done, and the outcome is bad: a rule is broken, a run has failed."""
 
-    exit_code = FOUND
+    exit_code = BAD_OUTCOME
 
 
-class NoMeans(Told):
+class UnavailableError(CommandError):
     """The machine does not give what is needed: a port in use, nobody at a target, a full disk."""
 
-    exit_code = NO_MEANS
+    exit_code = UNAVAILABLE
 
 
 class Steps(Protocol):
@@ -52,12 +52,12 @@
         """So many further steps are done."""
 
 
-class _Quiet:
+class _NoProgress:
     def step(self, n: int = 1) -> None:
         return
 
 
-class _Bar:
+class _ProgressBar:
     def __init__(self, bar: Progress, task: Any) -> None:
         self._bar, self._task = bar, task
 
@@ -70,21 +70,21 @@
     """A progress bar for work of over two seconds; nothing at all where standard error is no terminal."""
     console = Console(stderr=True)
     if not console.is_terminal:
-        yield _Quiet()
+        yield _NoProgress()
         return
     columns = TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn()
     with Progress(*columns, console=console, transient=True) as bar:
-        yield _Bar(bar, bar.add_task(label, total=total))
+        yield _ProgressBar(bar, bar.add_task(label, total=total))
 
 
 def table(title: str, columns: Sequence[str], rows: Iterable[Sequence[object]]) -> Table:
     """A table; all columns but the first stand to the right."""
-    made = Table(title=title, title_justify="left")
+    rendered = Table(title=title, title_justify="left")
     for k, name in enumerate(columns):
-        made.add_column(name, justify="right" if k else "left")
+        rendered.add_column(name, justify="right" if k else "left")
     for row in rows:
-        made.add_row(*[f"{x:.3f}" if isinstance(x, float) else str(x) for x in row])
-    return made
+        rendered.add_row(*[f"{x:.3f}" if isinstance(x, float) else str(x) for x in row])
+    return rendered
 
 
 def emit(data: Any, as_json: bool, render: Callable[[Console], None]) -> None:
--- a/granitewell/cli/system/__main__.py
+++ b/granitewell/cli/system/__main__.py
@@ -15,9 +15,9 @@
 def main(arguments: Sequence[str]) -> int:
     """Run what the arguments ask for; the exit code."""
     if len(arguments) == 1 and arguments[0] in PROGRAMS:
-        from granitewell.cli.system.exit_handling import ended
+        from granitewell.cli.system.exit_handling import run_to_exit_code
 
-        return ended(lambda: run_program(arguments[0]))
+        return run_to_exit_code(lambda: run_program(arguments[0]))
     from granitewell.cli.system import commands
 
     return commands.run(arguments)
--- a/granitewell/cli/system/call_plan.py
+++ b/granitewell/cli/system/call_plan.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from urllib.parse import urlsplit
 
-FINAL = frozenset({400, 409, 412, 413, 422})  # an operator's call ends at once on these
-RETRIED = frozenset({408, 429})
-REDIRECT = 307
+FINAL_STATUSES = frozenset({400, 409, 412, 413, 422})  # an operator's call ends at once on these
+RETRIED_STATUSES = frozenset({408, 429})
+REDIRECT_STATUS = 307
 MAX_REDIRECTS = 2
 MAX_OTHER_REFUSALS = 3  # any other 4xx ends the call when it has come that often
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 2.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
     """Send the call, unchanged, to this address after a pause."""
 
     address: str
-    pause_s: float
+    delay_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,13 +73,13 @@
 class CallPlan:
     """One call over several addresses, from its first sending to its end."""
 
-    def __init__(self, addresses: Sequence[str], now: float, patience_s: float) -> None:
+    def __init__(self, addresses: Sequence[str], now: float, total_timeout_s: float) -> None:
         self._addresses = tuple(addresses)
-        self._ends_at = now + patience_s
-        self._at = 0
+        self._ends_at = now + total_timeout_s
+        self._address_index = 0
         self._redirects = 0
         self._refusals = 0
-        self._pause_s = FIRST_PAUSE_S
+        self._delay_s = INITIAL_BACKOFF_S
 
     def first(self) -> SendTo:
         """Where the call goes first."""
@@ -89,16 +89,16 @@
         """What to do now that a sending has had this outcome."""
         if isinstance(outcome, Unanswered):
             return self._next(outcome.reason, now)
-        if outcome.status == REDIRECT:
+        if outcome.status == REDIRECT_STATUS:
             return self._follow(outcome, now)
-        if self._is_clear(outcome.status):
+        if self._is_final(outcome.status):
             return Answered(outcome)
         return self._next(f"answered {outcome.status} {outcome.reason}".strip(), now)
 
-    def _is_clear(self, status: int) -> bool:
-        if 200 <= status < 300 or status in FINAL:
+    def _is_final(self, status: int) -> bool:
+        if 200 <= status < 300 or status in FINAL_STATUSES:
             return True
-        if not 400 <= status < 500 or status in RETRIED:
+        if not 400 <= status < 500 or status in RETRIED_STATUSES:
             return False
         self._refusals += 1
         return self._refusals >= MAX_OTHER_REFUSALS
@@ -113,12 +113,12 @@
         return SendTo(address, 0.0)
 
     def _next(self, reason: str, now: float) -> Step:
-        if now + self._pause_s > self._ends_at:
+        if now + self._delay_s > self._ends_at:
             return GiveUp(reason)
         self._redirects = 0
-        self._at = (self._at + 1) % len(self._addresses)
-        pause_s, self._pause_s = self._pause_s, min(LONGEST_PAUSE_S, 2.0 * self._pause_s)
-        return SendTo(self._addresses[self._at], pause_s)
+        self._address_index = (self._address_index + 1) % len(self._addresses)
+        delay_s, self._delay_s = self._delay_s, min(MAX_BACKOFF_S, 2.0 * self._delay_s)
+        return SendTo(self._addresses[self._address_index], delay_s)
 
 
 def _address_of(location: str | None) -> str | None:
--- a/granitewell/cli/system/commands.py
+++ b/granitewell/cli/system/commands.py
@@ -9,8 +9,8 @@
 import cappa
 
 from granitewell.cli.system import configuration
-from granitewell.cli.system.control_client import PATIENCE_S
-from granitewell.cli.system.exit_handling import ended
+from granitewell.cli.system.control_client import DEFAULT_TOTAL_TIMEOUT_S
+from granitewell.cli.system.exit_handling import run_to_exit_code
 from granitewell.cli.system.programs import run_program
 
 PROGRAM = "python -m granitewell.cli.system"
@@ -54,7 +54,7 @@
     """`config get`."""
 
     control: Addresses = ""
-    wait: Wait = PATIENCE_S
+    wait: Wait = DEFAULT_TOTAL_TIMEOUT_S
 
     def run(self) -> int:
         """Print it."""
@@ -68,7 +68,7 @@
 
     file: Annotated[str, cappa.Arg(value_name="FILE", help="A whole configuration, JSON.")]
     control: Addresses = ""
-    wait: Wait = PATIENCE_S
+    wait: Wait = DEFAULT_TOTAL_TIMEOUT_S
     if_match: IfMatch = None
 
     def run(self) -> int:
@@ -83,7 +83,7 @@
 
     file: Annotated[str, cappa.Arg(value_name="FILE", help="version, upsert and remove, JSON.")]
     control: Addresses = ""
-    wait: Wait = PATIENCE_S
+    wait: Wait = DEFAULT_TOTAL_TIMEOUT_S
     if_match: IfMatch = None
 
     def run(self) -> int:
@@ -112,7 +112,7 @@
     file: Annotated[str, cappa.Arg(value_name="FILE", help="A whole configuration, JSON.")]
     against: Annotated[str, cappa.Arg(long="--against", help="A file, in place of the one in force.")] = ""
     control: Addresses = ""
-    wait: Wait = PATIENCE_S
+    wait: Wait = DEFAULT_TOTAL_TIMEOUT_S
 
     def run(self) -> int:
         """Compare."""
@@ -141,7 +141,7 @@
 
 def run(arguments: Sequence[str]) -> int:
     """Run what the arguments ask for; the exit code."""
-    return ended(lambda: _parse(arguments).command.run())
+    return run_to_exit_code(lambda: _parse(arguments).command.run())
 
 
 def _parse(arguments: Sequence[str]) -> System:
--- a/granitewell/cli/system/configuration.py
+++ b/granitewell/cli/system/configuration.py
@@ -21,7 +21,7 @@
 from granitewell.domain.errors import InvalidConfigurationError, InvalidSettingsError
 from granitewell.domain.settings import read_settings, settings_path
 
-MAX_FILE = 64 * 1024 * 1024  # bytes of a configuration
+MAX_FILE_BYTES = 64 * 1024 * 1024  # bytes of a configuration
 
 Result = TypeVar("Result")
 
@@ -35,12 +35,12 @@
     """
 
     control: str
-    patience_s: float
+    total_timeout_s: float
 
     def addresses(self) -> tuple[str, ...]:
         """Checked; raises UnusableAddressError."""
         if not self.control:
-            return _seeds()
+            return _seed_addresses()
         addresses = tuple(part.strip() for part in self.control.split(","))
         for address in addresses:
             _check_address(address)
@@ -49,34 +49,34 @@
 
 def get(target: Target) -> int:
     """Print the newest configuration."""
-    document = _asked(target, lambda client: client.get())
-    print(_indented(_parsed(document, "the answer")))
+    document = _run_calls(target, lambda client: client.get())
+    print(_indented(_parse_object(document, "the answer")))
     return ExitCode.GOOD
 
 
 def put(target: Target, file: str, if_match: int | None) -> int:
     """Replace the configuration."""
-    body = _read(file)
-    _at_file(file, lambda: _whole(body))
+    body = _read_file(file)
+    _with_file_name(file, lambda: _parse_configuration(body))
     return _send(target, Method.PUT, file, body, if_match)
 
 
 def patch(target: Target, file: str, if_match: int | None) -> int:
     """Alter the configuration."""
-    body = _read(file)
-    _at_file(file, lambda: _patch_alone(body))
+    body = _read_file(file)
+    _with_file_name(file, lambda: _parse_patch(body))
     return _send(target, Method.PATCH, file, body, if_match)
 
 
 def check(file: str, on: str) -> int:
     """Whether a file would be taken."""
-    body = _read(file)
+    body = _read_file(file)
     if _is_patch(body) and not on:
-        found = _at_file(file, lambda: _patch_alone(body))
+        found = _with_file_name(file, lambda: _parse_patch(body))
         print(f"{file}: good by itself, a patch to version {found.version}; --on FILE checks the result")
         return ExitCode.GOOD
-    whole = _patched(file, body, _read(on), on) if on else body
-    configuration = _at_file(file, lambda: _whole(whole)).configuration
+    whole = _apply_patch(file, body, _read_file(on), on) if on else body
+    configuration = _with_file_name(file, lambda: _parse_configuration(whole)).configuration
     counts = f"{len(configuration.routes)} routes, {len(configuration.services)} services"
     print(f"{file}: good, version {configuration.version}: {counts}")
     return ExitCode.GOOD
@@ -84,18 +84,18 @@
 
 def diff(target: Target, file: str, against: str) -> int:
     """What a file, a whole configuration or a patch, would change."""
-    body = _read(file)
-    before = _read(against) if against else _asked(target, lambda client: client.get())
+    body = _read_file(file)
+    before = _read_file(against) if against else _run_calls(target, lambda client: client.get())
     source = against or "the answer"
-    after = _patched(file, body, before, source) if _is_patch(body) else body
-    found = differences(_parsed(before, source), _parsed(after, file))
+    after = _apply_patch(file, body, before, source) if _is_patch(body) else body
+    found = differences(_parse_object(before, source), _parse_object(after, file))
     for difference in found:
         print(difference.text())
     return ExitCode.BAD_OUTCOME if found else ExitCode.GOOD
 
 
 def _send(target: Target, method: Method, file: str, body: bytes, if_match: int | None) -> int:
-    sent = _parsed(body, file)["version"]
+    sent = _parse_object(body, file)["version"]
 
     async def send(client: ControlClient) -> str:
         base = await client.version() if if_match is None else if_match
@@ -104,18 +104,18 @@
             return f"taken: version {sent}, on top of {base}"
         return f"taken before: version {sent}; version {now} is in force now"
 
-    print(_asked(target, send))
+    print(_run_calls(target, send))
     return ExitCode.GOOD
 
 
-def _asked(target: Target, ask: Callable[[ControlClient], Awaitable[Result]]) -> Result:
+def _run_calls(target: Target, ask: Callable[[ControlClient], Awaitable[Result]]) -> Result:
     """The result of one or more calls."""
     from granitewell.cli.system.http_sender import ask_control  # aiohttp is slow to import
 
-    return asyncio.run(ask_control(target.addresses(), target.patience_s, ask))
+    return asyncio.run(ask_control(target.addresses(), target.total_timeout_s, ask))
 
 
-def _seeds() -> tuple[str, ...]:
+def _seed_addresses() -> tuple[str, ...]:
     path = settings_path()
     try:
         seeds = read_settings(path).seeds
@@ -132,18 +132,18 @@
         raise UnusableAddressError(f"--control: {address!r} is no ip:port")
 
 
-def _read(path: str) -> bytes:
+def _read_file(path: str) -> bytes:
     try:
         with Path(path).open("rb") as file:
-            body = file.read(MAX_FILE + 1)
+            body = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise UnusableFileError(path, error.strerror or "can't be read") from error
-    if len(body) > MAX_FILE:
-        raise UnusableFileError(path, f"over {MAX_FILE} bytes")
+    if len(body) > MAX_FILE_BYTES:
+        raise UnusableFileError(path, f"over {MAX_FILE_BYTES} bytes")
     return body
 
 
-def _at_file(path: str, check: Callable[[], Result]) -> Result:
+def _with_file_name(path: str, check: Callable[[], Result]) -> Result:
     """The outcome of a check, with the file's name before what is wrong."""
     try:
         return check()
@@ -159,28 +159,28 @@
     return isinstance(document, dict) and ("upsert" in document or "remove" in document)
 
 
-def _whole(body: bytes) -> ConfigurationState:
+def _parse_configuration(body: bytes) -> ConfigurationState:
     """A whole configuration by itself; raises InvalidConfigurationError."""
     return changed(EMPTY, Change(Operation.PUT, EMPTY.version, body))
 
 
-def _patch_alone(body: bytes) -> ConfigurationPatch:
+def _parse_patch(body: bytes) -> ConfigurationPatch:
     """A patch, as far as it can be checked without what it alters; raises InvalidConfigurationError."""
     return read_patch(body, EMPTY.version, EMPTY.current_routes(), EMPTY.current_services())
 
 
-def _patched(file: str, patch: bytes, whole: bytes, source: str) -> bytes:
+def _apply_patch(file: str, patch: bytes, whole: bytes, source: str) -> bytes:
     """A whole configuration after a patch.
 
     Args:
         file, source: Where patch and whole are from, for messages.
     """
-    state = _at_file(source, lambda: _whole(whole))
+    state = _with_file_name(source, lambda: _parse_configuration(whole))
     change = Change(Operation.PATCH, state.version, patch)
-    return _at_file(file, lambda: changed(state, change)).document()
+    return _with_file_name(file, lambda: changed(state, change)).document()
 
 
-def _parsed(document: bytes, source: str) -> dict[str, Any]:
+def _parse_object(document: bytes, source: str) -> dict[str, Any]:
     """A JSON object."""
     try:
         parsed = orjson.loads(document)
--- a/granitewell/cli/system/control_client.py
+++ b/granitewell/cli/system/control_client.py
@@ -18,9 +18,9 @@
     VersionConflictError,
 )
 
-ANSWER_S = 1.0  # without an answer for that long, another node is asked
-BYTES_PER_S = 1e6  # a body that needs longer than that to arrive is given more time
-PATIENCE_S = 15.0  # an election and a leader that is being replaced fit in
+ANSWER_TIMEOUT_S = 1.0  # without an answer for that long, another node is asked
+MIN_UPLOAD_BYTES_PER_S = 1e6  # a body that needs longer than that to arrive is given more time
+DEFAULT_TOTAL_TIMEOUT_S = 15.0  # an election and a leader that is being replaced fit in
 
 
 class Method(Enum):
@@ -46,7 +46,7 @@
     @property
     def timeout_s(self) -> float:
         """How long an answer may take."""
-        return ANSWER_S + len(self.body) / BYTES_PER_S
+        return ANSWER_TIMEOUT_S + len(self.body) / MIN_UPLOAD_BYTES_PER_S
 
     @property
     def headers(self) -> dict[str, str]:
@@ -68,13 +68,13 @@
         self,
         addresses: Sequence[str],
         send: Send,
-        patience_s: float = PATIENCE_S,
+        total_timeout_s: float = DEFAULT_TOTAL_TIMEOUT_S,
         clock: Callable[[], float] = time.monotonic,
         sleep: Sleep = asyncio.sleep,
     ) -> None:
         self._addresses = addresses
         self._send = send
-        self._patience_s = patience_s
+        self._patience_s = total_timeout_s
         self._clock = clock
         self._sleep = sleep
 
@@ -111,8 +111,8 @@
         plan = CallPlan(self._addresses, self._clock(), self._patience_s)
         step: SendTo | Answered | GiveUp = plan.first()
         while isinstance(step, SendTo):
-            if step.pause_s:
-                await self._sleep(step.pause_s)
+            if step.delay_s:
+                await self._sleep(step.delay_s)
             outcome = await self._send(step.address, call)
             step = plan.after(outcome, self._clock())
         if isinstance(step, Answered):
--- a/granitewell/cli/system/exit_handling.py
+++ b/granitewell/cli/system/exit_handling.py
@@ -15,7 +15,7 @@
 INSTALL = "pip install 'granitewell[system]'"
 
 
-def ended(run: Callable[[], int]) -> int:
+def run_to_exit_code(run: Callable[[], int]) -> int:
     """Run it; the exit code that its end stands for."""
     try:
         code = run()
@@ -27,16 +27,18 @@
         _drop_output()
         return ExitCode.INTERRUPTED
     except CommandError as error:
-        return _say(str(error), error.exit_code)
+        return _print_error(str(error), error.exit_code)
     except InvalidFieldError as error:
-        return _say(str(error), ExitCode.BAD_INPUT)
+        return _print_error(str(error), ExitCode.BAD_INPUT)
     except GranitewellError as error:
-        return _say(str(error), ExitCode.BAD_OUTCOME)
+        return _print_error(str(error), ExitCode.BAD_OUTCOME)
     except ModuleNotFoundError as error:
-        return _missing(error)
+        return _report_missing_module(error)
     except OSError as error:
         _drop_output()
-        return _say(f"{error.filename or 'address or output'}: {error.strerror or error}", _code_of(error))
+        return _print_error(
+            f"{error.filename or 'address or output'}: {error.strerror or error}", _exit_code_of(error)
+        )
     except Exception:
         import traceback
 
@@ -44,20 +46,22 @@
         return ExitCode.DEFECT
 
 
-def _code_of(error: OSError) -> ExitCode:
+def _exit_code_of(error: OSError) -> ExitCode:
     """An address that can't be had is an outcome of the program; all else is a lack of the machine's."""
     taken = error.errno in (errno.EADDRINUSE, errno.EADDRNOTAVAIL)
     return ExitCode.BAD_OUTCOME if taken else ExitCode.NO_MEANS
 
 
-def _missing(error: ModuleNotFoundError) -> int:
+def _report_missing_module(error: ModuleNotFoundError) -> int:
     root = (error.name or "").partition(".")[0]
     if root == "granitewell":
-        return _say(f"this installation has no {error.name}: install granitewell whole", ExitCode.NO_MEANS)
-    return _say(f"this needs {root}, which is not installed: {INSTALL}", ExitCode.NO_MEANS)
+        return _print_error(
+            f"this installation has no {error.name}: install granitewell whole", ExitCode.NO_MEANS
+        )
+    return _print_error(f"this needs {root}, which is not installed: {INSTALL}", ExitCode.NO_MEANS)
 
 
-def _say(text: str, code: ExitCode) -> int:
+def _print_error(text: str, code: ExitCode) -> int:
     print("granitewell: " + " ".join(text.split()), file=sys.stderr)
     return code
 
--- a/granitewell/cli/system/http_sender.py
+++ b/granitewell/cli/system/http_sender.py
@@ -41,9 +41,9 @@
 
 
 async def ask_control(
-    addresses: Sequence[str], patience_s: float, ask: Callable[[ControlClient], Awaitable[Result]]
+    addresses: Sequence[str], total_timeout_s: float, ask: Callable[[ControlClient], Awaitable[Result]]
 ) -> Result:
     """The result of one or more calls to the control nodes."""
     connector = aiohttp.TCPConnector(force_close=True)
     async with aiohttp.ClientSession(connector=connector) as session:
-        return await ask(ControlClient(addresses, HttpSender(session), patience_s))
+        return await ask(ControlClient(addresses, HttpSender(session), total_timeout_s))
--- a/granitewell/cli/system/programs.py
+++ b/granitewell/cli/system/programs.py
@@ -13,8 +13,8 @@
 
 def run_program(name: str) -> int:
     """Run a program until it is stopped; its exit code."""
-    _settle_early_signals()
-    _skip_certificates()
+    _install_startup_signal_handlers()
+    _skip_certificate_store()
     if name == "edge":
         from granitewell.cli.system import edge
 
@@ -24,7 +24,7 @@
     return control.main()
 
 
-def _settle_early_signals() -> None:
+def _install_startup_signal_handlers() -> None:
     """Until the program takes the signals over, in some tenths of a second.
 
     Nothing has been taken yet, so that a stop may end it at once, and settings are still to be read.
@@ -34,7 +34,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-def _skip_certificates() -> None:
+def _skip_certificate_store() -> None:
     """Importing aiohttp would read the machine's store of certificates, a quarter of the time that it takes.
 
     The programs speak plain HTTP alone.
--- a/tests/fleet/few.py
+++ b/tests/fleet/few.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from granitewell.cli.cluster import call
+from granitewell.cli.cluster import query_node
 from granitewell.lab.loopback.plan import Range
 from granitewell.status.types import Place
 from tests.play import settings
@@ -71,7 +71,7 @@
                 self.processes[name] = subprocess.Popen(command, env=env, stderr=log)
 
     def view(self, name: str) -> dict[str, Any]:
-        made: dict[str, Any] = call(Place(path=self.at(name)), "/cluster")
+        made: dict[str, Any] = query_node(Place(path=self.at(name)), "/cluster")
         return made
 
     def states(self, name: str) -> dict[str, str]:
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -74,10 +74,10 @@
 
 
 def _metrics(at: str) -> str:
-    from granitewell.cli.node import get
+    from granitewell.cli.node import fetch
     from granitewell.status.types import Place
 
-    code, raw = get(Place(path=at), "/metrics")
+    code, raw = fetch(Place(path=at), "/metrics")
     assert code == 200
     return raw.decode()
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,8 +18,15 @@
 from granitewell.cli import main as cli
 from granitewell.cli.lab import LAB
 from granitewell.cli.main import COMMANDS, DEFECT, INTERRUPTED, Entry, LazyGroup, run
-from granitewell.cli.node import becomes
-from granitewell.cli.show import BAD_INPUT, FOUND, NO_MEANS, Found, NoMeans, Told
+from granitewell.cli.node import node_command
+from granitewell.cli.show import (
+    BAD_INPUT,
+    BAD_OUTCOME,
+    UNAVAILABLE,
+    BadOutcomeError,
+    CommandError,
+    UnavailableError,
+)
 from tests.play import LIMIT_S, Player
 from tests.test_config import write
 
@@ -42,7 +49,7 @@
 # --- commands and their help ----------------------------------------------------------------------------
 @pytest.mark.parametrize("words", [[], ["lab"], *([n] for n in COMMANDS), *(["lab", n] for n in LAB)])
 def test_each_command_has_help_with_an_example(words: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-    if words[:1] == ["lab"] and words[1:] and find_spec(LAB[words[1]].where.partition(":")[0]) is None:
+    if words[:1] == ["lab"] and words[1:] and find_spec(LAB[words[1]].target.partition(":")[0]) is None:
         pytest.skip("not written yet")
     assert run([*words, "--help"]) == 0
     text = capsys.readouterr().out
@@ -96,12 +103,12 @@
 @pytest.mark.parametrize(
     ("error", "code", "says"),
     [
-        (Told("a\nb"), BAD_INPUT, "granitewell: a b\n"),
-        (Found("rule 2"), FOUND, "granitewell: rule 2\n"),
-        (NoMeans("port"), NO_MEANS, "granitewell: port\n"),
-        (OSError(28, "No space left", "out.db"), NO_MEANS, "granitewell: out.db: No space left\n"),
-        (ModuleNotFoundError("x", name="hdrh.histogram"), NO_MEANS, "pip install 'granitewell[lab]'\n"),
-        (ModuleNotFoundError("x", name="granitewell.gone"), NO_MEANS, "gone: install granitewell whole\n"),
+        (CommandError("a\nb"), BAD_INPUT, "granitewell: a b\n"),
+        (BadOutcomeError("rule 2"), BAD_OUTCOME, "granitewell: rule 2\n"),
+        (UnavailableError("port"), UNAVAILABLE, "granitewell: port\n"),
+        (OSError(28, "No space left", "out.db"), UNAVAILABLE, "granitewell: out.db: No space left\n"),
+        (ModuleNotFoundError("x", name="hdrh.histogram"), UNAVAILABLE, "pip install 'granitewell[lab]'\n"),
+        (ModuleNotFoundError("x", name="granitewell.gone"), UNAVAILABLE, "gone: install granitewell whole\n"),
         (KeyboardInterrupt(), INTERRUPTED, ""),
         (click.exceptions.Exit(7), 7, ""),
     ],
@@ -145,7 +152,7 @@
 ) -> None:
     group = LazyGroup("g", entries={"away": Entry("granitewell.cli.away:x", "Away.")})
     monkeypatch.setattr(cli, "granitewell", group)
-    assert run(["away"]) == NO_MEANS
+    assert run(["away"]) == UNAVAILABLE
     error = capsys.readouterr().err
     assert "granitewell away" in error and "granitewell.cli.away" in error and error.count("\n") == 1
     assert run(["--help"]) == 0 and "Away." in capsys.readouterr().out
@@ -154,7 +161,7 @@
 def test_without_click_the_program_says_what_to_install() -> None:
     code = "import sys; sys.modules['click'] = None; import granitewell.cli.main"
     done = subprocess.run([sys.executable, "-c", code], env=CLEAN, capture_output=True, text=True)
-    assert done.returncode == NO_MEANS
+    assert done.returncode == UNAVAILABLE
     assert done.stderr.startswith("granitewell: this needs click, which is not installed: pip install")
     assert done.stderr.count("\n") == 1
 
@@ -167,7 +174,7 @@
     assert (done.returncode, done.stderr) == (INTERRUPTED, "")
     with Path("/dev/full").open("w") as full:
         done = ran("version", stdout=full)
-    assert (done.returncode, done.stderr) == (NO_MEANS, "granitewell: output: No space left on device\n")
+    assert (done.returncode, done.stderr) == (UNAVAILABLE, "granitewell: output: No space left on device\n")
 
 
 # --- check ----------------------------------------------------------------------------------------------
@@ -204,7 +211,7 @@
 
 # --- node -----------------------------------------------------------------------------------------------
 def test_the_command_becomes_the_node_of_this_very_package(tmp_path: Path) -> None:
-    command, env = becomes({"A": "b", "PYTHONPATH": "/else", "LB_OPERATOR": "old"}, "new.toml")
+    command, env = node_command({"A": "b", "PYTHONPATH": "/else", "LB_OPERATOR": "old"}, "new.toml")
     assert command == [sys.executable, "-P", "-m", "granitewell"]
     assert env == {"A": "b", "PYTHONPATH": f"{ROOT}{os.pathsep}/else", "LB_OPERATOR": "new.toml"}
     (tmp_path / "granitewell").mkdir()  # a folder of that name where the command is given
@@ -225,7 +232,10 @@
     code = "import sys; sys.modules['msgspec'] = None; import granitewell.__main__ as m; sys.exit(m.main())"
     env = CLEAN | write(tmp_path) | {"LB_OPERATOR": EXAMPLE}
     done = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True)
-    assert (done.returncode, done.stderr.count("\n")) == (NO_MEANS, 1) and "granitewell[cli]" in done.stderr
+    assert (done.returncode, done.stderr.count("\n")) == (
+        UNAVAILABLE,
+        1,
+    ) and "granitewell[cli]" in done.stderr
 
 
 def test_the_plain_node_imports_what_it_serves_with_and_nothing_else(
@@ -274,4 +284,4 @@
 def test_the_page_of_exit_codes_has_each_of_them() -> None:
     page = (ROOT / "docs" / "operate" / "exit-codes.md").read_text()
     codes = [int(x) for x in re.findall(r"^\| (\d+) \|", page, re.M)]
-    assert codes == [cli.OK, cli.FOUND, cli.BAD_INPUT, cli.NO_MEANS, DEFECT, INTERRUPTED]
+    assert codes == [cli.OK, cli.BAD_OUTCOME, cli.BAD_INPUT, cli.UNAVAILABLE, DEFECT, INTERRUPTED]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from msgspec import Meta
 
-from granitewell.cli.check import judge
+from granitewell.cli.check import check_file
 from granitewell.config import load as node_takes
 from granitewell.net.logs import DEFAULT_LOG_SETTINGS, TOPICS
 from granitewell.operator.load import MAX_FILE, InvalidOperatorFileError, Live, load, reload
@@ -291,7 +291,7 @@
     """
     text = json.loads(Path(write(tmp_path)["LB_CONFIG"]).read_text())
     path, laxer, late = tmp_path / "config.json", [], set()
-    assert judge(str(path)).good
+    assert check_file(str(path)).is_valid
     for where in list(_paths(text, ())):
         for odd in (None, "", -1, 0, True, [], {}, "x:y", [1], {"a": 1}, 1e300, float("nan")):
             changed = json.loads(json.dumps(text))
@@ -300,7 +300,7 @@
             try:
                 node_takes({"LB_CONFIG": str(path)})
             except Exception:
-                laxer += [(where, odd)] if judge(str(path)).good else []
+                laxer += [(where, odd)] if check_file(str(path)).is_valid else []
                 late |= {where} if examine(changed, Platform)[0] is not None else set()
     assert laxer == [] and late == {("seed",)}
 
@@ -327,9 +327,9 @@
     allowed["newThing"] = 1
     path = tmp_path / "config.json"
     path.write_text(json.dumps(text))
-    assert judge(str(path)).good and len(judge(str(path)).problems) == 2
+    assert check_file(str(path)).is_valid and len(check_file(str(path)).problems) == 2
     allowed["conIdleMs"] = allowed.pop("connIdleMs")  # the node would go on with its own figure, unsaid
     text["settings"]["zone"] = 9
     path.write_text(json.dumps(text))
-    assert not judge(str(path)).good
-    assert [p.near for p in judge(str(path)).problems if not p.note] == ["connIdleMs"]
+    assert not check_file(str(path)).is_valid
+    assert [p.near for p in check_file(str(path)).problems if not p.note] == ["connIdleMs"]
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -29,8 +29,8 @@
 from granitewell.cli.system import __main__ as start
 from granitewell.cli.system import programs
 from granitewell.cli.system.call_plan import (
-    FIRST_PAUSE_S,
-    LONGEST_PAUSE_S,
+    INITIAL_BACKOFF_S,
+    MAX_BACKOFF_S,
     MAX_REDIRECTS,
     Answered,
     CallPlan,
@@ -48,7 +48,7 @@
     VersionConflictError,
 )
 from granitewell.cli.system.exit_codes import ExitCode
-from granitewell.cli.system.exit_handling import ended
+from granitewell.cli.system.exit_handling import run_to_exit_code
 from granitewell.controlplane.configuration.api import OperatorApi
 from granitewell.controlplane.configuration.store import ConfigurationStore
 from granitewell.domain.errors import InvalidSettingsError
@@ -127,7 +127,7 @@
     ends: list[int] = []
     monkeypatch.setattr(os, "_exit", ends.append)
     try:
-        programs._settle_early_signals()
+        programs._install_startup_signal_handlers()
         for sign in signs:
             os.kill(os.getpid(), sign)
         assert ends == [0, 0]
@@ -167,13 +167,13 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     monkeypatch.setattr("granitewell.cli.system.exit_handling._drop_output", lambda: None)
-    assert ended(fails(error)) == code
+    assert run_to_exit_code(fails(error)) == code
     text = capsys.readouterr().err
     assert text.endswith(says) and bool(text) == bool(says) and text.count("\n") <= 1
 
 
 def test_a_defect_is_no_outcome(capsys: pytest.CaptureFixture[str]) -> None:
-    assert ended(fails(ZeroDivisionError())) == ExitCode.DEFECT
+    assert run_to_exit_code(fails(ZeroDivisionError())) == ExitCode.DEFECT
     assert "Traceback" in capsys.readouterr().err
 
 
@@ -241,12 +241,12 @@
     plan, pauses, addresses, now = CallPlan([A, B], 0.0, 60.0), [], [], 0.0
     assert plan.first() == SendTo(A, 0.0)
     while isinstance(step := plan.after(outcome, now), SendTo):
-        now += step.pause_s
-        pauses.append(step.pause_s)
+        now += step.delay_s
+        pauses.append(step.delay_s)
         addresses.append(step.address)
     assert isinstance(step, GiveUp) and 58.0 < now <= 60.0
     assert addresses[:4] == [B, A, B, A]
-    assert pauses == sorted(pauses) and pauses[0] == FIRST_PAUSE_S and pauses[-1] == LONGEST_PAUSE_S
+    assert pauses == sorted(pauses) and pauses[0] == INITIAL_BACKOFF_S and pauses[-1] == MAX_BACKOFF_S
 
 
 def test_other_refusals_end_the_call_at_the_third_time() -> None:
@@ -260,7 +260,7 @@
     plan, reply = CallPlan([A, B], 0.0, 60.0), Reply(307, b"", "http://10.0.0.9:8080/config")
     for _ in range(MAX_REDIRECTS):
         assert plan.after(reply, 0.0) == SendTo("10.0.0.9:8080", 0.0)
-    assert plan.after(reply, 0.0) == SendTo(B, FIRST_PAUSE_S)
+    assert plan.after(reply, 0.0) == SendTo(B, INITIAL_BACKOFF_S)
     assert plan.after(reply, 0.0) == SendTo("10.0.0.9:8080", 0.0)
 
 
@@ -268,7 +268,7 @@
     "location", [None, "", "/config", "http://", "http://x:99999/", "ftp://x/", "http://[", "//x"]
 )
 def test_a_redirect_to_nowhere_is_a_failure(location: str | None) -> None:
-    assert CallPlan([A, B], 0.0, 60.0).after(Reply(307, b"", location), 0.0) == SendTo(B, FIRST_PAUSE_S)
+    assert CallPlan([A, B], 0.0, 60.0).after(Reply(307, b"", location), 0.0) == SendTo(B, INITIAL_BACKOFF_S)
 
 
 OUTCOMES = st.one_of(
@@ -287,9 +287,9 @@
         step = plan.after(outcome, now)
         if not isinstance(step, SendTo):
             break
-        redirects = redirects + 1 if step.pause_s == 0.0 else 0
+        redirects = redirects + 1 if step.delay_s == 0.0 else 0
         assert redirects <= MAX_REDIRECTS
-        now += step.pause_s
+        now += step.delay_s
         assert redirects or now <= patience
 
 
