--- a/granitewell/cli/__init__.py
+++ b/granitewell/cli/__init__.py
@@ -1,5 +1,5 @@
 """The command line: `granitewell node, check, lab, ...`.
 
-It owns arguments, tables, progress and exit codes. It must never decide anything, touch a request, or be
-imported by `python -m granitewell`, which starts the node without any command line library.
+Holds arguments, tables, progress bars and exit codes, and no logic of the node. `python -m granitewell`,
+which runs the node, does not import it, so that a node runs without a command line library.
 """
--- a/granitewell/cli/check.py
+++ b/granitewell/cli/check.py
@@ -1,7 +1,7 @@
-"""`granitewell check`: all that is wrong with a platform configuration or an operator file.
+"""`granitewell check`: lists every problem of platform configurations and operator files.
 
-It owns how a file's kind is told and how problems are listed. What is allowed stands in
-`granitewell.operator`'s types; the last word on a platform configuration is the node's own.
+Detects the kind of a file and prints its problems. The types in `granitewell.operator` define what is
+allowed; a platform configuration is also loaded by the node's own parser.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from granitewell.operator.registry import Operator
 from granitewell.operator.table import examine
 
-MAX_PLATFORM_FILE_BYTES = 16 * 1024 * 1024  # bytes; the list of the last known endpoints is in it
+MAX_PLATFORM_FILE_BYTES = 16 * 1024 * 1024  # includes the list of the last known endpoints
 
 
 @dataclass(frozen=True, slots=True)
 class FileReport:
-    """What there is to say of one file."""
+    """The result of checking one file."""
 
     path: str
     kind: str
@@ -36,23 +36,23 @@
 
     @property
     def is_valid(self) -> bool:
-        """Can it be used? Notes alone do no harm."""
+        """Whether the file can be used; notes do not make it invalid."""
         return all(p.note for p in self.problems)
 
     def lines(self) -> list[str]:
-        """For a person: one line a problem."""
+        """Return the report as text, one line for each problem."""
         found = [f"{self.path}: {'note: ' if p.note else ''}{p.text()}" for p in self.problems]
         return found + ([f"{self.path}: good, {self.kind}"] if self.is_valid else [])
 
     def as_dict(self) -> dict[str, Any]:
-        """For a program."""
+        """Return the report in the form that `--json` prints."""
         keys = ("field", "found", "allowed", "near", "note")
         problems = [{k: getattr(p, k) for k in keys} for p in self.problems]
         return {"file": self.path, "kind": self.kind, "good": self.is_valid, "problems": problems}
 
 
 def check_file(path: str) -> FileReport:
-    """Look at one file, told apart by what is in it: JSON begins with a brace, which no TOML does."""
+    """Check one file; its kind is detected by content, as JSON begins with a brace and TOML never does."""
     kind = "a file"
     try:
         raw = read(path, MAX_PLATFORM_FILE_BYTES)
@@ -80,7 +80,7 @@
 
 
 def _check_with_node(path: str) -> list[Problem]:
-    """What the node itself says of a file that looks right."""
+    """Load a file that passed the type checks with the node's own parser."""
     try:
         load_node_config({"LB_CONFIG": path})
     except ConfigError as error:
@@ -119,4 +119,4 @@
 def _print_reports(console: Console, reports: list[FileReport]) -> None:
     for report in reports:
         for line in report.lines():
-            click.echo(line)  # not the console's: a line is one line, and brackets stay
+            click.echo(line)  # rich would wrap lines and interpret brackets as markup
--- a/granitewell/cli/cluster.py
+++ b/granitewell/cli/cluster.py
@@ -1,8 +1,8 @@
-"""`granitewell cluster`: what a running node believes of the fleet, and what an operator tells it.
+"""`granitewell cluster`: shows a running node's view of the fleet, and passes on an operator's decision.
 
-It owns the options, the tables and the exit codes, and the calls to the node's status socket. It must never
-decide who is there: it shows what nodes say. Exit codes: 0 the node is a member and nobody that it counts is
-missing; 1 somebody is, or the nodes asked do not agree; 2 bad arguments; 3 nobody answers.
+Queries the status socket of nodes and shows what they answer, without evaluating membership itself.
+Exit codes: 0 the node is a member and no member that it counts is missing; 1 a member is missing, or the
+nodes queried disagree; 2 bad arguments; 3 no node answers.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def node_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """The options that say whom to ask."""
+    """Add the options that select the nodes to query, and pass them on as `places`."""
 
     @click.option(
         "--at",
@@ -67,7 +67,12 @@
 
 
 def query_node(at: Place, target: str, method: str = "GET") -> Any:
-    """What a node answers, from JSON or as a line; NoMeans where nobody does, Told where it refuses."""
+    """Send a request to a node's status socket and return the answer, JSON decoded or one line of text.
+
+    Raises:
+        UnavailableError: No node answers, or it does not serve this target.
+        CommandError: The node rejects the request.
+    """
     try:
         code, raw = fetch(at, target, method)
     except (OSError, http.client.HTTPException) as error:
@@ -85,7 +90,7 @@
 
 
 def fetch_view(at: Place) -> dict[str, Any]:
-    """One node's view."""
+    """Return one node's view of the cluster."""
     try:
         return fleet.taken(query_node(at, "/cluster"))
     except ValueError as error:
@@ -134,7 +139,7 @@
 
 
 def views_agree(views: list[dict[str, Any]]) -> bool:
-    """Do all that are members name the same lives as up?"""
+    """Whether all nodes that are members list the same processes (name and birth) as up."""
     ups = [
         {(m["name"], m["birth"]) for m in v["members"] if m["state"] in ("alive", "suspect")}
         for v in views if v["phase"] == "in"
--- a/granitewell/cli/lab.py
+++ b/granitewell/cli/lab.py
@@ -1,6 +1,6 @@
 """`granitewell lab`: the table of the lab's commands.
 
-It owns the table alone, so that listing the commands imports none of them and nothing that they need.
+Holds only the table, so that listing the commands imports neither them nor their dependencies.
 """
 
 from __future__ import annotations
--- a/granitewell/cli/lab_cluster.py
+++ b/granitewell/cli/lab_cluster.py
@@ -1,7 +1,7 @@
-"""`granitewell lab cluster`: days of pure machines in the virtual cluster, and the exhaustive search.
+"""`granitewell lab cluster`: simulates a cluster of state machines, and searches their states exhaustively.
 
-It owns the options, the table and the exit codes. It must never compute what holds: a subject's days do.
-Exit codes: 0 all held; 1 an invariant did not hold; 2 an option is wrong.
+Parses options, prints the table and sets the exit code; the subjects check their invariants themselves.
+Exit codes: 0 all invariants held; 1 an invariant was violated; 2 an option is wrong.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 @show.as_json
 def cluster(name: str, span: str, jobs: int | None, severity: float, size: int | None, plant: str | None,
             only: str | None, wanted: str | None, as_json: bool) -> None:  # fmt: skip
-    """The help text is above: it lists the subjects."""
+    """Run days or the search; the help text is `_HELP`, which lists the subjects."""
     plants = subject(name).plants
     if plant == "list":
         show.emit(dict(plants), as_json, lambda console: console.print(
@@ -90,7 +90,7 @@
 
 # --- Days -----------------------------------------------------------------------------------------------
 def _figures(found: list[Found]) -> dict[str, Any]:
-    """Over all days: sums, and lists as median, 95 in 100, worst."""
+    """Aggregate the figures of all days: numbers as sums, lists as median, 95th percentile and worst."""
     days = [f.outcome for f in found]
     data: dict[str, Any] = {"day_s": sum(o.day_s for o in days), "cpu_s": sum(f.cpu_s for f in found)}
     for name in dict.fromkeys(n for o in days for n in o.figures):
--- a/granitewell/cli/lab_fleet.py
+++ b/granitewell/cli/lab_fleet.py
@@ -1,8 +1,8 @@
-"""`granitewell lab fleet`: many processes of the program, faults between them, and a page on it.
+"""`granitewell lab fleet`: runs many node processes under injected faults and writes a report page.
 
-It owns the options, the tables and the exit codes. It must never start a process or judge by itself: that is
-`granitewell.lab.fleet`. Exit codes: 0 all rules kept; 1 a rule was broken; 2 a scenario or option can't be
-used; 3 the machine does not give what is needed, or was too busy for a verdict.
+Parses options, prints tables and sets the exit code; `granitewell.lab.fleet` starts processes and checks
+rules. Exit codes: 0 all rules kept; 1 a rule was broken; 2 a scenario or option can't be used; 3 the
+machine lacks a resource, or was too busy for a reliable result.
 """
 
 from __future__ import annotations
@@ -129,7 +129,7 @@
     from granitewell.lab.fleet.batch_run import BatchResult, Shift, night
 
     _check_plant(plant)
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # as SIGINT: no run goes on without its night
+    signal.signal(signal.SIGTERM, signal.default_int_handler)  # as SIGINT, so that no run outlives the batch
     folder = out if out is not None else Path(tempfile.mkdtemp(prefix="granitewell-night-"))
     with_cluster = not without
     runs = [
@@ -230,7 +230,7 @@
 
 
 def _delete_all_but_report(folder: Path) -> None:
-    """All but the page and the schedule."""
+    """Delete the files of a run except for the report page and the schedule."""
     for path in folder.iterdir():
         if path.is_file() and path.name not in ("fleet.html", "fleet.png", "schedule.json"):
             path.unlink()
--- a/granitewell/cli/lab_judge.py
+++ b/granitewell/cli/lab_judge.py
@@ -1,6 +1,6 @@
-"""`granitewell lab judge`: judge a recording.
+"""`granitewell lab judge`: checks a recording against the rules.
 
-It owns the command's arguments and how a report is shown. It must never judge or count.
+Parses arguments and prints the report; `granitewell.lab.judge` does the checking and counting.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
             replay(_with_progress(merge(files), steps), day_judge)
     except OSError as error:
         raise show.CommandError(f"{error.filename}: {error.strerror}") from None
-    except ValueError as error:  # RecordingError, and what the judge does not know
+    except ValueError as error:  # a RecordingError, or a name that the judge does not know
         where = "" if isinstance(error, RecordingError) else f"{files[0]}{' ...' if files[1:] else ''}: "
         raise show.CommandError(f"{where}{error}") from None
     report = day_judge.report()
@@ -76,7 +76,7 @@
 
 
 def render(report: Report, console: Console) -> None:
-    """A report for a person."""
+    """Print a report as text and tables."""
     for line in report.lines():
         console.print(line, markup=False, highlight=False, soft_wrap=True)
     tables = {"class": report.by_class, "co-operative": report.by_tenant, "node": report.by_node}
--- a/granitewell/cli/lab_load.py
+++ b/granitewell/cli/lab_load.py
@@ -1,8 +1,8 @@
-"""`granitewell lab load`: offer a target an open-loop load and say what came of it.
+"""`granitewell lab load`: sends an open-loop load to a target and reports the results.
 
-It owns the options, the tables and the exit code. It must never count or judge: the figures and their verdict
-are `granitewell.lab.load`'s. Exit codes: 0 the figures stand; 1 some are the tool's own, or a worker died;
-2 an option is wrong; 3 the target or the machine does not give what is needed; 130 interrupted.
+Parses options, prints tables and sets the exit code; `granitewell.lab.load` measures and validates the
+figures. Exit codes: 0 the figures are valid; 1 the load generator was the bottleneck, or a worker died; 2 an
+option is wrong; 3 the target can't be reached, or the machine lacks a resource; 130 interrupted.
 """
 
 from __future__ import annotations
@@ -51,9 +51,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOptions:
-    """The options, read and checked, before anything is looked up or started."""
+    """The parsed and validated options, before names are resolved and processes started."""
 
-    plan: Plan  # its targets as named, its connections still over all processes
+    plan: Plan  # with unresolved targets, and connections not yet divided among processes
     rates: tuple[float, ...]
     sweep: bool
     length_us: int
@@ -118,7 +118,7 @@
 
 @contextmanager
 def _interruptible(crew: Crew) -> Iterator[None]:
-    """SIGINT and SIGTERM end the run early; what was measured by then is reported."""
+    """Let SIGINT and SIGTERM end the run early; what was measured until then is reported."""
 
     def stop(_signal: int, _frame: FrameType | None) -> None:
         crew.stop()
@@ -135,7 +135,7 @@
     plan = options.plan
     share = preflight.connections(options.connections, plan.workers)
     folder = preflight.folder(options.hdr)
-    # the quietest CPUs for the workers, then the stand-ins; where there are too few, nobody is pinned
+    # the least busy CPUs for the workers, then for the stand-ins; if there are too few, nothing is pinned
     cpus: Sequence[int | None] = preflight.quiet_cpus() if options.pin else []
     if len(cpus) < plan.workers + options.bare:
         cpus = [None] * (plan.workers + options.bare)
@@ -178,7 +178,7 @@
     max_steps: int,
     on_result: Callable[[Result], None],
 ) -> Outcome:
-    """Play with a bar that counts seconds of load; a sweep may need fewer than are announced."""
+    """Run the steps with a progress bar in seconds of load; a sweep may end before the bar is full."""
     each_s = max(options.length_us // 1_000_000, 1)
     with show.progress("load, seconds", max_steps * each_s) as bar:
         started, shown_s = time.monotonic(), 0
@@ -199,7 +199,7 @@
         )
 
 
-# --- What is shown ---
+# --- Output ---
 _OUTCOME_COLUMNS = (
     "rate/s", "due", "served", "refused", "failed", "timed out", "reset", "not connected", "cut",
     "served/s", "left late", "busiest worker", "",
--- a/granitewell/cli/lab_membership.py
+++ b/granitewell/cli/lab_membership.py
@@ -1,8 +1,8 @@
-"""`granitewell lab membership`: how soon members notice a death, what they believe wrongly, what it costs.
+"""`granitewell lab membership`: measures failure detection time, false suspicions and the cost of membership.
 
-It owns the options, the table and the exit codes. It must never compute a figure of the members:
-`granitewell.lab.cluster.membership_measure` does.
-Exit codes: 0 measured; 1 the members did not come to see the same; 2 an option is wrong; 130 interrupted.
+Parses options, prints the table and sets the exit code; `granitewell.lab.cluster.membership_measure` does the
+measurement. Exit codes: 0 measured; 1 the members' views did not converge; 2 an option is wrong;
+130 interrupted.
 """
 
 from __future__ import annotations
--- a/granitewell/cli/lab_mutants.py
+++ b/granitewell/cli/lab_mutants.py
@@ -1,6 +1,6 @@
-"""`granitewell lab mutants`: plant defects in the node, and show what catches each.
+"""`granitewell lab mutants`: mutation tests of the node; shows which check detects each planted defect.
 
-It owns the command's arguments and the table. It must never plant or judge.
+Parses arguments and prints the table; `granitewell.lab.mutants` plants the defects and runs the checks.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 def render(result: bench.Result, console: Console) -> None:
-    """The table, then what is known of the unharmed program."""
+    """Print the table of defects, then the results of the unchanged program and of the harmless change."""
     rows = []
     for o in result.outcomes:
         caught_by = o.by if o.understood or not o.by else f"{o.by} (expected {', '.join(o.expected)})"
--- a/granitewell/cli/lab_run.py
+++ b/granitewell/cli/lab_run.py
@@ -1,6 +1,6 @@
-"""`granitewell lab run` and `granitewell lab report`: experiments.
+"""`granitewell lab run` and `granitewell lab report`: run experiments and report on them.
 
-It owns their arguments and what they print. It must never play a day or compute a figure.
+Parses arguments and prints results; `granitewell.lab.experiments` runs the days and computes the figures.
 """
 
 from __future__ import annotations
@@ -119,7 +119,7 @@
             for r in rows if r.figure == figure
         ]  # fmt: skip
         if not lines:
-            continue  # no oracle among the variants, or no trouble on any day
+            continue  # no variant is the oracle, or no day has a fault
         columns = ("scenario, variant", "mean", "worst seed", f"against {plan.base}, paired, 95%")
         console.print(show.table(f"{figure}: {FIGURES[figure]}", columns, lines))
     console.print(f"the page with all figures and plots: {report_hint}")
--- a/granitewell/cli/lab_scenario.py
+++ b/granitewell/cli/lab_scenario.py
@@ -1,6 +1,6 @@
-"""`granitewell lab scenarios` and `granitewell lab draw`: what there is, and what a seed makes of it.
+"""`granitewell lab scenarios` and `granitewell lab draw`: list scenarios and print the day of a seed.
 
-It owns how scenarios and drawn days are shown. It must never draw or decide anything by itself.
+Prints scenarios and drawn days; `granitewell.lab.scenario` loads and draws them.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class InvalidScenarioError(CommandError):
-    """One line on standard error for each thing that is wrong with a scenario."""
+    """A scenario can't be used; prints one line on standard error for each problem."""
 
     def __init__(self, error: ScenarioError) -> None:
         super().__init__("\n".join(error.problems))
 
     def show(self, file: object = None) -> None:
-        """All lines, each with the program's name."""
+        """Print each problem on its own line, prefixed with the program's name."""
         for line in self.message.splitlines():
             CommandError(line).show()
 
 
 def load_scenario(name: str) -> Scenario:
-    """The scenario of an argument; whatever is wrong ends the command with exit code 2."""
+    """Load the scenario that an argument names; any problem ends the command with exit code 2."""
     try:
         return load(name)
     except ScenarioError as error:
--- a/granitewell/cli/lab_sim.py
+++ b/granitewell/cli/lab_sim.py
@@ -1,7 +1,7 @@
-"""`granitewell lab sim` and `granitewell lab hunt`: days in virtual time.
+"""`granitewell lab sim` and `granitewell lab hunt`: simulate days in virtual time.
 
-It owns their arguments and what they print. It must never compute a figure or decide what is right: the judge
-does, and granitewell.lab.simulation plays.
+Parses arguments and prints results; `granitewell.lab.simulation` runs the days and `granitewell.lab.judge`
+checks them.
 """
 
 from __future__ import annotations
@@ -89,7 +89,7 @@
     """
     case = Case(scenario, nodes, endpoints, rate, length_s, policy, below)
     seeds = _parse_seed_range(span)
-    _draw_day(case, seeds[0])  # what is wrong with the scenario is said before anything starts
+    _draw_day(case, seeds[0])  # reports an invalid scenario before any process starts
     found: list[Found] = []
     with show.progress(f"{scenario}, seeds {span}", len(seeds)) as steps:
         for one in hunting.seeds(case, seeds, jobs or os.cpu_count() or 1):
@@ -152,7 +152,7 @@
             return play(day, policy, judge, file, only=only), None
         with Sampler() as sampler:
             return play(day, policy, judge, file, only=only), sampler
-    except OSError as error:  # the trace alone does I/O
+    except OSError as error:  # only writing the trace does I/O
         raise show.UnavailableError(f"--trace {trace}: {error.strerror}") from None
     finally:
         if file is not None:
--- a/granitewell/cli/lab_theory.py
+++ b/granitewell/cli/lab_theory.py
@@ -1,7 +1,7 @@
-"""`granitewell lab theory`: the table of the model's endpoint against queueing theory.
+"""`granitewell lab theory`: compares the simulated endpoint with queueing theory.
 
-It owns the options, the table and the exit code. It must never compute a wait: `granitewell.lab.theory` does.
-Exit codes: 0 all within the error allowed; 1 some are not; 2 an option is wrong; 130 interrupted.
+Parses options, prints the table and sets the exit code; `granitewell.lab.theory` computes the waiting times.
+Exit codes: 0 all within the allowed error; 1 some are not; 2 an option is wrong; 130 interrupted.
 """
 
 from __future__ import annotations
--- a/granitewell/cli/lab_trace.py
+++ b/granitewell/cli/lab_trace.py
@@ -1,6 +1,6 @@
-"""`granitewell lab trace FILE`: what a captured load is like.
+"""`granitewell lab trace FILE`: summarizes captured traffic.
 
-It owns the command's arguments and tables. It must never compute a figure: `lab.capture` does.
+Parses arguments and prints tables; `granitewell.lab.capture` computes the figures.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from granitewell.cli import show
 from granitewell.lab.capture import Summary, TraceError, read, summarise
 
-_MAX_RATE_ROWS = 20  # of the table of rates
+_MAX_RATE_ROWS = 20  # in the table of rates over time
 
 
 @click.command("trace", epilog="Example: granitewell lab trace rainy-evening.csv --json")
@@ -52,7 +52,7 @@
 
 
 def _over_time(found: Summary) -> list[tuple[object, ...]]:
-    """The seconds in at most so many rows: (from-to, mean, peak); without those in which nothing came."""
+    """Group the seconds into at most `_MAX_RATE_ROWS` rows (from-to, mean, peak), without empty groups."""
     last = found.seconds[-1][0]
     width = last // _MAX_RATE_ROWS + 1
     parts: dict[int, list[int]] = {}
--- a/granitewell/cli/lab_up.py
+++ b/granitewell/cli/lab_up.py
@@ -1,9 +1,8 @@
-"""`granitewell lab up` and `granitewell lab demo`: the model on loopback sockets, for a person.
+"""`granitewell lab up` and `granitewell lab demo`: run nodes and emulated endpoints on loopback sockets.
 
-It owns the options, the tables and the exit codes. It must never start a process, judge or draw by itself:
-that is `granitewell.lab.loopback` and `granitewell.lab.scenario`. Exit codes: 0 done, and in the demo all
-rules kept; 1 a rule was broken; 2 a scenario or option can't be used; 3 the machine does not give what is
-needed.
+Parses options, prints tables and sets the exit code; `granitewell.lab.loopback` starts the processes and
+`granitewell.lab.scenario` draws the day. Exit codes: 0 done, and in the demo all rules kept; 1 a rule was
+broken; 2 a scenario or option can't be used; 3 the machine lacks a resource.
 """
 
 from __future__ import annotations
@@ -36,7 +35,7 @@
 
 
 def _draw_day(scenario: str, seed: int, **overrides: Any) -> Day:
-    """Draw it; a bad file or figure is one line and exit 2."""
+    """Draw a day; an invalid scenario or option ends the command with exit code 2."""
     try:
         return draw(load(scenario), seed, **overrides)
     except ScenarioError as error:
@@ -49,7 +48,7 @@
 
 @contextmanager
 def _resource_errors() -> Iterator[None]:
-    """What the machine does not give is one line and exit 3."""
+    """Turn a resource that the machine lacks into one line and exit code 3."""
     try:
         yield
     except SocksError as error:
@@ -128,7 +127,7 @@
 
     show.emit(addresses, as_json, render)
     with contextlib.suppress(AttributeError):
-        sys.stdout.flush()  # whoever reads this waits for it, and the command does not end
+        sys.stdout.flush()  # the reader waits for the addresses while the command keeps running
 
 
 # --- demo -------------------------------------------------------------------------------------------------
@@ -165,7 +164,7 @@
 
 
 def progress_watcher(bar: show.Steps) -> Any:
-    """Moves the bar on with the seconds of the day."""
+    """Return a callback that advances the progress bar with the seconds of the day."""
     done = 0
 
     def watch(now_us: int) -> None:
--- a/granitewell/cli/main.py
+++ b/granitewell/cli/main.py
@@ -1,8 +1,7 @@
-"""The command `granitewell`: finds the command that is meant, and turns every end into an exit code.
+"""The command `granitewell`: dispatches to subcommands and maps every outcome to an exit code.
 
-It owns the table of commands, which names modules without importing them, and the ends that no command
-handles itself: a package that is missing, a pipe that broke, Ctrl-C. It must never know what a command does.
-Exit codes are on docs/operate/exit-codes.md.
+Holds the table of commands, which names modules without importing them, and handles what no command handles
+itself: a missing package, a broken pipe, Ctrl-C. docs/operate/exit-codes.md describes the exit codes.
 """
 
 from __future__ import annotations
@@ -17,17 +16,17 @@
 from typing import Any, NoReturn
 
 OK, BAD_OUTCOME, BAD_INPUT, UNAVAILABLE = 0, 1, 2, 3
-DEFECT = 70  # EX_SOFTWARE of sysexits.h: a traceback must not look like an outcome
-INTERRUPTED = 130  # 128 and SIGINT, as shells have it; also for a reader that has gone
-EXTRA_BY_PACKAGE = {  # packages, by the extra that brings them
+DEFECT = 70  # EX_SOFTWARE of sysexits.h, so that a traceback is not taken for an outcome
+INTERRUPTED = 130  # 128 + SIGINT, as in shells; also when the reader of a pipe has closed it
+EXTRA_BY_PACKAGE = {  # the extra that installs each package
     "click": "cli", "rich": "cli", "msgspec": "cli",
     "numpy": "lab", "hdrh": "lab", "matplotlib": "lab",
 }  # fmt: skip
-COMPLETION_VARIABLE = "_GRANITEWELL_COMPLETE"  # by which a shell's script asks for completions
+COMPLETION_VARIABLE = "_GRANITEWELL_COMPLETE"  # set by the shell's completion script
 
 
 def _install_hint(name: str) -> str:
-    """What to do about a module that can't be imported; empty where it is nobody's extra."""
+    """Return how to install a module that can't be imported; empty if no extra brings it."""
     root = name.partition(".")[0]
     if root in EXTRA_BY_PACKAGE:
         return (
@@ -41,7 +40,7 @@
 try:
     import click
     from click.shell_completion import CompletionItem, get_completion_class, shell_complete
-except ModuleNotFoundError as _error:  # installed without extras, the program still has its name on the path
+except ModuleNotFoundError as _error:  # the console script is installed even without extras
     print(f"granitewell: {_install_hint(_error.name or '')}", file=sys.stderr)
     raise SystemExit(UNAVAILABLE) from None
 
@@ -54,25 +53,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """Where a command is (`module:object`), and the line that a list of commands shows of it."""
+    """The location of a command (`module:object`) and its line in the list of commands."""
 
     target: str
     summary: str
 
 
 class LazyGroup(click.Group):
-    """A group whose commands are imported when they are called, and not to be listed or completed."""
+    """A group that imports a command only when it is called, not to list or complete its name."""
 
     def __init__(self, *args: Any, entries: Mapping[str, Entry], **kw: Any) -> None:
         super().__init__(*args, **kw)
         self.entries = entries
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """In the order of the table."""
+        """Return the names in the order of the table."""
         return list(self.entries)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Import the command; Missing says what is not installed."""
+        """Import the command.
+
+        Raises:
+            NotInstalledError: A module or package that the command needs is not installed.
+        """
         entry = self.entries.get(name)
         if entry is None:
             return None
@@ -80,7 +83,7 @@
         try:
             found = getattr(importlib.import_module(module), attribute)
         except ModuleNotFoundError as error:
-            if ctx.resilient_parsing:  # completing a line: a shell is no place for an error
+            if ctx.resilient_parsing:  # completion must not print errors into the shell
                 return click.Command(name, help=entry.summary)
             if text := _install_hint(error.name or ""):
                 raise NotInstalledError(f"{ctx.command_path} {name}: {text}") from None
@@ -91,7 +94,7 @@
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """As usual, with the nearest name where there is no such command."""
+        """Resolve a command; an unknown name is answered with the nearest ones."""
         try:
             return super().resolve_command(ctx, args)
         except click.exceptions.NoSuchCommand as error:
@@ -100,12 +103,12 @@
             ) from None
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """The list of commands, from the table alone."""
+        """Write the list of commands from the table, without importing them."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, entry.summary) for name, entry in self.entries.items()])
 
     def shell_complete(self, ctx: click.Context, incomplete: str) -> list[CompletionItem]:
-        """Names from the table, then the options."""
+        """Complete names from the table, then options."""
         names = [
             CompletionItem(n, help=e.summary) for n, e in self.entries.items() if n.startswith(incomplete)
         ]
@@ -159,7 +162,10 @@
 
 
 def run(args: Sequence[str]) -> int:
-    """Run the command line; the exit code. Every end but a defect is one line on standard error, or none."""
+    """Run the command line and return the exit code.
+
+    Every failure but a defect prints at most one line on standard error.
+    """
     try:
         return _invoke(args)
     except click.exceptions.NoArgsIsHelpError as error:
@@ -191,7 +197,7 @@
         return shell_complete(granitewell, {}, "granitewell", COMPLETION_VARIABLE, instruction)
     try:
         with granitewell.make_context("granitewell", list(args)) as ctx:
-            granitewell.invoke(ctx)  # what a command returns is nobody's exit code
+            granitewell.invoke(ctx)  # a command's return value is not an exit code
         code = OK
     except click.exceptions.Exit as error:
         code = error.exit_code
@@ -201,7 +207,7 @@
 
 
 def _drop_output() -> None:
-    """The interpreter flushes at its end: what is left, and can't be written, goes nowhere."""
+    """Redirect standard output to /dev/null, as the interpreter's flush at exit would fail again."""
     with contextlib.suppress(OSError, AttributeError):
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
 
@@ -212,7 +218,7 @@
 
 
 def main() -> NoReturn:
-    """The console script."""
+    """Run the console script."""
     try:
         code = run(sys.argv[1:])
     except Exception:
--- a/granitewell/cli/node.py
+++ b/granitewell/cli/node.py
@@ -1,7 +1,7 @@
-"""`granitewell node`: becomes the node; and `granitewell node status`: asks a running one.
+"""`granitewell node` runs a node in this process; `granitewell node status` queries a running one.
 
-It owns the step from this command to `python -m granitewell`, which takes its place in the same process, and
-the client of the status socket. It must never import the node: what serves requests carries no command line.
+Replaces this process with `python -m granitewell` by exec, and holds the client of the status socket. It does
+not import the node, so that the process that serves requests has no command line library loaded.
 """
 
 from __future__ import annotations
@@ -27,13 +27,14 @@
 from granitewell.status.types import ALLOWED_AT, MAX_ANSWER, MAX_WORST, Place, Snapshot
 from granitewell.status.types import place as parse_place
 
-TIMEOUT_S = 3.0  # for a node that answers within one
+TIMEOUT_S = 3.0  # a node answers within one second
 
 
 def node_command(env: Mapping[str, str], operator: str | None) -> tuple[list[str], dict[str, str]]:
-    """The command and the environment of the node.
+    """Return the command line and the environment of the node.
 
-    It runs the granitewell that this command belongs to, whatever stands in the current folder (-P).
+    The node runs the granitewell package that this command belongs to; -P keeps the current folder off the
+    import path.
     """
     root = str(Path(granitewell.__file__).resolve().parent.parent)
     paths = [root, *filter(None, [env.get("PYTHONPATH")])]
@@ -70,7 +71,7 @@
         raise UnavailableError(f"{command[0]}: {error.strerror}") from None
 
 
-# --- Asking a running node ------------------------------------------------------------------------------
+# --- Query of a running node ------------------------------------------------------------------------------
 @node.command(
     epilog="Examples:\n\n  granitewell node status --at /run/balancer/status.sock --watch 1\n\n"
     "  curl --unix-socket /run/balancer/status.sock http://localhost/metrics"
@@ -97,7 +98,7 @@
     while True:
         data = fetch_snapshot(place, worst)
         if watch is not None and not as_json:
-            click.clear()  # nothing where standard output is no terminal
+            click.clear()  # does nothing if standard output is not a terminal
         emit(data, as_json, partial(_render, data))
         if watch is None:
             break
@@ -108,7 +109,11 @@
 
 
 def status_place(at: str | None, operator: str | None) -> Place:
-    """Where a node's status is: as named, or by its operator file. Told says why that is none."""
+    """Return the address of a node's status socket, as given or from its operator file.
+
+    Raises:
+        CommandError: No address is given, or it is invalid.
+    """
     if at is None and not operator:
         raise CommandError("where is the node's status? name --at or --operator")
     if at is None:
@@ -137,7 +142,11 @@
 
 
 def fetch_snapshot(place: Place, worst: int | None) -> Snapshot:
-    """One snapshot; NoMeans where nobody answers, or somebody else does."""
+    """Fetch one snapshot.
+
+    Raises:
+        UnavailableError: Nothing answers, or what answers is not a node.
+    """
     query = "" if worst is None else f"?worst={worst}"
     try:
         code, raw = fetch(place, f"/status{query}")
@@ -153,7 +162,12 @@
 
 
 def fetch(place: Place, target: str, method: str = "GET") -> tuple[int, bytes]:
-    """Status code and body of a node's answer. OSError, HTTPException: nobody answers as a node does."""
+    """Return status code and body of a node's answer.
+
+    Raises:
+        OSError: The node can't be reached or does not answer in time.
+        HTTPException: The answer is not valid HTTP.
+    """
     connection = http.client.HTTPConnection("127.0.0.1", place.port or None, timeout=TIMEOUT_S)
     if place.path:
         connection.sock = _connect(place.path)
@@ -166,7 +180,7 @@
 
 
 def _connect(path: str) -> socket.socket:
-    """A connection to a unix socket, which turns one away at once while too many wait there."""
+    """Connect to a unix socket, with retries while its backlog is full, as connect() then fails at once."""
     deadline = time.monotonic() + TIMEOUT_S
     while True:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -194,6 +208,6 @@
         for k, name in enumerate(sheet.columns):
             table.add_column(Text(name), justify="right" if k else "left")
         for k, row in enumerate(sheet.rows):
-            # Text, not str: a name in brackets is no markup
+            # Text instead of str, so that brackets in names are not interpreted as markup
             table.add_row(*map(Text, row), style="red" if k in sheet.lit else "")
         console.print(table)
--- a/granitewell/cli/show.py
+++ b/granitewell/cli/show.py
@@ -1,7 +1,6 @@
-"""What every command shows a person or a program: tables or JSON, progress, errors, exit codes.
+"""Output of all commands: tables or JSON, progress, errors and exit codes.
 
-It owns the form of output and must never compute a figure. Results go to standard output; progress and
-errors go to standard error, progress only where that is a terminal.
+Results go to standard output, progress and errors to standard error; progress only if that is a terminal.
 """
 
 from __future__ import annotations
@@ -24,32 +23,32 @@
 
 
 class CommandError(click.ClickException):
-    """An end with one line that names what is wrong: an argument or a file that the caller can mend."""
+    """Ends the command with one line on standard error; by itself, for an argument or file that is wrong."""
 
     exit_code = BAD_INPUT
 
     def show(self, file: Any = None) -> None:
-        """One line on standard error."""
+        """Print the message on one line of standard error."""
         click.echo(f"granitewell: {' '.join(self.message.split())}", file=file or sys.stderr)
 
 
 class BadOutcomeError(CommandError):
-    """What was asked for was done, and the outcome is bad: a rule is broken, a run has failed."""
+    """The command did its work and the outcome is bad: a rule was broken, a run failed."""
 
     exit_code = BAD_OUTCOME
 
 
 class UnavailableError(CommandError):
-    """The machine does not give what is needed: a port in use, nobody at a target, a full disk."""
+    """A resource is unavailable: a port is in use, a target does not answer, a disk is full."""
 
     exit_code = UNAVAILABLE
 
 
 class Steps(Protocol):
-    """What a progress bar is told."""
+    """Receives the progress of a command."""
 
     def step(self, n: int = 1) -> None:
-        """So many further steps are done."""
+        """Report that `n` more steps are done."""
 
 
 class _NoProgress:
@@ -67,7 +66,7 @@
 
 @contextmanager
 def progress(label: str, total: int) -> Iterator[Steps]:
-    """A progress bar for work of over two seconds; nothing at all where standard error is no terminal."""
+    """Show a progress bar for work that takes over two seconds; none if standard error is not a terminal."""
     console = Console(stderr=True)
     if not console.is_terminal:
         yield _NoProgress()
@@ -78,7 +77,7 @@
 
 
 def table(title: str, columns: Sequence[str], rows: Iterable[Sequence[object]]) -> Table:
-    """A table; all columns but the first stand to the right."""
+    """Build a table; all columns but the first are right-aligned."""
     rendered = Table(title=title, title_justify="left")
     for k, name in enumerate(columns):
         rendered.add_column(name, justify="right" if k else "left")
@@ -88,7 +87,7 @@
 
 
 def emit(data: Any, as_json: bool, render: Callable[[Console], None]) -> None:
-    """The result of a command: `data` as one line of JSON, or whatever `render` prints for a person."""
+    """Print the result of a command: `data` as one line of JSON, or what `render` prints."""
     if as_json:
         click.echo(json.dumps(data, sort_keys=True))
     else:
--- a/granitewell/cli/system/__main__.py
+++ b/granitewell/cli/system/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m granitewell.cli.system`: finds the program or command that is meant.
+"""`python -m granitewell.cli.system`: dispatches to the programs and the operator's commands.
 
-The programs `edge` and `control` start without the parser of the command line, which takes longer to import
-than all that they need besides aiohttp.
+The programs `edge` and `control` start without the command line parser, which takes longer to import than all
+their other dependencies except aiohttp.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run what the arguments ask for; the exit code."""
+    """Run the program or command that the arguments name, and return the exit code."""
     if len(arguments) == 1 and arguments[0] in PROGRAMS:
         from granitewell.cli.system.exit_handling import run_to_exit_code
 
--- a/granitewell/cli/system/call_plan.py
+++ b/granitewell/cli/system/call_plan.py
@@ -1,8 +1,8 @@
-"""What a caller of the operator API does after each answer, or none: pure, the time is a parameter.
+"""Retry policy of a call to the operator API. Does no I/O; the current time is a parameter.
 
-An answer ends the call where it is clear: 2xx, a status of FINAL, any other 4xx at the third time. A 307 is
-followed at most twice in a row. Everything else (no answer in time, 5xx, 408, 429, a redirect too many) moves
-on to the next address after a pause that grows, until the caller's patience ends.
+A final answer ends the call: 2xx, a status of FINAL_STATUSES, or the third of any other 4xx. A 307 is
+followed at most twice in a row. Everything else (no answer in time, 5xx, 408, 429, too many redirects)
+moves on to the next address after a growing delay, until the total timeout is over.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from urllib.parse import urlsplit
 
-FINAL_STATUSES = frozenset({400, 409, 412, 413, 422})  # an operator's call ends at once on these
+FINAL_STATUSES = frozenset({400, 409, 412, 413, 422})  # end the call at once
 RETRIED_STATUSES = frozenset({408, 429})
 REDIRECT_STATUS = 307
 MAX_REDIRECTS = 2
-MAX_OTHER_REFUSALS = 3  # any other 4xx ends the call when it has come that often
+MAX_OTHER_REFUSALS = 3  # number of other 4xx answers that ends the call
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 2.0
 
@@ -25,7 +25,7 @@
     """An answer of a control node.
 
     Attributes:
-        location: Of a redirect.
+        location: The Location header of a redirect.
     """
 
     status: int
@@ -34,7 +34,7 @@
 
     @property
     def reason(self) -> str:
-        """The start of the body, for a message."""
+        """The start of the body, for an error message."""
         return " ".join(self.body[:300].decode(errors="replace").split())
 
 
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendTo:
-    """Send the call, unchanged, to this address after a pause."""
+    """Send the unchanged call to this address after a delay."""
 
     address: str
     delay_s: float
@@ -62,7 +62,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Patience is at its end; reason: of the last failure."""
+    """The total timeout is over.
+
+    Attributes:
+        reason: The last failure.
+    """
 
     reason: str
 
@@ -71,7 +75,7 @@
 
 
 class CallPlan:
-    """One call over several addresses, from its first sending to its end."""
+    """The state of one call that may be sent to several addresses."""
 
     def __init__(self, addresses: Sequence[str], now: float, total_timeout_s: float) -> None:
         self._addresses = tuple(addresses)
@@ -82,11 +86,11 @@
         self._delay_s = INITIAL_BACKOFF_S
 
     def first(self) -> SendTo:
-        """Where the call goes first."""
+        """Return the first step."""
         return SendTo(self._addresses[0], 0.0)
 
     def after(self, outcome: Reply | Unanswered, now: float) -> Step:
-        """What to do now that a sending has had this outcome."""
+        """Return the next step after an attempt with this outcome."""
         if isinstance(outcome, Unanswered):
             return self._next(outcome.reason, now)
         if outcome.status == REDIRECT_STATUS:
@@ -122,7 +126,7 @@
 
 
 def _address_of(location: str | None) -> str | None:
-    """The `ip:port` of a redirect, None where it can't be followed."""
+    """Return the `ip:port` of a redirect, or None if it can't be followed."""
     try:
         parts = urlsplit(location or "")
         port = parts.port
--- a/granitewell/cli/system/commands.py
+++ b/granitewell/cli/system/commands.py
@@ -1,4 +1,4 @@
-"""The commands and their arguments. What those of `config` do stands in `configuration`."""
+"""The commands and their arguments; `configuration` implements those of `config`."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     """`edge`."""
 
     def run(self) -> int:
-        """Until it is stopped."""
+        """Run the program until it is stopped."""
         return run_program("edge")
 
 
@@ -44,7 +44,7 @@
     """`control`."""
 
     def run(self) -> int:
-        """Until it is stopped."""
+        """Run the program until it is stopped."""
         return run_program("control")
 
 
@@ -57,7 +57,7 @@
     wait: Wait = DEFAULT_TOTAL_TIMEOUT_S
 
     def run(self) -> int:
-        """Print it."""
+        """Print the configuration."""
         return configuration.get(configuration.Target(self.control, self.wait))
 
 
@@ -72,7 +72,7 @@
     if_match: IfMatch = None
 
     def run(self) -> int:
-        """Send it."""
+        """Send the change."""
         return configuration.put(configuration.Target(self.control, self.wait), self.file, self.if_match)
 
 
@@ -87,7 +87,7 @@
     if_match: IfMatch = None
 
     def run(self) -> int:
-        """Send it."""
+        """Send the change."""
         return configuration.patch(configuration.Target(self.control, self.wait), self.file, self.if_match)
 
 
@@ -100,7 +100,7 @@
     on: Annotated[str, cappa.Arg(long="--on", help="The whole configuration that a patch alters.")] = ""
 
     def run(self) -> int:
-        """Check it."""
+        """Check the file."""
         return configuration.check(self.file, self.on)
 
 
@@ -115,7 +115,7 @@
     wait: Wait = DEFAULT_TOTAL_TIMEOUT_S
 
     def run(self) -> int:
-        """Compare."""
+        """Print the differences."""
         return configuration.diff(configuration.Target(self.control, self.wait), self.file, self.against)
 
 
@@ -127,7 +127,7 @@
     command: cappa.Subcommands[Get | Put | Patch | Check | Diff]
 
     def run(self) -> int:
-        """The command that is meant."""
+        """Run the subcommand."""
         return self.command.run()
 
 
@@ -140,7 +140,7 @@
 
 
 def run(arguments: Sequence[str]) -> int:
-    """Run what the arguments ask for; the exit code."""
+    """Run the command that the arguments name, and return the exit code."""
     return run_to_exit_code(lambda: _parse(arguments).command.run())
 
 
--- a/granitewell/cli/system/configuration.py
+++ b/granitewell/cli/system/configuration.py
@@ -1,4 +1,4 @@
-"""What the commands of `config` do."""
+"""Implements the commands of `config`."""
 
 from __future__ import annotations
 
@@ -21,24 +21,28 @@
 from granitewell.domain.errors import InvalidConfigurationError, InvalidSettingsError
 from granitewell.domain.settings import read_settings, settings_path
 
-MAX_FILE_BYTES = 64 * 1024 * 1024  # bytes of a configuration
+MAX_FILE_BYTES = 64 * 1024 * 1024  # size limit of a configuration file
 
 Result = TypeVar("Result")
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Which control nodes are asked, and for how long.
+    """The control nodes to call, and the total timeout.
 
     Attributes:
-        control: As on the command line, "" for the seeds.
+        control: The value of `--control`; "" selects the seeds of the settings file.
     """
 
     control: str
     total_timeout_s: float
 
     def addresses(self) -> tuple[str, ...]:
-        """Checked; raises UnusableAddressError."""
+        """Return the validated addresses.
+
+        Raises:
+            UnusableAddressError: An address is not `ip:port`, or there is none.
+        """
         if not self.control:
             return _seed_addresses()
         addresses = tuple(part.strip() for part in self.control.split(","))
@@ -69,7 +73,7 @@
 
 
 def check(file: str, on: str) -> int:
-    """Whether a file would be taken."""
+    """Check whether a control node would accept a file."""
     body = _read_file(file)
     if _is_patch(body) and not on:
         found = _with_file_name(file, lambda: _parse_patch(body))
@@ -83,7 +87,7 @@
 
 
 def diff(target: Target, file: str, against: str) -> int:
-    """What a file, a whole configuration or a patch, would change."""
+    """Print what a whole configuration or a patch would change."""
     body = _read_file(file)
     before = _read_file(against) if against else _run_calls(target, lambda client: client.get())
     source = against or "the answer"
@@ -109,7 +113,7 @@
 
 
 def _run_calls(target: Target, ask: Callable[[ControlClient], Awaitable[Result]]) -> Result:
-    """The result of one or more calls."""
+    """Run one or more calls to the control nodes and return the result."""
     from granitewell.cli.system.http_sender import ask_control  # aiohttp is slow to import
 
     return asyncio.run(ask_control(target.addresses(), target.total_timeout_s, ask))
@@ -144,7 +148,7 @@
 
 
 def _with_file_name(path: str, check: Callable[[], Result]) -> Result:
-    """The outcome of a check, with the file's name before what is wrong."""
+    """Run a check; an error is raised again with the file's name in front."""
     try:
         return check()
     except InvalidConfigurationError as error:
@@ -160,20 +164,31 @@
 
 
 def _parse_configuration(body: bytes) -> ConfigurationState:
-    """A whole configuration by itself; raises InvalidConfigurationError."""
+    """Parse a whole configuration.
+
+    Raises:
+        InvalidConfigurationError: It is not valid.
+    """
     return changed(EMPTY, Change(Operation.PUT, EMPTY.version, body))
 
 
 def _parse_patch(body: bytes) -> ConfigurationPatch:
-    """A patch, as far as it can be checked without what it alters; raises InvalidConfigurationError."""
+    """Parse a patch and check what can be checked without the configuration that it changes.
+
+    Raises:
+        InvalidConfigurationError: It is not valid.
+    """
     return read_patch(body, EMPTY.version, EMPTY.current_routes(), EMPTY.current_services())
 
 
 def _apply_patch(file: str, patch: bytes, whole: bytes, source: str) -> bytes:
-    """A whole configuration after a patch.
+    """Apply a patch to a whole configuration.
 
     Args:
-        file, source: Where patch and whole are from, for messages.
+        file: The file of the patch, for error messages.
+        patch: The patch, JSON.
+        whole: The configuration to change, JSON.
+        source: Where `whole` comes from, for error messages.
     """
     state = _with_file_name(source, lambda: _parse_configuration(whole))
     change = Change(Operation.PATCH, state.version, patch)
@@ -181,7 +196,7 @@
 
 
 def _parse_object(document: bytes, source: str) -> dict[str, Any]:
-    """A JSON object."""
+    """Parse a JSON object."""
     try:
         parsed = orjson.loads(document)
     except orjson.JSONDecodeError as error:
--- a/granitewell/cli/system/control.py
+++ b/granitewell/cli/system/control.py
@@ -1,4 +1,4 @@
-"""`control`: thin main of the control role."""
+"""`control`: entry point of the control role."""
 
 from granitewell.nodes.control_role import main
 
--- a/granitewell/cli/system/control_client.py
+++ b/granitewell/cli/system/control_client.py
@@ -1,4 +1,4 @@
-"""Calls of the operator API: runs `call_plan`, and offers what the commands ask for."""
+"""Client of the operator API: sends calls according to `call_plan`."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     VersionConflictError,
 )
 
-ANSWER_TIMEOUT_S = 1.0  # without an answer for that long, another node is asked
-MIN_UPLOAD_BYTES_PER_S = 1e6  # a body that needs longer than that to arrive is given more time
-DEFAULT_TOTAL_TIMEOUT_S = 15.0  # an election and a leader that is being replaced fit in
+ANSWER_TIMEOUT_S = 1.0  # then the next node is tried
+MIN_UPLOAD_BYTES_PER_S = 1e6  # extends the timeout of a call with a large body
+DEFAULT_TOTAL_TIMEOUT_S = 15.0  # long enough for an election or the replacement of a leader
 
 
 class Method(Enum):
-    """What is done with the configuration."""
+    """The HTTP method of a call."""
 
     GET = "GET"
     PUT = "PUT"
@@ -36,7 +36,7 @@
     """One call of the operator API.
 
     Attributes:
-        if_match: The version that a change builds on.
+        if_match: The version that the change is based on.
     """
 
     method: Method
@@ -45,24 +45,24 @@
 
     @property
     def timeout_s(self) -> float:
-        """How long an answer may take."""
+        """Timeout of one attempt."""
         return ANSWER_TIMEOUT_S + len(self.body) / MIN_UPLOAD_BYTES_PER_S
 
     @property
     def headers(self) -> dict[str, str]:
-        """Of the HTTP request."""
+        """Headers of the HTTP request."""
         headers = {"Content-Type": "application/json"} if self.body else {}
         if self.if_match is not None:
             headers["If-Match"] = str(self.if_match)
         return headers
 
 
-Send = Callable[[str, Call], Awaitable[Reply | Unanswered]]  # to an address, once
+Send = Callable[[str, Call], Awaitable[Reply | Unanswered]]  # one attempt at an address
 Sleep = Callable[[float], Awaitable[None]]
 
 
 class ControlClient:
-    """The configuration, by way of whichever control node answers."""
+    """Reads and changes the configuration through whichever control node answers."""
 
     def __init__(
         self,
@@ -79,7 +79,13 @@
         self._sleep = sleep
 
     async def get(self) -> bytes:
-        """The newest configuration, as JSON; raises NoConfigurationError, NoControlNodeError."""
+        """Return the newest configuration as JSON.
+
+        Raises:
+            NoConfigurationError: No configuration has been accepted yet.
+            NoControlNodeError: No control node gave a final answer in time.
+            RejectedByControlError: A control node rejected the call.
+        """
         reply = await self._call(Call(Method.GET))
         if reply.status == 404:
             raise NoConfigurationError
@@ -87,7 +93,12 @@
         return reply.body
 
     async def version(self) -> int:
-        """The newest version, 0 before the first; raises NoControlNodeError."""
+        """Return the newest version, 0 before the first.
+
+        Raises:
+            NoControlNodeError: No control node gave a final answer in time, or the answer has no version.
+            RejectedByControlError: A control node rejected the call.
+        """
         try:
             version = _version_in(Reply(200, await self.get()))
         except NoConfigurationError:
@@ -97,9 +108,14 @@
         return version
 
     async def change(self, method: Method, body: bytes, if_match: int) -> int | None:
-        """Put or patch; the version that is in force after it, where the node says so (that of a later change
-        where this one was taken before). Raises
-        VersionConflictError, RejectedByControlError, NoControlNodeError.
+        """Put or patch the configuration, and return the current version if the node reports it.
+
+        That is the version of a later change if this one had been accepted by an earlier attempt.
+
+        Raises:
+            VersionConflictError: `if_match` is no longer the current version.
+            RejectedByControlError: A control node rejected the change.
+            NoControlNodeError: No control node gave a final answer in time.
         """
         reply = await self._call(Call(method, body, if_match))
         if reply.status == 412:
@@ -141,7 +157,7 @@
 
 
 def _reason(reply: Reply) -> str:
-    """What a control node says is wrong, with the field where it names one; else the start of its answer."""
+    """Return a control node's error message with the field if it names one; else the start of its answer."""
     try:
         document = orjson.loads(reply.body)
     except orjson.JSONDecodeError:
--- a/granitewell/cli/system/differences.py
+++ b/granitewell/cli/system/differences.py
@@ -1,4 +1,4 @@
-"""What differs between two whole configurations: pure."""
+"""Compares two whole configurations."""
 
 from __future__ import annotations
 
@@ -8,12 +8,15 @@
 from enum import Enum
 from typing import Any
 
-LIST_FIELDS = ("routes", "services")  # items with a name; everything else is compared as one value
+LIST_FIELDS = (
+    "routes",
+    "services",
+)  # their items are matched by name; other values are compared directly
 ABSENT = object()
 
 
 class Change(Enum):
-    """What has become of an item or value."""
+    """What happened to an item or value."""
 
     ADDED = "+"
     REMOVED = "-"
@@ -22,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One thing that differs.
+    """One difference.
 
     Attributes:
-        path: Such as `routes[r-1].timeout-ms`.
+        path: The place of the value, such as `routes[r-1].timeout-ms`.
     """
 
     change: Change
@@ -34,14 +37,14 @@
     after: object = None
 
     def text(self) -> str:
-        """One line."""
+        """Return the difference as one line."""
         if self.change is not Change.CHANGED:
             return f"{self.change.value} {self.path}"
         return f"{self.change.value} {self.path}: {_json(self.before)} -> {_json(self.after)}"
 
 
 def differences(before: Mapping[str, Any], after: Mapping[str, Any]) -> list[Difference]:
-    """Everything that differs, in the order of the first, then of the second."""
+    """Return all differences, in the order of the keys of `before`, then of those new in `after`."""
     found: list[Difference] = []
     for key in _keys(before, after):
         if key in LIST_FIELDS:
@@ -57,7 +60,7 @@
 
 
 def _values(path: str, before: object, after: object) -> Iterator[Difference]:
-    """Objects are compared field by field, all else whole."""
+    """Compare objects field by field, other values directly."""
     if before is ABSENT:
         yield Difference(Change.ADDED, path)
     elif after is ABSENT:
@@ -70,7 +73,7 @@
 
 
 def _same(before: object, after: object) -> bool:
-    """As JSON: 1 and 1.0 are the same, 1 and true are not."""
+    """Compare as JSON: 1 equals 1.0, 1 does not equal true."""
     if isinstance(before, bool) or isinstance(after, bool):
         return before is after
     if isinstance(before, list) and isinstance(after, list):
@@ -85,7 +88,7 @@
 
 
 def _by_name(items: object) -> dict[str, Any]:
-    """Items by name; an item without one by its place."""
+    """Index items by name; an item without a name by its position."""
     named: dict[str, Any] = {}
     for index, item in enumerate(items if isinstance(items, list) else ()):
         name = item.get("name") if isinstance(item, dict) else None
--- a/granitewell/cli/system/edge.py
+++ b/granitewell/cli/system/edge.py
@@ -1,4 +1,4 @@
-"""`edge`: thin main of the edge role."""
+"""`edge`: entry point of the edge role."""
 
 from granitewell.nodes.edge import main
 
--- a/granitewell/cli/system/errors.py
+++ b/granitewell/cli/system/errors.py
@@ -1,4 +1,4 @@
-"""Failures of the operator's commands; each type has its exit code."""
+"""Errors of the operator's commands, each with its exit code."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class CommandError(GranitewellError):
-    """A command can't do what it was asked for."""
+    """Base class of all errors of a command."""
 
     exit_code = ExitCode.BAD_INPUT
 
 
 class UnusableFileError(CommandError):
-    """A file that was named can't be read, or is no JSON object."""
+    """A file can't be read, or is not a valid JSON object."""
 
     def __init__(self, path: str, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
 
 
 class UnusableAddressError(CommandError):
-    """An address that was named is no `ip:port`, or there is none at all."""
+    """An address is not `ip:port`, or no address is configured."""
 
 
 class RejectedByControlError(CommandError):
-    """A control node understood the call and refuses it for good."""
+    """A control node rejected the call with a final status."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(f"refused with {status}: {reason or 'no reason given'}")
@@ -32,7 +32,7 @@
 
 
 class VersionConflictError(CommandError):
-    """The configuration has moved on from the version that the change builds on."""
+    """The change is based on a version that is no longer current."""
 
     exit_code = ExitCode.BAD_OUTCOME
 
@@ -41,7 +41,7 @@
 
 
 class NoConfigurationError(CommandError):
-    """No configuration has been taken yet."""
+    """The control nodes have no configuration yet."""
 
     exit_code = ExitCode.BAD_OUTCOME
 
@@ -50,6 +50,6 @@
 
 
 class NoControlNodeError(CommandError):
-    """No control node gave a clear answer; a change that was sent may have been taken all the same."""
+    """No control node gave a final answer; a change that was sent may still have been accepted."""
 
     exit_code = ExitCode.NO_MEANS
--- a/granitewell/cli/system/exit_handling.py
+++ b/granitewell/cli/system/exit_handling.py
@@ -1,4 +1,4 @@
-"""Turns every end of a program or command into an exit code; but for defects, it is told in one line."""
+"""Maps every outcome of a program or command to an exit code; errors but defects print one line."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run_to_exit_code(run: Callable[[], int]) -> int:
-    """Run it; the exit code that its end stands for."""
+    """Run a program or command and return the exit code for its outcome."""
     try:
         code = run()
         sys.stdout.flush()
@@ -47,7 +47,7 @@
 
 
 def _exit_code_of(error: OSError) -> ExitCode:
-    """An address that can't be had is an outcome of the program; all else is a lack of the machine's."""
+    """An address that can't be bound is a bad outcome; any other OSError is an unavailable resource."""
     taken = error.errno in (errno.EADDRINUSE, errno.EADDRNOTAVAIL)
     return ExitCode.BAD_OUTCOME if taken else ExitCode.NO_MEANS
 
@@ -67,6 +67,6 @@
 
 
 def _drop_output() -> None:
-    """The interpreter flushes at its end: what is left, and can't be written, goes nowhere."""
+    """Redirect standard output to /dev/null, as the interpreter's flush at exit would fail again."""
     with contextlib.suppress(OSError, AttributeError, ValueError):
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
--- a/granitewell/cli/system/http_sender.py
+++ b/granitewell/cli/system/http_sender.py
@@ -1,4 +1,4 @@
-"""Sends calls of the operator API over HTTP: the shell below `control_client`."""
+"""Sends calls of the operator API over HTTP, on behalf of `control_client`."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class HttpSender:
-    """Sends calls over HTTP, each on a connection of its own."""
+    """Sends each call over a new HTTP connection."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
 
     async def __call__(self, address: str, call: Call) -> Reply | Unanswered:
-        """Send once; whatever goes wrong on the way is Unanswered."""
+        """Make one attempt; any network or protocol error gives Unanswered."""
         timeout = aiohttp.ClientTimeout(total=call.timeout_s)
         url = f"http://{address}{PATH}"
         try:
@@ -43,7 +43,7 @@
 async def ask_control(
     addresses: Sequence[str], total_timeout_s: float, ask: Callable[[ControlClient], Awaitable[Result]]
 ) -> Result:
-    """The result of one or more calls to the control nodes."""
+    """Run one or more calls to the control nodes and return their result."""
     connector = aiohttp.TCPConnector(force_close=True)
     async with aiohttp.ClientSession(connector=connector) as session:
         return await ask(ControlClient(addresses, HttpSender(session), total_timeout_s))
--- a/granitewell/cli/system/programs.py
+++ b/granitewell/cli/system/programs.py
@@ -1,6 +1,6 @@
 """Starts the programs of the system: `edge` and `control`.
 
-Imports what a program needs only when it is started: a start takes no longer than that program's own imports.
+A program's modules are imported only when it is started, so that the other program does not slow its start.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def run_program(name: str) -> int:
-    """Run a program until it is stopped; its exit code."""
+    """Run a program until it is stopped, and return its exit code."""
     _install_startup_signal_handlers()
     _skip_certificate_store()
     if name == "edge":
@@ -25,9 +25,10 @@
 
 
 def _install_startup_signal_handlers() -> None:
-    """Until the program takes the signals over, in some tenths of a second.
+    """Handle signals until the program installs its own handlers, some tenths of a second later.
 
-    Nothing has been taken yet, so that a stop may end it at once, and settings are still to be read.
+    A stop may end the process at once, as no request has been accepted yet; a reload is ignored, as the
+    settings have not been read yet.
     """
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     signal.signal(signal.SIGINT, lambda *_: os._exit(0))
@@ -35,9 +36,9 @@
 
 
 def _skip_certificate_store() -> None:
-    """Importing aiohttp would read the machine's store of certificates, a quarter of the time that it takes.
+    """Keep the import of aiohttp from loading the system's certificates, a quarter of its import time.
 
-    The programs speak plain HTTP alone.
+    The programs use plain HTTP only.
     """
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     os.environ.setdefault("SSL_CERT_DIR", os.devnull)
