--- a/tests/play.py
+++ b/tests/exchange_player.py
@@ -2,8 +2,9 @@
 
 A line is a step; what follows `sends: `, `gets: ` or `says: ` are its bytes, with `\n` for CRLF. In what is
 expected `*` stands for anything up to the line's end; `{X*N}` is X repeated N times.
-Speakers: `client`, or `endpoint a` for the first connection to endpoint a, `endpoint a2` for the second;
-`client2` and so on are further connections. At the end nothing may have come that the exchange does not name.
+A step begins with its connection: `client`, or `endpoint a` for the first connection to endpoint a, `endpoint
+a2` for the second; `client2` and so on are further connections. At the end no bytes, calls or connections may
+have come that the exchange does not name.
 """
 
 from __future__ import annotations
@@ -24,9 +25,11 @@
 
 from granitewell.net.pool import REUSE_DELAY_US
 
-REST_S = 2 * REUSE_DELAY_US / 1e6
-LIMIT_S = 20.0  # for any one thing to happen; only a failing exchange waits so long
-CALL = re.compile(rb"GET /api/targets(?:\?after=(\d+)&wait_ms=(\d+))? HTTP/1\.1\r\n(?:[^\r\n]+\r\n)*\r\n")
+REUSE_WAIT_S = 2 * REUSE_DELAY_US / 1e6
+LIMIT_S = 20.0  # timeout of one wait; only a failing exchange waits that long
+DISCOVERY_CALL = re.compile(
+    rb"GET /api/targets(?:\?after=(\d+)&wait_ms=(\d+))? HTTP/1\.1\r\n(?:[^\r\n]+\r\n)*\r\n"
+)
 FOLDER = Path(__file__).parent / "exchanges"
 
 
@@ -56,12 +59,12 @@
     return sock
 
 
-def reserved() -> socket.socket:
-    """An address for the program to listen at, this test's own for as long as the socket is open.
+def reserve_address() -> socket.socket:
+    """Reserve an address for the program to listen on, for as long as the socket is open.
 
-    Bound, so that the kernel gives its port to nobody else, and never listening, so that the program, which
-    asks for SO_REUSEADDR too, can. A port that was only free a moment ago may be another test's when it is
-    used.
+    The socket is bound, so that the kernel gives the port to no other process, and does not listen, so that
+    the program, which sets SO_REUSEADDR too, can. Without it, a port found free could be taken by another
+    test before the program uses it.
     """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -69,11 +72,10 @@
     return sock
 
 
-class Agent:
-    """Discovery as the protocol has it, at one address.
+class DiscoveryAgent:
+    """A discovery agent at one address, with a thread for each connection.
 
-    Each call is answered at once where there is news, a watch otherwise when its wait is over. A thread a
-    connection.
+    A call is answered at once if the list has changed; otherwise a watch is answered when its wait is over.
     """
 
     def __init__(self) -> None:
@@ -82,13 +84,18 @@
         self.address: tuple[str, int] = self.server.getsockname()
         self._lock = threading.Condition()
         self._socks: set[socket.socket] = set()
-        self._members: dict[str, tuple[int, dict[str, Any]]] = {}  # by id: as of which revision
+        self._entries: dict[
+            str, tuple[int, dict[str, Any]]
+        ] = {}  # by id: revision of the last change, and the entry
         self._revision = 0
-        self._whole_at = 0  # revision as of which a watch is answered with the whole list
-        self._raw, self._said_at = b"", 0  # bytes to be said; how many calls had come when they were
+        self._full_since = 0  # a watch from an older revision is answered with the full list
+        self._next_answer, self._answered_call_count = (
+            b"",
+            0,
+        )  # answer to the next call; number of calls when it was sent
         self._closed = False
-        self.calls: list[int] = []  # as they came: the revision watched from, -1 for the whole list
-        self.wrong: list[bytes] = []  # what is no call of the protocol
+        self.calls: list[int] = []  # in order of arrival: the revision watched from, -1 for the full list
+        self.invalid_calls: list[bytes] = []  # requests that the protocol does not have
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
@@ -98,42 +105,42 @@
             for sock in self._socks:
                 with contextlib.suppress(OSError):
                     sock.shutdown(socket.SHUT_RDWR)
-        # an accept that is under way would hold the listener open, and take whoever calls there
+        # a pending accept would keep the listener open and accept further calls
         with contextlib.suppress(OSError):
             self.server.shutdown(socket.SHUT_RDWR)
         self.server.close()
 
-    def left(self) -> None:
-        """Back once the program has closed all that it had to this address.
+    def wait_until_closed(self) -> None:
+        """Wait until the program has closed all its connections to this address.
 
-        One call may have been under way: a watch that goes on makes several before its connection is renewed.
+        One call may still arrive; a watch that goes on makes several before its connection is renewed.
         """
         with self._lock:
             calls = len(self.calls)
             ended = self._lock.wait_for(lambda: not self._socks, LIMIT_S)
             assert ended and len(self.calls) <= calls + 1, "the watch at the old address goes on"
 
-    def tell(self, complete: bool, members: list[dict[str, Any]]) -> None:
-        """News; back once the program watches for what is newer, as it has read them by then."""
+    def publish(self, complete: bool, endpoint_entries: list[dict[str, Any]]) -> None:
+        """Publish a change, and wait until the program has read it and watches from its revision."""
         with self._lock:
             self._revision += 1
             if complete:
-                self._members, self._whole_at = {}, self._revision
-            self._members |= {m["id"]: (self._revision, m) for m in members}
+                self._entries, self._full_since = {}, self._revision
+            self._entries |= {m["id"]: (self._revision, m) for m in endpoint_entries}
             self._lock.notify_all()
             mine = self._revision
             assert self._lock.wait_for(lambda: mine in self.calls, LIMIT_S), "nobody watches"
-            assert self.calls[0] == -1 and not self.wrong, (self.calls[:3], self.wrong)
+            assert self.calls[0] == -1 and not self.invalid_calls, (self.calls[:3], self.invalid_calls)
 
-    def say(self, body: bytes) -> None:
-        """These bytes answer the next call, and its connection ends; back once there is another call."""
+    def answer_next_call(self, body: bytes) -> None:
+        """Answer the next call with these bytes, close its connection, and wait for another call."""
         with self._lock:
-            self._raw = body
+            self._next_answer = body
             self._lock.notify_all()
-            assert self._lock.wait_for(lambda: not self._raw, LIMIT_S), "no call"
-            at = self._said_at
+            assert self._lock.wait_for(lambda: not self._next_answer, LIMIT_S), "no call"
+            at = self._answered_call_count
             assert self._lock.wait_for(lambda: len(self.calls) > at, LIMIT_S), "no call anew"
-            assert self.calls[at] == -1 and not self.wrong, "the next call is not for the whole list"
+            assert self.calls[at] == -1 and not self.invalid_calls, "the next call is not for the whole list"
 
     def _accept(self) -> None:
         while not self._closed:
@@ -148,9 +155,9 @@
     def _serve(self, sock: socket.socket) -> None:
         with contextlib.suppress(OSError), sock:
             while head := self._head(sock):
-                found = CALL.fullmatch(head)
+                found = DISCOVERY_CALL.fullmatch(head)
                 if found is None:
-                    self.wrong.append(head)
+                    self.invalid_calls.append(head)
                     break
                 after, wait_ms = (int(x) if x else -1 for x in found.groups())
                 body, ends = self._answer(after, wait_ms)
@@ -162,19 +169,19 @@
             self._lock.notify_all()
 
     def _answer(self, after: int, wait_ms: int) -> tuple[bytes, bool]:
-        """The body for this call, and whether its connection ends behind it."""
+        """Return the body for this call, and whether its connection is closed after it."""
         with self._lock:
             self.calls.append(after)
             self._lock.notify_all()
-            self._lock.wait_for(lambda: self._closed or self._raw or self._revision > max(after, 0),
+            self._lock.wait_for(lambda: self._closed or self._next_answer or self._revision > max(after, 0),
                                 wait_ms / 1000 if after >= 0 else LIMIT_S)  # fmt: skip
-            if self._raw:
-                body, self._raw, self._said_at = self._raw, b"", len(self.calls)
+            if self._next_answer:
+                body, self._next_answer, self._answered_call_count = self._next_answer, b"", len(self.calls)
                 self._lock.notify_all()
                 return body, True
-            whole = after < self._whole_at
-            members = [m for at, m in self._members.values() if whole or at > after]
-            text = {"revision": self._revision, "complete": whole, "members": members}
+            whole = after < self._full_since
+            endpoint_entries = [m for at, m in self._entries.values() if whole or at > after]
+            text = {"revision": self._revision, "complete": whole, "members": endpoint_entries}
             return json.dumps(text).encode(), self._closed
 
     def _head(self, sock: socket.socket) -> bytes:
@@ -188,16 +195,16 @@
 
 
 class Player:
-    """The program and everyone it speaks to."""
+    """Runs the program with its clients, endpoints and discovery agent."""
 
     def __init__(self, config: dict[str, Any] | None = None) -> None:
         self.config = config or {}
         self.servers: dict[str, socket.socket] = {}
         self.socks: dict[str, socket.socket] = {}
-        self.got: dict[str, bytes] = {}
-        self.agent = Agent()
-        self.place = reserved()
-        self.address = self.place.getsockname()
+        self.received: dict[str, bytes] = {}
+        self.agent = DiscoveryAgent()
+        self.reserved_socket = reserve_address()
+        self.address = self.reserved_socket.getsockname()
         self.folder = tempfile.TemporaryDirectory()
         self.program: subprocess.Popen[bytes] | None = None
 
@@ -206,12 +213,12 @@
             self.program.kill()
             self.program.wait()
         self.agent.close()
-        for sock in [*self.servers.values(), *self.socks.values(), self.place]:
+        for sock in [*self.servers.values(), *self.socks.values(), self.reserved_socket]:
             sock.close()
         self.folder.cleanup()
 
-    def members(self, phases: str) -> list[dict[str, Any]]:
-        """`a=ready b=draining` as discovery writes it; a listener comes with the first mention."""
+    def endpoint_entries(self, phases: str) -> list[dict[str, Any]]:
+        """Convert `a=ready b=draining` to discovery entries; a new endpoint gets a listener."""
         out = []
         for name, phase in (word.split("=") for word in phases.split()):
             if name not in self.servers:
@@ -222,7 +229,7 @@
                         "new_key": 1})  # fmt: skip
         return out
 
-    # --- steps: each takes what follows its name, and its bytes ---
+    # --- steps: each takes the words after its name, and its bytes ---
     def step_start(self, words: str, _: bytes) -> None:
         """Start the program with these endpoints and wait until it is ready."""
         changes = json.loads(self.config.pop("settings", "{}"))
@@ -230,7 +237,7 @@
         text["allowed"].update(changes)
         host, port = self.address
         agent = "%s:%d" % self.agent.address
-        members = self.members(words)
+        endpoint_entries = self.endpoint_entries(words)
         path = Path(self.folder.name, "config.json")
         path.write_text(json.dumps({
             "name": "n0", "listen": f"{host}:{port}", "discovery": agent, "seed": "8c1f30d27a5be964",
@@ -238,7 +245,7 @@
         }))  # fmt: skip
         env = os.environ | {"LB_CONFIG": str(path), "LB_NAME": "n0", "LB_DISCOVERY": agent}
         self.program = subprocess.Popen([sys.executable, "-m", "granitewell"], env=env)
-        self.agent.tell(True, members)
+        self.agent.publish(True, endpoint_entries)
         self.until_ready()
 
     def until_ready(self) -> None:
@@ -255,17 +262,17 @@
         raise AssertionError("the program never became ready")
 
     def step_discovery(self, words: str, body: bytes) -> None:
-        """`tells` a change, `lists` the whole list, `says` its bytes and is called anew."""
+        """`tells` publishes a change, `lists` the full list; `says` answers a call with the given bytes."""
         verb, _, rest = words.partition(" ")
         if verb == "says":
-            self.agent.say(body)
+            self.agent.answer_next_call(body)
         else:
-            self.agent.tell(verb == "lists", self.members(rest))
+            self.agent.publish(verb == "lists", self.endpoint_entries(rest))
 
     def step_client(self, words: str, body: bytes, name: str) -> None:
         if name not in self.socks:
             self.socks[name] = socket.create_connection(self.address, LIMIT_S)
-        self.speak(name, words, body)
+        self.run_verb(name, words, body)
 
     def step_endpoint(self, words: str, body: bytes) -> None:
         name, _, verb = words.partition(" ")
@@ -275,20 +282,20 @@
             return
         if name not in self.socks:
             self.socks[name], _ = self.servers[server].accept()
-        self.speak(name, verb, body)
+        self.run_verb(name, verb, body)
 
-    def speak(self, name: str, verb: str, body: bytes) -> None:
+    def run_verb(self, name: str, verb: str, body: bytes) -> None:
         sock = self.socks[name]
         sock.settimeout(LIMIT_S)
         if verb == "sends":
             sock.sendall(body)
         elif verb == "gets":
-            self.expect(name, body)
+            self.expect_bytes(name, body)
             if name.startswith("client"):
-                time.sleep(REST_S)  # at least: from here on the connection that served it may be lent again
+                time.sleep(REUSE_WAIT_S)  # afterwards the pool may reuse the connection that served it
         elif verb == "is closed":
             try:
-                rest = self.got.get(name, b"") + sock.recv(4096)
+                rest = self.received.get(name, b"") + sock.recv(4096)
             except ConnectionError:
                 rest = b""
             assert rest == b"", f"{name} got {rest!r} in place of the end"
@@ -306,11 +313,11 @@
         else:
             raise AssertionError(f"no such verb: {verb}")
 
-    def expect(self, name: str, body: bytes) -> None:
-        """Read until the expected bytes are there; whatever differs shows in the message."""
+    def expect_bytes(self, name: str, body: bytes) -> None:
+        """Read until the expected bytes have come; the assertion message shows any difference."""
         pattern = re.compile(re.escape(body).replace(rb"\*", rb"[^\r\n]*"))
         want = body.count(b"\n")
-        data = self.got.pop(name, b"")
+        data = self.received.pop(name, b"")
         while not (pattern.fullmatch(data) or (whole := pattern.match(data))):
             try:
                 more = self.socks[name].recv(65536)
@@ -320,17 +327,17 @@
             data += more
         whole = pattern.match(data)
         assert whole is not None
-        self.got[name] = data[whole.end() :]
+        self.received[name] = data[whole.end() :]
 
     def step_signal(self, words: str, _: bytes) -> None:
         assert self.program is not None
         self.program.send_signal(signal.Signals[f"SIG{words}"])
 
     def step_reload(self, words: str, _: bytes) -> None:
-        """Another discovery takes over.
+        """Replace the discovery agent: write its address to the file and send SIGHUP.
 
-        The file names it, SIGHUP says so, and the whole list is asked of it while the old one is closed.
-        `badly`: the file can't be read; the old discovery is asked on.
+        The program must ask the new agent for the full list and close its connections to the old one.
+        `badly`: the file becomes invalid, and the program must keep the old agent.
         """
         assert self.program is not None
         path = Path(self.folder.name, "config.json")
@@ -338,13 +345,13 @@
             path.write_text("{")
             self.program.send_signal(signal.SIGHUP)
             return
-        old, self.agent = self.agent, Agent()
+        old, self.agent = self.agent, DiscoveryAgent()
         text = json.loads(path.read_text())
         text["discovery"] = "%s:%d" % self.agent.address
         path.write_text(json.dumps(text))
         self.program.send_signal(signal.SIGHUP)
-        self.agent.tell(True, self.members(words))
-        old.left()
+        self.agent.publish(True, self.endpoint_entries(words))
+        old.wait_until_closed()
         old.close()
 
     def step_exit(self, words: str, _: bytes) -> None:
@@ -355,14 +362,14 @@
         self.config["settings"] = words
 
     def nothing_more(self) -> None:
-        """No call, byte or connection that the exchange does not name; and the program still lives."""
-        assert self.program is not None and not self.agent.wrong, self.agent.wrong
+        """Assert that nothing further has come, and that the program, if it runs, is still ready."""
+        assert self.program is not None and not self.agent.invalid_calls, self.agent.invalid_calls
         for name, sock in self.socks.items():
             sock.setblocking(False)
             try:
-                rest = self.got.get(name, b"") + sock.recv(65536)
+                rest = self.received.get(name, b"") + sock.recv(65536)
             except (BlockingIOError, ConnectionError):
-                rest = self.got.get(name, b"")
+                rest = self.received.get(name, b"")
             assert rest == b"", f"{name} got more: {rest!r}"
         for name, server in self.servers.items():
             if server.fileno() >= 0:
@@ -377,7 +384,7 @@
 
 
 def play(path: Path) -> None:
-    """One exchange, from start to end."""
+    """Play one exchange from start to end."""
     player = Player()
     try:
         for words, body in parse(path.read_text()):
@@ -395,7 +402,7 @@
 
 
 def parse(text: str) -> list[tuple[str, bytes]]:
-    """Steps with their bytes; `#` begins a comment."""
+    """Parse an exchange into steps with their bytes; `#` begins a comment."""
     steps: list[tuple[str, bytes]] = []
     for line in text.splitlines():
         if line and not line.startswith("#"):
--- a/tests/fleet/few.py
+++ b/tests/fleet/few.py
@@ -16,7 +16,7 @@
 from granitewell.cli.cluster import query_node
 from granitewell.lab.loopback.plan import Range
 from granitewell.status.types import Place
-from tests.play import settings
+from tests.exchange_player import settings
 
 ROOT = Path(__file__).resolve().parents[2]
 LIMIT_S = 30.0  # for any one thing to happen; only a failing test waits so long
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -21,7 +21,7 @@
 from granitewell.net.peers import MAX_QUEUED_BYTES, MAX_QUEUED_FRAMES, PeerTransport, try_parse_address
 from granitewell.protocols.peers.frames import MAX_STREAM_FRAME_BYTES, FrameSplitter, Key, Keys, seal
 from granitewell.state_machine import MessageReceived, SendMessage, Transport
-from tests.shell import until
+from tests.in_process_node import wait_until
 
 KEYS = Keys(Key(b"k" * 32))
 HOST = "127.201.7.{}"
@@ -120,13 +120,13 @@
         a.roads.send(SendMessage(b.at, frame(900)))
         for size in sizes:
             a.roads.send(SendMessage(b.at, frame(size), Transport.STREAM))
-        await until(lambda: len(b.heard) == 1 + len(sizes))
+        await wait_until(lambda: len(b.heard) == 1 + len(sizes))
         streamed = [h for h in b.heard if h.transport is Transport.STREAM]
         assert [h.data for h in streamed] == [frame(size) for size in sizes]
         assert [h.sender for h in b.heard if h.transport is Transport.DATAGRAM] == [a.at]
         assert {h.sender[0] for h in streamed} == {"~"}
         b.roads.send(SendMessage(streamed[0].sender, frame(33, "b"), Transport.STREAM))
-        await until(lambda: a.heard)
+        await wait_until(lambda: a.heard)
         assert (a.heard[0].data, a.heard[0].sender) == (frame(33, "b"), b.at)
         assert a.roads.streams == (1, 0) and b.roads.streams == (0, 1)
         b.roads.send(SendMessage("~99", frame(), Transport.STREAM))
@@ -177,11 +177,11 @@
             a.roads.send(SendMessage(sink.at, frame(MAX_STREAM_FRAME_BYTES - 200), Transport.STREAM))
         stuck = await sink.taken()
         queue = next(iter(a.roads._queues.values()))
-        await until(lambda: queue.writing and queue.frames)
+        await wait_until(lambda: queue.writing and queue.frames)
         for _ in range(3):
             a.roads.send(SendMessage(b.at, frame(10), Transport.STREAM))
         if free:
-            await until(lambda: len(b.heard) == 3)
+            await wait_until(lambda: len(b.heard) == 3)
         else:
             await asyncio.sleep(0.5)
         assert (len(b.heard) == 3) is free
@@ -206,8 +206,8 @@
             a.roads.send(SendMessage(nobody, frame(k + 1), Transport.STREAM))
         queue = next(iter(a.roads._queues.values()))
         assert a.roads.counts["pushed_out"] == 10 and queue.frames[0] == frame(11)
-        await until(lambda: a.roads.counts["undialed"])
-        await until(lambda: a.roads.counts["waited_out"] == MAX_QUEUED_FRAMES)
+        await wait_until(lambda: a.roads.counts["undialed"])
+        await wait_until(lambda: a.roads.counts["waited_out"] == MAX_QUEUED_FRAMES)
         assert queue.bytes == 0 and a.roads.streams == (0, 0)
 
     play(scenario, 1)
@@ -218,11 +218,11 @@
         hub, *others = places
         for other in others:
             hub.roads.send(SendMessage(other.at, frame(), Transport.STREAM))
-        await until(lambda: all(other.heard for other in others))
+        await wait_until(lambda: all(other.heard for other in others))
         assert hub.roads.streams[0] <= 3
         for other in others:
             other.roads.send(SendMessage(hub.at, frame(), Transport.STREAM))
-        await until(lambda: len(hub.heard) == len(others))
+        await wait_until(lambda: len(hub.heard) == len(others))
         assert hub.roads.streams[1] <= 3
 
     play(scenario, 9, streams=3)
@@ -257,7 +257,7 @@
         bad.close()
         a.roads.send(SendMessage(b.at, b"defect"))
         a.roads.send(SendMessage(b.at, frame(5), Transport.STREAM))
-        await until(lambda: [h.data for h in b.heard] == [frame(5)] and b.lines)
+        await wait_until(lambda: [h.data for h in b.heard] == [frame(5)] and b.lines)
         assert b.lines == ["fault: a message failed: RuntimeError: a defect"]
         assert b.roads.counts["unframed"] == 1
         b.roads.close()
@@ -273,7 +273,7 @@
         with pytest.raises(OSError, match="in use"):
             b.roads.open((host, int(port)))
         a.roads.send(SendMessage(b.at, frame()))
-        await until(lambda: b.heard)
+        await wait_until(lambda: b.heard)
 
     play(scenario)
 
--- a/tests/shell.py
+++ b/tests/in_process_node.py
@@ -1,4 +1,4 @@
-"""A Node on a real loop without a process of its own, for what is shared between its tasks."""
+"""Runs a Node on a real event loop in the test's process, to test state that its tasks share."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from granitewell.net.loop import Node
 from tests.test_config import write
 
-TURNS = 200  # of the loop, in which whatever is on its way between two tasks has arrived
-LIMIT_S = 20.0  # for any one thing to happen; only a failing test waits so long
+LOOP_TURNS = 200  # enough for anything in transit between two tasks to arrive
+LIMIT_S = 20.0  # timeout of one wait; only a failing test waits that long
 
 
-class StandingClock(Clock):
-    """A node's clock that moves only when the test moves it, however long the machine takes for anything."""
+class ManualClock(Clock):
+    """A clock for a node that moves only when the test advances it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
@@ -43,30 +43,30 @@
         self._now_us += by_us
 
 
-def silent(node: Node) -> socket.socket:
-    """An endpoint that takes requests and never answers; the node knows of it and is ready."""
+def add_silent_endpoint(node: Node) -> socket.socket:
+    """Add an endpoint that accepts requests and never answers, and make the node ready."""
     server = socket.create_server(("127.0.0.1", 0), backlog=64)
-    member = c.DiscoveredEndpoint(b"s-0", server.getsockname(), 0, 0, 0, State.READY, 1.0, 0)
-    node.dispatch(c.EndpointListUpdate(View.FULL, (member,)))
+    endpoint = c.DiscoveredEndpoint(b"s-0", server.getsockname(), 0, 0, 0, State.READY, 1.0, 0)
+    node.dispatch(c.EndpointListUpdate(View.FULL, (endpoint,)))
     node.dispatch(c.Listening())
     return server
 
 
-async def turns(count: int = TURNS) -> None:
-    """Let the other tasks run."""
+async def let_tasks_run(count: int = LOOP_TURNS) -> None:
+    """Yield to the other tasks for so many turns of the loop."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def until(what: Callable[[], object]) -> None:
-    """Wait until it has come to that."""
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait until the condition is true."""
     async with asyncio.timeout(LIMIT_S):
-        while not what():
+        while not condition():
             await asyncio.sleep(0.002)
 
 
-def client_of(node: Node) -> socket.socket:
-    """The far end of a connection that the node has just taken."""
+def connect_client(node: Node) -> socket.socket:
+    """Return the client's end of a new connection that the node has accepted."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = socket.create_connection(server.getsockname())
         node.clients.admit(server.accept()[0])
@@ -74,26 +74,26 @@
     return client
 
 
-def played(folder: Path, scenario: Callable[[Node], Awaitable[None]], **changes: Any) -> list[str]:
-    """Run this with a node; what the node has said."""
-    config, said = load(write(folder, **changes)), list[str]()
+def run_with_node(folder: Path, scenario: Callable[[Node], Awaitable[None]], **changes: Any) -> list[str]:
+    """Run a scenario with a node and return the node's log lines."""
+    config, log_lines = load(write(folder, **changes)), list[str]()
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         core = Core(config.settings, Balancer(config.settings, 1), 99)
         node = Node(config, core, asyncio.get_running_loop())
-        node.log_line = lambda topic, line: said.append(f"{topic}: {line}")  # type: ignore[method-assign]
+        node.log_line = lambda topic, line: log_lines.append(f"{topic}: {line}")  # type: ignore[method-assign]
         node.pool.log_line = node.discovery.log_line = node.clients.log_line = node.log_line
-        nobody, listener = asyncio.create_task(asyncio.sleep(3600.0)), socket.socket()
-        # as while it serves: without one each answer ends its connection, and nobody is to accept from it
-        node.clients.listener, node.clients.accept_task = listener, nobody
+        accept_task, listener = asyncio.create_task(asyncio.sleep(3600.0)), socket.socket()
+        # without a listener the node ends each connection after its answer; nothing accepts from this one
+        node.clients.listener, node.clients.accept_task = listener, accept_task
         try:
             await scenario(node)
         finally:
             listener.close()
-            nobody.cancel()
+            accept_task.cancel()
             for inbound in list(node.clients.connections.values()):
                 node.clients.drop(inbound)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(whole())
-    return said
+        runner.run(run_scenario())
+    return log_lines
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -23,7 +23,7 @@
     too_slow,
 )
 from granitewell.net.http1 import MAX_BUFFERED_BODY_BYTES, HeaderNames, Request, RequestParser, StreamedBody
-from tests.play import LIMIT_S
+from tests.exchange_player import LIMIT_S
 from tests.test_config import write
 from tests.test_upgrade import Agent, Site
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, one-line errors, what is imported when, and the node that it becomes."""
+"""The command line: exit codes, one-line errors, lazy imports, and starting a node."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     CommandError,
     UnavailableError,
 )
-from tests.play import LIMIT_S, Player
+from tests.exchange_player import LIMIT_S, Player
 from tests.test_config import write
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -36,13 +36,13 @@
 CLEAN = {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {"PYTHONPATH": str(ROOT)}
 
 
-def ran(*args: str, env: dict[str, str] | None = None, **kw: Any) -> subprocess.CompletedProcess[str]:
+def run_program(*args: str, env: dict[str, str] | None = None, **kw: Any) -> subprocess.CompletedProcess[str]:
     return subprocess.run([*PROGRAM, *args], env=CLEAN | (env or {}), text=True, timeout=LIMIT_S,
                           stderr=subprocess.PIPE, **({"stdout": subprocess.PIPE} | kw))  # fmt: skip
 
 
-def completing(words: str, at: int) -> dict[str, str]:
-    """What bash sets to ask for completions."""
+def completion_env(words: str, at: int) -> dict[str, str]:
+    """Return the variables with which bash requests completions."""
     return {"_GRANITEWELL_COMPLETE": "bash_complete", "COMP_WORDS": words, "COMP_CWORD": str(at)}
 
 
@@ -60,7 +60,7 @@
 
 def test_listing_and_completing_the_lab_imports_none_of_it() -> None:
     code = "import sys; from granitewell.cli.main import run; run(['lab', '--help']); print(*sys.modules)"
-    for env in ({}, completing("granitewell lab s", 2)):
+    for env in ({}, completion_env("granitewell lab s", 2)):
         done = subprocess.run([sys.executable, "-c", code], env=CLEAN | env, capture_output=True, text=True)
         loaded = set(done.stdout.splitlines()[-1].split())
         assert "sim" in done.stdout and "granitewell.cli.lab" in loaded
@@ -78,7 +78,7 @@
         (["completion", "tcsh"], "'tcsh' is not one of"),
     ],
 )
-def test_a_slip_gets_one_line_and_the_nearest_name(
+def test_a_typo_gets_one_line_with_the_nearest_name(
     args: list[str], says: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run(args) == BAD_INPUT
@@ -86,20 +86,20 @@
     assert says in error and error.count("\n") == 1 and "--help" in error
 
 
-def test_completion_scripts_are_taken_by_the_shell() -> None:
-    script = ran("completion", "bash").stdout
+def test_completion_scripts_are_accepted_by_the_shell() -> None:
+    script = run_program("completion", "bash").stdout
     done = subprocess.run(["bash", "-c", f"{script}\ncomplete -p granitewell"], capture_output=True)
     assert done.returncode == 0 and b"granitewell" in done.stdout
-    assert all("granitewell" in ran("completion", shell).stdout for shell in ("zsh", "fish"))
-    assert ran(env=completing("granitewell check --r", 2)).stdout == "plain,--reference\n"
+    assert all("granitewell" in run_program("completion", shell).stdout for shell in ("zsh", "fish"))
+    assert run_program(env=completion_env("granitewell check --r", 2)).stdout == "plain,--reference\n"
 
 
-def test_version_for_a_program(capsys: pytest.CaptureFixture[str]) -> None:
+def test_version_as_json(capsys: pytest.CaptureFixture[str]) -> None:
     assert run(["version", "--json"]) == 0
     assert {"granitewell", "python", "uvloop"} <= set(json.loads(capsys.readouterr().out))
 
 
-# --- ends -----------------------------------------------------------------------------------------------
+# --- exit codes ------------------------------------------------------------------------------------------
 @pytest.mark.parametrize(
     ("error", "code", "says"),
     [
@@ -113,7 +113,7 @@
         (click.exceptions.Exit(7), 7, ""),
     ],
 )
-def test_how_a_command_ends_is_how_the_program_ends(
+def test_errors_map_to_exit_codes_and_at_most_one_line(
     error: BaseException, code: int, says: str, monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:  # fmt: skip
@@ -129,7 +129,7 @@
     assert text.endswith(says) and bool(text) == bool(says) and text.count("\n") <= 1
 
 
-def test_what_a_command_returns_is_no_exit_code_and_a_defect_is_no_outcome(
+def test_return_values_are_ignored_and_defects_have_their_own_exit_code(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     @click.command()
@@ -166,19 +166,19 @@
     assert done.stderr.count("\n") == 1
 
 
-def test_a_reader_that_has_gone_and_a_full_disk() -> None:
+def test_closed_pipe_and_full_disk() -> None:
     reader, writer = os.pipe()
     os.close(reader)
-    done = ran("check", "--reference", stdout=writer)
+    done = run_program("check", "--reference", stdout=writer)
     os.close(writer)
     assert (done.returncode, done.stderr) == (INTERRUPTED, "")
     with Path("/dev/full").open("w") as full:
-        done = ran("version", stdout=full)
+        done = run_program("version", stdout=full)
     assert (done.returncode, done.stderr) == (UNAVAILABLE, "granitewell: output: No space left on device\n")
 
 
 # --- check ----------------------------------------------------------------------------------------------
-def test_check_tells_files_apart_and_lists_all_that_is_wrong(
+def test_check_detects_the_file_kind_and_lists_all_problems(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     good, bad = write(tmp_path)["LB_CONFIG"], str(tmp_path / "bad.toml")
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("raw", [b'{"a": ', b"{" * 100_000, b"\xff{", b'{"a": 1}\n{', b"[" * 100_000, b"\0"])
-def test_check_of_garbage_is_a_problem_and_no_defect(
+def test_check_reports_garbage_as_a_problem(
     raw: bytes, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "x"
@@ -210,20 +210,20 @@
 
 
 # --- node -----------------------------------------------------------------------------------------------
-def test_the_command_becomes_the_node_of_this_very_package(tmp_path: Path) -> None:
+def test_the_node_command_runs_this_package(tmp_path: Path) -> None:
     command, env = node_command({"A": "b", "PYTHONPATH": "/else", "LB_OPERATOR": "old"}, "new.toml")
     assert command == [sys.executable, "-P", "-m", "granitewell"]
     assert env == {"A": "b", "PYTHONPATH": f"{ROOT}{os.pathsep}/else", "LB_OPERATOR": "new.toml"}
     (tmp_path / "granitewell").mkdir()  # a folder of that name where the command is given
     (tmp_path / "granitewell" / "__main__.py").write_text("raise SystemExit(99)")
-    done = ran("node", cwd=tmp_path)
+    done = run_program("node", cwd=tmp_path)
     assert (done.returncode, done.stderr) == (2, "granitewell: bad configuration: LB_CONFIG: not set\n")
 
 
-def test_a_node_does_not_start_with_a_wrong_operator_file(tmp_path: Path) -> None:
+def test_a_node_does_not_start_with_an_invalid_operator_file(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[log]\nrate = 0\nform = 1\n")
-    done = ran("node", "--operator", str(path), env=write(tmp_path))
+    done = run_program("node", "--operator", str(path), env=write(tmp_path))
     assert done.returncode == 2
     assert done.stderr.splitlines() == [
         f"granitewell: bad operator file: {path}: log.rate: found 0, allowed: a number from 0.01 to 1000",
@@ -238,10 +238,10 @@
     ) and "granitewell[cli]" in done.stderr
 
 
-def test_the_plain_node_imports_what_it_serves_with_and_nothing_else(
+def test_the_plain_node_imports_only_what_it_needs(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """Over a whole life, with a reload in it: Python writes a line for each import of the process."""
+    """Python reports each import of a node's process, from start over a reload to its end."""
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
     monkeypatch.delenv("LB_OPERATOR", raising=False)
     player = Player()
@@ -256,15 +256,15 @@
     loaded = {row for row in rows if row.split(".")[0] not in sys.stdlib_module_names}
     # an installation may hook into the start of Python, and pickle looks for a Jython that is not there
     hooks = "__editable__", "_distutils_hack", "sitecustomize", "org."
-    strange = {x for x in loaded if not x.startswith(hooks)} - {"org"}
-    assert {"granitewell.net.loop", "granitewell.net.logs", "uvloop", "httptools"} <= strange
-    assert {x.split(".")[0] for x in strange} == {"granitewell", "uvloop", "httptools"}
-    rooms = {x.split(".")[1] for x in strange if x.startswith("granitewell.")}
-    assert rooms == {"config", "core", "files", "handover", "net", "reload", "startup_pacing", "balancing"}
+    third_party = {x for x in loaded if not x.startswith(hooks)} - {"org"}
+    assert {"granitewell.net.loop", "granitewell.net.logs", "uvloop", "httptools"} <= third_party
+    assert {x.split(".")[0] for x in third_party} == {"granitewell", "uvloop", "httptools"}
+    packages = {x.split(".")[1] for x in third_party if x.startswith("granitewell.")}
+    assert packages == {"config", "core", "files", "handover", "net", "reload", "startup_pacing", "balancing"}
 
 
 # --- the project ----------------------------------------------------------------------------------------
-def test_the_versions_are_the_same_wherever_they_stand() -> None:
+def test_versions_agree_in_all_files() -> None:
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     extras = project["optional-dependencies"]
     pinned = {}
@@ -281,7 +281,7 @@
     assert getattr(__import__(module, fromlist=["x"]), name) is cli.main
 
 
-def test_the_page_of_exit_codes_has_each_of_them() -> None:
+def test_the_exit_codes_page_lists_every_code() -> None:
     page = (ROOT / "docs" / "operate" / "exit-codes.md").read_text()
     codes = [int(x) for x in re.findall(r"^\| (\d+) \|", page, re.M)]
     assert codes == [cli.OK, cli.BAD_OUTCOME, cli.BAD_INPUT, cli.UNAVAILABLE, DEFECT, INTERRUPTED]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,7 +17,7 @@
 from granitewell.config import ConfigError, load, needs_restart, reload
 from granitewell.net.clock import Clock
 from granitewell.net.http1 import EndpointListReader, HeaderNames
-from tests.play import settings
+from tests.exchange_player import settings
 
 
 def write(folder: Path, **changes: Any) -> dict[str, str]:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -16,7 +16,7 @@
     ConsoleRequestParser,
     RejectedCommandError,
 )
-from tests.play import LIMIT_S, Player, reserved
+from tests.exchange_player import LIMIT_S, Player, reserve_address
 
 
 def call(parser: ConsoleRequestParser, raw: bytes, step: int) -> bool:
@@ -72,7 +72,7 @@
     """The player with a console, and a private folder for what outlives the process."""
 
     def __init__(self) -> None:
-        self.desk = reserved()
+        self.desk = reserve_address()
         self.console = self.desk.getsockname()
         super().__init__()
         self.env = {"LB_CONSOLE": "%s:%d" % self.console, "TMPDIR": self.folder.name}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,9 +20,20 @@
 from granitewell.net.downstream import KEEPALIVE_TIMEOUT_US
 from granitewell.net.loop import Node
 from granitewell.net.sockets import is_readable, peer_closed
-from tests.desk import GET, OK, POST, Bureau, Desk, ends_well, heard, row, sent, serves
-from tests.play import settings
-from tests.shell import client_of, played, turns, until
+from tests.exchange_player import settings
+from tests.fake_peers import (
+    GET,
+    OK,
+    POST,
+    FakeDiscovery,
+    FakeEndpoint,
+    add_endpoints,
+    closes_cleanly,
+    discovery_entry,
+    receive_until,
+    send,
+)
+from tests.in_process_node import connect_client, let_tasks_run, run_with_node, wait_until
 
 
 def cancelling(allowed: bool) -> dict[str, Any]:
@@ -42,29 +53,29 @@
     """
 
     async def scenario(node: Node) -> None:
-        desk, client = Desk(), client_of(node)
-        serves(node, desk)
+        endpoint, client = FakeEndpoint(), connect_client(node)
+        add_endpoints(node, endpoint)
         (connection,) = node.clients.connections.values()
-        await sent(client, b"".join(GET % b"r%d" % k for k in range(9)))
-        await until(lambda: desk.asked and connection.resume_reading is not None)
-        await sent(client, GET % b"more")  # not read before an answer is written
+        await send(client, b"".join(GET % b"r%d" % k for k in range(9)))
+        await wait_until(lambda: endpoint.requests and connection.resume_reading is not None)
+        await send(client, GET % b"more")  # not read before an answer is written
         client.close()
-        await until(lambda: peer_closed(connection.sock))
-        await desk.answer()
-        await until(lambda: not node.clients.connections)
-        await turns()
-        assert desk.ids == [b"r0"] and not node._core.pending_count
-        await desk.close()
+        await wait_until(lambda: peer_closed(connection.sock))
+        await endpoint.respond()
+        await wait_until(lambda: not node.clients.connections)
+        await let_tasks_run()
+        assert endpoint.request_ids == [b"r0"] and not node._core.pending_count
+        await endpoint.close()
 
-    played(tmp_path, scenario, settings=cancelling(cancel))
+    run_with_node(tmp_path, scenario, settings=cancelling(cancel))
 
 
 def test_request_of_a_client_that_leaves_during_the_dial_is_not_forwarded(tmp_path: Path) -> None:
     """Guards against dropping only streamed requests where the settings forbid cancelling."""
 
     async def scenario(node: Node) -> None:
-        desk, client = Desk(), client_of(node)
-        serves(node, desk)
+        endpoint, client = FakeEndpoint(), connect_client(node)
+        add_endpoints(node, endpoint)
         real, gate, dialed = node.pool.dial, asyncio.Event(), asyncio.Event()
 
         async def late(endpoint: bytes, address: tuple[str, int]) -> object:
@@ -75,28 +86,28 @@
 
         node.pool.dial = late  # type: ignore[method-assign, assignment]
         (connection,) = node.clients.connections.values()
-        await sent(client, POST % b"r0")
+        await send(client, POST % b"r0")
         await dialed.wait()
         client.close()
-        await until(lambda: peer_closed(connection.sock))
+        await wait_until(lambda: peer_closed(connection.sock))
         gate.set()  # in the turn in which the end of the connection may be unread
-        await until(lambda: not node.clients.connections and not node._calls)
-        await until(lambda: node.pool.idle)
-        assert desk.ids == []
-        await desk.close()
+        await wait_until(lambda: not node.clients.connections and not node._calls)
+        await wait_until(lambda: node.pool.idle)
+        assert endpoint.request_ids == []
+        await endpoint.close()
 
-    played(tmp_path, scenario, settings=cancelling(False))
+    run_with_node(tmp_path, scenario, settings=cancelling(False))
 
 
 def test_request_of_a_client_that_leaves_is_not_forwarded_on_an_idle_connection(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
-        desk, first = Desk(), client_of(node)
-        serves(node, desk)
-        await sent(first, GET % b"r0")
-        await until(lambda: desk.asked)
-        await desk.answer()
-        assert (await heard(first, b"ok")).endswith(b"ok")
-        client = client_of(node)
+        endpoint, first = FakeEndpoint(), connect_client(node)
+        add_endpoints(node, endpoint)
+        await send(first, GET % b"r0")
+        await wait_until(lambda: endpoint.requests)
+        await endpoint.respond()
+        assert (await receive_until(first, b"ok")).endswith(b"ok")
+        client = connect_client(node)
         connection = list(node.clients.connections.values())[-1]
         real = node.pool.acquire
 
@@ -106,27 +117,27 @@
             return real(*args)  # type: ignore[arg-type]
 
         node.pool.acquire = left  # type: ignore[method-assign, assignment]
-        await sent(client, POST % b"r1")
-        await until(lambda: connection.id not in node.clients.connections and not node._calls)
-        assert desk.ids == [b"r0"]
+        await send(client, POST % b"r1")
+        await wait_until(lambda: connection.id not in node.clients.connections and not node._calls)
+        assert endpoint.request_ids == [b"r0"]
         first.close()
-        await desk.close()
+        await endpoint.close()
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 # --- Discovery ------------------------------------------------------------------------------------------
-def may_send_to(node: Node, desk: Desk) -> bool | None:
+def may_send_to(node: Node, endpoint: FakeEndpoint) -> bool | None:
     """Return whether the node may send to this endpoint; None if it does not know it."""
-    endpoint = node._core._endpoints.get(desk.name)
-    return None if endpoint is None else endpoint.unavailable_since_us < 0
+    known = node._core._endpoints.get(endpoint.name)
+    return None if known is None else known.unavailable_since_us < 0
 
 
-async def end_watch(node: Node, *others: Desk | Bureau) -> None:
+async def end_watch(node: Node, *others: FakeEndpoint | FakeDiscovery) -> None:
     """End the watch, then close the stand-ins."""
     assert node.discovery._task is not None
     node.discovery._task.cancel()
-    await turns()
+    await let_tasks_run()
     for other in others:
         await other.close()
 
@@ -135,51 +146,55 @@
     """A watch that stops returning changes raises no error; only a new full list shows them."""
 
     async def scenario(node: Node) -> None:
-        desk, bureau = Desk(), Bureau()
-        bureau.lists((desk, "ready"))
-        node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
-        await until(lambda: may_send_to(node, desk) and bureau.watches)
-        bureau.empty, calls = True, len(bureau.watches)
-        await until(lambda: len(bureau.watches) > calls + 1)  # the watch that was open has ended
-        bureau.lists((desk, "draining"))
-        await until(lambda: may_send_to(node, desk) is False)
-        await end_watch(node, bureau, desk)
+        endpoint, discovery = FakeEndpoint(), FakeDiscovery()
+        discovery.set_endpoints((endpoint, "ready"))
+        node.discovery.watch(discovery.address, PUSHED_TIMEOUTS)
+        await wait_until(lambda: may_send_to(node, endpoint) and discovery.watched_revisions)
+        discovery.empty_answers, calls = True, len(discovery.watched_revisions)
+        await wait_until(
+            lambda: len(discovery.watched_revisions) > calls + 1
+        )  # the watch that was open has ended
+        discovery.set_endpoints((endpoint, "draining"))
+        await wait_until(lambda: may_send_to(node, endpoint) is False)
+        await end_watch(node, discovery, endpoint)
 
-    assert not [x for x in played(tmp_path, scenario) if x.startswith("discovery")]
+    assert not [x for x in run_with_node(tmp_path, scenario) if x.startswith("discovery")]
 
 
 def test_decreasing_revision_causes_a_request_for_the_full_list(tmp_path: Path) -> None:
     """A restarted agent has nothing newer than the known revision for a long time."""
 
     async def scenario(node: Node) -> None:
-        desk, bureau = Desk(), Bureau()
-        bureau.lists((desk, "ready"), revision=900)
-        node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
-        await until(lambda: may_send_to(node, desk) and bureau.watches)
-        bureau.members, bureau.revision = [row(desk, "draining")], 2
-        await until(lambda: may_send_to(node, desk) is False and bureau.watches[-1] == 2)
+        endpoint, discovery = FakeEndpoint(), FakeDiscovery()
+        discovery.set_endpoints((endpoint, "ready"), revision=900)
+        node.discovery.watch(discovery.address, PUSHED_TIMEOUTS)
+        await wait_until(lambda: may_send_to(node, endpoint) and discovery.watched_revisions)
+        discovery.entries, discovery.revision = [discovery_entry(endpoint, "draining")], 2
+        await wait_until(
+            lambda: may_send_to(node, endpoint) is False and discovery.watched_revisions[-1] == 2
+        )
         # the watch from 900 was answered with an empty 2: the next request was for the full list
-        assert bureau.watches.count(2) == 1 and bureau.wholes == 2
-        await end_watch(node, bureau, desk)
+        assert discovery.watched_revisions.count(2) == 1 and discovery.full_list_calls == 2
+        await end_watch(node, discovery, endpoint)
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 def test_silent_watch_is_reopened_and_the_list_stays(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
-        desk, bureau = Desk(), Bureau()
-        bureau.lists((desk, "ready"))
-        node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
-        await until(lambda: may_send_to(node, desk) and bureau.watches)
-        bureau.mute, calls = True, bureau.wholes
-        bureau.lists((desk, "draining"))
-        await until(lambda: bureau.wholes >= calls + 2)  # requested, and requested again
-        assert may_send_to(node, desk)
-        bureau.mute = False
-        await until(lambda: may_send_to(node, desk) is False)
-        await end_watch(node, bureau, desk)
+        endpoint, discovery = FakeEndpoint(), FakeDiscovery()
+        discovery.set_endpoints((endpoint, "ready"))
+        node.discovery.watch(discovery.address, PUSHED_TIMEOUTS)
+        await wait_until(lambda: may_send_to(node, endpoint) and discovery.watched_revisions)
+        discovery.unresponsive, calls = True, discovery.full_list_calls
+        discovery.set_endpoints((endpoint, "draining"))
+        await wait_until(lambda: discovery.full_list_calls >= calls + 2)  # requested, and requested again
+        assert may_send_to(node, endpoint)
+        discovery.unresponsive = False
+        await wait_until(lambda: may_send_to(node, endpoint) is False)
+        await end_watch(node, discovery, endpoint)
 
-    assert any("stays as it is" in x for x in played(tmp_path, scenario))
+    assert any("stays as it is" in x for x in run_with_node(tmp_path, scenario))
 
 
 @pytest.mark.parametrize("timeouts", [PUSHED_TIMEOUTS, POLLED_TIMEOUTS])
@@ -200,24 +215,24 @@
 
 def test_list_that_arrives_slowly_in_pieces_is_read(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
-        desk, bureau = Desk(), Bureau()
-        bureau.piecemeal = 12
-        bureau.lists((desk, "ready"))
-        node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
-        await until(lambda: may_send_to(node, desk))
-        await end_watch(node, bureau, desk)
+        endpoint, discovery = FakeEndpoint(), FakeDiscovery()
+        discovery.chunks = 12
+        discovery.set_endpoints((endpoint, "ready"))
+        node.discovery.watch(discovery.address, PUSHED_TIMEOUTS)
+        await wait_until(lambda: may_send_to(node, endpoint))
+        await end_watch(node, discovery, endpoint)
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
-def start_node(node: Node, bureau: Bureau) -> asyncio.Task[None]:
+def start_node(node: Node, discovery: FakeDiscovery) -> asyncio.Task[None]:
     """Start the node as the program does, at an address of its own."""
-    node._config = replace(node._config, discovery=bureau.address, listen=("127.0.0.1", 0))
+    node._config = replace(node._config, discovery=discovery.address, listen=("127.0.0.1", 0))
     node.clients.listener = node.clients.accept_task = None
     return node._spawn(node.run())
 
 
-async def stop_node(node: Node, running: asyncio.Task[None], *others: Desk | Bureau) -> None:
+async def stop_node(node: Node, running: asyncio.Task[None], *others: FakeEndpoint | FakeDiscovery) -> None:
     node._stopped.set()
     await running
     await end_watch(node, *others)
@@ -233,28 +248,28 @@
     """
 
     async def scenario(node: Node) -> None:
-        old, new, bureau = Desk(b"s-0"), Desk(b"s-1"), Bureau()
-        bureau.lists((old, "draining"), (new, "ready"))
-        bureau.mute, bureau.hold = mute, asyncio.Event()
+        old, new, discovery = FakeEndpoint(b"s-0"), FakeEndpoint(b"s-1"), FakeDiscovery()
+        discovery.set_endpoints((old, "draining"), (new, "ready"))
+        discovery.unresponsive, discovery.answer_gate = mute, asyncio.Event()
         if not mute:  # discovery answers after a client's request, however slow the machine is
             monkeypatch.setattr(loop_module, "PUSHED_TIMEOUTS", replace(PUSHED_TIMEOUTS, list_timeout_s=60.0))
             monkeypatch.setattr(loop_module, "FIRST_LIST_TIMEOUT_S", 60.0)
-        known = {"revision": 1, "complete": True, "members": [row(old, "ready")]}
+        known = {"revision": 1, "complete": True, "members": [discovery_entry(old, "ready")]}
         node._config = replace(node._config, known=known)
-        running = start_node(node, bureau)
-        await until(lambda: node.clients.listener is not None and bureau.wholes)
+        running = start_node(node, discovery)
+        await wait_until(lambda: node.clients.listener is not None and discovery.full_list_calls)
         client = socket.create_connection(node.clients.listener.getsockname())  # type: ignore[union-attr]
         client.setblocking(False)
-        await sent(client, GET % b"r0")
-        await turns(3000)  # a node that accepts clients too soon would have forwarded it by now
-        bureau.hold.set()
-        await until(lambda: old.asked or new.asked)
-        assert (old.ids, new.ids) == (([b"r0"], []) if mute else ([], [b"r0"]))
-        bureau.mute = False
+        await send(client, GET % b"r0")
+        await let_tasks_run(3000)  # a node that accepts clients too soon would have forwarded it by now
+        discovery.answer_gate.set()
+        await wait_until(lambda: old.requests or new.requests)
+        assert (old.request_ids, new.request_ids) == (([b"r0"], []) if mute else ([], [b"r0"]))
+        discovery.unresponsive = False
         client.close()
-        await stop_node(node, running, bureau, old, new)
+        await stop_node(node, running, discovery, old, new)
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 # --- Connections to endpoints ---------------------------------------------------------------------------
@@ -265,49 +280,51 @@
     """
 
     async def scenario(node: Node) -> None:
-        desk, one, two = Desk(), client_of(node), client_of(node)
-        serves(node, desk)
-        await sent(one, POST % b"r0")
-        await until(lambda: desk.asked)
-        late = desk.asked[0][1]
-        await desk.answer(b"mine")
-        assert (await heard(one, b"mine")).endswith(b"mine")
-        await sent(two, POST % b"r1")
-        await until(lambda: len(desk.asked) == 2)
-        await desk.say(late, OK % (5, b"spare"))  # after the later request, wherever that was sent
-        await turns()
-        await desk.answer(b"yours")
-        assert (await heard(two, b"yours")).endswith(b"yours")
+        endpoint, one, two = FakeEndpoint(), connect_client(node), connect_client(node)
+        add_endpoints(node, endpoint)
+        await send(one, POST % b"r0")
+        await wait_until(lambda: endpoint.requests)
+        late = endpoint.requests[0][1]
+        await endpoint.respond(b"mine")
+        assert (await receive_until(one, b"mine")).endswith(b"mine")
+        await send(two, POST % b"r1")
+        await wait_until(lambda: len(endpoint.requests) == 2)
+        await endpoint.write(late, OK % (5, b"spare"))  # after the later request, wherever that was sent
+        await let_tasks_run()
+        await endpoint.respond(b"yours")
+        assert (await receive_until(two, b"yours")).endswith(b"yours")
         one.close()
         two.close()
-        await desk.close()
+        await endpoint.close()
 
     # as if no time passed between the first response and the later request
     held = pool_module.REUSE_DELAY_US
     pool_module.REUSE_DELAY_US = 60_000_000
     try:
-        played(tmp_path, scenario)
+        run_with_node(tmp_path, scenario)
     finally:
         pool_module.REUSE_DELAY_US = held
 
 
 def test_connection_is_reused_after_a_delay(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
-        desk, client = Desk(), client_of(node)
-        serves(node, desk)
+        endpoint, client = FakeEndpoint(), connect_client(node)
+        add_endpoints(node, endpoint)
         for k in range(2):
-            await sent(client, GET % b"r%d" % k)
-            await until(lambda k=k: len(desk.asked) > k)  # type: ignore[misc]
-            await desk.answer()
-            await heard(client, b"ok")
-            (conn,) = node.pool.idle[desk.name]
-            assert node.pool.acquire(desk.name, conn.address) is None and node.pool.idle[desk.name] == [conn]
+            await send(client, GET % b"r%d" % k)
+            await wait_until(lambda k=k: len(endpoint.requests) > k)  # type: ignore[misc]
+            await endpoint.respond()
+            await receive_until(client, b"ok")
+            (conn,) = node.pool.idle[endpoint.name]
+            assert node.pool.acquire(endpoint.name, conn.address) is None and node.pool.idle[
+                endpoint.name
+            ] == [conn]
             node.clock.now = lambda at=conn.reusable_from_us: at  # type: ignore[method-assign, misc]
-        assert desk.asked[0][1] is desk.asked[1][1]
+        assert endpoint.requests[0][1] is endpoint.requests[1][1]
         client.close()
-        await desk.close()
+        await endpoint.close()
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 # --- Stop -----------------------------------------------------------------------------------------------
@@ -321,24 +338,24 @@
     """Guards against closing after the first answer, which lost complete requests that had been read."""
 
     async def scenario(node: Node) -> None:
-        desk, client = Desk(), client_of(node)
-        serves(node, desk)
+        endpoint, client = FakeEndpoint(), connect_client(node)
+        add_endpoints(node, endpoint)
         (connection,) = node.clients.connections.values()
-        await sent(client, b"".join(POST % b"r%d" % k for k in range(3)))
-        await until(lambda: desk.asked and len(connection.queue) == 2)
+        await send(client, b"".join(POST % b"r%d" % k for k in range(3)))
+        await wait_until(lambda: endpoint.requests and len(connection.queue) == 2)
         stopping(node)
         heads = []
         for k in range(3):
-            await until(lambda k=k: len(desk.asked) > k)  # type: ignore[misc]
-            await desk.answer(b"%d" % k)
-            heads.append(await heard(client, b"%d" % k))
+            await wait_until(lambda k=k: len(endpoint.requests) > k)  # type: ignore[misc]
+            await endpoint.respond(b"%d" % k)
+            heads.append(await receive_until(client, b"%d" % k))
         assert [b"200 OK" in head for head in heads] == [True] * 3
         assert [b"Connection: close" in head for head in heads] == [False, False, True]
-        assert await heard(client) == b""  # the end
+        assert await receive_until(client) == b""  # the end
         client.close()
-        await desk.close()
+        await endpoint.close()
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 def test_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(tmp_path: Path) -> None:
@@ -349,117 +366,117 @@
     """
 
     async def scenario(node: Node) -> None:
-        desk, client = Desk(), client_of(node)
-        serves(node, desk)
+        endpoint, client = FakeEndpoint(), connect_client(node)
+        add_endpoints(node, endpoint)
         (connection,) = node.clients.connections.values()
-        await sent(client, GET % b"r0")
-        await until(lambda: desk.asked)
-        await desk.answer()
+        await send(client, GET % b"r0")
+        await wait_until(lambda: endpoint.requests)
+        await endpoint.respond()
         # written, but not read by the client yet
-        await until(lambda: connection.answer_count and is_readable(client))
+        await wait_until(lambda: connection.answer_count and is_readable(client))
         node.clients.check_timeouts(connection, connection.last_activity_us + KEEPALIVE_TIMEOUT_US, False)
-        await sent(client, GET % b"crosses")
-        assert (await heard(client, b"ok")).endswith(b"ok")
-        assert await ends_well(client)
+        await send(client, GET % b"crosses")
+        assert (await receive_until(client, b"ok")).endswith(b"ok")
+        assert await closes_cleanly(client)
         client.close()
-        await until(lambda: not node.clients.connections)
-        assert desk.ids == [b"r0"]
-        await desk.close()
+        await wait_until(lambda: not node.clients.connections)
+        assert endpoint.request_ids == [b"r0"]
+        await endpoint.close()
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 def test_request_that_crosses_the_close_of_the_listener_is_not_forwarded(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
-        desk, client = Desk(), client_of(node)
-        serves(node, desk)
+        endpoint, client = FakeEndpoint(), connect_client(node)
+        add_endpoints(node, endpoint)
         (connection,) = node.clients.connections.values()
-        await sent(client, GET % b"r0")
-        await until(lambda: desk.asked)
-        await desk.answer()
-        await until(lambda: connection.answer_count and is_readable(client))
+        await send(client, GET % b"r0")
+        await wait_until(lambda: endpoint.requests)
+        await endpoint.respond()
+        await wait_until(lambda: connection.answer_count and is_readable(client))
         node.clients.listener, listener = socket.create_server(("127.0.0.1", 0)), node.clients.listener
         node.clients.listener.setblocking(False)
         node.clients.stop_listening()
-        await sent(client, GET % b"crosses")
-        assert (await heard(client, b"ok")).endswith(b"ok")
-        assert await ends_well(client)
+        await send(client, GET % b"crosses")
+        assert (await receive_until(client, b"ok")).endswith(b"ok")
+        assert await closes_cleanly(client)
         client.close()
-        await until(lambda: not node.clients.connections)
-        assert desk.ids == [b"r0"]
+        await wait_until(lambda: not node.clients.connections)
+        assert endpoint.request_ids == [b"r0"]
         node.clients.listener = listener
-        await desk.close()
+        await endpoint.close()
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 def test_shutdown_waits_for_clients_that_read_slowly(tmp_path: Path) -> None:
     """Guards against ending 200 ms after the last answer was built, whether or not it was written."""
 
     async def scenario(node: Node) -> None:
-        desk, bureau = Desk(), Bureau()
-        bureau.lists((desk, "ready"))
-        running = start_node(node, bureau)
-        await until(lambda: node.phase is c.Phase.READY and node.clients.listener is not None)
+        endpoint, discovery = FakeEndpoint(), FakeDiscovery()
+        discovery.set_endpoints((endpoint, "ready"))
+        running = start_node(node, discovery)
+        await wait_until(lambda: node.phase is c.Phase.READY and node.clients.listener is not None)
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(node.clients.listener.getsockname())  # type: ignore[union-attr]
         client.setblocking(False)
-        await sent(client, GET % b"r0")
-        await until(lambda: desk.asked)
+        await send(client, GET % b"r0")
+        await wait_until(lambda: endpoint.requests)
         (connection,) = node.clients.connections.values()
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         node.stop()
         body = bytes(60_000)
-        await desk.answer(body)
-        await until(lambda: node._stopped.is_set())
-        data = await heard(client, b"nothing such")
+        await endpoint.respond(body)
+        await wait_until(lambda: node._stopped.is_set())
+        data = await receive_until(client, b"nothing such")
         assert len(data) - data.index(b"\r\n\r\n") - 4 == len(body)
         client.close()
         await running
-        await end_watch(node, bureau, desk)
+        await end_watch(node, discovery, endpoint)
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 def test_request_during_shutdown_is_refused_not_reset(tmp_path: Path) -> None:
     """On a connection accepted last, whose request arrives when everything else is answered."""
 
     async def scenario(node: Node) -> None:
-        desk, bureau = Desk(), Bureau()
-        bureau.lists((desk, "ready"))
-        running = start_node(node, bureau)
-        await until(lambda: node.phase is c.Phase.READY and node.clients.listener is not None)
+        endpoint, discovery = FakeEndpoint(), FakeDiscovery()
+        discovery.set_endpoints((endpoint, "ready"))
+        running = start_node(node, discovery)
+        await wait_until(lambda: node.phase is c.Phase.READY and node.clients.listener is not None)
         client = socket.create_connection(node.clients.listener.getsockname())  # type: ignore[union-attr]
         client.setblocking(False)
-        await until(lambda: node.clients.connections)
+        await wait_until(lambda: node.clients.connections)
         node.stop()
-        await until(lambda: node._stopped.is_set())
-        await sent(client, POST % b"late")
-        assert (await heard(client)).startswith(b"HTTP/1.1 503")
+        await wait_until(lambda: node._stopped.is_set())
+        await send(client, POST % b"late")
+        assert (await receive_until(client)).startswith(b"HTTP/1.1 503")
         client.close()
         await running
-        assert desk.ids == []
-        await end_watch(node, bureau, desk)
+        assert endpoint.request_ids == []
+        await end_watch(node, discovery, endpoint)
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 def test_stop_during_the_start_is_not_lost(tmp_path: Path) -> None:
     """Guards against a start that goes on, counts as listening again, and ends only at the last deadline."""
 
     async def scenario(node: Node) -> None:
-        desk, bureau = Desk(), Bureau()
-        bureau.lists((desk, "ready"))
-        bureau.mute = True
-        running = start_node(node, bureau)
-        await until(lambda: bureau.wholes)
+        endpoint, discovery = FakeEndpoint(), FakeDiscovery()
+        discovery.set_endpoints((endpoint, "ready"))
+        discovery.unresponsive = True
+        running = start_node(node, discovery)
+        await wait_until(lambda: discovery.full_list_calls)
         node.stop()
-        await until(lambda: node.phase is c.Phase.STOPPED)
+        await wait_until(lambda: node.phase is c.Phase.STOPPED)
         node.dispatch(c.Listening())
         assert not node._core._listening
         await running
-        await end_watch(node, bureau, desk)
+        await end_watch(node, discovery, endpoint)
 
-    said = played(tmp_path, scenario)
+    said = run_with_node(tmp_path, scenario)
     assert "phase: all is answered: leaving" in said
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,7 +1,7 @@
-"""Settings of other customers.
+"""Unusual platform settings.
 
-Unknown keys, optional ones left out, no tenants, one class, absurd but legal figures. Each serves a request
-as its settings say; what can't be served is refused with the field named.
+Unknown keys, missing optional ones, no tenants, one class, extreme but valid figures. Valid settings serve a
+request; invalid ones are rejected with the name of the field.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from granitewell.config import ConfigError, load
 from granitewell.net.loop import Node
-from tests.desk import Bureau, Desk, heard, sent, serves
-from tests.play import settings
-from tests.shell import client_of, played, until
+from tests.exchange_player import settings
+from tests.fake_peers import FakeDiscovery, FakeEndpoint, add_endpoints, receive_until, send
+from tests.in_process_node import connect_client, run_with_node, wait_until
 from tests.test_config import write
 
 OPTIONAL = ("stats", "tenants", "models", "zones", "discovery")
-LEGAL: dict[str, dict[str, Any]] = {
+VALID: dict[str, dict[str, Any]] = {
     "unknown keys": {"moonPhase": {"full": [1, 2]}, "classes.0.colour": "red", "contract.extra": None},
     "no tenants": {"tenants": []},
     "one class": {"classes": [{"name": "only-one", "effect": "pure", "aimMs": 1.0, "giveUpMs": 60000.0}]},
@@ -38,8 +38,8 @@
 }
 
 
-def changed(changes: dict[str, Any]) -> dict[str, Any]:
-    """The settings with these changes, each named by its path."""
+def settings_with(changes: dict[str, Any]) -> dict[str, Any]:
+    """Return the settings with these changes, given by path."""
     text = settings()
     for path, value in changes.items():
         at: Any = text
@@ -50,64 +50,64 @@
     return text
 
 
-@pytest.mark.parametrize("what", LEGAL)
-def test_whatever_is_legal_is_served(tmp_path: Path, what: str) -> None:
-    text = changed(LEGAL[what])
+@pytest.mark.parametrize("what", VALID)
+def test_valid_settings_are_served(tmp_path: Path, what: str) -> None:
+    text = settings_with(VALID[what])
     cls = text["classes"][0]
     method = "GET" if cls["effect"] == "pure" else "POST"
 
     async def scenario(node: Node) -> None:
-        desk, client = Desk(), client_of(node)
-        serves(node, desk)
+        endpoint, client = FakeEndpoint(), connect_client(node)
+        add_endpoints(node, endpoint)
         head = f"{method} /{cls['name']} HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout-Ms: 20000\r\n"
-        await sent(client, f"{head}Content-Length: 0\r\n\r\n".encode())
-        await until(lambda: desk.asked)
-        await desk.answer()
-        assert (await heard(client, b"ok")).startswith(b"HTTP/1.1 200")
+        await send(client, f"{head}Content-Length: 0\r\n\r\n".encode())
+        await wait_until(lambda: endpoint.requests)
+        await endpoint.respond()
+        assert (await receive_until(client, b"ok")).startswith(b"HTTP/1.1 200")
         client.close()
-        await desk.close()
+        await endpoint.close()
 
-    assert not [x for x in played(tmp_path, scenario, settings=text) if x.startswith("fault")]
+    assert not [x for x in run_with_node(tmp_path, scenario, settings=text) if x.startswith("fault")]
 
 
 @pytest.mark.parametrize("key", OPTIONAL)
-def test_what_is_optional_may_be_left_out(tmp_path: Path, key: str) -> None:
+def test_optional_settings_may_be_left_out(tmp_path: Path, key: str) -> None:
     text = settings()
     del text[key]
     assert load(write(tmp_path, settings=text)).settings.classes
 
 
-WRONG = {
+INVALID = {
     "classes": [], "classes.0.giveUpMs": 0, "classes.0.effect": "magic", "classes.0.aimMs": "soon",
     "contract.coldFrom": 0.0, "contract.fallMultiple": -1.0, "allowed.maxAttempts": 0, "balancers": 0,
     "classes.1.name": "taxi-lookup", "allowed.dialTimeoutMs": 0,
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("path", WRONG)
-def test_what_cannot_be_served_is_refused_with_its_field(tmp_path: Path, path: str) -> None:
+@pytest.mark.parametrize("path", INVALID)
+def test_invalid_settings_are_rejected_with_their_field(tmp_path: Path, path: str) -> None:
     with pytest.raises(ConfigError) as error:
-        load(write(tmp_path, settings=changed({path: WRONG[path]})))
+        load(write(tmp_path, settings=settings_with({path: INVALID[path]})))
     field = path.rpartition(".")[2]
     plain = str(error.value).replace("_", "").lower()
-    named = {"balancers": "proxies"}.get(field, field)  # by the module's own name
+    named = {"balancers": "proxies"}.get(field, field)  # the name that the balancing settings use
     assert field.lower() in plain or named in plain
 
 
-def test_lists_with_doubled_entries_and_phases_unheard_do_no_harm(tmp_path: Path) -> None:
+def test_lists_with_duplicates_and_unknown_phases_are_accepted(tmp_path: Path) -> None:
     async def scenario(node: Node) -> None:
-        desk, bureau = Desk(), Bureau()
-        bureau.lists((desk, "sleeping"), (desk, "ready"), (desk, "ready"))
+        endpoint, discovery = FakeEndpoint(), FakeDiscovery()
+        discovery.set_endpoints((endpoint, "sleeping"), (endpoint, "ready"), (endpoint, "ready"))
         from granitewell.net.discovery import PUSHED_TIMEOUTS
 
-        node.discovery.watch(bureau.address, PUSHED_TIMEOUTS)
-        await until(lambda: node._core._endpoints)
-        assert node._core._endpoints[desk.name].unavailable_since_us < 0  # the last entry counts
-        bureau.lists()  # rightly empty
-        await until(lambda: node._core._endpoints[desk.name].unavailable_since_us >= 0)
+        node.discovery.watch(discovery.address, PUSHED_TIMEOUTS)
+        await wait_until(lambda: node._core._endpoints)
+        assert node._core._endpoints[endpoint.name].unavailable_since_us < 0  # the last entry counts
+        discovery.set_endpoints()  # a valid empty list
+        await wait_until(lambda: node._core._endpoints[endpoint.name].unavailable_since_us >= 0)
         assert node.discovery._task is not None
         node.discovery._task.cancel()
-        await bureau.close()
-        await desk.close()
+        await discovery.close()
+        await endpoint.close()
 
-    assert not [x for x in played(tmp_path, scenario) if x.startswith(("fault", "discovery"))]
+    assert not [x for x in run_with_node(tmp_path, scenario) if x.startswith(("fault", "discovery"))]
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -28,7 +28,7 @@
 from granitewell.net.listener import startup_delay_s
 from granitewell.net.loop import CLOCK_ORIGIN_US, Log, Node
 from granitewell.net.sockets import is_readable
-from tests.play import FOLDER, LIMIT_S, Player, play
+from tests.exchange_player import FOLDER, LIMIT_S, Player, play
 from tests.test_config import write
 
 
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -45,7 +45,7 @@
 from granitewell.operator.load import load as of
 from granitewell.operator.registry import Operator
 from granitewell.status import wire
-from tests.shell import client_of, played, turns, until
+from tests.in_process_node import connect_client, let_tasks_run, run_with_node, wait_until
 from tests.test_config import write
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -195,22 +195,22 @@
         async with serving(node, agent):
             head = raw.index(b"\r\n\r\n") + 4
             for cut in [*range(min(head + 60, len(raw))), *range(head + 60, len(raw), 7919)]:
-                client = client_of(node)
+                client = connect_client(node)
                 await asyncio.get_running_loop().sock_sendall(client, raw[:cut])
                 if cut % 2:
-                    await turns(5)
+                    await let_tasks_run(5)
                 client.close()
-            await until(
+            await wait_until(
                 lambda: not node.clients.connections and not node._calls and not node._core.pending_count
             )
-            await until(lambda: not node._memory.buffered_bytes and not node._memory.streams)
+            await wait_until(lambda: not node._memory.buffered_bytes and not node._memory.streams)
             balancer = node._core._balancer
             assert isinstance(balancer, Balancer) and not balancer._pending
-            await until(lambda: not balancer._in_flight)
-            await until(lambda: node.pool.open_count == sum(map(len, node.pool.idle.values())))
+            await wait_until(lambda: not balancer._in_flight)
+            await wait_until(lambda: node.pool.open_count == sum(map(len, node.pool.idle.values())))
             assert len(node._tasks) == 0
 
-    assert not [line for line in played(tmp_path, scenario) if line.startswith("fault")]
+    assert not [line for line in run_with_node(tmp_path, scenario) if line.startswith("fault")]
 
 
 ANSWERS = [
@@ -236,12 +236,12 @@
                 assert agent.asked == before + 1
             assert not node._calls and not node._core.pending_count
 
-    assert not [line for line in played(tmp_path, scenario) if line.startswith("fault")]
+    assert not [line for line in run_with_node(tmp_path, scenario) if line.startswith("fault")]
 
 
 async def exchanged(node: Node, raw: bytes) -> bytes:
     """Return everything that a client receives for this, on a connection of its own."""
-    client, loop, got = client_of(node), asyncio.get_running_loop(), b""
+    client, loop, got = connect_client(node), asyncio.get_running_loop(), b""
     await loop.sock_sendall(client, raw)
     while more := await loop.sock_recv(client, 4096):
         got += more
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -27,7 +27,7 @@
 from granitewell.operator.registry import Operator
 from granitewell.operator.table import Table, examine
 from granitewell.operator.tree_reader import MAX_PROBLEMS, type_of
-from tests.play import LIMIT_S, Player
+from tests.exchange_player import LIMIT_S, Player
 from tests.test_config import write
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,11 +1,9 @@
-"""Every order of a few events on a tiny fleet.
+"""Exhaustive test of the core with the balancer: every order of a few events on a small fleet.
 
-The real reducer with the real module, each rule after each event.
-
-An order is a list of events, each of which can happen where it stands (orders.World.possible says what can,
-by what has come before). All orders up to a length are played, none is passed over: two orders are never
-taken for one, since the module's figures and random draws differ with each event. The number of orders is
-asserted, so that a search that has become empty fails. No clock, no seed but the module's own.
+All rules are checked after each event. An order is a list of events, each possible after those before it
+(`event_orders.World.possible`). All orders up to a length are run; no two are merged as equal, because the
+balancer's figures and random draws differ with each event. The number of orders is asserted, so that a search
+that finds no orders fails. Time is virtual, and only the balancer has a seed.
 """
 
 from __future__ import annotations
@@ -19,7 +17,7 @@
 from granitewell.balancing.balancer import Balancer
 from granitewell.lab.cluster.search import Seen, search
 from tests.checker import BrokenRuleError
-from tests.orders import Event, Order, World
+from tests.event_orders import Event, Order, World
 
 # name: kinds of events, length, whether calls are dialed, nodes
 WORLDS = {
@@ -42,8 +40,8 @@
 }  # fmt: skip
 
 
-class Played:
-    """The orders of one world, as the search wants them."""
+class OrderSearch:
+    """The orders of one world in the form that `search` takes."""
 
     def __init__(self, name: str, core: type[c.Core] = c.Core, balancer: type[Balancer] = Balancer) -> None:
         self.kinds, self.length, self.dials, self.nodes = WORLDS[name]
@@ -51,7 +49,7 @@
         self._next: dict[Order, tuple[Event, ...]] = {}
 
     def broken(self, order: Order) -> str:
-        """Play it; what is wrong, if anything is."""
+        """Run an order; return the broken rule, or an empty string."""
         world = World(self.nodes, self.core, self.balancer)
         world.dials = self.dials
         try:
@@ -68,21 +66,20 @@
         for event in self._next.pop(order, ()):
             yield event, (*order, event)
 
-    def seen(self) -> Seen[Event]:
+    def result(self) -> Seen[Event]:
         start: Order = ()
         return search(start, self.steps, self.broken)
 
 
 @pytest.mark.parametrize("name", WORLDS)
 def test_no_order_breaks_a_rule(name: str) -> None:
-    seen = Played(name).seen()
-    print(f"{name}: {seen.states} orders")
-    assert not seen.broken, f"{seen.broken}: {seen.trace}"
-    assert seen.whole and seen.states == ORDERS[name]
+    result = OrderSearch(name).result()
+    print(f"{name}: {result.states} orders")
+    assert not result.broken, f"{result.broken}: {result.trace}"
+    assert result.whole and result.states == ORDERS[name]
 
 
-# --- It can fail: guards removed one at a time, in the core and, where both have it, in the module
-# ------------
+# --- Planted defects: one guard removed from the core, and from the balancer if it has the same guard ---
 def core(**methods: Any) -> type[c.Core]:
     return type("Harmed", (c.Core,), methods)
 
@@ -91,7 +88,7 @@
     return type("Harmed", (Balancer,), methods)
 
 
-def _twice(self: c.Core, request: Any, *rest: Any) -> None:
+def _finish_twice(self: c.Core, request: Any, *rest: Any) -> None:
     c.Core._finish_request(self, request, *rest)
     self._effects.append(self._effects[-1])
 
@@ -101,11 +98,11 @@
         c.Core._schedule(self, when_us, what, arg)
 
 
-def _deaf(self: c.Core, now_us: int, event: c.Event) -> list[c.Effects]:
+def _ignore_body_release(self: c.Core, now_us: int, event: c.Event) -> list[c.Effects]:
     return [] if isinstance(event, c.RequestBodyReleased) else c.Core.handle(self, now_us, event)
 
 
-def _anywhere(self: c.Core, call: Any) -> bool:
+def _may_write_anywhere(self: c.Core, call: Any) -> bool:
     return bool(call.request.open) and self._is_available(call.endpoint)
 
 
@@ -114,12 +111,12 @@
         self._effects.append(c.WriteCall(cid))
 
 
-def _listed(self: Balancer, host: Any) -> None:
+def _update_host_as_ready(self: Balancer, host: Any) -> None:
     Balancer._update_host(self, host)
     self._servers[host.id].ready = True
 
 
-def _unbanned(self: c.Core, member: Any) -> Any:
+def _host_ignoring_bans(self: c.Core, member: Any) -> Any:
     bans, self._bans = self._bans, {}
     try:
         return c.Core._host_for_balancer(self, member)
@@ -127,34 +124,44 @@
         self._bans = bans
 
 
-ALWAYS = {"_is_available": lambda *_: True}
-AGAIN = {"_may_run_at": lambda *_: True}
+ALWAYS_AVAILABLE = {"_is_available": lambda *_: True}
+MAY_RUN_AGAIN = {"_may_run_at": lambda *_: True}
 DEFECTS: dict[str, tuple[str, type[c.Core], type[Balancer], str]] = {
-    "answer-twice": ("answers", core(_finish_request=_twice), Balancer, "rule 1"),
+    "answer-twice": ("answers", core(_finish_request=_finish_twice), Balancer, "rule 1"),
     "deadlines-lost": (
         "answers",
         core(_schedule=_no_timers),
         module(_deadline_reached=lambda *_: None),
         "rule 1",
     ),
-    "unsafe-guard": ("answers", core(**AGAIN), module(_may_send=lambda *_: True), "rule 2"),
+    "unsafe-guard": ("answers", core(**MAY_RUN_AGAIN), module(_may_send=lambda *_: True), "rule 2"),
     "refuses-what-ran": (
         "answers",
         core(_is_safe_to_reject=lambda *_: True),
         module(_may_reject=lambda *_: True),
         "rule 2",
     ),
-    "drain-unheeded": ("list", core(**ALWAYS), module(_update_host=_listed), "rule 3"),
+    "drain-unheeded": (
+        "list",
+        core(**ALWAYS_AVAILABLE),
+        module(_update_host=_update_host_as_ready),
+        "rule 3",
+    ),
     "dialed-unchecked": ("list", core(_call_dialed=_call_dialed), Balancer, "rule"),
-    "ban-unheeded": ("bans", core(**ALWAYS, _host_for_balancer=_unbanned), Balancer, "rule 3"),
-    "let-go-unheard": ("large", core(handle=_deaf), Balancer, "rule 2"),
-    "moved-unseen": ("list", core(_may_write=_anywhere), Balancer, "rule 3"),
+    "ban-unheeded": (
+        "bans",
+        core(**ALWAYS_AVAILABLE, _host_for_balancer=_host_ignoring_bans),
+        Balancer,
+        "rule 3",
+    ),
+    "let-go-unheard": ("large", core(handle=_ignore_body_release), Balancer, "rule 2"),
+    "moved-unseen": ("list", core(_may_write=_may_write_anywhere), Balancer, "rule 3"),
     "cold-as-warm": ("cold", c.Core, module(_has_warmup_budget=lambda *_: True), "rule 4"),
 }
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_a_guard_removed_is_caught(name: str) -> None:
-    world, harmed, decides, says = DEFECTS[name]
-    seen = Played(world, harmed, decides).seen()
-    assert any(x in seen.broken for x in says.split("|")), seen
+def test_a_removed_guard_is_detected(name: str) -> None:
+    world, core_class, balancer_class, expected_rules = DEFECTS[name]
+    result = OrderSearch(world, core_class, balancer_class).result()
+    assert any(x in result.broken for x in expected_rules.split("|")), result
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -30,7 +30,7 @@
 )
 from granitewell.reload import MAX_NAMES, complete, follow
 from tests import wirekit as w
-from tests.play import LIMIT_S, Player, settings
+from tests.exchange_player import LIMIT_S, Player, settings
 from tests.test_config import write
 from tests.test_core import SAFE, ScriptedBalancer, calls, core, send
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -22,7 +22,14 @@
 from granitewell.net.sockets import is_readable
 from granitewell.net.status import StatusServer
 from granitewell.status.types import StatusSettings
-from tests.shell import StandingClock, client_of, played, silent, turns, until
+from tests.in_process_node import (
+    ManualClock,
+    add_silent_endpoint,
+    connect_client,
+    let_tasks_run,
+    run_with_node,
+    wait_until,
+)
 
 LARGE_REQUEST = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r%d\r\nRequest-Timeout-Ms: 2000\r\n"
         b"Content-Length: 900000\r\n\r\n")  # fmt: skip
@@ -45,7 +52,7 @@
     """
 
     async def scenario(node: Node) -> None:
-        client = client_of(node)
+        client = connect_client(node)
         (connection,) = node.clients.connections.values()
         # as if another request were in progress: it stays in the queue
         held = connection.parser.feed(LARGE_REQUEST % 1)
@@ -54,13 +61,13 @@
         await send_available(client, bytes(400_000))
         flow = connection.parser.streamed_body
         assert flow is not None
-        await until(lambda: flow.unread_bytes > 65536)
+        await wait_until(lambda: flow.unread_bytes > 65536)
         node.clients.drop(connection)
-        await turns()
+        await let_tasks_run()
         assert not node._tasks and client.fileno() >= 0
         client.close()
 
-    assert played(tmp_path, scenario) == []
+    assert run_with_node(tmp_path, scenario) == []
 
 
 SMALL_REQUEST = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r%d\r\nRequest-Timeout-Ms: 100\r\n"
@@ -77,21 +84,25 @@
     """
 
     async def scenario(node: Node) -> None:
-        endpoint, client = silent(node), client_of(node)
+        endpoint, client = add_silent_endpoint(node), connect_client(node)
         (connection,) = node.clients.connections.values()
         await send_available(client, b"".join(SMALL_REQUEST % (k, 60_000, bytes(60_000)) for k in range(40)))
-        await turns()
+        await let_tasks_run()
         assert connection.id in node.clients.connections
         assert 120_000 <= node._memory.buffered_bytes <= 2 * 65536  # the current request, and the next
         answers = b""  # each is answered when the deadline of the previous one has passed
         while answers.count(b"HTTP/1.1 502") < 3:
             answers += await asyncio.get_running_loop().sock_recv(client, 4096)
         client.close()
-        await until(lambda: not node.clients.connections)
+        await wait_until(lambda: not node.clients.connections)
         endpoint.close()
         assert node._memory.buffered_bytes == 0
 
-    assert {line.partition(":")[0] for line in played(tmp_path, scenario)} <= {"inbound", "phase", "module"}
+    assert {line.partition(":")[0] for line in run_with_node(tmp_path, scenario)} <= {
+        "inbound",
+        "phase",
+        "module",
+    }
 
 
 @pytest.mark.parametrize("where", ["admit", "evict"])
@@ -120,13 +131,13 @@
                 clients.append(socket.create_connection(server.getsockname()))
                 await asyncio.sleep(0.05)
             assert node.clients.connections
-            await turns()
+            await let_tasks_run()
             assert not accepting.done()
             accepting.cancel()
         for client in clients:
             client.close()
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 class Agent:
@@ -166,17 +177,17 @@
         agent = Agent(NOTHING)
         server = await asyncio.start_server(agent, "127.0.0.1", 0)
         node.discovery.watch(server.sockets[0].getsockname(), PUSHED_TIMEOUTS)
-        await until(lambda: node.discovery.answered_us >= 0)
+        await wait_until(lambda: node.discovery.answered_us >= 0)
         await stop_watch(node, server)
 
-    assert any("no such thing" in line for line in played(tmp_path, scenario))
+    assert any("no such thing" in line for line in run_with_node(tmp_path, scenario))
 
 
 async def stop_watch(node: Node, server: asyncio.Server) -> None:
     """End the watch, then the agent."""
     assert node.discovery._task is not None
     node.discovery._task.cancel()
-    await turns()
+    await let_tasks_run()
     server.close()
 
 
@@ -187,14 +198,14 @@
         agent = Agent(NOTHING)
         server = await asyncio.start_server(agent, "127.0.0.1", 0)
         node.discovery.watch(server.sockets[0].getsockname(), PUSHED_TIMEOUTS)
-        await until(lambda: agent.calls > MAX_FAST_ANSWERS)
+        await wait_until(lambda: agent.calls > MAX_FAST_ANSWERS)
         loop = asyncio.get_running_loop()
         before, began = agent.calls, loop.time()
         await asyncio.sleep(10 * FAST_ANSWER_PAUSE_S)
         assert (agent.calls - before - 1) * FAST_ANSWER_PAUSE_S <= loop.time() - began
         await stop_watch(node, server)
 
-    assert played(tmp_path, scenario) == []
+    assert run_with_node(tmp_path, scenario) == []
 
 
 def test_process_descriptor_limit_below_the_configured_one_applies(
@@ -210,7 +221,7 @@
     async def scenario(node: Node) -> None:
         assert node._own_descriptors == 100 and node.limits.max_inbound + RESERVED_DESCRIPTORS <= 100
 
-    assert played(tmp_path, scenario, limits=limits) == []
+    assert run_with_node(tmp_path, scenario, limits=limits) == []
 
 
 def test_call_that_raises_ends_at_once(tmp_path: Path, monkeypatch: Patch) -> None:
@@ -227,11 +238,11 @@
         ended: list[c.Event] = []
         monkeypatch.setattr(node, "dispatch", ended.append)
         node._run_effect(c.StartCall(7, b"s-0", ("127.0.0.1", 9), "message", 0))
-        await turns()
+        await let_tasks_run()
         assert ended[-1] == c.CallEnded(7, Outcome.UNCONNECTED) and not node._calls
         monkeypatch.undo()
 
-    assert any("no such thing" in line for line in played(tmp_path, scenario))
+    assert any("no such thing" in line for line in run_with_node(tmp_path, scenario))
 
 
 def test_exception_in_a_loop_callback_is_logged_without_blocking(tmp_path: Path) -> None:
@@ -242,14 +253,14 @@
 
     async def scenario(node: Node) -> None:
         running = node._spawn(node.run())
-        await until(lambda: node.clients.listener is not None)
+        await wait_until(lambda: node.clients.listener is not None)
         node._loop.call_soon(lambda: 1 // 0)
-        await turns(3)
+        await let_tasks_run(3)
         node._stopped.set()
         running.cancel()
-        await turns()
+        await let_tasks_run()
 
-    assert any("division" in line for line in played(tmp_path, scenario))
+    assert any("division" in line for line in run_with_node(tmp_path, scenario))
 
 
 def test_ban_that_could_not_be_stored_is_not_confirmed(tmp_path: Path) -> None:
@@ -263,7 +274,7 @@
             raise RuntimeError("no such thing")
 
     async def scenario(node: Node) -> None:
-        endpoint = silent(node)
+        endpoint = add_silent_endpoint(node)
         node._handover = Broken("", "n0")
         node.console = Console(node, ("127.0.0.1", 0), node._loop)
         reader, writer = await asyncio.open_connection(*node.console._listener.getsockname())
@@ -273,7 +284,7 @@
         node.console.close()
         endpoint.close()
 
-    assert any("could not be written down" in line for line in played(tmp_path, scenario))
+    assert any("could not be written down" in line for line in run_with_node(tmp_path, scenario))
 
 
 def test_dropped_connections_are_freed_without_the_garbage_collector(tmp_path: Path) -> None:
@@ -288,22 +299,22 @@
 
     async def scenario(node: Node) -> None:
         gc.collect()  # discards what other tests have left
-        before, clients = left(), [client_of(node) for _ in range(20)]
-        await turns(3)
+        before, clients = left(), [connect_client(node) for _ in range(20)]
+        await let_tasks_run(3)
         gc.disable()
         try:
-            clients += [client_of(node) for _ in range(5)]  # their tasks have not started
+            clients += [connect_client(node) for _ in range(5)]  # their tasks have not started
             for connection in list(node.clients.connections.values()):
                 node.clients.drop(connection)
             del connection
-            await turns(5)
+            await let_tasks_run(5)
             assert left() == before
         finally:
             gc.enable()
         for client in clients:
             client.close()
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 def test_connection_accepted_in_the_turn_of_a_stop_is_served(tmp_path: Path) -> None:
@@ -319,7 +330,7 @@
             assert node.clients.accept_task is not None
             node.clients.accept_task.cancel()
             node.clients.accept_task = node._spawn(node.clients.accept(server))
-            await turns(3)
+            await let_tasks_run(3)
 
             def stop() -> None:
                 signal.recv(1)
@@ -328,13 +339,13 @@
             node._loop.add_reader(signal, stop)
             client = socket.create_connection(server.getsockname())
             sent.send(b"x")  # the loop sees both in one poll, the connection first
-            await until(lambda: node.clients.accept_task is None or node.clients.accept_task.done())
+            await wait_until(lambda: node.clients.accept_task is None or node.clients.accept_task.done())
             assert len(node.clients.connections) == 1
         node._loop.remove_reader(signal)
         for sock in (signal, sent, client):
             sock.close()
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 def test_closed_listener_accepts_nobody(tmp_path: Path) -> None:
@@ -350,21 +361,21 @@
         assert node.clients.accept_task is not None
         node.clients.accept_task.cancel()
         node.clients.accept_task = node._spawn(node.clients.accept(server))
-        await turns(3)
+        await let_tasks_run(3)
         node.clients.stop_listening()
-        await turns(3)
+        await let_tasks_run(3)
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(place)
         node.clients.listener = socket.socket()
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 CHUNKED_REQUEST = (b"POST /ride-assign/1 HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout-Ms: 2000\r\n"
            b"Transfer-Encoding: chunked\r\n\r\n")  # fmt: skip
 
 
-def pass_time(node: Node, clock: StandingClock, by_us: int) -> None:
+def pass_time(node: Node, clock: ManualClock, by_us: int) -> None:
     """Let time pass, running every timer of the node when it is due."""
     until_us = clock.now() + by_us
     while node._timer is not None and node._timer_us < until_us:
@@ -380,23 +391,23 @@
     where the test says so: the call ends because of what the client has sent, and a slow machine makes no
     timer late.
     """
-    monkeypatch.setattr("granitewell.net.loop.Clock", StandingClock)
+    monkeypatch.setattr("granitewell.net.loop.Clock", ManualClock)
 
     async def scenario(node: Node) -> None:
         loop, clock = asyncio.get_running_loop(), node.clock
-        assert isinstance(clock, StandingClock)
-        endpoint, client = silent(node), client_of(node)
+        assert isinstance(clock, ManualClock)
+        endpoint, client = add_silent_endpoint(node), connect_client(node)
         await loop.sock_sendall(client, CHUNKED_REQUEST + b"%x\r\n%s\r\n" % (70_000, bytes(70_000)))
-        await until(lambda: node._calls)
+        await wait_until(lambda: node._calls)
         await loop.sock_sendall(client, b"no chunk\r\n")
-        await until(lambda: not node.clients.connections and not node._tasks)  # no sweep runs here
+        await wait_until(lambda: not node.clients.connections and not node._tasks)  # no sweep runs here
         assert not node._calls and not node._core.pending_count and node._memory.streams == 0
         client.close()
-        late, answers = client_of(node), b""  # the same, pipelined behind a request
+        late, answers = connect_client(node), b""  # the same, pipelined behind a request
         ahead = CHUNKED_REQUEST + b"%x\r\n%s\r\nno chunk\r\n" % (65_540, bytes(65_540))
         await loop.sock_sendall(late, SMALL_REQUEST % (2, 2, b"hi") + ahead)
         while not any(call.has_written for call in node._calls.values()):  # from here on it may have run
-            await turns()
+            await let_tasks_run()
             pass_time(node, clock, STEP_US)
         pass_time(node, clock, SMALL_TIMEOUT_US)
         while more := await loop.sock_recv(late, 4096):
@@ -406,25 +417,29 @@
         late.close()
         endpoint.close()
 
-    assert {line.partition(":")[0] for line in played(tmp_path, scenario)} <= {"phase", "module", "bad"}
+    assert {line.partition(":")[0] for line in run_with_node(tmp_path, scenario)} <= {
+        "phase",
+        "module",
+        "bad",
+    }
 
 
 def test_late_timer_is_logged(tmp_path: Path, monkeypatch: Patch) -> None:
     """Checks the line that a machine without a free processor adds by chance to the test above."""
-    monkeypatch.setattr("granitewell.net.loop.Clock", StandingClock)
+    monkeypatch.setattr("granitewell.net.loop.Clock", ManualClock)
 
     async def scenario(node: Node) -> None:
-        assert isinstance(node.clock, StandingClock)
-        endpoint, client = silent(node), client_of(node)
+        assert isinstance(node.clock, ManualClock)
+        endpoint, client = add_silent_endpoint(node), connect_client(node)
         await asyncio.get_running_loop().sock_sendall(client, SMALL_REQUEST % (1, 2, b"hi"))
-        await until(lambda: node._calls and node._timer is not None)
+        await wait_until(lambda: node._calls and node._timer is not None)
         node.clock.advance(node._timer_us + STALL_US - node.clock.now())
         node._on_timer()
         client.close()
-        await until(lambda: not node.clients.connections)
+        await wait_until(lambda: not node.clients.connections)
         endpoint.close()
 
-    assert [line for line in played(tmp_path, scenario) if line.startswith("stall: 20 ms late")]
+    assert [line for line in run_with_node(tmp_path, scenario) if line.startswith("stall: 20 ms late")]
 
 
 def raise_error(*_: object) -> Any:
@@ -451,14 +466,14 @@
     """
 
     async def scenario(node: Node) -> None:
-        endpoint, client = silent(node), client_of(node)
+        endpoint, client = add_silent_endpoint(node), connect_client(node)
         monkeypatch.setattr(f"granitewell.net.{what}", raise_error)
         await send_available(client, raw)
         async with asyncio.timeout(5.0):  # far less than the deadline of the request whose call can't begin
             while node.clients.connections and ("on_answer_written" in what or not is_readable(client)):
                 await asyncio.sleep(0.01)
         client.close()
-        await until(lambda: not node.clients.connections and not node._tasks)
+        await wait_until(lambda: not node.clients.connections and not node._tasks)
         assert (
             not node._calls
             and not node._core.pending_count
@@ -467,7 +482,7 @@
         )
         endpoint.close()
 
-    assert any(line.startswith("fault") for line in played(tmp_path, scenario))
+    assert any(line.startswith("fault") for line in run_with_node(tmp_path, scenario))
 
 
 def test_failed_socket_creation_is_not_counted_as_open(tmp_path: Path, monkeypatch: Patch) -> None:
@@ -485,7 +500,7 @@
             assert await node.pool.dial(b"s-0", ("127.0.0.1", 9)) is None
         assert node.pool.open_count == 0
 
-    assert [line.partition(":")[0] for line in played(tmp_path, scenario)] == ["dial"] * 3
+    assert [line.partition(":")[0] for line in run_with_node(tmp_path, scenario)] == ["dial"] * 3
 
 
 def raise_this(error: Exception) -> Any:
@@ -510,15 +525,15 @@
         door.apply_settings(StatusSettings(place))
         with socket.socket(socket.AF_UNIX) as first, socket.socket(socket.AF_UNIX) as client:
             first.connect(place)
-            await until(lambda: not breaks)
+            await wait_until(lambda: not breaks)
             client.setblocking(False)
             client.connect(place)
             await send_available(client, b"GET /status HTTP/1.1\r\nHost: n\r\n\r\n")
-            await until(lambda: is_readable(client))
+            await wait_until(lambda: is_readable(client))
             assert client.recv(4096).startswith(b"HTTP/1.1 ")
         door.close()
 
-    played(tmp_path, scenario)
+    run_with_node(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("what", ["loop.Node._check_handover", "downstream.too_slow"])
@@ -531,15 +546,15 @@
     """
 
     async def scenario(node: Node) -> None:
-        half, idle = client_of(node), client_of(node)
+        half, idle = connect_client(node), connect_client(node)
         await send_available(half, b"GET /tax")
-        await turns()
+        await let_tasks_run()
         for connection in node.clients.connections.values():
             connection.last_activity_us -= 10_000_000
         monkeypatch.setattr(f"granitewell.net.{what}", raise_error)
         node._sweep()
-        await until(lambda: len(node.clients.connections) <= ("_check_handover" in what))
+        await wait_until(lambda: len(node.clients.connections) <= ("_check_handover" in what))
         half.close()
         idle.close()
 
-    assert any("a sweep failed" in line for line in played(tmp_path, scenario))
+    assert any("a sweep failed" in line for line in run_with_node(tmp_path, scenario))
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -31,7 +31,7 @@
 from granitewell.operator.table import examine
 from granitewell.status import descriptions, metrics, types, wire
 from granitewell.status.snapshot import STEP, Steps, T, look
-from tests.play import LIMIT_S
+from tests.exchange_player import LIMIT_S
 from tests.test_config import write
 from tests.test_operator import Watched
 
@@ -197,8 +197,8 @@
 ) -> None:
     table = "[status]\nat='s'\nseconds=0.5\nconnections=4"
     with started(tmp_path, monkeypatch, capfd, table, "a=ready") as (node, path):
-        one = node.player.members("a=ready")[0]
-        node.player.agent.tell(True, [one, *({**one, "id": f"{k}".rjust(90, "x")} for k in range(1000))])
+        one = node.player.endpoint_entries("a=ready")[0]
+        node.player.agent.publish(True, [one, *({**one, "id": f"{k}".rjust(90, "x")} for k in range(1000))])
         lazy = [asks(path, "/status?worst=500"), *(asks(path, raw=b"x" * n) for n in (0, 10, 10_000))]
         fds = f"/proc/{node.player.program.pid}/fd"  # type: ignore[union-attr]
         assert len(status(path, worst=3)["endpoints"]) == 3  # there is a seat once one has lost its own
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from tests.play import LIMIT_S
+from tests.exchange_player import LIMIT_S
 from tests.test_upgrade import ASK, Agent, Site
 
 CHILD = """
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -73,7 +73,7 @@
 
 
 # --- what is imported when --------------------------------------------------------------------------------
-def test_the_programs_start_without_the_parser_of_the_command_line() -> None:
+def test_the_programs_start_without_the_command_line_parser() -> None:
     code = (
         "import sys, types\n"
         "fake = types.ModuleType('granitewell.cli.system.edge')\n"
@@ -90,14 +90,14 @@
 
 
 def imports_in(package: str) -> dict[str, set[str]]:
-    """Each module of a package, and which others of it its text imports, inside functions too."""
+    """Return which modules of a package each of its modules imports, inside functions too."""
     folder = ROOT / package.replace(".", "/")
     modules = {path.stem: ast.parse(path.read_text()) for path in folder.glob("*.py")}
     return {name: set(modules) & imported_names(tree, package) for name, tree in modules.items()}
 
 
 def imported_names(tree: ast.AST, package: str) -> set[str]:
-    """Names of modules of the package that this text imports."""
+    """Return the names of modules of the package that this source imports."""
     names: set[str] = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.ImportFrom) and node.module == package:
@@ -115,29 +115,29 @@
     assert len(tuple(TopologicalSorter(imports).static_order())) == len(imports)
 
 
-def test_a_check_needs_no_client() -> None:
+def test_a_check_imports_no_http_client() -> None:
     code = "import sys; from granitewell.cli.system import commands; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], env=CLEAN, capture_output=True, text=True, check=True)
     assert "aiohttp" not in done.stdout.split()
 
 
-def test_a_program_that_is_stopped_while_it_starts_ends_well(monkeypatch: pytest.MonkeyPatch) -> None:
-    signs = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    before = [signal.getsignal(sign) for sign in signs]
-    ends: list[int] = []
-    monkeypatch.setattr(os, "_exit", ends.append)
+def test_a_stop_signal_during_startup_exits_with_code_0(monkeypatch: pytest.MonkeyPatch) -> None:
+    signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    before = [signal.getsignal(sign) for sign in signals]
+    exit_codes: list[int] = []
+    monkeypatch.setattr(os, "_exit", exit_codes.append)
     try:
         programs._install_startup_signal_handlers()
-        for sign in signs:
+        for sign in signals:
             os.kill(os.getpid(), sign)
-        assert ends == [0, 0]
+        assert exit_codes == [0, 0]
     finally:
-        for sign, handler in zip(signs, before, strict=True):
+        for sign, handler in zip(signals, before, strict=True):
             signal.signal(sign, handler)
 
 
-# --- ends -------------------------------------------------------------------------------------------------
-def fails(error: BaseException) -> Callable[[], int]:
+# --- exit codes ------------------------------------------------------------------------------------------
+def raising(error: BaseException) -> Callable[[], int]:
     def run() -> int:
         raise error
 
@@ -159,7 +159,7 @@
         (BrokenPipeError(), 130, ""),
     ],
 )
-def test_every_end_has_its_code_and_at_most_one_line(
+def test_errors_map_to_exit_codes_and_at_most_one_line(
     error: BaseException,
     code: int,
     says: str,
@@ -167,17 +167,17 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     monkeypatch.setattr("granitewell.cli.system.exit_handling._drop_output", lambda: None)
-    assert run_to_exit_code(fails(error)) == code
+    assert run_to_exit_code(raising(error)) == code
     text = capsys.readouterr().err
     assert text.endswith(says) and bool(text) == bool(says) and text.count("\n") <= 1
 
 
-def test_a_defect_is_no_outcome(capsys: pytest.CaptureFixture[str]) -> None:
-    assert run_to_exit_code(fails(ZeroDivisionError())) == ExitCode.DEFECT
+def test_a_defect_has_its_own_exit_code(capsys: pytest.CaptureFixture[str]) -> None:
+    assert run_to_exit_code(raising(ZeroDivisionError())) == ExitCode.DEFECT
     assert "Traceback" in capsys.readouterr().err
 
 
-def test_the_codes_are_those_of_the_page() -> None:
+def test_exit_codes_match_the_page() -> None:
     page = (ROOT / "docs" / "operate" / "exit-codes.md").read_text()
     assert [int(x) for x in re.findall(r"^\| (\d+) \|", page, re.M)] == [*ExitCode]
 
@@ -196,7 +196,7 @@
         (["config", "get", "--wait", "long"], 2, "--wait"),
     ],
 )
-def test_a_slip_gets_one_line(
+def test_a_usage_error_prints_one_line(
     args: list[str], code: int, says: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:  # fmt: skip
@@ -217,7 +217,7 @@
 
 
 def exit_code(arguments: Sequence[str]) -> int:
-    """As the process would end."""
+    """Return the exit code of the process."""
     try:
         return start.main(arguments)
     except SystemExit as error:
@@ -229,7 +229,7 @@
 A, B = "10.0.0.1:80", "10.0.0.2:80"
 
 
-def test_a_clear_answer_ends_the_call_at_once() -> None:
+def test_a_final_answer_ends_the_call_at_once() -> None:
     for status in (200, 204, 400, 409, 412, 413, 422):
         assert CallPlan([A, B], 0.0, 10.0).after(Reply(status), 0.1) == Answered(Reply(status))
 
@@ -237,16 +237,16 @@
 @pytest.mark.parametrize(
     "outcome", [Unanswered("x"), Reply(503), Reply(500), Reply(408), Reply(429), Reply(302)]
 )
-def test_after_a_failure_the_next_address_is_asked_with_growing_pauses(outcome: Reply | Unanswered) -> None:
-    plan, pauses, addresses, now = CallPlan([A, B], 0.0, 60.0), [], [], 0.0
+def test_after_a_failure_the_next_address_is_tried_with_growing_delays(outcome: Reply | Unanswered) -> None:
+    plan, delays, addresses, now = CallPlan([A, B], 0.0, 60.0), [], [], 0.0
     assert plan.first() == SendTo(A, 0.0)
     while isinstance(step := plan.after(outcome, now), SendTo):
         now += step.delay_s
-        pauses.append(step.delay_s)
+        delays.append(step.delay_s)
         addresses.append(step.address)
     assert isinstance(step, GiveUp) and 58.0 < now <= 60.0
     assert addresses[:4] == [B, A, B, A]
-    assert pauses == sorted(pauses) and pauses[0] == INITIAL_BACKOFF_S and pauses[-1] == MAX_BACKOFF_S
+    assert delays == sorted(delays) and delays[0] == INITIAL_BACKOFF_S and delays[-1] == MAX_BACKOFF_S
 
 
 def test_other_refusals_end_the_call_at_the_third_time() -> None:
@@ -278,7 +278,7 @@
 
 
 @given(st.lists(OUTCOMES, max_size=100), st.floats(0.0, 30.0), st.floats(0.0, 2.0))
-def test_a_call_ends_in_time_whatever_comes(
+def test_a_call_ends_within_its_timeout(
     outcomes: list[Reply | Unanswered], patience: float, takes: float
 ) -> None:
     plan, now, redirects = CallPlan([A, B], 0.0, patience), 0.0, 0
@@ -295,7 +295,7 @@
 
 @dataclass
 class ScriptedNodes:
-    """Control nodes that give one outcome after the other, and a clock that sleeping moves."""
+    """Control nodes with scripted outcomes, and a clock that `sleep` advances."""
 
     outcomes: list[Reply | Unanswered]
     now: float = 0.0
@@ -326,7 +326,7 @@
     assert nodes.now == pytest.approx(0.3)
 
 
-def test_a_change_without_a_clear_answer_is_never_called_refused() -> None:
+def test_a_change_without_a_final_answer_is_not_reported_as_rejected() -> None:
     nodes = ScriptedNodes([Reply(503, b"no quorum")] * 50)
     with pytest.raises(NoControlNodeError, match="the change may have been taken: answered 503 no quorum"):
         nodes.ask(lambda client: client.change(Method.PATCH, b"{}", 5))
@@ -343,7 +343,7 @@
         (b"", "no reason given"),
     ],
 )
-def test_a_refusal_says_what_the_node_said(body: bytes, says: str) -> None:
+def test_a_rejection_includes_the_reason_of_the_node(body: bytes, says: str) -> None:
     nodes = ScriptedNodes([Reply(400, body)])
     with pytest.raises(RejectedByControlError) as raised:
         nodes.ask(lambda client: client.change(Method.PUT, b"{}", 5))
@@ -355,7 +355,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"version": "7"}'])
-def test_a_configuration_without_a_version_is_no_base_for_a_change(body: bytes) -> None:
+def test_a_configuration_without_a_version_can_not_be_changed(body: bytes) -> None:
     with pytest.raises(NoControlNodeError):
         ScriptedNodes([Reply(200, body)]).ask(lambda client: client.version())
 
@@ -417,7 +417,7 @@
 
 
 @given(CONFIGURATIONS, CONFIGURATIONS)
-def test_there_are_no_differences_only_where_both_say_the_same(before: Any, after: Any) -> None:
+def test_there_are_no_differences_exactly_if_both_are_equal(before: Any, after: Any) -> None:
     def canonical(document: Any) -> str:
         lists = {key: sorted(document[key], key=lambda item: item["name"]) for key in ("routes", "services")}
         return json.dumps(document | lists, sort_keys=True)
@@ -428,7 +428,7 @@
 
 # --- the commands against control nodes ---------------------------------------------------------------------
 class GroupOfOne:
-    """A replica group whose only member takes everything at once."""
+    """A replica group of one member that commits every proposal at once."""
 
     def __init__(self, store: ConfigurationStore) -> None:
         self.store = store
@@ -505,7 +505,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Where the commands are given; with files to send."""
+    """Change to a folder with files to send."""
     (tmp_path / "whole.json").write_text(json.dumps(WHOLE))
     (tmp_path / "patch.json").write_text(json.dumps(PATCH))
     monkeypatch.chdir(tmp_path)
@@ -513,8 +513,8 @@
     return tmp_path
 
 
-def said(capsys: pytest.CaptureFixture[str], *args: str) -> tuple[int, str]:
-    """The exit code of a command, and what it says."""
+def run_command(capsys: pytest.CaptureFixture[str], *args: str) -> tuple[int, str]:
+    """Run a command; return its exit code and its output."""
     code = exit_code(args)
     out, err = capsys.readouterr()
     return code, out + err
@@ -524,16 +524,16 @@
     nodes: ControlNodes, folder: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     control = ("--control", f"{nodes.follower},{nodes.leader}")  # the follower points at the leader
-    code, text = said(capsys, "config", "put", "whole.json", *control, "--if-match", "0")
+    code, text = run_command(capsys, "config", "put", "whole.json", *control, "--if-match", "0")
     assert (code, text) == (0, "taken: version 7, on top of 0\n")
-    code, text = said(capsys, "config", "diff", "patch.json", *control)
+    code, text = run_command(capsys, "config", "diff", "patch.json", *control)
     assert (code, text) == (1, "~ version: 7 -> 9\n~ routes[r-1].timeout-ms: 1000 -> 500\n")
-    code, text = said(capsys, "config", "patch", "patch.json", *control)
+    code, text = run_command(capsys, "config", "patch", "patch.json", *control)
     assert (code, text) == (0, "taken: version 9, on top of 7\n")
-    code, text = said(capsys, "config", "get", *control)
+    code, text = run_command(capsys, "config", "get", *control)
     assert code == 0 and json.loads(text)["routes"] == [ROUTE | {"timeout-ms": 500}]
     (folder / "now.json").write_text(text)
-    assert said(capsys, "config", "diff", "now.json", *control) == (0, "")
+    assert run_command(capsys, "config", "diff", "now.json", *control) == (0, "")
 
 
 def test_the_seeds_of_the_settings_file_are_asked_where_no_address_is_given(
@@ -541,10 +541,10 @@
 ) -> None:
     (folder / "node.json").write_text(json.dumps(LEAST | {"seeds": [nodes.leader]}))
     monkeypatch.setenv("GRANITEWELL_NODE_FILE", "node.json")
-    assert said(capsys, "config", "get") == (1, "granitewell: no configuration has been taken yet\n")
-    assert said(capsys, "config", "put", "whole.json") == (0, "taken: version 7, on top of 0\n")
+    assert run_command(capsys, "config", "get") == (1, "granitewell: no configuration has been taken yet\n")
+    assert run_command(capsys, "config", "put", "whole.json") == (0, "taken: version 7, on top of 0\n")
     (folder / "node.json").write_text(json.dumps(LEAST | {"seeds": []}))
-    code, text = said(capsys, "config", "get")
+    code, text = run_command(capsys, "config", "get")
     assert code == 2 and "no seeds in node.json" in text
 
 
@@ -553,23 +553,23 @@
 ) -> None:
     nodes.group.lose_answers = 1
     control = ("--control", f"{nodes.leader},{nodes.follower}")
-    assert said(capsys, "config", "put", "whole.json", *control)[0] == 0
+    assert run_command(capsys, "config", "put", "whole.json", *control)[0] == 0
     assert nodes.group.index == 1 and nodes.store.version == 7
 
 
-def test_what_is_refused_says_why(
+def test_a_rejected_change_states_the_reason(
     nodes: ControlNodes, folder: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     control = ("--control", nodes.leader)
-    assert said(capsys, "config", "put", "whole.json", *control)[0] == 0
-    code, text = said(capsys, "config", "patch", "patch.json", *control, "--if-match", "5")
+    assert run_command(capsys, "config", "put", "whole.json", *control)[0] == 0
+    code, text = run_command(capsys, "config", "patch", "patch.json", *control, "--if-match", "5")
     assert code == 1 and text.startswith("granitewell: version 5 is not the current one any more: ")
     (folder / "same.json").write_text(json.dumps(WHOLE | {"services": [{"name": "s-1"}, {"name": "s-2"}]}))
-    code, text = said(capsys, "config", "put", "same.json", *control)
+    code, text = run_command(capsys, "config", "put", "same.json", *control)
     assert code == 2 and "refused with 400: version: 7 is not above 7" in text
     gone = {"version": 11, "remove": {"services": ["s-1"]}}
     (folder / "gone.json").write_text(json.dumps(gone))
-    code, text = said(capsys, "config", "patch", "gone.json", *control)
+    code, text = run_command(capsys, "config", "patch", "gone.json", *control)
     assert code == 2 and "refused with 400: remove.services: " in text
     assert nodes.store.version == 7
 
@@ -585,24 +585,24 @@
         ({"services": 5}, "services"),
     ],
 )
-def test_an_invalid_file_is_not_even_sent(
+def test_an_invalid_file_is_not_sent(
     change: dict[str, Any], field: str, folder: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (folder / "bad.json").write_text(json.dumps(WHOLE | change))
     for words in (["check", "bad.json"], ["put", "bad.json", "--control", "127.0.0.1:9"]):
-        code, text = said(capsys, "config", *words)
+        code, text = run_command(capsys, "config", *words)
         assert code == 2 and text.startswith(f"granitewell: bad.json: {field}: ")
 
 
 def test_a_patch_is_checked_by_itself_or_on_a_whole(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    code, text = said(capsys, "config", "check", "whole.json")
+    code, text = run_command(capsys, "config", "check", "whole.json")
     assert (code, text) == (0, "whole.json: good, version 7: 1 routes, 1 services\n")
-    code, text = said(capsys, "config", "check", "patch.json")
+    code, text = run_command(capsys, "config", "check", "patch.json")
     assert code == 0 and text.startswith("patch.json: good by itself, a patch to version 9; ")
-    code, text = said(capsys, "config", "check", "patch.json", "--on", "whole.json")
+    code, text = run_command(capsys, "config", "check", "patch.json", "--on", "whole.json")
     assert (code, text) == (0, "patch.json: good, version 9: 1 routes, 1 services\n")
     (folder / "patch.json").write_text(json.dumps({"version": 9, "remove": {"services": ["s-1"]}}))
-    code, text = said(capsys, "config", "check", "patch.json", "--on", "whole.json")
+    code, text = run_command(capsys, "config", "check", "patch.json", "--on", "whole.json")
     assert code == 2 and text.startswith("granitewell: patch.json: remove.services: ")
 
 
@@ -617,21 +617,23 @@
         "diff whole.json --against bad.json",
     ],
 )
-def test_garbage_is_bad_input_and_no_defect(
+def test_garbage_is_bad_input(
     raw: bytes, words: str, folder: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (folder / "bad.json").write_bytes(raw)
-    code, text = said(capsys, "config", *words.split())
+    code, text = run_command(capsys, "config", *words.split())
     assert code == 2 and "bad.json: " in text and text.count("\n") == 1
 
 
-def test_no_control_node_is_a_lack_of_means(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    code, text = said(capsys, "config", "get", "--control", "127.0.0.1:9", "--wait", "0")
+def test_an_unreachable_control_node_has_its_own_exit_code(
+    folder: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    code, text = run_command(capsys, "config", "get", "--control", "127.0.0.1:9", "--wait", "0")
     assert code == 3 and text.startswith("granitewell: no control node answers: 127.0.0.1:9: ")
 
 
 # --- the page's examples ------------------------------------------------------------------------------------
-def test_the_commands_of_the_page_run_and_say_what_it_shows(
+def test_the_commands_of_the_page_print_what_it_shows(
     nodes: ControlNodes, folder: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     for name, content in re.findall(r"^`(\S+\.json)`:\n\n```json\n(.*?)```", PAGE, re.M | re.S):
@@ -641,27 +643,27 @@
         for command, shows in re.findall(r"^\$ (.*)\n((?:(?!\$ ).*\n)*)", example, re.M):
             words = shlex.split(command.replace("10.1.0.14:8146", nodes.leader))
             assert words[:3] == ["python", "-m", "granitewell.cli.system"]
-            assert said(capsys, *words[3:])[1] == shows, command
+            assert run_command(capsys, *words[3:])[1] == shows, command
             ran += 1
     assert ran >= 6
 
 
 def test_the_page_has_each_log_line_of_the_system() -> None:
-    said: set[str] = set()
+    templates: set[str] = set()
     for part in ("nodes", "controlplane", "dataplane", "coordination", "discovery", "rpc"):
         for path in (ROOT / "granitewell" / part).rglob("*.py"):
-            said |= set(log_templates(path.read_text()))
-    assert len(said) >= 5
+            templates |= set(log_templates(path.read_text()))
+    assert len(templates) >= 5
     _, _, table = ONCALL.partition("## Lines of the edge and the control node\n")
     rows = set(re.findall(r"^\| \w+ \| `granitewell\.\w+` \| `(.+?)` \| ", table, re.M))
-    assert rows == said | {"lines were left out"}
+    assert rows == templates | {"lines were left out"}
 
 
 LEVELS = ("info", "notice", "warn", "warning", "error", "exception", "critical")
 
 
 def log_templates(source: str) -> Iterator[str]:
-    """What a module may log, but for details that are off unless they are asked for."""
+    """Yield the templates of the log messages of a module, except for debug messages."""
     tree = ast.parse(source)
     constants = {
         target.id: node.value
@@ -682,7 +684,7 @@
             yield str(template.value)
 
 
-def test_the_settings_that_the_page_shows_are_good() -> None:
+def test_the_settings_of_the_page_are_valid() -> None:
     from granitewell.domain.settings import parse_settings
 
     (example,) = re.findall(r"<!-- settings -->\n\n```json\n(.*?)```", PAGE, re.S)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -29,7 +29,7 @@
 from granitewell.core import Core
 from granitewell.handover import Handover
 from granitewell.net.loop import Node
-from tests.play import LIMIT_S, reserved, settings
+from tests.exchange_player import LIMIT_S, reserve_address, settings
 from tests.test_config import write
 
 ASK = b"GET /taxi-lookup/1 HTTP/1.1\r\nHost: n\r\nRequest-Id: %s\r\nRequest-Timeout-Ms: 2500\r\n\r\n"
@@ -107,7 +107,7 @@
         Returns the console's address.
         """
         passed = passed or self.listener
-        self.desks.append(reserved())
+        self.desks.append(reserve_address())
         console: tuple[str, int] = self.desks[-1].getsockname()
         host, port = (listen or self.listener).getsockname()
         path = Path(self.folder.name, f"config{len(self.started)}.json")
--- a/tests/wirekit.py
+++ b/tests/wirekit.py
@@ -1,4 +1,4 @@
-"""The other end of the wire, for tests: encodes events and decodes actions. Shares no code with wire.py."""
+"""Test codec of the binary protocol of `balancing.simulator_adapter`; shares no code with it."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def boot(**changes: Any) -> bytes:
-    """A settings text as the wire carries it."""
+    """Return the settings in the JSON form of the protocol."""
     d: dict[str, Any] = {
         "allowed": {"maxAttempts": 4, "parallelTries": False, "cancel": True},
         "balancers": 2,
@@ -113,7 +113,7 @@
 
 
 def read_reply(data: bytes) -> list[tuple[Any, ...]]:
-    """The records of one reply as tuples that begin with the action's name."""
+    """Decode the records of one reply into tuples that begin with the action's name."""
     count, length = struct.unpack_from("<II", data)
     assert length == len(data)
     pos, out = 8, []
