--- a/benchmarks/counts_cost.py
+++ b/benchmarks/counts_cost.py
@@ -1,10 +1,10 @@
-"""What counting costs: a request, a figure, the bytes that nodes say to each other, memory.
+"""Cost of shared counters: per request, per query, network traffic between nodes, and memory.
 
     python benchmarks/counts_cost.py
 
-Prints: microseconds that a request costs at 10, 1,000 and 100,000 tenants; microseconds of a figure by nodes;
-bytes a second that a node says, in virtual time, at 5, 50 and 200 nodes that share 2,000 requests a second of
-50 tenants; what a node holds of another.
+Prints the microseconds per request at 10, 1,000 and 100,000 tenants; the microseconds of a query, by nodes;
+the bytes a second that a node sends, in virtual time, at 5, 50 and 200 nodes that share 2,000 requests a
+second of 50 tenants; and the memory that a node holds for another.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 from granitewell.shared_counters.state_machine import SharedCounters
 from granitewell.shared_counters.types import CounterSettings, Peer, Peers, UsageRecorded
 
-KEYS = Keys(Key(b"a key for virtual time alone"))
-TENANTS, PER_S = 50, 2_000.0
-SECONDS = {5: 20, 50: 10, 200: 4}  # played, by nodes
+FRAME_KEYS = Keys(Key(b"a key for virtual time alone"))
+TENANTS, REQUESTS_PER_S = 50, 2_000.0
+SECONDS_BY_NODES = {5: 20, 50: 10, 200: 4}  # simulated time, by number of nodes
 
 
 def request_us(keys: int) -> float:
-    """Of one request, median over batches."""
-    counts = SharedCounters("a", 1, 1, KEYS, CounterSettings(), Random(1), 0)
+    """Return the time of one request in microseconds, median over batches."""
+    counts = SharedCounters("a", 1, 1, FRAME_KEYS, CounterSettings(), Random(1), 0)
     rng, names, now, batches = Random(2), [f"tenant-{k}" for k in range(keys)], 0, []
     for _ in range(60):
         events = [UsageRecorded(names[int(rng.random() * keys)]) for _ in range(2_000)]
-        began = time.perf_counter()
+        started = time.perf_counter()
         for event in events:
             now += 500
             counts.handle(now, event)
-        batches.append((time.perf_counter() - began) / len(events) * 1e6)
+        batches.append((time.perf_counter() - started) / len(events) * 1e6)
     return sorted(batches)[len(batches) // 2]
 
 
@@ -52,14 +52,14 @@
             self._use(node, stream(1, name))
 
     def _make(self, boot: Boot) -> list[SharedCounters]:
-        made = SharedCounters(
-            boot.id, 1, 1 + int(boot.rng.random() * 1e9), KEYS, CounterSettings(), boot.rng, boot.now_us
+        state_machine = SharedCounters(
+            boot.id, 1, 1 + int(boot.rng.random() * 1e9), FRAME_KEYS, CounterSettings(), boot.rng, boot.now_us
         )
-        made.handle(boot.now_us, Peers({n: Peer(n, True) for n in self.names}))
-        return [made]
+        state_machine.handle(boot.now_us, Peers({n: Peer(n, True) for n in self.names}))
+        return [state_machine]
 
     def _use(self, node: Node, rng: Random) -> None:
-        wait_us = 1 + int(rng.expovariate(PER_S / len(self.names)) * 1e6)
+        wait_us = 1 + int(rng.expovariate(REQUESTS_PER_S / len(self.names)) * 1e6)
         self.cluster.engine.at(self.cluster.now_us + wait_us, self._use, node, rng)
         self.cluster.tell(node, UsageRecorded(f"tenant-{int(rng.random() * TENANTS)}"))
 
@@ -68,22 +68,22 @@
     """Measure and print the costs."""
     for keys in (10, 1_000, 100_000):
         print(f"a request at {keys:7} tenants: {request_us(keys):6.2f} us")
-    for nodes, seconds in SECONDS.items():
+    for nodes, seconds in SECONDS_BY_NODES.items():
         if nodes == 5:
             tracemalloc.start()
         fleet = Fleet(nodes)
         fleet.cluster.run(seconds * 1_000_000)
-        a_second = [n.count.said_bytes / seconds for n in fleet.cluster.nodes.values()]
+        bytes_per_s = [n.count.said_bytes / seconds for n in fleet.cluster.nodes.values()]
         machine = fleet.cluster.nodes["n0"].machines[0]
         assert isinstance(machine, SharedCounters)
-        began = time.perf_counter()
+        started = time.perf_counter()
         for _ in range(20):
             figure = machine.bounds(fleet.cluster.now_us, "tenant-0")
-        figure_us = (time.perf_counter() - began) / 20 * 1e6
+        figure_us = (time.perf_counter() - started) / 20 * 1e6
         ages = sorted(p.age_us / 1e3 for p in figure.parts if p.name != "n0")
-        said = f"{sum(a_second) / nodes / 1e3:6.1f} KB/s a node"
-        old = f"ages {ages[len(ages) // 2]:.0f} ms in the median, {ages[-1]:.0f} ms at the most"
-        print(f"{nodes:3} nodes: {said}, a figure {figure_us:7.0f} us, {old}")
+        traffic_text = f"{sum(bytes_per_s) / nodes / 1e3:6.1f} KB/s a node"
+        age_text = f"ages {ages[len(ages) // 2]:.0f} ms in the median, {ages[-1]:.0f} ms at the most"
+        print(f"{nodes:3} nodes: {traffic_text}, a figure {figure_us:7.0f} us, {age_text}")
         if nodes == 5:
             held = tracemalloc.get_traced_memory()[0]
             print(f"          {held / 25 / 1e3:.0f} KB a node held by each, window of 60 s not full yet")
--- a/benchmarks/lab_speed.py
+++ b/benchmarks/lab_speed.py
@@ -1,11 +1,11 @@
 """How fast virtual time is, and where the time goes: `python benchmarks/lab_speed.py [today|growth|large]`.
 
-It owns the sizes that are measured and the table. It must never change what is played. Each size runs in a
-process of its own, so that its memory is its own. The cost of a try is taken over the later part of the day,
-so that starting hundreds of nodes does not count. Time is CPU time of one core. `loops` is that cost in turns
-of a fixed loop of plain Python, timed before and after: on a machine that others use, or a slower one,
-compare figures by that; `growth` is counted in it. `--instructions` counts with valgrind in place of a clock,
-which takes fifty times as long and gives the same figure whatever else runs.
+Each size runs in its own process, so that memory is measured separately. The cost of a try is measured over
+the later part of the day, so that the start of hundreds of nodes does not count. Time is CPU time of one
+core. `loops` is that cost in iterations of a fixed loop of plain Python, timed before and after; use it to
+compare figures of a shared or a slower machine. `growth` is the ratio of `loops` to that of the first size.
+`--instructions` counts instructions with valgrind, which takes fifty times as long and does not depend on
+other load.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SEED = 1
-LOOP = 2_000_000
-# nodes, endpoints, first tries a second, seconds of arrivals, and from which second on they are counted
+LOOP_TURNS = 2_000_000
+# nodes, endpoints, first tries a second, seconds of arrivals, start of the counted part in seconds
 Size = tuple[int, int, float, float, float]
 SIZES: dict[str, list[Size]] = {
     "today": [(3, 12, 390.0, 30.0, 1.0)],
@@ -44,13 +44,13 @@
 }  # fmt: skip
 
 
-class Watch(Judge):
-    """A judge that notes the CPU time and the tries so far at the begin and end of the counted part."""
+class CostJudge(Judge):
+    """A judge that records CPU time and number of tries at the start and the end of the counted part."""
 
     def __init__(self, day: Day, from_us: int) -> None:
         super().__init__(day)
         self.from_us, self.tries = from_us, 0
-        self.begun: tuple[float, int] | None = None
+        self.started: tuple[float, int] | None = None
         self.last = (0.0, 0)
 
     def asked(self, at: int, *what: Any) -> None:
@@ -59,25 +59,25 @@
         self.tries += 1
         if at >= self.from_us:
             self.last = (time.process_time(), self.tries)
-            self.begun = self.begun or self.last
+            self.started = self.started or self.last
 
     @property
     def cost_us(self) -> float:
-        """Of one try in the counted part."""
-        assert self.begun is not None
-        return (self.last[0] - self.begun[0]) / max(self.last[1] - self.begun[1], 1) * 1e6
+        """CPU time of one try in the counted part."""
+        assert self.started is not None
+        return (self.last[0] - self.started[0]) / max(self.last[1] - self.started[1], 1) * 1e6
 
 
 def loop_s() -> float:
-    """CPU seconds of the fixed loop."""
-    begun, x = time.process_time(), 0
-    for k in range(LOOP):
+    """Return the CPU time of the fixed loop."""
+    started, x = time.process_time(), 0
+    for k in range(LOOP_TURNS):
         x = (x * 31 + k) & 0xFFFF
-    return time.process_time() - begun
+    return time.process_time() - started
 
 
-def drawn(size: Size) -> Day:
-    """The day of a size."""
+def draw_day(size: Size) -> Day:
+    """Draw the day of a size."""
     nodes, endpoints, rate, length_s, _ = size
     return scenario.draw(
         scenario.load("today"), SEED, nodes=nodes, endpoints=endpoints, rate=rate, length_s=length_s
@@ -85,16 +85,16 @@
 
 
 def measure(size: Size, policy: str) -> dict[str, Any]:
-    """One day: its cost and where that went."""
-    day, (nodes, endpoints, rate, length_s, from_s) = drawn(size), size
-    watch = Watch(day, round(from_s * 1e6))
+    """Run one day; return its cost and a profile."""
+    day, (nodes, endpoints, rate, length_s, from_s) = draw_day(size), size
+    cost_judge = CostJudge(day, round(from_s * 1e6))
     before = loop_s()
     with Sampler() as sampler:
-        played = play(day, policy, watch)
-    loop_us = (before + loop_s()) / 2 / LOOP * 1e6
+        played = play(day, policy, cost_judge)
+    loop_us = (before + loop_s()) / 2 / LOOP_TURNS * 1e6
     return {
         "nodes": nodes, "endpoints": endpoints, "rate": rate, "length_s": length_s,
-        "cost_us": watch.cost_us, "loop_us": loop_us, "loops": watch.cost_us / loop_us,
+        "cost_us": cost_judge.cost_us, "loop_us": loop_us, "loops": cost_judge.cost_us / loop_us,
         "seconds": played.seconds, "speed": played.speed, "requests": played.requests,
         "events": played.events, "memory_mb": played.memory_mb, "g": played.report["g"],
         "dials": played.report["dials"], "offences": played.report["offences"],
@@ -109,16 +109,16 @@
     return done
 
 
-def apart(size: Size, policy: str) -> dict[str, Any]:
-    """The same in a process of its own."""
+def measure_in_process(size: Size, policy: str) -> dict[str, Any]:
+    """Run `measure` in a separate process."""
     found: dict[str, Any] = json.loads(
         _run([sys.executable, __file__, "--one", *map(str, size), policy]).stdout
     )
     return found
 
 
-def counted(size: Size, policy: str) -> float:
-    """Instructions for each try of the counted part: a day with it less one without, under valgrind."""
+def instructions_per_try(size: Size, policy: str) -> float:
+    """Return instructions per try of the counted part: a day with it minus one without, under valgrind."""
     nodes, endpoints, rate, length_s, from_s = size
     totals = []
     for length in (from_s, length_s):
@@ -132,15 +132,15 @@
 
 
 def show(name: str, rows: list[dict[str, Any]]) -> None:
-    """A table for a person."""
+    """Print a table."""
     print(f"\n{name}")
     heads = ("nodes", "ends", "tries/s", "length", "cpu s", "x real", "us/try", "loops", "growth", "MB",
              "ev/try", "dial/try", "G")  # fmt: skip
     print("".join(f"{head:>9}" for head in heads))
     for r in rows:
         growth = r["loops"] / rows[0]["loops"]
-        whole = (r["nodes"], r["endpoints"], r["rate"], r["length_s"])
-        print("".join(f"{x:9g}" for x in whole), end="")
+        sizes = (r["nodes"], r["endpoints"], r["rate"], r["length_s"])
+        print("".join(f"{x:9g}" for x in sizes), end="")
         tries = r["requests"]
         cost = (r["seconds"], r["speed"], r["cost_us"], r["loops"], growth, r["memory_mb"],
                 r["events"] / tries, r["dials"] / tries, r["g"])  # fmt: skip
@@ -152,9 +152,9 @@
             print(f"{'':10}{share:6.1%}  {part:8}{function}")
 
 
-def _bare(size: Size, policy: str) -> int:
-    """The tries of a day that ends with its arrivals: what goes on behind them is of no fixed length."""
-    day = drawn(size)
+def _count_tries(size: Size, policy: str) -> int:
+    """Return the number of tries of a day cut off at its last arrival, as what follows varies in length."""
+    day = draw_day(size)
     world = World(day, maker(policy), Judge(day))
     gc.disable()
     world.begin()
@@ -163,7 +163,7 @@
 
 
 def main() -> None:
-    """The sizes named, or today and growth."""
+    """Measure the given sizes, or today and growth."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("what", nargs="*", help=f"of {', '.join(SIZES)}; default: today growth")
     parser.add_argument("--policy", default="module")
@@ -175,18 +175,21 @@
     if args.one or args.bare:
         nodes, endpoints, rate, length, begin, policy = args.one or args.bare
         size = int(nodes), int(endpoints), float(rate), float(length), float(begin)
-        print(json.dumps(measure(size, policy)) if args.one else _bare(size, policy))
+        print(json.dumps(measure(size, policy)) if args.one else _count_tries(size, policy))
         return
-    wrong = [name for name in args.what if name not in SIZES]
-    if wrong:
-        parser.error(f"found {wrong[0]!r}, allowed are {', '.join(SIZES)}")
+    unknown = [name for name in args.what if name not in SIZES]
+    if unknown:
+        parser.error(f"found {unknown[0]!r}, allowed are {', '.join(SIZES)}")
     what = args.what or ("today", "growth")
     if args.instructions:
         for name in what:
             for size in SIZES[name]:
-                print(f"{name}: {size[1]} endpoints: {counted(size, args.policy):.0f} instructions a try")
+                print(
+                    f"{name}: {size[1]} endpoints: "
+                    f"{instructions_per_try(size, args.policy):.0f} instructions a try"
+                )
         return
-    found = {name: [apart(size, args.policy) for size in SIZES[name]] for name in what}
+    found = {name: [measure_in_process(size, args.policy) for size in SIZES[name]] for name in what}
     if args.as_json:
         print(json.dumps(found, sort_keys=True))
         return
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -1,4 +1,4 @@
-"""Measures the load tool itself: does it leave on time, and which loop leaves on time at which price?
+"""Measures the load tool itself: whether requests leave on time, and the CPU cost of different event loops.
 
     python benchmarks/load_tool.py claim [TIMES]    20,000 a second from two processes, bare stand-ins
     python benchmarks/load_tool.py options [TIMES]  the same, pinned and not, with and without a priority
@@ -35,11 +35,11 @@
 
 RATE, SECONDS, PROCESSES = 20_000, 5, 2
 REQUEST = b"GET /a HTTP/1.1\r\nHost: h\r\nRequest-Id: %016x\r\nRequest-Timeout-Ms: 2000\r\n\r\n"
-FAR = 1 << 62
+NO_MORE_REQUESTS = 1 << 62
 
 
 def tool(*options: str) -> dict[str, Any]:
-    """One run of the tool: its first step's figures."""
+    """Run the tool once; return the figures of its first step."""
     program = "from granitewell.cli.lab_load import load; load()"
     args = ["--against-bare", "2", "--processes", str(PROCESSES), "--duration", str(SECONDS), "--json"]
     done = subprocess.run([sys.executable, "-c", program, *args, *options], capture_output=True, text=True)
@@ -47,7 +47,7 @@
 
 
 def tool_rows(variants: list[list[str]], times: int) -> None:
-    """Runs of each variant in turn, so that what else the machine does falls on all alike."""
+    """Run the variants in turn, so that other load on the machine affects all alike."""
     print("| options | load average | due | served | late over 1 ms | lateness p99, p99.9, max (ms) | "
           "latency p50, p99 (ms) | busy | void |\n|" + " --- |" * 9)  # fmt: skip
     for _ in range(times):
@@ -66,7 +66,7 @@
 
 # --- The loops ---
 class Trial:
-    """One process of one loop: what it has seen."""
+    """The schedule and the measurements of one process of a trial."""
 
     def __init__(self, port: int, seed: int) -> None:
         self.address = ("127.0.0.1", port)
@@ -84,17 +84,17 @@
 
     def _next(self) -> int:
         due = next(self._dues, None)
-        return FAR if due is None else self.start + due
+        return NO_MORE_REQUESTS if due is None else self.start + due
 
     def leave(self) -> bytes:
-        """The next request leaves now: its bytes."""
+        """Record the departure of the next request and return its bytes."""
         self.late.append(now_us() - self.next)
         request = REQUEST % self.next
         self.next = self._next()
         return request
 
     def report(self) -> None:
-        """One line of JSON."""
+        """Print the measurements as one line of JSON."""
         took, late = (now_us() - self.start) / 1e6, sorted(self.late)
         usage = resource.getrusage(resource.RUSAGE_SELF)
         print(json.dumps({
@@ -112,8 +112,8 @@
     return sock
 
 
-class Whole:
-    """httptools' listener for one answer."""
+class ResponseListener:
+    """Listener of httptools for one answer."""
 
     def __init__(self) -> None:
         self.done = False
@@ -127,24 +127,24 @@
     """Play a trial with the socket calls of asyncio."""
     loop, idle, tasks = asyncio.get_running_loop(), list[tuple[socket.socket, bytearray]](), list[Any]()
 
-    async def one(request: bytes) -> None:
+    async def send_one(request: bytes) -> None:
         if idle:
             sock, space = idle.pop()
         else:
             sock, space = open_socket(), bytearray(65536)
             await loop.sock_connect(sock, trial.address)
         await loop.sock_sendall(sock, request)
-        whole = Whole()
-        parser = httptools.HttpResponseParser(whole)
-        while not whole.done:
+        listener = ResponseListener()
+        parser = httptools.HttpResponseParser(listener)
+        while not listener.done:
             parser.feed_data(memoryview(space)[: await loop.sock_recv_into(sock, space)])
         trial.answered += 1
         idle.append((sock, space))
 
-    while trial.next < FAR:
+    while trial.next < NO_MORE_REQUESTS:
         while (wait_us := trial.next - now_us()) > 0:
             await asyncio.sleep(0 if wait_us < 2000 else (wait_us - 1500) / 1e6)
-        tasks.append(loop.create_task(one(trial.leave())))
+        tasks.append(loop.create_task(send_one(trial.leave())))
     await asyncio.gather(*tasks)
 
 
@@ -181,10 +181,10 @@
             if idle:
                 idle.pop().transport.write(request)
             else:
-                made = loop.create_connection(partial(Client, trial, idle, request), *trial.address)
-                tasks.append(loop.create_task(made))
+                connection = loop.create_connection(partial(Client, trial, idle, request), *trial.address)
+                tasks.append(loop.create_task(connection))
         wait_us = trial.next - now_us()
-        if trial.next == FAR:
+        if trial.next == NO_MORE_REQUESTS:
             over.set()
         elif wait_us < 2000:
             loop.call_soon(tick)
@@ -197,10 +197,10 @@
         await asyncio.sleep(0.01)
 
 
-class Held:
+class EpollConnection:
     """One connection of the `epoll` loop."""
 
-    def __init__(self, trial: Trial, idle: list[Held]) -> None:
+    def __init__(self, trial: Trial, idle: list[EpollConnection]) -> None:
         self.trial, self.idle = trial, idle
         self.sock = socket.create_connection(trial.address)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -214,18 +214,18 @@
 
 def by_epoll(trial: Trial) -> None:
     """Play a trial with epoll."""
-    epoll, conns, idle = select.epoll(), dict[int, Held](), list[Held]()
+    epoll, conns, idle = select.epoll(), dict[int, EpollConnection](), list[EpollConnection]()
 
     def leave() -> None:
         request = trial.leave()
         if not idle:
-            made = Held(trial, idle)
-            conns[made.sock.fileno()] = made
-            epoll.register(made.sock.fileno(), select.EPOLLIN)
-            idle.append(made)
+            connection = EpollConnection(trial, idle)
+            conns[connection.sock.fileno()] = connection
+            epoll.register(connection.sock.fileno(), select.EPOLLIN)
+            idle.append(connection)
         idle.pop().sock.send(request)
 
-    while trial.next < FAR or trial.answered < len(trial.late):
+    while trial.next < NO_MORE_REQUESTS or trial.answered < len(trial.late):
         for fd, _ in epoll.poll(0):
             conns[fd].parser.feed_data(conns[fd].sock.recv(65536))
             if trial.next <= now_us():
@@ -235,7 +235,7 @@
 
 
 def client(mode: str, port: int, seed: int) -> None:
-    """One process of a trial."""
+    """Run one process of a trial."""
     gc.disable()
     trial = Trial(port, seed)
     if mode == "epoll":
@@ -246,7 +246,7 @@
 
 
 def loops(times: int) -> None:
-    """All three in turn, two processes each, each with a stand-in of its own."""
+    """Run all three loops in turn, two processes each, each with its own bare server."""
     print("| loop | load average | due | late over 1 ms | lateness p99 (ms) | max (ms) | CPU of a process |")
     print("|" + " --- |" * 7)
     for turn in range(times):
@@ -257,20 +257,20 @@
             children = [
                 subprocess.Popen([*run, *a], stdout=subprocess.PIPE, stderr=subprocess.PIPE) for a in args
             ]
-            said = [child.communicate() for child in children]
+            outputs = [child.communicate() for child in children]
             stands.close()
-            print(f"| {mode} | {load:.1f} | {loop_cells(said)} |", flush=True)
-
-
-def loop_cells(said: list[tuple[bytes, bytes]]) -> str:
-    """Both processes of a trial in a row's last cells."""
-    broken = [err.decode().strip().splitlines()[-1] for out, err in said if not out]
-    if broken:
-        return f"broke: {broken[0]} | | | |"
-    told = [json.loads(out) for out, _ in said]
-    due = sum(t["due"] for t in told)
-    late = sum(t["late"] * t["due"] for t in told) / due
-    p99, most, cpu = (max(t[name] for t in told) for name in ("p99", "max", "cpu"))
+            print(f"| {mode} | {load:.1f} | {loop_cells(outputs)} |", flush=True)
+
+
+def loop_cells(outputs: list[tuple[bytes, bytes]]) -> str:
+    """Format the results of both processes as the last cells of a row."""
+    errors = [err.decode().strip().splitlines()[-1] for out, err in outputs if not out]
+    if errors:
+        return f"broke: {errors[0]} | | | |"
+    reports = [json.loads(out) for out, _ in outputs]
+    due = sum(t["due"] for t in reports)
+    late = sum(t["late"] * t["due"] for t in reports) / due
+    p99, most, cpu = (max(t[name] for t in reports) for name in ("p99", "max", "cpu"))
     return f"{due} | {late:.3%} | {p99} | {most} | {cpu:.0%}"
 
 
@@ -284,8 +284,8 @@
     if what == "claim":
         tool_rows([rate], times)
     elif what == "options":
-        more = [[], ["--pin"], ["--nice", "-10"], ["--pin", "--nice", "-10"]]
-        tool_rows([[*rate, *options] for options in more], times)
+        variants = [[], ["--pin"], ["--nice", "-10"], ["--pin", "--nice", "-10"]]
+        tool_rows([[*rate, *options] for options in variants], times)
     elif what == "most":
         tool_rows([["--rate", str(RATE * k // 4)] for k in range(4, 13, 2)], times)
     elif what == "loops":
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,16 +1,16 @@
-"""A loaded day of the lab on sockets: what grows in the nodes, and what asyncio complains of.
+"""Soak test on sockets: reports memory growth in the nodes, and warnings of asyncio.
 
     python benchmarks/soak.py [SECONDS] [--turns]
 
-Two real nodes, nine stand-in endpoints, a busy day of SECONDS (30) with odd answers, rude clients, a drain, a
-restart, a reload and a vanished endpoint. Each node runs under `-X dev` with ResourceWarning as an error, the
-loop in debug mode, and tracemalloc; two snapshots are taken, a third of the way in and near the end. Prints,
-for each node: memory traced at both moments, the lines that grew most between them, tasks and descriptors at
-both, and all complaints in its log. Tracing makes a node several times slower, so that the day's figures and
-the rules on time say nothing; the other rules do.
+Two real nodes, nine emulated endpoints, a busy day of SECONDS (30) with unusual answers, misbehaving clients,
+a drain, a restart, a reload and a vanished endpoint. Each node runs under `-X dev` with ResourceWarning as an
+error, the loop in debug mode, and tracemalloc; two snapshots are taken, a third of the way in and near the
+end. Prints, for each node: memory traced at both moments, the lines that grew most between them, tasks and
+descriptors at both, and all warnings and errors in its log. Tracing slows a node down several times, so that
+the day's figures and the rules on time are meaningless; the other rules are valid.
 
-With --turns nothing is traced; told is how long the turns of each node's loop are, the longest with their own
-work, as all that waits for a node (an operator's call, the next request) waits for a turn; see lab/turns.
+With --turns nothing is traced. Instead the durations of each node's event loop turns are printed, the longest
+with their CPU time, as an operator's call or the next request waits for the current turn; see lab/turns.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 import tracemalloc
 from pathlib import Path
 
-PLACE = "GRANITEWELL_SOAK"
+ENV_VARIABLE = "GRANITEWELL_SOAK"
 COMPLAINTS = ("Traceback", "Warning", "never awaited", "never retrieved", "fault:", "Exception ignored")
-MOST = 8  # lines of growth that are told
+MAX_GROWTH_LINES = 8  # lines of growth that are printed
 
 
 def node() -> int:
-    """One node, watched."""
+    """Run one node with tracing."""
     import uvloop
 
     from granitewell import __main__ as program
     from granitewell.lab.turns import counted
     from granitewell.net.loop import Node
 
-    place, length_s, turns = os.environ[PLACE].split("|")
+    place, length_s, turns = os.environ[ENV_VARIABLE].split("|")
     if turns:
         counted(Path(place, f"turns-{os.environ['LB_NAME']}.json"), float(length_s) * 0.9)
         return program.main()
@@ -46,40 +46,40 @@
     before: list[tracemalloc.Snapshot] = []
     sweep, make = Node._sweep, uvloop.new_event_loop
 
-    def debugged() -> asyncio.AbstractEventLoop:
+    def new_debug_loop() -> asyncio.AbstractEventLoop:
         loop = make()
         loop.set_debug(True)
-        loop.slow_callback_duration = 3600.0  # how long callbacks take says nothing here
+        loop.slow_callback_duration = 3600.0  # callback durations are meaningless under tracing
         return loop
 
-    def look(node: Node) -> None:
+    def take_snapshot(node: Node) -> None:
         gc.collect()
         now = tracemalloc.take_snapshot().filter_traces([tracemalloc.Filter(False, tracemalloc.__file__)])
         size = tracemalloc.get_traced_memory()[0]
-        held = f"{len(asyncio.all_tasks(node._loop))} tasks, {len(os.listdir('/proc/self/fd'))} descriptors"
-        told.append(f"{time.monotonic() - began:.0f} s: {size / 1e6:.2f} MB traced, {held}, "
+        counts = f"{len(asyncio.all_tasks(node._loop))} tasks, {len(os.listdir('/proc/self/fd'))} descriptors"
+        told.append(f"{time.monotonic() - began:.0f} s: {size / 1e6:.2f} MB traced, {counts}, "
                     f"{node._core.stats['taken']} taken")  # fmt: skip
-        for grown in now.compare_to(before[0], "lineno")[:MOST] if before else ():
+        for grown in now.compare_to(before[0], "lineno")[:MAX_GROWTH_LINES] if before else ():
             where = grown.traceback[0]
             told.append(f"    {grown.size_diff / 1e3:+8.1f} kB {grown.count_diff:+6d}  "
                         f"{'/'.join(Path(where.filename).parts[-3:])}:{where.lineno}")  # fmt: skip
         before.append(now)
         Path(place, f"grown-{node._config.name}.txt").write_text("\n".join(told) + "\n")
 
-    def watched(node: Node) -> None:
+    def sweep_and_watch(node: Node) -> None:
         sweep(node)
         if marks and time.monotonic() - began >= marks[0]:
             marks.pop(0)
-            look(node)
+            take_snapshot(node)
 
-    uvloop.new_event_loop = debugged
-    Node._sweep = watched  # type: ignore[method-assign]
+    uvloop.new_event_loop = new_debug_loop
+    Node._sweep = sweep_and_watch  # type: ignore[method-assign]
     tracemalloc.start(1)
     return program.main()
 
 
 def main() -> int:
-    """Play the day, and print what grew."""
+    """Run the day and print the results."""
     from dataclasses import replace
 
     from granitewell.lab import day as d
@@ -100,7 +100,7 @@
         d.Fault(at[6], -1, "node_hup", day.nodes[0].name),
     )  # fmt: skip
     place = Path(tempfile.mkdtemp(prefix="granitewell-soak-"))
-    os.environ[PLACE] = f"{place}|{length_s}|{'turns' if turns else ''}"
+    os.environ[ENV_VARIABLE] = f"{place}|{length_s}|{'turns' if turns else ''}"
     watch = () if turns else ("-X", "dev", "-W", "error::ResourceWarning")
     program = (sys.executable, *watch, str(Path(__file__).resolve()), "--node")
     options = Options(program=program, rough=0.1, rude=20)
@@ -116,8 +116,8 @@
             for x in found["longest"]:
                 print(f"    {x['ms']:6.1f} ms, {x['work_ms']:.1f} ms of own work, {x['at_s']:.1f} s")
         lines = log.read_text(errors="replace").splitlines()
-        odd = [line for line in lines if any(x in line for x in COMPLAINTS)]
-        print(f"complaints: {len(odd)}", *odd[:10], sep="\n    ")
+        complaints = [line for line in lines if any(x in line for x in COMPLAINTS)]
+        print(f"complaints: {len(complaints)}", *complaints[:10], sep="\n    ")
     return 0
 
 
