--- a/granitewell/cli/check.py
+++ b/granitewell/cli/check.py
@@ -1,7 +1,7 @@
-"""`granitewell check`: all that is wrong with a platform configuration or an operator file.
+"""`granitewell check`: lists every problem of platform configurations and operator files.
 
-It owns how a file's kind is told and how problems are listed. What is allowed stands in
-`granitewell.operator`'s types; the last word on a platform configuration is the node's own.
+Detects the kind of a file and prints its problems. The types in `granitewell.operator` define what is
+allowed; a platform configuration is also loaded by the node's own parser.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from granitewell.cli.show import BAD_INPUT, as_json, emit
 from granitewell.config import ConfigError
-from granitewell.config import load as node_takes
+from granitewell.config import load as load_node_config
 from granitewell.operator.load import MAX_FILE_BYTES, InvalidOperatorFileError, parse_toml, read_file
 from granitewell.operator.platform import Platform
 from granitewell.operator.problem import Problem
@@ -23,66 +23,66 @@
 from granitewell.operator.registry import OperatorFile
 from granitewell.operator.table import validate
 
-MAX_PLATFORM = 16 * 1024 * 1024  # bytes; the list of the last known endpoints is in it
+MAX_PLATFORM_FILE_BYTES = 16 * 1024 * 1024  # includes the list of the last known endpoints
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """What there is to say of one file."""
+class FileReport:
+    """The result of checking one file."""
 
     path: str
     kind: str
     problems: tuple[Problem, ...]
 
     @property
-    def good(self) -> bool:
-        """Can it be used? Notes alone do no harm."""
+    def is_valid(self) -> bool:
+        """Whether the file can be used; notes do not make it invalid."""
         return all(p.note for p in self.problems)
 
     def lines(self) -> list[str]:
-        """For a person: one line a problem."""
+        """Return the report as text, one line for each problem."""
         found = [f"{self.path}: {'note: ' if p.note else ''}{p.text()}" for p in self.problems]
-        return found + ([f"{self.path}: good, {self.kind}"] if self.good else [])
+        return found + ([f"{self.path}: good, {self.kind}"] if self.is_valid else [])
 
-    def data(self) -> dict[str, Any]:
-        """For a program."""
+    def as_dict(self) -> dict[str, Any]:
+        """Return the report in the form that `--json` prints."""
         keys = ("field", "found", "allowed", "near", "note")
         problems = [{k: getattr(p, k) for k in keys} for p in self.problems]
-        return {"file": self.path, "kind": self.kind, "good": self.good, "problems": problems}
+        return {"file": self.path, "kind": self.kind, "good": self.is_valid, "problems": problems}
 
 
-def judge(path: str) -> Verdict:
-    """Look at one file, told apart by what is in it: JSON begins with a brace, which no TOML does."""
+def check_file(path: str) -> FileReport:
+    """Check one file; its kind is detected by content, as JSON begins with a brace and TOML never does."""
     kind = "a file"
     try:
-        raw = read_file(path, MAX_PLATFORM)
+        raw = read_file(path, MAX_PLATFORM_FILE_BYTES)
         if raw.removeprefix(b"\xef\xbb\xbf").lstrip()[:1] == b"{":
             kind = "a platform configuration"
-            return Verdict(path, kind, tuple(_platform(path, raw)))
+            return FileReport(path, kind, tuple(_check_platform(path, raw)))
         kind = "an operator file"
         read_file(path, MAX_FILE_BYTES)
-        return Verdict(path, kind, tuple(validate(parse_toml(path, raw), OperatorFile)[1]))
+        return FileReport(path, kind, tuple(validate(parse_toml(path, raw), OperatorFile)[1]))
     except InvalidOperatorFileError as error:
-        return Verdict(path, kind, tuple(error.problems))
+        return FileReport(path, kind, tuple(error.problems))
 
 
-def _platform(path: str, raw: bytes) -> list[Problem]:
+def _check_platform(path: str, raw: bytes) -> list[Problem]:
     try:
-        data = json.loads(raw)
+        document = json.loads(raw)
     except RecursionError:
         return [Problem((), "lists within lists without end", "JSON")]
     except ValueError as error:
         return [Problem((), " ".join(str(error).split()), "JSON")]
-    _, problems = validate(data, Platform)
+    _, problems = validate(document, Platform)
     if all(p.note for p in problems):
-        problems += _last_word(path)
+        problems += _check_with_node(path)
     return problems
 
 
-def _last_word(path: str) -> list[Problem]:
-    """What the node itself says of a file that looks right."""
+def _check_with_node(path: str) -> list[Problem]:
+    """Load a file that passed the type checks with the node's own parser."""
     try:
-        node_takes({"LB_CONFIG": path})
+        load_node_config({"LB_CONFIG": path})
     except ConfigError as error:
         where, _, why = str(error).partition(": ")
         return [Problem((where,), why, "what the node takes")]
@@ -109,14 +109,14 @@
         return
     if not files:
         raise click.UsageError("which FILE?")
-    verdicts = [judge(path) for path in files]
-    emit({"good": all(v.good for v in verdicts), "files": [v.data() for v in verdicts]}, as_json,
-         lambda console: _print(console, verdicts))  # fmt: skip
-    if not all(v.good for v in verdicts):
+    reports = [check_file(path) for path in files]
+    emit({"good": all(v.is_valid for v in reports), "files": [v.as_dict() for v in reports]}, as_json,
+         lambda console: _print_reports(console, reports))  # fmt: skip
+    if not all(v.is_valid for v in reports):
         raise click.exceptions.Exit(BAD_INPUT)
 
 
-def _print(console: Console, verdicts: list[Verdict]) -> None:
-    for verdict in verdicts:
-        for line in verdict.lines():
-            click.echo(line)  # not the console's: a line is one line, and brackets stay
+def _print_reports(console: Console, reports: list[FileReport]) -> None:
+    for report in reports:
+        for line in report.lines():
+            click.echo(line)  # rich would wrap lines and interpret brackets as markup
--- a/granitewell/cli/lab_cluster.py
+++ b/granitewell/cli/lab_cluster.py
@@ -1,7 +1,7 @@
-"""`granitewell lab cluster`: days of pure machines in the virtual cluster, and the exhaustive search.
+"""`granitewell lab cluster`: simulates a cluster of state machines, and searches their states exhaustively.
 
-It owns the options, the table and the exit codes. It must never compute what holds: a subject's days do.
-Exit codes: 0 all held; 1 an invariant did not hold; 2 an option is wrong.
+Parses options, prints the table and sets the exit code; the subjects check their invariants themselves.
+Exit codes: 0 all invariants held; 1 an invariant was violated; 2 an option is wrong.
 """
 
 from __future__ import annotations
@@ -43,19 +43,19 @@
 @show.as_json
 def cluster(name: str, span: str, jobs: int | None, severity: float, size: int | None, plant: str | None,
             only: str | None, wanted: str | None, as_json: bool) -> None:  # fmt: skip
-    """The help text is above: it lists the subjects."""
+    """Run days or the search; the help text is `_HELP`, which lists the subjects."""
     plants = subject(name).plants
     if plant == "list":
         show.emit(dict(plants), as_json, lambda console: console.print(
             show.table(name, ("plant", "about"), list(plants.items()))))  # fmt: skip
         return
     if plant and plant not in plants:
-        raise show.Told(f"--plant: found {plant!r}, allowed: {', '.join(plants) or 'none'}")
+        raise show.CommandError(f"--plant: found {plant!r}, allowed: {', '.join(plants) or 'none'}")
     if wanted is not None:
         _search(wanted, plant or "", as_json)
         return
-    chosen = _only(only)
-    cases = [Case(seed, severity, size or 0, plant or "", chosen) for seed in _span(span)]
+    chosen = _parse_trouble_indices(only)
+    cases = [Case(seed, severity, size or 0, plant or "", chosen) for seed in _parse_seed_range(span)]
     found: list[Found] = []
     with show.progress(f"{name}, seeds {span}", len(cases)) as steps:
         for one in seeds(name, cases, jobs or os.cpu_count() or 1):
@@ -63,49 +63,49 @@
             steps.step()
     found.sort(key=lambda f: f.case.seed)
     bad = [f for f in found if f.outcome.broken is not None]
-    broken = [_broken(name, f) for f in bad]
+    broken = [_broken_day(name, f) for f in bad]
     data = {"subject": name, "seeds": len(found), "severity": severity, "plant": plant or "",
             **_figures(found), "broken": broken}  # fmt: skip
     show.emit(data, as_json, lambda console: _render(console, name, data, bad))
     if bad:
-        raise show.Found(f"{len(bad)} of {len(found)} days did not hold")
+        raise show.BadOutcomeError(f"{len(bad)} of {len(found)} days did not hold")
 
 
-def _only(text: str | None) -> tuple[int, ...] | None:
+def _parse_trouble_indices(text: str | None) -> tuple[int, ...] | None:
     if text is None or text == "none":
         return None if text is None else ()
     try:
         return tuple(int(x) for x in text.split(","))
     except ValueError:
-        raise show.Told(f"--only: found {text!r}, allowed are numbers as in 1,4, or none") from None
+        raise show.CommandError(f"--only: found {text!r}, allowed are numbers as in 1,4, or none") from None
 
 
-def _span(text: str) -> range:
+def _parse_seed_range(text: str) -> range:
     first, _, last = text.partition("..")
     last = last or first
     if not first.isdecimal() or not last.isdecimal() or not 0 <= int(last) - int(first) < MAX_SEEDS:
-        raise show.Told(f"--seeds: found {text!r}, allowed is FIRST..LAST, as in 1..200")
+        raise show.CommandError(f"--seeds: found {text!r}, allowed is FIRST..LAST, as in 1..200")
     return range(int(first), int(last) + 1)
 
 
 # --- Days -----------------------------------------------------------------------------------------------
 def _figures(found: list[Found]) -> dict[str, Any]:
-    """Over all days: sums, and lists as median, 95 in 100, worst."""
+    """Aggregate the figures of all days: numbers as sums, lists as median, 95th percentile and worst."""
     days = [f.outcome for f in found]
     data: dict[str, Any] = {"day_s": sum(o.day_s for o in days), "cpu_s": sum(f.cpu_s for f in found)}
     for name in dict.fromkeys(n for o in days for n in o.figures):
         values = [o.figures[name] for o in days if name in o.figures]
         lists = [v for v in values if isinstance(v, list)]
         numbers = [v for v in values if not isinstance(v, list)]
-        data[name] = _spread(x for v in lists for x in v) if lists else _one(name, numbers)
+        data[name] = _percentiles(x for v in lists for x in v) if lists else _aggregate(name, numbers)
     return data
 
 
-def _one(name: str, numbers: list[float]) -> float:
+def _aggregate(name: str, numbers: list[float]) -> float:
     return max(numbers) if name.endswith("_max") else sum(numbers)
 
 
-def _spread(values: Iterable[float]) -> dict[str, float]:
+def _percentiles(values: Iterable[float]) -> dict[str, float]:
     ordered = sorted(values)
     if not ordered:
         return {"count": 0}
@@ -114,7 +114,7 @@
     return {"count": len(ordered), "sum": sum(ordered), **points}
 
 
-def _broken(name: str, f: Found) -> dict[str, Any]:
+def _broken_day(name: str, f: Found) -> dict[str, Any]:
     broken = f.outcome.broken
     assert broken is not None
     return {"seed": f.case.seed, "at_s": broken.at_us / 1e6, "node": broken.node, "text": broken.text,
@@ -123,19 +123,19 @@
 
 def _render(console: Console, name: str, data: dict[str, Any], bad: list[Found]) -> None:
     for one in data["broken"]:
-        _print(console, f"seed {one['seed']}, {one['at_s']:.3f} s, {one['node']}: {one['text']}")
+        _print_line(console, f"seed {one['seed']}, {one['at_s']:.3f} s, {one['node']}: {one['text']}")
         for line in one["troubles"]:
-            _print(console, f"    {line}")
-        _print(console, f"    {one['command']}")
+            _print_line(console, f"    {line}")
+        _print_line(console, f"    {one['command']}")
     if len(data["broken"]) == 1 and data["seeds"] == 1:
-        _print(console, f"digest {bad[0].outcome.digest}")
+        _print_line(console, f"digest {bad[0].outcome.digest}")
     rows = [(k, v) for k, v in data.items() if isinstance(v, int | float) and k not in ("seeds", "severity")]
     rows += [(f"{k} {part}", x) for k, v in data.items() if isinstance(v, dict) for part, x in v.items()]
     title = f"{name}: {data['seeds']} days, {len(bad)} did not hold"
     console.print(show.table(title, ("figure", "all days"), rows))
 
 
-def _print(console: Console, line: str) -> None:
+def _print_line(console: Console, line: str) -> None:
     console.print(line, markup=False, highlight=False, soft_wrap=True)
 
 
@@ -144,7 +144,7 @@
     from granitewell.lab.cluster.leases_search import CATCHES, SEARCHES, look
 
     if plant and plant not in CATCHES:
-        raise show.Told(f"--plant: found {plant}, allowed with --search are {', '.join(CATCHES)}")
+        raise show.CommandError(f"--plant: found {plant}, allowed with --search are {', '.join(CATCHES)}")
     rows, broken = [], ""
     for start, bounds in (CATCHES[plant],) if plant else SEARCHES[wanted]:
         seen = look(start, bounds, plant)
@@ -155,7 +155,7 @@
         broken = broken or seen.broken
     show.emit(rows, as_json, lambda console: _render_search(console, rows))
     if broken:
-        raise show.Found(broken)
+        raise show.BadOutcomeError(broken)
 
 
 def _render_search(console: Console, rows: list[dict[str, Any]]) -> None:
@@ -164,6 +164,6 @@
     console.print(table)
     for row in rows:
         for k, line in enumerate(row["trace"]):
-            _print(console, f"{k + 1:4} {line}")
+            _print_line(console, f"{k + 1:4} {line}")
         if row["broken"]:
-            _print(console, f"     {row['broken']}")
+            _print_line(console, f"     {row['broken']}")
--- a/granitewell/cli/main.py
+++ b/granitewell/cli/main.py
@@ -1,8 +1,7 @@
-"""The command `granitewell`: finds the command that is meant, and turns every end into an exit code.
+"""The command `granitewell`: dispatches to subcommands and maps every outcome to an exit code.
 
-It owns the table of commands, which names modules without importing them, and the ends that no command
-handles itself: a package that is missing, a pipe that broke, Ctrl-C. It must never know what a command does.
-Exit codes are on docs/operate/exit-codes.md.
+Holds the table of commands, which names modules without importing them, and handles what no command handles
+itself: a missing package, a broken pipe, Ctrl-C. docs/operate/exit-codes.md describes the exit codes.
 """
 
 from __future__ import annotations
@@ -16,21 +15,23 @@
 from dataclasses import dataclass
 from typing import Any, NoReturn
 
-OK, FOUND, BAD_INPUT, NO_MEANS = 0, 1, 2, 3
-DEFECT = 70  # EX_SOFTWARE of sysexits.h: a traceback must not look like an outcome
-INTERRUPTED = 130  # 128 and SIGINT, as shells have it; also for a reader that has gone
-INSTALL = {  # packages, by the extra that brings them
+OK, BAD_OUTCOME, BAD_INPUT, UNAVAILABLE = 0, 1, 2, 3
+DEFECT = 70  # EX_SOFTWARE of sysexits.h, so that a traceback is not taken for an outcome
+INTERRUPTED = 130  # 128 + SIGINT, as in shells; also when the reader of a pipe has closed it
+EXTRA_BY_PACKAGE = {  # the extra that installs each package
     "click": "cli", "rich": "cli", "msgspec": "cli",
     "numpy": "lab", "hdrh": "lab", "matplotlib": "lab",
 }  # fmt: skip
-COMPLETE = "_GRANITEWELL_COMPLETE"  # by which a shell's script asks for completions
+COMPLETION_VARIABLE = "_GRANITEWELL_COMPLETE"  # set by the shell's completion script
 
 
-def _missing(name: str) -> str:
-    """What to do about a module that can't be imported; empty where it is nobody's extra."""
+def _install_hint(name: str) -> str:
+    """Return how to install a module that can't be imported; empty if no extra brings it."""
     root = name.partition(".")[0]
-    if root in INSTALL:
-        return f"this needs {root}, which is not installed: pip install 'granitewell[{INSTALL[root]}]'"
+    if root in EXTRA_BY_PACKAGE:
+        return (
+            f"this needs {root}, which is not installed: pip install 'granitewell[{EXTRA_BY_PACKAGE[root]}]'"
+        )
     if root == "granitewell":
         return f"this installation has no {name}: install granitewell whole"
     return ""
@@ -39,49 +40,53 @@
 try:
     import click
     from click.shell_completion import CompletionItem, get_completion_class, shell_complete
-except ModuleNotFoundError as _error:  # installed without extras, the program still has its name on the path
-    print(f"granitewell: {_missing(_error.name or '')}", file=sys.stderr)
-    raise SystemExit(NO_MEANS) from None
+except ModuleNotFoundError as _error:  # the console script is installed even without extras
+    print(f"granitewell: {_install_hint(_error.name or '')}", file=sys.stderr)
+    raise SystemExit(UNAVAILABLE) from None
 
 
-class Missing(click.ClickException):
+class NotInstalledError(click.ClickException):
     """A command whose module or package is not installed."""
 
-    exit_code = NO_MEANS
+    exit_code = UNAVAILABLE
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """Where a command is (`module:object`), and the line that a list of commands shows of it."""
+    """The location of a command (`module:object`) and its line in the list of commands."""
 
-    where: str
-    short: str
+    target: str
+    summary: str
 
 
 class LazyGroup(click.Group):
-    """A group whose commands are imported when they are called, and not to be listed or completed."""
+    """A group that imports a command only when it is called, not to list or complete its name."""
 
     def __init__(self, *args: Any, entries: Mapping[str, Entry], **kw: Any) -> None:
         super().__init__(*args, **kw)
         self.entries = entries
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """In the order of the table."""
+        """Return the names in the order of the table."""
         return list(self.entries)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Import the command; Missing says what is not installed."""
+        """Import the command.
+
+        Raises:
+            NotInstalledError: A module or package that the command needs is not installed.
+        """
         entry = self.entries.get(name)
         if entry is None:
             return None
-        module, _, attribute = entry.where.partition(":")
+        module, _, attribute = entry.target.partition(":")
         try:
             found = getattr(importlib.import_module(module), attribute)
         except ModuleNotFoundError as error:
-            if ctx.resilient_parsing:  # completing a line: a shell is no place for an error
-                return click.Command(name, help=entry.short)
-            if text := _missing(error.name or ""):
-                raise Missing(f"{ctx.command_path} {name}: {text}") from None
+            if ctx.resilient_parsing:  # completion must not print errors into the shell
+                return click.Command(name, help=entry.summary)
+            if text := _install_hint(error.name or ""):
+                raise NotInstalledError(f"{ctx.command_path} {name}: {text}") from None
             raise
         assert isinstance(found, click.Command)
         return found
@@ -89,7 +94,7 @@
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """As usual, with the nearest name where there is no such command."""
+        """Resolve a command; an unknown name is answered with the nearest ones."""
         try:
             return super().resolve_command(ctx, args)
         except click.exceptions.NoSuchCommand as error:
@@ -98,24 +103,26 @@
             ) from None
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """The list of commands, from the table alone."""
+        """Write the list of commands from the table, without importing them."""
         with formatter.section("Commands"):
-            formatter.write_dl([(name, entry.short) for name, entry in self.entries.items()])
+            formatter.write_dl([(name, entry.summary) for name, entry in self.entries.items()])
 
     def shell_complete(self, ctx: click.Context, incomplete: str) -> list[CompletionItem]:
-        """Names from the table, then the options."""
-        names = [CompletionItem(n, help=e.short) for n, e in self.entries.items() if n.startswith(incomplete)]
+        """Complete names from the table, then options."""
+        names = [
+            CompletionItem(n, help=e.summary) for n, e in self.entries.items() if n.startswith(incomplete)
+        ]
         return names + click.Command.shell_complete(self, ctx, incomplete)
 
 
-_HERE = "granitewell.cli"
+_PACKAGE = "granitewell.cli"
 COMMANDS = {
-    "node": Entry(f"{_HERE}.node:node", "Run one node, as the platform does."),
-    "cluster": Entry(f"{_HERE}.cluster:cluster", "Ask running nodes what they believe of their fleet."),
-    "check": Entry(f"{_HERE}.check:check", "Say all that is wrong with a configuration."),
-    "lab": Entry(f"{_HERE}.lab:lab", "The platform as a model: simulate, load, judge, compare."),
-    "completion": Entry(f"{_HERE}.main:completion", "Print the completion script of a shell."),
-    "version": Entry(f"{_HERE}.main:version", "Print the versions of granitewell and what it runs on."),
+    "node": Entry(f"{_PACKAGE}.node:node", "Run one node, as the platform does."),
+    "cluster": Entry(f"{_PACKAGE}.cluster:cluster", "Ask running nodes what they believe of their fleet."),
+    "check": Entry(f"{_PACKAGE}.check:check", "Say all that is wrong with a configuration."),
+    "lab": Entry(f"{_PACKAGE}.lab:lab", "The platform as a model: simulate, load, judge, compare."),
+    "completion": Entry(f"{_PACKAGE}.main:completion", "Print the completion script of a shell."),
+    "version": Entry(f"{_PACKAGE}.main:version", "Print the versions of granitewell and what it runs on."),
 }
 
 
@@ -135,8 +142,8 @@
     """Print the script that completes granitewell's commands and options in a shell."""
     found = get_completion_class(shell)
     assert found is not None
-    made = found(granitewell, {}, "granitewell", COMPLETE)
-    click.echo(made.source_template % made.source_vars())
+    shell_script = found(granitewell, {}, "granitewell", COMPLETION_VARIABLE)
+    click.echo(shell_script.source_template % shell_script.source_vars())
 
 
 @click.command(epilog="Example:\n\n  granitewell version --json")
@@ -155,37 +162,42 @@
 
 
 def run(args: Sequence[str]) -> int:
-    """Run the command line; the exit code. Every end but a defect is one line on standard error, or none."""
+    """Run the command line and return the exit code.
+
+    Every failure but a defect prints at most one line on standard error.
+    """
     try:
-        return _ended(args)
+        return _invoke(args)
     except click.exceptions.NoArgsIsHelpError as error:
         error.show()
         return error.exit_code
     except click.UsageError as error:
         path = error.ctx.command_path if error.ctx else "granitewell"
-        return _say(f"{path}: {error.format_message()} See {path} --help", error.exit_code)
+        return _print_error(f"{path}: {error.format_message()} See {path} --help", error.exit_code)
     except click.ClickException as error:
-        return _say(f"granitewell: {error.format_message()}", error.exit_code)
+        return _print_error(f"granitewell: {error.format_message()}", error.exit_code)
     except (click.Abort, KeyboardInterrupt):
         return INTERRUPTED
     except ModuleNotFoundError as error:
-        if not (text := _missing(error.name or "")):
+        if not (text := _install_hint(error.name or "")):
             raise
-        return _say(f"granitewell: {text}", NO_MEANS)
+        return _print_error(f"granitewell: {text}", UNAVAILABLE)
     except BrokenPipeError:
         _drop_output()
         return INTERRUPTED
     except OSError as error:
         _drop_output()
-        return _say(f"granitewell: {error.filename or 'output'}: {error.strerror or error}", NO_MEANS)
+        return _print_error(
+            f"granitewell: {error.filename or 'output'}: {error.strerror or error}", UNAVAILABLE
+        )
 
 
-def _ended(args: Sequence[str]) -> int:
-    if instruction := os.environ.get(COMPLETE):
-        return shell_complete(granitewell, {}, "granitewell", COMPLETE, instruction)
+def _invoke(args: Sequence[str]) -> int:
+    if instruction := os.environ.get(COMPLETION_VARIABLE):
+        return shell_complete(granitewell, {}, "granitewell", COMPLETION_VARIABLE, instruction)
     try:
         with granitewell.make_context("granitewell", list(args)) as ctx:
-            granitewell.invoke(ctx)  # what a command returns is nobody's exit code
+            granitewell.invoke(ctx)  # a command's return value is not an exit code
         code = OK
     except click.exceptions.Exit as error:
         code = error.exit_code
@@ -195,18 +207,18 @@
 
 
 def _drop_output() -> None:
-    """The interpreter flushes at its end: what is left, and can't be written, goes nowhere."""
+    """Redirect standard output to /dev/null, as the interpreter's flush at exit would fail again."""
     with contextlib.suppress(OSError, AttributeError):
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
 
 
-def _say(text: str, code: int) -> int:
+def _print_error(text: str, code: int) -> int:
     print(" ".join(text.split()), file=sys.stderr)
     return code
 
 
 def main() -> NoReturn:
-    """The console script."""
+    """Run the console script."""
     try:
         code = run(sys.argv[1:])
     except Exception:
--- a/granitewell/cli/show.py
+++ b/granitewell/cli/show.py
@@ -1,7 +1,6 @@
-"""What every command shows a person or a program: tables or JSON, progress, errors, exit codes.
+"""Output of all commands: tables or JSON, progress, errors and exit codes.
 
-It owns the form of output and must never compute a figure. Results go to standard output; progress and
-errors go to standard error, progress only where that is a terminal.
+Results go to standard output, progress and errors to standard error; progress only if that is a terminal.
 """
 
 from __future__ import annotations
@@ -18,46 +17,46 @@
 from rich.table import Table
 
 from granitewell.cli.main import BAD_INPUT as BAD_INPUT  # exit codes: see docs/operate/exit-codes.md
-from granitewell.cli.main import FOUND as FOUND
-from granitewell.cli.main import NO_MEANS as NO_MEANS
+from granitewell.cli.main import BAD_OUTCOME as BAD_OUTCOME
 from granitewell.cli.main import OK as OK
+from granitewell.cli.main import UNAVAILABLE as UNAVAILABLE
 
 
-class Told(click.ClickException):
-    """An end with one line that names what is wrong: an argument or a file that the caller can mend."""
+class CommandError(click.ClickException):
+    """Ends the command with one line on standard error; by itself, for an argument or file that is wrong."""
 
     exit_code = BAD_INPUT
 
     def show(self, file: Any = None) -> None:
-        """One line on standard error."""
+        """Print the message on one line of standard error."""
         click.echo(f"granitewell: {' '.join(self.message.split())}", file=file or sys.stderr)
 
 
-class Found(Told):
-    """What was asked for was done, and the outcome is bad: a rule is broken, a run has failed."""
+class BadOutcomeError(CommandError):
+    """The command did its work and the outcome is bad: a rule was broken, a run failed."""
 
-    exit_code = FOUND
+    exit_code = BAD_OUTCOME
 
 
-class NoMeans(Told):
-    """The machine does not give what is needed: a port in use, nobody at a target, a full disk."""
+class UnavailableError(CommandError):
+    """A resource is unavailable: a port is in use, a target does not answer, a disk is full."""
 
-    exit_code = NO_MEANS
+    exit_code = UNAVAILABLE
 
 
 class Steps(Protocol):
-    """What a progress bar is told."""
+    """Receives the progress of a command."""
 
     def step(self, n: int = 1) -> None:
-        """So many further steps are done."""
+        """Report that `n` more steps are done."""
 
 
-class _Quiet:
+class _NoProgress:
     def step(self, n: int = 1) -> None:
         return
 
 
-class _Bar:
+class _ProgressBar:
     def __init__(self, bar: Progress, task: Any) -> None:
         self._bar, self._task = bar, task
 
@@ -67,28 +66,28 @@
 
 @contextmanager
 def progress(label: str, total: int) -> Iterator[Steps]:
-    """A progress bar for work of over two seconds; nothing at all where standard error is no terminal."""
+    """Show a progress bar for work that takes over two seconds; none if standard error is not a terminal."""
     console = Console(stderr=True)
     if not console.is_terminal:
-        yield _Quiet()
+        yield _NoProgress()
         return
     columns = TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn()
     with Progress(*columns, console=console, transient=True) as bar:
-        yield _Bar(bar, bar.add_task(label, total=total))
+        yield _ProgressBar(bar, bar.add_task(label, total=total))
 
 
 def table(title: str, columns: Sequence[str], rows: Iterable[Sequence[object]]) -> Table:
-    """A table; all columns but the first stand to the right."""
-    made = Table(title=title, title_justify="left")
+    """Build a table; all columns but the first are right-aligned."""
+    rendered = Table(title=title, title_justify="left")
     for k, name in enumerate(columns):
-        made.add_column(name, justify="right" if k else "left")
+        rendered.add_column(name, justify="right" if k else "left")
     for row in rows:
-        made.add_row(*[f"{x:.3f}" if isinstance(x, float) else str(x) for x in row])
-    return made
+        rendered.add_row(*[f"{x:.3f}" if isinstance(x, float) else str(x) for x in row])
+    return rendered
 
 
 def emit(data: Any, as_json: bool, render: Callable[[Console], None]) -> None:
-    """The result of a command: `data` as one line of JSON, or whatever `render` prints for a person."""
+    """Print the result of a command: `data` as one line of JSON, or what `render` prints."""
     if as_json:
         click.echo(json.dumps(data, sort_keys=True))
     else:
--- a/granitewell/cli/system/commands.py
+++ b/granitewell/cli/system/commands.py
@@ -1,4 +1,4 @@
-"""The commands and their arguments. What those of `config` do stands in `configuration`."""
+"""The commands and their arguments; `configuration` implements those of `config`."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import cappa
 
 from granitewell.cli.system import configuration
-from granitewell.cli.system.control_client import PATIENCE_S
-from granitewell.cli.system.exit_handling import ended
+from granitewell.cli.system.control_client import DEFAULT_TOTAL_TIMEOUT_S
+from granitewell.cli.system.exit_handling import run_to_exit_code
 from granitewell.cli.system.programs import run_program
 
 PROGRAM = "python -m granitewell.cli.system"
@@ -34,7 +34,7 @@
     """`edge`."""
 
     def run(self) -> int:
-        """Until it is stopped."""
+        """Run the program until it is stopped."""
         return run_program("edge")
 
 
@@ -44,7 +44,7 @@
     """`control`."""
 
     def run(self) -> int:
-        """Until it is stopped."""
+        """Run the program until it is stopped."""
         return run_program("control")
 
 
@@ -54,10 +54,10 @@
     """`config get`."""
 
     control: Addresses = ""
-    wait: Wait = PATIENCE_S
+    wait: Wait = DEFAULT_TOTAL_TIMEOUT_S
 
     def run(self) -> int:
-        """Print it."""
+        """Print the configuration."""
         return configuration.get(configuration.Target(self.control, self.wait))
 
 
@@ -68,11 +68,11 @@
 
     file: Annotated[str, cappa.Arg(value_name="FILE", help="A whole configuration, JSON.")]
     control: Addresses = ""
-    wait: Wait = PATIENCE_S
+    wait: Wait = DEFAULT_TOTAL_TIMEOUT_S
     if_match: IfMatch = None
 
     def run(self) -> int:
-        """Send it."""
+        """Send the change."""
         return configuration.put(configuration.Target(self.control, self.wait), self.file, self.if_match)
 
 
@@ -83,11 +83,11 @@
 
     file: Annotated[str, cappa.Arg(value_name="FILE", help="version, upsert and remove, JSON.")]
     control: Addresses = ""
-    wait: Wait = PATIENCE_S
+    wait: Wait = DEFAULT_TOTAL_TIMEOUT_S
     if_match: IfMatch = None
 
     def run(self) -> int:
-        """Send it."""
+        """Send the change."""
         return configuration.patch(configuration.Target(self.control, self.wait), self.file, self.if_match)
 
 
@@ -100,7 +100,7 @@
     on: Annotated[str, cappa.Arg(long="--on", help="The whole configuration that a patch alters.")] = ""
 
     def run(self) -> int:
-        """Check it."""
+        """Check the file."""
         return configuration.check(self.file, self.on)
 
 
@@ -112,10 +112,10 @@
     file: Annotated[str, cappa.Arg(value_name="FILE", help="A whole configuration, JSON.")]
     against: Annotated[str, cappa.Arg(long="--against", help="A file, in place of the one in force.")] = ""
     control: Addresses = ""
-    wait: Wait = PATIENCE_S
+    wait: Wait = DEFAULT_TOTAL_TIMEOUT_S
 
     def run(self) -> int:
-        """Compare."""
+        """Print the differences."""
         return configuration.diff(configuration.Target(self.control, self.wait), self.file, self.against)
 
 
@@ -127,7 +127,7 @@
     command: cappa.Subcommands[Get | Put | Patch | Check | Diff]
 
     def run(self) -> int:
-        """The command that is meant."""
+        """Run the subcommand."""
         return self.command.run()
 
 
@@ -140,8 +140,8 @@
 
 
 def run(arguments: Sequence[str]) -> int:
-    """Run what the arguments ask for; the exit code."""
-    return ended(lambda: _parse(arguments).command.run())
+    """Run the command that the arguments name, and return the exit code."""
+    return run_to_exit_code(lambda: _parse(arguments).command.run())
 
 
 def _parse(arguments: Sequence[str]) -> System:
--- a/tests/fleet/few.py
+++ b/tests/fleet/few.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
-from granitewell.cli.cluster import call
+from granitewell.cli.cluster import query_node
 from granitewell.lab.loopback.plan import Range
 from granitewell.status.types import StatusAddress
-from tests.play import settings
+from tests.exchange_player import settings
 
 ROOT = Path(__file__).resolve().parents[2]
 LIMIT_S = 30.0  # for any one thing to happen; only a failing test waits so long
@@ -71,7 +71,7 @@
                 self.processes[name] = subprocess.Popen(command, env=env, stderr=log)
 
     def view(self, name: str) -> dict[str, Any]:
-        made: dict[str, Any] = call(StatusAddress(path=self.at(name)), "/cluster")
+        made: dict[str, Any] = query_node(StatusAddress(path=self.at(name)), "/cluster")
         return made
 
     def states(self, name: str) -> dict[str, str]:
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -74,10 +74,9 @@
 
 
 def _metrics(at: str) -> str:
-    from granitewell.cli.node import get
     from granitewell.status.types import StatusAddress
 
-    code, raw = get(StatusAddress(path=at), "/metrics")
+    code, raw = fetch(StatusAddress(path=at), "/metrics")
     assert code == 200
     return raw.decode()
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, one-line errors, what is imported when, and the node that it becomes."""
+"""The command line: exit codes, one-line errors, lazy imports, and starting a node."""
 
 from __future__ import annotations
 
@@ -18,9 +18,16 @@
 from granitewell.cli import main as cli
 from granitewell.cli.lab import LAB
 from granitewell.cli.main import COMMANDS, DEFECT, INTERRUPTED, Entry, LazyGroup, run
-from granitewell.cli.node import becomes
-from granitewell.cli.show import BAD_INPUT, FOUND, NO_MEANS, Found, NoMeans, Told
-from tests.play import LIMIT_S, Player
+from granitewell.cli.node import node_command
+from granitewell.cli.show import (
+    BAD_INPUT,
+    BAD_OUTCOME,
+    UNAVAILABLE,
+    BadOutcomeError,
+    CommandError,
+    UnavailableError,
+)
+from tests.exchange_player import LIMIT_S, Player
 from tests.test_config import write
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -29,20 +36,20 @@
 CLEAN = {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {"PYTHONPATH": str(ROOT)}
 
 
-def ran(*args: str, env: dict[str, str] | None = None, **kw: Any) -> subprocess.CompletedProcess[str]:
+def run_program(*args: str, env: dict[str, str] | None = None, **kw: Any) -> subprocess.CompletedProcess[str]:
     return subprocess.run([*PROGRAM, *args], env=CLEAN | (env or {}), text=True, timeout=LIMIT_S,
                           stderr=subprocess.PIPE, **({"stdout": subprocess.PIPE} | kw))  # fmt: skip
 
 
-def completing(words: str, at: int) -> dict[str, str]:
-    """What bash sets to ask for completions."""
+def completion_env(words: str, at: int) -> dict[str, str]:
+    """Return the variables with which bash requests completions."""
     return {"_GRANITEWELL_COMPLETE": "bash_complete", "COMP_WORDS": words, "COMP_CWORD": str(at)}
 
 
 # --- commands and their help ----------------------------------------------------------------------------
 @pytest.mark.parametrize("words", [[], ["lab"], *([n] for n in COMMANDS), *(["lab", n] for n in LAB)])
 def test_each_command_has_help_with_an_example(words: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-    if words[:1] == ["lab"] and words[1:] and find_spec(LAB[words[1]].where.partition(":")[0]) is None:
+    if words[:1] == ["lab"] and words[1:] and find_spec(LAB[words[1]].target.partition(":")[0]) is None:
         pytest.skip("not written yet")
     assert run([*words, "--help"]) == 0
     text = capsys.readouterr().out
@@ -53,7 +60,7 @@
 
 def test_listing_and_completing_the_lab_imports_none_of_it() -> None:
     code = "import sys; from granitewell.cli.main import run; run(['lab', '--help']); print(*sys.modules)"
-    for env in ({}, completing("granitewell lab s", 2)):
+    for env in ({}, completion_env("granitewell lab s", 2)):
         done = subprocess.run([sys.executable, "-c", code], env=CLEAN | env, capture_output=True, text=True)
         loaded = set(done.stdout.splitlines()[-1].split())
         assert "sim" in done.stdout and "granitewell.cli.lab" in loaded
@@ -71,7 +78,7 @@
         (["completion", "tcsh"], "'tcsh' is not one of"),
     ],
 )
-def test_a_slip_gets_one_line_and_the_nearest_name(
+def test_a_typo_gets_one_line_with_the_nearest_name(
     args: list[str], says: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run(args) == BAD_INPUT
@@ -79,34 +86,34 @@
     assert says in error and error.count("\n") == 1 and "--help" in error
 
 
-def test_completion_scripts_are_taken_by_the_shell() -> None:
-    script = ran("completion", "bash").stdout
+def test_completion_scripts_are_accepted_by_the_shell() -> None:
+    script = run_program("completion", "bash").stdout
     done = subprocess.run(["bash", "-c", f"{script}\ncomplete -p granitewell"], capture_output=True)
     assert done.returncode == 0 and b"granitewell" in done.stdout
-    assert all("granitewell" in ran("completion", shell).stdout for shell in ("zsh", "fish"))
-    assert ran(env=completing("granitewell check --r", 2)).stdout == "plain,--reference\n"
+    assert all("granitewell" in run_program("completion", shell).stdout for shell in ("zsh", "fish"))
+    assert run_program(env=completion_env("granitewell check --r", 2)).stdout == "plain,--reference\n"
 
 
-def test_version_for_a_program(capsys: pytest.CaptureFixture[str]) -> None:
+def test_version_as_json(capsys: pytest.CaptureFixture[str]) -> None:
     assert run(["version", "--json"]) == 0
     assert {"granitewell", "python", "uvloop"} <= set(json.loads(capsys.readouterr().out))
 
 
-# --- ends -----------------------------------------------------------------------------------------------
+# --- exit codes ------------------------------------------------------------------------------------------
 @pytest.mark.parametrize(
     ("error", "code", "says"),
     [
-        (Told("a\nb"), BAD_INPUT, "granitewell: a b\n"),
-        (Found("rule 2"), FOUND, "granitewell: rule 2\n"),
-        (NoMeans("port"), NO_MEANS, "granitewell: port\n"),
-        (OSError(28, "No space left", "out.db"), NO_MEANS, "granitewell: out.db: No space left\n"),
-        (ModuleNotFoundError("x", name="hdrh.histogram"), NO_MEANS, "pip install 'granitewell[lab]'\n"),
-        (ModuleNotFoundError("x", name="granitewell.gone"), NO_MEANS, "gone: install granitewell whole\n"),
+        (CommandError("a\nb"), BAD_INPUT, "granitewell: a b\n"),
+        (BadOutcomeError("rule 2"), BAD_OUTCOME, "granitewell: rule 2\n"),
+        (UnavailableError("port"), UNAVAILABLE, "granitewell: port\n"),
+        (OSError(28, "No space left", "out.db"), UNAVAILABLE, "granitewell: out.db: No space left\n"),
+        (ModuleNotFoundError("x", name="hdrh.histogram"), UNAVAILABLE, "pip install 'granitewell[lab]'\n"),
+        (ModuleNotFoundError("x", name="granitewell.gone"), UNAVAILABLE, "gone: install granitewell whole\n"),
         (KeyboardInterrupt(), INTERRUPTED, ""),
         (click.exceptions.Exit(7), 7, ""),
     ],
 )
-def test_how_a_command_ends_is_how_the_program_ends(
+def test_errors_map_to_exit_codes_and_at_most_one_line(
     error: BaseException, code: int, says: str, monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:  # fmt: skip
@@ -122,7 +129,7 @@
     assert text.endswith(says) and bool(text) == bool(says) and text.count("\n") <= 1
 
 
-def test_what_a_command_returns_is_no_exit_code_and_a_defect_is_no_outcome(
+def test_return_values_are_ignored_and_defects_have_their_own_exit_code(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     @click.command()
@@ -145,7 +152,7 @@
 ) -> None:
     group = LazyGroup("g", entries={"away": Entry("granitewell.cli.away:x", "Away.")})
     monkeypatch.setattr(cli, "granitewell", group)
-    assert run(["away"]) == NO_MEANS
+    assert run(["away"]) == UNAVAILABLE
     error = capsys.readouterr().err
     assert "granitewell away" in error and "granitewell.cli.away" in error and error.count("\n") == 1
     assert run(["--help"]) == 0 and "Away." in capsys.readouterr().out
@@ -154,24 +161,24 @@
 def test_without_click_the_program_says_what_to_install() -> None:
     code = "import sys; sys.modules['click'] = None; import granitewell.cli.main"
     done = subprocess.run([sys.executable, "-c", code], env=CLEAN, capture_output=True, text=True)
-    assert done.returncode == NO_MEANS
+    assert done.returncode == UNAVAILABLE
     assert done.stderr.startswith("granitewell: this needs click, which is not installed: pip install")
     assert done.stderr.count("\n") == 1
 
 
-def test_a_reader_that_has_gone_and_a_full_disk() -> None:
+def test_closed_pipe_and_full_disk() -> None:
     reader, writer = os.pipe()
     os.close(reader)
-    done = ran("check", "--reference", stdout=writer)
+    done = run_program("check", "--reference", stdout=writer)
     os.close(writer)
     assert (done.returncode, done.stderr) == (INTERRUPTED, "")
     with Path("/dev/full").open("w") as full:
-        done = ran("version", stdout=full)
-    assert (done.returncode, done.stderr) == (NO_MEANS, "granitewell: output: No space left on device\n")
+        done = run_program("version", stdout=full)
+    assert (done.returncode, done.stderr) == (UNAVAILABLE, "granitewell: output: No space left on device\n")
 
 
 # --- check ----------------------------------------------------------------------------------------------
-def test_check_tells_files_apart_and_lists_all_that_is_wrong(
+def test_check_detects_the_file_kind_and_lists_all_problems(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     good, bad = write(tmp_path)["LB_CONFIG"], str(tmp_path / "bad.toml")
@@ -193,7 +200,7 @@
 
 
 @pytest.mark.parametrize("raw", [b'{"a": ', b"{" * 100_000, b"\xff{", b'{"a": 1}\n{', b"[" * 100_000, b"\0"])
-def test_check_of_garbage_is_a_problem_and_no_defect(
+def test_check_reports_garbage_as_a_problem(
     raw: bytes, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "x"
@@ -203,20 +210,20 @@
 
 
 # --- node -----------------------------------------------------------------------------------------------
-def test_the_command_becomes_the_node_of_this_very_package(tmp_path: Path) -> None:
-    command, env = becomes({"A": "b", "PYTHONPATH": "/else", "LB_OPERATOR": "old"}, "new.toml")
+def test_the_node_command_runs_this_package(tmp_path: Path) -> None:
+    command, env = node_command({"A": "b", "PYTHONPATH": "/else", "LB_OPERATOR": "old"}, "new.toml")
     assert command == [sys.executable, "-P", "-m", "granitewell"]
     assert env == {"A": "b", "PYTHONPATH": f"{ROOT}{os.pathsep}/else", "LB_OPERATOR": "new.toml"}
     (tmp_path / "granitewell").mkdir()  # a folder of that name where the command is given
     (tmp_path / "granitewell" / "__main__.py").write_text("raise SystemExit(99)")
-    done = ran("node", cwd=tmp_path)
+    done = run_program("node", cwd=tmp_path)
     assert (done.returncode, done.stderr) == (2, "granitewell: bad configuration: LB_CONFIG: not set\n")
 
 
-def test_a_node_does_not_start_with_a_wrong_operator_file(tmp_path: Path) -> None:
+def test_a_node_does_not_start_with_an_invalid_operator_file(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text("[log]\nrate = 0\nform = 1\n")
-    done = ran("node", "--operator", str(path), env=write(tmp_path))
+    done = run_program("node", "--operator", str(path), env=write(tmp_path))
     assert done.returncode == 2
     assert done.stderr.splitlines() == [
         f"granitewell: bad operator file: {path}: log.rate: found 0, allowed: a number from 0.01 to 1000",
@@ -225,13 +232,16 @@
     code = "import sys; sys.modules['msgspec'] = None; import granitewell.__main__ as m; sys.exit(m.main())"
     env = CLEAN | write(tmp_path) | {"LB_OPERATOR": EXAMPLE}
     done = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True)
-    assert (done.returncode, done.stderr.count("\n")) == (NO_MEANS, 1) and "granitewell[cli]" in done.stderr
+    assert (done.returncode, done.stderr.count("\n")) == (
+        UNAVAILABLE,
+        1,
+    ) and "granitewell[cli]" in done.stderr
 
 
-def test_the_plain_node_imports_what_it_serves_with_and_nothing_else(
+def test_the_plain_node_imports_only_what_it_needs(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """Over a whole life, with a reload in it: Python writes a line for each import of the process."""
+    """Python reports each import of a node's process, from start over a reload to its end."""
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
     monkeypatch.delenv("LB_OPERATOR", raising=False)
     player = Player()
@@ -246,15 +256,15 @@
     loaded = {row for row in rows if row.split(".")[0] not in sys.stdlib_module_names}
     # an installation may hook into the start of Python, and pickle looks for a Jython that is not there
     hooks = "__editable__", "_distutils_hack", "sitecustomize", "org."
-    strange = {x for x in loaded if not x.startswith(hooks)} - {"org"}
-    assert {"granitewell.net.loop", "granitewell.net.logs", "uvloop", "httptools"} <= strange
-    assert {x.split(".")[0] for x in strange} == {"granitewell", "uvloop", "httptools"}
-    rooms = {x.split(".")[1] for x in strange if x.startswith("granitewell.")}
-    assert rooms == {"config", "core", "files", "handover", "net", "reload", "startup_pacing", "balancing"}
+    third_party = {x for x in loaded if not x.startswith(hooks)} - {"org"}
+    assert {"granitewell.net.loop", "granitewell.net.logs", "uvloop", "httptools"} <= third_party
+    assert {x.split(".")[0] for x in third_party} == {"granitewell", "uvloop", "httptools"}
+    packages = {x.split(".")[1] for x in third_party if x.startswith("granitewell.")}
+    assert packages == {"config", "core", "files", "handover", "net", "reload", "startup_pacing", "balancing"}
 
 
 # --- the project ----------------------------------------------------------------------------------------
-def test_the_versions_are_the_same_wherever_they_stand() -> None:
+def test_versions_agree_in_all_files() -> None:
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     extras = project["optional-dependencies"]
     pinned = {}
@@ -271,7 +281,7 @@
     assert getattr(__import__(module, fromlist=["x"]), name) is cli.main
 
 
-def test_the_page_of_exit_codes_has_each_of_them() -> None:
+def test_the_exit_codes_page_lists_every_code() -> None:
     page = (ROOT / "docs" / "operate" / "exit-codes.md").read_text()
     codes = [int(x) for x in re.findall(r"^\| (\d+) \|", page, re.M)]
-    assert codes == [cli.OK, cli.FOUND, cli.BAD_INPUT, cli.NO_MEANS, DEFECT, INTERRUPTED]
+    assert codes == [cli.OK, cli.BAD_OUTCOME, cli.BAD_INPUT, cli.UNAVAILABLE, DEFECT, INTERRUPTED]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from msgspec import Meta
 
-from granitewell.cli.check import judge
+from granitewell.cli.check import check_file
 from granitewell.config import load as node_takes
 from granitewell.net.logs import DEFAULT_LOG_SETTINGS, TOPICS
 from granitewell.operator.load import MAX_FILE_BYTES, InvalidOperatorFileError, LiveOperatorFile, load, reload
@@ -27,7 +27,7 @@
 from granitewell.operator.registry import OperatorFile
 from granitewell.operator.table import Table, validate
 from granitewell.operator.tree_reader import MAX_PROBLEMS, struct_type
-from tests.play import LIMIT_S, Player
+from tests.exchange_player import LIMIT_S, Player
 from tests.test_config import write
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -302,7 +302,7 @@
     """
     text = json.loads(Path(write(tmp_path)["LB_CONFIG"]).read_text())
     path, accepted_wrongly, found_by_node_only = tmp_path / "config.json", [], set()
-    assert judge(str(path)).good
+    assert check_file(str(path)).is_valid
     for field_path in list(_paths(text, ())):
         for bad_value in (None, "", -1, 0, True, [], {}, "x:y", [1], {"a": 1}, 1e300, float("nan")):
             changed = json.loads(json.dumps(text))
@@ -311,7 +311,7 @@
             try:
                 node_takes({"LB_CONFIG": str(path)})
             except Exception:
-                accepted_wrongly += [(field_path, bad_value)] if judge(str(path)).good else []
+                accepted_wrongly += [(field_path, bad_value)] if check_file(str(path)).is_valid else []
                 found_by_node_only |= {field_path} if validate(changed, Platform)[0] is not None else set()
     assert accepted_wrongly == [] and found_by_node_only == {("seed",)}
 
@@ -338,9 +338,9 @@
     allowed["newThing"] = 1
     path = tmp_path / "config.json"
     path.write_text(json.dumps(text))
-    assert judge(str(path)).good and len(judge(str(path)).problems) == 2
+    assert check_file(str(path)).is_valid and len(check_file(str(path)).problems) == 2
     allowed["conIdleMs"] = allowed.pop("connIdleMs")  # the node would silently use its default
     text["settings"]["zone"] = 9
     path.write_text(json.dumps(text))
-    assert not judge(str(path)).good
-    assert [p.near for p in judge(str(path)).problems if not p.note] == ["connIdleMs"]
+    assert not check_file(str(path)).is_valid
+    assert [p.near for p in check_file(str(path)).problems if not p.note] == ["connIdleMs"]
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -31,7 +31,7 @@
 from granitewell.operator.table import validate
 from granitewell.status import descriptions, metrics, types, wire
 from granitewell.status.snapshot import ITEMS_PER_STEP, Steps, T, take_snapshot
-from tests.play import LIMIT_S
+from tests.exchange_player import LIMIT_S
 from tests.test_config import write
 from tests.test_operator import NodeWithOperatorFile
 
@@ -201,8 +201,8 @@
 ) -> None:
     table = "[status]\nat='s'\nseconds=0.5\nconnections=4"
     with started(tmp_path, monkeypatch, capfd, table, "a=ready") as (node, path):
-        one = node.player.members("a=ready")[0]
-        node.player.agent.tell(True, [one, *({**one, "id": f"{k}".rjust(90, "x")} for k in range(1000))])
+        one = node.player.endpoint_entries("a=ready")[0]
+        node.player.agent.publish(True, [one, *({**one, "id": f"{k}".rjust(90, "x")} for k in range(1000))])
         slow_clients = [
             send_request(path, "/status?worst=500"),
             *(send_request(path, raw=b"x" * n) for n in (0, 10, 10_000)),
