--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -74,6 +74,7 @@
 
 
 def _metrics(at: str) -> str:
+    from granitewell.cli.node import fetch
     from granitewell.status.types import StatusAddress
 
     code, raw = fetch(StatusAddress(path=at), "/metrics")
