--- a/granitewell/lab/fleet/fault_effects.py
+++ b/granitewell/lab/fleet/fault_effects.py
@@ -21,4 +21,4 @@
     elif t.kind in ("alone", "mute", "deaf"):
         judge.cut(now_us, key, (rest, *((n,) for n in t.nodes)), on, t.kind == "alone")
     elif t.kind == "hold" or (t.kind == "link" and not (t.how == "loss" and t.value <= CLEAR_LOSS)):
-        judge.unclear(now_us, key, on, t.nodes or schedule.names)
+        judge.set_ambiguous(now_us, key, on, t.nodes or schedule.names)
--- a/granitewell/lab/fleet/play.py
+++ b/granitewell/lab/fleet/play.py
@@ -77,7 +77,7 @@
     played = play_on_sockets(day, out, options)
     counted = counts(schedule, day, out, rig)
     for text in counted.texts:
-        judge.tell(0, "counts", text)
+        judge.report_violation(0, "counts", text)
     found = figures(schedule, played, judge.report, rig) | {"counts": asdict(counted)}
     (out / "fleet-run.json").write_text(json.dumps(found, indent=1))
     return found | {"looks": rig.looks, "done": rig.done, "day": day, "played": played}
@@ -95,7 +95,7 @@
             elif line.method == "answered":
                 judge.answered(line.at, line.args[0])
         for told in rig.told:
-            judge.told(told)
+            judge.add_reading(told)
     return judge.report()
 
 
--- a/granitewell/lab/fleet/rig.py
+++ b/granitewell/lab/fleet/rig.py
@@ -30,7 +30,7 @@
 from granitewell.lab.fleet.plan import Door, FleetPlan, doors
 from granitewell.lab.fleet.status_polling import ASK_COUNTS, Look, StatusPoller, look_of
 from granitewell.lab.fleet.types import KINDS, Schedule
-from granitewell.lab.judge.counts import Told
+from granitewell.lab.judge.counts import CountReading
 from granitewell.lab.judge.view import ViewJudge
 from granitewell.lab.loopback.children import Child
 from granitewell.lab.loopback.director import Director
@@ -58,7 +58,7 @@
         self.schedule, self.out, self.judge = schedule, out, judge
         self.looks: list[tuple[Look, str]] = []  # and what is to be said of each, as the judge has it
         self.seen: dict[str, Any] = {}
-        self.told: list[Told] = []  # of counts, by nodes
+        self.told: list[CountReading] = []  # of counts, by nodes
         self.done: list[tuple[Trouble, int, bool]] = []  # as it was done, when, and whether it began
         self.late_us = 0  # the most by which a trouble came late
         self.cpu_s: dict[str, float] = {}
@@ -123,12 +123,14 @@
             return
         told_us = answer["machine_us"] - self._zero_ns // 1000
         for row in answer["keys"]:
-            self.told.append(Told(told_us, node, row["key"] or "", row["low"], row["high"]))
+            self.told.append(CountReading(told_us, node, row["key"] or "", row["low"], row["high"]))
 
     def _saw(self, node: str, at_us: int, view: dict[str, Any] | None) -> None:
         """To the judge, and for the page."""
         look = look_of(at_us, node, view) if view is not None else Look(at_us, node)
-        verdict = self.judge.look(look.at_us, look.node, look.whole, look.up, look.gone, look.most, look.life)
+        verdict = self.judge.observe(
+            look.at_us, look.node, look.whole, look.up, look.gone, look.most, look.life
+        )
         self.looks.append((look, verdict))
 
     def now(self) -> int:
@@ -165,7 +167,7 @@
         assert director is not None
         moved = (self._zero_ns - zero_ns) // 1000
         self._zero_ns = zero_ns
-        self.judge.shift(moved)
+        self.judge.shift_times(moved)
         self.looks = [(replace(look, at_us=look.at_us + moved), verdict) for look, verdict in self.looks]
         if self._switch is not None:
             self._switch.tell(begin_ns=zero_ns)
@@ -177,7 +179,7 @@
 
     async def over(self) -> None:
         """The load is over: wait until all agree, or have had their time; then what the switch has seen."""
-        while self.schedule.cluster and self.judge.waits(self.now()):
+        while self.schedule.cluster and self.judge.is_awaiting_agreement(self.now()):
             await asyncio.sleep(EVERY_S)
         for name, node_host in self._node_hosts().items():
             if node_host.process is not None:
@@ -193,7 +195,7 @@
             self.judge.end(self.now())
         for text in self.seen.get("offences", ()):
             rule, _, what = text.partition(": ")
-            self.judge.tell(self.now(), rule, what)
+            self.judge.report_violation(self.now(), rule, what)
         self._chatter()
         for door in self._status_pollers:
             door.end()
@@ -204,7 +206,9 @@
         for name in self.schedule.names:
             said = counts.get(f"{name} rumour", 0)
             if said > MAX_RUMOURS + MAX_RUMOURS_S * self.schedule.seconds:
-                self.judge.tell(self.now(), "chatter", f"{name} has sent {said} letters of news alone")
+                self.judge.report_violation(
+                    self.now(), "chatter", f"{name} has sent {said} letters of news alone"
+                )
 
     def down(self) -> None:
         """Nothing stays behind."""
@@ -301,7 +305,7 @@
             elif node_host.process is not None:
                 there = self.judge.is_member(name)  # one that nobody has heard of yet has nothing to say
                 asked_us = self.now()  # it may have said that it leaves before stop() is back
-                self.judge.asked(asked_us, name)
+                self.judge.stop_requested(asked_us, name)
                 node_host.stop()
                 if there and not self.schedule.inherits and self.schedule.cluster:
                     self._spawn(self._knock(node_host, asked_us))
@@ -332,18 +336,18 @@
             said = [at for at in self.seen["left_us"].get(node_host.name, ()) if at >= asked_us]
             await asyncio.sleep(0.1)
         if not said or min(said) > closed_us:
-            self.judge.tell(closed_us, "first", f"{node_host.name} closed its clients' listener "
+            self.judge.report_violation(closed_us, "first", f"{node_host.name} closed its clients' listener "
                             "before it said that it leaves")  # fmt: skip
 
     def _stall(self, t: Trouble, on: bool) -> None:
         """The day does that itself, since its judge has to know of it."""
         for name in t.nodes:
-            self.judge.holds(self.now(), name, on, t.until_us - t.at_us)
+            self.judge.set_paused(self.now(), name, on, t.until_us - t.at_us)
 
     def _cpu(self, t: Trouble, on: bool) -> None:
         for name in t.nodes:
             self._node_hosts()[name].limit_cpu(t.value if on else 1.0)
-        self.judge.unclear(self.now(), (t.kind, t.at_us), on, t.nodes)
+        self.judge.set_ambiguous(self.now(), (t.kind, t.at_us), on, t.nodes)
 
     def _files(self, t: Trouble, on: bool) -> None:
         """No more descriptors than it holds now, and value more."""
@@ -369,7 +373,7 @@
         assert director is not None
         for name in t.nodes:
             key = name, t.at_us
-            self.judge.twin(name, on)
+            self.judge.set_duplicate_name(name, on)
             if not on:
                 if key in self._twins:
                     self._twins[key].signal(signal.SIGKILL)
@@ -411,7 +415,7 @@
             elif t.how == "kill-new" and new is not None:
                 new.signal(signal.SIGKILL)
             elif t.how == "kill-new-late" and new is not None:
-                self.judge.asked(self.now(), name)  # both end: it leaves
+                self.judge.stop_requested(self.now(), name)  # both end: it leaves
                 node_host.stop()
                 self._later(20_000, new.signal, signal.SIGKILL)
             elif t.how == "kill-old-late" and old is not None:
--- a/granitewell/lab/fleet/virtual.py
+++ b/granitewell/lab/fleet/virtual.py
@@ -128,9 +128,9 @@
                 else:
                     self.judge.up(now, name)
             elif t.kind == "stall":
-                self.judge.holds(now, name, on, t.until_us - t.at_us)
+                self.judge.set_paused(now, name, on, t.until_us - t.at_us)
             elif t.kind == "term" and on and node.up:
-                self.judge.asked(now, name)
+                self.judge.stop_requested(now, name)
                 self.cluster.tell(node, Leave())
                 self._at(now + Parameters().leave_us, self._end, node)
             elif t.kind == "term" and not on:
@@ -171,14 +171,16 @@
             up = {e.name: f"{e.standing.birth:016x}" for e in everyone if e.standing.state in UP and e.about}
             gone = {e.name: e.standing.state.name.lower() for e in everyone if e.standing.state not in UP}
             whole = machine.phase is Phase.ACTIVE
-            self.judge.look(now, name, whole, up, gone, self._count[name].upper_bound, machine.identity.gen)
+            self.judge.observe(
+                now, name, whole, up, gone, self._count[name].upper_bound, machine.identity.gen
+            )
 
     def run(self) -> None:
         """The whole schedule, and then until all agree or have had their time."""
         self.plan()
         now = DAY_US - LEAD_US
         end = DAY_US + int(self.schedule.seconds * 1e6)
-        while now < end or self.judge.waits(self.now_us):
+        while now < end or self.judge.is_awaiting_agreement(self.now_us):
             now += EVERY_US
             self.cluster.run(now)
             self.look()
--- a/granitewell/lab/judge/__init__.py
+++ b/granitewell/lab/judge/__init__.py
@@ -18,11 +18,11 @@
 
 from granitewell.lab.judge.histogram import Histogram
 from granitewell.lab.judge.judge import Judge
-from granitewell.lab.judge.records import Offence
+from granitewell.lab.judge.records import Violation
 from granitewell.lab.judge.report import Report
 
 RULES = (
     "answer", "lost", "body", "crash", "unsafe", "refusal", "attempts", "after", "unknown", "drain", "cold",
 )  # fmt: skip
 
-__all__ = ["RULES", "Histogram", "Judge", "Offence", "Report"]
+__all__ = ["RULES", "Histogram", "Judge", "Violation", "Report"]
--- a/granitewell/lab/judge/counts.py
+++ b/granitewell/lab/judge/counts.py
@@ -16,12 +16,12 @@
 from statistics import median
 
 NEVER = 1 << 62
-LONGEST_US = 60_000_000  # from asking to answer; a try that took longer counts as unanswered
+MAX_ATTEMPT_US = 60_000_000  # from asking to answer; a try that took longer counts as unanswered
 MAX_TEXTS = 20
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class CountReading:
     """A figure as a node has told it, when it was asked; key "" for all."""
 
     at_us: int
@@ -60,7 +60,7 @@
         self._window_us = window_us
         self._asked: dict[str, tuple[int, str]] = {}
         self._answered: dict[str, int] = {}
-        self._told: list[Told] = []
+        self._readings: list[CountReading] = []
 
     def asked(self, at_us: int, rid: str, key: str) -> None:
         """A client has sent a try."""
@@ -70,17 +70,17 @@
         """It has heard the answer, whichever it was."""
         self._answered.setdefault(rid, at_us)
 
-    def told(self, told: Told) -> None:
+    def add_reading(self, reading: CountReading) -> None:
         """A node has told a figure."""
-        self._told.append(told)
+        self._readings.append(reading)
 
     def report(self) -> CountsReport:
         """All figures against all tries."""
-        made = CountsReport()
+        report = CountsReport()
         tries: dict[str, list[tuple[int, int]]] = {"": []}  # by key: when asked, when answered
         for rid, (at, key) in self._asked.items():
             ended = self._answered.get(rid, NEVER)
-            one = at, ended if ended - at <= LONGEST_US else NEVER
+            one = at, ended if ended - at <= MAX_ATTEMPT_US else NEVER
             tries[""].append(one)
             tries.setdefault(key, []).append(one)
         for of_key in tries.values():
@@ -88,33 +88,37 @@
         lost = {key: sorted(a for a, e in x if e == NEVER) for key, x in tries.items()}
         widths: dict[int, list[float]] = {}
         spread: dict[str, list[float]] = {"high_over_sure": [], "low_under_may": []}
-        for told in self._told:
-            sure, may = self._bounds(told, tries.get(told.key, []), lost.get(told.key, []))
-            made.figures += 1
-            if told.high < sure or told.low > may:
-                made.broken += 1
-                if len(made.texts) < MAX_TEXTS:
-                    was = f"{told.key or 'all'} was {sure} to {may}"
-                    when = f"{told.at_us / 1e6:.2f} s {told.node}"
-                    made.texts.append(f"{when}: {was}, told {told.low} to {told.high}")
-            middle = (told.low + told.high) / 2
-            if not told.key and middle:
-                widths.setdefault(told.at_us // 1_000_000, []).append((told.high - told.low) / middle)
-            spread["high_over_sure"].append(told.high - sure)
-            spread["low_under_may"].append(may - told.low)
-        made.widths = {second: round(median(x), 4) for second, x in sorted(widths.items())}
-        made.slack = {name: median(x) for name, x in spread.items() if x}
-        return made
-
-    def _bounds(self, told: Told, tries: list[tuple[int, int]], lost: list[int]) -> tuple[int, int]:
+        for reading in self._readings:
+            minimum, maximum = self._bounds(reading, tries.get(reading.key, []), lost.get(reading.key, []))
+            report.figures += 1
+            if reading.high < minimum or reading.low > maximum:
+                report.broken += 1
+                if len(report.texts) < MAX_TEXTS:
+                    was = f"{reading.key or 'all'} was {minimum} to {maximum}"
+                    when = f"{reading.at_us / 1e6:.2f} s {reading.node}"
+                    report.texts.append(f"{when}: {was}, told {reading.low} to {reading.high}")
+            middle = (reading.low + reading.high) / 2
+            if not reading.key and middle:
+                widths.setdefault(reading.at_us // 1_000_000, []).append(
+                    (reading.high - reading.low) / middle
+                )
+            spread["high_over_sure"].append(reading.high - minimum)
+            spread["low_under_may"].append(maximum - reading.low)
+        report.widths = {second: round(median(x), 4) for second, x in sorted(widths.items())}
+        report.slack = {name: median(x) for name, x in spread.items() if x}
+        return report
+
+    def _bounds(
+        self, reading: CountReading, tries: list[tuple[int, int]], lost: list[int]
+    ) -> tuple[int, int]:
         """Between what the true sum lies, in the window that ends when the figure was told."""
-        start, end = told.at_us - self._window_us, told.at_us
-        first = bisect_left(tries, (start - LONGEST_US, 0))
+        start, end = reading.at_us - self._window_us, reading.at_us
+        first = bisect_left(tries, (start - MAX_ATTEMPT_US, 0))
         last = bisect_right(tries, (end, NEVER))
-        sure = may = 0
+        minimum = maximum = 0
         for asked_us, answered_us in tries[first:last]:
             if answered_us == NEVER:
                 continue
-            sure += asked_us >= start and answered_us <= end
-            may += answered_us >= start
-        return sure, may + bisect_right(lost, end)
+            minimum += asked_us >= start and answered_us <= end
+            maximum += answered_us >= start
+        return minimum, maximum + bisect_right(lost, end)
--- a/granitewell/lab/judge/excuses.py
+++ b/granitewell/lab/judge/fault_exemptions.py
@@ -17,29 +17,29 @@
 from dataclasses import dataclass
 
 from granitewell.lab.day import Day
-from granitewell.lab.judge.records import Try
+from granitewell.lab.judge.records import ClientAttempt
 
-TAIL_US = 100_000
-OPEN = 1 << 62
+RECOVERY_US = 100_000
+NOT_ENDED_US = 1 << 62
 
 
 @dataclass(slots=True)
-class _Excuse:
+class _Exemption:
     index: int
-    stalls: bool
+    is_stall: bool
     names: tuple[str, ...]
     begin: int
-    end: int = OPEN
+    end: int = NOT_ENDED_US
 
 
-class Excuses:
+class FaultExemptions:
     """What the day's faults excuse. Zones are told apart from nodes by the day's names."""
 
     def __init__(self, day: Day) -> None:
         self._faults = day.faults
         self._zones = {z: k for k, z in enumerate(day.zones)}
         self._node_zone = {n.name: n.zone for n in day.nodes}
-        self._held: list[_Excuse] = []
+        self._exemptions: list[_Exemption] = []
 
     def fault(self, at: int, index: int, begins: bool) -> None:
         """A fault of the day begins or ends. ValueError for one that the day does not have."""
@@ -48,20 +48,25 @@
         fault = self._faults[index]
         if begins and fault.kind in ("node_stall", "cut"):
             names = tuple(fault.target.split(","))
-            self._held.append(_Excuse(index, fault.kind == "node_stall", names, at))
-        for x in self._held:
-            if not begins and x.index == index and x.end == OPEN:
-                x.end = at + TAIL_US
+            self._exemptions.append(_Exemption(index, fault.kind == "node_stall", names, at))
+        for x in self._exemptions:
+            if not begins and x.index == index and x.end == NOT_ENDED_US:
+                x.end = at + RECOVERY_US
 
-    def answer(self, of: Try, due: int) -> bool:
+    def exempts_response(self, client_attempt: ClientAttempt, due: int) -> bool:
         """Whether this try need not have been answered, which was due then."""
-        return any(x.begin <= due and of.asked_at <= x.end and self._befalls(x, of) for x in self._held)
+        return any(
+            x.begin <= due and client_attempt.asked_at <= x.end and self._affects(x, client_attempt)
+            for x in self._exemptions
+        )
 
-    def drain(self, node: str, at: int) -> bool:
+    def exempts_drain(self, node: str, at: int) -> bool:
         """Whether a node's sending then need not have heeded what it was told."""
-        return any(x.stalls and node in x.names and x.begin <= at <= x.end for x in self._held)
+        return any(x.is_stall and node in x.names and x.begin <= at <= x.end for x in self._exemptions)
 
-    def _befalls(self, x: _Excuse, of: Try) -> bool:
-        zone = self._node_zone.get(of.node, of.zone)
+    def _affects(self, x: _Exemption, client_attempt: ClientAttempt) -> bool:
+        zone = self._node_zone.get(client_attempt.node, client_attempt.zone)
         cut = {self._zones[n] for n in x.names if n in self._zones}
-        return of.node in x.names or (zone != of.zone and bool(cut & {zone, of.zone}))
+        return client_attempt.node in x.names or (
+            zone != client_attempt.zone and bool(cut & {zone, client_attempt.zone})
+        )
--- a/granitewell/lab/judge/histogram.py
+++ b/granitewell/lab/judge/histogram.py
@@ -9,21 +9,21 @@
 
 from collections.abc import Mapping
 
-BITS = 6  # buckets to a doubling, as a power of 2: values under 128 us are exact
-LARGEST_US = 1 << 42  # seven weeks; what lies beyond is counted as this
+SUB_BUCKET_BITS = 6  # buckets to a doubling, as a power of 2: values under 128 us are exact
+MAX_VALUE_US = 1 << 42  # seven weeks; what lies beyond is counted as this
 
 
-def bucket(value: int) -> int:
+def bucket_index(value: int) -> int:
     """The number of the bucket of a value in microseconds; values below 0 count as 0."""
-    value = min(max(value, 0), LARGEST_US)
-    shift = max(value.bit_length() - BITS - 1, 0)
-    return (shift << BITS) + (value >> shift)
+    value = min(max(value, 0), MAX_VALUE_US)
+    shift = max(value.bit_length() - SUB_BUCKET_BITS - 1, 0)
+    return (shift << SUB_BUCKET_BITS) + (value >> shift)
 
 
-def edges(number: int) -> tuple[int, int]:
+def bucket_bounds(number: int) -> tuple[int, int]:
     """The least and the largest value of a bucket."""
-    shift = max((number >> BITS) - 1, 0)
-    low = (number - (shift << BITS)) << shift
+    shift = max((number >> SUB_BUCKET_BITS) - 1, 0)
+    low = (number - (shift << SUB_BUCKET_BITS)) << shift
     return low, low + (1 << shift) - 1
 
 
@@ -38,7 +38,7 @@
 
     def add(self, value_us: int) -> None:
         """Count one value."""
-        number = bucket(value_us)
+        number = bucket_index(value_us)
         self.counts[number] = self.counts.get(number, 0) + 1
         self.n += 1
         self.total_us += value_us
@@ -56,7 +56,7 @@
         for number in sorted(self.counts):
             seen += self.counts[number]
             if seen >= want:
-                return edges(number)[1]
+                return bucket_bounds(number)[1]
         return 0
 
     def as_dict(self) -> dict[str, object]:
--- a/granitewell/lab/judge/records.py
+++ b/granitewell/lab/judge/records.py
@@ -14,7 +14,7 @@
 MAX_HISTORY = 400  # observations kept of one request: a node that sends without end must not fill memory
 
 
-class Attempt:
+class UpstreamAttempt:
     """One attempt that has reached an endpoint whole."""
 
     __slots__ = ("ended_at", "endpoint", "node", "outcome", "ran_at", "sent_at", "work_us")
@@ -26,7 +26,7 @@
         self.outcome = ""  # of Witness.ended; "" while it is out
 
 
-class Try:
+class ClientAttempt:
     """One try as a client sent it.
 
     `closed` is "" while open, then `served`, `refused`, `failed`, `left`, `lost`, `cut` (its node was killed
@@ -34,48 +34,48 @@
     """
 
     __slots__ = (
-        "answers", "asked_at", "attempts", "closed", "closed_at", "group", "node", "ran", "rid", "taken_at",
+        "answers", "asked_at", "attempts", "closed", "closed_at", "request", "node", "ran", "rid", "taken_at",
         "timeout_us", "zone",
     )  # fmt: skip
 
-    def __init__(self, rid: str, group: Request, asked_at: int, timeout_us: int, zone: int) -> None:
-        self.rid, self.group, self.asked_at, self.timeout_us = rid, group, asked_at, timeout_us
+    def __init__(self, rid: str, request: Request, asked_at: int, timeout_us: int, zone: int) -> None:
+        self.rid, self.request, self.asked_at, self.timeout_us = rid, request, asked_at, timeout_us
         self.zone = zone
         self.node = self.closed = ""
         self.taken_at = self.closed_at = -1
         self.answers = self.ran = 0
-        self.attempts: list[Attempt] = []
+        self.attempts: list[UpstreamAttempt] = []
 
 
 class Request:
     """A first try with its further tries: what worth is counted by."""
 
     __slots__ = (
-        "after", "again", "asked_at", "before_ran", "cls", "earned", "first", "history", "open", "out",
-        "ran", "rest", "served", "tenant", "tries", "within", "worth",
+        "rebooked_by", "is_double_booking", "asked_at", "original_ran", "cls", "earned", "first", "history",
+        "open", "outstanding", "ran", "idle_number", "served", "tenant", "tries", "within_share", "value",
     )  # fmt: skip
 
     def __init__(self, first: str, cls: int, tenant: int, asked_at: int) -> None:
         self.first, self.cls, self.tenant, self.asked_at = first, cls, tenant, asked_at
-        self.tries: list[Try] = []
+        self.tries: list[ClientAttempt] = []
         self.history: list[Observation] = []
-        self.open = self.out = self.ran = 0  # tries open, attempts out, tries that have run
-        self.rest = 0  # number of the time since which nothing has happened to it; 0: a try is open
-        self.after: Request | None = None  # what makes this lost booking anew, and
-        self.before_ran = False  # whether the one that this makes anew has run
-        self.again = False  # counted as a double booking
+        self.open = self.outstanding = self.ran = 0  # tries open, attempts out, tries that have run
+        self.idle_number = 0  # number of the time since which nothing has happened to it; 0: a try is open
+        self.rebooked_by: Request | None = None  # what makes this lost booking anew, and
+        self.original_ran = False  # whether the one that this makes anew has run
+        self.is_double_booking = False  # counted as a double booking
         self.served = False
-        self.within = True  # its tenant's share
-        self.worth = self.earned = 0.0
+        self.within_share = True  # its tenant's share
+        self.value = self.earned = 0.0
 
-    def note(self, observation: Observation) -> None:
+    def add_observation(self, observation: Observation) -> None:
         """Keep one more observation, as far as there is room."""
         if len(self.history) < MAX_HISTORY:
             self.history.append(observation)
 
 
 @dataclass(frozen=True, slots=True)
-class Offence:
+class Violation:
     """A broken rule. `history` goes on filling while its request is open."""
 
     at: int
--- a/granitewell/lab/judge/report.py
+++ b/granitewell/lab/judge/report.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from granitewell.lab.judge.histogram import Histogram
-from granitewell.lab.judge.records import Offence
-from granitewell.lab.judge.worth import Price
+from granitewell.lab.judge.records import Violation
+from granitewell.lab.judge.value_score import Deduction
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,8 +22,8 @@
     seed: int
     g: float  # as worth counts it, whatever was broken
     parts: dict[str, float]  # whole, worst_window, worst_class, worst_tenant
-    prices: dict[str, Price]
-    broken: tuple[Offence, ...]  # the earliest, by time
+    prices: dict[str, Deduction]
+    broken: tuple[Violation, ...]  # the earliest, by time
     offences: dict[str, int]  # how many by rule
     requests: int  # first tries
     tries: int
--- a/granitewell/lab/judge/worth.py
+++ b/granitewell/lab/judge/value_score.py
@@ -35,21 +35,23 @@
 from dataclasses import dataclass
 
 from granitewell.lab.day import Day
-from granitewell.lab.judge.records import Attempt, Request, Try
+from granitewell.lab.judge.records import ClientAttempt, Request, UpstreamAttempt
 
 BUCKET_US = 250_000
-PARTLY = frozenset({"stopped", "died", "hung", ""})  # outcomes of which it is not known how much was done
+PARTIAL_OUTCOMES = frozenset(
+    {"stopped", "died", "hung", ""}
+)  # outcomes of which it is not known how much was done
 
 
 @dataclass(frozen=True, slots=True)
-class Price:
+class Deduction:
     """One deduction: what it is counted from, and what it takes off G."""
 
     share: float
     points: float
 
 
-class Worth:
+class ValueScore:
     """Counts first tries, their answers, and what goes off."""
 
     def __init__(self, day: Day) -> None:
@@ -63,62 +65,64 @@
         self._tokens = [[max(t.allowance_per_s, 1.0), 0.0] for t in day.tenants]  # tokens, and since when
         self._speed = {e.id: e.speed for e in day.endpoints}
 
-    def ask(self, of: Request) -> None:
+    def add_request(self, request: Request) -> None:
         """A first try has been asked."""
-        cls = self._day.classes[of.cls]
-        of.within = self._within(of.tenant, of.asked_at)
-        of.worth = cls.worth if of.within else cls.worth * self._goal.over_share_worth
+        cls = self._day.classes[request.cls]
+        request.within_share = self._within(request.tenant, request.asked_at)
+        request.value = cls.worth if request.within_share else cls.worth * self._goal.over_share_worth
         self.first_tries += 1
         self.work_asked += cls.work_us
-        self._count(of, 0, of.worth)
-        self.asked += of.worth
+        self._add_to_sums(request, 0, request.value)
+        self.asked += request.value
 
-    def serve(self, of: Request, by: Try, at: int) -> None:
+    def add_served(self, request: Request, client_attempt: ClientAttempt, at: int) -> None:
         """A try of a request not yet served has a right answer."""
-        cls = self._day.classes[of.cls]
-        took = at - of.asked_at
-        if at > by.asked_at + by.timeout_us or took > cls.deadline_us:
+        cls = self._day.classes[request.cls]
+        took = at - request.asked_at
+        if at > client_attempt.asked_at + client_attempt.timeout_us or took > cls.deadline_us:
             return  # the client has given up, though the rule's slack may not be over
-        of.served = True
-        of.earned = of.worth if took <= cls.aim_us else of.worth * cls.late_worth
-        self._count(of, 1, of.earned)
-        self.earned += of.earned
+        request.served = True
+        request.earned = request.value if took <= cls.aim_us else request.value * cls.late_worth
+        self._add_to_sums(request, 1, request.earned)
+        self.earned += request.earned
 
-    def settle(self, of: Request, at: int) -> None:
+    def close_request(self, request: Request, at: int) -> None:
         """Nothing more will be seen of this request: count what failed late and what was wasted."""
-        self.late_failed += self.late_fail(of, at)
-        ran, wasted = self.work(of, at)
+        self.late_failed += self.late_failure_value(request, at)
+        ran, wasted = self.attempt_work(request, at)
         self.work_ran += ran
         self.wasted += wasted
 
-    def late_fail(self, of: Request, at: int) -> float:
+    def late_failure_value(self, request: Request, at: int) -> float:
         """The worth that failed only after the aim; 0 where it was served, or failed before."""
-        if of.served or not of.worth:
+        if request.served or not request.value:
             return 0.0
-        last = max((_closed(t, at) for t in of.tries), default=at)
-        return of.worth if last - of.asked_at > self._day.classes[of.cls].aim_us else 0.0
+        last = max((_closed_at(t, at) for t in request.tries), default=at)
+        return request.value if last - request.asked_at > self._day.classes[request.cls].aim_us else 0.0
 
-    def work(self, of: Request, at: int) -> tuple[float, float]:
+    def attempt_work(self, request: Request, at: int) -> tuple[float, float]:
         """Work done on all its attempts, and the part of it whose answer no client got."""
         done = wasted = 0.0
-        for t in of.tries:
+        for t in request.tries:
             useful = t.closed == "served"
-            for attempt in sorted(t.attempts, key=_ended):
-                work = self._done(attempt, at) if attempt.ran_at >= 0 else 0.0
-                done += work
+            for attempt in sorted(t.attempts, key=_end_time):
+                attempt_work = self._work_done(attempt, at) if attempt.ran_at >= 0 else 0.0
+                done += attempt_work
                 if useful and attempt.outcome == "ok":
                     useful = False
                 else:
-                    wasted += work
+                    wasted += attempt_work
         return done, wasted
 
-    def figure(self, late_failed: float, wasted: float) -> tuple[float, dict[str, float], dict[str, Price]]:
+    def score(
+        self, late_failed: float, wasted: float
+    ) -> tuple[float, dict[str, float], dict[str, Deduction]]:
         """G, its parts, and its deductions. The sums are given with what is open counted in."""
         goal = self._goal
-        parts = {
-            "whole": _part(self.asked, self.earned), "worst_window": self._worst_window(),
-            "worst_class": min((_part(*x) for x in self.by_class if x[0]), default=1.0),
-            "worst_tenant": min((_part(*x) for x in self.by_tenant if x[0]), default=1.0),
+        components = {
+            "whole": _ratio(self.asked, self.earned), "worst_window": self._worst_window(),
+            "worst_class": min((_ratio(*x) for x in self.by_class if x[0]), default=1.0),
+            "worst_tenant": min((_ratio(*x) for x in self.by_tenant if x[0]), default=1.0),
         }  # fmt: skip
         n = max(self.first_tries, 1)
         shares = {
@@ -128,9 +132,9 @@
         }  # fmt: skip
         if not self.first_tries:
             shares = dict.fromkeys(shares, 0.0)
-        prices = {k: Price(v, v * float(getattr(goal, k))) for k, v in shares.items()}
-        g = sum(v * float(getattr(goal, k)) for k, v in parts.items())
-        return max(g - sum(p.points for p in prices.values()), 0.0), parts, prices
+        prices = {k: Deduction(v, v * float(getattr(goal, k))) for k, v in shares.items()}
+        g = sum(v * float(getattr(goal, k)) for k, v in components.items())
+        return max(g - sum(p.points for p in prices.values()), 0.0), components, prices
 
     def _within(self, tenant: int, at: int) -> bool:
         if not 0 <= tenant < len(self._tokens):
@@ -140,23 +144,23 @@
             return True
         bucket = self._tokens[tenant]
         tokens = min(bucket[0] + (at - bucket[1]) * rate / 1e6, max(rate, 1.0))
-        within = tokens >= 1.0
-        bucket[0], bucket[1] = tokens - within, float(at)
-        return within
+        within_share = tokens >= 1.0
+        bucket[0], bucket[1] = tokens - within_share, float(at)
+        return within_share
 
-    def _count(self, of: Request, k: int, worth: float) -> None:
-        number = of.asked_at // BUCKET_US
+    def _add_to_sums(self, request: Request, k: int, value: float) -> None:
+        number = request.asked_at // BUCKET_US
         while len(self.buckets) <= number:
             self.buckets.append([0.0, 0.0])
-        self.buckets[number][k] += worth
-        self.by_class[of.cls][k] += worth
-        if of.within and 0 <= of.tenant < len(self.by_tenant):
-            self.by_tenant[of.tenant][k] += worth
+        self.buckets[number][k] += value
+        self.by_class[request.cls][k] += value
+        if request.within_share and 0 <= request.tenant < len(self.by_tenant):
+            self.by_tenant[request.tenant][k] += value
 
     def _worst_window(self) -> float:
         size, last = self._goal.window_us // BUCKET_US, self._day.length_us // BUCKET_US
         if last < size or size < 1:
-            return _part(self.asked, self.earned)
+            return _ratio(self.asked, self.earned)
         buckets = self.buckets + [[0.0, 0.0]] * (last - len(self.buckets))
         worst, asked, earned = 1.0, 0.0, 0.0
         for k, (a, e) in enumerate(buckets[:last]):
@@ -167,23 +171,23 @@
                 worst = min(worst, earned / asked)
         return max(worst, 0.0)
 
-    def _done(self, attempt: Attempt, at: int) -> float:
-        if attempt.outcome not in PARTLY:
+    def _work_done(self, attempt: UpstreamAttempt, at: int) -> float:
+        if attempt.outcome not in PARTIAL_OUTCOMES:
             return attempt.work_us
         until = attempt.ended_at if attempt.outcome else at
         return min(attempt.work_us, (until - attempt.ran_at) * self._speed.get(attempt.endpoint, 1.0))
 
 
-def _ended(attempt: Attempt) -> int:
+def _end_time(attempt: UpstreamAttempt) -> int:
     return attempt.ended_at if attempt.outcome else 1 << 62
 
 
-def _closed(t: Try, at: int) -> int:
+def _closed_at(t: ClientAttempt, at: int) -> int:
     """When its client knew how it ended. That of one `unreached` was not seen until its time was over."""
     if t.closed == "unreached":
         return t.asked_at
     return t.closed_at if t.closed else at
 
 
-def _part(asked: float, earned: float) -> float:
+def _ratio(asked: float, earned: float) -> float:
     return earned / asked if asked > 0.0 else 1.0
--- a/granitewell/lab/judge/view.py
+++ b/granitewell/lab/judge/view.py
@@ -28,16 +28,16 @@
 
 RULES = ("settle", "buried", "budget", "life", "upgrade", "leave", "elder", "first", "chatter", "number",
          "frames", "counts")  # fmt: skip
-GRACE_US = 45_000_000  # after a trouble, for which it explains what is believed
-NEW_US = 10_000_000  # for which a node that has come may count on fewer than there are
-CALM_US = 10_000_000  # without a trouble, after which a node hears all that is said to it
-SLACK = 1e-6
-SPAN_US = 3_500_000  # a node that stands still for no longer than this must not be buried
-MAX_OFFENCES = 200
+FAULT_GRACE_US = 45_000_000  # after a trouble, for which it explains what is believed
+NEW_NODE_GRACE_US = 10_000_000  # for which a node that has come may count on fewer than there are
+QUIET_PERIOD_US = 10_000_000  # without a trouble, after which a node hears all that is said to it
+BUDGET_TOLERANCE = 1e-6
+MAX_HARMLESS_PAUSE_US = 3_500_000  # a node that stands still for no longer than this must not be buried
+MAX_KEPT_VIOLATIONS = 200
 
 
 @dataclass(frozen=True, slots=True)
-class Offence:
+class Violation:
     """One rule broken."""
 
     rule: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Process:
+class NodeStatus:
     """What is known of a node's process.
 
     Attributes:
@@ -68,14 +68,16 @@
 
     name: str
     up: bool = False
-    held: bool = False
-    asked_us: int = -1
-    since_us: int = 0
-    held_us: int = -(1 << 60)
-    touched_us: int = -(1 << 60)
-    killed_life: int = 0  # the life that it had when it was last killed
-    life: int = 0
-    heard_by: frozenset[str] = frozenset()  # who could not but hear that it leaves, when it was asked to
+    paused: bool = False
+    stop_requested_us: int = -1
+    started_us: int = 0
+    pause_changed_us: int = -(1 << 60)
+    last_fault_us: int = -(1 << 60)
+    killed_incarnation: int = 0  # the life that it had when it was last killed
+    incarnation: int = 0
+    leave_observers: frozenset[str] = (
+        frozenset()
+    )  # who could not but hear that it leaves, when it was asked to
 
 
 @dataclass(slots=True)
@@ -89,7 +91,7 @@
     """
 
     settled: list[Settled] = field(default_factory=list)
-    offences: list[Offence] = field(default_factory=list)
+    offences: list[Violation] = field(default_factory=list)
     broken: Counter[str] = field(default_factory=Counter)
     looks: int = 0
     unanswered: int = 0
@@ -108,124 +110,137 @@
     def __init__(self, names: Iterable[str], bound_us: int) -> None:
         self.report = ViewReport()
         self._bound_us = bound_us
-        self._nodes = {name: Process(name) for name in names}
-        self._groups: dict[object, tuple[frozenset[str], ...]] = {}  # cuts that are on
-        self._cut_us: dict[object, int] = {}  # and since when
-        self._apart_us: dict[frozenset[str], int] = {}  # pair: when they were last cut off from each other
-        self._unclear: set[object] = set()  # troubles under which no view is expected
+        self._nodes = {name: NodeStatus(name) for name in names}
+        self._partitions: dict[object, tuple[frozenset[str], ...]] = {}  # cuts that are on
+        self._partitioned_since_us: dict[object, int] = {}  # and since when
+        self._last_partitioned_us: dict[
+            frozenset[str], int
+        ] = {}  # pair: when they were last cut off from each other
+        self._ambiguous_faults: set[object] = set()  # troubles under which no view is expected
         self._upgrades: dict[str, tuple[int, int]] = {}  # node: since when, and the life that it had
-        self._elders: dict[str, str] = {}  # names that two processes go by: the birth of the first
-        self._latest: dict[str, tuple[int, bool, dict[str, str], bool]] = {}
-        self._changed_us, self._cause, self._open = 0, "", False
-        self._buried: set[tuple[str, str, int]] = set()
-        self._mostly: dict[str, int] = {}
+        self._first_births: dict[str, str] = {}  # names that two processes go by: the birth of the first
+        self._latest_views: dict[str, tuple[int, bool, dict[str, str], bool]] = {}
+        self._last_change_us, self._last_change_cause, self._awaiting_agreement = 0, "", False
+        self._reported: set[tuple[str, str, int]] = set()
+        self._upper_bounds: dict[str, int] = {}
 
     # --- What befalls them ------------------------------------------------------------------------------
     def up(self, at_us: int, name: str) -> None:
         """A process of it has started."""
         node = self._nodes[name]
-        node.up, node.held, node.asked_us, node.since_us, node.touched_us = True, False, -1, at_us, at_us
-        self._latest.pop(name, None)
+        node.up, node.paused, node.stop_requested_us, node.started_us, node.last_fault_us = (
+            True,
+            False,
+            -1,
+            at_us,
+            at_us,
+        )
+        self._latest_views.pop(name, None)
         self._change(at_us, f"start {name}")
 
     def down(self, at_us: int, name: str, lost: bool = False) -> None:
         """Its process is gone; lost: and what it had written down, so that it may begin from nothing."""
         node = self._nodes[name]
         if lost:
-            node.life = node.killed_life = 0
+            node.incarnation = node.killed_incarnation = 0
             self._change(at_us, f"kill {name}")
-        elif node.asked_us < 0:
-            node.killed_life = max(node.life, node.killed_life)
+        elif node.stop_requested_us < 0:
+            node.killed_incarnation = max(node.incarnation, node.killed_incarnation)
             self._change(at_us, f"kill {name}")
-        node.up, node.touched_us = False, at_us
-        self._latest.pop(name, None)
-        self._mostly.pop(name, None)
+        node.up, node.last_fault_us = False, at_us
+        self._latest_views.pop(name, None)
+        self._upper_bounds.pop(name, None)
 
-    def asked(self, at_us: int, name: str) -> None:
+    def stop_requested(self, at_us: int, name: str) -> None:
         """It has been asked to stop."""
         node = self._nodes[name]
-        node.asked_us = at_us
-        node.heard_by = frozenset(n for n, x in self._nodes.items() if self._hears(at_us, x, node))
+        node.stop_requested_us = at_us
+        node.leave_observers = frozenset(n for n, x in self._nodes.items() if self._can_hear(at_us, x, node))
         self._change(at_us, f"leave {name}")
 
-    def _hears(self, at_us: int, by: Process, node: Process) -> bool:
+    def _can_hear(self, at_us: int, by: NodeStatus, node: NodeStatus) -> bool:
         """Is nothing in the way between them, and has nothing been for a while?"""
-        calm = at_us - max(by.touched_us, node.touched_us, by.held_us) > CALM_US and not self._unclear
-        apart_us = self._apart_us.get(frozenset((by.name, node.name)), -(1 << 60))
-        near = at_us - apart_us > CALM_US and not self._apart(by.name, node.name)
-        return by.up and not by.held and calm and near
-
-    def holds(self, at_us: int, name: str, on: bool, span_us: int) -> None:
+        is_quiet = (
+            at_us - max(by.last_fault_us, node.last_fault_us, by.pause_changed_us) > QUIET_PERIOD_US
+            and not self._ambiguous_faults
+        )
+        last_partitioned_us = self._last_partitioned_us.get(frozenset((by.name, node.name)), -(1 << 60))
+        is_reachable = at_us - last_partitioned_us > QUIET_PERIOD_US and not self._are_partitioned(
+            by.name, node.name
+        )
+        return by.up and not by.paused and is_quiet and is_reachable
+
+    def set_paused(self, at_us: int, name: str, on: bool, span_us: int) -> None:
         """It stands still, for so long, or goes on."""
         node = self._nodes[name]
-        node.held, node.held_us = on, at_us
-        if span_us > SPAN_US:
-            node.touched_us = at_us
+        node.paused, node.pause_changed_us = on, at_us
+        if span_us > MAX_HARMLESS_PAUSE_US:
+            node.last_fault_us = at_us
             self._change(at_us, f"{'stop' if on else 'go on'} {name}")
 
     def cut(self, at_us: int, key: object, groups: Iterable[Iterable[str]], on: bool, both: bool) -> None:
         """Some can't reach others from now on, or can again; both: neither way."""
         made = tuple(frozenset(g) for g in groups)
-        self._pairs(at_us, made)
+        self._mark_partitioned(at_us, made)
         sizes = "/".join(str(len(g)) for g in made)
         if on:
-            self._groups[key], self._cut_us[key] = made, at_us
+            self._partitions[key], self._partitioned_since_us[key] = made, at_us
             if not both:
-                self._unclear.add(key)
+                self._ambiguous_faults.add(key)
             self._change(at_us, f"cut {sizes}")
         else:
-            self._groups.pop(key, None)
-            self._unclear.discard(key)
-            cut_s = (at_us - self._cut_us.pop(key, at_us)) / 1e6
+            self._partitions.pop(key, None)
+            self._ambiguous_faults.discard(key)
+            cut_s = (at_us - self._partitioned_since_us.pop(key, at_us)) / 1e6
             self._change(at_us, f"heal {sizes} after {cut_s:.0f} s")
 
-    def _pairs(self, at_us: int, groups: tuple[frozenset[str], ...]) -> None:
+    def _mark_partitioned(self, at_us: int, groups: tuple[frozenset[str], ...]) -> None:
         for k, one in enumerate(groups):
             for other in groups[k + 1 :]:
                 for a in one:
                     for b in other:
-                        self._apart_us[frozenset((a, b))] = at_us
+                        self._last_partitioned_us[frozenset((a, b))] = at_us
 
-    def unclear(self, at_us: int, key: object, on: bool, names: Iterable[str] = ()) -> None:
+    def set_ambiguous(self, at_us: int, key: object, on: bool, names: Iterable[str] = ()) -> None:
         """Something under which no view is expected to be right; it explains a death of these."""
-        (self._unclear.add if on else self._unclear.discard)(key)
+        (self._ambiguous_faults.add if on else self._ambiguous_faults.discard)(key)
         for name in names:
-            self._nodes[name].touched_us = at_us
+            self._nodes[name].last_fault_us = at_us
         self._change(at_us, f"{'with' if on else 'without'} {key}")
 
     def upgrade(self, at_us: int, name: str, on: bool) -> None:
         """Two processes of it run from now on, or one again."""
         if on:
-            self._upgrades[name] = at_us, self._nodes[name].life
+            self._upgrades[name] = at_us, self._nodes[name].incarnation
         else:
             self._upgrades.pop(name, None)
 
-    def twin(self, name: str, on: bool) -> None:
+    def set_duplicate_name(self, name: str, on: bool) -> None:
         """A second process goes by the name of one that runs, or does no more."""
-        births = [up[name] for _, whole, up, _ in self._latest.values() if whole and name in up]
+        births = [up[name] for _, responded, up, _ in self._latest_views.values() if responded and name in up]
         if on and births:
-            self._elders[name] = births[0]
+            self._first_births[name] = births[0]
         elif not on:
-            self._elders.pop(name, None)
+            self._first_births.pop(name, None)
 
     def _change(self, at_us: int, cause: str) -> None:
-        if self._open and self._settling:
-            self.report.settled.append(Settled(self._changed_us, self._cause, -1))
-        self._changed_us, self._cause, self._open = at_us, cause, True
+        if self._awaiting_agreement and self._has_expected_view:
+            self.report.settled.append(Settled(self._last_change_us, self._last_change_cause, -1))
+        self._last_change_us, self._last_change_cause, self._awaiting_agreement = at_us, cause, True
 
-    def shift(self, by_us: int) -> None:
+    def shift_times(self, by_us: int) -> None:
         """The day has begun: what was dated by a clock that ran so far ahead is dated by the day's."""
         for node in self._nodes.values():
-            node.since_us += by_us
-            node.touched_us += by_us
-        self._changed_us += by_us
-        self._latest = {n: (at + by_us, *rest) for n, (at, *rest) in self._latest.items()}  # type: ignore[misc]
+            node.started_us += by_us
+            node.last_fault_us += by_us
+        self._last_change_us += by_us
+        self._latest_views = {n: (at + by_us, *rest) for n, (at, *rest) in self._latest_views.items()}  # type: ignore[misc]
         self.report.settled = [Settled(s.at_us + by_us, s.cause, s.took_us) for s in self.report.settled]
 
     # --- What they believe ------------------------------------------------------------------------------
-    def look(
-        self, at_us: int, name: str, whole: bool, up: Mapping[str, str], gone: Mapping[str, str], most: int,
-        life: int,
+    def observe(
+        self, at_us: int, name: str, responded: bool, up: Mapping[str, str], gone: Mapping[str, str],
+        size_upper_bound: int, incarnation: int,
     ) -> str:  # fmt: skip
         """One look at a node; whole: it is a member and has answered.
 
@@ -234,141 +249,177 @@
         """
         report, node = self.report, self._nodes[name]
         report.looks += 1
-        if not node.up or node.held:
+        if not node.up or node.paused:
             return "none"
-        if not whole:
+        if not responded:
             report.unanswered += 1
-            self._latest[name] = at_us, False, {}, False
+            self._latest_views[name] = at_us, False, {}, False
             return "none"
-        self._latest[name] = at_us, True, dict(up), node.asked_us >= 0
-        self._mostly[name] = most
-        self._life(at_us, node, life)
-        self._deaths(at_us, node, gone)
-        self._births(at_us, node, up, gone)
-        self._budget(at_us)
-        self._settle(at_us)
+        self._latest_views[name] = at_us, True, dict(up), node.stop_requested_us >= 0
+        self._upper_bounds[name] = size_upper_bound
+        self._check_incarnation(at_us, node, incarnation)
+        self._check_deaths(at_us, node, gone)
+        self._check_births(at_us, node, up, gone)
+        self._check_budget(at_us)
+        self._check_settled(at_us)
         wanted = self.expected(name)
-        if node.asked_us >= 0 or up.keys() == wanted:
+        if node.stop_requested_us >= 0 or up.keys() == wanted:
             return "same"
         return "few" if wanted - up.keys() else "many"
 
     def is_member(self, name: str) -> bool:
         """Has its process been seen to be one?"""
-        seen = self._latest.get(name)
+        seen = self._latest_views.get(name)
         return seen is not None and seen[1]
 
-    def waits(self, at_us: int) -> bool:
+    def is_awaiting_agreement(self, at_us: int) -> bool:
         """Is there still time for all to agree, and do they not yet?"""
-        return self._open and self._settling and at_us - self._changed_us < self._bound_us
-
-    def _life(self, at_us: int, node: Process, life: int) -> None:
-        if life < node.life:
-            self._break("life", at_us, f"{node.name} says that it is in life {life}, and was in {node.life}")
-        if node.killed_life and life == node.killed_life and node.name not in self._upgrades:
-            self._break("life", at_us, f"{node.name} was killed in life {life}, and goes on with it")
-        node.life = max(life, node.life)
-
-    def _deaths(self, at_us: int, by: Process, gone: Mapping[str, str]) -> None:
+        return (
+            self._awaiting_agreement
+            and self._has_expected_view
+            and at_us - self._last_change_us < self._bound_us
+        )
+
+    def _check_incarnation(self, at_us: int, node: NodeStatus, incarnation: int) -> None:
+        if incarnation < node.incarnation:
+            self._record_violation(
+                "life",
+                at_us,
+                f"{node.name} says that it is in life {incarnation}, and was in {node.incarnation}",
+            )
+        if (
+            node.killed_incarnation
+            and incarnation == node.killed_incarnation
+            and node.name not in self._upgrades
+        ):
+            self._record_violation(
+                "life", at_us, f"{node.name} was killed in life {incarnation}, and goes on with it"
+            )
+        node.incarnation = max(incarnation, node.incarnation)
+
+    def _check_deaths(self, at_us: int, by: NodeStatus, gone: Mapping[str, str]) -> None:
         """Who is called dead, and lives."""
         for name, state in gone.items():
             node = self._nodes.get(name)
             if node is None:
                 continue
-            if node.asked_us >= 0 and state == "dead" and by.name in node.heard_by:
-                self._once("leave", at_us, by, node, f"{by.name} calls {name} dead, which was asked to stop")
-            if not node.up or node.asked_us >= 0 or state != "dead":
+            if node.stop_requested_us >= 0 and state == "dead" and by.name in node.leave_observers:
+                self._report_once(
+                    "leave", at_us, by, node, f"{by.name} calls {name} dead, which was asked to stop"
+                )
+            if not node.up or node.stop_requested_us >= 0 or state != "dead":
                 continue
             if name in self._upgrades:
-                self._once("upgrade", at_us, by, node, f"{by.name} calls {name} dead during its upgrade")
+                self._report_once(
+                    "upgrade", at_us, by, node, f"{by.name} calls {name} dead during its upgrade"
+                )
                 continue
             text = f"{by.name} calls {name} dead, which lives"
-            if not self._explained(at_us, by, node) and self._once("buried", at_us, by, node, text):
+            if not self._has_explanation(at_us, by, node) and self._report_once(
+                "buried", at_us, by, node, text
+            ):
                 self.report.false_deaths += 1
 
-    def _births(self, at_us: int, by: Process, up: Mapping[str, str], gone: Mapping[str, str]) -> None:
-        for name, birth in self._elders.items():
+    def _check_births(
+        self, at_us: int, by: NodeStatus, up: Mapping[str, str], gone: Mapping[str, str]
+    ) -> None:
+        for name, birth in self._first_births.items():
             if up.get(name, birth) != birth:
                 text = f"{by.name} takes a second process for {name}, whose first one lives"
-                self._once("elder", at_us, by, self._nodes[name], text)
+                self._report_once("elder", at_us, by, self._nodes[name], text)
         for name in self._upgrades:
-            if gone.get(name) == "left" and self._nodes[name].asked_us < 0:
+            if gone.get(name) == "left" and self._nodes[name].stop_requested_us < 0:
                 node = self._nodes[name]
-                self._once("upgrade", at_us, by, node, f"{by.name} sees {name} leave during its upgrade")
+                self._report_once(
+                    "upgrade", at_us, by, node, f"{by.name} sees {name} leave during its upgrade"
+                )
 
-    def _explained(self, at_us: int, by: Process, node: Process) -> bool:
+    def _has_explanation(self, at_us: int, by: NodeStatus, node: NodeStatus) -> bool:
         """Has anything befallen either that accounts for a death?"""
-        last = max(node.touched_us, by.touched_us)
-        last = max(last, self._apart_us.get(frozenset((by.name, node.name)), -(1 << 60)))
-        return at_us - last < GRACE_US or self._apart(by.name, node.name) or bool(self._unclear)
-
-    def _apart(self, a: str, b: str) -> bool:
-        return any(_place(groups, a) != _place(groups, b) for groups in self._groups.values())
-
-    def _once(self, rule: str, at_us: int, by: Process, node: Process, text: str) -> bool:
+        last = max(node.last_fault_us, by.last_fault_us)
+        last = max(last, self._last_partitioned_us.get(frozenset((by.name, node.name)), -(1 << 60)))
+        return (
+            at_us - last < FAULT_GRACE_US
+            or self._are_partitioned(by.name, node.name)
+            or bool(self._ambiguous_faults)
+        )
+
+    def _are_partitioned(self, a: str, b: str) -> bool:
+        return any(_group_index(groups, a) != _group_index(groups, b) for groups in self._partitions.values())
+
+    def _report_once(self, rule: str, at_us: int, by: NodeStatus, node: NodeStatus, text: str) -> bool:
         """Break a rule once for each pair and life."""
-        key = (rule + by.name, node.name, node.since_us)
-        if key in self._buried:
+        key = (rule + by.name, node.name, node.started_us)
+        if key in self._reported:
             return False
-        self._buried.add(key)
-        self._break(rule, at_us, text)
+        self._reported.add(key)
+        self._record_violation(rule, at_us, text)
         return True
 
-    def _budget(self, at_us: int) -> None:
+    def _check_budget(self, at_us: int) -> None:
         """The parts that all living nodes hold themselves to have."""
-        parts = 0.0
+        shares = 0.0
         for name, node in self._nodes.items():
-            if not node.up or node.held or node.asked_us >= 0 or name not in self._mostly:
+            if not node.up or node.paused or node.stop_requested_us >= 0 or name not in self._upper_bounds:
                 continue
-            if at_us - node.since_us < NEW_US:
+            if at_us - node.started_us < NEW_NODE_GRACE_US:
                 return  # those who were there have to hear of it first
-            parts += 1.0 / max(self._mostly[name], 1)
-        self.report.budget_most = max(self.report.budget_most, parts)
-        if parts > 1.0 + SLACK:
-            text = ", ".join(f"{n} 1/{m}" for n, m in sorted(self._mostly.items()))
-            self._break("budget", at_us, f"the parts come to {parts:.2f} of the whole: {text[:300]}")
+            shares += 1.0 / max(self._upper_bounds[name], 1)
+        self.report.budget_most = max(self.report.budget_most, shares)
+        if shares > 1.0 + BUDGET_TOLERANCE:
+            text = ", ".join(f"{n} 1/{m}" for n, m in sorted(self._upper_bounds.items()))
+            self._record_violation(
+                "budget", at_us, f"the parts come to {shares:.2f} of the whole: {text[:300]}"
+            )
 
     # --- Settling ---------------------------------------------------------------------------------------
-    def _living(self) -> set[str]:
-        return {n for n, x in self._nodes.items() if x.up and not x.held and x.asked_us < 0}
+    def _running_nodes(self) -> set[str]:
+        return {n for n, x in self._nodes.items() if x.up and not x.paused and x.stop_requested_us < 0}
 
     @property
-    def _settling(self) -> bool:
+    def _has_expected_view(self) -> bool:
         """Is there a view that all should come to?"""
-        return not self._unclear and len(self._living()) > 0
+        return not self._ambiguous_faults and len(self._running_nodes()) > 0
 
     def expected(self, name: str) -> set[str]:
         """Whom this node should name as up: the living that no cut keeps from it."""
-        return {n for n in self._living() if n == name or not self._apart(n, name)}
+        return {n for n in self._running_nodes() if n == name or not self._are_partitioned(n, name)}
 
-    def _settle(self, at_us: int) -> None:
-        if not self._open or not self._settling:
+    def _check_settled(self, at_us: int) -> None:
+        if not self._awaiting_agreement or not self._has_expected_view:
             return
         births: dict[str, str] = {}
-        for name in self._living():
-            seen = self._latest.get(name)
-            if seen is None or not seen[1] or seen[0] <= self._changed_us or seen[3]:
+        for name in self._running_nodes():
+            seen = self._latest_views.get(name)
+            if seen is None or not seen[1] or seen[0] <= self._last_change_us or seen[3]:
                 return
             if seen[2].keys() != self.expected(name):
                 return
             for other, birth in seen[2].items():
                 if births.setdefault(other, birth) != birth:
                     return
-        self._open = False
-        self.report.settled.append(Settled(self._changed_us, self._cause, at_us - self._changed_us))
+        self._awaiting_agreement = False
+        self.report.settled.append(
+            Settled(self._last_change_us, self._last_change_cause, at_us - self._last_change_us)
+        )
 
     def end(self, at_us: int) -> None:
         """The run is over."""
-        if not self._open or not self._settling:
+        if not self._awaiting_agreement or not self._has_expected_view:
             return
-        if at_us - self._changed_us >= self._bound_us:
-            self._break("settle", at_us, f"not agreed {(at_us - self._changed_us) / 1e6:.1f} s after "
-                        f"{self._cause}: {self._apart_text()}")  # fmt: skip
-        self.report.settled.append(Settled(self._changed_us, self._cause, -1))
-
-    def _apart_text(self) -> str:
+        if at_us - self._last_change_us >= self._bound_us:
+            self._record_violation(
+                "settle",
+                at_us,
+                f"not agreed {(at_us - self._last_change_us) / 1e6:.1f} s after "
+                f"{self._last_change_cause}: {self._disagreement_text()}",
+            )
+        self.report.settled.append(Settled(self._last_change_us, self._last_change_cause, -1))
+
+    def _disagreement_text(self) -> str:
         texts = []
-        for name in sorted(self._living()):
-            seen, wanted = self._latest.get(name), self.expected(name)
+        for name in sorted(self._running_nodes()):
+            seen, wanted = self._latest_views.get(name), self.expected(name)
             if seen is None or not seen[1]:
                 texts.append(f"{name} is no member")
             elif missing := wanted - seen[2].keys():
@@ -378,15 +429,15 @@
         return "; ".join(texts[:5]) or "births differ"
 
     # --- Offences ---------------------------------------------------------------------------------------
-    def tell(self, at_us: int, rule: str, text: str) -> None:
+    def report_violation(self, at_us: int, rule: str, text: str) -> None:
         """A rule that somebody else has found broken: the switch, or whoever watched a listener."""
-        self._break(rule, at_us, text)
+        self._record_violation(rule, at_us, text)
 
-    def _break(self, rule: str, at_us: int, text: str) -> None:
+    def _record_violation(self, rule: str, at_us: int, text: str) -> None:
         self.report.broken[rule] += 1
-        if len(self.report.offences) < MAX_OFFENCES:
-            self.report.offences.append(Offence(rule, at_us, text))
+        if len(self.report.offences) < MAX_KEPT_VIOLATIONS:
+            self.report.offences.append(Violation(rule, at_us, text))
 
 
-def _place(groups: tuple[frozenset[str], ...], name: str) -> int:
+def _group_index(groups: tuple[frozenset[str], ...], name: str) -> int:
     return next((k for k, group in enumerate(groups) if name in group), -1)
--- a/granitewell/lab/judge/offence_agenda.py
+++ b/granitewell/lab/judge/violations.py
@@ -13,51 +13,61 @@
 from operator import attrgetter
 from typing import Any
 
-from granitewell.lab.judge.records import Attempt, Offence, Try
+from granitewell.lab.judge.records import ClientAttempt, UpstreamAttempt, Violation
 
-MAX_KEPT = 20  # offences kept whole, the earliest; of all others only the number by rule is known
+MAX_KEPT_VIOLATIONS = 20  # offences kept whole, the earliest; of all others only the number by rule is known
 NEVER = 1 << 62
 
 
-class Desk:
+class ViolationLog:
     """Offences and agenda of one day."""
 
     def __init__(self) -> None:
-        self.offences: list[Offence] = []  # by time
+        self.offences: list[Violation] = []  # by time
         self.counts: Counter[str] = Counter()  # by rule
         self.now_us = 0
         self.next_us = NEVER  # when something is to be looked at again
-        self._agenda: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._scheduled: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._seq = 0
 
-    def at(self, when_us: int, call: Callable[..., None], *args: Any) -> None:
+    def schedule(self, when_us: int, call: Callable[..., None], *args: Any) -> None:
         """Have this called once all observations up to that time have been seen."""
         self._seq += 1
-        heappush(self._agenda, (when_us, self._seq, call, args))
-        self.next_us = self._agenda[0][0]
+        heappush(self._scheduled, (when_us, self._seq, call, args))
+        self.next_us = self._scheduled[0][0]
 
-    def catch_up(self, now_us: int) -> None:
+    def run_due(self, now_us: int) -> None:
         """Call what was asked for at a time before now."""
-        agenda = self._agenda
+        agenda = self._scheduled
         while agenda and agenda[0][0] < now_us:
             self.now_us, _, call, args = heappop(agenda)
             call(*args)
         self.next_us = agenda[0][0] if agenda else NEVER
 
-    def accuse(
-        self, at: int, rule: str, text: str, of: Try | None = None, attempt: Attempt | None = None,
-        node: str = "", endpoint: str = "",
-    ) -> None:  # fmt: skip
+    def record(
+        self,
+        at: int,
+        rule: str,
+        text: str,
+        client_attempt: ClientAttempt | None = None,
+        attempt: UpstreamAttempt | None = None,
+        node: str = "",
+        endpoint: str = "",
+    ) -> None:
         """A rule was broken at this time, which may lie a little back."""
         self.counts[rule] += 1
-        if len(self.offences) >= MAX_KEPT and at >= self.offences[-1].at:
+        if len(self.offences) >= MAX_KEPT_VIOLATIONS and at >= self.offences[-1].at:
             return
         if attempt is not None:
             node, endpoint = node or attempt.node, endpoint or attempt.endpoint
         rid, first, history = "", "", []
-        if of is not None:
-            rid, first, history = of.rid, of.group.first, of.group.history
-            node = node or of.node
-        made = Offence(at, rule, text, rid, first, node, endpoint, history)
+        if client_attempt is not None:
+            rid, first, history = (
+                client_attempt.rid,
+                client_attempt.request.first,
+                client_attempt.request.history,
+            )
+            node = node or client_attempt.node
+        made = Violation(at, rule, text, rid, first, node, endpoint, history)
         insort(self.offences, made, key=attrgetter("at"))
-        del self.offences[MAX_KEPT:]
+        del self.offences[MAX_KEPT_VIOLATIONS:]
--- a/tests/fleet/test_view_judge.py
+++ b/tests/fleet/test_view_judge.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from granitewell.lab.judge.view import GRACE_US, NEW_US, RULES, ViewJudge
+from granitewell.lab.judge.view import FAULT_GRACE_US, NEW_NODE_GRACE_US, RULES, ViewJudge
 
 S = 1_000_000
 NAMES = ("a", "b", "c")
@@ -25,7 +25,7 @@
     def look(self, at_s: float, name: str, up: str = "abc", gone: dict[str, str] | None = None, most: int = 3,
              life: int = 1, whole: bool = True) -> str:  # fmt: skip
         births = {n: self.births[n] for n in up}
-        return self.judge.look(int(at_s * S), name, whole, births, gone or {}, most, life)
+        return self.judge.observe(int(at_s * S), name, whole, births, gone or {}, most, life)
 
     def all(self, at_s: float, who: str = "abc", up: str = "abc", most: int = 3) -> None:
         for name in who:
@@ -62,22 +62,22 @@
     t.judge.cut(S, 1, ("a", "bc"), True, True)
     t.look(10, "a", "a", {"b": "dead", "c": "dead"})
     t.judge.cut(20 * S, 1, ("a", "bc"), False, True)
-    t.look(20 + GRACE_US / S - 1, "a", "a", {"b": "dead"})
+    t.look(20 + FAULT_GRACE_US / S - 1, "a", "a", {"b": "dead"})
 
 
 def _buried_long_after_a_cut(t: Told) -> None:
     t.judge.cut(S, 1, ("a", "bc"), True, True)
     t.judge.cut(20 * S, 1, ("a", "bc"), False, True)
-    t.look(21 + GRACE_US / S, "a", "ac", {"b": "dead"})
+    t.look(21 + FAULT_GRACE_US / S, "a", "ac", {"b": "dead"})
 
 
 def _buried_for_a_short_stop(t: Told) -> None:
-    t.judge.holds(S, "b", True, 3 * S)
+    t.judge.set_paused(S, "b", True, 3 * S)
     t.look(3, "a", "ac", {"b": "dead"})
 
 
 def _buried_for_a_long_stop(t: Told) -> None:
-    t.judge.holds(S, "b", True, 60 * S)
+    t.judge.set_paused(S, "b", True, 60 * S)
     t.look(30, "a", "ac", {"b": "dead"})
 
 
@@ -90,7 +90,7 @@
     t.judge.down(S, "c")
     t.all(2, "ab", "ab", most=2)
     t.judge.up(10 * S, "c")
-    t.look(10 + NEW_US / S / 2, "c", most=3, life=2)
+    t.look(10 + NEW_NODE_GRACE_US / S / 2, "c", most=3, life=2)
 
 
 def _life_falls(t: Told) -> None:
@@ -130,30 +130,30 @@
 
 
 def _leave(t: Told) -> None:
-    t.judge.asked(S, "b")
+    t.judge.stop_requested(S, "b")
     t.look(10, "a", "ac", {"b": "dead"})
 
 
 def _left(t: Told) -> None:
-    t.judge.asked(S, "b")
+    t.judge.stop_requested(S, "b")
     t.look(10, "a", "ac", {"b": "left"})
 
 
 def _elder(t: Told) -> None:
-    t.judge.twin("b", True)
+    t.judge.set_duplicate_name("b", True)
     t.births["b"] = "2"
     t.look(3, "a")
 
 
 def _elder_gone(t: Told) -> None:
-    t.judge.twin("b", True)
-    t.judge.twin("b", False)
+    t.judge.set_duplicate_name("b", True)
+    t.judge.set_duplicate_name("b", False)
     t.births["b"] = "2"
     t.look(3, "a")
 
 
 def _told(rule: str) -> Callable[[Told], None]:
-    return lambda t: t.judge.tell(S, rule, "told by somebody else")
+    return lambda t: t.judge.report_violation(S, rule, "told by somebody else")
 
 
 CASES: dict[str, tuple[Callable[[Told], None], set[str]]] = {
@@ -186,19 +186,21 @@
     told = Told()
     told.judge.down(10 * S, "c")
     assert [told.look(11, "a"), told.look(12, "a", "a"), told.look(13, "a", "ab")] == ["many", "few", "same"]
-    assert told.look(13, "a", whole=False) == told.look(13, "c") == "none" and told.judge.waits(14 * S)
+    assert told.look(13, "a", whole=False) == told.look(
+        13, "c"
+    ) == "none" and told.judge.is_awaiting_agreement(14 * S)
     told.all(14, "ab", "ab")
     first, last = told.judge.report.settled[-2:]
     assert (first.took_us, last.cause, last.took_us) == (100 * S, "kill c", 4 * S)
-    assert not told.judge.waits(14 * S)
+    assert not told.judge.is_awaiting_agreement(14 * S)
     told.judge.up(20 * S, "c")
     told.births["c"] = "2"
     told.look(21, "c")
     told.look(21, "a")
     told.births["c"] = "1"
     told.look(21, "b")
-    assert told.judge.waits(22 * S)  # b names another life of c
+    assert told.judge.is_awaiting_agreement(22 * S)  # b names another life of c
     told.judge.cut(23 * S, 0, ("a", "bc"), True, True)
     assert told.judge.expected("a") == {"a"} and told.judge.expected("b") == {"b", "c"}
-    told.judge.shift(-5 * S)
+    told.judge.shift_times(-5 * S)
     assert told.judge.report.settled[-1].at_us == 15 * S
--- a/tests/lab/test_judge.py
+++ b/tests/lab/test_judge.py
@@ -210,7 +210,7 @@
             judge.answered(k * 50_000 + 30, f"r{k}", "n0", ("refused", "served")[k % 2], 0, True)
     judge.node_ready(40_000_000, "n0")
     judge.node_ready(40_200_000, "n0")
-    assert not judge._tries and not judge._requests and not judge._desk._agenda
+    assert not judge._client_attempts and not judge._requests and not judge._violations._scheduled
 
 
 def test_times_never_fall_and_words_are_checked() -> None:
--- a/tests/shared_counters/test_shared_counters.py
+++ b/tests/shared_counters/test_shared_counters.py
@@ -14,7 +14,7 @@
 from granitewell.lab.cluster.counts import FIGURES, KEYS, play
 from granitewell.lab.cluster.counts_plants import PLANTS, planted
 from granitewell.lab.cluster.days import Case
-from granitewell.lab.judge.counts import NEVER, CountsJudge, Told
+from granitewell.lab.judge.counts import NEVER, CountReading, CountsJudge
 from granitewell.protocols.peers.counts import CODEC, Ask, Slice, Slot, Word
 from granitewell.protocols.peers.frames import MAX_DATAGRAM_BYTES, Frame, Key, Keys, Kind, open_, seal
 from granitewell.shared_counters.local_counts import CANDIDATES_PER_SLOT, LocalCounts
@@ -381,14 +381,16 @@
         if k != 4:
             judge.answered(k * S + 1_000, f"r{k}")
     for low, high in ((9, 9), (10, 10), (0, 99), (9, 10), (11, 12), (0, 8)):
-        judge.told(Told(9 * S + 500_000, "n", "k", low, high))
+        judge.add_reading(CountReading(9 * S + 500_000, "n", "k", low, high))
     report = judge.report()
     assert (report.figures, report.broken) == (6, 2) and not report.kept
     assert "k was 9 to 10, told 11 to 12" in report.texts[0] and "told 0 to 8" in report.texts[1]
     late = CountsJudge(10 * S)
     late.asked(0, "r", "k")
-    late.told(Told(30 * S, "n", "", 1, 1))  # the request may have been counted at any time since
-    late.told(Told(30 * S, "n", "", 2, 2))
+    late.add_reading(
+        CountReading(30 * S, "n", "", 1, 1)
+    )  # the request may have been counted at any time since
+    late.add_reading(CountReading(30 * S, "n", "", 2, 2))
     assert late.report().broken == 1 and NEVER > 30 * S
 
 
