--- a/granitewell/lab/judge/__init__.py
+++ b/granitewell/lab/judge/__init__.py
@@ -1,19 +1,20 @@
-"""The judge: one set of rules and one count of worth, fed by what really passed.
+"""Checks the rules of a simulated or recorded day and computes its score from observations.
 
-It owns what is right and wrong in a day, whoever plays it, and must never read what a node says of itself, do
-I/O or know which shell plays. The rules, by the names under which offences are reported:
+The checks use only what clients, endpoints and the platform observed, never what a node reports of itself.
+They do no I/O and do not depend on whether the day ran in virtual time or on sockets. A violation is reported
+under one of these rule names:
 
-    answer    one final answer to each try that a node took, in time              (answers)
-    lost      no connection ended under a try that was taken                      (answers)
-    body      what is served is what an endpoint made for that request            (answers)
-    crash     a node's process ends only when it is told to                       (answers)
-    unsafe    what must never run twice is not sent again once it may have run    (repeats)
-    refusal   nor refused, which would invite a retry                             (repeats)
-    attempts  no more attempts of a try than the day allows                       (repeats)
-    after     no attempt after the final answer, or for a client that has left    (repeats)
-    unknown   nothing is sent or answered that no client asks                     (judge)
-    drain     nothing new to an endpoint after the grace of its drain             (fleet)
-    cold      no cold endpoint is pushed over, and its budget is kept             (fleet)
+    answer    each client attempt that a node took gets one final response, in time  (response_rules)
+    lost      no connection ends while an attempt that was taken is open             (response_rules)
+    body      a served body is the one that an endpoint produced for that request    (response_rules)
+    crash     a node process ends only when it is told to                            (response_rules)
+    unsafe    an unsafe request is not sent again once it may have run               (attempt_rules)
+    refusal   nor refused, since a refusal invites a retry                           (attempt_rules)
+    attempts  no more upstream attempts per client attempt than the day allows       (attempt_rules)
+    after     no upstream attempt after the final response or after the client left  (attempt_rules)
+    unknown   nothing is sent or answered that no client asked for                   (judge)
+    drain     no new attempt to an endpoint after the grace period of its drain      (endpoint_rules)
+    cold      no cold endpoint is overloaded, and its budget is kept                 (endpoint_rules)
 """
 
 from granitewell.lab.judge.histogram import Histogram
--- a/granitewell/lab/judge/attempt_rules.py
+++ b/granitewell/lab/judge/attempt_rules.py
@@ -1,15 +1,14 @@
-"""The rules on attempts of a request.
+"""The rules on upstream attempts.
 
-Nothing unsafe runs twice, nothing that may have run is refused, there are no more attempts than allowed, and
-none once the request is over (its final answer given, or its client gone).
+No unsafe request runs twice, none that may have run is refused, there are no more attempts than allowed, and
+none once the request is over (its final response given, or its client gone).
 
-It owns those rules and the attempts' records. It must never count worth or know what a client does. An
-earlier attempt is harmless only if its endpoint turned it away unseen (`full`): what was dropped from a queue
-after a cancel can't be told from what ran. Whether two attempts of a safe request may be out at once can't be
-judged here, since nobody observes when a node closes a connection.
+An earlier attempt is harmless only if its endpoint rejected it unread (`full`): work dropped from a queue
+after a cancel cannot be told from work that ran. Whether two attempts of a safe request may be outstanding at
+once cannot be checked here, since nobody observes when a node closes a connection.
 
-On sockets the two ends of one exchange stamp their sides in their own processes, so `ended` may be written a
-little after what it has led to. What depends on it is looked at again `order_us` later.
+On sockets the two ends of an exchange timestamp their sides in their own processes, so `ended` may be written
+slightly after what it caused. Checks that depend on it run `order_us` later.
 """
 
 from __future__ import annotations
@@ -19,14 +18,12 @@
 from granitewell.lab.judge.records import ClientAttempt, Request, UpstreamAttempt
 from granitewell.lab.judge.violations import ViolationLog
 
-MAX_ATTEMPT_RECORDS = 100  # records of one try; a node that sends without end is accused long before
-FINAL_OUTCOMES = frozenset(
-    {"served", "refused", "failed", "left"}
-)  # what a node knows to be over, once it hears of it
+MAX_ATTEMPT_RECORDS = 100  # per client attempt; a node that sends endlessly violates the rules long before
+FINAL_OUTCOMES = frozenset({"served", "refused", "failed", "left"})  # outcomes that a node learns of
 
 
 class AttemptRules:
-    """Judges each attempt of each try. Methods take the time of the observation."""
+    """Checks each upstream attempt. Methods take the time of the observation."""
 
     def __init__(
         self, day: Day, violations: ViolationLog, exemptions: FaultExemptions, order_us: int
@@ -34,12 +31,12 @@
         self._violations, self._exemptions, self._order_us = violations, exemptions, order_us
         self._max_attempts, self._slack_us = day.rules.max_attempts, day.rules.slack_us
         self._unsafe = [c.unsafe for c in day.classes]
-        self.double_bookings = 0  # bookings that have run for more than one try, or made anew
+        self.double_bookings = 0  # unsafe requests that ran in two client attempts, or again as a new booking
 
     def sent(
         self, at: int, client_attempt: ClientAttempt, node: str, endpoint: str, first_byte_at: int
     ) -> UpstreamAttempt | None:
-        """An attempt has arrived; its record, unless there are too many."""
+        """An attempt arrived; returns its record, or None if there are too many."""
         attempt, earlier = UpstreamAttempt(node, endpoint, at), client_attempt.attempts
         count = len(earlier) + 1
         if count > self._max_attempts:
@@ -70,7 +67,7 @@
         return attempt
 
     def ran(self, at: int, client_attempt: ClientAttempt, endpoint: str, work_us: float) -> None:
-        """Work on an attempt has begun."""
+        """Work on an attempt began."""
         attempt = _outstanding_attempt(client_attempt, endpoint)
         if attempt is not None and attempt.ran_at < 0:
             attempt.ran_at, attempt.work_us = at, work_us
@@ -87,12 +84,12 @@
             )
 
     def rebooked(self, request: Request, before: Request | None) -> None:
-        """A client makes a lost booking anew."""
+        """A client repeats a lost booking as a new request."""
         if before is not None:
             before.rebooked_by, request.original_ran = request, before.ran > 0
 
     def _count_double_booking(self, request: Request) -> None:
-        """Count an unsafe request that has run for two tries, or both as lost and as made anew."""
+        """Count an unsafe request that ran in two client attempts, or both as lost and as rebooked."""
         ran_twice = request.ran > 1 or (request.ran == 1 and request.original_ran)
         if ran_twice and not request.is_double_booking and self._unsafe[request.cls]:
             request.is_double_booking = True
@@ -101,7 +98,7 @@
     def ended(
         self, at: int, client_attempt: ClientAttempt, endpoint: str, outcome: str
     ) -> UpstreamAttempt | None:
-        """An endpoint is done with an attempt; None where none is known to be out there."""
+        """An endpoint finished an attempt; returns None if none is known to be outstanding there."""
         attempt = _outstanding_attempt(client_attempt, endpoint)
         if attempt is not None:
             attempt.ended_at, attempt.outcome = at, outcome
@@ -109,7 +106,7 @@
         return attempt
 
     def refused(self, at: int, client_attempt: ClientAttempt) -> None:
-        """A refusal invites a retry: every attempt must have been turned away unseen."""
+        """A refusal invites a retry, so every upstream attempt must have been rejected unread."""
         if self._unsafe[client_attempt.request.cls] and client_attempt.attempts:
             self._violations.schedule(
                 at + self._order_us, self._check_refusal, at, client_attempt, tuple(client_attempt.attempts)
@@ -139,7 +136,7 @@
 
 
 def _outstanding_attempt(client_attempt: ClientAttempt, endpoint: str) -> UpstreamAttempt | None:
-    """The earliest attempt still out at this endpoint."""
+    """The earliest attempt still outstanding at this endpoint."""
     for attempt in client_attempt.attempts:
         if attempt.endpoint == endpoint and not attempt.outcome:
             return attempt
@@ -147,7 +144,7 @@
 
 
 def _attempt_state(attempt: UpstreamAttempt) -> str:
-    """What is known of an attempt, in words."""
+    """Describes what is known of an attempt."""
     if attempt.outcome:
         return f"its attempt at {attempt.endpoint} had ended `{attempt.outcome}`"
     return f"its attempt at {attempt.endpoint} was still out"
--- a/granitewell/lab/judge/counts.py
+++ b/granitewell/lab/judge/counts.py
@@ -1,12 +1,9 @@
-"""The judge of counts: what clients asked and heard, held against what nodes say was used.
+"""Checks the usage counts that nodes report against what clients sent and received. Times are microseconds.
 
-It owns what must hold of a figure. It must never ask a node, or believe it of what it took. Times are
-microseconds of the day.
-
-A try that was answered has been taken by its node at some moment between its asking and its answer; one that
-was not may have been taken at any moment since it was asked, or never. So the true sum of a window is itself
-known between two bounds: `sure` counts tries that were taken inside it whatever the moment, `may` all that
-can have been. A figure [low, high] is wrong if high < sure or low > may.
+A client attempt that got a response was taken by its node at some moment between sending and response; one
+that did not may have been taken at any moment since it was sent, or never. So the true sum of a window is
+only known between two bounds: `minimum` counts attempts that were taken inside the window whatever the
+moment, `maximum` all that may have been. A reading [low, high] is wrong if high < minimum or low > maximum.
 """
 
 from __future__ import annotations
@@ -16,13 +13,13 @@
 from statistics import median
 
 NEVER = 1 << 62
-MAX_ATTEMPT_US = 60_000_000  # from asking to answer; a try that took longer counts as unanswered
+MAX_ATTEMPT_US = 60_000_000  # from sending to response; a longer attempt counts as unanswered
 MAX_TEXTS = 20
 
 
 @dataclass(frozen=True, slots=True)
 class CountReading:
-    """A figure as a node has told it, when it was asked; key "" for all."""
+    """A count as a node reported it, and when it was asked; key "" is the total."""
 
     at_us: int
     node: str
@@ -33,28 +30,30 @@
 
 @dataclass(slots=True)
 class CountsReport:
-    """What came of it.
+    """The result of the check.
 
     Attributes:
-        figures: Looked at.
-        broken: That did not hold the truth, the first in words.
-        widths: Of all figures of all keys together, relative, by second of the day: the median.
+        figures: Readings checked.
+        broken: Readings that cannot be true; `texts` describes the first of them.
+        widths: Median relative width of the readings of the total, by second of the day.
     """
 
     figures: int = 0
     broken: int = 0
     texts: list[str] = field(default_factory=list)
     widths: dict[int, float] = field(default_factory=dict)
-    slack: dict[str, float] = field(default_factory=dict)  # medians: high above sure, low below may
+    slack: dict[str, float] = field(
+        default_factory=dict
+    )  # medians: high above the minimum, low below the maximum
 
     @property
     def kept(self) -> bool:
-        """Whether all did."""
+        """Whether all readings can be true."""
         return not self.broken
 
 
 class CountsJudge:
-    """Fed with a whole day, in any order."""
+    """Collects a whole day's observations, in any order."""
 
     def __init__(self, window_us: int) -> None:
         self._window_us = window_us
@@ -63,21 +62,21 @@
         self._readings: list[CountReading] = []
 
     def asked(self, at_us: int, rid: str, key: str) -> None:
-        """A client has sent a try."""
+        """A client sent an attempt."""
         self._asked[rid] = at_us, key
 
     def answered(self, at_us: int, rid: str) -> None:
-        """It has heard the answer, whichever it was."""
+        """The client received a response, whatever its status."""
         self._answered.setdefault(rid, at_us)
 
     def add_reading(self, reading: CountReading) -> None:
-        """A node has told a figure."""
+        """Add a count that a node reported."""
         self._readings.append(reading)
 
     def report(self) -> CountsReport:
-        """All figures against all tries."""
+        """Check all readings against all client attempts."""
         report = CountsReport()
-        tries: dict[str, list[tuple[int, int]]] = {"": []}  # by key: when asked, when answered
+        tries: dict[str, list[tuple[int, int]]] = {"": []}  # by key: when sent, when answered
         for rid, (at, key) in self._asked.items():
             ended = self._answered.get(rid, NEVER)
             one = at, ended if ended - at <= MAX_ATTEMPT_US else NEVER
@@ -111,7 +110,7 @@
     def _bounds(
         self, reading: CountReading, tries: list[tuple[int, int]], lost: list[int]
     ) -> tuple[int, int]:
-        """Between what the true sum lies, in the window that ends when the figure was told."""
+        """Bounds of the true sum in the window that ends when the count was reported."""
         start, end = reading.at_us - self._window_us, reading.at_us
         first = bisect_left(tries, (start - MAX_ATTEMPT_US, 0))
         last = bisect_right(tries, (end, NEVER))
--- a/granitewell/lab/judge/endpoint_rules.py
+++ b/granitewell/lab/judge/endpoint_rules.py
@@ -1,16 +1,17 @@
-"""The rules on endpoints: drains are kept, and no cold endpoint is pushed over.
-
-It owns what each node was told of each endpoint, the present capacity of cold processes, and those two rules.
-It must never look at answers. Drains: the first byte of an attempt must not come later than grace + slack
-after the node was told `draining` or `gone`; the first telling counts until it is told `ready` again, and a
-new process of the node has been told nothing.
-
-Cold endpoints: a process of age a has the part `cold_from + (1 - cold_from) * a / cold_us` of its capacity.
-`fell` breaks the rule where at least two thirds of the work sent in the window before came from nodes that
-had been told `ready` since its start (WIRE's fourth rule). Besides, the work that those nodes sent within any
-window of fall_us must stay under fall_multiple * present capacity * window, with a slack for chance of three
-standard deviations of a Poisson stream of such pieces. Work is counted as its class's mean, since that is all
-that a node can know when it sends.
+"""The rules on endpoints: drains are kept, and no cold endpoint is overloaded.
+
+The module tracks what each node was told of each endpoint and the present capacity of cold processes.
+
+Drains: the first byte of an attempt must not come later than grace + slack after the node was told `draining`
+or `gone`. The first notice counts until the node is told `ready` again; a new process of the node has been
+told nothing.
+
+Cold endpoints: a process of age a has the share `cold_from + (1 - cold_from) * a / cold_us` of its capacity.
+`fell` (an overloaded process ended) is a violation if at least two thirds of the work sent in the window
+before came from nodes that had been told `ready` since its start (WIRE's fourth rule). Besides, the work that
+those nodes sent within any window of fall_us must stay under fall_multiple * present capacity * window, with
+a tolerance of three standard deviations of a Poisson stream of such requests. Work is counted as its class's
+mean, since a node knows nothing more precise when it sends.
 """
 
 from __future__ import annotations
@@ -23,44 +24,46 @@
 from granitewell.lab.judge.records import ClientAttempt, UpstreamAttempt
 from granitewell.lab.judge.violations import ViolationLog
 
-CHANCE_STANDARD_DEVIATIONS = 3.0  # standard deviations
-MIN_INFORMED_SHARE = 2 / 3  # of the work, sent by nodes that knew of the start
+CHANCE_STANDARD_DEVIATIONS = 3.0  # tolerance for random clustering
+MIN_INFORMED_SHARE = 2 / 3  # of the work, from nodes that knew of the start
 
 
 class _KnownState:
-    """What one node was told of one endpoint."""
+    """What one node was told of one endpoint; times are -1 if unset."""
 
     __slots__ = ("unavailable_since", "ready_told_at", "previous_unavailable_since")
 
     def __init__(self) -> None:
-        self.unavailable_since = -1  # since when it is known to drain or be gone; -1: it is ready
+        self.unavailable_since = -1  # when it was told `draining` or `gone`; -1: ready
         self.ready_told_at = -1  # when `ready` was last told
-        self.previous_unavailable_since = -1  # the bad_at before that
+        self.previous_unavailable_since = -1  # the value before the last `ready`
 
 
 class _ColdEndpoint:
-    """A process that is not warm yet."""
+    """An endpoint process that has not reached its full capacity."""
 
     __slots__ = ("capacity", "cold_from", "cold_us", "recent_work", "informed_us", "total_us", "up_at")
 
     def __init__(self, up_at: int, capacity: float, cold_from: float, cold_us: int) -> None:
         self.up_at, self.capacity, self.cold_from, self.cold_us = up_at, capacity, cold_from, cold_us
-        self.recent_work: deque[tuple[int, float, bool]] = deque()  # (at, work, by a node that knew)
+        self.recent_work: deque[tuple[int, float, bool]] = (
+            deque()
+        )  # (at, work, from a node that knew of the start)
         self.total_us = self.informed_us = 0.0
 
     def present_capacity(self, at: int) -> float:
-        """Present capacity, in work units a microsecond."""
+        """Present capacity, in work units per microsecond."""
         age = min(max((at - self.up_at) / self.cold_us, 0.0), 1.0)
         return self.capacity * (self.cold_from + (1.0 - self.cold_from) * age)
 
     def add(self, at: int, work: float, told: bool) -> None:
-        """One more piece of work has come."""
+        """Add the work of an attempt that arrived."""
         self.recent_work.append((at, work, told))
         self.total_us += work
         self.informed_us += work if told else 0.0
 
     def drop_before(self, before: int) -> None:
-        """Only what came after that time matters still."""
+        """Drop work that arrived at or before this time."""
         while self.recent_work and self.recent_work[0][0] <= before:
             _, work, told = self.recent_work.popleft()
             self.total_us -= work
@@ -68,7 +71,7 @@
 
 
 class EndpointRules:
-    """Judges where attempts go."""
+    """Checks to which endpoints attempts go."""
 
     def __init__(self, day: Day, violations: ViolationLog, exemptions: FaultExemptions) -> None:
         self._violations, self._exemptions, self._rules = violations, exemptions, day.rules
@@ -77,11 +80,11 @@
         self._max_mean_work_us = max(self._mean_work_us, default=0.0)
         self._known_states: dict[str, dict[str, _KnownState]] = {}
         self._cold: dict[str, _ColdEndpoint] = {}
-        self.fell = 0  # endpoints pushed over
-        self.fell_untold = 0  # those by nodes that could not know
+        self.fell = 0  # endpoints that ended from overload while cold
+        self.fell_untold = 0  # of these, overloaded by nodes not yet told of the start
 
     def told(self, at: int, node: str, endpoint: str, state: str) -> None:
-        """Discovery has written to the node."""
+        """Discovery told the node the state of an endpoint."""
         known_state = self._known_states.setdefault(node, {}).setdefault(endpoint, _KnownState())
         if state == "ready":
             if known_state.unavailable_since >= 0:
@@ -94,17 +97,17 @@
             known_state.unavailable_since = at
 
     def node_up(self, node: str) -> None:
-        """A new process: it has been told nothing."""
+        """A new node process has been told nothing."""
         self._known_states.pop(node, None)
 
     def endpoint_up(self, at: int, endpoint: str, capacity: float, cold_from: float, cold_us: int) -> None:
-        """A process has started."""
+        """An endpoint process started."""
         self._cold.pop(endpoint, None)
         if cold_us > 0 and cold_from < 1.0:
             self._cold[endpoint] = _ColdEndpoint(at, capacity, cold_from, cold_us)
 
     def endpoint_down(self, at: int, endpoint: str, why: str) -> None:
-        """It is gone."""
+        """The endpoint process ended."""
         cold = self._cold.pop(endpoint, None)
         if why != "fell":
             return
@@ -115,7 +118,7 @@
         cold.drop_before(at - self._rules.fall_us)
         if (
             cold.recent_work and cold.informed_us >= MIN_INFORMED_SHARE * cold.total_us - 1e-6
-        ):  # sums of floats drift
+        ):  # floating-point sums drift
             text = (
                 f"pushed over {(at - cold.up_at) / 1e6:.3f} s after its start, {self._work_summary(cold, at)}"
             )
@@ -126,7 +129,7 @@
     def sent(
         self, at: int, client_attempt: ClientAttempt, attempt: UpstreamAttempt, first_byte_at: int
     ) -> None:
-        """An attempt has arrived at an endpoint."""
+        """An attempt arrived at an endpoint."""
         known_state = self._known_states.get(attempt.node, {}).get(attempt.endpoint)
         if known_state is not None and (
             known_state.unavailable_since >= 0 or known_state.previous_unavailable_since >= 0
@@ -145,7 +148,7 @@
         known_state: _KnownState,
     ) -> None:
         since = known_state.unavailable_since
-        if since < 0 or first_byte_at < since:  # it may belong to the telling before
+        if since < 0 or first_byte_at < since:  # it may belong to the previous notice
             since = (
                 known_state.previous_unavailable_since if first_byte_at <= known_state.ready_told_at else -1
             )
--- a/granitewell/lab/judge/fault_exemptions.py
+++ b/granitewell/lab/judge/fault_exemptions.py
@@ -1,15 +1,14 @@
-"""The faults under which a rule can't be held against a node, because no node could keep it.
+"""The faults during which a rule is suspended because no node could keep it.
 
-It owns which kinds of fault excuse what, for how long, and must never look at what a node did:
-
-    node_stall              answers and drains of that node, and attempts for clients that have left, however
-                            long ago: its process stands still
-    cut of a node           its answers, and attempts for clients that have left: they can't hear each other
+    node_stall              responses and drains of that node, and attempts for clients that have left,
+                            however long ago: its process is stopped
+    cut of a node           its responses, and attempts for clients that have left: they cannot reach each
+                            other
     cut of a zone           the same for clients on the other side of the cut
 
-Each excuses what was due from the fault's beginning to TAIL_US after its end, the time in which a node may
-work off what has waited. All other faults (a CPU limit, dead or silent endpoints, bad links, late discovery)
-excuse nothing.
+An exemption covers what was due from the fault's beginning to RECOVERY_US after its end, the time in which a
+node may work off its backlog. No other fault (a CPU limit, dead or silent endpoints, bad links, late
+discovery) suspends a rule. Exemptions depend only on the day's faults, never on what a node did.
 """
 
 from __future__ import annotations
@@ -33,7 +32,7 @@
 
 
 class FaultExemptions:
-    """What the day's faults excuse. Zones are told apart from nodes by the day's names."""
+    """Tracks active faults. The day's names tell zones from nodes in a fault's target."""
 
     def __init__(self, day: Day) -> None:
         self._faults = day.faults
@@ -42,7 +41,7 @@
         self._exemptions: list[_Exemption] = []
 
     def fault(self, at: int, index: int, begins: bool) -> None:
-        """A fault of the day begins or ends. ValueError for one that the day does not have."""
+        """Begin or end a fault of the day. Raises ValueError for an index that the day does not have."""
         if not 0 <= index < len(self._faults):
             raise ValueError(f"fault: found index {index}, the day has {len(self._faults)} faults")
         fault = self._faults[index]
@@ -54,14 +53,14 @@
                 x.end = at + RECOVERY_US
 
     def exempts_response(self, client_attempt: ClientAttempt, due: int) -> bool:
-        """Whether this try need not have been answered, which was due then."""
+        """Whether a fault exempts the response of this attempt, which was due then."""
         return any(
             x.begin <= due and client_attempt.asked_at <= x.end and self._affects(x, client_attempt)
             for x in self._exemptions
         )
 
     def exempts_drain(self, node: str, at: int) -> bool:
-        """Whether a node's sending then need not have heeded what it was told."""
+        """Whether a stall exempts what the node sent then from the drain that it was told of."""
         return any(x.is_stall and node in x.names and x.begin <= at <= x.end for x in self._exemptions)
 
     def _affects(self, x: _Exemption, client_attempt: ClientAttempt) -> bool:
--- a/granitewell/lab/judge/histogram.py
+++ b/granitewell/lab/judge/histogram.py
@@ -1,27 +1,27 @@
-"""Latencies by logarithmic buckets: what percentiles are read from.
+"""A histogram of latencies with logarithmic buckets, from which percentiles are read.
 
-It owns one histogram of whole microseconds in the manner of HdrHistogram (Tene): 64 buckets to each doubling,
-so a value is told within 1/64 of itself, and two histograms are added bucket by bucket. It must never hold
-single values: its size is bounded by the largest value's bits, whatever is recorded.
+It follows HdrHistogram (Tene): whole microseconds, 64 buckets per doubling, so a value is known within 1/64
+of itself, and histograms merge bucket by bucket. Single values are not kept: the size is bounded by the bits
+of the largest value, whatever is recorded.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-SUB_BUCKET_BITS = 6  # buckets to a doubling, as a power of 2: values under 128 us are exact
-MAX_VALUE_US = 1 << 42  # seven weeks; what lies beyond is counted as this
+SUB_BUCKET_BITS = 6  # log2 of the buckets per doubling: values under 128 us are exact
+MAX_VALUE_US = 1 << 42  # seven weeks; larger values are clamped to it
 
 
 def bucket_index(value: int) -> int:
-    """The number of the bucket of a value in microseconds; values below 0 count as 0."""
+    """The bucket index of a value in microseconds; values below 0 count as 0."""
     value = min(max(value, 0), MAX_VALUE_US)
     shift = max(value.bit_length() - SUB_BUCKET_BITS - 1, 0)
     return (shift << SUB_BUCKET_BITS) + (value >> shift)
 
 
 def bucket_bounds(number: int) -> tuple[int, int]:
-    """The least and the largest value of a bucket."""
+    """The smallest and the largest value of a bucket."""
     shift = max((number >> SUB_BUCKET_BITS) - 1, 0)
     low = (number - (shift << SUB_BUCKET_BITS)) << shift
     return low, low + (1 << shift) - 1
@@ -44,14 +44,14 @@
         self.total_us += value_us
 
     def merge(self, other: Histogram) -> None:
-        """Take in what another has counted."""
+        """Add another histogram's counts."""
         for number, count in other.counts.items():
             self.counts[number] = self.counts.get(number, 0) + count
         self.n += other.n
         self.total_us += other.total_us
 
     def percentile(self, part: float) -> int:
-        """The largest value of the bucket in which this part (0 to 1) of all is reached; 0 for none."""
+        """The upper bound of the bucket that holds this fraction (0 to 1) of all values; 0 if empty."""
         want, seen = max(part * self.n, 1), 0
         for number in sorted(self.counts):
             seen += self.counts[number]
@@ -69,7 +69,7 @@
 
     @classmethod
     def from_dict(cls, data: Mapping[str, object]) -> Histogram:
-        """The histogram of an `as_dict`, to be merged with others. The sum is only as exact as the mean."""
+        """Rebuild a histogram from `as_dict`. Its sum is only as exact as the mean."""
         made, counts = cls(), data["counts"]
         if not isinstance(counts, dict):
             raise ValueError(f"counts: found {type(counts).__name__}, wanted a table of bucket to count")
--- a/granitewell/lab/judge/judge.py
+++ b/granitewell/lab/judge/judge.py
@@ -1,8 +1,9 @@
-"""The judge itself: a Witness that hands each observation to the rules, the counts and the worth.
+"""Passes each observation of a day to the rules, the counters and the score.
 
-It owns which requests are open and their history, and must never hold a rule of its own. Memory: a request is
-kept while a try of it is open, while an attempt is out (for HOLD_US after its last try at most), for
-SERVED_US after that where it was served, and else for as long as a client may still come back with a retry.
+The judge holds the open requests and their history. To bound memory, a request is kept while one of its
+client attempts is open, while an upstream attempt is outstanding (up to KEEP_OUTSTANDING_US after its last
+client attempt), for KEEP_SERVED_US after that if it was served, and otherwise for as long as a client may
+retry.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 from granitewell.lab.judge.value_score import BUCKET_US, ValueScore
 from granitewell.lab.judge.violations import ViolationLog
 
-MAX_CLOCK_SKEW_US = 5_000  # by which two processes may stamp the ends of one exchange in the wrong order
+MAX_CLOCK_SKEW_US = 5_000  # by which two processes may timestamp one exchange in the wrong order
 KEEP_SERVED_US = 2_000_000
 KEEP_OUTSTANDING_US = 10_000_000
 SWEEP_INTERVAL_US = 100_000
-RETRY_MARGIN_US = 1_000_000  # beyond the longest wait of a client before its retry
+RETRY_MARGIN_US = 1_000_000  # beyond the longest wait of a client before a retry
 VERDICTS = frozenset({"served", "refused", "failed"})
 OUTCOMES = frozenset({"ok", "error", "full", "dropped", "stopped", "died", "hung", "spoilt"})
 STATES = frozenset({"ready", "draining", "gone"})
@@ -38,7 +39,7 @@
     """
 
     def __init__(self, day: Day, order_us: int = MAX_CLOCK_SKEW_US) -> None:
-        """order_us: 0 is enough where one clock and one process see everything."""
+        """Create a judge; `order_us` may be 0 if one process with one clock sees everything."""
         self._day = day
         self._violations = ViolationLog()
         self._exemptions = FaultExemptions(day)
@@ -59,7 +60,7 @@
 
     # --- Time and memory --------------------------------------------------------------------------------
     def _advance(self, at: int) -> None:
-        """Time has come to `at`."""
+        """Advance time to `at`, run due checks and drop requests that have been idle long enough."""
         if at < self._now:
             raise ValueError(f"observations must come in order: found {at} us after {self._now} us")
         if at > self._violations.next_us:
@@ -74,7 +75,7 @@
                         self._remove(request)
 
     def _schedule_removal(self, at: int, request: Request) -> None:
-        """No try of it is open now: it is kept for a while, by what may still be seen of it."""
+        """Schedule the removal of a request without open client attempts, by what may still follow."""
         self._idle_count += 1
         request.idle_number = self._idle_count
         self._idle_requests[2 if request.outstanding else 0 if request.served else 1].append(
@@ -89,7 +90,7 @@
         request.tries.clear()  # breaks the reference cycle: the simulation runs without the garbage collector
 
     def _on_attempt_closed(self, client_attempt: ClientAttempt, at: int) -> None:
-        """A try is over."""
+        """Count a closed client attempt."""
         request = client_attempt.request
         request.open -= 1
         self._outcomes.closed(client_attempt, at)
@@ -97,7 +98,7 @@
             self._schedule_removal(self._now, request)
 
     def _find_attempt(self, rid: str, what: str, *seen: object) -> ClientAttempt | None:
-        """The try of this rid, the observation put into its history."""
+        """Find the client attempt and add the observation to its history; None if unknown."""
         client_attempt = self._client_attempts.get(rid)
         if client_attempt is None:
             self._unmatched[what] += 1
@@ -108,7 +109,7 @@
     # --- Witness: clients -------------------------------------------------------------------------------
     def asked(self, at: int, rid: str, first: str, cls: int, tenant: int, key: int, zone: int,
               timeout_us: int, rebooks: str = "") -> None:  # fmt: skip
-        """A client sends a try. ValueError for a class that the day does not have."""
+        """A client sends an attempt. Raises ValueError for a class that the day does not have."""
         self._advance(at)
         if not 0 <= cls < len(self._day.classes):
             raise ValueError(f"asked: class {cls} is not one of the day's {len(self._day.classes)}")
@@ -132,7 +133,7 @@
         self._response_rules.asked(client_attempt)
 
     def taken(self, at: int, rid: str, node: str) -> None:
-        """A node's machine has the try."""
+        """A node's machine has received the attempt."""
         self._advance(at)
         client_attempt = self._find_attempt(rid, "taken", node)
         if client_attempt is not None:
@@ -140,7 +141,7 @@
 
     def answered(self, at: int, rid: str, node: str, verdict: str, retry_after_us: int,
                  right_body: bool) -> None:  # fmt: skip
-        """The client has an answer. ValueError for a verdict that is none."""
+        """The client has a response. Raises ValueError for an unknown verdict."""
         self._advance(at)
         if verdict not in VERDICTS:
             raise ValueError(f"answered: verdict {verdict!r}, allowed: {', '.join(sorted(VERDICTS))}")
@@ -155,7 +156,7 @@
             and not client_attempt.request.served
             and not client_attempt.closed
         )
-        if served:  # before it is closed: what is kept how long depends on it
+        if served:  # before closing, since it decides how long the request is kept
             self._value_score.add_served(client_attempt.request, client_attempt, at)
         if (
             self._response_rules.answered(at, client_attempt, node, verdict, right_body)
@@ -164,14 +165,14 @@
             self._attempt_rules.refused(at, client_attempt)
 
     def left(self, at: int, rid: str) -> None:
-        """The client has given the try up."""
+        """The client has given up the attempt."""
         self._advance(at)
         client_attempt = self._find_attempt(rid, "left")
         if client_attempt is not None:
             self._response_rules.left(at, client_attempt)
 
     def lost(self, at: int, rid: str, node: str, why: str) -> None:
-        """The node ended the try's connection."""
+        """The node ended the attempt's connection."""
         self._advance(at)
         client_attempt = self._find_attempt(rid, "lost", node, why)
         if client_attempt is not None:
@@ -188,7 +189,7 @@
         self._advance(at)
         client_attempt = self._find_attempt(rid, "sent", node, endpoint, first_byte_at)
         if client_attempt is None:
-            # a node that has stood still reads what was written long ago before it sees who has left
+            # a stalled node reads old requests before it sees which clients have left
             if not self._exemptions.exempts_drain(node, at):
                 text = f"{rid}, which nobody asks or which was over long ago, was sent"
                 self._violations.record(at, "unknown", text, node=node, endpoint=endpoint)
@@ -210,7 +211,7 @@
             self._attempt_rules.ran(at, client_attempt, endpoint, work_us)
 
     def ended(self, at: int, rid: str, endpoint: str, outcome: str) -> None:
-        """An endpoint is done with an attempt. ValueError for an outcome that is none."""
+        """An endpoint finished an attempt. Raises ValueError for an unknown outcome."""
         self._advance(at)
         if outcome not in OUTCOMES:
             raise ValueError(f"ended: outcome {outcome!r}, allowed: {', '.join(sorted(OUTCOMES))}")
@@ -235,13 +236,13 @@
         self._endpoint_rules.endpoint_up(at, endpoint, capacity, cold_from, cold_us)
 
     def endpoint_down(self, at: int, endpoint: str, why: str) -> None:
-        """It is gone."""
+        """The process ended."""
         self._advance(at)
         self._endpoint_rules.endpoint_down(at, endpoint, why)
 
     # --- Witness: nodes, discovery, faults --------------------------------------------------------------
     def told(self, at: int, node: str, endpoint: str, state: str) -> None:
-        """Discovery has written to a node. ValueError for a state that is none."""
+        """Discovery told a node an endpoint's state. Raises ValueError for an unknown state."""
         self._advance(at)
         if state not in STATES:
             raise ValueError(f"told: state {state!r}, allowed: {', '.join(sorted(STATES))}")
@@ -255,27 +256,27 @@
         self._endpoint_rules.node_up(node)
 
     def node_ready(self, at: int, node: str) -> None:
-        """Its ready path says 200."""
+        """The node's ready path returned 200."""
         self._advance(at)
 
     def node_stopping(self, at: int, node: str) -> None:
-        """SIGTERM has gone to it."""
+        """SIGTERM was sent to the node."""
         self._advance(at)
         self._response_rules.node_stopping(at, node)
 
     def node_down(self, at: int, node: str, planned: bool, code: int) -> None:
-        """It is gone."""
+        """The process ended."""
         self._advance(at)
         self._response_rules.node_down(at, node, planned, code)
 
     def fault(self, at: int, index: int, begins: bool) -> None:
-        """One of the day's faults begins or ends. ValueError for one that the day does not have."""
+        """A fault of the day begins or ends. Raises ValueError for an unknown index."""
         self._advance(at)
         self._exemptions.fault(at, index, begins)
 
     # --- The outcome ------------------------------------------------------------------------------------
     def report(self) -> Report:
-        """The day as far as it has been seen. Tries that are not over yet are counted as open, not judged."""
+        """The day as observed so far; attempts that have not ended are counted as open, not checked."""
         worth, outcomes, endpoint_rules, day = (
             self._value_score,
             self._outcomes,
--- a/granitewell/lab/judge/outcome_counts.py
+++ b/granitewell/lab/judge/outcome_counts.py
@@ -1,8 +1,8 @@
-"""Counts of what became of tries, by class, tenant, node and time, and how long served requests took.
+"""Counts of client attempts by outcome, class, tenant, node and time, and latencies of served requests.
 
-It owns those counts and must never weigh them by worth or judge. A try counts once, when it is closed:
-`served` (within its class's aim, counted from the first try), `late` (served after it), or as the judge
-closed it. Latencies are those of served requests, from the first try's asking to the last byte.
+A client attempt counts once, when it is closed: as `served` (within its class's latency target, measured from
+the first attempt), as `late` (served after it), or by its `closed` state. Latencies are those of served
+requests, from the first attempt's sending to the last byte.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class OutcomeCounts:
-    """What became of tries."""
+    """Counters of client attempts by outcome."""
 
     def __init__(self, day: Day) -> None:
         self._latency_targets_us = [c.aim_us for c in day.classes]
@@ -27,13 +27,15 @@
         self.tries = self.attempts = self.ran = 0
         self.total = [0] * len(OUTCOMES)
         self.by_class = [[0] * len(OUTCOMES) for _ in day.classes]
-        self.by_tenant = [[0] * len(OUTCOMES) for _ in range(len(day.tenants) + 1)]  # the last: unknown
+        self.by_tenant = [
+            [0] * len(OUTCOMES) for _ in range(len(day.tenants) + 1)
+        ]  # the last row: unknown tenants
         self.by_node: dict[str, list[int]] = {n.name: [0] * len(OUTCOMES) for n in day.nodes}
-        self.by_time: list[list[int]] = []  # by BUCKET_US of closing
+        self.by_time: list[list[int]] = []  # indexed by closing time in units of BUCKET_US
         self.latency = [Histogram() for _ in day.classes]
 
     def closed(self, client_attempt: ClientAttempt, at: int) -> None:
-        """A try has its outcome."""
+        """Count a client attempt that has been closed."""
         request = client_attempt.request
         outcome = _OUTCOME_INDEX[client_attempt.closed]
         if outcome == _SERVED:
@@ -53,22 +55,22 @@
             self.by_node.setdefault(client_attempt.node, [0] * len(OUTCOMES))[outcome] += 1
 
     def class_table(self) -> dict[str, dict[str, int]]:
-        """Tries by class and outcome."""
+        """Client attempts by class and outcome."""
         return _counts_by_name(self._class_names, self.by_class)
 
     def tenant_table(self) -> dict[str, dict[str, int]]:
-        """Tries by tenant and outcome; those of no known tenant stand under `?`, where there are any."""
+        """Client attempts by tenant and outcome; those of unknown tenants, if any, stand under `?`."""
         names = [*self._tenant_names, "?"]
         rows = self.by_tenant if any(self.by_tenant[-1]) else self.by_tenant[:-1]
         return _counts_by_name(names[: len(rows)], rows)
 
     def node_table(self) -> dict[str, dict[str, int]]:
-        """Tries that reached a node, by outcome."""
+        """Client attempts that reached a node, by node and outcome."""
         return _counts_by_name(list(self.by_node), list(self.by_node.values()))
 
 
 def named_counts(row: list[int]) -> dict[str, int]:
-    """A row of counts with its kinds' names."""
+    """A row of counts keyed by outcome."""
     return dict(zip(OUTCOMES, row, strict=True))
 
 
--- a/granitewell/lab/judge/records.py
+++ b/granitewell/lab/judge/records.py
@@ -1,6 +1,6 @@
-"""What the judge remembers of a request: first try, tries, attempts, and everything seen of them.
+"""The records kept of a request: its client attempts, their upstream attempts, and what was observed.
 
-It owns the shape of the judge's open state and of an offence, and must never judge or count. Times are
+They hold the open state of the checks and the shape of a violation, without rules or sums. Times are
 microseconds since the day began.
 """
 
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-Observation = tuple[Any, ...]  # (at, method, *args), as in a recording but for the order of the first two
+Observation = tuple[Any, ...]  # (at, method, *args); a recording has the first two the other way round
 
-MAX_HISTORY = 400  # observations kept of one request: a node that sends without end must not fill memory
+MAX_HISTORY = 400  # observations kept per request, so that a node that sends endlessly cannot fill memory
 
 
 class UpstreamAttempt:
-    """One attempt that has reached an endpoint whole."""
+    """An attempt that a node sent and an endpoint received completely."""
 
     __slots__ = ("ended_at", "endpoint", "node", "outcome", "ran_at", "sent_at", "work_us")
 
@@ -23,11 +23,11 @@
         self.node, self.endpoint, self.sent_at = node, endpoint, sent_at
         self.ran_at = self.ended_at = -1
         self.work_us = 0.0
-        self.outcome = ""  # of Witness.ended; "" while it is out
+        self.outcome = ""  # as in Witness.ended; "" while outstanding
 
 
 class ClientAttempt:
-    """One try as a client sent it.
+    """One attempt (first try or retry) as a client sent it.
 
     `closed` is "" while open, then `served`, `refused`, `failed`, `left`, `lost`, `cut` (its node was killed
     by the day), `unreached` (no node has taken it) or `unanswered`.
@@ -48,7 +48,7 @@
 
 
 class Request:
-    """A first try with its further tries: what worth is counted by."""
+    """A first attempt with its retries; the unit by which value is scored."""
 
     __slots__ = (
         "rebooked_by", "is_double_booking", "asked_at", "original_ran", "cls", "earned", "first", "history",
@@ -59,24 +59,26 @@
         self.first, self.cls, self.tenant, self.asked_at = first, cls, tenant, asked_at
         self.tries: list[ClientAttempt] = []
         self.history: list[Observation] = []
-        self.open = self.outstanding = self.ran = 0  # tries open, attempts out, tries that have run
-        self.idle_number = 0  # number of the time since which nothing has happened to it; 0: a try is open
-        self.rebooked_by: Request | None = None  # what makes this lost booking anew, and
-        self.original_ran = False  # whether the one that this makes anew has run
-        self.is_double_booking = False  # counted as a double booking
+        self.open = self.outstanding = self.ran = (
+            0  # open client attempts, outstanding upstream attempts, client attempts that have run
+        )
+        self.idle_number = 0  # identifies its latest idle period; 0: an attempt is open
+        self.rebooked_by: Request | None = None  # the request that repeats this lost booking
+        self.original_ran = False  # whether the lost booking that this one repeats has run
+        self.is_double_booking = False  # already counted
         self.served = False
-        self.within_share = True  # its tenant's share
+        self.within_share = True  # of its tenant's allowance
         self.value = self.earned = 0.0
 
     def add_observation(self, observation: Observation) -> None:
-        """Keep one more observation, as far as there is room."""
+        """Add an observation to the history, up to MAX_HISTORY."""
         if len(self.history) < MAX_HISTORY:
             self.history.append(observation)
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken rule. `history` goes on filling while its request is open."""
+    """A broken rule. `history` continues to grow while its request is open."""
 
     at: int
     rule: str  # one of judge.RULES
@@ -95,6 +97,6 @@
         }  # fmt: skip
 
     def lines(self) -> list[str]:
-        """For a person: what was broken, then the history, a line each."""
+        """Text lines: the violation, then one line per observation."""
         head = f"{self.at / 1e6:.6f} s  {self.rule}: {self.text}"
         return [head, *(f"  {x[0] / 1e6:.6f} s  {x[1]} {' '.join(map(str, x[2:]))}" for x in self.history)]
--- a/granitewell/lab/judge/report.py
+++ b/granitewell/lab/judge/report.py
@@ -1,6 +1,6 @@
-"""What the judge says of a day, in a form for programs and one for people.
+"""The report of a day, as JSON and as text lines.
 
-It owns the report's fields and must never compute more than shares of what was counted.
+Its field names are the JSON keys. It computes nothing but ratios of what was counted.
 """
 
 from __future__ import annotations
@@ -16,36 +16,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """One day. Counts are of tries unless they say otherwise; shares are parts of 1, times seconds."""
+    """Report of one day. Counts are of client attempts unless noted; shares are fractions of 1."""
 
     day: str
     seed: int
-    g: float  # as worth counts it, whatever was broken
+    g: float  # the score (see value_score), regardless of violations
     parts: dict[str, float]  # whole, worst_window, worst_class, worst_tenant
     prices: dict[str, Deduction]
     broken: tuple[Violation, ...]  # the earliest, by time
     offences: dict[str, int]  # how many by rule
-    requests: int  # first tries
+    requests: int  # first attempts
     tries: int
     attempts: int
-    open: int  # tries that were not over when the observations ended
-    unmatched: int  # observations of what was never seen to begin
+    open: int  # client attempts still open when the observations ended
+    unmatched: int  # observations without a matching start
     totals: dict[str, int]
     by_class: dict[str, dict[str, int]]
     by_tenant: dict[str, dict[str, int]]
     by_node: dict[str, dict[str, int]]
-    worth_by_class: dict[str, float]  # served over asked
-    worth_by_tenant: dict[str, float]  # within the share
+    worth_by_class: dict[str, float]  # earned over requested value
+    worth_by_tenant: dict[str, float]  # within the tenant's allowance
     latency: dict[str, Histogram]  # by class
-    series: tuple[dict[str, float], ...]  # by 250 ms: worth asked and earned, tries by outcome
-    waste: float  # of all work done, what reached no client
+    series: tuple[dict[str, float], ...]  # per 250 ms: value requested and earned, client attempts by outcome
+    waste: float  # share of all work done whose result reached no client
     dials: int
     crossings: int
     probes: int
-    fell: int  # endpoints pushed over
-    fell_untold: int  # of these, by nodes that could not know of the start
-    double_bookings: int  # unsafe requests that ran for two tries, or as lost and as made anew
-    end_us: int  # of the last observation
+    fell: int  # endpoints that ended from overload while cold
+    fell_untold: int  # of these, overloaded by nodes not yet told of the start
+    double_bookings: int  # unsafe requests that ran in two client attempts, or again as a new booking
+    end_us: int  # time of the last observation
 
     @property
     def kept(self) -> bool:
@@ -53,7 +53,7 @@
         return not self.offences
 
     def per_request(self) -> dict[str, float]:
-        """What one first try brought about, on average."""
+        """Average counts per request."""
         n = max(self.requests, 1)
         counts = {"tries": self.tries, "attempts": self.attempts, "dials": self.dials,
                   "crossings": self.crossings, "probes": self.probes}  # fmt: skip
@@ -69,7 +69,7 @@
         return {**plain, "kept": self.kept, "per_request": self.per_request()}
 
     def lines(self) -> Iterator[str]:
-        """For a person, without the tables: the figure, the rules, and the first offence."""
+        """Text lines without the tables: the score, the rules, and the first violation."""
         parts = ", ".join(f"{k.replace('_', ' ')} {v:.3f}" for k, v in self.parts.items())
         off = ", ".join(f"{k.replace('_', ' ')} {p.points:.4f}" for k, p in self.prices.items())
         yield f"G {self.g:.4f} ({parts}; off: {off})"
--- a/granitewell/lab/judge/response_rules.py
+++ b/granitewell/lab/judge/response_rules.py
@@ -1,20 +1,20 @@
-"""The rule on answers: exactly one for each try that a node has taken, in time, whole, and unchanged.
+"""The response rules: each client attempt that a node took gets exactly one complete response in time.
 
-It owns that rule and the life of tries and node processes. It must never look at attempts, which are
-repeats', or count. A try is taken once its last byte is written to a connection that the node's machine has
-accepted, and is owed its answer until `timeout + slack` after that (PROTOCOL counts a request's time from its
-last byte). Nothing is owed to a client that leaves before its time is over; one that leaves later has waited
-in vain. Where a node's process is gone:
+The rules track client attempts and node processes; upstream attempts are checked in `attempt_rules`. An
+attempt is taken once its last byte is written to a connection that the node's machine has accepted. Its
+response is due `timeout + slack` later, because PROTOCOL counts a request's time from its last byte. A client
+that leaves before its timeout is owed nothing; one that leaves later has waited in vain. When a node's
+process ends, its open attempts are treated by the way it ended:
 
-    how it went                               tries that it held
-    by itself, with any code (crash)          lost with it: the crash is the offence
+    how it ended                              open attempts
+    by itself, with any code (crash)          lost with it: the crash is the violation
     killed by the day                         nothing more is owed (`cut`)
-    SIGTERM, then ended by itself             lost, each an offence
+    SIGTERM, then ended by itself             lost, each a violation
     SIGTERM, then SIGKILL (code below 0)      taken up to 700 ms after SIGTERM: cut; later: lost
 
-A client may write that its connection broke before the world writes that the process is gone, and the world
-that it is gone before a client writes of an answer that went out in time: `lost` is judged half a second
-later.
+A client may report a broken connection before the world reports the end of the process, and the world may
+report that end before a client reports a response that was sent in time. `lost` is therefore decided half a
+second later.
 """
 
 from __future__ import annotations
@@ -26,14 +26,12 @@
 from granitewell.lab.judge.records import ClientAttempt
 from granitewell.lab.judge.violations import ViolationLog
 
-LOSS_EXPLANATION_US = (
-    500_000  # between a lost connection and the news that the process has gone, and the other way
-)
-STOP_INTAKE_US = 700_000  # after SIGTERM; what comes later a stopping node has to keep out
+LOSS_EXPLANATION_US = 500_000  # between reports of a lost connection and of its process, in either order
+STOP_INTAKE_US = 700_000  # after SIGTERM; a stopping node must not accept later attempts
 
 
 class _NodeProcess:
-    """One name's process, as far as it matters here."""
+    """The state of one node name's current process."""
 
     __slots__ = ("down_at", "end_reason", "open_attempts", "stopping_at", "unexplained_losses")
 
@@ -41,11 +39,11 @@
         self.stopping_at = self.down_at = -1
         self.end_reason = ""  # crash, day, ended, killed; "" while it is up
         self.open_attempts: dict[str, ClientAttempt] = {}
-        self.unexplained_losses: list[tuple[int, ClientAttempt, str]] = []  # lost, and not yet known why
+        self.unexplained_losses: list[tuple[int, ClientAttempt, str]] = []  # lost, cause not known yet
 
 
 class ResponseRules:
-    """Judges each try. `on_close(try, at)` is called once for each, with `closed` set."""
+    """Checks each client attempt and calls `on_close(attempt, at)` once for it, with `closed` set."""
 
     def __init__(
         self,
@@ -58,26 +56,24 @@
         self._exemptions = exemptions
         self._nodes: dict[str, _NodeProcess] = {n.name: _NodeProcess() for n in day.nodes}
 
-    # --- Tries ------------------------------------------------------------------------------------------
+    # --- Client attempts --------------------------------------------------------------------------------
     def asked(self, client_attempt: ClientAttempt) -> None:
-        """A client sends it; it may not reach a node."""
+        """A client sends the attempt; it may not reach a node."""
         due = client_attempt.asked_at + client_attempt.timeout_us + self._slack_us
         self._violations.schedule(due, self._check_due, client_attempt, due)
 
     def taken(self, at: int, client_attempt: ClientAttempt, node: str) -> None:
-        """It is the node's now."""
+        """The node has taken the attempt and owes a response."""
         if client_attempt.closed and client_attempt.closed != "unreached":
             return
-        if (
-            client_attempt.closed
-        ):  # the connection took longer than its time: it is owed an answer all the same
+        if client_attempt.closed:
+            # connecting took longer than the timeout: a response is owed all the same
             client_attempt.closed, client_attempt.closed_at = "", -1
             client_attempt.request.open += 1
             due = at + client_attempt.timeout_us + self._slack_us
             self._violations.schedule(due, self._check_due, client_attempt, due)
-        if (
-            client_attempt.node
-        ):  # sent once more on another connection, since the first was closed between requests
+        if client_attempt.node:
+            # sent again on another connection because the first was closed between requests
             self._node(client_attempt.node).open_attempts.pop(client_attempt.rid, None)
         client_attempt.node, client_attempt.taken_at = node, at
         process = self._node(node)
@@ -89,7 +85,7 @@
     def answered(
         self, at: int, client_attempt: ClientAttempt, node: str, verdict: str, right_body: bool
     ) -> bool:
-        """A final answer is whole; whether it is the one that counts."""
+        """A complete final response arrived; returns whether it is the one that counts."""
         client_attempt.answers += 1
         if client_attempt.answers > 1:
             self._violations.record(
@@ -103,19 +99,19 @@
             self._violations.record(
                 at, "body", "served with a body that no endpoint made for it", client_attempt, node=node
             )
-        if client_attempt.closed:  # too late, or nobody waits for it any more
+        if client_attempt.closed:  # too late, or the client no longer waits
             return False
         client_attempt.node = client_attempt.node or node
         self._close(at, client_attempt, verdict)
         return True
 
     def left(self, at: int, client_attempt: ClientAttempt) -> None:
-        """The client leaves. Early, nothing more is owed; else its answer was due and is waited for."""
+        """The client leaves. Before its timeout nothing more is owed; later the response is still due."""
         if not client_attempt.closed and at < client_attempt.asked_at + client_attempt.timeout_us:
             self._close(at, client_attempt, "left")
 
     def lost(self, at: int, client_attempt: ClientAttempt, node: str, why: str) -> None:
-        """The connection ended without an answer."""
+        """The connection ended without a response."""
         if client_attempt.closed:
             return
         process = self._node(node)
@@ -124,7 +120,7 @@
             self._close_after_exit(at, client_attempt, process)
             return
         process.unexplained_losses.append((at, client_attempt, why))
-        client_attempt.closed, client_attempt.closed_at = "lost", at  # closed for good once it is known why
+        client_attempt.closed, client_attempt.closed_at = "lost", at  # reported once the cause is known
         self._violations.schedule(at + LOSS_EXPLANATION_US, self._record_unexplained_losses, process)
 
     def _check_due(self, client_attempt: ClientAttempt, when: int) -> None:
@@ -149,16 +145,16 @@
 
     # --- Processes --------------------------------------------------------------------------------------
     def node_up(self, node: str) -> None:
-        """A new process: nothing is held against it yet."""
+        """A new process starts with a clean state."""
         process = self._node(node)
         process.stopping_at, process.down_at, process.end_reason = -1, -1, ""
 
     def node_stopping(self, at: int, node: str) -> None:
-        """SIGTERM was sent to it."""
+        """SIGTERM was sent to the node."""
         self._node(node).stopping_at = at
 
     def node_down(self, at: int, node: str, planned: bool, code: int) -> None:
-        """Its process is gone, and with it what it held."""
+        """The node's process ended, and its open attempts with it."""
         process = self._node(node)
         process.down_at = at
         if not planned:
@@ -175,7 +171,7 @@
             if self._is_node_at_fault(client_attempt, process):
                 del process.open_attempts[
                     client_attempt.rid
-                ]  # a next process of that name has nothing to do with it
+                ]  # the next process of that name is not responsible
                 self._violations.schedule(
                     at + LOSS_EXPLANATION_US, self._check_unanswered_at_exit, client_attempt, at
                 )
@@ -183,7 +179,7 @@
                 self._close_after_exit(at, client_attempt, process)
 
     def _check_unanswered_at_exit(self, client_attempt: ClientAttempt, ended_at: int) -> None:
-        """No client has told of an answer that was on its way when the node ended."""
+        """Record a violation unless a client reported a response that was in flight when the node ended."""
         if not client_attempt.closed:
             self._record_lost_at_exit(ended_at, client_attempt)
 
@@ -194,20 +190,20 @@
         self._close(at, client_attempt, "lost")
 
     def _close_after_exit(self, at: int, client_attempt: ClientAttempt, process: _NodeProcess) -> None:
-        """A try whose node's process is gone."""
+        """Close an attempt whose node process has ended."""
         if self._is_node_at_fault(client_attempt, process):
             self._record_lost_at_exit(at, client_attempt)
         else:
             self._close(at, client_attempt, "lost" if process.end_reason == "crash" else "cut")
 
     def _is_node_at_fault(self, client_attempt: ClientAttempt, process: _NodeProcess) -> bool:
-        """Whether the node broke the rule by ending without an answer to this try."""
+        """Whether the node broke the rule by ending without a response to this attempt."""
         if process.end_reason == "killed":
             return client_attempt.taken_at > process.stopping_at + STOP_INTAKE_US
         return process.end_reason == "ended"
 
     def _record_unexplained_losses(self, process: _NodeProcess) -> None:
-        """No news of the node's end has come in time for the first of the lost ones."""
+        """Record losses for which no end of the node's process was reported in time."""
         while (
             process.unexplained_losses
             and process.unexplained_losses[0][0] + LOSS_EXPLANATION_US <= self._violations.now_us
--- a/granitewell/lab/judge/value_score.py
+++ b/granitewell/lab/judge/value_score.py
@@ -1,33 +1,34 @@
-"""The day's figure G: the worth that was served in time over the worth that was asked for, less deductions.
-
-It owns that count and must never hold a rule. How each part is counted:
-
-    first try     every `asked` whose rid is its `first`. Retries belong to it: the first served answer to any
-                  of its tries is its answer, and its time runs from the first try's asking.
-    worth asked   the class's worth; times over_share_worth where the first try is beyond its tenant's share
-    share         a bucket of tokens for each tenant, filled at allowance_per_s, holding one second of it (at
-                  least one token) and full at the start; a first try without a token left is beyond the
-                  share. No allowance stated (0): all are within.
-    worth served  the worth asked, within the class's aim; times late_worth where the answer comes later, and
-                  none where its try's time is over or the class's deadline (of the first try) has passed
-    whole         served over asked, of all first tries
-    worst window  the least such part of any window of window_us that lies in the day, in steps of 250 ms, by
-                  the first tries' asking; the whole where the day is shorter. Empty windows don't count.
-    worst class   the least part of any class; worst tenant: of any tenant, of first tries within its share
-
-What goes off, each a price times a share (all of the day, none capped):
-
-    handshake     connections dialed to endpoints, per first try
-    waste         work that endpoints did on attempts whose answer reached no client, over the work asked for.
-                  An attempt's work is what `ran` said; of one that was stopped, died or never ended no more
-                  than its endpoint can have done by then at the speed of one core. Of several `ok` attempts
-                  of a served try the first is the answer. Asked for: each first try's class's mean work.
-    late_fail     worth of first tries never served whose last try ended after the aim, over the worth asked;
-                  a try that no node has taken was refused when it was asked
-    cross_zone    attempts to an endpoint of another zone than their node's, per first try
-    probe         probes that arrived, per first try
-
-G is at least 0. A part of nothing (no first try at all) is 1.
+"""The day's score G: the value served in time over the value requested, less deductions.
+
+    request       every `asked` whose rid is its `first`. Retries belong to it: the first served response to
+                  any of its attempts is its response, and its time runs from the first attempt's sending.
+    requested     the class's worth; times over_share_worth if the request is beyond its tenant's allowance
+    allowance     a token bucket for each tenant, filled at allowance_per_s, holding one second of it (at
+                  least one token) and full at the start; a request without a token is beyond the allowance.
+                  No allowance stated (0): all requests are within.
+    earned        the requested value if served within the class's latency target; times late_worth if later,
+                  and none if the attempt's timeout or the class's deadline (from the first attempt) has
+                  passed
+    whole         earned over requested, of all requests
+    worst window  the lowest such ratio of any window of window_us that lies in the day, in steps of 250 ms,
+                  by the requests' sending times; the whole if the day is shorter. Empty windows don't count.
+    worst class   the lowest ratio of any class; worst tenant: of any tenant, of requests within its allowance
+
+Each deduction is a weight times a share of the whole day, uncapped:
+
+    handshake     connections dialed to endpoints, per request
+    waste         work that endpoints did on attempts whose response reached no client, over the work
+                  requested. An attempt's work is what `ran` said; for one that was stopped, died or never
+                  ended it is at most what its endpoint can have done by then at the speed of one core. Of
+                  several `ok` attempts of a served request the first is the response. Requested: each
+                  request's class mean.
+    late_fail     value of requests never served whose last attempt ended after the
+                  latency target, over the value requested; an attempt that no node has taken was refused when
+                  it was sent
+    cross_zone    attempts to an endpoint of another zone than their node's, per request
+    probe         probes that arrived, per request
+
+G is at least 0. A ratio of nothing (no request at all) is 1.
 """
 
 from __future__ import annotations
@@ -40,19 +41,19 @@
 BUCKET_US = 250_000
 PARTIAL_OUTCOMES = frozenset(
     {"stopped", "died", "hung", ""}
-)  # outcomes of which it is not known how much was done
+)  # outcomes that do not tell how much work was done
 
 
 @dataclass(frozen=True, slots=True)
 class Deduction:
-    """One deduction: what it is counted from, and what it takes off G."""
+    """One deduction: the share it is computed from, and the points it takes off G."""
 
     share: float
     points: float
 
 
 class ValueScore:
-    """Counts first tries, their answers, and what goes off."""
+    """Sums up requests, their responses, and deductions."""
 
     def __init__(self, day: Day) -> None:
         self._day, self._goal = day, day.goal
@@ -61,12 +62,16 @@
         self.work_asked, self.work_ran, self.wasted = 0.0, 0.0, 0.0  # microseconds of work
         self.by_class = [[0.0, 0.0] for _ in day.classes]  # asked, earned
         self.by_tenant = [[0.0, 0.0] for _ in day.tenants]  # within the share
-        self.buckets: list[list[float]] = []  # asked, earned by BUCKET_US of asking
-        self._tokens = [[max(t.allowance_per_s, 1.0), 0.0] for t in day.tenants]  # tokens, and since when
+        self.buckets: list[
+            list[float]
+        ] = []  # requested, earned, indexed by sending time in units of BUCKET_US
+        self._tokens = [
+            [max(t.allowance_per_s, 1.0), 0.0] for t in day.tenants
+        ]  # tokens, and when they were last updated
         self._speed = {e.id: e.speed for e in day.endpoints}
 
     def add_request(self, request: Request) -> None:
-        """A first try has been asked."""
+        """Add the value of a new request."""
         cls = self._day.classes[request.cls]
         request.within_share = self._within(request.tenant, request.asked_at)
         request.value = cls.worth if request.within_share else cls.worth * self._goal.over_share_worth
@@ -76,32 +81,32 @@
         self.asked += request.value
 
     def add_served(self, request: Request, client_attempt: ClientAttempt, at: int) -> None:
-        """A try of a request not yet served has a right answer."""
+        """Add the value earned by the first correct response of a request."""
         cls = self._day.classes[request.cls]
         took = at - request.asked_at
         if at > client_attempt.asked_at + client_attempt.timeout_us or took > cls.deadline_us:
-            return  # the client has given up, though the rule's slack may not be over
+            return  # the client has given up, although the slack of the rules may not be over
         request.served = True
         request.earned = request.value if took <= cls.aim_us else request.value * cls.late_worth
         self._add_to_sums(request, 1, request.earned)
         self.earned += request.earned
 
     def close_request(self, request: Request, at: int) -> None:
-        """Nothing more will be seen of this request: count what failed late and what was wasted."""
+        """Finish a request that will not be seen again: add its late failure and wasted work."""
         self.late_failed += self.late_failure_value(request, at)
         ran, wasted = self.attempt_work(request, at)
         self.work_ran += ran
         self.wasted += wasted
 
     def late_failure_value(self, request: Request, at: int) -> float:
-        """The worth that failed only after the aim; 0 where it was served, or failed before."""
+        """The value that failed only after the latency target; 0 if served or failed earlier."""
         if request.served or not request.value:
             return 0.0
         last = max((_closed_at(t, at) for t in request.tries), default=at)
         return request.value if last - request.asked_at > self._day.classes[request.cls].aim_us else 0.0
 
     def attempt_work(self, request: Request, at: int) -> tuple[float, float]:
-        """Work done on all its attempts, and the part of it whose answer no client got."""
+        """Work done on all its attempts, and the part whose response no client received."""
         done = wasted = 0.0
         for t in request.tries:
             useful = t.closed == "served"
@@ -117,7 +122,7 @@
     def score(
         self, late_failed: float, wasted: float
     ) -> tuple[float, dict[str, float], dict[str, Deduction]]:
-        """G, its parts, and its deductions. The sums are given with what is open counted in."""
+        """G, its components and its deductions, for sums that include open requests."""
         goal = self._goal
         components = {
             "whole": _ratio(self.asked, self.earned), "worst_window": self._worst_window(),
@@ -183,7 +188,7 @@
 
 
 def _closed_at(t: ClientAttempt, at: int) -> int:
-    """When its client knew how it ended. That of one `unreached` was not seen until its time was over."""
+    """When its client knew the outcome; an `unreached` attempt counts from when it was sent."""
     if t.closed == "unreached":
         return t.asked_at
     return t.closed_at if t.closed else at
--- a/granitewell/lab/judge/view.py
+++ b/granitewell/lab/judge/view.py
@@ -1,23 +1,21 @@
-"""The judge of the fleet's own view.
-
-Who lives is known by whoever started and stopped them, what each node believes by its status door; the two
-are held against each other.
-
-It owns what must hold of a view and when. It must never believe a node of what it did, do I/O, or know which
-shell plays. Times are microseconds of the day, negative before it has begun. The rules, by their names:
-
-    settle    after the last trouble all living nodes come to name exactly the living, within the bound
-    buried    nobody calls a node dead that nothing has befallen, and that nothing cuts off
-    budget    what all living nodes together hold for their parts is never more than the whole, but for a
-              short while after a node is new to the others
-    life      a name's life number never falls, and a process that was killed never goes on with its life
-    upgrade   while two processes of a node change over nobody sees it die, leave, or begin another life
-    leave     a node that was asked to stop is not called dead by who could not but hear that it leaves
-    elder     a second process of a name does not take it from the first
-    first     a node that was asked to stop says so before its clients' listener is gone
-    chatter   news is passed on for a while and no more
+"""Checks the membership view of each node against what really happened to the nodes.
+
+Whoever starts and stops the nodes reports which of them run; the nodes' status pages give their views. The
+checks do no I/O and do not depend on how the nodes run. Times are microseconds of the day, negative before it
+begins. The rules, by name:
+
+    settle    after the last fault all running nodes agree on exactly the running nodes, within the bound
+    buried    no node is called dead that suffered no fault and is not partitioned away
+    budget    the shares that all running nodes claim never exceed the whole, except shortly after a node is
+              new
+    life      a name's incarnation never falls, and a killed process never resumes its incarnation
+    upgrade   while two processes of a node change over nobody sees it die, leave, or start a new incarnation
+    leave     a node that was asked to stop is not called dead by a node that must have heard that it leaves
+    elder     a second process of a name does not take the name from the first
+    first     a node that was asked to stop announces it before its client listener closes
+    chatter   gossip about a change stops after a while
     number, frames     see the switch
-    counts    what a node says that all have used holds what clients saw; see lab/judge/counts
+    counts    the usage that a node reports for all nodes fits what clients saw; see lab/judge/counts
 """
 
 from __future__ import annotations
@@ -28,17 +26,17 @@
 
 RULES = ("settle", "buried", "budget", "life", "upgrade", "leave", "elder", "first", "chatter", "number",
          "frames", "counts")  # fmt: skip
-FAULT_GRACE_US = 45_000_000  # after a trouble, for which it explains what is believed
-NEW_NODE_GRACE_US = 10_000_000  # for which a node that has come may count on fewer than there are
-QUIET_PERIOD_US = 10_000_000  # without a trouble, after which a node hears all that is said to it
+FAULT_GRACE_US = 45_000_000  # after a fault, during which it explains a wrong view
+NEW_NODE_GRACE_US = 10_000_000  # during which a new node may know too few members
+QUIET_PERIOD_US = 10_000_000  # without a fault, after which a node receives everything sent to it
 BUDGET_TOLERANCE = 1e-6
-MAX_HARMLESS_PAUSE_US = 3_500_000  # a node that stands still for no longer than this must not be buried
+MAX_HARMLESS_PAUSE_US = 3_500_000  # a node paused no longer than this must not be declared dead
 MAX_KEPT_VIOLATIONS = 200
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One rule broken."""
+    """A broken rule."""
 
     rule: str
     at_us: int
@@ -47,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """How long it took after a change until all agreed; took_us -1: not before the next change, or never."""
+    """Time from a change until all nodes agreed; took_us -1: not before the next change, or never."""
 
     at_us: int
     cause: str
@@ -56,14 +54,14 @@
 
 @dataclass(slots=True)
 class NodeStatus:
-    """What is known of a node's process.
+    """The state of a node's process.
 
     Attributes:
-        up: It runs.
-        held: It stands still.
-        asked_us: When it was asked to stop, -1 for not.
-        since_us: Of its start.
-        touched_us: When something last befell it that explains a death.
+        up: Whether it runs.
+        paused: Whether it is paused.
+        stop_requested_us: When it was asked to stop; -1: not asked.
+        started_us: When it started.
+        last_fault_us: When it last suffered a fault that explains a reported death.
     """
 
     name: str
@@ -73,21 +71,19 @@
     started_us: int = 0
     pause_changed_us: int = -(1 << 60)
     last_fault_us: int = -(1 << 60)
-    killed_incarnation: int = 0  # the life that it had when it was last killed
+    killed_incarnation: int = 0  # its incarnation when it was last killed
     incarnation: int = 0
-    leave_observers: frozenset[str] = (
-        frozenset()
-    )  # who could not but hear that it leaves, when it was asked to
+    leave_observers: frozenset[str] = frozenset()  # nodes that must have heard that it leaves
 
 
 @dataclass(slots=True)
 class ViewReport:
-    """What came of it.
+    """The result of the checks.
 
     Attributes:
-        settled: By change.
-        offences: The first of many.
-        broken: By rule.
+        settled: One entry per change.
+        offences: The first violations.
+        broken: Violations by rule.
     """
 
     settled: list[Settled] = field(default_factory=list)
@@ -100,33 +96,34 @@
 
     @property
     def kept(self) -> bool:
-        """Whether all rules were."""
+        """Whether all rules were kept."""
         return not self.broken
 
 
 class ViewJudge:
-    """Fed by whoever plays: processes, roads, looks."""
+    """Takes process changes, partitions and observed views, and checks the rules."""
 
     def __init__(self, names: Iterable[str], bound_us: int) -> None:
         self.report = ViewReport()
         self._bound_us = bound_us
         self._nodes = {name: NodeStatus(name) for name in names}
-        self._partitions: dict[object, tuple[frozenset[str], ...]] = {}  # cuts that are on
-        self._partitioned_since_us: dict[object, int] = {}  # and since when
-        self._last_partitioned_us: dict[
-            frozenset[str], int
-        ] = {}  # pair: when they were last cut off from each other
-        self._ambiguous_faults: set[object] = set()  # troubles under which no view is expected
-        self._upgrades: dict[str, tuple[int, int]] = {}  # node: since when, and the life that it had
-        self._first_births: dict[str, str] = {}  # names that two processes go by: the birth of the first
+        self._partitions: dict[object, tuple[frozenset[str], ...]] = {}  # active partitions
+        self._partitioned_since_us: dict[object, int] = {}  # when they began
+        # pair of nodes: when they were last partitioned from each other
+        self._last_partitioned_us: dict[frozenset[str], int] = {}
+        self._ambiguous_faults: set[object] = (
+            set()
+        )  # active faults under which no particular view is expected
+        self._upgrades: dict[str, tuple[int, int]] = {}  # node: start time, and its incarnation then
+        self._first_births: dict[str, str] = {}  # names used by two processes: the birth of the first
         self._latest_views: dict[str, tuple[int, bool, dict[str, str], bool]] = {}
         self._last_change_us, self._last_change_cause, self._awaiting_agreement = 0, "", False
         self._reported: set[tuple[str, str, int]] = set()
         self._upper_bounds: dict[str, int] = {}
 
-    # --- What befalls them ------------------------------------------------------------------------------
+    # --- Processes and faults ---------------------------------------------------------------------------
     def up(self, at_us: int, name: str) -> None:
-        """A process of it has started."""
+        """A process of the node started."""
         node = self._nodes[name]
         node.up, node.paused, node.stop_requested_us, node.started_us, node.last_fault_us = (
             True,
@@ -139,7 +136,7 @@
         self._change(at_us, f"start {name}")
 
     def down(self, at_us: int, name: str, lost: bool = False) -> None:
-        """Its process is gone; lost: and what it had written down, so that it may begin from nothing."""
+        """The node's process ended; `lost`: its stored state is gone too, so it may start from nothing."""
         node = self._nodes[name]
         if lost:
             node.incarnation = node.killed_incarnation = 0
@@ -152,14 +149,14 @@
         self._upper_bounds.pop(name, None)
 
     def stop_requested(self, at_us: int, name: str) -> None:
-        """It has been asked to stop."""
+        """The node was asked to stop."""
         node = self._nodes[name]
         node.stop_requested_us = at_us
         node.leave_observers = frozenset(n for n, x in self._nodes.items() if self._can_hear(at_us, x, node))
         self._change(at_us, f"leave {name}")
 
     def _can_hear(self, at_us: int, by: NodeStatus, node: NodeStatus) -> bool:
-        """Is nothing in the way between them, and has nothing been for a while?"""
+        """Whether nothing has separated the two nodes or disturbed either of them for a while."""
         is_quiet = (
             at_us - max(by.last_fault_us, node.last_fault_us, by.pause_changed_us) > QUIET_PERIOD_US
             and not self._ambiguous_faults
@@ -171,7 +168,7 @@
         return by.up and not by.paused and is_quiet and is_reachable
 
     def set_paused(self, at_us: int, name: str, on: bool, span_us: int) -> None:
-        """It stands still, for so long, or goes on."""
+        """The node is paused for `span_us`, or resumes."""
         node = self._nodes[name]
         node.paused, node.pause_changed_us = on, at_us
         if span_us > MAX_HARMLESS_PAUSE_US:
@@ -179,7 +176,7 @@
             self._change(at_us, f"{'stop' if on else 'go on'} {name}")
 
     def cut(self, at_us: int, key: object, groups: Iterable[Iterable[str]], on: bool, both: bool) -> None:
-        """Some can't reach others from now on, or can again; both: neither way."""
+        """Begin or heal a partition; `both`: it blocks both directions."""
         made = tuple(frozenset(g) for g in groups)
         self._mark_partitioned(at_us, made)
         sizes = "/".join(str(len(g)) for g in made)
@@ -202,21 +199,21 @@
                         self._last_partitioned_us[frozenset((a, b))] = at_us
 
     def set_ambiguous(self, at_us: int, key: object, on: bool, names: Iterable[str] = ()) -> None:
-        """Something under which no view is expected to be right; it explains a death of these."""
+        """Begin or end a fault without an expected view; it explains a reported death of these nodes."""
         (self._ambiguous_faults.add if on else self._ambiguous_faults.discard)(key)
         for name in names:
             self._nodes[name].last_fault_us = at_us
         self._change(at_us, f"{'with' if on else 'without'} {key}")
 
     def upgrade(self, at_us: int, name: str, on: bool) -> None:
-        """Two processes of it run from now on, or one again."""
+        """Begin or end an upgrade, during which two processes of the node run."""
         if on:
             self._upgrades[name] = at_us, self._nodes[name].incarnation
         else:
             self._upgrades.pop(name, None)
 
     def set_duplicate_name(self, name: str, on: bool) -> None:
-        """A second process goes by the name of one that runs, or does no more."""
+        """A second process starts or stops using the name of a running one."""
         births = [up[name] for _, responded, up, _ in self._latest_views.values() if responded and name in up]
         if on and births:
             self._first_births[name] = births[0]
@@ -229,7 +226,7 @@
         self._last_change_us, self._last_change_cause, self._awaiting_agreement = at_us, cause, True
 
     def shift_times(self, by_us: int) -> None:
-        """The day has begun: what was dated by a clock that ran so far ahead is dated by the day's."""
+        """Shift all recorded times by `by_us`, from the clock before the day to the day's clock."""
         for node in self._nodes.values():
             node.started_us += by_us
             node.last_fault_us += by_us
@@ -237,15 +234,15 @@
         self._latest_views = {n: (at + by_us, *rest) for n, (at, *rest) in self._latest_views.items()}  # type: ignore[misc]
         self.report.settled = [Settled(s.at_us + by_us, s.cause, s.took_us) for s in self.report.settled]
 
-    # --- What they believe ------------------------------------------------------------------------------
+    # --- Observed views ---------------------------------------------------------------------------------
     def observe(
         self, at_us: int, name: str, responded: bool, up: Mapping[str, str], gone: Mapping[str, str],
         size_upper_bound: int, incarnation: int,
     ) -> str:  # fmt: skip
-        """One look at a node; whole: it is a member and has answered.
+        """Check the view that a node reported; `responded`: it is a member and has answered.
 
-        What is to be said of it: it names whom it should ("same"), too few, too many, or nobody can tell
-        ("none").
+        Returns "same" if it names the expected nodes, "few" or "many" if too few or too many, and "none" if
+        that cannot be told.
         """
         report, node = self.report, self._nodes[name]
         report.looks += 1
@@ -268,12 +265,12 @@
         return "few" if wanted - up.keys() else "many"
 
     def is_member(self, name: str) -> bool:
-        """Has its process been seen to be one?"""
+        """Whether its current process has been seen to be a member."""
         seen = self._latest_views.get(name)
         return seen is not None and seen[1]
 
     def is_awaiting_agreement(self, at_us: int) -> bool:
-        """Is there still time for all to agree, and do they not yet?"""
+        """Whether the nodes do not agree yet and still have time to."""
         return (
             self._awaiting_agreement
             and self._has_expected_view
@@ -298,7 +295,7 @@
         node.incarnation = max(incarnation, node.incarnation)
 
     def _check_deaths(self, at_us: int, by: NodeStatus, gone: Mapping[str, str]) -> None:
-        """Who is called dead, and lives."""
+        """Check for nodes that are called dead although they run."""
         for name, state in gone.items():
             node = self._nodes.get(name)
             if node is None:
@@ -335,7 +332,7 @@
                 )
 
     def _has_explanation(self, at_us: int, by: NodeStatus, node: NodeStatus) -> bool:
-        """Has anything befallen either that accounts for a death?"""
+        """Whether a recent fault of either node explains a reported death."""
         last = max(node.last_fault_us, by.last_fault_us)
         last = max(last, self._last_partitioned_us.get(frozenset((by.name, node.name)), -(1 << 60)))
         return (
@@ -348,7 +345,7 @@
         return any(_group_index(groups, a) != _group_index(groups, b) for groups in self._partitions.values())
 
     def _report_once(self, rule: str, at_us: int, by: NodeStatus, node: NodeStatus, text: str) -> bool:
-        """Break a rule once for each pair and life."""
+        """Record a violation once for each rule, pair of nodes and process; returns whether it is new."""
         key = (rule + by.name, node.name, node.started_us)
         if key in self._reported:
             return False
@@ -357,13 +354,13 @@
         return True
 
     def _check_budget(self, at_us: int) -> None:
-        """The parts that all living nodes hold themselves to have."""
+        """Check that the shares that all running nodes claim do not exceed the whole."""
         shares = 0.0
         for name, node in self._nodes.items():
             if not node.up or node.paused or node.stop_requested_us >= 0 or name not in self._upper_bounds:
                 continue
             if at_us - node.started_us < NEW_NODE_GRACE_US:
-                return  # those who were there have to hear of it first
+                return  # the others have to learn of it first
             shares += 1.0 / max(self._upper_bounds[name], 1)
         self.report.budget_most = max(self.report.budget_most, shares)
         if shares > 1.0 + BUDGET_TOLERANCE:
@@ -378,11 +375,11 @@
 
     @property
     def _has_expected_view(self) -> bool:
-        """Is there a view that all should come to?"""
+        """Whether there is a view that all nodes should agree on."""
         return not self._ambiguous_faults and len(self._running_nodes()) > 0
 
     def expected(self, name: str) -> set[str]:
-        """Whom this node should name as up: the living that no cut keeps from it."""
+        """The nodes that this one should name as up: the running ones in its partition."""
         return {n for n in self._running_nodes() if n == name or not self._are_partitioned(n, name)}
 
     def _check_settled(self, at_us: int) -> None:
@@ -404,7 +401,7 @@
         )
 
     def end(self, at_us: int) -> None:
-        """The run is over."""
+        """Finish the run: report a change on which the nodes did not agree."""
         if not self._awaiting_agreement or not self._has_expected_view:
             return
         if at_us - self._last_change_us >= self._bound_us:
@@ -428,9 +425,9 @@
                 texts.append(f"{name} still names {', '.join(sorted(more)[:5])}")
         return "; ".join(texts[:5]) or "births differ"
 
-    # --- Offences ---------------------------------------------------------------------------------------
+    # --- Violations -------------------------------------------------------------------------------------
     def report_violation(self, at_us: int, rule: str, text: str) -> None:
-        """A rule that somebody else has found broken: the switch, or whoever watched a listener."""
+        """Record a violation found elsewhere, such as by the switch or a listener's observer."""
         self._record_violation(rule, at_us, text)
 
     def _record_violation(self, rule: str, at_us: int, text: str) -> None:
--- a/granitewell/lab/judge/violations.py
+++ b/granitewell/lab/judge/violations.py
@@ -1,7 +1,7 @@
-"""The judge's desk: the offences found so far, and what is to be looked at again at a later time.
+"""The violations found so far, and checks scheduled for a later time.
 
-It owns the order of offences, their number kept, and the agenda of things that can't be judged yet. It must
-never know a rule. Times are microseconds since the day began.
+The log orders violations by time and bounds how many are kept; it also runs checks that must wait for later
+observations. It knows no rule. Times are microseconds since the day began.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 
 from granitewell.lab.judge.records import ClientAttempt, UpstreamAttempt, Violation
 
-MAX_KEPT_VIOLATIONS = 20  # offences kept whole, the earliest; of all others only the number by rule is known
+MAX_KEPT_VIOLATIONS = 20  # the earliest are kept in full; the rest are only counted by rule
 NEVER = 1 << 62
 
 
 class ViolationLog:
-    """Offences and agenda of one day."""
+    """Violations and scheduled checks of one day."""
 
     def __init__(self) -> None:
         self.offences: list[Violation] = []  # by time
         self.counts: Counter[str] = Counter()  # by rule
         self.now_us = 0
-        self.next_us = NEVER  # when something is to be looked at again
+        self.next_us = NEVER  # time of the next scheduled check
         self._scheduled: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._seq = 0
 
     def schedule(self, when_us: int, call: Callable[..., None], *args: Any) -> None:
-        """Have this called once all observations up to that time have been seen."""
+        """Schedule a call for when all observations up to that time have been seen."""
         self._seq += 1
         heappush(self._scheduled, (when_us, self._seq, call, args))
         self.next_us = self._scheduled[0][0]
 
     def run_due(self, now_us: int) -> None:
-        """Call what was asked for at a time before now."""
+        """Run the checks scheduled before now."""
         agenda = self._scheduled
         while agenda and agenda[0][0] < now_us:
             self.now_us, _, call, args = heappop(agenda)
@@ -54,7 +54,7 @@
         node: str = "",
         endpoint: str = "",
     ) -> None:
-        """A rule was broken at this time, which may lie a little back."""
+        """Record a violation at this time, which may lie slightly in the past."""
         self.counts[rule] += 1
         if len(self.offences) >= MAX_KEPT_VIOLATIONS and at >= self.offences[-1].at:
             return
