--- a/granitewell/lab/simulation/troubles.py
+++ b/granitewell/lab/simulation/fault_injection.py
@@ -1,7 +1,7 @@
-"""The day's faults in virtual time: each elementary fault of `Day.faults` played on the world.
+"""Injects the day's faults in virtual time: applies each fault of `Day.faults` to the world.
 
-It owns when a fault begins and ends and what of the world it turns. It must never draw anything: whom a fault
-befalls was settled when the day was drawn. A fault that names what the day does not have is an error.
+It begins and ends each fault at its time and draws nothing at random: the targets were settled when the day
+was drawn. A fault that names something that is not in the day is an error.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from granitewell.lab.emulator import types as t
 
 if TYPE_CHECKING:
+    from granitewell.lab.simulation.endpoint_host import EndpointHost
     from granitewell.lab.simulation.node_host import NodeHost
-    from granitewell.lab.simulation.site import Site
     from granitewell.lab.simulation.world import World
 
 
 class FaultError(ValueError):
-    """A fault of the day can't be played; the text is one line."""
+    """A fault of the day cannot be injected; the text is one line."""
 
 
-class Troubles:
-    """Plays the day's faults, or only those of some indices."""
+class FaultInjector:
+    """Injects the day's faults, or only those with the given indices."""
 
     def __init__(self, world: World, only: Sequence[int] | None) -> None:
         self._world, self._engine = world, world.engine
@@ -32,21 +32,21 @@
             "condition": self._condition_on, "pause": self._pause, "stop": self._stop, "vanish": self._vanish,
             "restart": self._stop, "drain": self._drain, "node_kill": self._kill, "node_term": self._term,
             "node_hup": self._hup, "node_stall": self._stall, "node_cpu": self._cpu, "cut": self._cut_on,
-            "link": self._link_on, "discovery_silent": self._silent, "discovery_late": self._late,
+            "link": self._link_on, "discovery_silent": self._silent, "discovery_late": self._delay_on,
             "discovery_moved": self._moved,
         }  # fmt: skip
         self._end: dict[str, Callable[[int, Fault], None]] = {
-            "condition": self._condition_off, "pause": self._resume, "vanish": self._back,
-            "restart": self._back, "drain": self._close, "node_kill": self._node_back,
+            "condition": self._condition_off, "pause": self._resume, "vanish": self._restart_endpoint,
+            "restart": self._restart_endpoint, "drain": self._close, "node_kill": self._node_back,
             "node_term": self._node_back, "node_cpu": self._cpu_back, "cut": self._cut_off,
-            "link": self._link_off, "discovery_silent": self._spoken, "discovery_late": self._in_time,
+            "link": self._link_off, "discovery_silent": self._unsilence, "discovery_late": self._undelay,
         }  # fmt: skip
-        self._cpus: dict[str, list[float]] = {}
+        self._cpu_limits: dict[str, list[float]] = {}
         self._silences = 0
-        self._lates: list[int] = []
+        self._delays: list[int] = []
 
-    def plan(self) -> None:
-        """Put all faults on the agenda. Raises FaultError for one of an unknown kind, target or param."""
+    def schedule(self) -> None:
+        """Schedule all faults. Raises FaultError for an unknown kind or target."""
         for index, fault in enumerate(self._world.day.faults):
             if fault.kind not in self._begin:
                 known = ", ".join(sorted(self._begin))
@@ -62,19 +62,19 @@
         if fault.kind.startswith("discovery"):
             return
         world = self._world
-        there = (*world.sites, *world.node_hosts, *world.day.zones, "*")
+        there = (*world.endpoint_hosts, *world.node_hosts, *world.day.zones, "*")
         for name in fault.target.replace(">", ",").split(","):
             if name not in there:
                 raise FaultError(f"fault {index} ({fault.kind}): found target {name!r}, not in the day")
 
     def _run(self, index: int, fault: Fault, begins: bool) -> None:
-        self._world.seen.fault(self._engine.now_us, index, begins)
+        self._world.observations.fault(self._engine.now_us, index, begins)
         act = (self._begin if begins else self._end).get(fault.kind)
         if act is not None:
             act(index, fault)
 
-    def _sites(self, fault: Fault) -> list[Site]:
-        return [self._world.sites[name] for name in fault.target.split(",")]
+    def _endpoint_hosts(self, fault: Fault) -> list[EndpointHost]:
+        return [self._world.endpoint_hosts[name] for name in fault.target.split(",")]
 
     def _node_hosts(self, fault: Fault) -> list[NodeHost]:
         return [self._world.node_hosts[name] for name in fault.target.split(",")]
@@ -84,47 +84,47 @@
         day = self._world.day
         classes, tenants = [c.name for c in day.classes], [x.name for x in day.tenants]
         return t.Condition(
-            index, fault.text("effect"), tuple(classes.index(x) for x in _words(fault, "classes")),
-            tuple(tenants.index(x) for x in _words(fault, "tenants")),
-            tuple(int(x) for x in _words(fault, "keys")), _words(fault, "nodes"),
+            index, fault.text("effect"), tuple(classes.index(x) for x in _param_list(fault, "classes")),
+            tuple(tenants.index(x) for x in _param_list(fault, "tenants")),
+            tuple(int(x) for x in _param_list(fault, "keys")), _param_list(fault, "nodes"),
             fault.at_us if fault.get("before") else -1, fault.get("share", 1.0), fault.get("factor", 1.0),
         )  # fmt: skip
 
     def _condition_on(self, index: int, fault: Fault) -> None:
-        for site in self._sites(fault):
-            site.hand(t.Fall(self._condition(index, fault), True))
+        for endpoint_host in self._endpoint_hosts(fault):
+            endpoint_host.handle(t.Fall(self._condition(index, fault), True))
 
     def _condition_off(self, index: int, fault: Fault) -> None:
-        for site in self._sites(fault):
-            site.hand(t.Fall(self._condition(index, fault), False))
+        for endpoint_host in self._endpoint_hosts(fault):
+            endpoint_host.handle(t.Fall(self._condition(index, fault), False))
 
     def _pause(self, _: int, fault: Fault) -> None:
-        for site in self._sites(fault):
-            site.hand(t.Ordered(t.Order.PAUSE))
+        for endpoint_host in self._endpoint_hosts(fault):
+            endpoint_host.handle(t.Ordered(t.Order.PAUSE))
 
     def _resume(self, _: int, fault: Fault) -> None:
-        for site in self._sites(fault):
-            site.hand(t.Ordered(t.Order.RESUME))
+        for endpoint_host in self._endpoint_hosts(fault):
+            endpoint_host.handle(t.Ordered(t.Order.RESUME))
 
     def _stop(self, _: int, fault: Fault) -> None:
-        for site in self._sites(fault):
-            self._world.end_endpoint(site, t.Order.STOP)
+        for endpoint_host in self._endpoint_hosts(fault):
+            self._world.end_endpoint(endpoint_host, t.Order.STOP)
 
     def _vanish(self, _: int, fault: Fault) -> None:
-        for site in self._sites(fault):
-            self._world.end_endpoint(site, t.Order.VANISH)
+        for endpoint_host in self._endpoint_hosts(fault):
+            self._world.end_endpoint(endpoint_host, t.Order.VANISH)
 
-    def _back(self, _: int, fault: Fault) -> None:
-        for site in self._sites(fault):
-            self._world.start_endpoint(site)
+    def _restart_endpoint(self, _: int, fault: Fault) -> None:
+        for endpoint_host in self._endpoint_hosts(fault):
+            self._world.start_endpoint(endpoint_host)
 
     def _drain(self, _: int, fault: Fault) -> None:
-        for site in self._sites(fault):
-            self._world.drain_endpoint(site)
+        for endpoint_host in self._endpoint_hosts(fault):
+            self._world.drain_endpoint(endpoint_host)
 
     def _close(self, _: int, fault: Fault) -> None:
-        for site in self._sites(fault):
-            self._world.close_endpoint(site)
+        for endpoint_host in self._endpoint_hosts(fault):
+            self._world.close_endpoint(endpoint_host)
 
     # --- Nodes ------------------------------------------------------------------------------------------
     def _kill(self, _: int, fault: Fault) -> None:
@@ -138,7 +138,7 @@
     def _node_back(self, _: int, fault: Fault) -> None:
         for node_host in self._node_hosts(fault):
             if node_host.process is None:
-                node_host.start(at_once=False)
+                node_host.start(already_listening=False)
 
     def _hup(self, _: int, fault: Fault) -> None:
         for node_host in self._node_hosts(fault):
@@ -150,13 +150,13 @@
 
     def _cpu(self, _: int, fault: Fault) -> None:
         for node_host in self._node_hosts(fault):
-            self._cpus.setdefault(node_host.name, []).append(fault.get("factor", 1.0))
-            node_host.limit_cpu(min(self._cpus[node_host.name]))
+            self._cpu_limits.setdefault(node_host.name, []).append(fault.get("factor", 1.0))
+            node_host.limit_cpu(min(self._cpu_limits[node_host.name]))
 
     def _cpu_back(self, _: int, fault: Fault) -> None:
         for node_host in self._node_hosts(fault):
-            self._cpus[node_host.name].remove(fault.get("factor", 1.0))
-            node_host.limit_cpu(min(self._cpus[node_host.name], default=node_host.spec.cpu))
+            self._cpu_limits[node_host.name].remove(fault.get("factor", 1.0))
+            node_host.limit_cpu(min(self._cpu_limits[node_host.name], default=node_host.spec.cpu))
 
     # --- Network ----------------------------------------------------------------------------------------
     def _cut_on(self, _: int, fault: Fault) -> None:
@@ -187,31 +187,31 @@
     # --- Discovery --------------------------------------------------------------------------------------
     def _silent(self, _: int, fault: Fault) -> None:
         self._silences += 1
-        self._hush()
+        self._update_silence()
 
-    def _spoken(self, _: int, fault: Fault) -> None:
+    def _unsilence(self, _: int, fault: Fault) -> None:
         self._silences -= 1
-        self._hush()
+        self._update_silence()
 
-    def _hush(self) -> None:
+    def _update_silence(self) -> None:
         self._world.discovery.silent(self._engine.now_us, self._silences > 0)
         self._world.discover(t.Tick())
 
-    def _late(self, _: int, fault: Fault) -> None:
-        self._lates.append(round(fault.get("factor")))
+    def _delay_on(self, _: int, fault: Fault) -> None:
+        self._delays.append(round(fault.get("factor")))
         self._delay()
 
-    def _in_time(self, _: int, fault: Fault) -> None:
-        self._lates.remove(round(fault.get("factor")))
+    def _undelay(self, _: int, fault: Fault) -> None:
+        self._delays.remove(round(fault.get("factor")))
         self._delay()
 
     def _delay(self) -> None:
-        self._world.discovery.late(self._engine.now_us, max(self._lates, default=0))
+        self._world.discovery.late(self._engine.now_us, max(self._delays, default=0))
         self._world.discover(t.Tick())
 
     def _moved(self, _: int, fault: Fault) -> None:
         self._world.move_discovery()
 
 
-def _words(fault: Fault, param: str) -> tuple[str, ...]:
+def _param_list(fault: Fault, param: str) -> tuple[str, ...]:
     return tuple(x for x in fault.text(param).split(",") if x)
--- a/granitewell/lab/simulation/hunt.py
+++ b/granitewell/lab/simulation/hunt.py
@@ -1,8 +1,7 @@
-"""Many seeds of one scenario in parallel, and the fewest faults with which a failing one still fails.
+"""Runs many seeds of one scenario in parallel and shrinks the faults of those that fail.
 
-It owns what counts as failing, the spread of seeds over processes, and the shrinking. It must never print, or
-change a day but by leaving faults out. A seed fails where a rule is broken, where its G lies below a bound,
-or where it can't be played at all.
+A seed fails if a rule is broken, if its score G is below a bound, or if the day cannot be played. Shrinking
+only leaves faults out; nothing else of a day changes. Nothing is printed here.
 """
 
 from __future__ import annotations
@@ -18,13 +17,13 @@
 from granitewell.lab.judge import Judge
 from granitewell.lab.simulation.play import play
 
-MAX_PLAYS = 60  # of one seed, shrinking included
-BELOW, BROKEN_RUN = "below", "error"  # besides the names of rules
+MAX_PLAYS = 60  # per seed, including shrinking
+BELOW, BROKEN_RUN = "below", "error"  # failure kinds besides rule names
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """What is played: a scenario (a built-in name or a file), its sizes, a policy, and the least G wanted."""
+    """What to play: a scenario (built-in name or file), its sizes, a policy, and the lowest allowed G."""
 
     scenario: str
     nodes: int | None = None
@@ -35,14 +34,14 @@
     below: float | None = None
 
     def day(self, seed: int) -> Day:
-        """The day of a seed. Raises scenarios.ScenarioError."""
+        """Draw the day of a seed. Raises scenarios.ScenarioError."""
         return scenarios.draw(
             scenarios.load(self.scenario), seed, nodes=self.nodes, endpoints=self.endpoints, rate=self.rate,
             length_s=self.length_s,
         )  # fmt: skip
 
     def command(self, seed: int, only: Sequence[int] | None) -> str:
-        """The one command that plays this seed again, with those faults alone where only is given."""
+        """The command that replays this seed, with only the given faults if `only` is set."""
         figures = (("nodes", self.nodes), ("endpoints", self.endpoints), ("rate", self.rate),
                    ("length", self.length_s))  # fmt: skip
         words = ["granitewell lab sim", _quoted(self.scenario), f"--seed {seed}"]
@@ -56,10 +55,10 @@
 
 @dataclass(slots=True)
 class Found:
-    """What came of one seed.
+    """The result of one seed.
 
     Attributes:
-        failed: Empty where all is well, or the rule broken first, `below`, `error`.
+        failed: Empty if all is well, else the rule broken first, `below` or `error`.
     """
 
     seed: int
@@ -67,14 +66,14 @@
     failed: str = ""
     text: str = ""
     digest: str = ""
-    only: tuple[int, ...] | None = None  # the fewest faults found that still fail; None: all of the day's
+    only: tuple[int, ...] | None = None  # the smallest failing set of faults found; None: all of the day's
     plays: int = 0
     command: str = ""
     offence: dict[str, Any] = field(default_factory=dict)
 
 
 def seeds(case: Case, wanted: Sequence[int], jobs: int) -> Iterator[Found]:
-    """Each seed's outcome, as they come. Processes are started afresh: they share nothing with this one."""
+    """Yield each seed's result as it completes. Worker processes are spawned and share no state."""
     if jobs <= 1:
         yield from (look(case, seed) for seed in wanted)
         return
@@ -98,8 +97,8 @@
 def _shrunk(case: Case, day: Day, whole: Found) -> Found:
     """The failing run with the fewest faults.
 
-    What comes of one entry of the schedule together first, then fault by fault. What fails otherwise than the
-    whole day does not count as failing.
+    Faults from one entry of the schedule are first removed together, then one by one. A run counts as failing
+    only if it fails in the same way as the whole day.
     """
     found, plays = whole, 1
 
@@ -132,7 +131,7 @@
     judge = Judge(day)
     try:
         played = play(day, case.policy, judge, only=only)
-    except Exception as error:  # whatever it is, the other seeds go on, and this one is named
+    except Exception as error:  # the other seeds continue, and this one is reported
         return Found(day.seed, failed=BROKEN_RUN, text=f"{type(error).__name__}: {error}")
     report = judge.report()
     found = Found(day.seed, report.g, digest=played.digest)
@@ -145,10 +144,10 @@
 
 
 def ddmin(items: tuple[int, ...], fails: Callable[[tuple[int, ...]], bool]) -> tuple[int, ...]:
-    """A part of the items that still fails and of which none can be left out alone.
+    """A subset that still fails and from which no single item can be removed.
 
-    Ddmin of Zeller and Hildebrandt 2002, "Simplifying and isolating failure-inducing input". All of them are
-    held to fail.
+    Ddmin of Zeller and Hildebrandt 2002, "Simplifying and isolating failure-inducing input". The full
+    set is assumed to fail.
     """
     if fails(()):
         return ()
--- a/granitewell/lab/simulation/node_host.py
+++ b/granitewell/lab/simulation/node_host.py
@@ -1,7 +1,7 @@
-"""One node's place in virtual time: its processes one after another, and what its agent holds of the list.
+"""The host of one node in virtual time: starts and stops its processes and keeps its agent's endpoint list.
 
-It owns starts, kills and stops of the process there, and turns what discovery tells into what the core takes.
-It must never know what a process does: that is node.Node's.
+It starts, kills and stops the node's processes and converts discovery updates to the core's form. What a
+process does is up to `node.Node`.
 """
 
 from __future__ import annotations
@@ -15,41 +15,41 @@
 from granitewell.lab.engine import stream
 from granitewell.lab.platform import MAX_HELD, settings
 from granitewell.lab.simulation.node import Node
-from granitewell.lab.simulation.outbound import HEAD_START_US
-from granitewell.lab.simulation.probing import Probing
+from granitewell.lab.simulation.outbound import CLOCK_OFFSET_US
+from granitewell.lab.simulation.probing import ProbingDecider
 
 if TYPE_CHECKING:
     from granitewell.lab.simulation.world import World
 
-START_US = 300_000  # from the start of a process to its listener, as the real program takes it
-KILL_US = 3_000_000  # SIGKILL follows SIGTERM after the longest deadline, counted as this at least,
-KILL_SPARE_US = 700_000  # and so much more
+START_DELAY_US = 300_000  # from process start to listening, as the real program takes
+MIN_KILL_DELAY_US = 3_000_000  # lower bound of the longest deadline, after which SIGKILL follows SIGTERM
+KILL_MARGIN_US = 700_000  # added to that deadline
 
 STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
 
 
-class Members:
-    """Discovery's lines as the core takes them. All nodes share the objects: there are many of them."""
+class EndpointLists:
+    """Converts discovery lines to the core's form. All nodes share the objects to save memory."""
 
     def __init__(self) -> None:
-        self._made: dict[t.Line, c.DiscoveredEndpoint] = {}
+        self._endpoints: dict[t.Line, c.DiscoveredEndpoint] = {}
         self._last: tuple[tuple[t.Line, ...], View, c.EndpointListUpdate] | None = None
 
-    def news(self, lines: tuple[t.Line, ...], view: View) -> c.EndpointListUpdate:
-        """These lines as news."""
+    def update(self, lines: tuple[t.Line, ...], view: View) -> c.EndpointListUpdate:
+        """The update for these lines."""
         last = self._last
         if last is not None and last[0] is lines and last[1] is view:
             return last[2]
-        news = c.EndpointListUpdate(view, tuple(self._member(x) for x in lines))
-        self._last = lines, view, news
-        return news
+        update = c.EndpointListUpdate(view, tuple(self._endpoint(x) for x in lines))
+        self._last = lines, view, update
+        return update
 
-    def _member(self, line: t.Line) -> c.DiscoveredEndpoint:
-        made = self._made.get(line)
+    def _endpoint(self, line: t.Line) -> c.DiscoveredEndpoint:
+        made = self._endpoints.get(line)
         if made is None:
-            # on sockets discovery says whole milliseconds, and 0 for long ago
-            started = line.started_us // 1000 * 1000 + HEAD_START_US if line.started_us > 0 else 0
-            made = self._made[line] = c.DiscoveredEndpoint(
+            # on sockets discovery sends whole milliseconds, and 0 for long ago
+            started = line.started_us // 1000 * 1000 + CLOCK_OFFSET_US if line.started_us > 0 else 0
+            made = self._endpoints[line] = c.DiscoveredEndpoint(
                 line.id.encode(), (line.id, 1), line.zone, line.kind, line.cell, STATES[line.state], 1.0,
                 started,
             )  # fmt: skip
@@ -57,10 +57,10 @@
 
 
 class NodeHost:
-    """The place of one node.
+    """The host of one node.
 
     Attributes:
-        process: None while none runs.
+        process: The running process; None if there is none.
     """
 
     def __init__(self, world: World, spec: NodeDay, index: int) -> None:
@@ -68,90 +68,90 @@
         self._world, self._engine = world, world.engine
         self.process: Node | None = None
         self.starts = 0
-        self.known: dict[str, t.Line] = {}  # the list as last told to a process here
+        self.known: dict[str, t.Line] = {}  # the endpoint list as last sent to a process here
         self._cpu = spec.cpu
-        self._deaf = False  # discovery has moved, and the process asks at its old address
+        self._lost_discovery = False  # discovery has moved, and the process still uses its old address
 
-    def start(self, at_once: bool) -> None:
-        """A process begins; with at_once it listens already."""
+    def start(self, already_listening: bool) -> None:
+        """Start a process; with `already_listening` its listener opens at once."""
         self.starts += 1
-        self._deaf = False
+        self._lost_discovery = False
         seed = stream(self._world.day.seed, "node", self.name, self.starts).getrandbits(64)
         told = settings(self._world.day, self.index)
         decider = self._world.decider(self, told, seed)
         core = c.Core(told, decider, MAX_HELD)
         self.process = node = Node(self._world, self.spec, core)
-        if isinstance(decider, Probing):
-            decider.join(node, self._world.sites_by_key)
+        if isinstance(decider, ProbingDecider):
+            decider.attach(node, self._world.endpoint_hosts_by_key)
         node.limit_cpu(self._cpu)
         self._world.node_up(self)
         if self.known:
-            node.news(self._world.members.news(tuple(self.known.values()), View.CACHED))
-        if at_once:
+            node.endpoints_updated(self._world.endpoint_lists.update(tuple(self.known.values()), View.CACHED))
+        if already_listening:
             self._begin(node)
         else:
-            self._engine.at(self._engine.now_us + START_US, node.post, self._begin, node)
+            self._engine.at(self._engine.now_us + START_DELAY_US, node.post, self._begin, node)
 
     def _begin(self, node: Node) -> None:
         self._world.discover(t.NodeBegins(self.name))
         node.listen()
 
-    def take(self, tell: t.Tell) -> None:
-        """Discovery writes to the node; what comes while no process runs, the next one is told anew."""
-        node, now, seen = self.process, self._engine.now_us, self._world.seen
-        if node is None or self._deaf:
+    def deliver(self, tell: t.Tell) -> None:
+        """Deliver a discovery update; without a process it is dropped, as the next gets the full list."""
+        node, now, observations = self.process, self._engine.now_us, self._world.observations
+        if node is None or self._lost_discovery:
             return
         if tell.whole:
             there = {x.id for x in tell.lines}
             for name in [k for k in self.known if k not in there]:
-                seen.told(now, self.name, name, "gone")
+                observations.told(now, self.name, name, "gone")
             self.known = {x.id: x for x in tell.lines}
         for line in tell.lines:
-            seen.told(now, self.name, line.id, line.state)
+            observations.told(now, self.name, line.id, line.state)
             if line.state == "gone":
                 self.known.pop(line.id, None)
             else:
                 self.known[line.id] = line
         view = View.FULL if tell.whole else View.DELTA
-        node.post(node.news, self._world.members.news(tell.lines, view))
+        node.post(node.endpoints_updated, self._world.endpoint_lists.update(tell.lines, view))
 
-    # --- What the day does to it ------------------------------------------------------------------------
+    # --- Faults and signals -----------------------------------------------------------------------------
     def kill(self) -> None:
         """SIGKILL."""
         if self.process is not None:
             self._world.node_ends(self.process, True, -9)
 
     def stop(self) -> None:
-        """SIGTERM, and SIGKILL in its time."""
+        """SIGTERM, followed by SIGKILL after a delay."""
         node = self.process
         if node is None:
             return
         now, longest = self._engine.now_us, max(x.deadline_us for x in self._world.day.classes)
         self._world.node_stopping(node)
         node.post(node.stop)
-        self._engine.at(now + max(longest, KILL_US) + KILL_SPARE_US, self._kill, node)
+        self._engine.at(now + max(longest, MIN_KILL_DELAY_US) + KILL_MARGIN_US, self._kill, node)
 
     def _kill(self, node: Node) -> None:
         if self.process is node:
             self.kill()
 
     def reload(self) -> None:
-        """SIGHUP: the node asks discovery for the whole list."""
-        self._deaf = False
+        """SIGHUP: the node requests the full list from discovery."""
+        self._lost_discovery = False
         if self.process is not None:
             self._world.discover(t.NodeBegins(self.name))
 
-    def deafen(self) -> None:
-        """Discovery has closed the address that the process knows."""
-        self._deaf = True
+    def lose_discovery(self) -> None:
+        """Discovery closed the address that the process uses."""
+        self._lost_discovery = True
 
     def stall(self, until_us: int) -> None:
-        """The process stands still until then."""
+        """Stall the process until then."""
         if self.process is not None:
             self.process.stall(until_us)
 
     def limit_cpu(self, cores: float) -> None:
-        """The process, and those that follow it, get so much of one core."""
+        """Limit this process and later ones to a share of one core."""
         self._cpu = cores
         if self.process is not None:
             self.process.limit_cpu(cores)
--- a/granitewell/lab/simulation/outbound.py
+++ b/granitewell/lab/simulation/outbound.py
@@ -1,7 +1,7 @@
 """A virtual node's outbound calls: what `granitewell.net.loop` does for them with sockets.
 
-It owns the calls under way, the connections they go over, the pool and the dials. It must never resend
-anything, or change the state of a request. Nothing here is sent twice, whatever becomes of it.
+It holds the calls in progress, their connections, the pool and the dials. Nothing is sent twice, whatever
+becomes of it, and no request state is kept here.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 from granitewell import core as c
 from granitewell.balancing.interface import Outcome
 from granitewell.lab.emulator.types import Ask
-from granitewell.lab.simulation.pool import Conn, Pool
+from granitewell.lab.simulation.connection_pool import ConnectionPool, NodeConnection
 
 if TYPE_CHECKING:
+    from granitewell.lab.simulation.endpoint_host import EndpointHost
     from granitewell.lab.simulation.node import Node
-    from granitewell.lab.simulation.site import Site
     from granitewell.lab.simulation.world import World
 
-# --- The figures of granitewell.net.loop, which can't be imported here: it needs uvloop and httptools ---
-HEAD_START_US = 3_600_000_000
-IDLE_PART = 0.8
-SWEEP_US = 100_000
-WHOLE_US = 150_000
-SOCKETS = 1024
-RESERVE = 32
-MOST = SOCKETS - RESERVE
-MAX_CONNS = MOST - min(SOCKETS // 3 + 8, MOST // 2)
-MIN_LEFT_US = 1_000  # Request-Timeout-Ms is whole and at least 1
+# --- Constants of granitewell.net.loop, which cannot be imported here: it needs uvloop and httptools ---
+CLOCK_OFFSET_US = 3_600_000_000
+IDLE_TIMEOUT_RATIO = 0.8
+SWEEP_INTERVAL_US = 100_000
+RESPONSE_BODY_TIMEOUT_US = 150_000
+SOCKET_LIMIT = 1024
+RESERVED_SOCKETS = 32
+MAX_SOCKETS = SOCKET_LIMIT - RESERVED_SOCKETS
+MAX_ENDPOINT_CONNECTIONS = MAX_SOCKETS - min(SOCKET_LIMIT // 3 + 8, MAX_SOCKETS // 2)
+MIN_REQUEST_TIMEOUT_US = 1_000  # Request-Timeout-Ms is whole and at least 1
 
-ENDINGS = {"ok": Outcome.OK, "error": Outcome.ERROR, "full": Outcome.FULL}
+OUTCOME_BY_KIND = {"ok": Outcome.OK, "error": Outcome.ERROR, "full": Outcome.FULL}
 
 
 class Call:
-    """An outbound call that is under way; effect None: it is a probe."""
+    """An outbound call in progress; effect None: a probe."""
 
-    __slots__ = ("conn", "dialing", "effect", "go", "site")
+    __slots__ = ("conn", "dialing", "effect", "write_allowed", "endpoint_host")
 
-    def __init__(self, effect: c.StartCall | None, site: Site) -> None:
-        self.effect, self.site = effect, site
-        self.conn: Conn | None = None
-        self.dialing = self.go = False
+    def __init__(self, effect: c.StartCall | None, endpoint_host: EndpointHost) -> None:
+        self.effect, self.endpoint_host = effect, endpoint_host
+        self.conn: NodeConnection | None = None
+        self.dialing = self.write_allowed = False
 
 
 class Outbound:
@@ -54,44 +54,46 @@
         self.zone: int = node.zone
         self.post: Callable[..., None] = node.post
         self._calls: dict[int, Call] = {}
-        self.begun: deque[Call] = deque()  # started by the core, for the next turn of the loop
-        self._turning = False
-        self.conns: dict[int, Conn] = {}
-        self._pool = Pool(int(world.day.conn.idle_us * IDLE_PART))
+        self.pending: deque[Call] = deque()  # started by the core, to run in the next loop iteration
+        self._starting = False
+        self.conns: dict[int, NodeConnection] = {}
+        self._pool = ConnectionPool(int(world.day.conn.idle_us * IDLE_TIMEOUT_RATIO))
         self._sweeping = False
-        self._dials: deque[tuple[int, Conn]] = deque()  # by when they are given up; some are long up
+        self._dials: deque[tuple[int, NodeConnection]] = (
+            deque()
+        )  # (timeout, connection); some are already connected
 
     # --- Effects ----------------------------------------------------------------------------------------
     def start(self, effect: c.StartCall) -> None:
-        """The call begins once the core's other effects of this moment are run: see turn."""
-        call = self._calls[effect.call] = Call(effect, self._world.sites_by_key[effect.endpoint])
-        self.begun.append(call)
-
-    def probe(self, site: Site) -> None:
-        """Write a probe to an endpoint."""
-        self.begun.append(Call(None, site))
-        self.turn()
-
-    def turn(self) -> None:
-        """Carry what has begun, as the loop does in its next turn."""
-        if self._turning:
+        """Queue a call; it starts after the core's other effects, see start_pending."""
+        call = self._calls[effect.call] = Call(effect, self._world.endpoint_hosts_by_key[effect.endpoint])
+        self.pending.append(call)
+
+    def probe(self, endpoint_host: EndpointHost) -> None:
+        """Send a probe to an endpoint."""
+        self.pending.append(Call(None, endpoint_host))
+        self.start_pending()
+
+    def start_pending(self) -> None:
+        """Start the pending calls, as the loop does in its next iteration."""
+        if self._starting:
             return
-        self._turning = True
-        while self.begun:
-            call = self.begun.popleft()
-            if call.effect is None or call.effect.call in self._calls:  # not called off in the meantime
-                self._carry(call)
-        self._turning = False
+        self._starting = True
+        while self.pending:
+            call = self.pending.popleft()
+            if call.effect is None or call.effect.call in self._calls:  # not abandoned meanwhile
+                self._assign_connection(call)
+        self._starting = False
 
-    def go(self, effect: c.WriteCall) -> None:
-        """The dialed connection is to be used."""
-        self._calls[effect.call].go = True
+    def allow_write(self, effect: c.WriteCall) -> None:
+        """Allow the call to be written once its connection is up."""
+        self._calls[effect.call].write_allowed = True
 
     def abandon(self, effect: c.AbandonCall) -> None:
         """Abandon a call that nobody waits for any more.
 
-        Its connection is closed, as its answer would be out of step with a later call. A dial goes on: it
-        has been paid for and serves a later call.
+        Its connection is closed, since a late reply would be taken for that of a later call. A dial
+        continues: its cost is spent and a later call can use the connection.
         """
         call = self._calls.pop(effect.call, None)
         if call is not None and not call.dialing and call.conn is not None and call.conn.call is call:
@@ -99,18 +101,18 @@
             self._close(call.conn)
 
     def close_idle(self, effect: c.CloseIdle) -> None:
-        """Nothing more goes to that endpoint."""
+        """Close the idle connections to an endpoint that gets no more calls."""
         for conn in self._pool.drop(effect.endpoint):
             self._close(conn)
 
     def end(self) -> None:
-        """The process is gone."""
+        """The process ended."""
         for conn in list(self.conns.values()):
             self._close(conn)
 
-    # --- From call to connection ------------------------------------------------------------------------
-    def _carry(self, call: Call) -> None:
-        conn, unfit = self._pool.take(call.site.key, self._engine.now_us)
+    # --- Connections ------------------------------------------------------------------------------------
+    def _assign_connection(self, call: Call) -> None:
+        conn, unfit = self._pool.take(call.endpoint_host.key, self._engine.now_us)
         for old in unfit:
             self._close(old)
         if conn is not None:
@@ -122,37 +124,37 @@
         self._dial(call)
 
     def _dial(self, call: Call) -> None:
-        if not self._room():
+        if not self._has_room():
             self._node.notes["budget"] += 1
             self._finish(call, Outcome.UNCONNECTED)
             return
-        conn = Conn(self._world.number(), self, call.site)
+        conn = NodeConnection(self._world.next_connection_id(), self, call.endpoint_host)
         self.conns[conn.id] = conn
         conn.call = call
         late = self._engine.now_us + self._world.day.conn.dial_timeout_us
         self._dials.append((late, conn))
         if len(self._dials) == 1:
             self._engine.at(late, self.post, self._dial_timeout)
-        call.site.dial(conn)
+        call.endpoint_host.dial(conn)
 
-    def _room(self) -> bool:
+    def _has_room(self) -> bool:
         held = len(self.conns)
-        if held < MAX_CONNS and len(self._node.connections) + held < MOST:
+        if held < MAX_ENDPOINT_CONNECTIONS and len(self._node.connections) + held < MAX_SOCKETS:
             return True
-        return self.shed() or (held < MAX_CONNS and self._node.evict())
+        return self.evict_oldest() or (held < MAX_ENDPOINT_CONNECTIONS and self._node.evict())
 
-    def shed(self) -> bool:
+    def evict_oldest(self) -> bool:
         """Close the connection that has been idle longest; False if none is."""
-        conn = self._pool.shed()
+        conn = self._pool.evict_oldest()
         if conn is not None:
             self._close(conn)
         return conn is not None
 
-    def dialed(self, conn: Conn) -> None:
+    def dialed(self, conn: NodeConnection) -> None:
         """A connection is up."""
         call = conn.call
         if call is None:
-            return  # the dial's time was over before the process came to it
+            return  # the dial timed out before the process got to it
         conn.call = None
         effect = call.effect
         if effect is not None:
@@ -161,70 +163,74 @@
         if conn.closed:
             self._close(conn)
             self._finish(call, Outcome.UNCONNECTED)
-        elif effect is None or call.go:
+        elif effect is None or call.write_allowed:
             self._write(call, conn)
         else:
             self._put(conn)
 
-    def refused(self, conn: Conn) -> None:
-        """A connection did not come up."""
+    def refused(self, conn: NodeConnection) -> None:
+        """A connection could not be established."""
         call, conn.call = conn.call, None
         self._close(conn)
         if call is not None:
             self._finish(call, Outcome.UNCONNECTED)
 
     def _dial_timeout(self) -> None:
-        """Give up what has not come up in its time. All dials have the same, so one alarm does for all."""
+        """Give up dials that timed out. All have the same timeout, so one timer serves all."""
         dials, now, late = self._dials, self._engine.now_us, []
         while dials and (dials[0][0] <= now or not dials[0][1].dialing):
             late.append(dials.popleft()[1])
         if dials:
             self._engine.at(dials[0][0], self.post, self._dial_timeout)
-        for conn in late:  # what this brings about may dial anew
+        for conn in late:  # handling it may dial again
             if conn.dialing:
                 self.refused(conn)
 
     # --- From connection to ending ----------------------------------------------------------------------
-    def _write(self, call: Call, conn: Conn) -> None:
+    def _write(self, call: Call, conn: NodeConnection) -> None:
         call.conn, conn.call = conn, call
         effect = call.effect
         if effect is None:
-            call.site.probe(conn)
+            call.endpoint_host.probe(conn)
             return
-        left = max(effect.due_us - HEAD_START_US - self._engine.now_us, MIN_LEFT_US) // 1000 * 1000
+        left = (
+            max(effect.due_us - CLOCK_OFFSET_US - self._engine.now_us, MIN_REQUEST_TIMEOUT_US) // 1000 * 1000
+        )
         ask = effect.message
         assert isinstance(ask, Ask)
-        call.site.ask(conn, ask, left)
+        call.endpoint_host.ask(conn, ask, left)
 
-    def replied(self, conn: Conn, rid: str, kind: str, report: tuple[float, ...] | None) -> None:
-        """An answer, or only its head, has been read."""
+    def replied(self, conn: NodeConnection, rid: str, kind: str, report: tuple[float, ...] | None) -> None:
+        """A reply, or only its head, has been read."""
         call = conn.call
         if call is None:
             return
         if kind == "head":
-            self._engine.at(self._engine.now_us + WHOLE_US, self.post, self._unfinished, conn, call)
+            self._engine.at(
+                self._engine.now_us + RESPONSE_BODY_TIMEOUT_US, self.post, self._unfinished, conn, call
+            )
         elif kind == "spoilt":
             self._unfinished(conn, call)
         else:
             conn.call = None
-            self._put(conn)  # first of all, so that what the answer brings about can use it
+            self._put(conn)  # first, so that what follows from the reply can use it
             if call.effect is None:
-                self._node.probed(call.site, kind == "probe_ok", report or ())
+                self._node.probe_ended(call.endpoint_host, kind == "probe_ok", report or ())
             else:
-                self._finish(call, ENDINGS[kind], report or (), rid if kind == "ok" else None)
+                self._finish(call, OUTCOME_BY_KIND[kind], report or (), rid if kind == "ok" else None)
 
-    def _unfinished(self, conn: Conn, call: Call) -> None:
+    def _unfinished(self, conn: NodeConnection, call: Call) -> None:
         if conn.call is call:
             conn.call = None
             self._close(conn)
             self._finish(call, Outcome.RESET)
 
-    def hung_up(self, conn: Conn) -> None:
-        """The far side has closed a connection, with or without a reset."""
-        if not conn.near:
+    def closed_by_endpoint(self, conn: NodeConnection) -> None:
+        """The endpoint closed a connection, with or without a reset."""
+        if not conn.open_at_node:
             return
         call, conn.call = conn.call, None
-        self._pool.remove(conn.site.key, conn)
+        self._pool.remove(conn.endpoint_host.key, conn)
         self._close(conn)
         if call is not None:
             self._finish(call, Outcome.UNCONNECTED if call.dialing else Outcome.RESET)
@@ -233,31 +239,31 @@
         self, call: Call, outcome: Outcome, report: tuple[float, ...] = (), answer: object = None
     ) -> None:
         if call.effect is None:
-            self._node.probed(call.site, False, ())
+            self._node.probe_ended(call.endpoint_host, False, ())
         elif self._calls.pop(call.effect.call, None) is not None:
             self._node.dispatch(c.CallEnded(call.effect.call, outcome, report, answer))
 
     # --- The pool ---------------------------------------------------------------------------------------
-    def _put(self, conn: Conn) -> None:
-        self._pool.put(conn.site.key, conn, self._engine.now_us)
+    def _put(self, conn: NodeConnection) -> None:
+        self._pool.put(conn.endpoint_host.key, conn, self._engine.now_us)
         if not self._sweeping:
-            self._look()
+            self._schedule_sweep()
 
-    def _look(self) -> None:
-        """Sweep at the loop's next sweep at which something is due."""
+    def _schedule_sweep(self) -> None:
+        """Schedule the loop's next sweep that has something to close."""
         due = self._pool.due_us
         self._sweeping = due >= 0
         if self._sweeping:
-            self._engine.at(due // SWEEP_US * SWEEP_US + SWEEP_US, self._sweep)
+            self._engine.at(due // SWEEP_INTERVAL_US * SWEEP_INTERVAL_US + SWEEP_INTERVAL_US, self._sweep)
 
     def _sweep(self) -> None:
         if self._node.alive:
             for conn in self._pool.expire(self._engine.now_us):
                 self._close(conn)
-            self._look()
+            self._schedule_sweep()
 
-    def _close(self, conn: Conn) -> None:
-        if conn.near:
-            conn.near = False
+    def _close(self, conn: NodeConnection) -> None:
+        if conn.open_at_node:
+            conn.open_at_node = False
             del self.conns[conn.id]
-            conn.site.left(conn)
+            conn.endpoint_host.close(conn)
--- a/granitewell/lab/simulation/play.py
+++ b/granitewell/lab/simulation/play.py
@@ -1,7 +1,6 @@
-"""Plays one day in virtual time: `play(day, policy)` from its first moment until all is answered.
+"""Plays one day in virtual time: `play(day, policy)` runs it until every request has ended.
 
-It owns the choice of a policy by name, when a day is over, and what is reported of a run besides the judge's
-report. It must never look at the day's figures to decide anything else.
+It selects a policy by name, decides when a day is over, and reports the run apart from the judge's report.
 """
 
 from __future__ import annotations
@@ -18,27 +17,27 @@
 from granitewell.balancing.interface import Settings
 from granitewell.core import LoadBalancer
 from granitewell.lab.day import Day
-from granitewell.lab.simulation import policies, published
+from granitewell.lab.simulation import policies, published_policies
 from granitewell.lab.simulation.node_host import NodeHost
-from granitewell.lab.simulation.oracle import Ledger, Oracle
-from granitewell.lab.simulation.probing import Probing
-from granitewell.lab.simulation.world import Maker, World
+from granitewell.lab.simulation.oracle import Oracle, SentWork
+from granitewell.lab.simulation.probing import ProbingDecider
+from granitewell.lab.simulation.world import DeciderFactory, World
 from granitewell.lab.witness import Witness
 
-STEP_US = 50_000  # between two looks whether anything is still owed
-GRACE_US = 5_000_000  # past the last deadlines, when a day ends whatever is still owed
+CHECK_INTERVAL_US = 50_000  # between checks for unfinished attempts
+DAY_END_GRACE_US = 5_000_000  # after the last deadline, when a day ends even with unfinished attempts
 
-_OTHERS: dict[str, Callable[[Settings, int], LoadBalancer]] = {
+_POLICY_FACTORIES: dict[str, Callable[[Settings, int], LoadBalancer]] = {
     "module": Balancer,
     "random": policies.RandomChoice,
     "round-robin": policies.RoundRobin,
     "least-inflight": policies.LeastInflight,
-    "envoy-outlier": published.EnvoyOutlier,
-    "prequal": lambda settings, seed: Probing(published.Prequal(settings, seed)),
+    "envoy-outlier": published_policies.EnvoyOutlier,
+    "prequal": lambda settings, seed: ProbingDecider(published_policies.Prequal(settings, seed)),
 }
-POLICIES = (*_OTHERS, "oracle")
+POLICIES = (*_POLICY_FACTORIES, "oracle")
 
-Invariant = Callable[[World], str]  # what is wrong, or an empty text
+Invariant = Callable[[World], str]  # returns what is wrong, or an empty text
 
 
 class ViolationError(Exception):
@@ -47,41 +46,41 @@
 
 @dataclass(slots=True)
 class Played:
-    """What came of a day.
+    """The result of a day.
 
     Attributes:
-        report: The witness's, where it makes one.
-        seconds: Of this process's CPU.
-        memory_mb: The most that the process has held so far, of all that it has run.
+        report: The witness's report, if it makes one.
+        seconds: CPU time of this process.
+        memory_mb: Peak memory of the process over everything that it has run so far.
     """
 
     policy: str
     report: dict[str, Any]
     digest: str
     events: int
-    requests: int  # tries asked
+    requests: int  # client attempts sent
     seconds: float
     day_s: float
     memory_mb: float
-    owed: int  # tries and attempts that had no end when the day was over
+    owed: int  # client and upstream attempts without an end when the day was over
     seen: Counter[str] = field(default_factory=Counter)
     notes: Counter[str] = field(default_factory=Counter)  # log lines of all nodes, by topic
-    faults: tuple[str, ...] = ()  # the last lines that nodes wrote of faults of their own
+    faults: tuple[str, ...] = ()  # the last log lines that nodes wrote about their own faults
 
     @property
     def speed(self) -> float:
-        """Virtual seconds for each real one."""
+        """Virtual seconds per CPU second."""
         return self.day_s / max(self.seconds, 1e-9)
 
 
-def maker(policy: str) -> Maker:
-    """What makes each node's decider. Raises ValueError for an unknown name."""
+def decider_factory(policy: str) -> DeciderFactory:
+    """The factory of each node's decider. Raises ValueError for an unknown name."""
     if policy == "oracle":
-        ledger = Ledger()
-        return lambda world, node_host, settings, seed: Oracle(world, node_host, ledger, settings, seed)
-    if policy not in _OTHERS:
+        sent_work = SentWork()
+        return lambda world, node_host, settings, seed: Oracle(world, node_host, sent_work, settings, seed)
+    if policy not in _POLICY_FACTORIES:
         raise ValueError(f"policy: found {policy!r}, allowed are {', '.join(POLICIES)}")
-    made = _OTHERS[policy]
+    made = _POLICY_FACTORIES[policy]
     return lambda world, node_host, settings, seed: made(settings, seed)
 
 
@@ -96,28 +95,27 @@
 ) -> Played:
     """Play the day.
 
-    Decider(settings, seed) makes each node's decisions in place of a named policy;
-
     Args:
-        only: The faults that befall, by index; invariants are checked after every event (Violation says what
-            failed).
+        decider: Makes each node's decider from (settings, seed), in place of a named policy.
+        only: Indices of the faults to inject; None: all.
+        invariants: Checked after every event; ViolationError says what failed.
     """
-    make = maker(policy) if decider is None else _by(decider)
+    make = decider_factory(policy) if decider is None else _factory_from(decider)
     world = World(day, make, witness, trace, only)
     begun = time.process_time()
     collecting = gc.isenabled()
-    gc.disable()  # a day makes almost no cycles, and the collector would walk all of it again and again
+    gc.disable()  # a day makes almost no reference cycles, and collection would scan all of it repeatedly
     try:
         world.begin()
         _run(world, invariants)
     finally:
         if collecting:
             gc.enable()
-    world.seen.flush()
+    world.observations.flush()
     return _played(world, policy, witness, time.process_time() - begun)
 
 
-def _by(decider: Callable[[Settings, int], LoadBalancer]) -> Maker:
+def _factory_from(decider: Callable[[Settings, int], LoadBalancer]) -> DeciderFactory:
     def make(world: World, node_host: NodeHost, settings: Settings, seed: int) -> LoadBalancer:
         return decider(settings, seed)
 
@@ -125,18 +123,18 @@
 
 
 def _run(world: World, invariants: Sequence[Invariant]) -> None:
-    """Until all arrivals are over and nothing is owed, but not for ever: what hangs does not end."""
+    """Run until all arrivals are over and all attempts have ended, up to a limit for those that hang."""
     day, engine = world.day, world.engine
-    end = day.length_us + 2 * max(c.deadline_us for c in day.classes) + GRACE_US
+    end = day.length_us + 2 * max(c.deadline_us for c in day.classes) + DAY_END_GRACE_US
     until = day.length_us
     while True:
         if invariants:
             _step(world, until, invariants)
         else:
             engine.run(until)
-        if until >= end or not world.owed:
+        if until >= end or not world.unfinished:
             return
-        until = min(until + STEP_US, end)
+        until = min(until + CHECK_INTERVAL_US, end)
 
 
 def _step(world: World, until: int, invariants: Sequence[Invariant]) -> None:
@@ -158,8 +156,8 @@
         seconds=seconds,
         day_s=world.engine.now_us / 1e6,
         memory_mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-        owed=world.owed,
-        seen=world.seen.counts,
+        owed=world.unfinished,
+        seen=world.observations.counts,
         notes=world.notes,
-        faults=tuple(world.faults_noted),
+        faults=tuple(world.fault_lines),
     )
--- a/tests/lab/test_ranking.py
+++ b/tests/lab/test_ranking.py
@@ -70,8 +70,8 @@
 class Deaf(RandomChoice):
     """Goes on sending to who drains."""
 
-    def _news(self, event: Hosts) -> None:
-        super()._news(event)
+    def _hosts_updated(self, event: Hosts) -> None:
+        super()._hosts_updated(event)
         self.ready = sorted(self._hosts.values(), key=lambda h: h.id)
 
 
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -24,12 +24,12 @@
 from granitewell.lab import day as d
 from granitewell.lab.judge import Judge
 from granitewell.lab.simulation import hunt as hunting
-from granitewell.lab.simulation import policies, published
+from granitewell.lab.simulation import policies, published_policies
+from granitewell.lab.simulation.connection_pool import ConnectionPool, NodeConnection
+from granitewell.lab.simulation.fault_injection import FaultError
 from granitewell.lab.simulation.hunt import Case, Found, ddmin, look, seeds
-from granitewell.lab.simulation.outbound import HEAD_START_US, WHOLE_US
+from granitewell.lab.simulation.outbound import CLOCK_OFFSET_US, RESPONSE_BODY_TIMEOUT_US
 from granitewell.lab.simulation.play import POLICIES, Played, ViolationError, play
-from granitewell.lab.simulation.pool import Conn, Pool
-from granitewell.lab.simulation.troubles import FaultError
 from granitewell.lab.simulation.world import World
 from tests.lab.test_simulation_digest import small_day
 
@@ -62,7 +62,7 @@
     hosts: list[bytes] = field(default_factory=list)
 
     def handle(self, now: float, event: t.Event) -> list[t.Action]:
-        at = round(now - HEAD_START_US / 1000, 3)
+        at = round(now - CLOCK_OFFSET_US / 1000, 3)
         self.heard.append((at, event))
         if isinstance(event, t.Hosts):
             self.views.append(event.view)
@@ -125,7 +125,11 @@
     "link loses": (fault("link", 0.5, 9.0, "n0>d0", what="loss", factor=1.0), Outcome.RESET, 62.0),
     "link slow": (fault("link", 0.5, 9.0, "n0>d0", what="delay", factor=5000.0), Outcome.OK, 92.0),
     "spoilt": (fault("condition", 0.5, effect="spoilt"), Outcome.RESET, 62.0),
-    "head alone": (fault("condition", 0.5, effect="silent_head"), Outcome.RESET, 62.0 + WHOLE_US / 1000),
+    "head alone": (
+        fault("condition", 0.5, effect="silent_head"),
+        Outcome.RESET,
+        62.0 + RESPONSE_BODY_TIMEOUT_US / 1000,
+    ),
     "hangs": (fault("condition", 0.5, effect="hang"), Outcome.TIMEOUT, 1000.0),
     "refuses": (fault("condition", 0.5, effect="refuse"), Outcome.UNCONNECTED, 4 * NET_MS),
 }
@@ -149,7 +153,7 @@
     looks: list[tuple[int, int]] = []
 
     def watch(world: World) -> str:
-        looks.append((world.engine.now_us, world.sites["d0"].model.connections))
+        looks.append((world.engine.now_us, world.endpoint_hosts["d0"].model.connections))
         return ""
 
     play(day, decider=lambda settings, seed: Script(), invariants=[watch])
@@ -184,15 +188,15 @@
     class At:
         key = b"d0"
 
-    pool, site = Pool(1000), At()
-    a, b, c = (Conn(k, None, site) for k in range(3))  # type: ignore[arg-type]
+    pool, endpoint_host = ConnectionPool(1000), At()
+    a, b, c = (NodeConnection(k, None, endpoint_host) for k in range(3))  # type: ignore[arg-type]
     for at, conn in ((0, a), (10, b), (20, c)):
         pool.put(b"d0", conn, at)
     assert pool.take(b"d0", 100) == (c, [])
     pool.put(b"d0", c, 200)
     assert pool.due_us == 1000 and pool.expire(1015) == [a, b] and pool.due_us == 1200
     c.closed = True
-    assert pool.take(b"d0", 300) == (None, [c]) and pool.shed() is None
+    assert pool.take(b"d0", 300) == (None, [c]) and pool.evict_oldest() is None
 
 
 # --- Nodes ----------------------------------------------------------------------------------------------
@@ -282,7 +286,7 @@
         node = world.node_hosts["n0"].process
         if node is not None:
             most["lines"] = max(most["lines"], len(node.connections))
-            most["all"] = max(most["all"], len(node.connections) + len(node.out.conns))
+            most["all"] = max(most["all"], len(node.connections) + len(node.outbound.conns))
         return ""
 
     day = calm(arrivals=[1.0 + k / 1e5 for k in range(1500)], conn=replace(small_day().conn, cap=5000))
@@ -334,14 +338,16 @@
     return t.Ended(send.id, attempt, send.host, outcome, 20.0, outcome is Outcome.OK, report)
 
 
-PLAIN: tuple[Callable[[Settings, int], policies.Plain], ...] = (
-    policies.RandomChoice, policies.RoundRobin, policies.LeastInflight, published.EnvoyOutlier,
-    published.Prequal,
+PLAIN: tuple[Callable[[Settings, int], policies.SimplePolicy], ...] = (
+    policies.RandomChoice, policies.RoundRobin, policies.LeastInflight, published_policies.EnvoyOutlier,
+    published_policies.Prequal,
 )  # fmt: skip
 
 
 @pytest.mark.parametrize("make", PLAIN)
-def test_a_plain_policy_keeps_the_rule_on_repeats(make: Callable[[Settings, int], policies.Plain]) -> None:
+def test_a_plain_policy_keeps_the_rule_on_repeats(
+    make: Callable[[Settings, int], policies.SimplePolicy],
+) -> None:
     policy = make(settings(), 1)
     assert policy.handle(0.0, ask(1)) == [t.Refuse(1)]  # nobody is there
     policy.handle(0.0, t.Hosts(t.View.FULL, HOSTS[:3]))
@@ -374,7 +380,7 @@
 
 
 def test_envoy_ejects_after_five_in_a_row_one_in_ten_for_thirty_seconds() -> None:
-    policy = published.EnvoyOutlier(settings(max_attempts=1), 1)
+    policy = published_policies.EnvoyOutlier(settings(max_attempts=1), 1)
     policy.handle(0.0, t.Hosts(t.View.FULL, HOSTS))
 
     def fail(host: bytes, at: float, times: int) -> None:
@@ -383,7 +389,11 @@
             policy.handle(at, t.Ended(9000 + k, 0, host, Outcome.ERROR, 5.0, True))
 
     def chosen(at: float) -> set[bytes]:
-        got = [policy.choose(policies.Held(ask(k))) for k in range(400)] if policy.handle(at, ask(1)) else []
+        got = (
+            [policy.choose(policies.PendingRequest(ask(k))) for k in range(400)]
+            if policy.handle(at, ask(1))
+            else []
+        )
         return set(got)
 
     fail(b"h3", 10.0, 4)
@@ -396,16 +406,16 @@
 
 
 def test_prequal_takes_the_quickest_of_the_cold_ones() -> None:
-    policy = published.Prequal(settings(), 1)
+    policy = published_policies.Prequal(settings(), 1)
     policy.handle(0.0, t.Hosts(t.View.FULL, HOSTS[:4]))
-    policy._due = policy._remove = -99.0  # the pool stays as it is
+    policy._probes_due = policy._removals_due = -99.0  # the pool stays as it is
     for host, rif, ms in ((b"h0", 0.0, 40.0), (b"h1", 1.0, 10.0), (b"h2", 9.0, 1.0), (b"h3", 0.0, 80.0)):
-        policy._pool.append(published._Sample(host, rif, ms, 0.0, 9.0))
+        policy._pool.append(published_policies._PooledProbe(host, rif, ms, 0.0, 9.0))
         policy._rifs.append(rif)
     policy._sorted = [0.0] * 70 + [1.0] * 20 + [9.0] * 10
-    assert policy.choose(policies.Held(ask(1))) == b"h1"  # h2 is quicker, but hot
+    assert policy.choose(policies.PendingRequest(ask(1))) == b"h1"  # h2 is quicker, but hot
     policy._sorted = [0.0] * 100
-    assert policy.choose(policies.Held(ask(2))) == b"h0"
+    assert policy.choose(policies.PendingRequest(ask(2))) == b"h0"
 
 
 def test_probes_go_to_endpoints_and_back_round_the_core() -> None:
