--- a/granitewell/lab/emulator/clients.py
+++ b/granitewell/lab/emulator/clients.py
@@ -34,8 +34,8 @@
 from granitewell.lab.emulator.types import Ask, Broken, ClientEffect, ClientEvent, Leave, Replied, Tick
 from granitewell.lab.engine import stream
 
-SHORTEST_US = 1_000  # of a try: its time is told in whole milliseconds
-STAYS_US = 250_000  # for which a connection stays beyond the slack: what is owed counts from its reading
+MIN_ATTEMPT_US = 1_000  # of a try: its time is told in whole milliseconds
+LINGER_US = 250_000  # for which a connection stays beyond the slack: what is owed counts from its reading
 
 
 def _rids(seed: str) -> Iterator[str]:
@@ -51,26 +51,35 @@
 
 
 # States of what the agenda names; an entry that waits for another state than the present one is stale.
-_OPEN, _OVER, _ENDED = range(3)
+_OPEN, _GIVEN_UP, _ENDED = range(3)
 
 
-class _Want:
+class _ClientRequest:
     """One thing that one client wants, with all its tries.
 
     Attributes:
         left: Further tries that it may make.
     """
 
-    __slots__ = ("arrival", "ends_us", "first", "heeds", "left", "rebooks", "state")
+    __slots__ = ("arrival", "deadline_us", "first", "honours_retry_after", "retries_left", "rebooks", "state")
 
-    def __init__(self, arrival: Arrival, first: str, ends_us: int, left: int, rebooks: str) -> None:
-        self.arrival, self.first, self.ends_us, self.left = arrival, first, ends_us, left
+    def __init__(
+        self, arrival: Arrival, first: str, deadline_us: int, retries_left: int, rebooks: str
+    ) -> None:
+        self.arrival, self.first, self.deadline_us, self.retries_left = (
+            arrival,
+            first,
+            deadline_us,
+            retries_left,
+        )
         self.rebooks = rebooks  # the first try of the lost booking, if this one is made anew
-        self.heeds: bool | None = None  # whether its client heeds Retry-After; drawn when it first matters
+        self.honours_retry_after: bool | None = (
+            None  # whether its client heeds Retry-After; drawn when it first matters
+        )
         self.state = _OPEN
 
 
-class _Try:
+class _ClientAttempt:
     """One try.
 
     State over: given up, its connection left to what is still owed.
@@ -80,10 +89,10 @@
             and go on.
     """
 
-    __slots__ = ("due_us", "leaves", "rid", "state", "want")
+    __slots__ = ("due_us", "is_impatient", "rid", "state", "request")
 
-    def __init__(self, rid: str, want: _Want, due_us: int, leaves: bool) -> None:
-        self.rid, self.want, self.due_us, self.leaves = rid, want, due_us, leaves
+    def __init__(self, rid: str, request: _ClientRequest, due_us: int, is_impatient: bool) -> None:
+        self.rid, self.request, self.due_us, self.is_impatient = rid, request, due_us, is_impatient
         self.state = _OPEN
 
 
@@ -97,160 +106,170 @@
     def __init__(self, day: Day, rng_seed: int) -> None:
         figures = day.clients
         self._classes, self._length_us, self._figures = day.classes, day.length_us, figures
-        self._try_us = [
-            c.deadline_us if c.unsafe else max(SHORTEST_US, int(c.deadline_us * figures.try_share))
+        self._attempt_timeout_us = [
+            c.deadline_us if c.unsafe else max(MIN_ATTEMPT_US, int(c.deadline_us * figures.try_share))
             for c in day.classes
         ]
-        self._stays_us = day.rules.slack_us + STAYS_US
-        self._honour, self._impatient, self._when, self._rebook = (
+        self._linger_us = day.rules.slack_us + LINGER_US
+        self._honour, self._impatient, self._leave_time, self._rebook = (
             stream(day.seed, "clients", rng_seed, x).random for x in ("honour", "impatient", "when", "rebook")
         )
         self._rid = _rids(f"{day.seed}/{rng_seed}").__next__
         self._arrivals = Arrivals(day)
         self._next = next(self._arrivals, None)
-        self._open: dict[str, _Try] = {}
+        self._open_attempts: dict[str, _ClientAttempt] = {}
         self._waiting = 0  # wants between two tries
-        self._agenda: list[tuple[int, int, _Try | _Want, int]] = []  # (when, number, whom, its state): a heap
-        self._numbers = 0
+        self._timers: list[
+            tuple[int, int, _ClientAttempt | _ClientRequest, int]
+        ] = []  # (when, number, whom, its state): a heap
+        self._timer_count = 0
         self.rebooked = 0
         self.wake_us = self._wake()
 
     @property
     def over(self) -> bool:
         """Whether all arrivals have been sent and nothing is open."""
-        return self._next is None and not self._open and not self._waiting
+        return self._next is None and not self._open_attempts and not self._waiting
 
     def handle(self, now_us: int, event: ClientEvent) -> list[ClientEffect]:
         """Take an event; what clients do on it, in order. A try's end counts once, the first time."""
-        out: list[ClientEffect] = []
+        effects: list[ClientEffect] = []
         if isinstance(event, Tick):
-            self._tick(now_us, out)
+            self._tick(now_us, effects)
         elif isinstance(event, Replied):
-            self._replied(now_us, event, out)
+            self._replied(now_us, event, effects)
         else:
-            self._broken(now_us, event, out)
+            self._broken(now_us, event, effects)
         self.wake_us = self._wake()
-        return out
+        return effects
 
     def _wake(self) -> int:
         """The time of the next arrival or of the first entry of the agenda that still matters."""
-        agenda = self._agenda
-        while agenda and agenda[0][2].state != agenda[0][3]:
-            heappop(agenda)
+        timers = self._timers
+        while timers and timers[0][2].state != timers[0][3]:
+            heappop(timers)
         if self._next is None:
-            return agenda[0][0] if agenda else -1
+            return timers[0][0] if timers else -1
         at = self._next.at_us
-        return agenda[0][0] if agenda and agenda[0][0] < at else at
+        return timers[0][0] if timers and timers[0][0] < at else at
 
-    def _tick(self, now_us: int, out: list[ClientEffect]) -> None:
+    def _tick(self, now_us: int, effects: list[ClientEffect]) -> None:
         """Everything whose time has come, by time; what was asked for earlier goes before an arrival."""
-        agenda = self._agenda
+        timers = self._timers
         while True:
             at = self._next.at_us if self._next is not None else now_us + 1
-            if agenda and agenda[0][0] <= at and agenda[0][0] <= now_us:
-                _, _, whom, state = heappop(agenda)
-                if whom.state == state:
-                    self._due(now_us, whom, out)
+            if timers and timers[0][0] <= at and timers[0][0] <= now_us:
+                _, _, subject, state = heappop(timers)
+                if subject.state == state:
+                    self._on_timer(now_us, subject, effects)
             elif self._next is not None and at <= now_us:
-                self._arrive(now_us, self._next, out)
+                self._arrive(now_us, self._next, effects)
                 self._next = next(self._arrivals, None)
             else:
                 return
 
-    def _at(self, when_us: int, whom: _Try | _Want) -> None:
-        self._numbers += 1
-        heappush(self._agenda, (when_us, self._numbers, whom, whom.state))
+    def _schedule(self, when_us: int, subject: _ClientAttempt | _ClientRequest) -> None:
+        self._timer_count += 1
+        heappush(self._timers, (when_us, self._timer_count, subject, subject.state))
 
-    def _due(self, now_us: int, whom: _Try | _Want, out: list[ClientEffect]) -> None:
-        if isinstance(whom, _Want):
+    def _on_timer(
+        self, now_us: int, subject: _ClientAttempt | _ClientRequest, effects: list[ClientEffect]
+    ) -> None:
+        if isinstance(subject, _ClientRequest):
             self._waiting -= 1
-            if now_us + SHORTEST_US <= whom.ends_us:  # the shell may have come late
-                self._ask(now_us, whom, out)
-        elif whom.state == _OVER or (whom.leaves and now_us < whom.due_us):
-            whom.state = _ENDED
-            del self._open[whom.rid]
-            out.append(Leave(whom.rid))
+            if now_us + MIN_ATTEMPT_US <= subject.deadline_us:  # the shell may have come late
+                self._ask(now_us, subject, effects)
+        elif subject.state == _GIVEN_UP or (subject.is_impatient and now_us < subject.due_us):
+            subject.state = _ENDED
+            del self._open_attempts[subject.rid]
+            effects.append(Leave(subject.rid))
         else:
-            whom.state = _OVER
-            self._at(now_us + self._stays_us, whom)
-            if not whom.leaves:  # else the shell has come late, and the answer is owed by now
-                self._lost(now_us, whom.want, out)
+            subject.state = _GIVEN_UP
+            self._schedule(now_us + self._linger_us, subject)
+            if not subject.is_impatient:  # else the shell has come late, and the answer is owed by now
+                self._on_lost(now_us, subject.request, effects)
 
     # --- Tries ------------------------------------------------------------------------------------------
-    def _arrive(self, now_us: int, arrival: Arrival, out: list[ClientEffect], rebooks: str = "") -> None:
+    def _arrive(self, now_us: int, arrival: Arrival, effects: list[ClientEffect], rebooks: str = "") -> None:
         figures, rid = self._figures, self._rid()
         ends = now_us + self._classes[arrival.cls].deadline_us
-        want = _Want(arrival, rid, ends, figures.retries, rebooks)
-        leaves = figures.impatient > 0.0 and self._impatient() < figures.impatient
-        self._put(now_us, rid, want, leaves, out)
+        request = _ClientRequest(arrival, rid, ends, figures.retries, rebooks)
+        is_impatient = figures.impatient > 0.0 and self._impatient() < figures.impatient
+        self._send_attempt(now_us, rid, request, is_impatient, effects)
 
-    def _ask(self, now_us: int, want: _Want, out: list[ClientEffect]) -> None:
-        want.left -= 1
-        self._put(now_us, self._rid(), want, False, out)
+    def _ask(self, now_us: int, request: _ClientRequest, effects: list[ClientEffect]) -> None:
+        request.retries_left -= 1
+        self._send_attempt(now_us, self._rid(), request, False, effects)
 
-    def _put(self, now_us: int, rid: str, want: _Want, leaves: bool, out: list[ClientEffect]) -> None:
+    def _send_attempt(
+        self, now_us: int, rid: str, request: _ClientRequest, is_impatient: bool, effects: list[ClientEffect]
+    ) -> None:
         """Send a try."""
-        _, cls, tenant, key, zone, work_us = want.arrival
-        stays = min(self._try_us[cls], want.ends_us - now_us)
-        self._open[rid] = made = _Try(rid, want, now_us + stays, leaves)
-        self._at(now_us + (int(stays * self._when()) if leaves else stays), made)
-        first = want.first
+        _, cls, tenant, key, zone, work_us = request.arrival
+        timeout_us = min(self._attempt_timeout_us[cls], request.deadline_us - now_us)
+        self._open_attempts[rid] = made = _ClientAttempt(rid, request, now_us + timeout_us, is_impatient)
+        self._schedule(now_us + (int(timeout_us * self._leave_time()) if is_impatient else timeout_us), made)
+        first = request.first
         if rid == first:
-            out.append(Ask(rid, first, cls, tenant, key, zone, stays, work_us, False, want.rebooks))
+            effects.append(
+                Ask(rid, first, cls, tenant, key, zone, timeout_us, work_us, False, request.rebooks)
+            )
         else:
             marked = self._figures.marks_retry
-            out.append(Ask(rid, first, cls, tenant, key, zone, stays, work_us, marked))
+            effects.append(Ask(rid, first, cls, tenant, key, zone, timeout_us, work_us, marked))
 
     # --- Ends of tries ----------------------------------------------------------------------------------
-    def _end(self, rid: str) -> _Want | None:
+    def _close_attempt(self, rid: str) -> _ClientRequest | None:
         """A try's connection is done with; its want, if somebody still listens."""
-        ended = self._open.pop(rid, None)
+        ended = self._open_attempts.pop(rid, None)
         if ended is None:
             return None
         listens, ended.state = ended.state == _OPEN, _ENDED
-        return ended.want if listens else None
+        return ended.request if listens else None
 
-    def _replied(self, now_us: int, event: Replied, out: list[ClientEffect]) -> None:
-        want = self._end(event.rid)
-        if want is None or event.verdict == "served":
+    def _replied(self, now_us: int, event: Replied, effects: list[ClientEffect]) -> None:
+        request = self._close_attempt(event.rid)
+        if request is None or event.verdict == "served":
             return
         if event.verdict == "refused":
-            self._again(now_us, want, out, self._heeded(want, event.retry_after_us))
-        elif not self._classes[want.arrival.cls].unsafe:
-            self._again(now_us, want, out)
+            self._retry(now_us, request, effects, self._retry_after_wait(request, event.retry_after_us))
+        elif not self._classes[request.arrival.cls].unsafe:
+            self._retry(now_us, request, effects)
 
-    def _broken(self, now_us: int, event: Broken, out: list[ClientEffect]) -> None:
-        want = self._end(event.rid)
-        if want is None:
+    def _broken(self, now_us: int, event: Broken, effects: list[ClientEffect]) -> None:
+        request = self._close_attempt(event.rid)
+        if request is None:
             return
         if event.sent:
-            self._lost(now_us, want, out)
+            self._on_lost(now_us, request, effects)
         else:
-            self._again(now_us, want, out)
+            self._retry(now_us, request, effects)
 
-    def _lost(self, now_us: int, want: _Want, out: list[ClientEffect]) -> None:
+    def _on_lost(self, now_us: int, request: _ClientRequest, effects: list[ClientEffect]) -> None:
         """No answer came to what may have run."""
-        if not self._classes[want.arrival.cls].unsafe:
-            self._again(now_us, want, out)
-        elif not want.rebooks and self._rebook() < self._figures.rebook and now_us < self._length_us:
+        if not self._classes[request.arrival.cls].unsafe:
+            self._retry(now_us, request, effects)
+        elif not request.rebooks and self._rebook() < self._figures.rebook and now_us < self._length_us:
             self.rebooked += 1
-            self._arrive(now_us, want.arrival, out, rebooks=want.first)
+            self._arrive(now_us, request.arrival, effects, rebooks=request.first)
 
-    def _heeded(self, want: _Want, retry_after_us: int) -> int:
+    def _retry_after_wait(self, request: _ClientRequest, retry_after_us: int) -> int:
         """How long this want's client stays away, as it was told to: 0 if it does not care."""
         if retry_after_us <= 0:
             return 0
-        if want.heeds is None:
-            want.heeds = self._honour() < self._figures.honour
-        return min(retry_after_us, self._figures.max_retry_after_us) if want.heeds else 0
+        if request.honours_retry_after is None:
+            request.honours_retry_after = self._honour() < self._figures.honour
+        return min(retry_after_us, self._figures.max_retry_after_us) if request.honours_retry_after else 0
 
-    def _again(self, now_us: int, want: _Want, out: list[ClientEffect], wait_us: int = 0) -> None:
+    def _retry(
+        self, now_us: int, request: _ClientRequest, effects: list[ClientEffect], wait_us: int = 0
+    ) -> None:
         """A further try, now or later, if there may be one."""
         wait = max(wait_us, self._figures.backoff_us)
-        if want.left <= 0 or now_us + wait + SHORTEST_US > want.ends_us:
+        if request.retries_left <= 0 or now_us + wait + MIN_ATTEMPT_US > request.deadline_us:
             return
         if wait:
             self._waiting += 1
-            self._at(now_us + wait, want)
+            self._schedule(now_us + wait, request)
         else:
-            self._ask(now_us, want, out)
+            self._ask(now_us, request, effects)
--- a/granitewell/lab/emulator/conditions.py
+++ b/granitewell/lab/emulator/conditions.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from granitewell.lab.emulator.types import Condition, Fall
+from granitewell.lab.emulator.types import Condition, ConditionChange
 
 EFFECTS = (
     "hang",
@@ -33,11 +33,11 @@
     "lying",
     "speed",
 )
-_ENDS = (("reset", "reset"), ("silent_head", "head"), ("spoilt", "spoilt"), ("error", "error"))
+_FAILURE_KINDS = (("reset", "reset"), ("silent_head", "head"), ("spoilt", "spoilt"), ("error", "error"))
 
 
 @dataclass(frozen=True, slots=True)
-class Outlook:
+class ExpectedEffects:
     """What a request would meet now, for policies that may know the truth.
 
     The chance that it is answered well, the mean factor on its work, the mean delay of its answer, and the
@@ -50,7 +50,7 @@
     effects: tuple[str, ...] = ()
 
 
-class _Ill:
+class _ActiveCondition:
     """A condition that is on, with its keys as a set: there may be many, and only membership is asked."""
 
     __slots__ = ("condition", "keys")
@@ -71,81 +71,85 @@
         )
 
 
-class Ills:
+class ActiveConditions:
     """All conditions that are on at an endpoint, through all of its processes."""
 
-    __slots__ = ("_ills", "_rng", "on", "pace")
+    __slots__ = ("_active", "_rng", "on", "pace")
 
     def __init__(self, rng: Random) -> None:
-        self._ills: list[_Ill] = []
+        self._active: list[_ActiveCondition] = []
         self._rng = rng  # a stream of its own: a condition must not shift what else is drawn
         self.on = False
         self.pace = 1.0  # of the whole process
 
-    def change(self, fall: Fall) -> bool:
+    def apply_change(self, change: ConditionChange) -> bool:
         """Begin or end a condition.
 
         False: it was on (or off) already. ValueError: an unknown effect, or a factor that nothing can be
         divided or multiplied by.
         """
-        condition = fall.condition
+        condition = change.condition
         if condition.effect not in EFFECTS:
             raise ValueError(f"condition effect: found {condition.effect!r}, allowed {', '.join(EFFECTS)}")
         factor = condition.factor
         if factor < 0 or (factor == 0 and condition.effect in ("slow", "speed")):
             raise ValueError(f"condition factor of {condition.effect}: found {factor}, allowed above 0")
-        there = [ill for ill in self._ills if ill.condition == condition]
-        if bool(there) == fall.on:
+        present = [active for active in self._active if active.condition == condition]
+        if bool(present) == change.on:
             return False
-        if fall.on:
-            self._ills.append(_Ill(condition))
+        if change.on:
+            self._active.append(_ActiveCondition(condition))
         else:
-            self._ills.remove(there[0])
-        self.on = bool(self._ills)
+            self._active.remove(present[0])
+        self.on = bool(self._active)
         self.pace = 1.0
-        for ill in self._ills:
-            if ill.condition.effect == "speed":
-                self.pace /= ill.condition.factor
+        for active in self._active:
+            if active.condition.effect == "speed":
+                self.pace /= active.condition.factor
         return True
 
-    def _lot(self, share: float) -> bool:
+    def _draw_applies(self, share: float) -> bool:
         return share >= 1.0 or self._rng.random() < share
 
-    def strikes(self, effect: str, cls: int, tenant: int, key: int, node: str, opened_us: int) -> bool:
+    def applies(self, effect: str, cls: int, tenant: int, key: int, node: str, opened_us: int) -> bool:
         """Whether a condition of this effect strikes, decided anew at each call."""
-        for ill in self._ills:
-            c = ill.condition
-            if c.effect == effect and ill.matches(cls, tenant, key, node, opened_us) and self._lot(c.share):
+        for active in self._active:
+            c = active.condition
+            if (
+                c.effect == effect
+                and active.matches(cls, tenant, key, node, opened_us)
+                and self._draw_applies(c.share)
+            ):
                 return True
         return False
 
     def refuses(self, node: str) -> bool:
         """Whether a new connection from the node is refused."""
-        for ill in self._ills:
-            c = ill.condition
-            if c.effect == "refuse" and (not c.nodes or node in c.nodes) and self._lot(c.share):
+        for active in self._active:
+            c = active.condition
+            if c.effect == "refuse" and (not c.nodes or node in c.nodes) and self._draw_applies(c.share):
                 return True
         return False
 
-    def strike(
+    def matching(
         self, cls: int, tenant: int, key: int, node: str, opened_us: int, only: Condition | None = None
     ) -> tuple[Condition, ...]:
         """The conditions that strike a request whose work begins; with `only`, that one of them alone."""
         return tuple(
-            ill.condition
-            for ill in self._ills
-            if ill.condition.effect not in ("full", "refuse", "speed")
-            and (only is None or ill.condition == only)
-            and ill.matches(cls, tenant, key, node, opened_us)
-            and self._lot(ill.condition.share)
+            active.condition
+            for active in self._active
+            if active.condition.effect not in ("full", "refuse", "speed")
+            and (only is None or active.condition == only)
+            and active.matches(cls, tenant, key, node, opened_us)
+            and self._draw_applies(active.condition.share)
         )
 
-    def outlook(self, cls: int, tenant: int, key: int, node: str, opened_us: int) -> Outlook:
+    def expected_effects(self, cls: int, tenant: int, key: int, node: str, opened_us: int) -> ExpectedEffects:
         """What such a request would meet now; draws nothing."""
         answered, slow, late, effects = 1.0, 1.0, 0.0, []
-        for ill in self._ills:
-            c = ill.condition
-            if not ill.matches(cls, tenant, key, node, opened_us):
+        for active in self._active:
+            c = active.condition
+            if not active.matches(cls, tenant, key, node, opened_us):
                 continue
             effects.append(c.effect)
             if c.effect in ("hang", "error", "full", "reset", "spoilt", "silent_head"):
@@ -154,33 +158,33 @@
                 slow *= 1.0 + min(1.0, c.share) * (c.factor - 1.0)
             elif c.effect == "late":
                 late += min(1.0, c.share) * c.factor
-        return Outlook(answered, slow, late, tuple(effects))
+        return ExpectedEffects(answered, slow, late, tuple(effects))
 
 
-def slowness(hits: tuple[Condition, ...]) -> float:
+def slowdown_factor(matched: tuple[Condition, ...]) -> float:
     """The factor on the work of a request with these hits."""
     factor = 1.0
-    for c in hits:
+    for c in matched:
         if c.effect == "slow":
             factor *= c.factor
     return factor
 
 
-def work_part(hits: tuple[Condition, ...]) -> float:
+def work_fraction(matched: tuple[Condition, ...]) -> float:
     """The part of its work that a request does before it ends: under 1 where an error cuts it short."""
-    return min([1.0, *(c.factor for c in hits if c.effect == "error")])
+    return min([1.0, *(c.factor for c in matched if c.effect == "error")])
 
 
-def lateness_us(hits: tuple[Condition, ...]) -> int:
+def response_delay_us(matched: tuple[Condition, ...]) -> int:
     """How long the answer is kept back."""
-    return round(sum(c.factor for c in hits if c.effect == "late"))
+    return round(sum(c.factor for c in matched if c.effect == "late"))
 
 
-def has(hits: tuple[Condition, ...], effect: str) -> bool:
+def has(matched: tuple[Condition, ...], effect: str) -> bool:
     """Whether one of the hits has this effect."""
-    return any(c.effect == effect for c in hits)
+    return any(c.effect == effect for c in matched)
 
 
-def bad_end(hits: tuple[Condition, ...]) -> str:
+def failure_kind(matched: tuple[Condition, ...]) -> str:
     """How a request with these hits ends: `reset`, `head`, `spoilt`, `error`, or empty where it ends well."""
-    return next((kind for effect, kind in _ENDS if has(hits, effect)), "")
+    return next((kind for effect, kind in _FAILURE_KINDS if has(matched, effect)), "")
--- a/granitewell/lab/emulator/discovery.py
+++ b/granitewell/lab/emulator/discovery.py
@@ -54,7 +54,7 @@
 @dataclass(slots=True)
 class _Node:
     offset_us: int
-    known: int = 0  # the revision that its process was told last; 0: it waits for the whole list
+    told_revision: int = 0  # the revision that its process was told last; 0: it waits for the whole list
 
 
 class Discovery:
@@ -72,21 +72,23 @@
         self._revision = 1
         self._log: deque[_Batch] = deque()
         self._nodes: dict[str, _Node] = {}
-        self._seen: list[tuple[int, int, Line]] = []  # (published at, order of cause, line): a heap
-        self._waiting: dict[str, int] = {}  # changes of an endpoint in that heap
-        self._newest: dict[str, int] = {}  # order of the last cause that is in the log, while others wait
+        self._unpublished: list[tuple[int, int, Line]] = []  # (published at, order of cause, line): a heap
+        self._unpublished_count: dict[str, int] = {}  # changes of an endpoint in that heap
+        self._newest_published: dict[
+            str, int
+        ] = {}  # order of the last cause that is in the log, while others wait
         self._tells: list[tuple[int, str]] = []  # (due, node): a heap
-        self._causes = 0
+        self._change_count = 0
         self._extra_us = 0
         self._silent = False
-        self._made: tuple[int, int, tuple[Line, ...]] = (-1, -1, ())
+        self._last_lines: tuple[int, int, tuple[Line, ...]] = (-1, -1, ())
 
     @property
     def wake_us(self) -> int:
         """When it wants a Tick; -1: never, as things are."""
         if self._silent:
             return -1
-        heads = [heap[0][0] for heap in (self._seen, self._tells) if heap]
+        heads = [heap[0][0] for heap in (self._unpublished, self._tells) if heap]
         return min(heads) if heads else -1
 
     def handle(self, now_us: int, event: DiscoveryEvent) -> list[Tell]:
@@ -95,7 +97,7 @@
         if isinstance(event, Changed):
             self._change(now_us, event)
         elif isinstance(event, NodeBegins):
-            tells += self._begin(now_us, event.node)
+            tells += self._on_node_started(now_us, event.node)
         return tells
 
     def silent(self, now_us: int, on: bool) -> None:
@@ -106,7 +108,7 @@
             for name, node in self._nodes.items():
                 heappush(self._tells, (now_us, name))
                 for batch in self._log:
-                    self._call(batch, name, node)
+                    self._schedule_tell(batch, name, node)
 
     def late(self, now_us: int, extra_us: int) -> None:
         """Whatever is published from now on is told so much later; 0 ends it. Nothing overtakes."""
@@ -129,37 +131,37 @@
         period = max(1, figures.period_us)
         at = -(-(now_us + delay) // period) * period
         line = replace(line, state=_STATES[event.how], started_us=max(0, line.started_us))
-        self._causes += 1
-        self._waiting[line.id] = self._waiting.get(line.id, 0) + 1
-        heappush(self._seen, (at, self._causes, line))
+        self._change_count += 1
+        self._unpublished_count[line.id] = self._unpublished_count.get(line.id, 0) + 1
+        heappush(self._unpublished, (at, self._change_count, line))
 
     def _publish(self, now_us: int) -> None:
         """Put every batch whose time has come into the log."""
-        seen = self._seen
-        while seen and seen[0][0] <= now_us:
-            at, before = seen[0][0], dict[str, Line | None]()
-            while seen and seen[0][0] == at:
-                _, cause, line = heappop(seen)
-                if self._is_news(line.id, cause):
+        unpublished = self._unpublished
+        while unpublished and unpublished[0][0] <= now_us:
+            at, before = unpublished[0][0], dict[str, Line | None]()
+            while unpublished and unpublished[0][0] == at:
+                _, change_number, line = heappop(unpublished)
+                if self._is_news(line.id, change_number):
                     before.setdefault(line.id, self._list.get(line.id))
-                    self._put(line)
+                    self._apply(line)
             made = (_Change(i, old, self._list.get(i)) for i, old in before.items())
             changes = tuple(c for c in made if c.old != c.new)
             if changes:
                 self._append(at, False, changes)
 
-    def _is_news(self, endpoint: str, cause: int) -> bool:
+    def _is_news(self, endpoint: str, change_number: int) -> bool:
         """Whether no later cause of this endpoint was seen before; forgets what nothing waits for."""
-        newest = max(cause, self._newest.get(endpoint, 0))
-        self._waiting[endpoint] -= 1
-        if self._waiting[endpoint]:
-            self._newest[endpoint] = newest
+        newest = max(change_number, self._newest_published.get(endpoint, 0))
+        self._unpublished_count[endpoint] -= 1
+        if self._unpublished_count[endpoint]:
+            self._newest_published[endpoint] = newest
         else:
-            del self._waiting[endpoint]
-            self._newest.pop(endpoint, None)
-        return newest == cause
+            del self._unpublished_count[endpoint]
+            self._newest_published.pop(endpoint, None)
+        return newest == change_number
 
-    def _put(self, line: Line) -> None:
+    def _apply(self, line: Line) -> None:
         if line.state == GONE:
             self._list.pop(line.id, None)
         else:
@@ -171,17 +173,17 @@
         self._log.append(_Batch(self._revision, at_us + self._extra_us, whole, changes))
         if not self._silent:  # its end has each node looked at
             for name, node in self._nodes.items():
-                self._call(self._log[-1], name, node)
+                self._schedule_tell(self._log[-1], name, node)
 
     def _trim(self, now_us: int) -> None:
         """Drop what every node was told and what no beginning node would be too late for."""
-        told = min((n.known for n in self._nodes.values()), default=self._revision)
+        told = min((n.told_revision for n in self._nodes.values()), default=self._revision)
         log, spread = self._log, self._figures.spread_us
         while log and log[0].revision <= told and log[0].due_us + spread <= now_us:
             log.popleft()
 
     # --- From the log to the nodes ------------------------------------------------------------------------
-    def _call(self, batch: _Batch, name: str, node: _Node) -> None:
+    def _schedule_tell(self, batch: _Batch, name: str, node: _Node) -> None:
         """Have the node looked at when this batch is due to it."""
         heappush(self._tells, (batch.due_us + node.offset_us, name))
 
@@ -193,17 +195,17 @@
             tells += self._tell(now_us, name)
         return tells
 
-    def _begin(self, now_us: int, name: str) -> list[Tell]:
+    def _on_node_started(self, now_us: int, name: str) -> list[Tell]:
         """The whole list, as late as changes come to this node."""
         node = self._nodes.get(name)
         if node is None:
             node = self._nodes[name] = _Node(self._offset(name))
-        node.known = 0
+        node.told_revision = 0
         if self._silent:
             return []
         for batch in self._log:
             if batch.due_us + node.offset_us > now_us:
-                self._call(batch, name, node)
+                self._schedule_tell(batch, name, node)
         return self._tell(now_us, name)
 
     def _offset(self, name: str) -> int:
@@ -212,12 +214,12 @@
     def _tell(self, now_us: int, name: str) -> list[Tell]:
         """What this node has not been told and is due to it by now: one Tell, or none."""
         node = self._nodes[name]
-        known, due = node.known, self._due_revision(now_us, node)
-        if due <= known:
+        told_revision, due = node.told_revision, self._due_revision(now_us, node)
+        if due <= told_revision:
             return []
-        node.known = due
-        whole = not known or any(b.whole for b in self._log if known < b.revision <= due)
-        lines = self._lines(-1 if whole else known, due)
+        node.told_revision = due
+        whole = not told_revision or any(b.whole for b in self._log if told_revision < b.revision <= due)
+        lines = self._lines(-1 if whole else told_revision, due)
         return [Tell(now_us, name, whole, due, lines)] if lines or whole else []
 
     def _due_revision(self, now_us: int, node: _Node) -> int:
@@ -227,15 +229,15 @@
                 return batch.revision - 1
         return self._revision
 
-    def _lines(self, known: int, due: int) -> tuple[Line, ...]:
+    def _lines(self, told_revision: int, due: int) -> tuple[Line, ...]:
         """The whole list as of a revision (known -1), or what has changed since the known one.
 
         The last outcome is kept: most nodes ask for the same.
         """
-        if self._made[:2] != (known, due):
-            lines = self._whole(due) if known < 0 else self._delta(known, due)
-            self._made = (known, due, lines)
-        return self._made[2]
+        if self._last_lines[:2] != (told_revision, due):
+            lines = self._whole(due) if told_revision < 0 else self._delta(told_revision, due)
+            self._last_lines = (told_revision, due, lines)
+        return self._last_lines[2]
 
     def _whole(self, revision: int) -> tuple[Line, ...]:
         """The list as it was, by undoing what came later; by id."""
@@ -250,12 +252,12 @@
                     lines[change.id] = change.old
         return tuple(sorted(lines.values(), key=attrgetter("id")))
 
-    def _delta(self, known: int, due: int) -> tuple[Line, ...]:
+    def _delta(self, told_revision: int, due: int) -> tuple[Line, ...]:
         """What differs between two revisions, in the order in which the endpoints first changed."""
         first: dict[str, _Change] = {}
         last: dict[str, _Change] = {}
         for batch in self._log:
-            if known < batch.revision <= due:
+            if told_revision < batch.revision <= due:
                 for change in batch.changes:
                     first.setdefault(change.id, change)
                     last[change.id] = change
--- a/granitewell/lab/emulator/endpoint.py
+++ b/granitewell/lab/emulator/endpoint.py
@@ -20,20 +20,20 @@
 from random import Random
 
 from granitewell.lab.day import Day, EndpointDay
-from granitewell.lab.emulator.conditions import Ills, Outlook
-from granitewell.lab.emulator.endpoint_process import Out, Process
+from granitewell.lab.emulator.conditions import ActiveConditions, ExpectedEffects
+from granitewell.lab.emulator.endpoint_process import Effects, Process
 from granitewell.lab.emulator.types import (
     Asked,
+    ConditionChange,
     Done,
     EndpointEffect,
     EndpointEvent,
-    Fall,
-    Fell,
     Gone,
     Hangup,
     Opened,
     Order,
     Ordered,
+    Overloaded,
     ProbeAsked,
     Refuse,
     Tick,
@@ -53,12 +53,12 @@
     __slots__ = (
         "_day",
         "_deferred",
-        "_ills",
+        "_conditions",
         "_kind",
         "_now",
-        "_order_pause",
-        "_own_begin",
-        "_own_end",
+        "_paused_by_order",
+        "_next_pause_us",
+        "_pause_end_us",
         "_process",
         "_rng",
         "_silent",
@@ -72,59 +72,61 @@
         _check(spec, day)
         self.spec, self._day, self._kind = spec, day, day.kinds[spec.kind]
         self._rng = Random(int(rng.random() * 2**53))
-        self._ills = Ills(Random(int(rng.random() * 2**53)))
+        self._conditions = ActiveConditions(Random(int(rng.random() * 2**53)))
         self._now = 0
         self._silent = self.fallen = False
         self._process: Process | None = None
         self._deferred: list[EndpointEvent] = []
         self.paused = False  # whether the process stands still, by order or by itself
-        self._order_pause = False
-        self._own_begin = self._own_end = -1  # of the kind's pauses: the next one's begin, this one's end
+        self._paused_by_order = False
+        self._next_pause_us = (
+            self._pause_end_us
+        ) = -1  # of the kind's pauses: the next one's begin, this one's end
         self.wake_us = -1
         if spec.started_us <= 0:
             self._start(0, [])
-            self._rewake()
+            self._update_wake()
 
     def handle(self, now_us: int, event: EndpointEvent) -> list[EndpointEffect]:
         """Let time pass until then, then take the event. Effects come in the order in which things happen."""
-        out: list[EndpointEffect] = []
+        effects: list[EndpointEffect] = []
         now = max(self._now, now_us)
         while -1 < self.wake_us <= now:
             self._now = max(self._now, self.wake_us)  # what came due in a pause happens at its end
-            self._turn(self._now, out)
-            self._rewake()
+            self._process_due(self._now, effects)
+            self._update_wake()
         self._now = now
         if type(event) is not Tick:
-            self._take(now, event, out)
-            self._rewake()
-        return out
+            self._handle_event(now, event, effects)
+            self._update_wake()
+        return effects
 
     # --- Time ---
-    def _turn(self, now_us: int, out: Out) -> None:
+    def _process_due(self, now_us: int, effects: Effects) -> None:
         """What happens by itself at wake_us."""
         if self.paused:
-            self._own_end = -1
-            self._thaw(now_us, out)
+            self._pause_end_us = -1
+            self._resume(now_us, effects)
         elif self._process is not None:
-            self._process.turn(now_us, out)
-            self._process.settle(now_us, out)
-            if -1 < self._own_begin <= now_us:
+            self._process.process_due(now_us, effects)
+            self._process.settle(now_us, effects)
+            if -1 < self._next_pause_us <= now_us:
                 self.paused = True
-                self._own_end = now_us + self._kind.pause_us
-                self._own_begin = self._own_end + self._gap()
+                self._pause_end_us = now_us + self._kind.pause_us
+                self._next_pause_us = self._pause_end_us + self._pause_interval()
 
-    def _rewake(self) -> None:
+    def _update_wake(self) -> None:
         process = self._process
         if process is None:
             self.wake_us = -1
         elif self.paused:
-            self.wake_us = self._own_end
-        elif self._own_begin >= 0 and (process.wake_us < 0 or self._own_begin <= process.wake_us):
-            self.wake_us = self._own_begin
+            self.wake_us = self._pause_end_us
+        elif self._next_pause_us >= 0 and (process.wake_us < 0 or self._next_pause_us <= process.wake_us):
+            self.wake_us = self._next_pause_us
         else:
             self.wake_us = process.wake_us
 
-    def _gap(self) -> int:
+    def _pause_interval(self) -> int:
         """Return the time until the next pause of its own, in microseconds.
 
         It is a half to one and a half times what the kind says, so that endpoints of one kind do not pause
@@ -132,106 +134,106 @@
         """
         return int(self._kind.pause_every_us * (0.5 + self._rng.random()))
 
-    def _thaw(self, now_us: int, out: Out) -> None:
+    def _resume(self, now_us: int, effects: Effects) -> None:
         """The process goes on, unless something else holds it still: what came in is taken in its order."""
-        self.paused = self._order_pause or self._own_end >= 0
+        self.paused = self._paused_by_order or self._pause_end_us >= 0
         if self.paused or self._process is None:
             return
-        if -1 < self._own_begin <= now_us:  # passed while an order held it still
-            self._own_begin = now_us + self._gap()
+        if -1 < self._next_pause_us <= now_us:  # passed while an order held it still
+            self._next_pause_us = now_us + self._pause_interval()
         self._process.skip(now_us)
-        self._process.settle(now_us, out)
-        for event in self._kept():
-            self._take(now_us, event, out)
+        self._process.settle(now_us, effects)
+        for event in self._take_deferred():
+            self._handle_event(now_us, event, effects)
 
-    def _kept(self) -> list[EndpointEvent]:
+    def _take_deferred(self) -> list[EndpointEvent]:
         """What has come in during a pause, without connections that have come and gone unseen."""
         kept, self._deferred = self._deferred, []
         gone = frozenset(event.conn for event in kept if type(event) is Gone)
         return [event for event in kept if type(event) is not Opened or event.conn not in gone]
 
     # --- Events ---
-    def _take(self, now_us: int, event: EndpointEvent, out: Out) -> None:
+    def _handle_event(self, now_us: int, event: EndpointEvent, effects: Effects) -> None:
         process = self._process
         if type(event) is Ordered and event.order is not Order.DRAIN:
-            self._obey(now_us, event.order, out)
+            self._execute_order(now_us, event.order, effects)
         elif process is None:
-            self._nobody(event, out)
+            self._handle_without_process(event, effects)
         elif self.paused:
             self._deferred.append(event)
         elif type(event) is not Asked:
-            self._give(process, now_us, event, out)
-            process.settle(now_us, out)
-        elif process.asked(now_us, event, out):
-            process.settle(now_us, out)
+            self._dispatch(process, now_us, event, effects)
+            process.settle(now_us, effects)
+        elif process.asked(now_us, event, effects):
+            process.settle(now_us, effects)
         else:
-            self._end(out)
+            self._end(effects)
             self.fallen = True
-            out.append(Fell())
+            effects.append(Overloaded())
 
-    def _give(self, process: Process, now_us: int, event: EndpointEvent, out: Out) -> None:
+    def _dispatch(self, process: Process, now_us: int, event: EndpointEvent, effects: Effects) -> None:
         if type(event) is Gone:
-            process.gone(now_us, event.conn, out)
+            process.gone(now_us, event.conn, effects)
         elif type(event) is Opened:
-            process.opened(now_us, event, out)
+            process.opened(now_us, event, effects)
         elif type(event) is ProbeAsked:
-            process.probed(now_us, event, out)
-        elif type(event) is Fall:
-            if self._ills.change(event):
-                process.struck(now_us, event, out)
+            process.probed(now_us, event, effects)
+        elif type(event) is ConditionChange:
+            if self._conditions.apply_change(event):
+                process.condition_changed(now_us, event, effects)
         elif type(event) is Ordered:
             process.draining = True
 
-    def _nobody(self, event: EndpointEvent, out: Out) -> None:
+    def _handle_without_process(self, event: EndpointEvent, effects: Effects) -> None:
         """Something comes in where no process is: a machine that is there resets it, a silent one doesn't."""
-        if type(event) is Fall:
-            self._ills.change(event)
+        if type(event) is ConditionChange:
+            self._conditions.apply_change(event)
         elif self._silent:
             return
         elif type(event) is Opened:
-            out.append(Refuse(event.conn))
+            effects.append(Refuse(event.conn))
         elif type(event) is Asked:
-            out.append(Hangup(event.conn, reset=True))
-            out.append(Done(event.rid, "died"))
+            effects.append(Hangup(event.conn, reset=True))
+            effects.append(Done(event.rid, "died"))
         elif type(event) is ProbeAsked:
-            out.append(Hangup(event.conn, reset=True))
+            effects.append(Hangup(event.conn, reset=True))
 
     # --- Orders ---
-    def _obey(self, now_us: int, order: Order, out: Out) -> None:
+    def _execute_order(self, now_us: int, order: Order, effects: Effects) -> None:
         if order is Order.START and not self.fallen:
-            self._end(out)
-            self._start(now_us, out)
+            self._end(effects)
+            self._start(now_us, effects)
         elif order is Order.STOP:
-            self._end(out)
+            self._end(effects)
         elif order is Order.VANISH:
             self._end([])
             self._silent = True
         elif order is Order.PAUSE and self._process is not None:
             if not self.paused:
-                self._process.turn(now_us, out)
-                self._process.settle(now_us, out)
-            self._order_pause = self.paused = True
-        elif order is Order.RESUME and self._order_pause:
-            self._order_pause = False
-            self._thaw(now_us, out)
-
-    def _start(self, now_us: int, out: Out) -> None:
+                self._process.process_due(now_us, effects)
+                self._process.settle(now_us, effects)
+            self._paused_by_order = self.paused = True
+        elif order is Order.RESUME and self._paused_by_order:
+            self._paused_by_order = False
+            self._resume(now_us, effects)
+
+    def _start(self, now_us: int, effects: Effects) -> None:
         cold = now_us > 0 or self.spec.started_us > 0
         self._silent = False
-        self._process = Process(self.spec, self._day, self._ills, self._rng, now_us, cold)
-        self._process.settle(now_us, out)
+        self._process = Process(self.spec, self._day, self._conditions, self._rng, now_us, cold)
+        self._process.settle(now_us, effects)
         if self._kind.pause_us > 0 and self._kind.pause_every_us > 0:
-            self._own_begin = now_us + int(self._kind.pause_every_us * self._rng.random())
+            self._next_pause_us = now_us + int(self._kind.pause_every_us * self._rng.random())
 
-    def _end(self, out: Out) -> None:
+    def _end(self, effects: Effects) -> None:
         """The process is gone; what a pause had kept is for nobody now."""
         process, self._process = self._process, None
-        self.paused = self._order_pause = False
-        self._own_begin = self._own_end = -1
+        self.paused = self._paused_by_order = False
+        self._next_pause_us = self._pause_end_us = -1
         if process is not None:
-            process.end(out)
-        for event in self._kept():
-            self._nobody(event, out)
+            process.end(effects)
+        for event in self._take_deferred():
+            self._handle_without_process(event, effects)
 
     # --- To be read ---
     @property
@@ -285,17 +287,19 @@
         remembered key. It is infinite where the request would get no answer. It is for policies that may
         know the truth (see Slots.expected_us).
         """
-        outlook = self.true_condition(cls, tenant, key, node, now_us)
-        if self._process is None or self._order_pause or outlook.answered <= 0.0:
+        expected_effects = self.true_condition(cls, tenant, key, node, now_us)
+        if self._process is None or self._paused_by_order or expected_effects.answered <= 0.0:
             return float("inf")
-        at_us = self._own_end - self._kind.pause_us if self._own_end >= 0 else now_us
-        left_us = max(0, self._own_end - now_us)  # of a pause, in which nothing goes on
-        return left_us + self._process.expected_us(at_us, cls, key, outlook)
+        at_us = self._pause_end_us - self._kind.pause_us if self._pause_end_us >= 0 else now_us
+        left_us = max(0, self._pause_end_us - now_us)  # of a pause, in which nothing goes on
+        return left_us + self._process.expected_us(at_us, cls, key, expected_effects)
 
-    def true_condition(self, cls: int, tenant: int, key: int, node: str, opened_us: int = -1) -> Outlook:
+    def true_condition(
+        self, cls: int, tenant: int, key: int, node: str, opened_us: int = -1
+    ) -> ExpectedEffects:
         """What conditions would do now to a request on a connection opened then (-1: just now)."""
         opened = self._now if opened_us < 0 else opened_us
-        return self._ills.outlook(cls, tenant, key, node, opened)
+        return self._conditions.expected_effects(cls, tenant, key, node, opened)
 
 
 def _check(spec: EndpointDay, day: Day) -> None:
--- a/granitewell/lab/emulator/endpoint_pace.py
+++ b/granitewell/lab/emulator/endpoint_pace.py
@@ -30,15 +30,15 @@
     __slots__ = (
         "_at",
         "_cold_us",
-        "_from",
-        "_needed",
+        "_cold_share",
+        "_warming_work",
         "_slope",
         "_start",
         "_worked",
         "active",
         "cold",
         "done",
-        "edge_us",
+        "segment_end_us",
         "factor",
         "warm",
     )
@@ -46,39 +46,39 @@
     def __init__(self, kind: KindDay, capacity: float, start_us: int, cold: bool) -> None:
         """`capacity`: work a microsecond of the whole warm process."""
         self._at = self._start = start_us
-        self._from, self._cold_us = kind.cold_from, kind.cold_us
-        self._needed = 0.0  # work that warms; 0: only time does
+        self._cold_share, self._cold_us = kind.cold_from, kind.cold_us
+        self._warming_work = 0.0  # work that warms; 0: only time does
         if kind.warms is Warms.WORK:
-            self._needed = capacity * kind.cold_us * (1.0 + kind.cold_from) / 4.0
+            self._warming_work = capacity * kind.cold_us * (1.0 + kind.cold_from) / 4.0
         self._worked = 0.0
         self.active = 0
         self.done = 0.0
         self.factor = 0.0
         self.cold = cold and kind.cold_us > 0 and kind.cold_from < 1.0
-        self.warm, self._slope, self.edge_us = 1.0, 0.0, -1
+        self.warm, self._slope, self.segment_end_us = 1.0, 0.0, -1
         if self.cold:
-            self._rewarm()
+            self._update_ramp()
 
-    def _rewarm(self) -> None:
+    def _update_ramp(self) -> None:
         """Where the ramp has got to, how it goes on, and until when that can be said (`edge_us`)."""
         line = (self._at - self._start) / self._cold_us
-        by_work = self._worked / self._needed if self._needed else 0.0
+        by_work = self._worked / self._warming_work if self._warming_work else 0.0
         if max(line, by_work) >= 1.0:
-            self.cold, self.warm, self._slope, self.edge_us = False, 1.0, 0.0, -1
+            self.cold, self.warm, self._slope, self.segment_end_us = False, 1.0, 0.0, -1
             return
-        rise = 1.0 - self._from
-        self.warm = self._from + rise * max(line, by_work)
+        rise = 1.0 - self._cold_share
+        self.warm = self._cold_share + rise * max(line, by_work)
         self._slope = rise / self._cold_us
-        self.edge_us = self._start + self._cold_us
-        if self._needed:
+        self.segment_end_us = self._start + self._cold_us
+        if self._warming_work:
             if by_work > line:
-                self._slope = rise * self.factor * self.warm * self.active / self._needed
-            self.edge_us = min(self.edge_us, self._at + max(1, self._cold_us // _STEPS))
+                self._slope = rise * self.factor * self.warm * self.active / self._warming_work
+            self.segment_end_us = min(self.segment_end_us, self._at + max(1, self._cold_us // _STEPS))
 
     def changed(self) -> None:
         """`factor` or `active` has changed, by which work warms faster or slower."""
-        if self.cold and self._needed:
-            self._rewarm()
+        if self.cold and self._warming_work:
+            self._update_ramp()
 
     def advance(self, now_us: int) -> None:
         """Let time pass until then."""
@@ -87,20 +87,20 @@
             self._at = now_us
             return
         while self._at < now_us:
-            until = min(now_us, self.edge_us) if self.cold else now_us
+            until = min(now_us, self.segment_end_us) if self.cold else now_us
             span = until - self._at
             gain = self.factor * span * (self.warm + self._slope * span / 2.0)
             self.done += gain
             self._worked += gain * self.active
             self._at = until
             if self.cold:
-                self._rewarm()
+                self._update_ramp()
 
     def skip(self, now_us: int) -> None:
         """Time has passed until then in which nothing was done; what warms by time has gone on."""
         self._at = now_us
         if self.cold:
-            self._rewarm()
+            self._update_ramp()
 
     def at(self, now_us: int) -> tuple[float, float]:
         """Work done and warm share at that time, at or after the last advance, should nothing change."""
@@ -126,4 +126,4 @@
         else:
             span = left / self.warm
         due = self._at + max(1, math.ceil(span - 1e-6))
-        return min(due, self.edge_us) if self.cold else due
+        return min(due, self.segment_end_us) if self.cold else due
--- a/granitewell/lab/emulator/endpoint_parts.py
+++ b/granitewell/lab/emulator/endpoint_parts.py
@@ -13,39 +13,41 @@
 from granitewell.lab.day import ClassDay, KindDay, ReportDay, RulesDay
 from granitewell.lab.engine import normal
 
-FALL_CHANCE = 3.0  # standard deviations of a Poisson stream of mean requests, on top of the budget
-_SMOOTH_US = 1_000_000  # over which rates in reports are smoothed
+OVERLOAD_TOLERANCE_STDDEVS = (
+    3.0  # standard deviations of a Poisson stream of mean requests, on top of the budget
+)
+_RATE_SMOOTHING_US = 1_000_000  # over which rates in reports are smoothed
 
 
-class Memory:
+class KeyCache:
     """The keys that a process has met last: at most `memory_keys`, each for `memory_us`."""
 
-    __slots__ = ("_keys", "_met", "_valid_us", "gain")
+    __slots__ = ("_keys", "_last_used", "_valid_us", "gain")
 
     def __init__(self, kind: KindDay) -> None:
-        self._met: OrderedDict[int, int] = OrderedDict()
+        self._last_used: OrderedDict[int, int] = OrderedDict()
         self._keys, self._valid_us = kind.memory_keys, kind.memory_us
         self.gain = kind.memory_gain if kind.memory_keys > 0 else 0.0
 
     def knows(self, now_us: int, key: int) -> bool:
         """Whether a request for the key would be spared work now."""
-        met = self._met.get(key)
-        return met is not None and now_us - met <= self._valid_us
+        last_used = self._last_used.get(key)
+        return last_used is not None and now_us - last_used <= self._valid_us
 
-    def meet(self, now_us: int, key: int) -> bool:
+    def touch(self, now_us: int, key: int) -> bool:
         """Work for the key begins: whether it was known, and it is from now on.
 
         The key met longest ago goes where there are too many.
         """
         known = self.knows(now_us, key)
-        self._met[key] = now_us
-        self._met.move_to_end(key)
-        if len(self._met) > self._keys:
-            self._met.popitem(last=False)
+        self._last_used[key] = now_us
+        self._last_used.move_to_end(key)
+        if len(self._last_used) > self._keys:
+            self._last_used.popitem(last=False)
         return known
 
 
-class Reports:
+class LoadReports:
     """The load report: sampled each `period_us` from a time of the process's own, seen `delay_us` later.
 
     `inflight` counts what waits, runs or hangs, `queue` what waits, `util` the share of the cores that was
@@ -96,17 +98,17 @@
             self._last = self._next
             self._sample(inflight, waiting)
             self._next += self._report.period_us
-            self._leap(now_us)
+            self._skip_samples(now_us)
         self._busy += busy * (now_us - self._last)
         self._last = now_us
 
-    def _leap(self, now_us: int) -> None:
+    def _skip_samples(self, now_us: int) -> None:
         """After a long quiet time only the latest samples are worth taking."""
         period = self._report.period_us
         spare = (now_us - self._next) // period - self._report.delay_us // period - 2
         if spare > 0:
             self._next += spare * period
-            keep = max(0.0, 1.0 - period / _SMOOTH_US) ** spare
+            keep = max(0.0, 1.0 - period / _RATE_SMOOTHING_US) ** spare
             self._qps *= keep
             self._eps *= keep
             self._busy = 0.0
@@ -114,7 +116,7 @@
 
     def _sample(self, inflight: int, waiting: int) -> None:
         period = self._report.period_us
-        part = min(1.0, period / _SMOOTH_US)
+        part = min(1.0, period / _RATE_SMOOTHING_US)
         answers = self._served + self._failed
         self._qps += part * (self._served * 1e6 / period - self._qps)
         self._eps += part * (self._failed * 1e6 / period - self._eps)
@@ -156,7 +158,7 @@
         return tuple(0.0 if name in ("queue", "inflight") else value for name, value in told)
 
 
-class FallGuard:
+class OverloadGuard:
     """The fourth rule as a budget.
 
     The work sent to a cold process within any `fall_us` must stay under fall_multiple x its present capacity
@@ -182,24 +184,24 @@
         self._sum += work
         while self._window and self._window[0][0] <= now_us - self._window_us:
             self._sum -= self._window.popleft()[1]
-        able = self._budget * warm
-        return self._sum > able + FALL_CHANCE * math.sqrt(able * self._mean) + self._slack
+        budget = self._budget * warm
+        return self._sum > budget + OVERLOAD_TOLERANCE_STDDEVS * math.sqrt(budget * self._mean) + self._slack
 
 
-class Allowance:
+class TokenBucket:
     """At most so many a second, one second's worth (at least one) saved up."""
 
-    __slots__ = ("_at", "_most", "_per_us", "_saved")
+    __slots__ = ("_at", "_capacity", "_per_us", "_tokens")
 
     def __init__(self, per_s: float, start_us: int) -> None:
         self._per_us, self._at = per_s / 1e6, start_us
-        self._most = self._saved = max(1.0, per_s) if per_s > 0 else 0.0
+        self._capacity = self._tokens = max(1.0, per_s) if per_s > 0 else 0.0
 
     def take(self, now_us: int) -> bool:
         """Whether one more is within it now; it is counted then."""
-        self._saved = min(self._most, self._saved + (now_us - self._at) * self._per_us)
+        self._tokens = min(self._capacity, self._tokens + (now_us - self._at) * self._per_us)
         self._at = now_us
-        if self._saved < 1.0:
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
--- a/granitewell/lab/emulator/endpoint_slots.py
+++ b/granitewell/lab/emulator/endpoint_slots.py
@@ -25,12 +25,12 @@
         "_finishing",
         "_kind",
         "_knee",
-        "_pushed",
+        "_push_count",
         "_speed",
-        "beside",
+        "unslotted",
         "count",
         "pace",
-        "room",
+        "queue_capacity",
         "waiting",
         "waiting_work",
         "working",
@@ -38,15 +38,18 @@
 
     def __init__(self, spec: EndpointDay, kind: KindDay, conn: ConnDay, start_us: int, cold: bool) -> None:
         self._kind, self._conn, self._cores, self._speed = kind, conn, kind.cores, spec.speed
-        self.count, self.room = kind.cores * kind.slots_per_core, int(kind.cores * kind.queue_per_core)
+        self.count, self.queue_capacity = (
+            kind.cores * kind.slots_per_core,
+            int(kind.cores * kind.queue_per_core),
+        )
         self._knee = max(kind.cores * kind.thrash_at, 1.0)  # requests held beyond which it is crowded
         self.pace = Pace(kind, kind.cores * spec.speed, start_us, cold)
         self.waiting: OrderedDict[int, Task] = OrderedDict()
         self.waiting_work = 0.0  # as asked for
         self.working: dict[int, Task] = {}
-        self.beside: dict[int, Task] = {}  # handshakes and shallow probes
+        self.unslotted: dict[int, Task] = {}  # handshakes and shallow probes
         self._finishing: list[tuple[float, int, Task]] = []  # stale where the task's finish differs
-        self._pushed = 0
+        self._push_count = 0
 
     @property
     def held(self) -> int:
@@ -56,7 +59,7 @@
     @property
     def busy_cores(self) -> int:
         """How many cores have something to do."""
-        return min(self._cores, len(self.working) + len(self.beside))
+        return min(self._cores, len(self.working) + len(self.unslotted))
 
     @property
     def efficiency(self) -> float:
@@ -64,11 +67,11 @@
         over = (len(self.waiting) + len(self.working)) / self._knee - 1.0
         return 1.0 / (1.0 + self._kind.thrash * over) if over > 0.0 else 1.0
 
-    def set_pace(self, ills_pace: float, connections: int) -> None:
+    def set_pace(self, condition_pace: float, connections: int) -> None:
         """Set the pace from what is held, running and open now."""
         cores, working = self._cores, len(self.working)
-        active = working + len(self.beside)
-        factor = self._speed * ills_pace
+        active = working + len(self.unslotted)
+        factor = self._speed * condition_pace
         if working + len(self.waiting) > self._knee:
             factor *= self.efficiency
         if active > cores:
@@ -80,16 +83,16 @@
         if pace.cold:
             pace.changed()
 
-    def wait(self, task: Task) -> bool:
+    def enqueue(self, task: Task) -> bool:
         """Let it wait behind all others. False: the room is full."""
-        if len(self.waiting) >= self.room:
+        if len(self.waiting) >= self.queue_capacity:
             return False
         task.stage = Stage.WAITING
         self.waiting[task.seq] = task
         self.waiting_work += task.asked.work_us
         return True
 
-    def next(self) -> Task | None:
+    def dequeue(self) -> Task | None:
         """The one that has waited longest, where a slot is free for it."""
         if not self.waiting or len(self.working) >= self.count:
             return None
@@ -101,24 +104,24 @@
         # Set to 0 now and then, so that rounding does not add up over a day.
         self.waiting_work = self.waiting_work - task.asked.work_us if self.waiting else 0.0
 
-    def work(self, task: Task, work_us: float, beside: bool = False) -> None:
+    def work(self, task: Task, work_us: float, unslotted: bool = False) -> None:
         """Work on it begins, in a slot or beside them."""
         task.stage = Stage.WORKING
-        (self.beside if beside else self.working)[task.seq] = task
-        self.goes_on(task, work_us)
+        (self.unslotted if unslotted else self.working)[task.seq] = task
+        self.continue_work(task, work_us)
 
-    def goes_on(self, task: Task, work_us: float) -> None:
+    def continue_work(self, task: Task, work_us: float) -> None:
         """So much work is left of a running task."""
         task.finish = self.pace.done + work_us
-        self._pushed += 1
-        heappush(self._finishing, (task.finish, self._pushed, task))
+        self._push_count += 1
+        heappush(self._finishing, (task.finish, self._push_count, task))
 
-    def leave(self, task: Task) -> None:
+    def remove(self, task: Task) -> None:
         """It waits or works no more, should it have done either."""
         task.finish = -1.0
         if self.working.pop(task.seq, None) is None and self.waiting.pop(task.seq, None) is not None:
             self._less_waiting(task)
-        self.beside.pop(task.seq, None)
+        self.unslotted.pop(task.seq, None)
 
     def finished(self) -> Task | None:
         """A task whose work is done by now; it has left. None: no further one."""
@@ -128,7 +131,7 @@
             if task.finish == finish:
                 task.finish = -1.0
                 if self.working.pop(task.seq, None) is None:
-                    del self.beside[task.seq]
+                    del self.unslotted[task.seq]
                 return task
         return None
 
@@ -147,7 +150,7 @@
         """
         done, warm = self.pace.at(now_us)
         rate = self.pace.factor * warm
-        if rate <= 0.0 or (len(self.working) >= self.count and len(self.waiting) >= self.room):
+        if rate <= 0.0 or (len(self.working) >= self.count and len(self.waiting) >= self.queue_capacity):
             return float("inf")
         if len(self.working) >= self.count:
             running = sum(max(0.0, task.finish - done) for task in self.working.values())
--- a/granitewell/lab/emulator/endpoint_table.py
+++ b/granitewell/lab/emulator/endpoint_table.py
@@ -12,7 +12,7 @@
 from granitewell.lab.emulator.types import Asked, Condition
 
 
-class Kind(Enum):
+class TaskKind(Enum):
     """What a task is. The first two wait and take a slot, the others run beside the slots."""
 
     REQUEST = "request"
@@ -39,27 +39,27 @@
     began.
     """
 
-    __slots__ = ("asked", "began_us", "conn", "end", "finish", "hits", "kind", "seq", "stage")
+    __slots__ = ("asked", "began_us", "conn", "end", "finish", "matched", "kind", "seq", "stage")
 
-    def __init__(self, seq: int, kind: Kind, conn: Conn, asked: Asked) -> None:
+    def __init__(self, seq: int, kind: TaskKind, conn: Conn, asked: Asked) -> None:
         self.seq, self.kind, self.conn, self.asked = seq, kind, conn, asked
         self.stage = Stage.READ
         self.finish = -1.0
         self.began_us = -1
         self.end = ""  # how it will be answered, once its work is done
-        self.hits: tuple[Condition, ...] = ()
+        self.matched: tuple[Condition, ...] = ()
 
 
 class Conn:
     """One open connection. `task`: what it is busy with; `idle_us`: since when it stands idle, or -1."""
 
-    __slots__ = ("id", "idle_us", "node", "open", "opened_us", "shake", "task")
+    __slots__ = ("id", "idle_us", "node", "open", "opened_us", "handshake", "task")
 
     def __init__(self, id: int, node: str, opened_us: int) -> None:
         self.id, self.node, self.opened_us = id, node, opened_us
         self.open = True
         self.idle_us = -1
-        self.shake: Task | None = None
+        self.handshake: Task | None = None
         self.task: Task | None = None
 
 
--- a/granitewell/lab/emulator/types.py
+++ b/granitewell/lab/emulator/types.py
@@ -99,14 +99,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fall:
+class ConditionChange:
     """A condition begins (on) or ends at this endpoint."""
 
     condition: Condition
     on: bool
 
 
-EndpointEvent = Opened | Asked | Gone | ProbeAsked | Tick | Ordered | Fall
+EndpointEvent = Opened | Asked | Gone | ProbeAsked | Tick | Ordered | ConditionChange
 
 
 @dataclass(frozen=True, slots=True)
@@ -164,11 +164,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fell:
+class Overloaded:
     """For the witness and the day: pushed over while cold. The process is gone and stays down."""
 
 
-EndpointEffect = Accept | Refuse | Reply | Hangup | Ran | Done | Fell
+EndpointEffect = Accept | Refuse | Reply | Hangup | Ran | Done | Overloaded
 
 
 # --- Clients: model.clients.Clients.handle(now_us, event) -> list[ClientEffect] ---------------------------
--- a/granitewell/lab/loopback/endpoint_host.py
+++ b/granitewell/lab/loopback/endpoint_host.py
@@ -19,7 +19,7 @@
 
 from granitewell.lab.day import Day
 from granitewell.lab.day_json import load_file
-from granitewell.lab.emulator.types import Condition, Fall, Order
+from granitewell.lab.emulator.types import Condition, ConditionChange, Order
 from granitewell.lab.loopback.machine import Machine, Surroundings
 from granitewell.lab.loopback.network_faults import NetworkFaults
 from granitewell.lab.loopback.plan import share_out, stands_at
@@ -83,7 +83,7 @@
         elif do == "fall":
             raw: dict[str, Any] = words["condition"]
             condition = Condition(**{k: tuple(v) if isinstance(v, list) else v for k, v in raw.items()})
-            machine.fall(Fall(condition, words["on"]))
+            machine.fall(ConditionChange(condition, words["on"]))
         else:
             machine.order(_ORDERS[do])
 
--- a/granitewell/lab/loopback/machine.py
+++ b/granitewell/lab/loopback/machine.py
@@ -67,7 +67,7 @@
             self.doors[name] = Listener(loop, host, 0, self._welcome(self._nodes[name]))
         self._do: dict[type, Any] = {
             t.Accept: self._accept, t.Refuse: self._refuse, t.Reply: self._reply, t.Hangup: self._hang_up,
-            t.Ran: self._ran, t.Done: self._done, t.Fell: self._fell,
+            t.Ran: self._ran, t.Done: self._done, t.Overloaded: self._fell,
         }  # fmt: skip
 
     def take_doors(self, other: Machine) -> None:
@@ -108,7 +108,7 @@
         self.hand(t.Ordered(order))
         self._gone_down()
 
-    def fall(self, fall: t.Fall) -> None:
+    def fall(self, fall: t.ConditionChange) -> None:
         """A condition begins or ends. One that refuses all connections of a node does so by the listener."""
         condition = fall.condition
         if condition.effect == "refuse" and condition.share >= 1.0:
@@ -268,7 +268,7 @@
     def _done(self, effect: t.Done) -> None:
         self.around.witness.ended(self.now(), effect.rid, self.spec.id, effect.outcome)
 
-    def _fell(self, _: t.Fell) -> None:
+    def _fell(self, _: t.Overloaded) -> None:
         self.around.witness.endpoint_down(self.now(), self.spec.id, "fell")
         self._gone_down()
         self.fallen()
--- a/granitewell/lab/simulation/endpoint_host.py
+++ b/granitewell/lab/simulation/endpoint_host.py
@@ -74,7 +74,7 @@
         self._wake_timer = WakeTimer(world.engine, model, self._on_wake)
         self._do = {
             t.Reply: self._reply, t.Ran: self._ran, t.Done: self._done, t.Accept: self._accept,
-            t.Refuse: self._refuse, t.Hangup: self._hang_up, t.Fell: self._on_overloaded,
+            t.Refuse: self._refuse, t.Hangup: self._hang_up, t.Overloaded: self._on_overloaded,
         }  # fmt: skip
 
     def handle(self, event: t.EndpointEvent) -> None:
@@ -232,7 +232,7 @@
             conn.open_at_endpoint = False
             self._send_close(conn)
 
-    def _on_overloaded(self, _: t.Fell) -> None:
+    def _on_overloaded(self, _: t.Overloaded) -> None:
         self.up = False
         self._world.endpoint_fell(self)
         self._end_conns()
--- a/granitewell/lab/simulation/fault_injection.py
+++ b/granitewell/lab/simulation/fault_injection.py
@@ -92,11 +92,11 @@
 
     def _condition_on(self, index: int, fault: Fault) -> None:
         for endpoint_host in self._endpoint_hosts(fault):
-            endpoint_host.handle(t.Fall(self._condition(index, fault), True))
+            endpoint_host.handle(t.ConditionChange(self._condition(index, fault), True))
 
     def _condition_off(self, index: int, fault: Fault) -> None:
         for endpoint_host in self._endpoint_hosts(fault):
-            endpoint_host.handle(t.Fall(self._condition(index, fault), False))
+            endpoint_host.handle(t.ConditionChange(self._condition(index, fault), False))
 
     def _pause(self, _: int, fault: Fault) -> None:
         for endpoint_host in self._endpoint_hosts(fault):
--- a/tests/lab/test_clients.py
+++ b/tests/lab/test_clients.py
@@ -21,7 +21,7 @@
 from granitewell.lab import day as d
 from granitewell.lab.emulator import arrivals as drawn
 from granitewell.lab.emulator.arrivals import Arrivals, Keys, pieces
-from granitewell.lab.emulator.clients import SHORTEST_US, Clients
+from granitewell.lab.emulator.clients import MIN_ATTEMPT_US, Clients
 from granitewell.lab.emulator.types import Ask, Broken, ClientEvent, Leave, Replied, Tick
 
 S = 1_000_000
@@ -185,7 +185,7 @@
             else:
                 self.asked(now, effect)
         assert not self.clients.over or self.clients.wake_us == -1
-        self.most = max(self.most, len(self.clients._agenda), len(self.clients._open))
+        self.most = max(self.most, len(self.clients._timers), len(self.clients._open_attempts))
 
     def asked(self, now: int, ask: Ask) -> None:
         assert ask.rid not in self.tries and len(ask.rid) == 16 and int(ask.rid, 16) >= 0
@@ -207,7 +207,7 @@
         return ("rebook", end) if books else ("", -1)
     heeded = seen.retry_after_us if seen.end == "refused" and figures.honour else 0
     when = end + max(figures.backoff_us, min(heeded, figures.max_retry_after_us))
-    left = number <= figures.retries and when + SHORTEST_US <= first.at + cls.deadline_us
+    left = number <= figures.retries and when + MIN_ATTEMPT_US <= first.at + cls.deadline_us
     return ("again", when) if left else ("", -1)
 
 
@@ -233,7 +233,7 @@
         limit = first.at + day.classes[first.ask.cls].deadline_us
         assert first.ask.rid == rid and len(tries) <= figures["retries"] + 1
         for number, (seen, then) in enumerate(zip(tries, [*tries[1:], None], strict=True), 1):
-            assert seen.at + seen.ask.timeout_us <= limit and seen.ask.timeout_us >= SHORTEST_US
+            assert seen.at + seen.ask.timeout_us <= limit and seen.ask.timeout_us >= MIN_ATTEMPT_US
             assert not day.classes[kept.cls].unsafe or seen.at + seen.ask.timeout_us == limit
             assert seen.end != "early" or seen is first
             assert seen.ask.retry == (seen is not first)
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/test_discovery.py
@@ -11,7 +11,7 @@
 
 from granitewell.lab.day import EndpointDay
 from granitewell.lab.emulator.discovery import Discovery
-from granitewell.lab.emulator.front import STOPPING_US, Front
+from granitewell.lab.emulator.front import STOPPING_DELAY_RANGE_US, Front
 from granitewell.lab.emulator.types import Changed, Line, NodeBegins, Tell, Tick
 from tests.lab.test_clients import a_day
 
@@ -176,7 +176,10 @@
         rig.change(f"e{k}", "vanished")
         rig.run(rig.now + 400)
         m = rig.model
-        assert max(len(x) for x in (m._log, m._seen, m._tells, m._waiting, m._newest)) < 80
+        assert (
+            max(len(x) for x in (m._log, m._unpublished, m._tells, m._unpublished_count, m._newest_published))
+            < 80
+        )
     with pytest.raises(ValueError, match=r"Changed\.how: found 'lost', allowed: ready, draining, gone"):
         rig.model.handle(rig.now, Changed(line("e0"), "lost"))
 
@@ -207,7 +210,9 @@
     assert picks(9_000, 0) == {"a0", "a1"}
     f.node_stopping(10_000, "b0")
     f.node_down(10_001, "b0")
-    assert picks(9_999 + STOPPING_US[0], 1) == {"b0"} and "b0" not in picks(10_000 + STOPPING_US[1], 1)
+    assert picks(9_999 + STOPPING_DELAY_RANGE_US[0], 1) == {"b0"} and "b0" not in picks(
+        10_000 + STOPPING_DELAY_RANGE_US[1], 1
+    )
 
 
 def test_connections_spread_evenly_over_hundreds_of_nodes() -> None:
--- a/tests/lab/test_endpoint.py
+++ b/tests/lab/test_endpoint.py
@@ -97,7 +97,7 @@
         return self.give(at, t.Ordered(order))
 
     def fall(self, at: int, effect: str, on: bool = True, **more: Any) -> None:
-        self.give(at, t.Fall(t.Condition(0, effect, **more), on))
+        self.give(at, t.ConditionChange(t.Condition(0, effect, **more), on))
 
 
 CONDITIONS = st.builds(
@@ -148,7 +148,7 @@
             assert not (silent and out)
         elif what == "fall":
             ills += [args[0]] if args[1] else []
-            rig.give(at, t.Fall(ills[-1], args[1]))  # an end is that of the last that began
+            rig.give(at, t.ConditionChange(ills[-1], args[1]))  # an end is that of the last that began
         else:
             rig.give(at, Gone(args[0] + 1) if what == "gone" else t.ProbeAsked(args[0] + 1, "load"))
     rig.order(at + 100_000, Order.STOP)
@@ -462,7 +462,7 @@
     for k in range(3000 if gap else 675):
         if not rig.end.fallen:
             rig.ask(1 + gap * k, str(k))
-    assert rig.end.fallen == (at >= 0) == any(type(e) is t.Fell for _, e in rig.log)
+    assert rig.end.fallen == (at >= 0) == any(type(e) is t.Overloaded for _, e in rig.log)
     if at >= 0:
         assert max(map(int, rig.outcomes())) == at and rig.outcomes()[str(at)] == "died"
         assert rig.order(rig.now + 1, Order.START) == [] and not rig.end.up
