--- a/granitewell/lab/emulator/arrivals.py
+++ b/granitewell/lab/emulator/arrivals.py
@@ -1,8 +1,8 @@
-"""First tries: when they come, and of which class, tenant, zone, key and work.
+"""Arrivals of requests: their times, classes, tenants, zones, keys and work.
 
-It owns the drawing of the load, an open loop: nothing here waits for an answer or knows of one. Each property
-has a stream of its own, so a day with one more tenant has the same arrivals otherwise. Tries are drawn one at
-a time as they are asked for; it must never hold more of the day than its figures and the table of keys.
+The load is an open loop: no arrival depends on a response. Each property has its own random stream, so a day
+with one more tenant otherwise has the same arrivals. Arrivals are drawn lazily, so memory holds only the
+day's parameters and the key table.
 """
 
 from __future__ import annotations
@@ -18,11 +18,13 @@
 from granitewell.lab.emulator.work import draw_work
 from granitewell.lab.engine import lognormal, stream
 
-_MEAN_TURN = (math.sqrt(5.0) - 1.0) / 2.0  # multiples of it, modulo 1, lie evenly however many there are
+_MEAN_TURN = (
+    math.sqrt(5.0) - 1.0
+) / 2.0  # multiples of it modulo 1 are evenly spread, however many there are
 
 
 class Arrival(NamedTuple):
-    """One first try; class, tenant and zone are indices into the day's, key 0: none."""
+    """One new request; class, tenant and zone are indices into the day's, key 0: none."""
 
     at_us: int
     cls: int
@@ -46,7 +48,7 @@
         self._count, self._churn_us = load.keys, load.key_churn_us
 
     def pick(self, now_us: int, uniform: float) -> int:
-        """The key that a uniform draw in [0, 1) gives at that time; 0 where the day has no keys."""
+        """The key for a uniform draw in [0, 1) at that time; 0 if the day has no keys."""
         if not self._count:
             return 0
         rank = min(bisect_right(self._table, uniform * self._table[-1]), self._count - 1)
@@ -83,7 +85,7 @@
 
 
 def _points(rate: Sequence[tuple[int, float]], length_us: int) -> list[tuple[int, float]]:
-    """The points between 0 and the day's end, with one at each of the two."""
+    """The points between 0 and the day's end, with one at each end."""
     for k, (at, per_s) in enumerate(rate):
         if k and at <= rate[k - 1][0]:
             raise ValueError(f"load.rate, point {k}: found time {at}, allowed: over {rate[k - 1][0]}")
@@ -147,7 +149,7 @@
 
 
 def _replayed(day: Day) -> Iterator[Arrival]:
-    """The captured tries up to the day's end; only their work is drawn."""
+    """The captured requests up to the day's end; only their work is drawn."""
     works = [stream(day.seed, "arrivals", "work", c.name) for c in day.classes]
     limits = len(day.classes), max(1, len(day.tenants)), math.inf, max(1, len(day.zones))
     last = 0
@@ -165,7 +167,7 @@
 
 
 class Arrivals:
-    """The first tries of a day in the order of time, each drawn when it is asked for."""
+    """The requests of a day in order of time, drawn lazily."""
 
     def __init__(self, day: Day) -> None:
         self._next = (_replayed(day) if day.load.trace else _drawn(day)).__next__
--- a/granitewell/lab/emulator/clients.py
+++ b/granitewell/lab/emulator/clients.py
@@ -1,25 +1,24 @@
-"""The clients: what they send, how long they wait, when they try again, and when they book anew.
+"""The client model: what clients send, how long they wait, when they retry and when they rebook.
 
-It owns every first try with its further tries, from its arrival to its end. It must never see a connection or
-a node, and never waits for an answer before the next arrival. The life of one want (one thing that one client
-wants; all its tries share class, tenant, key, zone, work and deadline):
+It tracks every request with its attempts, from arrival to end, and sees no connections or nodes. Arrivals
+never wait for responses. All attempts of a request share class, tenant, key, zone, work and deadline:
 
-    arrival ──▶ try ──served──▶ done
-                 │ refused, failed, broken, given up ──▶ try again, where allowed ──▶ next try, else done
+    arrival ──▶ attempt ──served──▶ done
+                 │ refused, failed, broken, given up ──▶ retry, if allowed ──▶ next attempt, else done
                  │ its client is impatient ──▶ leaves for good
 
-    how a try ends                class safe     class unsafe
-    refused                       again          again
-    broken before it was sent     again          again
-    failed                        again          done: it may have run
-    broken after it was sent      again          lost: some book anew
-    given up                      again          lost: some book anew
-
-Again means at once or after the backoff, for those who heed it after the Retry-After, up to `retries` times
-and never after the first try's deadline. A try is given up when its share of the deadline is over; its
-connection stays a little longer, for what is owed within the rules' slack, but nobody listens: a late answer
-changes nothing. A booking made anew is a first try with a deadline of its own; it is made once, and not after
-the arrivals' end. What is held is what is open, however long the day.
+    how an attempt ends           class safe     class unsafe
+    refused                       retry          retry
+    broken before it was sent     retry          retry
+    failed                        retry          done: it may have run
+    broken after it was sent      retry          lost: some rebook
+    given up                      retry          lost: some rebook
+
+A retry comes at once or after the backoff, for clients that honour it after the Retry-After, up to `retries`
+times and never after the request's deadline. An attempt is given up when its share of the deadline is over;
+its connection stays open a little longer, for responses still due within the rules' slack, but a late
+response changes nothing. A rebooking is a new request with its own deadline; it happens once, and not after
+the end of the arrivals. Memory holds only what is open, however long the day.
 """
 
 from __future__ import annotations
@@ -34,15 +33,17 @@
 from granitewell.lab.emulator.types import Ask, Broken, ClientEffect, ClientEvent, Leave, Replied, Tick
 from granitewell.lab.engine import stream
 
-MIN_ATTEMPT_US = 1_000  # of a try: its time is told in whole milliseconds
-LINGER_US = 250_000  # for which a connection stays beyond the slack: what is owed counts from its reading
+MIN_ATTEMPT_US = 1_000  # timeouts are sent in whole milliseconds
+LINGER_US = (
+    250_000  # a connection stays open after the slack, since the response's due time counts from its reading
+)
 
 
 def _rids(seed: str) -> Iterator[str]:
-    """Sixteen hexadecimal digits each.
+    """Yield request ids of sixteen hexadecimal digits.
 
-    Eight of a hash, and eight of the count times an odd number, by which the first 2^32 all differ. One hash
-    gives sixteen of them.
+    Eight digits come from a hash, and eight from the count times an odd number, so that the first 2^32 ids
+    differ. One hash serves sixteen ids.
     """
     for block in count():
         digits = blake2b(f"{seed}/{block}".encode()).hexdigest()
@@ -50,15 +51,15 @@
             yield f"{digits[8 * k : 8 * k + 8]}{(block * 16 + k) * 0x9E3779B1 & 0xFFFFFFFF:08x}"
 
 
-# States of what the agenda names; an entry that waits for another state than the present one is stale.
+# States of timer subjects; a timer set for another state than the present one is stale.
 _OPEN, _GIVEN_UP, _ENDED = range(3)
 
 
 class _ClientRequest:
-    """One thing that one client wants, with all its tries.
+    """One request of a client, with all its attempts.
 
     Attributes:
-        left: Further tries that it may make.
+        retries_left: Retries that it may still make.
     """
 
     __slots__ = ("arrival", "deadline_us", "first", "honours_retry_after", "retries_left", "rebooks", "state")
@@ -72,21 +73,19 @@
             deadline_us,
             retries_left,
         )
-        self.rebooks = rebooks  # the first try of the lost booking, if this one is made anew
-        self.honours_retry_after: bool | None = (
-            None  # whether its client heeds Retry-After; drawn when it first matters
-        )
+        self.rebooks = rebooks  # the first attempt of the lost booking, if this is a rebooking
+        self.honours_retry_after: bool | None = None  # drawn when it first matters
         self.state = _OPEN
 
 
 class _ClientAttempt:
-    """One try.
+    """One client attempt.
 
-    State over: given up, its connection left to what is still owed.
+    State given up: its connection stays open for a response that is still due.
 
     Attributes:
-        leaves: Its client is impatient, and goes for good before due_us, when others would give this try up
-            and go on.
+        is_impatient: Its client leaves for good before due_us, when others would give up this attempt and
+            retry.
     """
 
     __slots__ = ("due_us", "is_impatient", "rid", "state", "request")
@@ -100,7 +99,7 @@
     """All clients of a day.
 
     `handle` takes times that never fall; the shell calls it with a Tick at `wake_us` (-1: never). `rng_seed`
-    sets this object's rids and its clients' tempers; the arrivals are the day's.
+    determines the request ids and client behavior; the arrivals are the day's.
     """
 
     def __init__(self, day: Day, rng_seed: int) -> None:
@@ -118,21 +117,21 @@
         self._arrivals = Arrivals(day)
         self._next = next(self._arrivals, None)
         self._open_attempts: dict[str, _ClientAttempt] = {}
-        self._waiting = 0  # wants between two tries
+        self._waiting = 0  # requests between two attempts
         self._timers: list[
             tuple[int, int, _ClientAttempt | _ClientRequest, int]
-        ] = []  # (when, number, whom, its state): a heap
+        ] = []  # heap of (when, number, subject, its state)
         self._timer_count = 0
         self.rebooked = 0
         self.wake_us = self._wake()
 
     @property
     def over(self) -> bool:
-        """Whether all arrivals have been sent and nothing is open."""
+        """Whether all arrivals have been sent and no request is open."""
         return self._next is None and not self._open_attempts and not self._waiting
 
     def handle(self, now_us: int, event: ClientEvent) -> list[ClientEffect]:
-        """Take an event; what clients do on it, in order. A try's end counts once, the first time."""
+        """Handle an event and return the clients' actions in order. An attempt's end counts only once."""
         effects: list[ClientEffect] = []
         if isinstance(event, Tick):
             self._tick(now_us, effects)
@@ -144,7 +143,7 @@
         return effects
 
     def _wake(self) -> int:
-        """The time of the next arrival or of the first entry of the agenda that still matters."""
+        """The time of the next arrival or of the first timer that is not stale."""
         timers = self._timers
         while timers and timers[0][2].state != timers[0][3]:
             heappop(timers)
@@ -154,7 +153,7 @@
         return timers[0][0] if timers and timers[0][0] < at else at
 
     def _tick(self, now_us: int, effects: list[ClientEffect]) -> None:
-        """Everything whose time has come, by time; what was asked for earlier goes before an arrival."""
+        """Handle everything due, in order of time; timers go before an arrival at the same time."""
         timers = self._timers
         while True:
             at = self._next.at_us if self._next is not None else now_us + 1
@@ -177,7 +176,7 @@
     ) -> None:
         if isinstance(subject, _ClientRequest):
             self._waiting -= 1
-            if now_us + MIN_ATTEMPT_US <= subject.deadline_us:  # the shell may have come late
+            if now_us + MIN_ATTEMPT_US <= subject.deadline_us:  # the caller may be late
                 self._ask(now_us, subject, effects)
         elif subject.state == _GIVEN_UP or (subject.is_impatient and now_us < subject.due_us):
             subject.state = _ENDED
@@ -204,7 +203,7 @@
     def _send_attempt(
         self, now_us: int, rid: str, request: _ClientRequest, is_impatient: bool, effects: list[ClientEffect]
     ) -> None:
-        """Send a try."""
+        """Send an attempt."""
         _, cls, tenant, key, zone, work_us = request.arrival
         timeout_us = min(self._attempt_timeout_us[cls], request.deadline_us - now_us)
         self._open_attempts[rid] = made = _ClientAttempt(rid, request, now_us + timeout_us, is_impatient)
@@ -218,9 +217,9 @@
             marked = self._figures.marks_retry
             effects.append(Ask(rid, first, cls, tenant, key, zone, timeout_us, work_us, marked))
 
-    # --- Ends of tries ----------------------------------------------------------------------------------
+    # --- Ends of attempts --------------------------------------------------------------------------------
     def _close_attempt(self, rid: str) -> _ClientRequest | None:
-        """A try's connection is done with; its want, if somebody still listens."""
+        """Close an attempt; returns its request if the client still waits."""
         ended = self._open_attempts.pop(rid, None)
         if ended is None:
             return None
@@ -246,7 +245,7 @@
             self._retry(now_us, request, effects)
 
     def _on_lost(self, now_us: int, request: _ClientRequest, effects: list[ClientEffect]) -> None:
-        """No answer came to what may have run."""
+        """An attempt that may have run got no response."""
         if not self._classes[request.arrival.cls].unsafe:
             self._retry(now_us, request, effects)
         elif not request.rebooks and self._rebook() < self._figures.rebook and now_us < self._length_us:
@@ -254,7 +253,7 @@
             self._arrive(now_us, request.arrival, effects, rebooks=request.first)
 
     def _retry_after_wait(self, request: _ClientRequest, retry_after_us: int) -> int:
-        """How long this want's client stays away, as it was told to: 0 if it does not care."""
+        """How long the client waits for Retry-After; 0 if it does not honour it."""
         if retry_after_us <= 0:
             return 0
         if request.honours_retry_after is None:
@@ -264,7 +263,7 @@
     def _retry(
         self, now_us: int, request: _ClientRequest, effects: list[ClientEffect], wait_us: int = 0
     ) -> None:
-        """A further try, now or later, if there may be one."""
+        """Retry now or after a wait, if a retry is allowed."""
         wait = max(wait_us, self._figures.backoff_us)
         if request.retries_left <= 0 or now_us + wait + MIN_ATTEMPT_US > request.deadline_us:
             return
--- a/granitewell/lab/emulator/conditions.py
+++ b/granitewell/lab/emulator/conditions.py
@@ -1,15 +1,15 @@
-"""The ways of being ill that are on at one endpoint, and what they do to a request.
+"""The fault conditions active at one endpoint, and their effects on requests.
 
-It owns which condition strikes which request and how several add up. It must never end a request or change a
-pace itself: the process asks and acts. A condition bears on a request from the begin of its work (or from its
-own begin, where the work is under way) until the condition ends; what it has made hang stays hung.
+A condition affects a request from the start of its work (or from its own start, if the work is in progress)
+until the condition ends; a request that it made hang stays hung. This module only decides which conditions
+apply; the process acts on them.
 
-- `full` is decided when a request has been read, `refuse` when a connection arrives (of its matchers only
+- `full` is decided when a request has been read, `refuse` when a connection arrives (of its filters only
   `nodes` and `share` apply there).
-- `error` comes after the work; a factor under 1 is the part of the work that is done before it (0: at once).
+- `error` comes after the work; a factor under 1 is the share of the work that is done before it (0: at once).
 - Factors of several `slow` or `speed` conditions multiply, those of several `late` ones add up.
-- Of several bad ends the worst is taken: `reset`, then `silent_head`, `spoilt`, `error`.
-- A deep probe is struck by conditions that name no class, tenant or key.
+- Of several failures the worst is taken: `reset`, then `silent_head`, `spoilt`, `error`.
+- A deep probe is affected by conditions that name no class, tenant or key.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedEffects:
-    """What a request would meet now, for policies that may know the truth.
+    """The expected effects on a request now, for policies that may know the true state.
 
-    The chance that it is answered well, the mean factor on its work, the mean delay of its answer, and the
-    effects that may strike it.
+    The chance of a good response, the mean factor on its work, the mean delay of its response, and the
+    effects that may apply.
     """
 
     answered: float = 1.0
@@ -51,7 +51,7 @@
 
 
 class _ActiveCondition:
-    """A condition that is on, with its keys as a set: there may be many, and only membership is asked."""
+    """An active condition, with its keys as a set for fast membership tests."""
 
     __slots__ = ("condition", "keys")
 
@@ -60,7 +60,7 @@
         self.keys = frozenset(condition.keys)
 
     def matches(self, cls: int, tenant: int, key: int, node: str, opened_us: int) -> bool:
-        """Whether it is for such a request."""
+        """Whether the condition's filters match such a request."""
         c = self.condition
         return (
             (not c.classes or cls in c.classes)
@@ -72,21 +72,21 @@
 
 
 class ActiveConditions:
-    """All conditions that are on at an endpoint, through all of its processes."""
+    """All active conditions of an endpoint, kept across its processes."""
 
     __slots__ = ("_active", "_rng", "on", "pace")
 
     def __init__(self, rng: Random) -> None:
         self._active: list[_ActiveCondition] = []
-        self._rng = rng  # a stream of its own: a condition must not shift what else is drawn
+        self._rng = rng  # a separate stream, so that a condition does not shift other draws
         self.on = False
-        self.pace = 1.0  # of the whole process
+        self.pace = 1.0  # pace factor of the whole process
 
     def apply_change(self, change: ConditionChange) -> bool:
         """Begin or end a condition.
 
-        False: it was on (or off) already. ValueError: an unknown effect, or a factor that nothing can be
-        divided or multiplied by.
+        Returns False if it was on (or off) already. Raises ValueError for an unknown effect or an unusable
+        factor.
         """
         condition = change.condition
         if condition.effect not in EFFECTS:
@@ -112,7 +112,7 @@
         return share >= 1.0 or self._rng.random() < share
 
     def applies(self, effect: str, cls: int, tenant: int, key: int, node: str, opened_us: int) -> bool:
-        """Whether a condition of this effect strikes, decided anew at each call."""
+        """Whether a condition of this effect applies, drawn anew at each call."""
         for active in self._active:
             c = active.condition
             if (
@@ -134,7 +134,7 @@
     def matching(
         self, cls: int, tenant: int, key: int, node: str, opened_us: int, only: Condition | None = None
     ) -> tuple[Condition, ...]:
-        """The conditions that strike a request whose work begins; with `only`, that one of them alone."""
+        """The conditions that apply to a request whose work begins; with `only`, just that one."""
         return tuple(
             active.condition
             for active in self._active
@@ -145,7 +145,7 @@
         )
 
     def expected_effects(self, cls: int, tenant: int, key: int, node: str, opened_us: int) -> ExpectedEffects:
-        """What such a request would meet now; draws nothing."""
+        """The expected effects on such a request; draws nothing."""
         answered, slow, late, effects = 1.0, 1.0, 0.0, []
         for active in self._active:
             c = active.condition
@@ -162,7 +162,7 @@
 
 
 def slowdown_factor(matched: tuple[Condition, ...]) -> float:
-    """The factor on the work of a request with these hits."""
+    """The factor on the work of a request with these conditions."""
     factor = 1.0
     for c in matched:
         if c.effect == "slow":
@@ -171,20 +171,20 @@
 
 
 def work_fraction(matched: tuple[Condition, ...]) -> float:
-    """The part of its work that a request does before it ends: under 1 where an error cuts it short."""
+    """The share of its work that a request does; under 1 if an error ends it early."""
     return min([1.0, *(c.factor for c in matched if c.effect == "error")])
 
 
 def response_delay_us(matched: tuple[Condition, ...]) -> int:
-    """How long the answer is kept back."""
+    """How long the response is delayed."""
     return round(sum(c.factor for c in matched if c.effect == "late"))
 
 
 def has(matched: tuple[Condition, ...], effect: str) -> bool:
-    """Whether one of the hits has this effect."""
+    """Whether one of the conditions has this effect."""
     return any(c.effect == effect for c in matched)
 
 
 def failure_kind(matched: tuple[Condition, ...]) -> str:
-    """How a request with these hits ends: `reset`, `head`, `spoilt`, `error`, or empty where it ends well."""
+    """How a request with these conditions fails: `reset`, `head`, `spoilt`, `error`; empty: it does not."""
     return next((kind for effect, kind in _FAILURE_KINDS if has(matched, effect)), "")
--- a/granitewell/lab/emulator/discovery.py
+++ b/granitewell/lab/emulator/discovery.py
@@ -1,16 +1,15 @@
-"""Discovery: what happens to endpoints, told to every node seconds late and in batches.
+"""Discovery: reports changes of endpoints to every node, late and in batches.
 
-It owns the list as discovery holds it and how late each node hears which part of it. It must never know what
-is true beyond what it was told, nor whether a node is alive: what a dead node is told, the shell drops. Like
-the other parts it is woken: the shell calls `handle(now, Tick())` at `wake_us`, and reads `wake_us` again
-after each call. A change passes three stages:
+It holds the endpoint list as discovery knows it and how late each node learns of changes. It knows only what
+it is told, not whether a node is alive: the caller drops what is sent to a dead node. The caller runs
+`handle(now, Tick())` at `wake_us`, and reads `wake_us` again after each call. A change passes three stages:
 
     changed ──notice, silent or add──▶ seen ──end of the period──▶ in the log ──the node's offset──▶ told
 
-What is seen later than a newer change of the same endpoint is dropped, so a vanish that takes 14 s to see
-never hides the restart that came in between. A node is told everything in its part of the log at once, and
-only what differs from what it was told before. What the log holds is bounded by the spread and by what the
-node furthest behind has not been told; nothing else grows with the day.
+A change that is seen later than a newer change of the same endpoint is dropped, so a vanished endpoint that
+takes 14 s to notice does not hide a restart in between. A node is sent everything due in the log at once, and
+only the differences from what it was sent before. The log is bounded by the spread and by what the slowest
+node has not been sent; nothing else grows with the day.
 """
 
 from __future__ import annotations
@@ -42,7 +41,7 @@
     """What the log holds under one revision.
 
     Attributes:
-        due_us: When a node without an offset hears it.
+        due_us: When a node without an offset is sent it.
     """
 
     revision: int
@@ -54,14 +53,14 @@
 @dataclass(slots=True)
 class _Node:
     offset_us: int
-    told_revision: int = 0  # the revision that its process was told last; 0: it waits for the whole list
+    told_revision: int = 0  # the last revision sent to its process; 0: it needs the whole list
 
 
 class Discovery:
     """The service and its agents. handle, silent, late and moved take times that never fall.
 
-    Before anything is said, the list holds the day's endpoints that started long ago. A `Changed` that says
-    what the list holds already tells nobody anything.
+    Initially the list holds the day's endpoints that started long ago. A `Changed` that matches the list is
+    not sent to any node.
     """
 
     def __init__(self, day: Day) -> None:
@@ -72,12 +71,12 @@
         self._revision = 1
         self._log: deque[_Batch] = deque()
         self._nodes: dict[str, _Node] = {}
-        self._unpublished: list[tuple[int, int, Line]] = []  # (published at, order of cause, line): a heap
-        self._unpublished_count: dict[str, int] = {}  # changes of an endpoint in that heap
+        self._unpublished: list[tuple[int, int, Line]] = []  # heap of (publication time, change number, line)
+        self._unpublished_count: dict[str, int] = {}  # changes per endpoint in that heap
         self._newest_published: dict[
             str, int
-        ] = {}  # order of the last cause that is in the log, while others wait
-        self._tells: list[tuple[int, str]] = []  # (due, node): a heap
+        ] = {}  # last published change number, while others are unpublished
+        self._tells: list[tuple[int, str]] = []  # heap of (due, node)
         self._change_count = 0
         self._extra_us = 0
         self._silent = False
@@ -85,14 +84,14 @@
 
     @property
     def wake_us(self) -> int:
-        """When it wants a Tick; -1: never, as things are."""
+        """When it needs a Tick; -1: never, as things are."""
         if self._silent:
             return -1
         heads = [heap[0][0] for heap in (self._unpublished, self._tells) if heap]
         return min(heads) if heads else -1
 
     def handle(self, now_us: int, event: DiscoveryEvent) -> list[Tell]:
-        """Take an event; what is to be written now. Raises ValueError for a change of an unknown kind."""
+        """Handle an event and return the updates to send. Raises ValueError for an unknown kind of change."""
         tells = self._advance(now_us)
         if isinstance(event, Changed):
             self._change(now_us, event)
@@ -101,7 +100,7 @@
         return tells
 
     def silent(self, now_us: int, on: bool) -> None:
-        """From now on nobody is told anything; or what was held back goes out with the next Tick."""
+        """Stop sending updates, or resume: what was held back goes out with the next Tick."""
         self._publish(now_us)
         ends, self._silent = self._silent and not on, on
         if ends:
@@ -111,12 +110,12 @@
                     self._schedule_tell(batch, name, node)
 
     def late(self, now_us: int, extra_us: int) -> None:
-        """Whatever is published from now on is told so much later; 0 ends it. Nothing overtakes."""
+        """Delay later publications by this much; 0 ends it. Updates stay in order."""
         self._publish(now_us)
         self._extra_us = extra_us
 
     def moved(self, now_us: int) -> None:
-        """The service starts anew elsewhere: all nodes are told the whole list, under a new revision."""
+        """The service restarts elsewhere: all nodes are sent the whole list under a new revision."""
         self._publish(now_us)
         self._append(now_us, True, ())
 
@@ -125,7 +124,7 @@
         line, figures = event.line, self._figures
         if event.how not in _STATES:
             raise ValueError(f"Changed.how: found {event.how!r}, allowed: {', '.join(_STATES)}")
-        # a drain is announced: discovery need not find out by itself, as with an end
+        # a drain is announced, so discovery need not notice it, unlike an end
         delays = {"ready": figures.add_us, "draining": 0, "vanished": figures.silent_us}
         delay = delays.get(event.how, figures.notice_us)
         period = max(1, figures.period_us)
@@ -136,7 +135,7 @@
         heappush(self._unpublished, (at, self._change_count, line))
 
     def _publish(self, now_us: int) -> None:
-        """Put every batch whose time has come into the log."""
+        """Append every batch that is due to the log."""
         unpublished = self._unpublished
         while unpublished and unpublished[0][0] <= now_us:
             at, before = unpublished[0][0], dict[str, Line | None]()
@@ -151,7 +150,7 @@
                 self._append(at, False, changes)
 
     def _is_news(self, endpoint: str, change_number: int) -> bool:
-        """Whether no later cause of this endpoint was seen before; forgets what nothing waits for."""
+        """Whether no later change of this endpoint was published; drops state that is no longer needed."""
         newest = max(change_number, self._newest_published.get(endpoint, 0))
         self._unpublished_count[endpoint] -= 1
         if self._unpublished_count[endpoint]:
@@ -171,12 +170,12 @@
         self._trim(at_us)
         self._revision += 1
         self._log.append(_Batch(self._revision, at_us + self._extra_us, whole, changes))
-        if not self._silent:  # its end has each node looked at
+        if not self._silent:  # when silence ends, every node is scheduled
             for name, node in self._nodes.items():
                 self._schedule_tell(self._log[-1], name, node)
 
     def _trim(self, now_us: int) -> None:
-        """Drop what every node was told and what no beginning node would be too late for."""
+        """Drop batches that every node was sent and that are due to every node that may start."""
         told = min((n.told_revision for n in self._nodes.values()), default=self._revision)
         log, spread = self._log, self._figures.spread_us
         while log and log[0].revision <= told and log[0].due_us + spread <= now_us:
@@ -184,7 +183,7 @@
 
     # --- From the log to the nodes ------------------------------------------------------------------------
     def _schedule_tell(self, batch: _Batch, name: str, node: _Node) -> None:
-        """Have the node looked at when this batch is due to it."""
+        """Schedule an update of the node for when this batch is due to it."""
         heappush(self._tells, (batch.due_us + node.offset_us, name))
 
     def _advance(self, now_us: int) -> list[Tell]:
@@ -196,7 +195,7 @@
         return tells
 
     def _on_node_started(self, now_us: int, name: str) -> list[Tell]:
-        """The whole list, as late as changes come to this node."""
+        """Send the whole list, as delayed as changes are for this node."""
         node = self._nodes.get(name)
         if node is None:
             node = self._nodes[name] = _Node(self._offset(name))
@@ -212,7 +211,7 @@
         return int(stream(self._day.seed, "discovery", name).random() * self._figures.spread_us)
 
     def _tell(self, now_us: int, name: str) -> list[Tell]:
-        """What this node has not been told and is due to it by now: one Tell, or none."""
+        """The update due to this node by now: one Tell, or none."""
         node = self._nodes[name]
         told_revision, due = node.told_revision, self._due_revision(now_us, node)
         if due <= told_revision:
@@ -223,7 +222,7 @@
         return [Tell(now_us, name, whole, due, lines)] if lines or whole else []
 
     def _due_revision(self, now_us: int, node: _Node) -> int:
-        """The revision before the first that is not due yet: a later one never overtakes it."""
+        """The last revision before the first that is not due yet, so that updates stay in order."""
         for batch in self._log:
             if batch.due_us + node.offset_us > now_us:
                 return batch.revision - 1
@@ -232,7 +231,7 @@
     def _lines(self, told_revision: int, due: int) -> tuple[Line, ...]:
         """The whole list as of a revision (known -1), or what has changed since the known one.
 
-        The last outcome is kept: most nodes ask for the same.
+        The last result is cached, since most nodes need the same.
         """
         if self._last_lines[:2] != (told_revision, due):
             lines = self._whole(due) if told_revision < 0 else self._delta(told_revision, due)
@@ -240,7 +239,7 @@
         return self._last_lines[2]
 
     def _whole(self, revision: int) -> tuple[Line, ...]:
-        """The list as it was, by undoing what came later; by id."""
+        """The list as of a revision, by undoing later changes; sorted by id."""
         lines = dict(self._list)
         for batch in reversed(self._log):
             if batch.revision <= revision:
@@ -265,7 +264,7 @@
 
 
 def _told(old: Line | None, new: Line | None) -> Line:
-    """The line that tells this change; one of the two is there."""
+    """The line that describes this change; at least one of the two is given."""
     if new is not None:
         return new
     assert old is not None
--- a/granitewell/lab/emulator/endpoint.py
+++ b/granitewell/lab/emulator/endpoint.py
@@ -1,18 +1,18 @@
-"""One dispatch server by its name, through all of its processes: `Endpoint.handle(now_us, event)`.
+"""One dispatch server by name, across all of its processes: `Endpoint.handle(now_us, event)`.
 
-It owns what happens to processes: starts, stops, silence, pauses, falling over. It must never do I/O, read a
-clock, or keep anything of a process in the next one, save the conditions, which befall the name. What a
-process does with connections and requests is `endpoint_process`; waiting and pace are `endpoint_slots` and
-`endpoint_pace`; keys, reports and budgets `endpoint_parts`.
+It models starts, stops, silence, pauses and the end from overload. It does no I/O and reads no clock. Nothing
+of a process carries over to the next one, except the conditions, which belong to the name. Connections and
+requests of a process are in `endpoint_process`, queueing and pace in `endpoint_slots` and `endpoint_pace`;
+keys, reports and budgets in `endpoint_parts`.
 
-    down   --START-->  up      --DRAIN-->  up, turning away
+    down   --START-->  up      --DRAIN-->  up, rejecting requests
     up     --STOP-->   down (connections reset)      --VANISH-->  silent (no effect at all until a START)
-    up     --too much while cold-->  fallen (connections reset; stays down, no START brings it back)
-    up     --PAUSE or its kind's own pause-->  paused: time stands still for all work, what comes in is kept
-                                       and taken in its order at the end
+    up     --overload while cold-->  fallen (connections reset; stays down, no START brings it back)
+    up     --PAUSE or its kind's own pause-->  paused: time stands still for all work, incoming events are
+                                       queued and processed in order at the end
 
-The shell calls `handle` with each event, and with `Tick` at `wake_us`. Calls that come late are made good:
-what was due before happens first, in its order and at its time.
+The caller runs `handle` with each event, and with `Tick` at `wake_us`. Late calls are compensated: what was
+due earlier happens first, in order and at its own time.
 """
 
 from __future__ import annotations
@@ -43,11 +43,11 @@
 class Endpoint:
     """A dispatch server.
 
-    One started long ago (`spec.started_us` <= 0) is up and warm from the day's begin; any other is down until
-    it is ordered to START. A process started after the day's begin is cold.
+    One started long ago (`spec.started_us` <= 0) is up and warm from the start of the day; any other is down
+    until it is ordered to START. A process started after the start of the day is cold.
 
-    `wake_us`: when to call with a Tick, -1: not until something else happens. ValueError: a figure of the day
-    that no endpoint can have.
+    `wake_us`: when to call with a Tick, -1: not until something else happens. Raises ValueError for a value
+    of the day that no endpoint can have.
     """
 
     __slots__ = (
@@ -77,22 +77,22 @@
         self._silent = self.fallen = False
         self._process: Process | None = None
         self._deferred: list[EndpointEvent] = []
-        self.paused = False  # whether the process stands still, by order or by itself
+        self.paused = False  # by order or by its kind's own pause
         self._paused_by_order = False
         self._next_pause_us = (
             self._pause_end_us
-        ) = -1  # of the kind's pauses: the next one's begin, this one's end
+        ) = -1  # the kind's own pauses: the next one's start, the present one's end
         self.wake_us = -1
         if spec.started_us <= 0:
             self._start(0, [])
             self._update_wake()
 
     def handle(self, now_us: int, event: EndpointEvent) -> list[EndpointEffect]:
-        """Let time pass until then, then take the event. Effects come in the order in which things happen."""
+        """Advance time, then handle the event. Effects are returned in the order in which they happen."""
         effects: list[EndpointEffect] = []
         now = max(self._now, now_us)
         while -1 < self.wake_us <= now:
-            self._now = max(self._now, self.wake_us)  # what came due in a pause happens at its end
+            self._now = max(self._now, self.wake_us)  # what becomes due in a pause happens at its end
             self._process_due(self._now, effects)
             self._update_wake()
         self._now = now
@@ -103,7 +103,7 @@
 
     # --- Time ---
     def _process_due(self, now_us: int, effects: Effects) -> None:
-        """What happens by itself at wake_us."""
+        """Process what is due at wake_us."""
         if self.paused:
             self._pause_end_us = -1
             self._resume(now_us, effects)
@@ -135,11 +135,11 @@
         return int(self._kind.pause_every_us * (0.5 + self._rng.random()))
 
     def _resume(self, now_us: int, effects: Effects) -> None:
-        """The process goes on, unless something else holds it still: what came in is taken in its order."""
+        """Resume the process unless another pause holds it, and handle queued events in order."""
         self.paused = self._paused_by_order or self._pause_end_us >= 0
         if self.paused or self._process is None:
             return
-        if -1 < self._next_pause_us <= now_us:  # passed while an order held it still
+        if -1 < self._next_pause_us <= now_us:  # became due during an ordered pause
             self._next_pause_us = now_us + self._pause_interval()
         self._process.skip(now_us)
         self._process.settle(now_us, effects)
@@ -147,7 +147,7 @@
             self._handle_event(now_us, event, effects)
 
     def _take_deferred(self) -> list[EndpointEvent]:
-        """What has come in during a pause, without connections that have come and gone unseen."""
+        """Take the events queued in a pause, without connections that opened and closed during it."""
         kept, self._deferred = self._deferred, []
         gone = frozenset(event.conn for event in kept if type(event) is Gone)
         return [event for event in kept if type(event) is not Opened or event.conn not in gone]
@@ -185,7 +185,7 @@
             process.draining = True
 
     def _handle_without_process(self, event: EndpointEvent, effects: Effects) -> None:
-        """Something comes in where no process is: a machine that is there resets it, a silent one doesn't."""
+        """Handle an event without a process: the machine resets it, unless it is silent."""
         if type(event) is ConditionChange:
             self._conditions.apply_change(event)
         elif self._silent:
@@ -226,7 +226,7 @@
             self._next_pause_us = now_us + int(self._kind.pause_every_us * self._rng.random())
 
     def _end(self, effects: Effects) -> None:
-        """The process is gone; what a pause had kept is for nobody now."""
+        """End the process; events queued in a pause find no process."""
         process, self._process = self._process, None
         self.paused = self._paused_by_order = False
         self._next_pause_us = self._pause_end_us = -1
@@ -235,30 +235,30 @@
         for event in self._take_deferred():
             self._handle_without_process(event, effects)
 
-    # --- To be read ---
+    # --- State ---
     @property
     def up(self) -> bool:
-        """Whether a process is there."""
+        """Whether a process runs."""
         return self._process is not None
 
     @property
     def draining(self) -> bool:
-        """Whether it turns everything away and finishes what it holds."""
+        """Whether it rejects new requests and finishes those it holds."""
         return self._process is not None and self._process.draining
 
     @property
     def held(self) -> int:
-        """Requests (and deep probes) that wait or are in work; never above slots and waiting room."""
+        """Requests (and deep probes) queued or in work; never above slots plus queue capacity."""
         return self._process.slots.held if self._process else 0
 
     @property
     def waiting(self) -> int:
-        """Those of them that wait."""
+        """Requests that are queued."""
         return len(self._process.slots.waiting) if self._process else 0
 
     @property
     def hung(self) -> int:
-        """Requests that hang, whose connections are still open."""
+        """Hung requests whose connections are still open."""
         return self._process.hung if self._process else 0
 
     @property
@@ -268,30 +268,30 @@
 
     @property
     def efficiency(self) -> float:
-        """What crowding leaves of its capacity; 0 where it is down."""
+        """The share of capacity left by crowding; 0 if down."""
         return self._process.slots.efficiency if self._process else 0.0
 
     @property
     def capacity(self) -> float:
-        """Work a microsecond of the whole process when it is warm, with nothing wrong."""
+        """Work per microsecond of the whole warm process without faults."""
         return self._kind.cores * self.spec.speed
 
     def warm_share(self, now_us: int) -> float:
-        """Present part of the capacity, from cold_from to 1; 0 where it is down."""
+        """Present share of the capacity, from cold_from to 1; 0 if down."""
         return self._process.slots.pace.at(now_us)[1] if self._process else 0.0
 
     def expected_us(self, now_us: int, cls: int, tenant: int = -1, key: int = 0, node: str = "") -> float:
         """Estimate how long a request read now would take until its answer if nothing changed.
 
         The estimate counts what is ahead of it on an open connection, its mean work, conditions, and a
-        remembered key. It is infinite where the request would get no answer. It is for policies that may
-        know the truth (see Slots.expected_us).
+        remembered key. It is infinite if the request would get no answer. It is for policies that may
+        know the true state (see Slots.expected_us).
         """
         expected_effects = self.true_condition(cls, tenant, key, node, now_us)
         if self._process is None or self._paused_by_order or expected_effects.answered <= 0.0:
             return float("inf")
         at_us = self._pause_end_us - self._kind.pause_us if self._pause_end_us >= 0 else now_us
-        left_us = max(0, self._pause_end_us - now_us)  # of a pause, in which nothing goes on
+        left_us = max(0, self._pause_end_us - now_us)  # remaining pause, in which no work is done
         return left_us + self._process.expected_us(at_us, cls, key, expected_effects)
 
     def true_condition(
--- a/granitewell/lab/emulator/endpoint_pace.py
+++ b/granitewell/lab/emulator/endpoint_pace.py
@@ -1,13 +1,13 @@
-"""How fast a process works: one clock of work done that all its running tasks share.
+"""The pace of a process: one clock of work done that all its running tasks share.
 
-It owns the ramp of a cold process and the integral of the pace over time. It must never know what the work is
-for. All tasks of a process run at one pace, so a task that begins when `done` is d and asks for w is finished
-when `done` is d + w, however often the pace changes in between (virtual time of processor sharing, after
-Parekh and Gallager 1993, section II): a change of pace costs the same whatever is running.
+It models the ramp of a cold process and integrates the pace over time. All tasks of a process run at one
+pace, so a task that starts when `done` is d and needs w finishes when `done` is d + w, however often the pace
+changes in between (virtual time of processor sharing, after Parekh and Gallager 1993, section II): a change
+of pace costs the same however many tasks run.
 
-The warm share rises evenly from `cold_from` to 1 over `cold_us`. Where work warms, it rises with whichever is
-further on: that line, or the work done as a part of half the work that a process always busy on that line
-would do. So it is never slower than evenly over the stated time.
+The warm share rises linearly from `cold_from` to 1 over `cold_us`. If work warms the process, the share
+follows whichever is further: that line, or the work done as a share of half the work that an always busy
+process on that line would do. So it is never slower than linear over the stated time.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 from granitewell.lab.day import KindDay, Warms
 
-_STEPS = 128  # of the ramp by work, along each of which the share is taken as linear in time
-EPS = 1e-4  # work that counts as done: far under a microsecond
+_STEPS = 128  # steps of the ramp by work; within each the share is taken as linear in time
+EPS = 1e-4  # remaining work treated as done: far under a microsecond
 
 
 class Pace:
@@ -47,7 +47,7 @@
         """`capacity`: work a microsecond of the whole warm process."""
         self._at = self._start = start_us
         self._cold_share, self._cold_us = kind.cold_from, kind.cold_us
-        self._warming_work = 0.0  # work that warms; 0: only time does
+        self._warming_work = 0.0  # work that warms it fully; 0: only time warms it
         if kind.warms is Warms.WORK:
             self._warming_work = capacity * kind.cold_us * (1.0 + kind.cold_from) / 4.0
         self._worked = 0.0
@@ -60,7 +60,7 @@
             self._update_ramp()
 
     def _update_ramp(self) -> None:
-        """Where the ramp has got to, how it goes on, and until when that can be said (`edge_us`)."""
+        """Update the ramp's position and slope, and until when they hold (`segment_end_us`)."""
         line = (self._at - self._start) / self._cold_us
         by_work = self._worked / self._warming_work if self._warming_work else 0.0
         if max(line, by_work) >= 1.0:
@@ -76,12 +76,12 @@
             self.segment_end_us = min(self.segment_end_us, self._at + max(1, self._cold_us // _STEPS))
 
     def changed(self) -> None:
-        """`factor` or `active` has changed, by which work warms faster or slower."""
+        """Update the ramp after a change of `factor` or `active`, which affect warming by work."""
         if self.cold and self._warming_work:
             self._update_ramp()
 
     def advance(self, now_us: int) -> None:
-        """Let time pass until then."""
+        """Advance time to `now_us`."""
         if not self.cold:
             self.done += self.factor * (now_us - self._at)
             self._at = now_us
@@ -97,7 +97,7 @@
                 self._update_ramp()
 
     def skip(self, now_us: int) -> None:
-        """Time has passed until then in which nothing was done; what warms by time has gone on."""
+        """Advance time without work; warming by time continues."""
         self._at = now_us
         if self.cold:
             self._update_ramp()
@@ -113,7 +113,7 @@
     def when(self, target: float) -> int:
         """Return the first whole microsecond at which `done` has reached the target.
 
-        It is `edge_us` where that is sooner: then ask again. -1: never at this pace.
+        It is `segment_end_us` if that is sooner: then ask again. -1: never at this pace.
         """
         left = target - self.done
         if left <= EPS:
--- a/granitewell/lab/emulator/endpoint_parts.py
+++ b/granitewell/lab/emulator/endpoint_parts.py
@@ -1,7 +1,6 @@
-"""Small parts of one process, each with one figure to keep: remembered keys, the load report, budgets.
+"""Small independent parts of one process: remembered keys, the load report, and budgets.
 
-It owns their books and must never touch a request or a connection. Nothing here costs more where more keys
-are remembered or more connections are open.
+They touch no requests or connections, and their cost does not grow with remembered keys or open connections.
 """
 
 from __future__ import annotations
@@ -13,14 +12,12 @@
 from granitewell.lab.day import ClassDay, KindDay, ReportDay, RulesDay
 from granitewell.lab.engine import normal
 
-OVERLOAD_TOLERANCE_STDDEVS = (
-    3.0  # standard deviations of a Poisson stream of mean requests, on top of the budget
-)
+OVERLOAD_TOLERANCE_STDDEVS = 3.0  # tolerance on top of the budget, for a Poisson stream of mean requests
 _RATE_SMOOTHING_US = 1_000_000  # over which rates in reports are smoothed
 
 
 class KeyCache:
-    """The keys that a process has met last: at most `memory_keys`, each for `memory_us`."""
+    """The keys used last by a process: at most `memory_keys`, each for `memory_us`."""
 
     __slots__ = ("_keys", "_last_used", "_valid_us", "gain")
 
@@ -30,14 +27,14 @@
         self.gain = kind.memory_gain if kind.memory_keys > 0 else 0.0
 
     def knows(self, now_us: int, key: int) -> bool:
-        """Whether a request for the key would be spared work now."""
+        """Whether a request for the key would need less work now."""
         last_used = self._last_used.get(key)
         return last_used is not None and now_us - last_used <= self._valid_us
 
     def touch(self, now_us: int, key: int) -> bool:
-        """Work for the key begins: whether it was known, and it is from now on.
+        """Remember the key as its work begins; returns whether it was known.
 
-        The key met longest ago goes where there are too many.
+        The least recently used key is evicted if there are too many.
         """
         known = self.knows(now_us, key)
         self._last_used[key] = now_us
@@ -86,13 +83,13 @@
         self._visible: tuple[float, ...] | None = None
 
     def count(self, failed: bool, spent_us: int) -> None:
-        """One request has been answered after its work."""
+        """Count one request that was answered after its work."""
         self._failed += failed
         self._served += not failed
         self._spent += spent_us
 
     def advance(self, now_us: int, inflight: int, waiting: int, busy: int) -> None:
-        """Time has passed until then with these counts; `busy` of the cores were."""
+        """Advance time with these counts unchanged; `busy` cores were busy."""
         while self._next <= now_us:
             self._busy += busy * (self._next - self._last)
             self._last = self._next
@@ -103,7 +100,7 @@
         self._last = now_us
 
     def _skip_samples(self, now_us: int) -> None:
-        """After a long quiet time only the latest samples are worth taking."""
+        """Skip samples after a long idle time; only the latest ones are needed."""
         period = self._report.period_us
         spare = (now_us - self._next) // period - self._report.delay_us // period - 2
         if spare > 0:
@@ -140,14 +137,14 @@
         return value * max(0.0, 1.0 + noise * normal(self._rng)) if noise > 0.0 else value
 
     def skip(self, now_us: int) -> None:
-        """The process stood still until then and took no samples."""
+        """Advance time over a pause, in which no samples are taken."""
         behind = now_us - self._next
         if self.on and behind >= 0:
             self._next += (behind // self._report.period_us + 1) * self._report.period_us
         self._last = now_us
 
     def visible(self, now_us: int, lying: bool) -> tuple[float, ...] | None:
-        """The report that an answer written now carries. A lying one knows of no queue."""
+        """The report that an answer written now carries; a lying one shows an empty queue."""
         pending = self._pending
         while pending and pending[0][0] <= now_us:
             self._visible = pending.popleft()[1]
@@ -159,12 +156,12 @@
 
 
 class OverloadGuard:
-    """The fourth rule as a budget.
+    """WIRE's fourth rule as a budget for a cold process.
 
     The work sent to a cold process within any `fall_us` must stay under fall_multiple x its present capacity
     x fall_us, with a slack for chance on top: that many standard deviations of a Poisson stream of mean
-    requests, and one mean request of the heaviest class. Everything that is sent counts, also what is turned
-    away, each with its class's mean: nobody can know its draw.
+    requests, and one mean request of the heaviest class. Every request sent counts, also rejected ones,
+    each with its class's mean, since nobody can know its draw.
     """
 
     __slots__ = ("_budget", "_classes", "_mean", "_slack", "_sum", "_window", "_window_us")
@@ -178,7 +175,7 @@
         self._sum = 0.0
 
     def over(self, now_us: int, cls: int, warm: float) -> bool:
-        """Count a request that is sent now; True where that is more than the process can stand."""
+        """Count a request that is sent now; True if that overloads the process."""
         work = self._classes[cls].work_us
         self._window.append((now_us, work))
         self._sum += work
@@ -189,7 +186,7 @@
 
 
 class TokenBucket:
-    """At most so many a second, one second's worth (at least one) saved up."""
+    """A token bucket that holds one second's tokens (at least one)."""
 
     __slots__ = ("_at", "_capacity", "_per_us", "_tokens")
 
@@ -198,7 +195,7 @@
         self._capacity = self._tokens = max(1.0, per_s) if per_s > 0 else 0.0
 
     def take(self, now_us: int) -> bool:
-        """Whether one more is within it now; it is counted then."""
+        """Take a token if there is one; returns whether there was."""
         self._tokens = min(self._capacity, self._tokens + (now_us - self._at) * self._per_us)
         self._at = now_us
         if self._tokens < 1.0:
--- a/granitewell/lab/emulator/endpoint_process.py
+++ b/granitewell/lab/emulator/endpoint_process.py
@@ -1,11 +1,11 @@
-"""One process of a dispatch server, from its start to its end: what it has read and how it answers.
+"""One process of a dispatch server, from start to end: the requests that it reads and its answers.
 
-It owns every request that it has read: each ends exactly once, by one `Done`, and is answered at most once.
-It must never know of what happens outside a process's life (starts, stops, pauses: `endpoint`), nor how fast
-work goes (`endpoint_slots`). After each event `settle` fills free slots, sets the pace from what is held and
-open, and finds the next time at which something happens by itself.
+Each request that was read ends exactly once, with one `Done`, and is answered at most once. Starts, stops and
+pauses are handled in `endpoint`, the speed of work in `endpoint_slots`. After each event `settle` fills free
+slots, sets the pace from the held requests and open connections, and finds the next time of an internal
+event.
 
-    READ -> WAITING -> WORKING -> (KEPT ->) OVER    READ, WAITING -> OVER when turned away or dropped
+    READ -> WAITING -> WORKING -> (KEPT ->) OVER    READ, WAITING -> OVER when rejected or dropped
                           |                         WORKING -> OVER when stopped
                           +-----> HUNG -> OVER      KEPT, HUNG -> OVER when the connection goes
 """
@@ -24,11 +24,11 @@
 from granitewell.lab.emulator.types import Asked, Condition, Done, EndpointEffect, Hangup, Reply
 from granitewell.lab.emulator.work import attempt_factor
 
-READ, WAITING, WORKING, KEPT, HUNG, OVER = Stage  # looking a member up by its name each time is slow
+READ, WAITING, WORKING, KEPT, HUNG, OVER = Stage  # module-level names are faster than enum attribute lookups
 REQUEST, DEEP, SHALLOW, HANDSHAKE = TaskKind
 Effects = list[EndpointEffect]
 
-# How an answer ends -> what the witness is told. A head alone and a broken connection are spoilt answers.
+# Kind of an answer -> outcome for the witness. A head alone and a broken connection count as spoilt.
 _WITNESS_OUTCOME = {
     "ok": "ok",
     "error": "error",
@@ -88,24 +88,26 @@
         self.wake_us = self._idle_due = -1
         self.hung = 0
         self._seq = 0
-        self._held: dict[int, Task] = {}  # every request that is not over, in the order of arrival
-        self._timers: list[tuple[int, int, bool, Task]] = []  # (at, number, kept until then, task)
+        self._held: dict[int, Task] = {}  # unfinished requests in order of arrival
+        self._timers: list[
+            tuple[int, int, bool, Task]
+        ] = []  # (at, task number, answer delayed until then, task)
 
     # --- Time ---
     def _advance(self, now_us: int) -> None:
-        """Time has passed until now with everything as it was."""
+        """Advance time with the state unchanged."""
         slots = self.slots
         slots.pace.advance(now_us)
         if self._load_reports.on:
             self._load_reports.advance(now_us, slots.held + self.hung, len(slots.waiting), slots.busy_cores)
 
     def skip(self, now_us: int) -> None:
-        """The process has stood still until now."""
+        """Advance time over a pause."""
         self.slots.pace.skip(now_us)
         self._load_reports.skip(now_us)
 
     def process_due(self, now_us: int, effects: Effects) -> None:
-        """Whatever is due by now: ends of work, ends of attempts' times, kept answers, idle connections."""
+        """Process what is due: finished work, attempt timeouts, delayed answers, idle connections."""
         self._advance(now_us)
         while (task := self.slots.finished()) is not None:
             self._on_work_done(now_us, task, effects)
@@ -122,7 +124,7 @@
                 effects.append(Hangup(conn.id, reset=False))
 
     def settle(self, now_us: int, effects: Effects) -> None:
-        """Fill free slots, set the pace, find the next time at which something happens by itself."""
+        """Fill free slots, set the pace, and find the time of the next internal event."""
         slots, timers = self.slots, self._timers
         while slots.waiting and (task := slots.dequeue()) is not None:
             self._begin(now_us, task, effects)
@@ -136,7 +138,7 @@
         self.wake_us = idle if idle >= 0 and (due < 0 or idle < due) else due
 
     def _schedule_check(self, at_us: int, task: Task, kept: bool) -> None:
-        """Look at the task again at that time. Entries of tasks that are over must not pile up."""
+        """Schedule a check of the task; entries of finished tasks are purged so that they do not pile up."""
         if len(self._timers) > 64 + 4 * len(self._held):
             self._timers = [entry for entry in self._timers if entry[3].stage is not OVER]
             heapify(self._timers)
@@ -144,7 +146,7 @@
 
     # --- Connections ---
     def opened(self, now_us: int, event: types.Opened, effects: Effects) -> None:
-        """A connection has arrived: it stands, and its handshake costs work ahead of its first request."""
+        """A connection arrived: it is accepted, and its handshake costs work ahead of its first request."""
         self._advance(now_us)
         if len(self.table.open) >= self._day.conn.cap or self._conditions.refuses(event.node):
             effects.append(types.Refuse(event.conn))
@@ -158,7 +160,7 @@
             self.table.idles(now_us, conn)
 
     def gone(self, now_us: int, number: int, effects: Effects) -> None:
-        """The node has closed the connection or waits no more; harmless for one that is not open."""
+        """The node closed the connection or stopped waiting; no effect if it is not open."""
         self._advance(now_us)
         conn = self.table.open.get(number)
         if conn is not None:
@@ -172,7 +174,7 @@
             self._on_connection_lost(now_us, conn.task, effects)
 
     def _reset_connection(self, now_us: int, number: int, effects: Effects) -> None:
-        """Reset a connection on which something came that can't be taken: one not open, or busy."""
+        """Reset a connection that is not open, or busy, when something arrives on it."""
         effects.append(Hangup(number, reset=True))
         self.gone(now_us, number, effects)
 
@@ -185,7 +187,7 @@
 
     # --- Requests and probes ---
     def asked(self, now_us: int, event: Asked, effects: Effects) -> bool:
-        """A request has been read. False: with it the process, still cold, has been sent too much."""
+        """A request was read. False: it overloads the process, which is still cold."""
         self._advance(now_us)
         conn = self.table.open.get(event.conn)
         if conn is None or conn.task is not None:
@@ -202,7 +204,7 @@
         return stands
 
     def probed(self, now_us: int, event: types.ProbeAsked, effects: Effects) -> None:
-        """A probe has been read. One over the cap, or where there are none, is answered bad at no cost."""
+        """A probe was read. One over the cap, or when probes are off, is answered as bad at no cost."""
         self._advance(now_us)
         conn, probe = self.table.open.get(event.conn), self._day.probe
         if conn is None or conn.task is not None:
@@ -220,7 +222,7 @@
         return Task(self._seq, kind, conn, asked)
 
     def _admit(self, now_us: int, task: Task, effects: Effects) -> None:
-        """To a slot, to the waiting room, or away."""
+        """Start, queue or reject a task."""
         slots, kind, due_us = self.slots, self._kind, task.asked.due_us
         if task.kind is SHALLOW:
             slots.work(task, self._day.probe.work_us, unslotted=True)
@@ -265,7 +267,7 @@
 
     # --- Ends ---
     def _on_work_done(self, now_us: int, task: Task, effects: Effects) -> None:
-        """A task's work is done."""
+        """Handle a task whose work is done."""
         if task.kind is HANDSHAKE:
             self._on_handshake_done(now_us, task.conn, effects)
             return
@@ -286,14 +288,14 @@
             self._respond(now_us, task, task.end, effects)
 
     def _finish(self, task: Task, outcome: str, effects: Effects) -> None:
-        """The one end of every task."""
+        """Finish a task; called exactly once for each."""
         task.stage = OVER
         if task.kind is REQUEST:
             del self._held[task.seq]
             effects.append(Done(task.asked.rid, outcome))
 
     def _respond(self, now_us: int, task: Task, end: str, effects: Effects) -> None:
-        """Answer a task, if anybody still listens, and be done with it."""
+        """Answer a task if its connection is open, and finish it."""
         conn = task.conn
         if conn.open and end == "reset":
             self.table.remove(conn)
@@ -311,7 +313,7 @@
     def _report(self, now_us: int, task: Task) -> tuple[float, ...] | None:
         if not self._load_reports.on:
             return None
-        # What never began has met no condition yet; what is turned away is mute or lying like the rest.
+        # Tasks that never began have no conditions yet; rejections may be mute or lying like other answers.
         matched = (
             self._matching_conditions(task) if self._conditions.on and task.began_us < 0 else task.matched
         )
@@ -320,7 +322,7 @@
         return self._load_reports.visible(now_us, bool(matched) and conditions.has(matched, "lying"))
 
     def _hang(self, task: Task, effects: Effects) -> None:
-        """A running task goes no further; it leaves its slot to others."""
+        """Hang a running task; its slot becomes free."""
         self.slots.remove(task)
         task.stage = HUNG
         self.hung += 1
@@ -332,7 +334,7 @@
         self._finish(task, "hung", effects)
 
     def _on_connection_lost(self, now_us: int, task: Task, effects: Effects) -> None:
-        """Nobody waits for the task any more: its connection is gone."""
+        """Handle a task whose connection has closed."""
         if task.stage is HUNG:
             self._unhang(task, effects)
         elif task.stage is KEPT:
@@ -346,7 +348,7 @@
             self._stop(task, effects)
 
     def _stop(self, task: Task, effects: Effects) -> None:
-        """Stop a task that nobody waits for or whose time is over, as far as this kind of endpoint does."""
+        """Stop a task that nobody waits for or that timed out, if this kind of endpoint does so."""
         stops = self._kind.stops
         if task.stage is WORKING and stops is Stops.ALL:
             self.slots.remove(task)
@@ -356,9 +358,9 @@
             self._finish(task, "dropped", effects)
 
     def _on_attempt_timeout(self, now_us: int, task: Task, effects: Effects) -> None:
-        """The time is over that the node gave the attempt.
+        """The attempt's timeout, as given by the node, is over.
 
-        What is stopped is not answered, since the node waits no more; its connection stays busy until the
+        A stopped task is not answered, since the node no longer waits; its connection stays busy until the
         node closes it.
         """
         if task.stage is WAITING and self._kind.drops_expired:
@@ -368,7 +370,7 @@
             self._stop(task, effects)
 
     def condition_changed(self, now_us: int, change: types.ConditionChange, effects: Effects) -> None:
-        """A condition has begun or ended, which bears on running work too."""
+        """A condition began or ended; it also affects running work."""
         self._advance(now_us)
         for task in list(self.slots.working.values()):
             was = conditions.slowdown_factor(task.matched)
@@ -383,7 +385,7 @@
                 self.slots.continue_work(task, max(0.0, task.finish - self.slots.pace.done) * slow / was)
 
     def end(self, effects: Effects) -> None:
-        """The process ends at once: its connections are reset, what it held dies."""
+        """End the process at once: reset its connections and fail its requests."""
         effects.extend(Hangup(number, reset=True) for number in self.table.open)
         effects.extend(Done(task.asked.rid, "died") for task in self._held.values())
 
@@ -398,5 +400,5 @@
 
 
 def _no_request(conn: Conn) -> Asked:
-    """What stands in a task that is no request: no class, tenant or key."""
+    """The placeholder request of a task that has none."""
     return Asked(conn.id, "", -1, -1, 0, 0.0, 0)
--- a/granitewell/lab/emulator/endpoint_slots.py
+++ b/granitewell/lab/emulator/endpoint_slots.py
@@ -1,9 +1,9 @@
-"""Who waits and who works in a process, how fast, and when the next of them is done.
+"""Queue and slots of a process: who waits and who works, how fast, and who finishes next.
 
-It owns the waiting room, the slots, the tasks beside them, and the pace. It must never know why a task came
-or what becomes of it. Requests wait in order of arrival for one of cores x slots_per_core slots; all running
-tasks share the cores evenly and advance on one clock of work (`endpoint_pace`), kept in a heap by where on
-that clock they finish.
+Requests wait in order of arrival for one of cores x slots_per_core slots; tasks such as handshakes run
+outside the slots. All running tasks share the cores evenly and advance on one clock of work
+(`endpoint_pace`), kept in a heap by where on that clock they finish. Why a task came and what becomes of it
+is not known here.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Slots:
-    """Slots and waiting room of one process. `waiting` and `working` (in slots) go by the task's number."""
+    """Slots and queue of one process. `waiting` and `working` (in slots) are keyed by task number."""
 
     __slots__ = (
         "_conn",
@@ -42,7 +42,7 @@
             kind.cores * kind.slots_per_core,
             int(kind.cores * kind.queue_per_core),
         )
-        self._knee = max(kind.cores * kind.thrash_at, 1.0)  # requests held beyond which it is crowded
+        self._knee = max(kind.cores * kind.thrash_at, 1.0)  # requests held beyond which efficiency drops
         self.pace = Pace(kind, kind.cores * spec.speed, start_us, cold)
         self.waiting: OrderedDict[int, Task] = OrderedDict()
         self.waiting_work = 0.0  # as asked for
@@ -53,17 +53,17 @@
 
     @property
     def held(self) -> int:
-        """What waits or is in a slot."""
+        """Tasks in the queue or in a slot."""
         return len(self.waiting) + len(self.working)
 
     @property
     def busy_cores(self) -> int:
-        """How many cores have something to do."""
+        """Number of busy cores."""
         return min(self._cores, len(self.working) + len(self.unslotted))
 
     @property
     def efficiency(self) -> float:
-        """What crowding leaves of the capacity."""
+        """The share of capacity left by crowding."""
         over = (len(self.waiting) + len(self.working)) / self._knee - 1.0
         return 1.0 / (1.0 + self._kind.thrash * over) if over > 0.0 else 1.0
 
@@ -84,7 +84,7 @@
             pace.changed()
 
     def enqueue(self, task: Task) -> bool:
-        """Let it wait behind all others. False: the room is full."""
+        """Add a task to the queue; False if it is full."""
         if len(self.waiting) >= self.queue_capacity:
             return False
         task.stage = Stage.WAITING
@@ -93,7 +93,7 @@
         return True
 
     def dequeue(self) -> Task | None:
-        """The one that has waited longest, where a slot is free for it."""
+        """Take the task that has waited longest, if a slot is free."""
         if not self.waiting or len(self.working) >= self.count:
             return None
         _, task = self.waiting.popitem(last=False)
@@ -105,26 +105,26 @@
         self.waiting_work = self.waiting_work - task.asked.work_us if self.waiting else 0.0
 
     def work(self, task: Task, work_us: float, unslotted: bool = False) -> None:
-        """Work on it begins, in a slot or beside them."""
+        """Start work on a task, in a slot or outside them."""
         task.stage = Stage.WORKING
         (self.unslotted if unslotted else self.working)[task.seq] = task
         self.continue_work(task, work_us)
 
     def continue_work(self, task: Task, work_us: float) -> None:
-        """So much work is left of a running task."""
+        """Set the work left of a running task."""
         task.finish = self.pace.done + work_us
         self._push_count += 1
         heappush(self._finishing, (task.finish, self._push_count, task))
 
     def remove(self, task: Task) -> None:
-        """It waits or works no more, should it have done either."""
+        """Remove a task from the queue, slots or side tasks, if it is there."""
         task.finish = -1.0
         if self.working.pop(task.seq, None) is None and self.waiting.pop(task.seq, None) is not None:
             self._less_waiting(task)
         self.unslotted.pop(task.seq, None)
 
     def finished(self) -> Task | None:
-        """A task whose work is done by now; it has left. None: no further one."""
+        """Take a task whose work is done by now; None if there is none."""
         finishing = self._finishing
         while finishing and finishing[0][0] <= self.pace.done + EPS:
             finish, _, task = heappop(finishing)
@@ -136,14 +136,14 @@
         return None
 
     def due_us(self) -> int:
-        """When to look for the next one that is finished; -1: never, as things stand."""
+        """When the next task finishes; -1: never, as things are."""
         finishing = self._finishing
         while finishing and finishing[0][2].finish != finishing[0][0]:
             heappop(finishing)
         return self.pace.when(finishing[0][0]) if finishing else -1
 
     def expected_us(self, now_us: int, work_us: float) -> float:
-        """About how long a task of this work that came now would take at the present pace.
+        """Estimated time of a task with this work that arrived now, at the present pace.
 
         Exact in the mean for one slot; with more, the first free one is taken to come after an even share of
         what runs.
--- a/granitewell/lab/emulator/endpoint_table.py
+++ b/granitewell/lab/emulator/endpoint_table.py
@@ -1,7 +1,7 @@
-"""What a process holds: tasks, and the table of connections with its idle times.
+"""Records of a process: its tasks, and the table of connections with their idle times.
 
-It owns the records and which connection has stood idle for too long. It must never decide what becomes of a
-request. Nothing here walks through all open connections, save at the process's end.
+It tells which connection has been idle too long. No operation scans all open connections, except at the end
+of the process.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
     REQUEST = "request"
     DEEP = "deep"  # probe that waits and is served like a request
-    SHALLOW = "shallow"  # probe answered beside the queue
+    SHALLOW = "shallow"  # probe answered outside the queue
     HANDSHAKE = "handshake"
 
 
@@ -27,8 +27,8 @@
     READ = "read"  # its connection's handshake is not done yet
     WAITING = "waiting"
     WORKING = "working"
-    KEPT = "kept"  # done, its answer kept back
-    HUNG = "hung"  # begun, never to be answered; takes no slot and no room
+    KEPT = "kept"  # done, its answer delayed
+    HUNG = "hung"  # started, never answered; takes no slot and no queue place
     OVER = "over"
 
 
@@ -46,7 +46,7 @@
         self.stage = Stage.READ
         self.finish = -1.0
         self.began_us = -1
-        self.end = ""  # how it will be answered, once its work is done
+        self.end = ""  # the kind of its answer, once its work is done
         self.matched: tuple[Condition, ...] = ()
 
 
@@ -64,33 +64,33 @@
 
 
 class Table:
-    """The open connections of a process, and those that stand idle in the order in which they will be closed.
+    """The open connections of a process, with the idle ones in the order in which they will be closed.
 
-    An entry of the idle queue is good while the connection has been idle since then; others are dropped when
-    they get to the front, so a request costs one entry and no search.
+    An entry of the idle queue is valid while the connection has been idle since then; stale ones are dropped
+    at the front, so a request costs one entry and no search.
     """
 
     __slots__ = ("_idle", "_idle_us", "open")
 
     def __init__(self, idle_us: int) -> None:
-        """idle_us 0: none is ever closed for idling."""
+        """Create an empty table; `idle_us` 0: idle connections are never closed."""
         self.open: dict[int, Conn] = {}
         self._idle_us = idle_us
         self._idle: deque[tuple[int, Conn]] = deque()
 
     def idles(self, now_us: int, conn: Conn) -> None:
-        """Nothing is out on the connection from now on."""
+        """Mark the connection as idle from now on."""
         conn.idle_us = now_us
         if self._idle_us > 0:
             self._idle.append((now_us, conn))
 
     def remove(self, conn: Conn) -> None:
-        """The connection is gone."""
+        """Remove a closed connection."""
         conn.open = False
         del self.open[conn.id]
 
     def due_us(self) -> int:
-        """When the next one has been idle for too long; -1: none will be."""
+        """When the next connection exceeds the idle timeout; -1: none will."""
         idle = self._idle
         while idle:
             since, conn = idle[0]
@@ -100,6 +100,6 @@
         return -1
 
     def overdue(self, now_us: int) -> Conn | None:
-        """One that has been idle for too long, or None. It is the caller's to close."""
+        """Take a connection that exceeded the idle timeout, or None; the caller closes it."""
         due = self.due_us()
         return self._idle.popleft()[1] if -1 < due <= now_us else None
--- a/granitewell/lab/emulator/front.py
+++ b/granitewell/lab/emulator/front.py
@@ -1,8 +1,8 @@
-"""The plain front: which node a client's new connection goes to.
+"""The front: a simple load balancer that picks the node for each new client connection.
 
-It owns what the front believes of the nodes: it lets one in when its ready path has answered since its start,
-and goes on sending to a dead one for a while. It must never look at load, or know whether a node is alive.
-Each call costs the same for three nodes as for hundreds.
+It adds a node when its ready path has answered since its start, and keeps sending to a dead node for a while.
+It knows neither load nor whether a node is really alive. Each call costs the same for three nodes as for
+hundreds.
 """
 
 from __future__ import annotations
@@ -16,32 +16,32 @@
 STOPPING_DELAY_RANGE_US = (
     200_000,
     400_000,
-)  # for which new connections go to a node after SIGTERM, from and to
+)  # range of the time for which a node still gets connections after SIGTERM
 
 
 class Front:
-    """Spreads connections at random over the nodes of the client's zone, or over all where it has none.
+    """Spreads connections at random over the nodes of the client's zone, or over all if it has none.
 
-    The shell says what befalls nodes, at times that never fall; a name that has not been up is a KeyError.
+    The caller reports node changes at times that never fall; a name that has not been up raises KeyError.
     """
 
     def __init__(self, day: Day) -> None:
         self._notice_us = day.front.notice_us
         self._rng = stream(day.seed, "front")
-        self._nodes_by_zone: list[list[str]] = [[] for _ in day.zones]  # the nodes let in
+        self._nodes_by_zone: list[list[str]] = [[] for _ in day.zones]  # nodes in service
         self._zone: dict[str, int] = {}
-        self._position: dict[str, int] = {}  # of a node that is let in, in its zone's list
-        self._pending_removals: dict[str, int] = {}  # which of a node's removals counts
-        self._removals: list[tuple[int, int, str]] = []  # (when, number, node): removals
+        self._position: dict[str, int] = {}  # index of a node in its zone's list
+        self._pending_removals: dict[str, int] = {}  # number of a node's valid removal
+        self._removals: list[tuple[int, int, str]] = []  # heap of (when, number, node)
         self._removal_count = 0
 
     def node_up(self, now_us: int, name: str, zone: int) -> None:
-        """Its process has started. Where the death of the one before is not noticed yet, nothing changes."""
+        """The node's process started. If its predecessor's death is not noticed yet, nothing changes."""
         self._advance(now_us)
         self._zone[name] = zone
 
     def node_ready(self, now_us: int, name: str) -> None:
-        """Its ready path has answered 200 for the first time since its start."""
+        """The node's ready path returned 200 for the first time since its start."""
         self._advance(now_us)
         self._pending_removals.pop(name, None)
         if name not in self._position:
@@ -50,19 +50,19 @@
             nodes.append(name)
 
     def node_down(self, now_us: int, name: str) -> None:
-        """Its process is gone: left out once that has been noticed, unless it is ready again by then."""
+        """The node's process ended: it is removed once that is noticed, unless it is ready again by then."""
         self._advance(now_us)
         if name not in self._pending_removals:
             self._schedule_removal(now_us + self._notice_us, name)
 
     def node_stopping(self, now_us: int, name: str) -> None:
-        """It was sent SIGTERM, and the front knows: new connections go there for 0.2 to 0.4 s more."""
+        """The node was sent SIGTERM: it gets new connections for 0.2 to 0.4 s more."""
         self._advance(now_us)
         low, high = STOPPING_DELAY_RANGE_US
         self._schedule_removal(now_us + low + int(self._rng.random() * (high - low)), name)
 
     def pick(self, now_us: int, zone: int, rng: Random | None = None) -> str | None:
-        """The node for a new connection from that zone; None: there is none at all.
+        """The node for a new connection from that zone; None if no node is in service.
 
         It draws from `rng` or from a stream of its own.
         """
@@ -85,7 +85,7 @@
             heappush(self._removals, (when_us, self._removal_count, name))
 
     def _advance(self, now_us: int) -> None:
-        """Leave out whom the front has by now noticed to be gone."""
+        """Remove the nodes whose end the front has noticed by now."""
         removals = self._removals
         while removals and removals[0][0] <= now_us:
             _, number, name = heappop(removals)
--- a/granitewell/lab/emulator/types.py
+++ b/granitewell/lab/emulator/types.py
@@ -1,8 +1,7 @@
-"""The terms between the model's parts and the shells that run them.
+"""Events and effects exchanged between the model's parts and the drivers that run them.
 
-It owns the events and effects of endpoints, clients and discovery and must never hold behaviour. Times are
-whole microseconds since the day began; connections are numbers given by the shell, unique at one endpoint's
-name over the whole day.
+Times are whole microseconds since the day began. Connections are numbers assigned by the driver, unique per
+endpoint name over the whole day.
 """
 
 from __future__ import annotations
@@ -58,29 +57,29 @@
 
 
 class Order(Enum):
-    """What the day does to a process."""
+    """Orders of the day to a process."""
 
     START = "start"  # a new process, cold unless started long ago
-    DRAIN = "drain"  # finish what is held, turn away the rest; connections stay
+    DRAIN = "drain"  # finish held requests, reject new ones; connections stay
     STOP = "stop"  # end now: connections are reset
-    VANISH = "vanish"  # end now without a word: the machine is cut off
-    PAUSE = "pause"  # the process stands still
+    VANISH = "vanish"  # end now silently: the machine is cut off
+    PAUSE = "pause"  # the process is paused
     RESUME = "resume"
 
 
 @dataclass(frozen=True, slots=True)
 class Ordered:
-    """The day orders the process to do something."""
+    """An order of the day to the process."""
 
     order: Order
 
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """A way of being ill that befalls matching requests. Empty tuples match all.
+    """A fault condition that affects matching requests. Empty tuples match all.
 
     effect: `hang` (taken, never answered), `slow` (work takes factor times as long), `late` (the answer is
-    kept back factor microseconds), `error` (after its work; a factor under 1: after that part of it), `full`
+    delayed by factor microseconds), `error` (after its work; a factor under 1: after that part of it), `full`
     (turned away), `reset` (the connection breaks in place of the answer), `spoilt` (an answer that can't be
     read), `silent_head` (the head of the answer, then nothing), `refuse` (new connections are refused),
     `mute` (answers carry no load report), `lying` (load reports say an empty queue), `speed` (the whole
@@ -111,14 +110,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """The connection stands."""
+    """Accept the connection."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """The connection is refused or reset at once: the table is full, or nobody listens."""
+    """Refuse or reset the connection at once: the table is full, or nothing listens."""
 
     conn: int
 
@@ -141,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hangup:
-    """Close the connection; with a reset, or in good order."""
+    """Close the connection, with a reset or gracefully."""
 
     conn: int
     reset: bool
@@ -157,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """For the witness: the endpoint is done with an attempt (outcomes: see Witness.ended)."""
+    """For the witness: the endpoint finished an attempt (outcomes: see Witness.ended)."""
 
     rid: str
     outcome: str
@@ -165,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Overloaded:
-    """For the witness and the day: pushed over while cold. The process is gone and stays down."""
+    """For the witness and the day: overloaded while cold. The process ended and stays down."""
 
 
 EndpointEffect = Accept | Refuse | Reply | Hangup | Ran | Done | Overloaded
@@ -174,7 +173,7 @@
 # --- Clients: model.clients.Clients.handle(now_us, event) -> list[ClientEffect] ---------------------------
 @dataclass(frozen=True, slots=True)
 class Replied:
-    """A try has its whole answer: verdict `served`, `refused` or `failed`."""
+    """An attempt has its complete response: verdict `served`, `refused` or `failed`."""
 
     rid: str
     verdict: str
@@ -183,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """A try's connection failed: it never came up, or ended without an answer.
+    """An attempt's connection failed: it was never established, or ended without a response.
 
     Attributes:
         sent: The request had been written whole.
@@ -198,7 +197,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Send a try now, to a node of the zone's front."""
+    """Send an attempt now, to a node picked by the zone's front."""
 
     rid: str
     first: str
@@ -208,13 +207,13 @@
     zone: int
     timeout_us: int
     work_us: float
-    retry: bool  # a further try, where clients mark those
-    rebooks: str = ""  # the first try of the lost booking that this new first try repeats
+    retry: bool  # a retry, if clients mark retries
+    rebooks: str = ""  # the first attempt of the lost booking that this request repeats
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The client gives the try up: close its connection if the answer is still out."""
+    """The client gives up the attempt: close its connection if the response is outstanding."""
 
     rid: str
 
@@ -227,7 +226,7 @@
 # change can only be merged, held back or dropped for a newer one until then.
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One endpoint as discovery tells it."""
+    """One endpoint as discovery reports it."""
 
     id: str
     zone: int
@@ -239,11 +238,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """Something has happened to an endpoint's process.
+    """An endpoint's process changed.
 
     Attributes:
-        how: `ready`, `draining`, `gone`, or `vanished` (gone without a word, which takes discovery longer to
-            see).
+        how: `ready`, `draining`, `gone`, or `vanished` (gone silently, which takes discovery longer to
+            notice).
     """
 
     line: Line
@@ -252,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeBegins:
-    """A node's process has begun: it is told the whole list, as old as its delay, then changes."""
+    """A node's process started: it is sent the whole list, as old as its delay, then changes."""
 
     node: str
 
@@ -262,7 +261,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """Write this to the node at that time: the whole list, or only what has changed."""
+    """Send this to the node at that time: the whole list, or only the changes."""
 
     at_us: int
     node: str
--- a/granitewell/lab/emulator/work.py
+++ b/granitewell/lab/emulator/work.py
@@ -1,8 +1,8 @@
-"""How much work a request is: draws from a class's distribution, and the noise of each attempt.
+"""Random work of requests: draws from a class's distribution, and the noise of each attempt.
 
-It owns the formulas from mean and coefficient of variation (cv) to a draw. It must never keep a stream of its
-own or draw by anything but `random()`, so that a seed gives the same day on any machine. Work is microseconds
-of one core of speed 1.0.
+Draws are computed from mean and coefficient of variation (cv) with the caller's stream and only by
+`random()`, so that a seed gives the same day on any machine. Work is in microseconds of one core of speed
+1.0.
 """
 
 from __future__ import annotations
