--- a/granitewell/lab/simulation/__init__.py
+++ b/granitewell/lab/simulation/__init__.py
@@ -1,5 +1,6 @@
-"""Virtual time: the node's own core and module against the model of the platform, in one process.
+"""Discrete-event simulation: the node's real core and module against the platform model, in one process.
 
-It owns the virtual network, clients' side, endpoint machines and node shells, and what plays, hunts and
-compares with them. It must never hold a rule, a copy of what the model or the core does, or a real clock.
+It holds the virtual network, client traffic, endpoint hosts and node hosts, and the code that plays days,
+searches seeds and compares policies. Rules, model behavior and the core live elsewhere; no real clock is
+used.
 """
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,4 +1,4 @@
-"""Judges the four rules from events and actions alone. Shares no code with the module."""
+"""An independent checker of the four rules, from events and actions alone; shares no code with the module."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_clients.py
+++ b/tests/lab/test_clients.py
@@ -1,4 +1,4 @@
-"""Arrivals against their figures, clients against a second telling of their rules, traces through a file."""
+"""Tests of arrivals against their parameters, of clients against a reference model, and of trace files."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
     assert len(turns) > 5  # not all at once
 
 
-def test_tries_are_drawn_one_ahead_and_no_more(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_arrivals_are_drawn_one_ahead(monkeypatch: pytest.MonkeyPatch) -> None:
     made = count()
     monkeypatch.setattr(drawn, "draw_work", lambda cls, rng: float(next(made)))
     clients = Clients(a_day(length_us=10**15), 1)
@@ -106,7 +106,7 @@
     assert len(asked) == 5 and next(made) == 6
 
 
-def test_an_impossible_load_is_named() -> None:
+def test_an_impossible_load_is_rejected() -> None:
     for figures, what in (
         ({"rate": ((5, 1.0), (5, 2.0))}, "load.rate, point 1: found time 5, allowed: over 5"),
         ({"rate": ((0, -1.0),)}, "load.rate, point 0: found -1.0 a second"),
@@ -222,7 +222,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(FATE, min_size=1, max_size=12), FIGURES, st.sampled_from([0, 0, 3_000, 400_000]))
-def test_clients_do_what_their_figures_say(fates: list[Fate], figures: dict[str, Any], lag: int) -> None:
+def test_clients_match_a_reference_model(fates: list[Fate], figures: dict[str, Any], lag: int) -> None:
     day = a_day(length_us=2 * S, **figures)
     world = World(day, fates, lag)
     rebooked = {w[0].ask.rebooks: w[0] for w in world.wants.values() if w[0].ask.rebooks}
@@ -245,7 +245,7 @@
         assert anew is None or lag or (anew.at, anew.ask.cls, anew.ask.key) == (when, kept.cls, kept.key)
 
 
-def test_parts_of_the_clients_heed_leave_early_and_book_anew() -> None:
+def test_shares_of_clients_that_honour_retry_after_leave_early_and_rebook() -> None:
     load = replace(EVEN, rate=((0, 200.0),))
     world = World(a_day(load=load, honour=0.3, retries=2), [Fate("refused", 1000, 300_000)])
     waits = Counter(tuple(b.at - a.end_at for a, b in pairwise(w)) for w in world.wants.values())
@@ -261,13 +261,13 @@
     assert 0.45 < world.clients.rebooked / unsafe < 0.55
 
 
-def test_what_clients_hold_is_what_is_open_however_long_the_day() -> None:
+def test_client_memory_is_bounded_by_open_requests() -> None:
     fates = [Fate("refused", 2_000, 100_000), Fate("served", 9_000), Fate("silence")]
     short, long = (World(a_day(length_us=n * S, honour=0.5, rebook=0.5), fates).most for n in (20, 200))
     assert long < 1.6 * short
 
 
-def test_seeds_give_the_same_again_and_rids_of_their_own() -> None:
+def test_seeds_are_reproducible_and_give_distinct_request_ids() -> None:
     seeds, fates = ((1, 1), (1, 1), (1, 2), (2, 1)), [Fate("served", 9)]
     one, again, own, other = (World(a_day(seed), fates, 0, mine).tries for seed, mine in seeds)
     assert list(one) == list(again) and not set(one) & {*own, *other}
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/test_discovery.py
@@ -1,4 +1,4 @@
-"""What discovery tells each node, under random changes, starts of nodes and faults; whom the front picks."""
+"""Tests of discovery's updates under random changes, node starts and faults, and of the front's choices."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
 @example([(1, ("hush", True)), (9, ("change", "e2", "ready")), (2_000, ("change", "e2", "gone")),
           (2_000, ("hush", False))])  # fmt: skip
 @example([(1, ("change", "e0", "draining")), (99, ("change", "e1", "draining")), (850, ("begin", "n0"))])
-def test_nodes_hear_the_truth_late_and_in_order(steps: list[tuple[int, tuple[str, ...]]]) -> None:
+def test_nodes_get_correct_updates_late_and_in_order(steps: list[tuple[int, tuple[str, ...]]]) -> None:
     rig = Rig()
     rig.begin("n8")
     for wait, (what, *args) in steps:
@@ -168,7 +168,7 @@
     assert min(times) >= 800 and max(times) <= 800 + SPREAD and len(set(times)) > 25
 
 
-def test_what_is_held_does_not_grow_with_the_day_and_an_unknown_change_is_named() -> None:
+def test_memory_is_bounded_and_an_unknown_change_is_rejected() -> None:
     rig = Rig()
     rig.begin("n0")
     for k in range(300):
@@ -185,7 +185,7 @@
 
 
 # --- Front ------------------------------------------------------------------------------------------------
-def test_a_front_sends_to_whom_it_believes_alive_of_its_zone_first() -> None:
+def test_the_front_prefers_live_nodes_of_its_own_zone() -> None:
     f = Front(a_day())
 
     def picks(now: int, zone: int) -> set[str | None]:
--- a/tests/lab/test_endpoint.py
+++ b/tests/lab/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The dispatch server's model: whatever comes, each request ends once.
+"""Tests of the endpoint model: every request ends exactly once.
 
 Waits, paces and books against plain models; each condition and order against what it must do.
 """
@@ -174,7 +174,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(KINDS, CONNS, SCRIPT)
-def test_a_shell_that_wakes_it_late_gets_the_same_effects(kind, conn, script):  # type: ignore[no-untyped-def]
+def test_late_ticks_give_the_same_effects(kind, conn, script):  # type: ignore[no-untyped-def]
     assume(("order", Order.VANISH) not in [what for _, what in script])  # what was due before is never told
     logs = []
     for ticks in (True, False):
@@ -205,7 +205,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.floats(0.05, 0.9), st.integers(1000, 10**7), st.integers(0, 10**7), st.floats(1.0, 10**7),
        st.lists(st.integers(1, 10**7), max_size=5))  # fmt: skip
-def test_a_cold_one_works_along_the_closed_form(cold_from, cold_us, begin, work, looks):  # type: ignore[no-untyped-def]
+def test_a_cold_process_works_at_the_closed_form_pace(cold_from, cold_us, begin, work, looks):  # type: ignore[no-untyped-def]
     rig = Rig(d.replace(KIND, cold_from=cold_from, cold_us=cold_us), started=50, speed=0.8)
     rig.order(50, Order.START)
     rig.ask(50 + begin, "r", work)
@@ -239,7 +239,7 @@
     assert 0.55 < next(k for k, share in enumerate(shares[True]) if share >= 1.0) / 20 < 0.75
 
 
-def test_crowding_table_and_handshakes_take_of_the_cores() -> None:
+def test_crowding_connections_and_handshakes_cost_capacity() -> None:
     rig = Rig(d.replace(KIND, thrash=0.5, thrash_at=2.0))
     rig.ask(0, "a", 1000.0)
     rig.ask(0, "b", 1000.0)  # two held: not crowded yet
@@ -328,7 +328,7 @@
     ("spoilt", 1.0, 1000, "spoilt", "spoilt"), ("silent_head", 1.0, 1000, "head", "spoilt"),
     ("speed", 4.0, 4000, "ok", "ok"),
 ])  # fmt: skip
-def test_each_condition_does_its_own(effect: str, factor: float, at: Any, answer: Any, outcome: Any) -> None:
+def test_the_effect_of_each_condition(effect: str, factor: float, at: Any, answer: Any, outcome: Any) -> None:
     rig = Rig()
     rig.fall(0, effect, factor=factor)
     conn = rig.ask(0, "r")
@@ -363,7 +363,7 @@
     assert rig.outcomes() == ({"hit": "error"} if hit is not None else {}) | {"missed": "ok"}
 
 
-def test_conditions_add_up_and_bear_on_running_work() -> None:
+def test_conditions_combine_and_affect_running_work() -> None:
     rig = Rig(report=ReportDay(("queue",), 100, 0, 0.0))
     rig.ask(0, "r", 1000.0)
     rig.fall(200, "slow", factor=3.0)  # 800 left, at a third
@@ -416,7 +416,7 @@
     assert rig.give(5001, Asked(conn, "g", 0, 0, 0, 1.0, 0)) == [Hangup(conn, True), Done("g", "died")]
 
 
-def test_time_stands_still_in_a_pause_and_what_came_in_is_taken_in_order() -> None:
+def test_a_pause_stops_work_and_queues_events_in_order() -> None:
     rig = Rig(conn=d.replace(CONN, idle_us=3000))
     idle = rig.open(0)
     rig.ask(0, "a", 1000.0)
@@ -454,7 +454,7 @@
 
 
 @pytest.mark.parametrize("gap, at", [(0, 674), (900, 873), (1100, -1)])
-def test_a_cold_one_falls_when_sent_too_much_in_any_window(gap: int, at: int) -> None:
+def test_a_cold_process_ends_when_overloaded_in_any_window(gap: int, at: int) -> None:
     # Requests of 1 ms within 1 s, while it is cold: the one numbered k (from 0) makes it fall where
     # k + 1 > b + 3 sqrt(b) + 1, b = 3 x (0.2 + 0.8 x gap x k / 10 s) x 1000, the last two for chance.
     rig = Rig(COLD, started=1)
@@ -469,7 +469,7 @@
         assert rig.give(rig.now + 2, Opened(10**6, "n")) == [t.Refuse(10**6)]
 
 
-def test_a_warm_one_never_falls_and_one_started_in_the_day_is_cold() -> None:
+def test_a_warm_process_never_ends_from_overload_and_a_new_one_is_cold() -> None:
     rig = Rig(COLD)
     assert rig.end.warm_share(0) == 1.0
     for k in range(900):
@@ -534,7 +534,7 @@
 
 
 @pytest.mark.parametrize("deep, at", [(False, 400), (True, 1200)])
-def test_probes_are_answered_beside_the_queue_or_in_it(deep: bool, at: int) -> None:
+def test_shallow_probes_bypass_the_queue_and_deep_ones_wait_in_it(deep: bool, at: int) -> None:
     rig = Rig(probe=ProbeDay(True, 200.0, 2.0, deep, 0))
     rig.ask(0, "r")
     conn = rig.open(0)
@@ -549,6 +549,6 @@
     assert rig.give(10**7, t.ProbeAsked(conn, "load")) == [Reply(conn, "", "probe_bad")]
 
 
-def test_impossible_figures_are_named() -> None:
+def test_impossible_values_are_rejected() -> None:
     with pytest.raises(ValueError, match="endpoint e: cores: found 0, allowed from 1"):
         Rig(d.replace(KIND, cores=0))
--- a/tests/lab/test_judge.py
+++ b/tests/lab/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge by plain observations: each rule broken and kept by a microsecond; worth by a brute count."""
+"""Tests of the judge: each rule at its exact limit, and the score against a brute-force count."""
 
 from __future__ import annotations
 
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("rule, broken, kept", BOTH, ids=[f"{k}-{x[0]}" for k, x in enumerate(BOTH)])
-def test_a_rule_is_broken_and_kept_by_a_microsecond(rule: str, broken: list[Seen], kept: list[Seen]) -> None:
+def test_each_rule_is_broken_and_kept_at_its_limit(rule: str, broken: list[Seen], kept: list[Seen]) -> None:
     assert set(judged(broken).offences) == {rule}
     assert judged(kept).offences == {}
 
@@ -174,7 +174,7 @@
     assert {rule for rule, _, _ in BOTH} == set(RULES)
 
 
-def test_the_first_offence_comes_first_and_tells_the_whole_request() -> None:
+def test_violations_are_ordered_by_time_with_the_request_history() -> None:
     story = [*ask(), sent(20), ended(30, "error"), sent(40, "e1"), answer(50)]
     other = [*ask(SAFE, "s", 60), (70, "answered", "s", "n0", "served", 0, False), LATER]
     report = judged([*story, *other])
@@ -184,14 +184,14 @@
     assert [o.rule for o in report.broken] == ["unsafe", "body"]
 
 
-def test_what_is_kept_of_offences_and_histories_is_bounded() -> None:
+def test_kept_violations_and_histories_are_bounded() -> None:
     story = [*ask(SAFE), *(sent(100 + k) for k in range(2000)), answer(900_000), LATER]
     report = judged(story)
     assert report.offences == {"attempts": 1995}
     assert len(report.broken) == 20 and len(report.broken[0].history) <= 400
 
 
-def test_the_earliest_offences_are_kept_though_they_were_judged_later() -> None:
+def test_the_earliest_violations_are_kept_even_if_found_later() -> None:
     story = [x for k in range(30) for x in ask(SAFE, f"r{k}")]
     story += [(1000 + k, "lost", f"r{k}", "n0", "reset") for k in range(25)]
     bodies = [x for k in range(25) for x in ask(SAFE, f"b{k}")]
@@ -201,7 +201,7 @@
     assert [(o.at, o.rule) for o in report.broken] == [(1000 + k, "lost") for k in range(20)]
 
 
-def test_nothing_is_remembered_of_what_is_long_over() -> None:
+def test_finished_requests_are_removed() -> None:
     judge = Judge(DAY)
     for k in range(300):
         for at, method, *args in (*ask(SAFE, f"r{k}", k * 50_000), sent(k * 50_000 + 20, rid=f"r{k}")):
@@ -213,7 +213,7 @@
     assert not judge._client_attempts and not judge._requests and not judge._violations._scheduled
 
 
-def test_times_never_fall_and_words_are_checked() -> None:
+def test_falling_times_and_unknown_words_are_rejected() -> None:
     judge = Judge(DAY)
     judge.node_ready(7, "n0")
     with pytest.raises(ValueError, match="found 6 us after 7 us"):
@@ -224,7 +224,7 @@
         judge.answered(8, "r", "n0", "sorry", 0, True)
 
 
-def test_a_booking_that_runs_for_two_tries_is_the_clients_doing() -> None:
+def test_a_booking_that_runs_in_two_client_attempts_is_no_violation() -> None:
     again = [(50, "asked", "r2", "r", UNSAFE, 0, 0, 0, T), (60, "taken", "r2", "n1")]
     ran = [(21, "ran", "r", "e0", 9.0), (71, "ran", "r2", "e1", 9.0)]
     story = [*ask(), sent(20), answer(40, "failed"), *again, (70, "sent", "r2", "n1", "e1", 70), *ran]
@@ -237,7 +237,7 @@
     assert judged(safe).double_bookings == 0
 
 
-def test_what_a_node_that_stood_still_sends_on_of_tries_long_over_is_not_held_against_it() -> None:
+def test_a_stalled_node_may_send_attempts_that_are_long_over() -> None:
     stood: list[Seen] = [(5, "fault", 0, True), (10, "fault", 0, False)]
     for node, offences in (("n0", {}), ("n1", {"unknown": 1})):
         assert judged([*stood, (12, "sent", "long-over", node, "e0", 12)]).offences == offences
@@ -299,7 +299,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 1 << 40))
-def test_any_legal_history_is_passed(seed: int) -> None:
+def test_any_legal_history_passes(seed: int) -> None:
     story = legal(Random(seed))
     for seen in (story, _without_kills(story)):
         report = judged([*seen, (30_000_000, "node_ready", "n0")])
@@ -363,7 +363,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 1 << 40))
-def test_worth_is_what_a_brute_count_makes_it(seed: int) -> None:
+def test_the_score_matches_a_brute_force_count(seed: int) -> None:
     story = _without_kills(legal(Random(seed)))
     if story:
         report = judged([*story, (30_000_000, "node_ready", "n0")])
@@ -372,7 +372,7 @@
         assert report.g == pytest.approx(max(brute(story), 0.0), abs=1e-9)
 
 
-def test_the_aim_is_met_to_the_microsecond_and_worth_is_earned_once() -> None:
+def test_the_latency_target_is_exact_and_value_is_earned_once() -> None:
     again = [(500, "asked", "s", "r", SAFE, 0, 0, 0, T), (501, "taken", "s", "n1")]
     for at, served, earned in ((400_000, 1, 1.0), (400_001, 0, 0.5)):
         report = judged([*ask(SAFE), *again, answer(at), (500_000, "answered", "s", "n1", "served", 0, True)])
@@ -388,7 +388,7 @@
     assert report.waste == 0.3 and report.prices["waste"].share == pytest.approx(300 / 10_000)
 
 
-def test_dials_and_probes_go_off_per_first_try() -> None:
+def test_dials_and_probes_are_deducted_per_request() -> None:
     story = [*ask(), answer(20), (30, "dialed", "n0", "e0"), *[(40, "probed", "n0", "e0")] * 3]
     assert judged(story).g == pytest.approx(1.0 - 0.08 - 3 * 0.01)
     assert judged([]).g == 1.0
@@ -407,7 +407,7 @@
 
 @given(st.lists(st.integers(0, 1 << 40), min_size=1), st.sampled_from((0.5, 0.9, 0.99, 0.999)))
 @settings(deadline=None, derandomize=True)
-def test_percentiles_are_told_within_a_64th_and_histograms_add_up(values: list[int], part: float) -> None:
+def test_percentiles_are_within_a_64th_and_histograms_merge(values: list[int], part: float) -> None:
     whole, halves = Histogram(), [Histogram(), Histogram()]
     for k, value in enumerate(values):
         whole.add(value)
@@ -425,7 +425,7 @@
 
 
 # --- Planted defects: the bench's own parts; `granitewell lab mutants` plays them -------------------------
-def test_every_piece_that_a_defect_changes_stands_in_the_sources_once() -> None:
+def test_every_source_text_that_a_mutant_changes_occurs_once() -> None:
     """A change of the node that moves such a piece has to think its defect anew."""
     root = Path(__file__).resolve().parents[2]
     for defect in (*DEFECTS, bench.harmless()):
@@ -437,14 +437,14 @@
 
 
 @pytest.mark.parametrize("old, problem", [("a", "'a' 2 times"), ("z", "'z' 0 times")])
-def test_a_piece_that_is_not_there_once_is_named(old: str, problem: str, tmp_path: Path) -> None:
+def test_a_source_text_that_does_not_occur_once_is_reported(old: str, problem: str, tmp_path: Path) -> None:
     with pytest.raises(PatchError, match=f"^core.py: found {problem}, wanted once"):
         Patch("core.py", old, "b").on("a a")
     with pytest.raises(PatchError, match="defect odd: granitewell/none.py: no such file"):
         bench.run([Defect("odd", "", (), (), (Patch("granitewell/none.py", "a", "b"),))], None, 1, 1, print)
 
 
-def test_a_figure_catches_only_what_is_worse_on_each_day_and_by_enough() -> None:
+def test_a_score_detects_only_what_is_clearly_worse_on_each_day() -> None:
     def days(*g: float) -> list[dict[str, Any]]:
         same = {"scenario": "s", "waste": 0.1, "attempts": 1.0, "failed": 0.0}
         return [{**same, "seed": k, "g": x} for k, x in enumerate(g)]
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -1,4 +1,4 @@
-"""The virtual shells: connections, node processes, faults, policies, hunting and the command line.
+"""Tests of the simulation: connections, node processes, faults, policies, seed search and command line.
 
 Days are small and written by hand (test_sim_digest.small_day); deciders are scripted where the point is what
 the shell does with what they ask for.
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_what_a_call_comes_to(case: str) -> None:
+def test_the_outcome_of_a_call(case: str) -> None:
     trouble, outcome, ms = CASES[case]
     day = calm(trouble, arrivals=(1.0,))
     slow = tuple(replace(c, work_us=50_000.0) for c in day.classes)  # under way from 1.0125 to 1.0625
@@ -144,7 +144,7 @@
     assert found is outcome and elapsed == pytest.approx(ms, abs=1.0)
 
 
-def test_what_was_cut_off_is_silent_for_good_and_a_new_connection_serves() -> None:
+def test_a_connection_cut_by_a_partition_stays_silent_and_a_new_one_serves() -> None:
     """The request lost in the cut never arrives behind it, and nothing more is written to its connection."""
     day = calm(fault("cut", 1.5, 2.0, "d0"), arrivals=(1.0, 1.6, 2.9))
     _, judge, played = scripted(day)
@@ -163,7 +163,7 @@
     assert held == [1, 2, 1]
 
 
-def test_a_call_that_is_called_off_at_once_is_never_sent() -> None:
+def test_a_call_abandoned_at_once_is_never_sent() -> None:
     class Fickle(Script):
         def handle(self, now: float, event: t.Event) -> list[t.Action]:
             actions = super().handle(now, event)
@@ -176,7 +176,7 @@
     assert (played.seen["answered"], played.seen["sent"], played.seen["dialed"]) == (2, 0, 0)
 
 
-def test_an_answer_that_came_too_late_serves_nobody() -> None:
+def test_a_late_response_is_dropped() -> None:
     """Its connection was closed with the call: the next request gets its own answer, on another one."""
     late = fault("condition", 0.5, 1.5, effect="late", factor=1_300_000.0)
     day = calm(late, arrivals=(1.0, 2.2))
@@ -184,7 +184,7 @@
     assert judge.report().totals["served"] == 1 and judge.report().kept and played.seen["dialed"] == 2
 
 
-def test_the_pool_gives_the_latest_and_closes_the_oldest() -> None:
+def test_the_pool_reuses_the_latest_and_closes_the_oldest() -> None:
     class At:
         key = b"d0"
 
@@ -200,7 +200,7 @@
 
 
 # --- Nodes ----------------------------------------------------------------------------------------------
-def test_a_stalled_process_does_nothing_and_then_all_in_order() -> None:
+def test_a_stalled_process_handles_its_backlog_in_order() -> None:
     """Its timer and what has arrived wait; the call's time is over by then, and its answer comes too late."""
     day = calm(fault("node_stall", 1.005, 2.5, "n0"), arrivals=(1.0, 1.5))
     (script,), _, _ = scripted(day)
@@ -209,7 +209,7 @@
     assert (2500.0, "Request") in events
 
 
-def test_cpu_is_booked_and_delays_what_comes_behind() -> None:
+def test_cpu_cost_delays_later_events() -> None:
     arrivals = [1.0 + k / 1000 for k in range(100)]
     quick = calm(arrivals=arrivals)
     slow = replace(quick, nodes=(d.NodeDay("n0", 0, 0.5, 2000.0),))  # 4 ms for an event
@@ -222,7 +222,7 @@
 TWO = (d.EndpointDay("d0", 0, 1, 0, 1.0, 0), d.EndpointDay("d1", 0, 1, 0, 1.0, 0))
 
 
-def test_a_new_process_begins_with_what_the_last_one_was_told() -> None:
+def test_a_new_process_starts_with_the_last_endpoint_list() -> None:
     """The whole list of the reload leaves d0 out, which had ended while discovery was at another address."""
     day = calm(
         fault("discovery_moved", 0.1, -1.0, "discovery"), fault("stop", 0.5),
@@ -246,7 +246,7 @@
     assert played.seen["node_up"] == 2 and played.seen["lost"] == 1 and judge.report().kept
 
 
-def test_a_stopped_node_takes_what_still_comes_and_loses_nothing() -> None:
+def test_a_stopping_node_serves_late_requests_and_loses_none() -> None:
     day = calm(fault("node_term", 1.01, 9.0, "n0"), arrivals=(1.0, 1.05, 1.1, 1.15, 7.0))
     _, judge, played = scripted(day)
     report = judge.report()
@@ -254,7 +254,7 @@
     assert played.seen["node_down"] == 1 and played.notes["phase"] >= 4
 
 
-def test_a_request_that_crosses_a_close_is_sent_once_more() -> None:
+def test_a_request_in_flight_during_a_close_is_sent_again_once() -> None:
     """The stopping node closes what it has read nothing on, half a second after SIGTERM.
 
     A request that is on its way there goes to the other node of the zone.
@@ -268,7 +268,7 @@
     assert judge.report().kept and played.seen["answered"] == len(arrivals)
 
 
-def test_a_node_hears_nothing_of_a_discovery_that_has_moved_until_it_reloads() -> None:
+def test_a_node_gets_no_updates_from_moved_discovery_until_it_reloads() -> None:
     moved = fault("discovery_moved", 1.0, -1.0, "discovery")
     day = calm(moved, fault("drain", 1.1, 6.0), fault("node_hup", 5.0, -1.0, "n0"))
     (script,), _, _ = scripted(day)
@@ -278,7 +278,7 @@
     assert [at for at, e in script.heard if isinstance(e, t.Hosts) and 1.0 < at < 5000.0]
 
 
-def test_the_budget_of_descriptors_holds() -> None:
+def test_the_socket_budget_holds() -> None:
     """Far more clients at once than a node may hold connections: they wait, and neither side takes it all."""
     most = {"lines": 0, "all": 0}
 
@@ -302,7 +302,7 @@
     assert [b - a for a, b in zip(asked, taken, strict=True)] == [1000, 0, 1000]  # a round trip for a new one
 
 
-def test_an_invariant_is_looked_at_after_every_event() -> None:
+def test_an_invariant_is_checked_after_every_event() -> None:
     day = calm(arrivals=(1.0,))
     looks: list[int] = []
     played = play(day, invariants=[lambda world: looks.append(world.engine.now_us) or ""])  # type: ignore[func-returns-value]
@@ -311,7 +311,7 @@
         play(day, invariants=[lambda world: "a request is there" if world.client_traffic.asked else ""])
 
 
-def test_a_fault_that_cannot_be_played_is_named() -> None:
+def test_a_fault_that_cannot_be_injected_is_reported() -> None:
     with pytest.raises(FaultError, match="fault 0: found kind 'flood', allowed are condition, cut"):
         play(calm(fault("flood", 1.0)))
     with pytest.raises(FaultError, match=r"fault 1 \(pause\): found target 'd9'"):
@@ -345,7 +345,7 @@
 
 
 @pytest.mark.parametrize("make", PLAIN)
-def test_a_plain_policy_keeps_the_rule_on_repeats(
+def test_a_simple_policy_keeps_the_rule_on_retries(
     make: Callable[[Settings, int], policies.SimplePolicy],
 ) -> None:
     policy = make(settings(), 1)
@@ -418,14 +418,14 @@
     assert policy.choose(policies.PendingRequest(ask(2))) == b"h0"
 
 
-def test_probes_go_to_endpoints_and_back_round_the_core() -> None:
+def test_probes_bypass_the_core() -> None:
     probe = d.ProbeDay(True, 300.0, 1000.0, False, 500_000)
     day = calm(arrivals=[1.0 + k / 10 for k in range(20)], probe=probe)
     played = play(day, "prequal", Judge(day))
     assert played.seen["probed"] >= 3 and played.report["offences"] == {}
 
 
-def test_the_oracle_sees_who_is_ill() -> None:
+def test_the_oracle_sees_fault_conditions() -> None:
     day = small_day(length_us=4 * S)
     ill = replace(day, faults=(fault("condition", 0.0, -1.0, "d0,d2,d4", effect="hang"),))
     worth = {p: play(ill, p, Judge(ill)).report["g"] for p in ("random", "oracle")}
@@ -443,7 +443,7 @@
 
 
 @pytest.mark.parametrize("policy", POLICIES)
-def test_every_policy_keeps_the_rules_but_for_cold_endpoints(policy: str) -> None:
+def test_every_policy_keeps_all_rules_except_on_cold_endpoints(policy: str) -> None:
     day = small_day()
     played = play(day, policy, Judge(day))
     assert set(played.report["offences"]) <= {"cold"} and played.owed == 0
@@ -451,7 +451,7 @@
 
 
 # --- Hunting and the command line -----------------------------------------------------------------------
-def test_ddmin_finds_the_least_part_that_fails() -> None:
+def test_ddmin_finds_a_minimal_failing_subset() -> None:
     tried: list[tuple[int, ...]] = []
 
     def both(part: tuple[int, ...]) -> bool:
@@ -464,7 +464,7 @@
     assert ddmin(tuple(range(5)), lambda part: len(part) == 5) == tuple(range(5))
 
 
-def test_what_fails_otherwise_does_not_count_when_shrinking(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_different_failure_does_not_count_when_shrinking(monkeypatch: pytest.MonkeyPatch) -> None:
     """Either fault alone breaks another rule: both are needed for this one."""
 
     def played(case: Case, day: d.Day, only: tuple[int, ...] | None) -> Found:
@@ -519,7 +519,7 @@
     assert again["digest"] == found.digest and again["report"]["g"] == found.g < 0.8
 
 
-def test_seeds_in_processes_are_the_seeds_here(ill: str) -> None:
+def test_worker_processes_give_the_same_results(ill: str) -> None:
     case = Case(ill, endpoints=3, length_s=1.0, below=0.5)
     apart = {f.seed: f.digest for f in seeds(case, range(1, 4), 2)}
     assert apart == {f.seed: f.digest for f in seeds(case, range(1, 4), 1)} and len(set(apart.values())) == 3
@@ -560,7 +560,7 @@
 """
 
 
-def test_a_broken_rule_is_exit_1_with_the_first_offence(tmp_path: Path) -> None:
+def test_a_broken_rule_is_exit_1_with_the_first_violation(tmp_path: Path) -> None:
     """Round robin knows nothing of cold endpoints: half of the load pushes one over."""
     path = tmp_path / "cold.toml"
     path.write_text(COLD)
@@ -569,7 +569,7 @@
     assert done.output.splitlines()[-1].startswith("granitewell: seed 1: cold: ")
 
 
-def test_the_trace_holds_all_that_was_seen_and_a_full_disk_is_said(tmp_path: Path) -> None:
+def test_the_trace_is_complete_and_a_full_disk_is_reported(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
     done = CliRunner().invoke(sim_command, ["calm", "--length", "1", "--trace", str(path), "--json"])
     seen = [json.loads(line) for line in path.read_text().splitlines()]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Random legal days against an independent judge of the four rules, and planted violations of each."""
+"""Tests random legal days against an independent checker of the four rules, and injected violations."""
 
 from __future__ import annotations
 
