--- a/granitewell/lab/emulator/endpoint_parts.py
+++ b/granitewell/lab/emulator/endpoint_parts.py
@@ -1,7 +1,6 @@
-"""Small parts of one process, each with one figure to keep: remembered keys, the load report, budgets.
+"""Small independent parts of one process: remembered keys, the load report, and budgets.
 
-It owns their books and must never touch a request or a connection. Nothing here costs more where more keys
-are remembered or more connections are open.
+They touch no requests or connections, and their cost does not grow with remembered keys or open connections.
 """
 
 from __future__ import annotations
@@ -13,39 +12,39 @@
 from granitewell.lab.day import ClassDay, KindDay, ReportDay, RulesDay
 from granitewell.lab.engine import normal
 
-FALL_CHANCE = 3.0  # standard deviations of a Poisson stream of mean requests, on top of the budget
-_SMOOTH_US = 1_000_000  # over which rates in reports are smoothed
+OVERLOAD_TOLERANCE_STDDEVS = 3.0  # tolerance on top of the budget, for a Poisson stream of mean requests
+_RATE_SMOOTHING_US = 1_000_000  # over which rates in reports are smoothed
 
 
-class Memory:
-    """The keys that a process has met last: at most `memory_keys`, each for `memory_us`."""
+class KeyCache:
+    """The keys used last by a process: at most `memory_keys`, each for `memory_us`."""
 
-    __slots__ = ("_keys", "_met", "_valid_us", "gain")
+    __slots__ = ("_keys", "_last_used", "_valid_us", "gain")
 
     def __init__(self, kind: KindDay) -> None:
-        self._met: OrderedDict[int, int] = OrderedDict()
+        self._last_used: OrderedDict[int, int] = OrderedDict()
         self._keys, self._valid_us = kind.memory_keys, kind.memory_us
         self.gain = kind.memory_gain if kind.memory_keys > 0 else 0.0
 
     def knows(self, now_us: int, key: int) -> bool:
-        """Whether a request for the key would be spared work now."""
-        met = self._met.get(key)
-        return met is not None and now_us - met <= self._valid_us
+        """Whether a request for the key would need less work now."""
+        last_used = self._last_used.get(key)
+        return last_used is not None and now_us - last_used <= self._valid_us
 
-    def meet(self, now_us: int, key: int) -> bool:
-        """Work for the key begins: whether it was known, and it is from now on.
+    def touch(self, now_us: int, key: int) -> bool:
+        """Remember the key as its work begins; returns whether it was known.
 
-        The key met longest ago goes where there are too many.
+        The least recently used key is evicted if there are too many.
         """
         known = self.knows(now_us, key)
-        self._met[key] = now_us
-        self._met.move_to_end(key)
-        if len(self._met) > self._keys:
-            self._met.popitem(last=False)
+        self._last_used[key] = now_us
+        self._last_used.move_to_end(key)
+        if len(self._last_used) > self._keys:
+            self._last_used.popitem(last=False)
         return known
 
 
-class Reports:
+class LoadReports:
     """The load report: sampled each `period_us` from a time of the process's own, seen `delay_us` later.
 
     `inflight` counts what waits, runs or hangs, `queue` what waits, `util` the share of the cores that was
@@ -84,29 +83,29 @@
         self._visible: tuple[float, ...] | None = None
 
     def count(self, failed: bool, spent_us: int) -> None:
-        """One request has been answered after its work."""
+        """Count one request that was answered after its work."""
         self._failed += failed
         self._served += not failed
         self._spent += spent_us
 
     def advance(self, now_us: int, inflight: int, waiting: int, busy: int) -> None:
-        """Time has passed until then with these counts; `busy` of the cores were."""
+        """Advance time with these counts unchanged; `busy` cores were busy."""
         while self._next <= now_us:
             self._busy += busy * (self._next - self._last)
             self._last = self._next
             self._sample(inflight, waiting)
             self._next += self._report.period_us
-            self._leap(now_us)
+            self._skip_samples(now_us)
         self._busy += busy * (now_us - self._last)
         self._last = now_us
 
-    def _leap(self, now_us: int) -> None:
-        """After a long quiet time only the latest samples are worth taking."""
+    def _skip_samples(self, now_us: int) -> None:
+        """Skip samples after a long idle time; only the latest ones are needed."""
         period = self._report.period_us
         spare = (now_us - self._next) // period - self._report.delay_us // period - 2
         if spare > 0:
             self._next += spare * period
-            keep = max(0.0, 1.0 - period / _SMOOTH_US) ** spare
+            keep = max(0.0, 1.0 - period / _RATE_SMOOTHING_US) ** spare
             self._qps *= keep
             self._eps *= keep
             self._busy = 0.0
@@ -114,7 +113,7 @@
 
     def _sample(self, inflight: int, waiting: int) -> None:
         period = self._report.period_us
-        part = min(1.0, period / _SMOOTH_US)
+        part = min(1.0, period / _RATE_SMOOTHING_US)
         answers = self._served + self._failed
         self._qps += part * (self._served * 1e6 / period - self._qps)
         self._eps += part * (self._failed * 1e6 / period - self._eps)
@@ -138,14 +137,14 @@
         return value * max(0.0, 1.0 + noise * normal(self._rng)) if noise > 0.0 else value
 
     def skip(self, now_us: int) -> None:
-        """The process stood still until then and took no samples."""
+        """Advance time over a pause, in which no samples are taken."""
         behind = now_us - self._next
         if self.on and behind >= 0:
             self._next += (behind // self._report.period_us + 1) * self._report.period_us
         self._last = now_us
 
     def visible(self, now_us: int, lying: bool) -> tuple[float, ...] | None:
-        """The report that an answer written now carries. A lying one knows of no queue."""
+        """The report that an answer written now carries; a lying one shows an empty queue."""
         pending = self._pending
         while pending and pending[0][0] <= now_us:
             self._visible = pending.popleft()[1]
@@ -156,13 +155,13 @@
         return tuple(0.0 if name in ("queue", "inflight") else value for name, value in told)
 
 
-class FallGuard:
-    """The fourth rule as a budget.
+class OverloadGuard:
+    """WIRE's fourth rule as a budget for a cold process.
 
     The work sent to a cold process within any `fall_us` must stay under fall_multiple x its present capacity
     x fall_us, with a slack for chance on top: that many standard deviations of a Poisson stream of mean
-    requests, and one mean request of the heaviest class. Everything that is sent counts, also what is turned
-    away, each with its class's mean: nobody can know its draw.
+    requests, and one mean request of the heaviest class. Every request sent counts, also rejected ones,
+    each with its class's mean, since nobody can know its draw.
     """
 
     __slots__ = ("_budget", "_classes", "_mean", "_slack", "_sum", "_window", "_window_us")
@@ -176,30 +175,30 @@
         self._sum = 0.0
 
     def over(self, now_us: int, cls: int, warm: float) -> bool:
-        """Count a request that is sent now; True where that is more than the process can stand."""
+        """Count a request that is sent now; True if that overloads the process."""
         work = self._classes[cls].work_us
         self._window.append((now_us, work))
         self._sum += work
         while self._window and self._window[0][0] <= now_us - self._window_us:
             self._sum -= self._window.popleft()[1]
-        able = self._budget * warm
-        return self._sum > able + FALL_CHANCE * math.sqrt(able * self._mean) + self._slack
+        budget = self._budget * warm
+        return self._sum > budget + OVERLOAD_TOLERANCE_STDDEVS * math.sqrt(budget * self._mean) + self._slack
 
 
-class Allowance:
-    """At most so many a second, one second's worth (at least one) saved up."""
+class TokenBucket:
+    """A token bucket that holds one second's tokens (at least one)."""
 
-    __slots__ = ("_at", "_most", "_per_us", "_saved")
+    __slots__ = ("_at", "_capacity", "_per_us", "_tokens")
 
     def __init__(self, per_s: float, start_us: int) -> None:
         self._per_us, self._at = per_s / 1e6, start_us
-        self._most = self._saved = max(1.0, per_s) if per_s > 0 else 0.0
+        self._capacity = self._tokens = max(1.0, per_s) if per_s > 0 else 0.0
 
     def take(self, now_us: int) -> bool:
-        """Whether one more is within it now; it is counted then."""
-        self._saved = min(self._most, self._saved + (now_us - self._at) * self._per_us)
+        """Take a token if there is one; returns whether there was."""
+        self._tokens = min(self._capacity, self._tokens + (now_us - self._at) * self._per_us)
         self._at = now_us
-        if self._saved < 1.0:
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
--- a/granitewell/lab/emulator/endpoint_slots.py
+++ b/granitewell/lab/emulator/endpoint_slots.py
@@ -1,9 +1,9 @@
-"""Who waits and who works in a process, how fast, and when the next of them is done.
+"""Queue and slots of a process: who waits and who works, how fast, and who finishes next.
 
-It owns the waiting room, the slots, the tasks beside them, and the pace. It must never know why a task came
-or what becomes of it. Requests wait in order of arrival for one of cores x slots_per_core slots; all running
-tasks share the cores evenly and advance on one clock of work (`endpoint_pace`), kept in a heap by where on
-that clock they finish.
+Requests wait in order of arrival for one of cores x slots_per_core slots; tasks such as handshakes run
+outside the slots. All running tasks share the cores evenly and advance on one clock of work
+(`endpoint_pace`), kept in a heap by where on that clock they finish. Why a task came and what becomes of it
+is not known here.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Slots:
-    """Slots and waiting room of one process. `waiting` and `working` (in slots) go by the task's number."""
+    """Slots and queue of one process. `waiting` and `working` (in slots) are keyed by task number."""
 
     __slots__ = (
         "_conn",
@@ -25,12 +25,12 @@
         "_finishing",
         "_kind",
         "_knee",
-        "_pushed",
+        "_push_count",
         "_speed",
-        "beside",
+        "unslotted",
         "count",
         "pace",
-        "room",
+        "queue_capacity",
         "waiting",
         "waiting_work",
         "working",
@@ -38,37 +38,40 @@
 
     def __init__(self, spec: EndpointDay, kind: KindDay, conn: ConnDay, start_us: int, cold: bool) -> None:
         self._kind, self._conn, self._cores, self._speed = kind, conn, kind.cores, spec.speed
-        self.count, self.room = kind.cores * kind.slots_per_core, int(kind.cores * kind.queue_per_core)
-        self._knee = max(kind.cores * kind.thrash_at, 1.0)  # requests held beyond which it is crowded
+        self.count, self.queue_capacity = (
+            kind.cores * kind.slots_per_core,
+            int(kind.cores * kind.queue_per_core),
+        )
+        self._knee = max(kind.cores * kind.thrash_at, 1.0)  # requests held beyond which efficiency drops
         self.pace = Pace(kind, kind.cores * spec.speed, start_us, cold)
         self.waiting: OrderedDict[int, Task] = OrderedDict()
         self.waiting_work = 0.0  # as asked for
         self.working: dict[int, Task] = {}
-        self.beside: dict[int, Task] = {}  # handshakes and shallow probes
+        self.unslotted: dict[int, Task] = {}  # handshakes and shallow probes
         self._finishing: list[tuple[float, int, Task]] = []  # stale where the task's finish differs
-        self._pushed = 0
+        self._push_count = 0
 
     @property
     def held(self) -> int:
-        """What waits or is in a slot."""
+        """Tasks in the queue or in a slot."""
         return len(self.waiting) + len(self.working)
 
     @property
     def busy_cores(self) -> int:
-        """How many cores have something to do."""
-        return min(self._cores, len(self.working) + len(self.beside))
+        """Number of busy cores."""
+        return min(self._cores, len(self.working) + len(self.unslotted))
 
     @property
     def efficiency(self) -> float:
-        """What crowding leaves of the capacity."""
+        """The share of capacity left by crowding."""
         over = (len(self.waiting) + len(self.working)) / self._knee - 1.0
         return 1.0 / (1.0 + self._kind.thrash * over) if over > 0.0 else 1.0
 
-    def set_pace(self, ills_pace: float, connections: int) -> None:
+    def set_pace(self, condition_pace: float, connections: int) -> None:
         """Set the pace from what is held, running and open now."""
         cores, working = self._cores, len(self.working)
-        active = working + len(self.beside)
-        factor = self._speed * ills_pace
+        active = working + len(self.unslotted)
+        factor = self._speed * condition_pace
         if working + len(self.waiting) > self._knee:
             factor *= self.efficiency
         if active > cores:
@@ -80,17 +83,17 @@
         if pace.cold:
             pace.changed()
 
-    def wait(self, task: Task) -> bool:
-        """Let it wait behind all others. False: the room is full."""
-        if len(self.waiting) >= self.room:
+    def enqueue(self, task: Task) -> bool:
+        """Add a task to the queue; False if it is full."""
+        if len(self.waiting) >= self.queue_capacity:
             return False
         task.stage = Stage.WAITING
         self.waiting[task.seq] = task
         self.waiting_work += task.asked.work_us
         return True
 
-    def next(self) -> Task | None:
-        """The one that has waited longest, where a slot is free for it."""
+    def dequeue(self) -> Task | None:
+        """Take the task that has waited longest, if a slot is free."""
         if not self.waiting or len(self.working) >= self.count:
             return None
         _, task = self.waiting.popitem(last=False)
@@ -101,53 +104,53 @@
         # Set to 0 now and then, so that rounding does not add up over a day.
         self.waiting_work = self.waiting_work - task.asked.work_us if self.waiting else 0.0
 
-    def work(self, task: Task, work_us: float, beside: bool = False) -> None:
-        """Work on it begins, in a slot or beside them."""
+    def work(self, task: Task, work_us: float, unslotted: bool = False) -> None:
+        """Start work on a task, in a slot or outside them."""
         task.stage = Stage.WORKING
-        (self.beside if beside else self.working)[task.seq] = task
-        self.goes_on(task, work_us)
+        (self.unslotted if unslotted else self.working)[task.seq] = task
+        self.continue_work(task, work_us)
 
-    def goes_on(self, task: Task, work_us: float) -> None:
-        """So much work is left of a running task."""
+    def continue_work(self, task: Task, work_us: float) -> None:
+        """Set the work left of a running task."""
         task.finish = self.pace.done + work_us
-        self._pushed += 1
-        heappush(self._finishing, (task.finish, self._pushed, task))
+        self._push_count += 1
+        heappush(self._finishing, (task.finish, self._push_count, task))
 
-    def leave(self, task: Task) -> None:
-        """It waits or works no more, should it have done either."""
+    def remove(self, task: Task) -> None:
+        """Remove a task from the queue, slots or side tasks, if it is there."""
         task.finish = -1.0
         if self.working.pop(task.seq, None) is None and self.waiting.pop(task.seq, None) is not None:
             self._less_waiting(task)
-        self.beside.pop(task.seq, None)
+        self.unslotted.pop(task.seq, None)
 
     def finished(self) -> Task | None:
-        """A task whose work is done by now; it has left. None: no further one."""
+        """Take a task whose work is done by now; None if there is none."""
         finishing = self._finishing
         while finishing and finishing[0][0] <= self.pace.done + EPS:
             finish, _, task = heappop(finishing)
             if task.finish == finish:
                 task.finish = -1.0
                 if self.working.pop(task.seq, None) is None:
-                    del self.beside[task.seq]
+                    del self.unslotted[task.seq]
                 return task
         return None
 
     def due_us(self) -> int:
-        """When to look for the next one that is finished; -1: never, as things stand."""
+        """When the next task finishes; -1: never, as things are."""
         finishing = self._finishing
         while finishing and finishing[0][2].finish != finishing[0][0]:
             heappop(finishing)
         return self.pace.when(finishing[0][0]) if finishing else -1
 
     def expected_us(self, now_us: int, work_us: float) -> float:
-        """About how long a task of this work that came now would take at the present pace.
+        """Estimated time of a task with this work that arrived now, at the present pace.
 
         Exact in the mean for one slot; with more, the first free one is taken to come after an even share of
         what runs.
         """
         done, warm = self.pace.at(now_us)
         rate = self.pace.factor * warm
-        if rate <= 0.0 or (len(self.working) >= self.count and len(self.waiting) >= self.room):
+        if rate <= 0.0 or (len(self.working) >= self.count and len(self.waiting) >= self.queue_capacity):
             return float("inf")
         if len(self.working) >= self.count:
             running = sum(max(0.0, task.finish - done) for task in self.working.values())
--- a/granitewell/lab/judge/records.py
+++ b/granitewell/lab/judge/records.py
@@ -1,6 +1,6 @@
-"""What the judge remembers of a request: first try, tries, attempts, and everything seen of them.
+"""The records kept of a request: its client attempts, their upstream attempts, and what was observed.
 
-It owns the shape of the judge's open state and of an offence, and must never judge or count. Times are
+They hold the open state of the checks and the shape of a violation, without rules or sums. Times are
 microseconds since the day began.
 """
 
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-Observation = tuple[Any, ...]  # (at, method, *args), as in a recording but for the order of the first two
+Observation = tuple[Any, ...]  # (at, method, *args); a recording has the first two the other way round
 
-MAX_HISTORY = 400  # observations kept of one request: a node that sends without end must not fill memory
+MAX_HISTORY = 400  # observations kept per request, so that a node that sends endlessly cannot fill memory
 
 
-class Attempt:
-    """One attempt that has reached an endpoint whole."""
+class UpstreamAttempt:
+    """An attempt that a node sent and an endpoint received completely."""
 
     __slots__ = ("ended_at", "endpoint", "node", "outcome", "ran_at", "sent_at", "work_us")
 
@@ -23,60 +23,62 @@
         self.node, self.endpoint, self.sent_at = node, endpoint, sent_at
         self.ran_at = self.ended_at = -1
         self.work_us = 0.0
-        self.outcome = ""  # of Witness.ended; "" while it is out
+        self.outcome = ""  # as in Witness.ended; "" while outstanding
 
 
-class Try:
-    """One try as a client sent it.
+class ClientAttempt:
+    """One attempt (first try or retry) as a client sent it.
 
     `closed` is "" while open, then `served`, `refused`, `failed`, `left`, `lost`, `cut` (its node was killed
     by the day), `unreached` (no node has taken it) or `unanswered`.
     """
 
     __slots__ = (
-        "answers", "asked_at", "attempts", "closed", "closed_at", "group", "node", "ran", "rid", "taken_at",
+        "answers", "asked_at", "attempts", "closed", "closed_at", "request", "node", "ran", "rid", "taken_at",
         "timeout_us", "zone",
     )  # fmt: skip
 
-    def __init__(self, rid: str, group: Request, asked_at: int, timeout_us: int, zone: int) -> None:
-        self.rid, self.group, self.asked_at, self.timeout_us = rid, group, asked_at, timeout_us
+    def __init__(self, rid: str, request: Request, asked_at: int, timeout_us: int, zone: int) -> None:
+        self.rid, self.request, self.asked_at, self.timeout_us = rid, request, asked_at, timeout_us
         self.zone = zone
         self.node = self.closed = ""
         self.taken_at = self.closed_at = -1
         self.answers = self.ran = 0
-        self.attempts: list[Attempt] = []
+        self.attempts: list[UpstreamAttempt] = []
 
 
 class Request:
-    """A first try with its further tries: what worth is counted by."""
+    """A first attempt with its retries; the unit by which value is scored."""
 
     __slots__ = (
-        "after", "again", "asked_at", "before_ran", "cls", "earned", "first", "history", "open", "out",
-        "ran", "rest", "served", "tenant", "tries", "within", "worth",
+        "rebooked_by", "is_double_booking", "asked_at", "original_ran", "cls", "earned", "first", "history",
+        "open", "outstanding", "ran", "idle_number", "served", "tenant", "tries", "within_share", "value",
     )  # fmt: skip
 
     def __init__(self, first: str, cls: int, tenant: int, asked_at: int) -> None:
         self.first, self.cls, self.tenant, self.asked_at = first, cls, tenant, asked_at
-        self.tries: list[Try] = []
+        self.tries: list[ClientAttempt] = []
         self.history: list[Observation] = []
-        self.open = self.out = self.ran = 0  # tries open, attempts out, tries that have run
-        self.rest = 0  # number of the time since which nothing has happened to it; 0: a try is open
-        self.after: Request | None = None  # what makes this lost booking anew, and
-        self.before_ran = False  # whether the one that this makes anew has run
-        self.again = False  # counted as a double booking
+        self.open = self.outstanding = self.ran = (
+            0  # open client attempts, outstanding upstream attempts, client attempts that have run
+        )
+        self.idle_number = 0  # identifies its latest idle period; 0: an attempt is open
+        self.rebooked_by: Request | None = None  # the request that repeats this lost booking
+        self.original_ran = False  # whether the lost booking that this one repeats has run
+        self.is_double_booking = False  # already counted
         self.served = False
-        self.within = True  # its tenant's share
-        self.worth = self.earned = 0.0
+        self.within_share = True  # of its tenant's allowance
+        self.value = self.earned = 0.0
 
-    def note(self, observation: Observation) -> None:
-        """Keep one more observation, as far as there is room."""
+    def add_observation(self, observation: Observation) -> None:
+        """Add an observation to the history, up to MAX_HISTORY."""
         if len(self.history) < MAX_HISTORY:
             self.history.append(observation)
 
 
 @dataclass(frozen=True, slots=True)
-class Offence:
-    """A broken rule. `history` goes on filling while its request is open."""
+class Violation:
+    """A broken rule. `history` continues to grow while its request is open."""
 
     at: int
     rule: str  # one of judge.RULES
@@ -95,6 +97,6 @@
         }  # fmt: skip
 
     def lines(self) -> list[str]:
-        """For a person: what was broken, then the history, a line each."""
+        """Text lines: the violation, then one line per observation."""
         head = f"{self.at / 1e6:.6f} s  {self.rule}: {self.text}"
         return [head, *(f"  {x[0] / 1e6:.6f} s  {x[1]} {' '.join(map(str, x[2:]))}" for x in self.history)]
