--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -267,6 +267,13 @@
         self.player.program.send_signal(signal.SIGHUP)
 
 
+def json_line_with(part: str, log: str) -> dict[str, Any]:
+    """Return the one JSON line of a log that contains this text; lines of other topics may come behind it."""
+    (line,) = (line for line in log.splitlines() if part in line)
+    fields: dict[str, Any] = json.loads(line)
+    return fields
+
+
 def test_sighup_on_a_started_node(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
@@ -278,10 +285,10 @@
         node.reload_with("[log]\nform = 'json'\nfields = {site = 'x'}")
         got = node.wait_for_log("the operator file: log.level, log.fields")
         assert "discovery is now" in got  # each of the two files has its own line
-        line = json.loads(got.splitlines()[-1])
+        line = json_line_with("the operator file: log.level, log.fields", got)
         assert (line["node"], line["topic"], line["site"]) == ("n0", "reload", "x")
         node.reload_with("[log]\nform = 'lines'\nrate = 0")
-        line = json.loads(node.wait_for_log("changes nothing").splitlines()[-1])
+        line = json_line_with("changes nothing", node.wait_for_log("changes nothing"))
         assert line["text"].endswith("nothing: log.rate: found 0, allowed: a number from 0.01 to 1000")
         node.reload_with("")
         assert "reload: taken from the operator file: log.form" in node.wait_for_log("log.fields")
