--- a/tests/controlplane/test_order_wire.py
+++ b/tests/controlplane/test_order_wire.py
@@ -17,6 +17,7 @@
 
 import pytest
 import uvloop
+from aiohttp.helpers import TimeoutHandle
 
 from granitewell.controlplane.placement.orders import (
     HttpServerClient,
@@ -34,7 +35,7 @@
 ORDER = Order("i-1", Operation.LOAD, ModelRef("m1", "a2"))
 TICKET = OrderTicket("node-1", 7, 3)
 REPORT = json.dumps({"phase": "mixed", "models": [], "busy": False, "sequence": 3}).encode()
-SILENCE_S = 0.03  # timeout of an order that is never answered, shorter than in production
+SILENCE_S = 0.03  # timeout of an order that is never answered; runs from when the server has received it
 ANSWERED_S = 2.0  # timeout if an answer arrives, which may take a while on a busy machine
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
@@ -70,6 +71,7 @@
 
     Attributes:
         calls: Header and body of each call received completely.
+        start_order_timeouts: Start the timeouts of orders that have not been received yet.
     """
 
     script: list[Act]
@@ -78,6 +80,7 @@
     resets: int = 0
     ends: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
+    start_order_timeouts: list[Callable[[], object]] = field(default_factory=list)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
@@ -102,6 +105,8 @@
         length = int(lengths[0]) if lengths else 0
         body = await reader.readexactly(length)
         self.calls.append((head, body))
+        while self.orders and self.start_order_timeouts:
+            self.start_order_timeouts.pop()()
         if not act.early:
             self.script.pop(0)
             writer.write(act.reply)
@@ -119,6 +124,23 @@
         return [call for call in self.calls if call[0].startswith(b"POST /order ")]
 
 
+def start_silence_on_receipt(standin: Standin, patches: pytest.MonkeyPatch) -> None:
+    """Let a timeout of SILENCE_S run from the moment when the server has received the order.
+
+    Run from the call, it may end before the connection is open, if the machine is busy: NOT_SENT is then the
+    true result. The timer, its length and its effect on the call stay those of aiohttp.
+    """
+
+    class TimeoutFromReceipt(TimeoutHandle):
+        def start(self) -> asyncio.TimerHandle | None:
+            if self._timeout != SILENCE_S:
+                return super().start()
+            standin.start_order_timeouts.append(super().start)
+            return None
+
+    patches.setattr("aiohttp.client.TimeoutHandle", TimeoutFromReceipt)
+
+
 Scenario = Callable[[Standin, str, HttpServerClient], Awaitable[None]]
 
 
@@ -134,8 +156,10 @@
         port = server.sockets[0].getsockname()[1]
         async with open_server_session() as session:
             client = HttpServerClient(session, report_timeout_s=ANSWERED_S, order_timeout_s=order_timeout_s)
-            async with asyncio.timeout(5):
-                await scenario(standin, f"127.0.0.1:{port}", client)
+            with pytest.MonkeyPatch.context() as patches:
+                start_silence_on_receipt(standin, patches)
+                async with asyncio.timeout(5):
+                    await scenario(standin, f"127.0.0.1:{port}", client)
         server.close()
         for writer in standin.writers:
             writer.transport.abort()
