--- a/tests/lab/test_loopback_timing.py
+++ b/tests/lab/test_loopback_timing.py
@@ -190,7 +190,7 @@
     asked: list[int] = []
     rig = Rig.__new__(Rig)
     rig.schedule = SimpleNamespace(inherits=False, cluster=True)  # type: ignore[assignment]
-    rig.judge = SimpleNamespace(is_member=lambda _: True, asked=lambda at, _: asked.append(at))  # type: ignore[assignment]
+    rig.judge = SimpleNamespace(is_member=lambda _: True, stop_requested=lambda at, _: asked.append(at))  # type: ignore[assignment]
     monkeypatch.setattr(rig, "now", lambda: now_us)
     monkeypatch.setattr(rig, "_node_hosts", lambda: {"n1": StoppedNode(half_a_second)})
     monkeypatch.setattr(rig, "_knock", lambda _seat, asked_us: asked.append(asked_us))
