--- a/tools/mixed_versions.py
+++ b/tools/mixed_versions.py
@@ -6,7 +6,7 @@
 is killed (SIGKILL) or stopped (SIGTERM) and started from NEW, later from OLD again, while changes of the
 configuration go on. At the end all are killed at once and started once more. The run fails if an acknowledged
 change is not in the configuration, if a proper change is refused (any 4xx status, 412 for an acknowledged
-version included), or if a node ends by itself.
+version included), or if a node exits unexpectedly.
 
 Everything runs on loopback. The program knows the deploy file's command, the settings file and the operator
 API, and imports nothing of either checkout.
@@ -33,15 +33,15 @@
 
 IPS = ("127.0.0.31", "127.0.0.32", "127.0.0.33")
 FIRST_PORT, LAST_PORT = 20_000, 30_000
-STOP_S = 6.0
-CALL_S = 4.0
-RETRY_S = 0.05
-CHANGE_S = 30.0
+STOP_TIMEOUT_S = 6.0
+CALL_TIMEOUT_S = 4.0
+RETRY_DELAY_S = 0.05
+CHANGE_TIMEOUT_S = 30.0
 CHANGES_BETWEEN_RESTARTS = 15
 
 
 class RehearsalError(Exception):
-    """A change was lost or refused, or a node ended by itself."""
+    """A change was lost or refused, or a node exited unexpectedly."""
 
 
 @dataclass
@@ -106,46 +106,46 @@
             raise RehearsalError(f"{self.name} ended by itself with {process and process.returncode}")
         process.send_signal(signal.SIGKILL if kill else signal.SIGTERM)
         try:
-            await asyncio.wait_for(process.wait(), STOP_S)
+            await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
             process.kill()
             await process.wait()
         self.process = None
 
     def log(self) -> str:
-        """The log of all its processes."""
+        """Return the log of all its processes."""
         return (self.folder / "log").read_text(errors="replace")
 
 
 @dataclass
 class Operator:
-    """Changes the configuration without a pause and remembers what was acknowledged."""
+    """Changes the configuration continuously and records what was acknowledged."""
 
     session: aiohttp.ClientSession
     addresses: Sequence[str]
     version: int = 0
     routes: dict[str, int] = field(default_factory=dict)
     changes: int = 0
-    unclear_answers: int = 0
-    longest_s: float = 0.0
+    failed_calls: int = 0
+    longest_change_s: float = 0.0
 
     async def change(self) -> None:
         """Make one change and send it until it is acknowledged."""
         started_at = time.monotonic()
         name, timeout_ms = f"route-{self.changes % 7}", 1000 + self.changes
         method, document = self._document(name, timeout_ms)
-        while time.monotonic() - started_at < CHANGE_S:
+        while time.monotonic() - started_at < CHANGE_TIMEOUT_S:
             status, body = await self._send(method, document)
             if status == 200:
                 self.version, self.routes[name] = body["version"], timeout_ms
                 self.changes += 1
-                self.longest_s = max(self.longest_s, time.monotonic() - started_at)
+                self.longest_change_s = max(self.longest_change_s, time.monotonic() - started_at)
                 return
             if 400 <= status < 500 and status not in (408, 429):
                 raise RehearsalError(f"change {self.changes} was refused: {status} {body}")
-            self.unclear_answers += 1
-            await asyncio.sleep(RETRY_S)
-        raise RehearsalError(f"change {self.changes} was not acknowledged in {CHANGE_S} s")
+            self.failed_calls += 1
+            await asyncio.sleep(RETRY_DELAY_S)
+        raise RehearsalError(f"change {self.changes} was not acknowledged in {CHANGE_TIMEOUT_S} s")
 
     def _document(self, name: str, timeout_ms: int) -> tuple[str, dict[str, Any]]:
         route = {
@@ -161,7 +161,7 @@
         return "PATCH", {"version": self.version + 1, "upsert": {"routes": [route]}}
 
     async def _send(self, method: str, document: dict[str, Any] | None) -> tuple[int, Any]:
-        """One call to some node; status 0 for no answer."""
+        """Send one call to a random node; returns status 0 if there is no answer."""
         address = random.choice(list(self.addresses))
         headers = {"If-Match": str(self.version)} if document is not None else {}
         try:
@@ -170,7 +170,7 @@
                 f"http://{address}/config",
                 headers=headers,
                 data=None if document is None else json.dumps(document),
-                timeout=aiohttp.ClientTimeout(total=CALL_S),
+                timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S),
             ) as response:
                 return response.status, await response.json()
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
@@ -178,7 +178,7 @@
 
     async def verify(self) -> None:
         """Read the configuration back and compare it with what was acknowledged."""
-        deadline = time.monotonic() + CHANGE_S
+        deadline = time.monotonic() + CHANGE_TIMEOUT_S
         while time.monotonic() < deadline:
             status, body = await self._send("GET", None)
             if status == 200:
@@ -186,12 +186,12 @@
                 if (body["version"], found) != (self.version, self.routes):
                     raise RehearsalError(f"acknowledged: {self.version} {self.routes}; read: {body}")
                 return
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
         raise RehearsalError("the configuration can't be read")
 
 
 def free_port() -> int:
-    """The first of three ports that are free on all addresses at this moment."""
+    """Return the first of three consecutive ports that are free on all addresses."""
     for _ in range(200):
         first = random.randrange(FIRST_PORT, LAST_PORT)
         if all(_is_free(ip, first + number) for ip in IPS for number in range(3)):
@@ -234,7 +234,7 @@
 
 
 async def rehearse(old: Path, new: Path, rounds: int, folder: Path) -> Operator:
-    """The whole rehearsal; raises RehearsalError."""
+    """Run the whole rehearsal; raises RehearsalError."""
     port = free_port()
     platform_address = f"{IPS[0]}:{LAST_PORT + 1 + random.randrange(2000)}"
     seeds = [f"{ip}:{port + 2}" for ip in IPS]
@@ -284,7 +284,7 @@
             return 1
     print(
         f"{operator.changes} changes acknowledged and read back, none lost or refused; "
-        f"{operator.unclear_answers} unclear answers, the longest change took {operator.longest_s:.2f} s"
+        f"{operator.failed_calls} unclear answers, the longest change took {operator.longest_change_s:.2f} s"
     )
     return 0
 
--- a/tools/opened_files.py
+++ b/tools/opened_files.py
@@ -4,10 +4,11 @@
 
 Builds the committed tree in an empty folder with the system's own python3, plays the lab's scene on
 loopback (three control processes, two edges), both under strace, and asks dpkg for the package of each file
-that was opened or executed. A package is there for sure if `packages` in deploy/system.toml lists it, a
-listed one needs it, or Debian counts it as essential. What is read of any other is answered with "no such
-file" in a second build and scene: exit code 1 where these fail, for then the list lacks something. A library
-that an extension module links to has to be listed even so: the module's package may fall back on slower code.
+that was opened or executed. A package is certain to be installed if `packages` in deploy/system.toml lists
+it, a listed one depends on it, or Debian marks it as essential. In a second build and scene every file of
+other packages is answered with "no such file"; if they fail, the list is incomplete and the exit code is 1. A
+library that an extension module links to must be listed even if they succeed, as the module's package may
+fall back on slower code.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-CALLS = "open,openat,openat2,execve,clone,clone3,fork,vfork"
+TRACED_CALLS = "open,openat,openat2,execve,clone,clone3,fork,vfork"
 FILE_CALLS = "open,openat,openat2,execve,stat,lstat,newfstatat,statx,access,faccessat2,readlink"
 SYSTEM_PATH = "/usr/bin:/bin"
 PROGRAM = "granitewell.cli.system"
-VOLATILE = ("/proc/", "/sys/", "/dev/")
-MACHINES_OWN = "(the machine's own)"
-DISPENSABLE = "not needed: all goes well where these files are absent"
+VIRTUAL_FOLDERS = ("/proc/", "/sys/", "/dev/")
+NO_PACKAGE = "(the machine's own)"
+NOT_NEEDED = "not needed: all goes well where these files are absent"
 
 LINE = re.compile(r"^(?P<pid>\d+) +(?P<call>.*)$")
 UNFINISHED = " <unfinished ...>"
@@ -40,7 +41,7 @@
 EXECUTED = re.compile(r'^execve\("(?P<path>[^"]+)", \[(?P<words>.*?)\], .* = 0$')
 STARTED = re.compile(r"^(?:clone3?|v?fork)\(.* = (?P<child>\d+)(?:<.*>)?$")
 
-GENERATED: Mapping[str, str] = {  # files that a package makes when it is installed: dpkg doesn't list them
+GENERATED: Mapping[str, str] = {  # generated on installation, so that dpkg does not list them
     "/etc/group": "base-passwd",
     "/etc/passwd": "base-passwd",
     "/etc/ld.so.cache": "libc-bin",
@@ -55,7 +56,7 @@
     """Files that processes opened or executed.
 
     Attributes:
-        files: By process.
+        files: Files by process.
     """
 
     files: dict[int, set[str]] = field(default_factory=lambda: defaultdict(set))
@@ -64,7 +65,7 @@
 
     @classmethod
     def read(cls, lines: Iterable[str]) -> Trace:
-        """What `strace -f -y -o` wrote."""
+        """Parse the output of `strace -f -y -o`."""
         trace = cls()
         for pid, call in whole_calls(lines):
             trace._take(pid, call)
@@ -83,7 +84,7 @@
             self.parents[int(started["child"])] = pid
 
     def files_of(self, command: str) -> set[str]:
-        """Files of the processes whose command holds this word, and of their threads and children."""
+        """Return the files of processes whose command has this text, and of their threads and children."""
         wanted = {pid for pid in self.files if self._comes_from(pid, command)}
         return {file for pid in wanted for file in self.files[pid]}
 
@@ -96,7 +97,7 @@
 
 
 def whole_calls(lines: Iterable[str]) -> Iterator[tuple[int, str]]:
-    """Each process and call; strace splits a call where another process's came in between."""
+    """Yield each process and call, with calls joined that strace split around another process's."""
     begun: dict[int, str] = {}
     for text in lines:
         line = LINE.match(text.rstrip("\n"))
@@ -112,20 +113,20 @@
 
 
 def outside(files: Iterable[str], folders: Collection[str]) -> set[str]:
-    """Files that stand neither in one of these folders nor in the kernel's."""
-    within = (*VOLATILE, *(f"{folder.rstrip('/')}/" for folder in folders))
+    """Return the files outside these folders and the kernel's virtual ones."""
+    within = (*VIRTUAL_FOLDERS, *(f"{folder.rstrip('/')}/" for folder in folders))
     return {os.path.normpath(file) for file in files if not f"{file}/".startswith(within)}
 
 
 # --- packages ---
 def source_of(path: str) -> str:
-    """The module whose compiled form this is; any other path as it is."""
+    """Return the source path of a compiled module; other paths are unchanged."""
     folder, cache, name = path.rpartition("/__pycache__/")
     return f"{folder}/{name.partition('.')[0]}.py" if cache else path
 
 
 def spellings(path: str) -> list[str]:
-    """The names that dpkg may have for a file, for /lib and /bin are links into /usr."""
+    """Return the paths that dpkg may list for a file, as /lib and /bin are links into /usr."""
     source = source_of(path)
     without = source.removeprefix("/usr")
     return [source, without if without != source else f"/usr{source}"]
@@ -136,7 +137,7 @@
     """An installed package.
 
     Attributes:
-        needs: Each with its alternatives.
+        needs: Dependencies, each a tuple of alternatives.
     """
 
     name: str
@@ -149,7 +150,7 @@
 
 
 def installed_packages(text: str) -> dict[str, Package]:
-    """What dpkg-query says with INSTALLED_FIELDS."""
+    """Parse the output of dpkg-query with INSTALLED_FIELDS."""
     packages = {}
     for line in text.splitlines():
         name, essential, needs, provides = line.split("\t")
@@ -160,12 +161,12 @@
 
 
 def _bare(text: str) -> str:
-    """A name without version, architecture or `:any`."""
+    """Return a name without version, architecture or `:any`."""
     return re.split(r"[ :(]", text.strip())[0]
 
 
-def brought_in(names: Iterable[str], installed: Mapping[str, Package]) -> dict[str, str]:
-    """All that these packages need, with them; each with the package that needs it, '' for the first ones."""
+def dependency_closure(names: Iterable[str], installed: Mapping[str, Package]) -> dict[str, str]:
+    """Return these packages and all dependencies, each with a package that needs it ('' if given)."""
     reasons = dict.fromkeys(names, "")
     waiting = deque(name for name in reasons if name in installed)
     while waiting:
@@ -189,12 +190,12 @@
 
 
 def reason_of(package: str, listed: Mapping[str, str], essential: Mapping[str, str]) -> str | None:
-    """Why a machine with the listed packages has this one; None where it may lack it."""
+    """Return why a machine with the listed packages has this one; None if it may be missing."""
     if package in listed:
         return f"needed by {listed[package]}" if listed[package] else "listed"
     if package in essential:
         return f"needed by {essential[package]}" if essential[package] else "essential in Debian"
-    return "no package" if package == MACHINES_OWN else None
+    return "no package" if package == NO_PACKAGE else None
 
 
 # --- the table ---
@@ -204,7 +205,7 @@
     run: Collection[str],
     reasons: Mapping[str, str | None],
 ) -> Iterator[str]:
-    """A row for each package: why it is there, how many files the build and the programs open, an example."""
+    """Yield a row for each package: why it is installed, how many files are opened, an example."""
     yield "| package | there because | build | programs | such as |"
     yield "| --- | --- | --- | --- | --- |"
     files: dict[str, list[str]] = defaultdict(list)
@@ -212,21 +213,21 @@
         files[package].append(file)
     for package, group in sorted(files.items()):
         counts = [sum(file in opened for file in group) for opened in (build, run)]
-        because = reasons[package] or DISPENSABLE
+        because = reasons[package] or NOT_NEEDED
         yield f"| {package} | {because} | {counts[0]} | {counts[1]} | `{group[0]}` |"
 
 
 def file_list(packages: Mapping[str, str], build: Collection[str], run: Collection[str]) -> Iterator[str]:
-    """Each file of a package: the package, who opens it, its name. The machine's own files are left out."""
+    """Yield a line for each file of a package: package, what opens it, path."""
     for package, file in sorted((package, file) for file, package in packages.items()):
-        if package != MACHINES_OWN:
+        if package != NO_PACKAGE:
             opened_by = [name for name, files in (("build", build), ("programs", run)) if file in files]
             yield f"{package}\t{'+'.join(opened_by)}\t{file}"
 
 
 # --- this machine ---
 def packages_of(files: Iterable[str]) -> dict[str, str]:
-    """Each file's package, by dpkg."""
+    """Return the package of each file, by dpkg."""
     names = {name for file in files for name in spellings(file)}
     done = subprocess.run(["dpkg-query", "-S", *sorted(names)], capture_output=True, text=True, check=False)
     owners = {}
@@ -234,7 +235,7 @@
         owner, _, path = line.partition(": ")
         owners[path] = owner.split(",")[0].partition(":")[0]
     return {
-        file: next((owners[n] for n in spellings(file) if n in owners), GENERATED.get(file, MACHINES_OWN))
+        file: next((owners[n] for n in spellings(file) if n in owners), GENERATED.get(file, NO_PACKAGE))
         for file in files
     }
 
@@ -244,7 +245,7 @@
     """A clean checkout of the committed tree.
 
     Attributes:
-        absent: Files that its processes are told don't exist.
+        absent: Files that are hidden from its processes.
     """
 
     place: Path
@@ -256,13 +257,13 @@
         return self.place / "tree"
 
     def build(self, command: str) -> set[str]:
-        """Build it; files outside the repository that were opened."""
+        """Build it; return the files outside the repository that were opened."""
         (self.place / "home").mkdir()
         subprocess.run(["git", "clone", "-q", str(ROOT), str(self.tree)], check=True)
         return self._outside(self._traced(["/bin/sh", "-c", command], {}).files_of(""))
 
     def play(self) -> set[str]:
-        """Play the lab's scene; files outside the repository that the two programs opened."""
+        """Run the lab's scene; return the files outside the repository that the two programs opened."""
         scene = ["python3", "-m", "granitewell.lab.system"]
         trace = self._traced(scene, {"PYTHONPATH": str(self.tree / "target" / "deps")})
         return self._outside(trace.files_of(PROGRAM))
@@ -272,7 +273,7 @@
         return {file for file in found if not os.path.isdir(file)}
 
     def _traced(self, command: Sequence[str], variables: Mapping[str, str]) -> Trace:
-        """Run a command to its end under strace, with no variables but these."""
+        """Run a command under strace with only these environment variables."""
         out = self.place / "trace"
         environment = {"PATH": SYSTEM_PATH, "HOME": str(self.place / "home"), "LANG": "C.UTF-8"} | dict(
             variables
@@ -284,13 +285,13 @@
 
     def _options(self) -> list[str]:
         if not self.absent:
-            return ["--seccomp-bpf", "-e", f"trace={CALLS}"]
+            return ["--seccomp-bpf", "-e", f"trace={TRACED_CALLS}"]
         paths = [word for path in sorted(self.absent) for word in ("-P", path)]
         return [*paths, "-e", f"trace={FILE_CALLS}", "-e", f"inject={FILE_CALLS}:error=ENOENT"]
 
 
-def goes_without(build: str, absent: frozenset[str]) -> bool:
-    """Whether the build and the scene go well where these files don't exist."""
+def works_without(build: str, absent: frozenset[str]) -> bool:
+    """Whether the build and the scene succeed without these files."""
     with tempfile.TemporaryDirectory(prefix="granitewell-") as place:
         checkout = Checkout(Path(place), absent)
         try:
@@ -303,21 +304,23 @@
 
 
 def reasons_for(packages: Iterable[str], listed: Iterable[str]) -> dict[str, str | None]:
-    """Why each package is there."""
+    """Return why each package is installed."""
     query = ["dpkg-query", "-W", "-f", INSTALLED_FIELDS]
     done = subprocess.run(query, capture_output=True, text=True, check=True)
     installed = installed_packages(done.stdout)
-    by_list = brought_in(listed, installed)
-    essential = brought_in((package.name for package in installed.values() if package.essential), installed)
+    by_list = dependency_closure(listed, installed)
+    essential = dependency_closure(
+        (package.name for package in installed.values() if package.essential), installed
+    )
     return {package: reason_of(package, by_list, essential) for package in packages}
 
 
-def main(words: Sequence[str]) -> int:
-    """Exit code 1 where something is missing from the list."""
+def main(arguments: Sequence[str]) -> int:
+    """Print the table; return 1 if a package is missing from the list."""
     parser = argparse.ArgumentParser("tools.opened_files", description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--table", type=Path)
     parser.add_argument("--files", type=Path, help="takes each package's files and who opens them")
-    asked = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     with tempfile.TemporaryDirectory(prefix="granitewell-") as place:
         checkout = Checkout(Path(place))
@@ -326,14 +329,14 @@
     reasons = reasons_for(packages.values(), deploy["packages"])
     text = "\n".join(table(packages, build, run, reasons)) + "\n"
     print(text)
-    if asked.table:
-        asked.table.write_text(text)
-    if asked.files:
-        asked.files.write_text("".join(f"{line}\n" for line in file_list(packages, build, run)))
+    if options.table:
+        options.table.write_text(text)
+    if options.files:
+        options.files.write_text("".join(f"{line}\n" for line in file_list(packages, build, run)))
     dispensable = frozenset(
         name for file, owner in packages.items() if reasons[owner] is None for name in spellings(file)
     )
-    return 0 if not dispensable or goes_without(deploy["build"], dispensable) else 1
+    return 0 if not dispensable or works_without(deploy["build"], dispensable) else 1
 
 
 if __name__ == "__main__":
--- a/tools/paired_plays.py
+++ b/tools/paired_plays.py
@@ -28,19 +28,19 @@
 
 from tools.bench_days import each_done, result_of
 
-JOBS = 3
-MOST_DIFFERENT = 3
-T_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13)
+DEFAULT_JOBS = 3
+MAX_LISTED_PAIRS = 3
+T_QUANTILES_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13)
 """Two-sided 95% quantiles of Student's t for 1 to 15 degrees of freedom."""
-T_95_NORMAL = 2.0  # for more
+T_QUANTILE_95_LARGE = 2.0  # for more degrees of freedom
 
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """One day under one seed, to be played with both programs.
+    """One day with one seed, to be run with both programs.
 
     Attributes:
-        repeat: Which of the plays without a seed; 0 for a play with one.
+        repeat: The number of a run without a seed; 0 for a run with one.
     """
 
     day: str
@@ -49,14 +49,14 @@
 
     @property
     def stem(self) -> str:
-        """Of the names of its files."""
-        which = f"repeat-{self.repeat}" if self.seed is None else f"seed-{self.seed}"
-        return f"{Path(self.day).stem}.{which}"
+        """The stem of the names of its files."""
+        variant = f"repeat-{self.repeat}" if self.seed is None else f"seed-{self.seed}"
+        return f"{Path(self.day).stem}.{variant}"
 
 
 @dataclass(frozen=True, slots=True)
 class Bench:
-    """Where to play, and what."""
+    """The bench's program, the output folder and the site."""
 
     program: Path
     out: Path
@@ -64,7 +64,7 @@
     why: str = ""
 
     def play(self, item: tuple[str, Path, Pair]) -> Mapping[str, float]:
-        """Play one side of a pair, unless it was played; its measures, none if it has no report."""
+        """Run one side of a pair unless its files exist; return its measures, none if it has no report."""
         side, checkout, pair = item
         report = self.out / f"{side}.{pair.stem}.json"
         printed = self.out / f"{side}.{pair.stem}.log"
@@ -91,7 +91,7 @@
 
 
 def measures(report: Mapping[str, Any], output: str, day: str) -> Mapping[str, float]:
-    """What is compared: score, worth, each part of the worth, all prices and the broken rules."""
+    """Return the measures to compare: score, worth, its parts, all prices and broken rules."""
     result = result_of(report, output, day)
     found = {"score": result.score if result.score is not None else 0.0, "worth": result.worth}
     found |= {str(name): float(value) for name, _weight, value in report["parts"]}
@@ -106,7 +106,7 @@
 
     Attributes:
         error: Standard error of the mean difference; 0 of a single pair.
-        half_width: Of the 95% interval.
+        half_width: Half the width of the 95% interval.
     """
 
     before: float
@@ -117,11 +117,11 @@
 
     @classmethod
     def of(cls, pairs: Sequence[tuple[float, float]]) -> Difference:
-        """The difference, after less before."""
+        """Compute the difference, after minus before."""
         differences = [after - before for before, after in pairs]
         count = len(differences)
         error = stdev(differences) / sqrt(count) if count > 1 else 0.0
-        quantile = T_95[count - 2] if 2 <= count <= len(T_95) + 1 else T_95_NORMAL
+        quantile = T_QUANTILES_95[count - 2] if 2 <= count <= len(T_QUANTILES_95) + 1 else T_QUANTILE_95_LARGE
         before = fmean(before for before, _after in pairs)
         after = fmean(after for _before, after in pairs)
         return cls(before, after, fmean(differences), error, quantile * error)
@@ -131,26 +131,26 @@
 
 
 def table(title: str, played: Played) -> Iterator[str]:
-    """Lines on these pairs; those without both reports are named."""
-    whole = {pair: sides for pair, sides in played.items() if all(sides)}
-    for pair in played.keys() - whole.keys():
+    """Yield the table of these pairs; pairs without both reports are listed first."""
+    complete = {pair: sides for pair, sides in played.items() if all(sides)}
+    for pair in played.keys() - complete.keys():
         yield f"{pair.stem}: no report"
-    yield f"## {title}: {len(whole)} pairs"
-    if not whole:
+    yield f"## {title}: {len(complete)} pairs"
+    if not complete:
         return
     yield "| measure | before | after | difference | standard error | 95% interval |"
     yield "|---|---|---|---|---|---|"
-    for name in next(iter(whole.values()))[0]:
+    for name in next(iter(complete.values()))[0]:
         row = Difference.of(
-            [(before.get(name, 0.0), after.get(name, 0.0)) for before, after in whole.values()]
+            [(before.get(name, 0.0), after.get(name, 0.0)) for before, after in complete.values()]
         )
         low, high = row.mean - row.half_width, row.mean + row.half_width
-        interval = f"{low:+.3f} to {high:+.3f}" if len(whole) > 1 else "one pair"
+        interval = f"{low:+.3f} to {high:+.3f}" if len(complete) > 1 else "one pair"
         means = f"{row.before:.3f} | {row.after:.3f} | {row.mean:+.3f} | {row.error:.3f}"
         yield f"| {name} | {means} | {interval} |"
-    ranked = sorted(whole, key=lambda pair: -abs(whole[pair][1]["score"] - whole[pair][0]["score"]))
-    for pair in ranked[:MOST_DIFFERENT]:
-        before, after = whole[pair]
+    ranked = sorted(complete, key=lambda pair: -abs(complete[pair][1]["score"] - complete[pair][0]["score"]))
+    for pair in ranked[:MAX_LISTED_PAIRS]:
+        before, after = complete[pair]
         yield f"{pair.stem}: {before['score']:.2f} before, {after['score']:.2f} after"
 
 
@@ -164,20 +164,20 @@
     parser.add_argument("days", nargs="+")
     parser.add_argument("--seeds", nargs="*", type=int, default=[])
     parser.add_argument("--repeats", type=int, default=0)
-    parser.add_argument("--jobs", type=int, default=JOBS)
+    parser.add_argument("--jobs", type=int, default=DEFAULT_JOBS)
     parser.add_argument("--why", default="")
-    given = parser.parse_args(arguments)
-    given.out.mkdir(parents=True, exist_ok=True)
-    bench = Bench(given.bench.resolve(), given.out.resolve(), given.site.resolve(), given.why)
-    pairs = [Pair(day, seed) for day in given.days for seed in given.seeds]
-    pairs += [Pair(day, None, repeat) for day in given.days for repeat in range(1, given.repeats + 1)]
-    sides = (("before", given.before.resolve()), ("after", given.after.resolve()))
+    options = parser.parse_args(arguments)
+    options.out.mkdir(parents=True, exist_ok=True)
+    bench = Bench(options.bench.resolve(), options.out.resolve(), options.site.resolve(), options.why)
+    pairs = [Pair(day, seed) for day in options.days for seed in options.seeds]
+    pairs += [Pair(day, None, repeat) for day in options.days for repeat in range(1, options.repeats + 1)]
+    sides = (("before", options.before.resolve()), ("after", options.after.resolve()))
     items = [(side, checkout, pair) for pair in pairs for side, checkout in sides]
-    found = {(side, pair): done for (side, _, pair), done in each_done(bench.play, items, given.jobs)}
+    found = {(side, pair): done for (side, _, pair), done in each_done(bench.play, items, options.jobs)}
     played = {pair: (found["before", pair], found["after", pair]) for pair in pairs}
-    for day in given.days:
+    for day in options.days:
         print("\n".join(table(Path(day).stem, {pair: played[pair] for pair in pairs if pair.day == day})))
-    if len(given.days) > 1:
+    if len(options.days) > 1:
         print("\n".join(table("all days", played)))
     return int(not all(all(sides) for sides in played.values()))
 
--- a/tools/system_days.py
+++ b/tools/system_days.py
@@ -16,10 +16,10 @@
 
 from tools.bench_days import Bench, Day, Entry, Play, Result, Site, each_done
 
-MOMENTS_S = (3.0, 11.5, 21.0)
-PAIR_AT_S = 12.0
+START_TIMES_S = (3.0, 11.5, 21.0)
+PAIR_START_S = 12.0
 PAIR_GAP_S = 0.8
-MORE_KINDS: tuple[Mapping[str, Any], ...] = (  # those that may come though a site does not list them
+EXTRA_EVENTS: tuple[Mapping[str, Any], ...] = (  # events that may occur even if a site does not list them
     {"kind": "retry_abuse", "x": 3.0, "share": 0.2, "for_s": 5.0},
     {"kind": "srv_slow", "for_s": 5.0},
     {"kind": "srv_grey", "how": "errors", "for_s": 5.0},
@@ -47,39 +47,39 @@
 
 
 def entry_name(entry: Entry) -> str:
-    """A short name for an entry."""
+    """Return a short name for an entry."""
     words = [str(entry["kind"]), str(entry.get("how", "")), str(entry.get("on", ""))]
     return "-".join(word.replace(" ", "_") for word in words if word)
 
 
 def all_entries(site: Site) -> list[dict[str, Any]]:
-    """Every trouble that may come, once."""
-    return [dict(entry) for entry in (*site.troubles, *MORE_KINDS)]
+    """Return every possible event once."""
+    return [dict(entry) for entry in (*site.troubles, *EXTRA_EVENTS)]
 
 
 def single_days(site: Site, moments: Sequence[float]) -> Iterator[Day]:
-    """Each kind at each moment."""
+    """Yield a day for each event at each start time."""
     for number, entry in enumerate(all_entries(site)):
         for at in moments:
             yield Day.of(f"{number:02}-{entry_name(entry)}-{at:g}", [entry | {"at": at}])
 
 
 def pair_days(site: Site) -> Iterator[Day]:
-    """Each pair of kinds, close to each other."""
+    """Yield a day for each pair of events, close to each other."""
     for (n, first), (m, second) in itertools.combinations(enumerate(all_entries(site)), 2):
-        entries = [first | {"at": PAIR_AT_S}, second | {"at": PAIR_AT_S + PAIR_GAP_S}]
+        entries = [first | {"at": PAIR_START_S}, second | {"at": PAIR_START_S + PAIR_GAP_S}]
         yield Day.of(f"{n:02}x{m:02}-{entry_name(first)}-{entry_name(second)}", entries)
 
 
 def verdict(result: Result) -> str:
-    """What came of a day, in one line."""
+    """Format the result of a day in one line."""
     score = "-" if result.score is None else f"{result.score:.2f}"
     broken = [f"{rule} {said}" for rule, said in result.broken.items()]
     return " | ".join([f"score {score} worth {result.worth:.3f}", *broken, *filter(None, [result.fault])])
 
 
 def main() -> None:
-    """The command."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("bench", type=Path)
     parser.add_argument("site", type=Path)
@@ -92,7 +92,7 @@
     arguments.out.mkdir(parents=True, exist_ok=True)
     site = Site.read(arguments.site)
     bench = Bench(arguments.bench.resolve(), arguments.out.resolve())
-    every = pair_days(site) if arguments.pairs else single_days(site, arguments.moments or MOMENTS_S)
+    every = pair_days(site) if arguments.pairs else single_days(site, arguments.moments or START_TIMES_S)
     plays = [Play(site, day) for day in every if arguments.only in day.name]
     for play, result in each_done(bench.play, plays, arguments.jobs):
         print(f"{play.day.name:50} {verdict(result)}", flush=True)
--- a/tools/worst_days.py
+++ b/tools/worst_days.py
@@ -24,23 +24,23 @@
 from tools.bench_days import Bench, Day, Listing, Play, Result, Site, each_done
 from tools.worst_day_points import MIXED, POINTS, mixed
 
-MOMENTS_S = (3.0, 8.0)
-SEEDS = (1,)
-JOBS = 3
+DEFAULT_START_TIMES_S = (3.0, 8.0)
+DEFAULT_SEEDS = (1,)
+DEFAULT_JOBS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Which of all days are wanted.
+    """Selects days.
 
     Attributes:
-        points: Their first letters.
+        points: Prefixes of the names of points.
         mixed: Days of two points, for each seed and moment.
-        only: A word in the day's name.
+        only: A text that the day's name must contain.
     """
 
-    seeds: Sequence[int] = SEEDS
-    moments_s: Sequence[float] = MOMENTS_S
+    seeds: Sequence[int] = DEFAULT_SEEDS
+    moments_s: Sequence[float] = DEFAULT_START_TIMES_S
     points: Sequence[str] = ("",)
     mixed: int = 0
     only: str = ""
@@ -48,7 +48,7 @@
 
 
 def all_plays(sites: Mapping[Site, Listing], choice: Choice) -> list[Play]:
-    """The plays that are wanted, of days that may happen on their site."""
+    """Return the selected runs, of days that their site allows."""
     plays = [
         Play(site, day, seed)
         for seed in choice.seeds
@@ -64,7 +64,7 @@
 
 
 def days_of_points(site: Site, listing: Listing, points: Sequence[str], moment_s: float) -> Iterator[Day]:
-    """Each scenario of each point that is wanted."""
+    """Yield a day for each scenario of the selected points."""
     for point, scenarios in POINTS.items():
         if point.startswith(tuple(points)):
             allowed = filter(None, (scenario.on(listing) for scenario in scenarios(site)))
@@ -72,30 +72,30 @@
 
 
 def mixed_days(site: Site, listing: Listing, count: int, seed: int, moment_s: float) -> Iterator[Day]:
-    """So many days of two points each, other ones for each site, seed and moment."""
+    """Yield random days of two points each, drawn from site, seed and moment."""
     draw = Random(f"{site.name} {seed} {moment_s:g}")
     for number in range(1, count + 1):
         yield mixed(site, listing, draw).day(f"{MIXED}-{number}", moment_s)
 
 
 def spread(plays: Sequence[Play], most: int | None) -> list[Play]:
-    """So many of them, evenly over the whole."""
+    """Select at most this many, evenly spread over all."""
     if most is None or most >= len(plays):
         return list(plays)
     return [plays[number * len(plays) // most] for number in range(most)]
 
 
-# --- what came of it ----------------------------------------------------------------------------------
+# --- results ----------------------------------------------------------------------------------
 Outcomes = Sequence[tuple[Play, Result]]
 
 
 def point_of(play: Play) -> str:
-    """The point that a day belongs to."""
+    """Return the point of a day."""
     return next(point for point in (*POINTS, MIXED) if play.day.name.startswith(point))
 
 
 def by_point_and_site(outcomes: Outcomes) -> dict[tuple[str, str], Outcomes]:
-    """Outcomes by point and deployment, in this order."""
+    """Group outcomes by point and deployment, sorted."""
     groups: dict[tuple[str, str], list[tuple[Play, Result]]] = defaultdict(list)
     for play, result in outcomes:
         groups[point_of(play), play.site.name].append((play, result))
@@ -103,12 +103,12 @@
 
 
 def row(cells: Iterable[object]) -> str:
-    """A row of a table in Markdown."""
+    """Format a row of a Markdown table."""
     return "| " + " | ".join(str(cell) for cell in cells) + " |"
 
 
 def summary_table(outcomes: Outcomes) -> Iterator[str]:
-    """A row for each point and deployment, and one for all."""
+    """Yield a row for each point and deployment, and one for the total."""
     yield row(
         ["point", "deployment", "scenarios", "seeds", "plays", "broken rules", "faults", "short of the gate",
          "lowest, mean score", "lowest, mean worth"]
@@ -121,7 +121,7 @@
 
 
 def summary_cells(group: Outcomes) -> list[object]:
-    """The figures of a group of outcomes."""
+    """Return the figures of a group of outcomes."""
     results = [result for _, result in group]
     scores = [result.score for result in results if result.score is not None]
     return [
@@ -137,12 +137,12 @@
 
 
 def lowest_and_mean(values: Sequence[float]) -> str:
-    """Both, or a dash where there are none."""
+    """Format minimum and mean, or a dash if there are no values."""
     return f"{min(values):.2f}, {fmean(values):.2f}" if values else "-"
 
 
 def kinds_table(plays: Sequence[Play]) -> Iterator[str]:
-    """Which kinds of trouble each point's days hold."""
+    """Yield a table of the kinds of events on each point's days."""
     kinds: dict[str, set[str]] = defaultdict(set)
     for play in plays:
         kinds[point_of(play)] |= {str(entry["kind"]) for entry in play.day.entries()}
@@ -155,10 +155,10 @@
 
 
 def findings(outcomes: Outcomes) -> Iterator[str]:
-    """Each play with a broken rule, a fault or a gate that it missed, in the bench's words."""
+    """Yield a line for each broken rule, fault or missed bound, in the bench's words."""
     for play, result in outcomes:
-        for rule, said in result.broken.items():
-            yield f"- `{play.stem}`: {rule}: {said}"
+        for rule, notes in result.broken.items():
+            yield f"- `{play.stem}`: {rule}: {notes}"
         for account in result.first:
             yield f"- `{play.stem}`: {account}"
         if result.fault:
@@ -168,7 +168,7 @@
 
 
 def lowest(outcomes: Outcomes, count: int = 10) -> Iterator[str]:
-    """The plays with the lowest scores, and what took most."""
+    """Yield a table of the runs with the lowest scores, their weakest part and largest price."""
     scored = [(play, result) for play, result in outcomes if result.score is not None]
     yield row(["day", "score", "worth", "weakest part; largest price", "short of the gate"])
     yield row(["---"] * 5)
@@ -178,7 +178,7 @@
 
 
 def page(outcomes: Outcomes) -> str:
-    """All of it in Markdown, the same whatever order the plays ended in."""
+    """Format all tables as Markdown, independent of the order in which runs ended."""
     ordered = sorted(outcomes, key=lambda item: item[0].stem)
     parts = [
         summary_table(ordered),
@@ -190,60 +190,60 @@
 
 
 def line(play: Play, result: Result) -> str:
-    """What is printed as soon as a play is done."""
+    """Format the line that is printed when a run is done."""
     score = "-" if result.score is None else f"{result.score:.2f}"
-    said = [*result.broken, *([result.fault] if result.fault else []), *result.short]
-    told = f"score {score}  worth {result.worth:.2f}  {result.wall_s:4.0f} s"
-    return f"{play.stem:70} {told}  {' | '.join(said)}".rstrip()
+    notes = [*result.broken, *([result.fault] if result.fault else []), *result.short]
+    figures = f"score {score}  worth {result.worth:.2f}  {result.wall_s:4.0f} s"
+    return f"{play.stem:70} {figures}  {' | '.join(notes)}".rstrip()
 
 
 # --- the command --------------------------------------------------------------------------------------
-def parsed(words: Sequence[str]) -> argparse.Namespace:
-    """The arguments."""
+def parse_arguments(arguments: Sequence[str]) -> argparse.Namespace:
+    """Parse the arguments."""
     parser = argparse.ArgumentParser("tools.worst_days", description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("bench", type=Path)
     parser.add_argument("out", type=Path)
     parser.add_argument("sites", type=Path, nargs="+")
-    parser.add_argument("--seeds", type=int, nargs="+", default=SEEDS)
-    parser.add_argument("--moments", type=float, nargs="+", default=MOMENTS_S)
+    parser.add_argument("--seeds", type=int, nargs="+", default=DEFAULT_SEEDS)
+    parser.add_argument("--moments", type=float, nargs="+", default=DEFAULT_START_TIMES_S)
     parser.add_argument("--points", nargs="+", default=("",))
     parser.add_argument("--mixed", type=int, default=0, help="days of two points, a site, seed and moment")
     parser.add_argument("--only", default="")
     parser.add_argument("--most", type=int)
     parser.add_argument("--slot", default="trouble", help="the standard day whose traffic is taken over")
-    parser.add_argument("--jobs", type=int, default=JOBS)
+    parser.add_argument("--jobs", type=int, default=DEFAULT_JOBS)
     parser.add_argument("--why", default="the worst days: five points, written by tools/worst_days.py")
     parser.add_argument("--write-only", action="store_true")
     parser.add_argument("--table", type=Path)
-    return parser.parse_args(words)
+    return parser.parse_args(arguments)
 
 
-def sites_of(asked: argparse.Namespace) -> list[Site]:
-    """The deployments that are asked for."""
-    return [Site.read(path, asked.slot) for path in asked.sites]
+def sites_of(options: argparse.Namespace) -> list[Site]:
+    """Read the selected deployments."""
+    return [Site.read(path, options.slot) for path in options.sites]
 
 
-def main(words: Sequence[str]) -> int:
-    """Exit code 1 where a rule was broken or there was a fault."""
-    asked = parsed(words)
-    asked.out.mkdir(parents=True, exist_ok=True)
-    bench = Bench(asked.bench.resolve(), asked.out.resolve(), asked.why)
-    sites = {site: bench.listing(site) for site in sites_of(asked)}
-    choice = Choice(asked.seeds, asked.moments, asked.points, asked.mixed, asked.only, asked.most)
+def main(arguments: Sequence[str]) -> int:
+    """Run the command line; return 1 if a rule was broken or there was a fault."""
+    options = parse_arguments(arguments)
+    options.out.mkdir(parents=True, exist_ok=True)
+    bench = Bench(options.bench.resolve(), options.out.resolve(), options.why)
+    sites = {site: bench.listing(site) for site in sites_of(options)}
+    choice = Choice(options.seeds, options.moments, options.points, options.mixed, options.only, options.most)
     plays = all_plays(sites, choice)
     print(f"{len(plays)} plays", flush=True)
-    if asked.write_only:
+    if options.write_only:
         for play in plays:
             print(bench.write(play))
         return 0
     outcomes = []
-    for play, result in each_done(bench.play, plays, asked.jobs):
+    for play, result in each_done(bench.play, plays, options.jobs):
         print(line(play, result), flush=True)
         outcomes.append((play, result))
     text = page(outcomes)
     print(text)
-    if asked.table:
-        asked.table.write_text(text)
+    if options.table:
+        options.table.write_text(text)
     return 0 if all(result.sound for _, result in outcomes) else 1
 
 
